--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/http1"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 )
 
 const (
@@ -70,7 +70,7 @@
 	server *Server
 	conn   *netio.Conn
 	came   time.Duration
-	due    *deadline.Entry
+	due    *timerqueue.Entry
 	over   bool // its call was answered, or it is being closed
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/decide/standing"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -86,11 +86,11 @@
 	priority int
 	detail   any // of its latest error
 
-	admitted bool            // the module has it
-	base     int             // tries of an earlier life in the module
-	away     *deadline.Entry // it is at another site, until then at the latest
-	crossed  time.Duration   // since then
-	turned   *Answer         // the module's, while it is at another site as well
+	admitted bool              // the module has it
+	base     int               // tries of an earlier life in the module
+	away     *timerqueue.Entry // it is at another site, until then at the latest
+	crossed  time.Duration     // since then
+	turned   *Answer           // the module's, while it is at another site as well
 }
 
 // Attempt is one send of a request to one engine.
@@ -110,7 +110,7 @@
 	told     bool          // other sites' service has heard of it
 	began    bool          // a part of its answer has come, and it goes on
 	notAfter time.Duration // it may not be written later; 0: no such limit
-	timer    *deadline.Entry
+	timer    *timerqueue.Entry
 }
 
 // Ended tells whether the attempt is over.
@@ -146,7 +146,7 @@
 type Core struct {
 	gateway *policy.Gateway
 	clock   Clock
-	timers  *deadline.Queue
+	timers  *timerqueue.Queue
 	links   Links
 	learner Learner                       // nil: nobody
 	sending func(*Request, time.Duration) // hears of first sends before they are made; may be nil
@@ -172,7 +172,7 @@
 }
 
 // New returns a core for the settings. SetLinks must follow before any event.
-func New(set policy.Settings, seed uint64, clock Clock, timers *deadline.Queue, counters *stats.Counters, l *slog.Logger) (*Core, error) {
+func New(set policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *stats.Counters, l *slog.Logger) (*Core, error) {
 	g, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -17,7 +17,7 @@
 // they hear.
 type world struct {
 	now    time.Duration
-	timers *deadline.Queue
+	timers *timerqueue.Queue
 	core   *Core
 	heard  []string
 	cross  func(r *Request, turned bool) bool
@@ -62,7 +62,7 @@
 
 func newWorld(t *testing.T, engines int) *world {
 	t.Helper()
-	w := &world{now: time.Hour, timers: deadline.New()}
+	w := &world{now: time.Hour, timers: timerqueue.New()}
 	set := policy.Settings{
 		Gateways: 1, Round: time.Millisecond, Kinds: []policy.Kind{{Name: "k", Cores: 8, MemoryMB: 1000}},
 		Classes: []policy.Class{
--- a/internal/engine/lines/links.go
+++ b/internal/engine/lines/links.go
@@ -13,10 +13,10 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/engine"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -73,7 +73,7 @@
 	probe   *probe                   // that is out here, or waits for the connection; nil: none
 	past    map[string]time.Duration // ids given up here, until then
 	oldest  []string                 // the same ids, oldest first
-	stall   *deadline.Entry          // ends the link in the middle of an answer
+	stall   *timerqueue.Entry        // ends the link in the middle of an answer
 	began   time.Duration            // when the answer that has come in part did; 0: there is none
 	retired bool                     // takes no more
 	used    time.Duration
@@ -85,7 +85,7 @@
 	attempt *core.Attempt
 	link    *link
 	written bool
-	asked   *deadline.Entry // it is given up, and its engine is asked again then whether it is through with it
+	asked   *timerqueue.Entry // it is given up, and its engine is asked again then whether it is through with it
 	pages   Rows
 	missing int // pages
 	size    int // of those that are here
--- a/internal/engine/lines/probe.go
+++ b/internal/engine/lines/probe.go
@@ -5,7 +5,7 @@
 	"strconv"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -14,7 +14,7 @@
 type probe struct {
 	link  *link
 	tag   string
-	timer *deadline.Entry
+	timer *timerqueue.Entry
 }
 
 // Probe asks an engine for its load, on a connection that is up where there is one. An engine
--- a/internal/engine/pg/links.go
+++ b/internal/engine/pg/links.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/decide/pool"
 	"gannetspur/internal/engine"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 
 	"github.com/xdg-go/scram"
@@ -91,7 +91,7 @@
 	proving *scram.ClientConversation
 	retired bool
 	used    time.Duration
-	stall   *deadline.Entry   // ends it in the middle of a message
+	stall   *timerqueue.Entry // ends it in the middle of a message
 	end     core.End          // why it is being closed from here
 	key     []byte            // process and secret, as a CancelRequest wants them
 	named   map[string]string // statements that stay prepared here: their names by text and types
--- a/internal/engine/pg/pool.go
+++ b/internal/engine/pg/pool.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/decide/pool"
 	"gannetspur/internal/engine"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -27,7 +27,7 @@
 	attempt *core.Attempt
 	ticket  *pool.Ticket
 	place   *place
-	late    *deadline.Entry // it is told then that there was none
+	late    *timerqueue.Entry // it is told then that there was none
 }
 
 // tellBefore is how long before its time is over an attempt that waits is told so: it has never run then, and its client hears
--- a/internal/front/pgwire/front.go
+++ b/internal/front/pgwire/front.go
@@ -16,7 +16,6 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/decide/login"
 	"gannetspur/internal/logins"
 	"gannetspur/internal/netio"
@@ -24,6 +23,7 @@
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 )
 
 const (
@@ -209,12 +209,12 @@
 
 	statements map[string]*statement
 	portals    map[string]*portal
-	skip       bool            // after an error, to Sync
-	simple     bool            // the open request came by Query
-	describing string          // portal whose description waits for what follows
-	describe   bool            // and whether there is one
-	out        []byte          // answers not yet written
-	stall      *deadline.Entry // ends a connection in the middle of a message
+	skip       bool              // after an error, to Sync
+	simple     bool              // the open request came by Query
+	describing string            // portal whose description waits for what follows
+	describe   bool              // and whether there is one
+	out        []byte            // answers not yet written
+	stall      *timerqueue.Entry // ends a connection in the middle of a message
 	request    *core.Request
 	then       func(core.Answer)
 	ending     bool         // its last words are being written
--- a/internal/front/pgwire/transaction.go
+++ b/internal/front/pgwire/transaction.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/sqltext"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -27,8 +27,8 @@
 	failed   bool          // until its end everything is refused (25P02)
 	ending   bool          // its last statement is out
 	implicit bool          // of one message with several statements, and over with it
-	idle     *deadline.Entry
-	limit    *deadline.Entry
+	idle     *timerqueue.Entry
+	limit    *timerqueue.Entry
 	then     func(core.Answer) // of the statement that is out
 }
 
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -12,13 +12,13 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/http1"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -249,17 +249,17 @@
 type conn struct {
 	front   *Front
 	conn    *netio.Conn
-	request *core.Request   // taken and not answered
-	used    time.Duration   // the latest that came of a call, or its latest answer
-	begun   bool            // a call has come in part
-	good    bool            // it has made a good call
-	due     *deadline.Entry // by when its call must be whole
-	further bool            // its latest answer named a further part
-	ahead   bool            // something has come behind its latest call
-	came    arrivals        // of what is in its buffer
-	left    *core.Left      // of the call that comes first, where a process that died had it
-	close   bool            // after the answer
-	ended   bool            // nothing more is read
+	request *core.Request     // taken and not answered
+	used    time.Duration     // the latest that came of a call, or its latest answer
+	begun   bool              // a call has come in part
+	good    bool              // it has made a good call
+	due     *timerqueue.Entry // by when its call must be whole
+	further bool              // its latest answer named a further part
+	ahead   bool              // something has come behind its latest call
+	came    arrivals          // of what is in its buffer
+	left    *core.Left        // of the call that comes first, where a process that died had it
+	close   bool              // after the answer
+	ended   bool              // nothing more is read
 }
 
 // Data reads calls until one waits for its answer.
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	decide "gannetspur/internal/decide/handover"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 
 	"golang.org/x/sys/unix"
 )
@@ -64,13 +64,13 @@
 	kept    map[decide.ConnID]*kept
 	effects []any
 	running bool
-	again   *deadline.Entry // runs what is left of the effects
-	round   time.Duration   // since then connections were given
-	given   int             // so many
+	again   *timerqueue.Entry // runs what is left of the effects
+	round   time.Duration     // since then connections were given
+	given   int               // so many
 	build   string
 	counted map[string]int64
 	memory  time.Duration
-	ticker  *deadline.Entry
+	ticker  *timerqueue.Entry
 	began   time.Duration
 
 	good, bad int64 // of the answers until the latest look
--- a/internal/lab/fleet/engine.go
+++ b/internal/lab/fleet/engine.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/lab/costs"
 	"gannetspur/internal/lab/model"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -23,7 +23,7 @@
 	down    bool
 	listed  bool
 	started time.Duration
-	timer   *deadline.Entry
+	timer   *timerqueue.Entry
 	last    uint64
 	out     map[uint64]*running
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -14,11 +14,11 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	decide "gannetspur/internal/decide/site"
 	"gannetspur/internal/lab/model"
 	"gannetspur/internal/site/crossing"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -91,7 +91,7 @@
 type World struct {
 	opts   Options
 	now    time.Duration
-	queue  *deadline.Queue
+	queue  *timerqueue.Queue
 	rng    *rand.Rand
 	sites  []*site
 	wans   []*wan
@@ -116,8 +116,8 @@
 	n       int
 	lives   int
 	core    *core.Core
-	timers  *deadline.Queue // of its own: they end with it
-	wake    *deadline.Entry
+	timers  *timerqueue.Queue // of its own: they end with it
+	wake    *timerqueue.Entry
 	service *crossing.Service
 	stats   *stats.Counters
 	dead    bool
@@ -128,7 +128,7 @@
 
 func (g *gateway) skew() time.Duration { return time.Duration(g.site.n) * g.w.opts.Skew }
 
-func (w *World) after(d time.Duration, f func()) *deadline.Entry {
+func (w *World) after(d time.Duration, f func()) *timerqueue.Entry {
 	return w.queue.Add(w.now+max(d, 0), f)
 }
 
@@ -141,7 +141,7 @@
 		return nil, errors.New("fleet: sites, gateways, engines, rate and span must be above 0")
 	}
 	w := &World{
-		opts: opts, now: origin, queue: deadline.New(), rng: rand.New(rand.NewPCG(opts.Seed, 0x666c656574)),
+		opts: opts, now: origin, queue: timerqueue.New(), rng: rand.New(rand.NewPCG(opts.Seed, 0x666c656574)),
 		ledger: newLedger(),
 	}
 	w.res = newResult(&opts)
@@ -205,7 +205,7 @@
 	w := g.w
 	g.lives++
 	g.dead = false
-	g.timers = deadline.New()
+	g.timers = timerqueue.New()
 	g.stats = stats.New()
 	out := io.Discard
 	if w.opts.Log != nil {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -8,10 +8,10 @@
 	"net/netip"
 	"time"
 
-	"gannetspur/internal/deadline"
 	decide "gannetspur/internal/decide/members"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -38,7 +38,7 @@
 	socket  *netio.Datagrams
 	stats   *stats.Counters
 	log     *slog.Logger
-	ticker  *deadline.Entry
+	ticker  *timerqueue.Entry
 	over    bool // it has left, or another process goes on
 }
 
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/deadline"
+	"gannetspur/internal/timerqueue"
 
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
@@ -68,7 +68,7 @@
 
 // Loop owns the sockets, the timers and the goroutine that all handlers run on.
 type Loop struct {
-	Timers *deadline.Queue
+	Timers *timerqueue.Queue
 	// Budget bounds what the buffers of all connections hold together, in bytes. Past
 	// it the next connection to take more than one read ends. Set it before Run.
 	Budget int64
@@ -103,7 +103,7 @@
 	}
 	now := time.Now()
 	l := &Loop{
-		Timers: deadline.New(), Budget: DefaultBudget, origin: now, unix: time.Duration(now.UnixNano()),
+		Timers: timerqueue.New(), Budget: DefaultBudget, origin: now, unix: time.Duration(now.UnixNano()),
 		wake: make(chan struct{}, 1), open: map[*Conn]struct{}{}, buf: make([]byte, readSize),
 	}
 	l.engine = nbio.NewEngine(nbio.Config{
@@ -532,19 +532,19 @@
 	nc      *nbio.Conn
 	handler Handler
 	limit   int
-	over    bool            // Closed was told
-	linger  *deadline.Entry // ends a connection that is closing
-	post    func(func())    // has something done on the loop
-	done    func()          // called once it has ended
-	shared  bool            // another process may hold the same socket
-	dialed  bool            // from here
-	shut    atomic.Bool     // nothing more is read
-	closing atomic.Bool     // from here: what is read is dropped, and nothing more is written
-	gone    atomic.Bool     // the socket is closed, as Closed will tell
-	then    func()          // called once all is written
-	pending atomic.Int64    // bytes not yet written
-	waiting atomic.Bool     // the loop wants to know when there are none
-	secure  *secure         // nil: plain
+	over    bool              // Closed was told
+	linger  *timerqueue.Entry // ends a connection that is closing
+	post    func(func())      // has something done on the loop
+	done    func()            // called once it has ended
+	shared  bool              // another process may hold the same socket
+	dialed  bool              // from here
+	shut    atomic.Bool       // nothing more is read
+	closing atomic.Bool       // from here: what is read is dropped, and nothing more is written
+	gone    atomic.Bool       // the socket is closed, as Closed will tell
+	then    func()            // called once all is written
+	pending atomic.Int64      // bytes not yet written
+	waiting atomic.Bool       // the loop wants to know when there are none
+	secure  *secure           // nil: plain
 
 	mu      sync.Mutex
 	journal Journal // nil: none
--- a/internal/roster/bus/bus.go
+++ b/internal/roster/bus/bus.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -46,8 +46,8 @@
 	conn    *netio.Conn
 	dialing func() // gives the latest dial up
 	tries   int    // dials begun
-	retry   *deadline.Entry
-	silence *deadline.Entry
+	retry   *timerqueue.Entry
+	silence *timerqueue.Entry
 	quiet   time.Duration // the most between two frames
 	pause   time.Duration
 	stopped bool
--- a/internal/site/crossing/crossing.go
+++ b/internal/site/crossing/crossing.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
 	decide "gannetspur/internal/decide/site"
 	"gannetspur/internal/site/head"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
 
@@ -69,7 +69,7 @@
 type Service struct {
 	core   *core.Core
 	clock  core.Clock
-	timers *deadline.Queue
+	timers *timerqueue.Queue
 	opts   Options
 	cfg    decide.Config
 	stats  *stats.Counters
@@ -112,7 +112,7 @@
 }
 
 // New returns the service of a core. It begins to tick; SetSites is the caller's.
-func New(c *core.Core, timers *deadline.Queue, opts Options, counters *stats.Counters, log *slog.Logger) (*Service, error) {
+func New(c *core.Core, timers *timerqueue.Queue, opts Options, counters *stats.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{
 		core: c, clock: c, timers: timers, opts: opts, cfg: opts.Config, stats: counters, log: log,
 		classes: map[string]policy.Class{}, cores: map[string]float64{}, away: map[*core.Request]*crossed{},
--- a/internal/site/link/link.go
+++ b/internal/site/link/link.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/deadline"
 	"gannetspur/internal/site/crossing"
 	"gannetspur/internal/site/frame"
 	"gannetspur/internal/stats"
+	"gannetspur/internal/timerqueue"
 
 	"golang.org/x/sys/unix"
 )
@@ -51,7 +51,7 @@
 // Runner keeps a link to each peer. Of two gateways the one dials whose name comes first.
 type Runner struct {
 	loop    Loop
-	timers  *deadline.Queue
+	timers  *timerqueue.Queue
 	service *crossing.Service
 	keys    *Keys
 	own     crossing.Name
@@ -73,7 +73,7 @@
 }
 
 // New returns a runner. Start begins.
-func New(loop Loop, timers *deadline.Queue, service *crossing.Service, keys *Keys, own crossing.Name, peers []Peer, counters *stats.Counters, log *slog.Logger) *Runner {
+func New(loop Loop, timers *timerqueue.Queue, service *crossing.Service, keys *Keys, own crossing.Name, peers []Peer, counters *stats.Counters, log *slog.Logger) *Runner {
 	r := &Runner{loop: loop, timers: timers, service: service, keys: keys, own: own, stats: counters, log: log, conns: map[*conn]bool{}}
 	r.SetPeers(peers)
 	return r
@@ -275,7 +275,7 @@
 	proven  proven
 	dialled bool
 	link    *crossing.Link
-	ends    *deadline.Entry
+	ends    *timerqueue.Entry
 
 	// For the loop's goroutine:
 	busy  int // buffers that wait for the socket
--- a/internal/deadline/deadline.go
+++ b/internal/timerqueue/deadline.go
@@ -1,6 +1,6 @@
 // Package deadline keeps every deadline and timer of the program in one sorted
 // structure, which its owner sweeps each turn. It is not safe for concurrent use.
-package deadline
+package timerqueue
 
 import (
 	"time"
--- a/internal/deadline/deadline_test.go
+++ b/internal/timerqueue/deadline_test.go
@@ -1,4 +1,4 @@
-package deadline
+package timerqueue
 
 import (
 	"testing"
