--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -23,12 +23,12 @@
 	"gannetspur/internal/front/rest"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/logins"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/roster/bus"
 	"gannetspur/internal/roster/consul"
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/succession"
 	"gannetspur/policy"
 )
@@ -38,7 +38,7 @@
 	loop     *netio.Loop
 	core     *core.Core
 	front    front
-	counters *stats.Counters
+	counters *metrics.Counters
 	log      *slog.Logger
 	shapes   *shape.Service // nil: off
 	reload   func() error   // reads the file again; for the loop's goroutine
@@ -99,7 +99,7 @@
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g := &gateway{counters: stats.New(), log: logger}
+	g := &gateway{counters: metrics.New(), log: logger}
 	in, err := takeOver()
 	if err == nil {
 		err = g.build(ctx, what)
--- a/cmd/ringwood/stop_test.go
+++ b/cmd/ringwood/stop_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/stats"
+	"gannetspur/internal/metrics"
 )
 
 const call = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d4%d\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
@@ -42,7 +42,7 @@
 // serve runs a gateway in the test's own process; ended is closed once it has ended.
 func serve(t *testing.T, path string) (g *gateway, ended chan struct{}) {
 	t.Helper()
-	g = &gateway{counters: stats.New(), log: slog.New(slog.DiscardHandler)}
+	g = &gateway{counters: metrics.New(), log: slog.New(slog.DiscardHandler)}
 	if err := g.platform(path, "", ""); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,8 +13,8 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/http1"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 )
 
@@ -45,13 +45,13 @@
 type Server struct {
 	loop     *netio.Loop
 	gateway  Gateway
-	stats    *stats.Counters
+	stats    *metrics.Counters
 	listener *netio.Listener
 	waiting  map[*caller]struct{} // have made no whole call
 }
 
 // Open listens for operators.
-func Open(loop *netio.Loop, addr string, g Gateway, counters *stats.Counters) (*Server, error) {
+func Open(loop *netio.Loop, addr string, g Gateway, counters *metrics.Counters) (*Server, error) {
 	ln, err := netio.Listen(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen for operators: %w", err)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/decide/standing"
-	"gannetspur/internal/stats"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -150,7 +150,7 @@
 	links   Links
 	learner Learner                       // nil: nobody
 	sending func(*Request, time.Duration) // hears of first sends before they are made; may be nil
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	sites   Sites // nil: there is no other
 	stand   *standing.Standing
 	changed func() // hears that a ban was called or called back here; may be nil
@@ -172,7 +172,7 @@
 }
 
 // New returns a core for the settings. SetLinks must follow before any event.
-func New(set policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *stats.Counters, l *slog.Logger) (*Core, error) {
+func New(set policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, l *slog.Logger) (*Core, error) {
 	g, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/stats"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 
@@ -74,7 +74,7 @@
 		Goal:   policy.Goal{Whole: 1},
 	}
 	var err error
-	if w.core, err = New(set, 1, w, w.timers, stats.New(), slog.New(slog.DiscardHandler)); err != nil {
+	if w.core, err = New(set, 1, w, w.timers, metrics.New(), slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	w.core.SetLinks(drops{w})
--- a/internal/engine/lines/links.go
+++ b/internal/engine/lines/links.go
@@ -14,8 +14,8 @@
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	"gannetspur/internal/engine"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -49,14 +49,14 @@
 	loop    *netio.Loop
 	core    *core.Core
 	site    config.Site
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	engines *engine.Pool[*link]
 	probes  uint64 // begun
 }
 
 // New returns links that report to the core.
-func New(loop *netio.Loop, c *core.Core, site config.Site, counters *stats.Counters, l *slog.Logger) *Links {
+func New(loop *netio.Loop, c *core.Core, site config.Site, counters *metrics.Counters, l *slog.Logger) *Links {
 	site.MaxStreams = max(site.MaxStreams, 1)
 	if site.ConnectTimeout <= 0 {
 		site.ConnectTimeout = 250 * time.Millisecond
--- a/internal/engine/pg/links.go
+++ b/internal/engine/pg/links.go
@@ -15,9 +15,9 @@
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/pool"
 	"gannetspur/internal/engine"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 
@@ -53,7 +53,7 @@
 	loop    *netio.Loop
 	core    *core.Core
 	opts    Options
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	engines *engine.Pool[*link]
 	places  map[string]*place
@@ -62,7 +62,7 @@
 }
 
 // New returns links that report to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *stats.Counters, l *slog.Logger) *Links {
+func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters, l *slog.Logger) *Links {
 	if opts.ConnectTimeout <= 0 {
 		opts.ConnectTimeout = time.Second
 	}
--- a/internal/front/pgwire/front.go
+++ b/internal/front/pgwire/front.go
@@ -18,11 +18,11 @@
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/login"
 	"gannetspur/internal/logins"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 )
 
@@ -65,7 +65,7 @@
 	loop     *netio.Loop
 	core     *core.Core
 	opts     Options
-	stats    *stats.Counters
+	stats    *metrics.Counters
 	listener *netio.Listener
 	conns    map[uint32]*conn // by the process number that each was told
 	last     uint32
@@ -77,7 +77,7 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *stats.Counters) *Front {
+func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Front {
 	f := &Front{loop: loop, core: c, stats: counters, throttle: login.New(login.Defaults()), conns: map[uint32]*conn{}}
 	f.SetOptions(opts)
 	return f
--- a/internal/front/rest/move_test.go
+++ b/internal/front/rest/move_test.go
@@ -13,8 +13,8 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/engine/lines"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/policy"
 )
 
@@ -27,11 +27,11 @@
 	set := policy.Settings{Gateways: 1, Round: 5 * time.Millisecond,
 		Classes: []policy.Class{{Name: "lookup", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Threads: 1, Effect: policy.Safe}},
 		Kinds:   []policy.Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: policy.Limits{Tries: 3}}
-	c, err := core.New(set, 1, l, l.Timers, stats.New(), slog.New(slog.DiscardHandler))
+	c, err := core.New(set, 1, l, l.Timers, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := New(l, c, Options{}, stats.New())
+	f := New(l, c, Options{}, metrics.New())
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -14,10 +14,10 @@
 	"gannetspur/internal/core"
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/http1"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -64,7 +64,7 @@
 	loop  *netio.Loop
 	core  *core.Core
 	opts  Options
-	stats *stats.Counters
+	stats *metrics.Counters
 	boot  string // tells paths of this start from those of others
 
 	listener *netio.Listener
@@ -89,7 +89,7 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *stats.Counters) *Front {
+func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Front {
 	if opts.MostClients <= 0 {
 		opts.MostClients = 512
 	}
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -7,8 +7,8 @@
 
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/handover"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 
 	"golang.org/x/sys/unix"
 )
@@ -32,7 +32,7 @@
 	front Front
 	ch    *Channel
 	opts  NewOptions
-	stats *stats.Counters
+	stats *metrics.Counters
 	log   *slog.Logger
 
 	machine   *decide.New
@@ -43,7 +43,7 @@
 }
 
 // NewNew returns what takes over by way of the channel. Begin follows.
-func NewNew(loop *netio.Loop, c *core.Core, front Front, ch *Channel, opts NewOptions, counters *stats.Counters, log *slog.Logger) *New {
+func NewNew(loop *netio.Loop, c *core.Core, front Front, ch *Channel, opts NewOptions, counters *metrics.Counters, log *slog.Logger) *New {
 	return &New{
 		loop: loop, core: c, front: front, ch: ch, opts: opts, stats: counters, log: log,
 		machine: decide.NewNew(Version), journals: map[core.Client]*journal{},
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -9,8 +9,8 @@
 
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/handover"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 
 	"golang.org/x/sys/unix"
@@ -50,7 +50,7 @@
 	core  *core.Core
 	front Front
 	opts  OldOptions
-	stats *stats.Counters
+	stats *metrics.Counters
 	log   *slog.Logger
 
 	machine *decide.Old // nil: there never was an upgrade
@@ -92,7 +92,7 @@
 }
 
 // NewOld returns what can give this process's work away.
-func NewOld(loop *netio.Loop, c *core.Core, front Front, opts OldOptions, counters *stats.Counters, log *slog.Logger) *Old {
+func NewOld(loop *netio.Loop, c *core.Core, front Front, opts OldOptions, counters *metrics.Counters, log *slog.Logger) *Old {
 	o := &Old{loop: loop, core: c, front: front, opts: opts, stats: counters, log: log}
 	o.look()
 	return o
@@ -110,7 +110,7 @@
 
 // GoodAndBad tells the answers given so far that were served, and that were not: refusals,
 // failures, and calls that the front itself found at fault.
-func GoodAndBad(c *stats.Counters) (good, bad int64) {
+func GoodAndBad(c *metrics.Counters) (good, bad int64) {
 	bad = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
 	return c.Sum("answered.served."), max(bad, c.Sum("pgwire.errors."))
 }
@@ -589,7 +589,7 @@
 	}
 	if o.proc != nil && now-o.memory >= memoryEvery {
 		o.memory = now
-		o.step(decide.Memory{Bytes: stats.Resident(o.proc.cmd.Process.Pid)})
+		o.step(decide.Memory{Bytes: metrics.Resident(o.proc.cmd.Process.Pid)})
 	}
 	o.step(decide.Tick{})
 }
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -20,9 +20,9 @@
 	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/front/pgwire"
 	"gannetspur/internal/front/rest"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/stats"
 	"gannetspur/policy"
 )
 
@@ -34,7 +34,7 @@
 	t       *testing.T
 	loop    *netio.Loop
 	core    *core.Core
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	site    config.Site
 	log     *slog.Logger
 	addr    string
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gateway{t: t, stats: stats.New(), log: slog.New(slog.DiscardHandler)}
+	g := &gateway{t: t, stats: metrics.New(), log: slog.New(slog.DiscardHandler)}
 	if err := json.Unmarshal(raw, &g.site); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -16,8 +16,8 @@
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/site"
 	"gannetspur/internal/lab/model"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/crossing"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -119,7 +119,7 @@
 	timers  *timerqueue.Queue // of its own: they end with it
 	wake    *timerqueue.Entry
 	service *crossing.Service
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	dead    bool
 }
 
@@ -206,7 +206,7 @@
 	g.lives++
 	g.dead = false
 	g.timers = timerqueue.New()
-	g.stats = stats.New()
+	g.stats = metrics.New()
 	out := io.Discard
 	if w.opts.Log != nil {
 		out = w.opts.Log
--- a/internal/lab/shapes/cost.go
+++ b/internal/lab/shapes/cost.go
@@ -18,8 +18,8 @@
 
 	"gannetspur/internal/lab/register"
 	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/stats"
 )
 
 // CostOptions say how to measure what reading shapes costs the gateway.
@@ -152,7 +152,7 @@
 	}
 	res.CPU = float64((after - before).Microseconds()) / float64(opts.Requests)
 	res.Rate = float64(opts.Requests) / took.Seconds()
-	res.KB = int(stats.Resident(g.Process.Pid) >> 10)
+	res.KB = int(metrics.Resident(g.Process.Pid) >> 10)
 	return res, nil
 }
 
--- a/internal/lab/shapes/flood.go
+++ b/internal/lab/shapes/flood.go
@@ -8,8 +8,8 @@
 	"runtime/debug"
 
 	decide "gannetspur/internal/decide/shape"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/shape"
-	"gannetspur/internal/stats"
 )
 
 // FloodOptions say how a cache is flooded with shapes that never come again while others
@@ -79,7 +79,7 @@
 	res.Held, res.Counted = book.Len(), book.Bytes()
 	res.HeapBytes = heap() - before
 	debug.FreeOSMemory()
-	res.RSSBytes = int(stats.Resident(os.Getpid()))
+	res.RSSBytes = int(metrics.Resident(os.Getpid()))
 	runtime.KeepAlive(book)
 	return res, nil
 }
--- a/internal/lab/sitelink/node.go
+++ b/internal/lab/sitelink/node.go
@@ -14,10 +14,10 @@
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/site"
 	"gannetspur/internal/lab/authority"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/site/crossing"
 	"gannetspur/internal/site/link"
-	"gannetspur/internal/stats"
 	"gannetspur/policy"
 )
 
@@ -62,7 +62,7 @@
 	Core     *core.Core
 	Service  *crossing.Service
 	Runner   *link.Runner
-	Counters *stats.Counters
+	Counters *metrics.Counters
 	Sent     chan *core.Attempt
 	Dropped  chan string
 	Answer   func(statement []byte) []byte // for the loop's goroutine
@@ -94,7 +94,7 @@
 
 // Start starts a node. Without engines all that it is asked for crosses.
 func Start(o Options) (n *Node, err error) {
-	n = &Node{Counters: stats.New(), Sent: make(chan *core.Attempt, 100), Dropped: make(chan string, 100), Answer: o.Answer, name: o.Name}
+	n = &Node{Counters: metrics.New(), Sent: make(chan *core.Attempt, 100), Dropped: make(chan string, 100), Answer: o.Answer, name: o.Name}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	if n.Loop, err = netio.New(0); err != nil {
 		return nil, err
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -9,8 +9,8 @@
 	"time"
 
 	decide "gannetspur/internal/decide/members"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 
 	"github.com/fxamacker/cbor/v2"
@@ -36,14 +36,14 @@
 	opts    Options
 	machine *decide.Machine
 	socket  *netio.Datagrams
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	ticker  *timerqueue.Entry
 	over    bool // it has left, or another process goes on
 }
 
 // Start opens the socket and begins to be a member.
-func Start(loop *netio.Loop, opts Options, counters *stats.Counters, log *slog.Logger) (*Service, error) {
+func Start(loop *netio.Loop, opts Options, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{loop: loop, opts: opts, stats: counters, log: log}
 	if opts.Keys != nil {
 		opts.Config = signed(opts.Config)
--- a/internal/stats/resident.go
+++ b/internal/metrics/resident.go
@@ -1,4 +1,4 @@
-package stats
+package metrics
 
 import (
 	"fmt"
--- a/internal/stats/stats.go
+++ b/internal/metrics/stats.go
@@ -1,5 +1,5 @@
 // Package stats counts what the program takes in, sends and answers.
-package stats
+package metrics
 
 import (
 	"fmt"
--- a/internal/roster/bus/bus.go
+++ b/internal/roster/bus/bus.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"gannetspur/internal/core"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -40,7 +40,7 @@
 	zones  []string
 	kinds  []string
 	roster Roster
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	log    *slog.Logger
 
 	conn    *netio.Conn
@@ -55,7 +55,7 @@
 
 // New returns a follower that goes on after the event numbered last. Zones and
 // kinds are the lists of the settings that records give places in.
-func New(loop *netio.Loop, addr string, last uint64, zones, kinds []string, r Roster, counters *stats.Counters, l *slog.Logger) *Follower {
+func New(loop *netio.Loop, addr string, last uint64, zones, kinds []string, r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
 	return &Follower{
 		loop: loop, addr: addr, last: last, zones: zones, kinds: kinds,
 		roster: r, stats: counters, log: l, quiet: maxSilence, pause: firstPause,
--- a/internal/roster/bus/bus_test.go
+++ b/internal/roster/bus/bus_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"gannetspur/internal/core"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
 	"gannetspur/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	news := make(recorder, 10)
-	f := New(loop, ln.Addr().String(), 3, []string{"a", "b"}, []string{"std"}, news, stats.New(), slog.New(slog.DiscardHandler))
+	f := New(loop, ln.Addr().String(), 3, []string{"a", "b"}, []string{"std"}, news, metrics.New(), slog.New(slog.DiscardHandler))
 	loop.Post(f.Start)
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := New(loop, ln.Addr().String(), 0, nil, nil, make(recorder, 1), stats.New(), slog.New(slog.DiscardHandler))
+	f := New(loop, ln.Addr().String(), 0, nil, nil, make(recorder, 1), metrics.New(), slog.New(slog.DiscardHandler))
 	f.quiet = 50 * time.Millisecond
 	if err := loop.LimitFiles(1, 0); err != nil {
 		t.Fatal(err)
--- a/internal/roster/consul/consul.go
+++ b/internal/roster/consul/consul.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/stats"
+	"gannetspur/internal/metrics"
 	"gannetspur/policy"
 )
 
@@ -51,7 +51,7 @@
 type Follower struct {
 	post   func(func()) // to the goroutine that owns the roster
 	roster Roster
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	log    *slog.Logger
 	client *http.Client
 
@@ -64,7 +64,7 @@
 }
 
 // New returns a follower whose news are told by way of post.
-func New(post func(func()), r Roster, counters *stats.Counters, l *slog.Logger) *Follower {
+func New(post func(func()), r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
 	return &Follower{
 		leave: func() {}, post: post, roster: r, stats: counters, log: l,
 		client: &http.Client{Transport: &http.Transport{Proxy: nil}}, known: map[string]core.Engine{},
--- a/internal/roster/consul/consul_test.go
+++ b/internal/roster/consul/consul_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/stats"
+	"gannetspur/internal/metrics"
 	"gannetspur/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -95,7 +95,7 @@
 	news := make(recorder, 10)
 	var one sync.Mutex
 	post := func(f func()) { one.Lock(); defer one.Unlock(); f() }
-	counters := stats.New()
+	counters := metrics.New()
 	f := New(post, news, counters, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/shape/service.go
+++ b/internal/shape/service.go
@@ -9,9 +9,9 @@
 
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/shape"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
 	"gannetspur/policy"
 )
 
@@ -35,7 +35,7 @@
 	reading []policy.Class // that shapes are sorted into
 	threads map[string]float64
 	loop    *netio.Loop
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	writing bool
 
@@ -72,7 +72,7 @@
 
 // NewService returns a service that goes on from the snapshot, where there is one. One
 // that can't be used is named in the log and put aside as FILE.unusable.
-func NewService(set Settings, classes []policy.Class, loop *netio.Loop, counters *stats.Counters, log *slog.Logger) (*Service, error) {
+func NewService(set Settings, classes []policy.Class, loop *netio.Loop, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{set: set, places: map[string]int{}, threads: map[string]float64{}, loop: loop, stats: counters, log: log}
 	for i, c := range classes {
 		s.places[c.Name] = i
--- a/internal/site/crossing/crossing.go
+++ b/internal/site/crossing/crossing.go
@@ -13,8 +13,8 @@
 
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/site"
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/head"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -72,7 +72,7 @@
 	timers *timerqueue.Queue
 	opts   Options
 	cfg    decide.Config
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	log    *slog.Logger
 
 	classes  map[string]policy.Class
@@ -112,7 +112,7 @@
 }
 
 // New returns the service of a core. It begins to tick; SetSites is the caller's.
-func New(c *core.Core, timers *timerqueue.Queue, opts Options, counters *stats.Counters, log *slog.Logger) (*Service, error) {
+func New(c *core.Core, timers *timerqueue.Queue, opts Options, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{
 		core: c, clock: c, timers: timers, opts: opts, cfg: opts.Config, stats: counters, log: log,
 		classes: map[string]policy.Class{}, cores: map[string]float64{}, away: map[*core.Request]*crossed{},
--- a/internal/site/link/link.go
+++ b/internal/site/link/link.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
+	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/crossing"
 	"gannetspur/internal/site/frame"
-	"gannetspur/internal/stats"
 	"gannetspur/internal/timerqueue"
 
 	"golang.org/x/sys/unix"
@@ -56,7 +56,7 @@
 	keys    *Keys
 	own     crossing.Name
 	peers   []*remote
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	ln      net.Listener
 	conns   map[*conn]bool
@@ -73,7 +73,7 @@
 }
 
 // New returns a runner. Start begins.
-func New(loop Loop, timers *timerqueue.Queue, service *crossing.Service, keys *Keys, own crossing.Name, peers []Peer, counters *stats.Counters, log *slog.Logger) *Runner {
+func New(loop Loop, timers *timerqueue.Queue, service *crossing.Service, keys *Keys, own crossing.Name, peers []Peer, counters *metrics.Counters, log *slog.Logger) *Runner {
 	r := &Runner{loop: loop, timers: timers, service: service, keys: keys, own: own, stats: counters, log: log, conns: map[*conn]bool{}}
 	r.SetPeers(peers)
 	return r
