--- a/cmd/ringlab/try.go
+++ b/cmd/ringlab/try.go
@@ -12,7 +12,7 @@
 
 	"gannetspur/internal/lab/emul"
 	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/logs"
+	"gannetspur/internal/logging"
 )
 
 type tryCommand struct {
@@ -44,7 +44,7 @@
 		}
 	}
 	r, err := rig.New(rig.Options{
-		Root: ".", Dir: dir, Engines: c.Engines, Work: emul.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logs.Plain(os.Stdout),
+		Root: ".", Dir: dir, Engines: c.Engines, Work: emul.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logging.Plain(os.Stdout),
 	})
 	if err != nil {
 		return err
--- a/cmd/ringwood/main.go
+++ b/cmd/ringwood/main.go
@@ -14,7 +14,7 @@
 	"runtime/debug"
 
 	"gannetspur/internal/config"
-	"gannetspur/internal/logs"
+	"gannetspur/internal/logging"
 
 	"github.com/alecthomas/kong"
 )
@@ -46,7 +46,7 @@
 }
 
 func (c *serveCommand) Run(all *cli) error {
-	log, err := logs.New(os.Stderr, logs.Options{Format: all.LogFormat, Level: all.LogLevel})
+	log, err := logging.New(os.Stderr, logging.Options{Format: all.LogFormat, Level: all.LogLevel})
 	if err != nil {
 		return err
 	}
--- a/internal/logs/logs.go
+++ b/internal/logging/logs.go
@@ -1,6 +1,6 @@
 // Package logs makes the program's logger: events with stable names and keys, in colours
 // on a terminal and as JSON elsewhere, with a bound on how often one event is written.
-package logs
+package logging
 
 import (
 	"context"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
