--- a/internal/decide/lend/lend.go
+++ b/internal/decide/lease/lend.go
@@ -7,7 +7,7 @@
 // and a voter promises itself to one at a time. A part lapses before its lender's promises do, and they before another can have
 // them; each counts its time from before the word was sent that it rests on, and allows for clocks that run apart. The proof
 // stands in docs/design/lend.md; the leases are those of Gray and Cheriton (1989).
-package lend
+package lease
 
 import (
 	"cmp"
--- a/internal/decide/lend/lend_test.go
+++ b/internal/decide/lease/lend_test.go
@@ -1,4 +1,4 @@
-package lend
+package lease
 
 import (
 	"fmt"
