--- a/internal/decide/login/login.go
+++ b/internal/decide/loginlimit/login.go
@@ -1,6 +1,6 @@
 // Package login decides how often an address may try to log in. No I/O, no clock: instants are
 // the caller's, of one origin.
-package login
+package loginlimit
 
 import (
 	"math"
--- a/internal/decide/login/login_test.go
+++ b/internal/decide/loginlimit/login_test.go
@@ -1,4 +1,4 @@
-package login
+package loginlimit
 
 import (
 	"fmt"
--- a/internal/front/pgwire/front.go
+++ b/internal/front/pgwire/front.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/decide/login"
+	"gannetspur/internal/decide/loginlimit"
 	"gannetspur/internal/logins"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -69,7 +69,7 @@
 	listener *netio.Listener
 	conns    map[uint32]*conn // by the process number that each was told
 	last     uint32
-	throttle *login.Throttle
+	throttle *loginlimit.Throttle
 	held     int // bytes of rows in open portals
 	draining bool
 	accepted func(*netio.Conn)
@@ -78,7 +78,7 @@
 
 // New returns a front that puts its requests to the core.
 func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Front {
-	f := &Front{loop: loop, core: c, stats: counters, throttle: login.New(login.Defaults()), conns: map[uint32]*conn{}}
+	f := &Front{loop: loop, core: c, stats: counters, throttle: loginlimit.New(loginlimit.Defaults()), conns: map[uint32]*conn{}}
 	f.SetOptions(opts)
 	return f
 }
