--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -16,7 +16,7 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/decide/pool"
+	"gannetspur/internal/decide/connpool"
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/front/pgwire"
@@ -304,7 +304,7 @@
 	g.core.SetLinks(pg.New(g.loop, g.core, pg.Options{
 		User: p.User, Database: p.Database, Password: p.Engine.Password, TLS: p.Engine.Config,
 		ConnectTimeout: config.FromMS(p.ConnectWithin), MostHeld: part(p.MemoryMB, 4),
-		Pool: pool.Limits{
+		Pool: connpool.Limits{
 			Most: p.Pool.PerEngine, MostUser: p.Pool.PerUser, Keep: p.Pool.Keep,
 			Idle: config.FromMS(p.IdleClose), Life: config.FromMS(1000 * p.Pool.Life),
 		},
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -1,7 +1,7 @@
 // Package pool decides which connection to an engine a statement gets, and who waits for one: the bounds that operators set on
 // connections and on users, in what order those who wait go, who is told at once that it is no use, and how long a connection lives.
 // It does no I/O and reads no clock; a Pool is one engine's and belongs to one goroutine.
-package pool
+package connpool
 
 import (
 	"math"
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"fmt"
--- a/internal/engine/pg/links.go
+++ b/internal/engine/pg/links.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/decide/pool"
+	"gannetspur/internal/decide/connpool"
 	"gannetspur/internal/engine"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -41,11 +41,11 @@
 // Options say how engines are spoken to.
 type Options struct {
 	User, Database string
-	Password       string        // for engines that want SCRAM-SHA-256; "": none
-	TLS            *tls.Config   // nil: connections are not encrypted; else an engine that declines is not spoken to
-	ConnectTimeout time.Duration // for the connection and its startup together
-	Pool           pool.Limits   // of the connections to each engine
-	MostHeld       int           // bytes of rows of all results that are on their way
+	Password       string          // for engines that want SCRAM-SHA-256; "": none
+	TLS            *tls.Config     // nil: connections are not encrypted; else an engine that declines is not spoken to
+	ConnectTimeout time.Duration   // for the connection and its startup together
+	Pool           connpool.Limits // of the connections to each engine
+	MostHeld       int             // bytes of rows of all results that are on their way
 }
 
 // Links holds the connections to all engines.
@@ -98,7 +98,7 @@
 	last    int               // number of the last name given
 
 	attempt *core.Attempt
-	ticket  *pool.Ticket // the attempt's
+	ticket  *connpool.Ticket // the attempt's
 	written bool
 	using   string // text and types of the attempt's statement, where it has a name
 	parsing string // the name that this attempt's Parse gives
--- a/internal/engine/pg/pool.go
+++ b/internal/engine/pg/pool.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/decide/pool"
+	"gannetspur/internal/decide/connpool"
 	"gannetspur/internal/engine"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/timerqueue"
@@ -16,16 +16,16 @@
 
 // place is what is kept of one engine beside its links.
 type place struct {
-	pool  pool.Pool
+	pool  connpool.Pool
 	live  bool // connections are opened ahead
-	waits map[*pool.Ticket]*waiter
+	waits map[*connpool.Ticket]*waiter
 }
 
 // waiter is an attempt that waits for a connection.
 type waiter struct {
 	all     *Links
 	attempt *core.Attempt
-	ticket  *pool.Ticket
+	ticket  *connpool.Ticket
 	place   *place
 	late    *timerqueue.Entry // it is told then that there was none
 }
@@ -44,7 +44,7 @@
 func (ls *Links) place(id string) *place {
 	p := ls.places[id]
 	if p == nil {
-		p = &place{pool: pool.Pool{Limits: ls.opts.Pool}, waits: map[*pool.Ticket]*waiter{}}
+		p = &place{pool: connpool.Pool{Limits: ls.opts.Pool}, waits: map[*connpool.Ticket]*waiter{}}
 		ls.places[id] = p
 	}
 	return p
@@ -101,7 +101,7 @@
 	ls.ended(e)
 	by := a.Sent + a.Within - tellBefore
 	switch ticket, answer := p.pool.Ask(ls.core.Now(), user, by); answer {
-	case pool.Wait:
+	case connpool.Wait:
 		ls.stats.Add("links.waited")
 		w := &waiter{all: ls, attempt: a, ticket: ticket, place: p}
 		p.waits[ticket] = w
@@ -110,7 +110,7 @@
 			w.leave()
 			ls.core.End(a, core.EndCrowded, core.Report{})
 		})
-	case pool.Full:
+	case connpool.Full:
 		ls.core.End(a, core.EndCrowded, core.Report{})
 	default:
 		ls.run(e, a, ticket, answer)
@@ -129,9 +129,9 @@
 }
 
 // run gives an attempt the connection that the pool says.
-func (ls *Links) run(e *engine.Engine[*link], a *core.Attempt, ticket *pool.Ticket, answer pool.Answer) {
+func (ls *Links) run(e *engine.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Answer) {
 	var l *link
-	if answer == pool.Use {
+	if answer == connpool.Use {
 		for _, o := range e.Links {
 			if o.free {
 				l = o
