--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/decide/standing"
+	"gannetspur/internal/decide/adminstate"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
@@ -152,7 +152,7 @@
 	sending func(*Request, time.Duration) // hears of first sends before they are made; may be nil
 	stats   *metrics.Counters
 	sites   Sites // nil: there is no other
-	stand   *standing.Standing
+	stand   *adminstate.Standing
 	changed func() // hears that a ban was called or called back here; may be nil
 	figures map[string]*ClassFigures
 	written int64 // attempts written whole
@@ -180,7 +180,7 @@
 	c := &Core{
 		gateway: g, clock: clock, timers: timers, stats: counters, log: l, round: set.Round,
 		classes: map[string]policy.Class{}, engines: map[string]Engine{}, requests: map[uint64]*Request{},
-		stand: standing.New(), figures: map[string]*ClassFigures{},
+		stand: adminstate.New(), figures: map[string]*ClassFigures{},
 	}
 	for _, class := range set.Classes {
 		c.classes[class.Name] = class
@@ -204,7 +204,7 @@
 type Known struct {
 	Engines []Engine // as the roster told them
 	Learned policy.Learned
-	Bans    standing.Bans
+	Bans    adminstate.Bans
 }
 
 // Known is a copy of what the core knows.
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"gannetspur/internal/decide/standing"
+	"gannetspur/internal/decide/adminstate"
 	"gannetspur/policy"
 )
 
@@ -31,10 +31,10 @@
 func (c *Core) SetBanned(f func()) { c.changed = f }
 
 // Bans are the operators' words on engines.
-func (c *Core) Bans() standing.Bans { return c.stand.Bans() }
+func (c *Core) Bans() adminstate.Bans { return c.stand.Bans() }
 
 // TakeBans merges in what operators have told another process, and tells whether that was news.
-func (c *Core) TakeBans(other standing.Bans) bool {
+func (c *Core) TakeBans(other adminstate.Bans) bool {
 	changed := c.stand.Take(other)
 	if len(changed) > 0 {
 		c.log.Info("bans.taken", "engines", changed)
--- a/internal/decide/standing/standing.go
+++ b/internal/decide/adminstate/standing.go
@@ -1,6 +1,6 @@
 // Package standing merges two voices on each engine into one state: the roster's word and
 // the operators' bans. It does no I/O and reads no clock.
-package standing
+package adminstate
 
 import (
 	"errors"
--- a/internal/succession/folder.go
+++ b/internal/succession/folder.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/decide/standing"
+	"gannetspur/internal/decide/adminstate"
 	decide "gannetspur/internal/decide/succession"
 
 	"github.com/cespare/xxhash/v2"
@@ -22,7 +22,7 @@
 // State is what one process writes down for the others.
 type State struct {
 	decide.Process
-	Bans   standing.Bans
+	Bans   adminstate.Bans
 	Events uint64 // sum of what its configuration told of the roster; same where numbers of events are
 	World  []byte // what it knows, as handover.Knowledge; nil: nobody waits for it
 }
--- a/internal/succession/folder_test.go
+++ b/internal/succession/folder_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/decide/standing"
+	"gannetspur/internal/decide/adminstate"
 	decide "gannetspur/internal/decide/succession"
 
 	"github.com/google/go-cmp/cmp"
@@ -25,7 +25,7 @@
 func stateOf(f *Folder) *State {
 	return &State{
 		Process: decide.Process{ID: f.Self(), Began: time.Hour, Ready: true, Heard: []string{"x"}, Knows: true},
-		Bans:    standing.Bans{"s-1": {Out: true, At: time.Minute}}, Events: 1 << 63, World: []byte("world"),
+		Bans:    adminstate.Bans{"s-1": {Out: true, At: time.Minute}}, Events: 1 << 63, World: []byte("world"),
 	}
 }
 
