--- a/internal/decide/succession/succession.go
+++ b/internal/decide/takeover/succession.go
@@ -1,7 +1,7 @@
 // Package succession decides how processes of one front end follow each other where the
 // platform starts them: whom a new one takes over from and when it waits no longer, and when
 // an old one has been replaced. It does no I/O and reads no clock.
-package succession
+package takeover
 
 import (
 	"cmp"
--- a/internal/succession/folder.go
+++ b/internal/succession/folder.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gannetspur/internal/decide/adminstate"
-	decide "gannetspur/internal/decide/succession"
+	decide "gannetspur/internal/decide/takeover"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
--- a/internal/succession/folder_test.go
+++ b/internal/succession/folder_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannetspur/internal/decide/adminstate"
-	decide "gannetspur/internal/decide/succession"
+	decide "gannetspur/internal/decide/takeover"
 
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/succession/succession.go
+++ b/internal/succession/succession.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/succession"
+	decide "gannetspur/internal/decide/takeover"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/netio"
 )
