--- a/cmd/ringwood/beside.go
+++ b/cmd/ringwood/beside.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 
 	"gannetspur/internal/handover"
-	"gannetspur/internal/succession"
+	"gannetspur/internal/takeover"
 )
 
 // stateFolder lies in $TMPDIR, which the processes of one front end share.
@@ -15,7 +15,7 @@
 // beside takes the place of a process that serves at the platform's socket, where there is
 // one; else it serves from its configuration.
 func (g *gateway) beside() (err error) {
-	g.succession, err = succession.New(g.loop, g.core, filepath.Join(os.TempDir(), stateFolder), succession.Options{
+	g.succession, err = takeover.New(g.loop, g.core, filepath.Join(os.TempDir(), stateFolder), takeover.Options{
 		Events: g.events, Take: g.succeed,
 		Know: func() *handover.Knowledge {
 			k := g.know()
--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -29,7 +29,7 @@
 	"gannetspur/internal/roster/consul"
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
-	"gannetspur/internal/succession"
+	"gannetspur/internal/takeover"
 	"gannetspur/policy"
 )
 
@@ -52,8 +52,8 @@
 	control     string // where operators call; "": nowhere
 	ready       bool   // it serves clients
 
-	socket      *netio.Listener    // the platform's, which processes follow each other at; nil: this process opens its own
-	succession  *succession.Runner // nil: none
+	socket      *netio.Listener  // the platform's, which processes follow each other at; nil: this process opens its own
+	succession  *takeover.Runner // nil: none
 	memoryMB    int
 	events      uint64     // sum of what the configuration tells of the roster
 	clientLimit func(int)  // bounds the clients of the front
--- a/internal/succession/folder.go
+++ b/internal/takeover/folder.go
@@ -1,6 +1,6 @@
 // Package succession lets a process that the platform starts beside one that serves take its
 // place: state passes through a folder that both see. What they do is decided by decide/succession.
-package succession
+package takeover
 
 import (
 	"encoding/binary"
