--- a/cmd/ringwood/members.go
+++ b/cmd/ringwood/members.go
@@ -9,7 +9,7 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/config"
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 	"gannetspur/internal/members"
 )
 
--- a/cmd/ringwood/serve_fleet.go
+++ b/cmd/ringwood/serve_fleet.go
@@ -12,7 +12,7 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 	"gannetspur/internal/members"
 )
 
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
 // Fleet says how this front end is a member among others: a file of its own.
--- a/internal/decide/lease/lend.go
+++ b/internal/decide/lease/lend.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// ID names a front end, as in internal/decide/members.
+// ID names a front end, as in internal/decide/membership.
 type ID uint64
 
 // Engine names one start of one engine. An engine that starts anew is another one, of which all is lent anew.
--- a/internal/decide/members/members.go
+++ b/internal/decide/membership/members.go
@@ -6,7 +6,7 @@
 // whom it does not hear. Records are merged by their author's own order, so that they may come late, twice or in any
 // order. What is said of a member is read off all records in the same way by everybody. No member leads.
 // See docs/design/members.md for what was weighed.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/lab/members/baseline.go
+++ b/internal/lab/members/baseline.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
-// Ours is internal/decide/members as it is by default.
+// Ours is internal/decide/membership as it is by default.
 func Ours(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member {
 	return decide.New(decide.Defaults(), id, inc, named, now, rng)
 }
--- a/internal/lab/members/measure.go
+++ b/internal/lab/members/measure.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
 // Ways are what can be measured, by name.
--- a/internal/lab/members/start_test.go
+++ b/internal/lab/members/start_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
 // Hundreds start at once, each knows two seeds, and of these one lives: all find each other, though the seed may not answer all.
--- a/internal/lab/members/world.go
+++ b/internal/lab/members/world.go
@@ -1,4 +1,4 @@
-// Package members plays the membership of front ends in virtual time: the decisions of internal/decide/members, and
+// Package members plays the membership of front ends in virtual time: the decisions of internal/decide/membership, and
 // two baselines, on one clock that jumps from event to event, over a network that loses, delays, repeats and cuts.
 // The same options give the same bytes.
 package members
@@ -8,12 +8,12 @@
 	"math/rand/v2"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
-// Member is one member of a fleet: internal/decide/members, or a baseline.
+// Member is one member of a fleet: internal/decide/membership, or a baseline.
 type Member interface {
-	// Handle takes decide.Tick, decide.Heard or decide.Leave, and returns actions of internal/decide/members.
+	// Handle takes decide.Tick, decide.Heard or decide.Leave, and returns actions of internal/decide/membership.
 	Handle(now time.Duration, event any) []any
 	Step() time.Duration
 	// State is what it holds of another.
--- a/internal/lab/members/world_test.go
+++ b/internal/lab/members/world_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
 // story is one hard case: what happens from a settled fleet on, and what has to be so in the end.
--- a/internal/members/keys_test.go
+++ b/internal/members/keys_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 )
 
 func TestKeys(t *testing.T) {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,4 +1,4 @@
-// Package members carries out what internal/decide/members decides: datagrams on the loop, signed where there are keys,
+// Package members carries out what internal/decide/membership decides: datagrams on the loop, signed where there are keys,
 // events in the log, figures. Everything but keys is the loop's.
 package members
 
@@ -8,7 +8,7 @@
 	"net/netip"
 	"time"
 
-	decide "gannetspur/internal/decide/members"
+	decide "gannetspur/internal/decide/membership"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/timerqueue"
