--- a/cmd/ringwood/members.go
+++ b/cmd/ringwood/members.go
@@ -10,7 +10,7 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/config"
 	decide "gannetspur/internal/decide/membership"
-	"gannetspur/internal/members"
+	"gannetspur/internal/membership"
 )
 
 type membersCommand struct {
@@ -45,7 +45,7 @@
 	case last.Why != "":
 		return errors.New(last.Why)
 	}
-	var o members.Overview
+	var o membership.Overview
 	if err := json.Unmarshal(last.Fleet, &o); err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func printMembers(o members.Overview) {
+func printMembers(o membership.Overview) {
 	known := "more than half of the fleet is in it"
 	if !o.View.Majority {
 		known = "half of the fleet or more is not in it: this part may be cut off, and can't know"
--- a/cmd/ringwood/serve_fleet.go
+++ b/cmd/ringwood/serve_fleet.go
@@ -13,16 +13,16 @@
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/membership"
-	"gannetspur/internal/members"
+	"gannetspur/internal/membership"
 )
 
 // fleet is what a gateway has of other front ends.
 type fleet struct {
 	path    string
 	file    *config.Fleet
-	opts    members.Options
-	service *members.Service // nil: it has not begun, words are not allowed, or another process is the member
-	waits   bool             // for the address, which another process has
+	opts    membership.Options
+	service *membership.Service // nil: it has not begun, words are not allowed, or another process is the member
+	waits   bool                // for the address, which another process has
 }
 
 // openFleet reads the file of the fleet, if there is one. The member begins later, once this process serves.
@@ -47,7 +47,7 @@
 	}
 	opts.Address = func(id decide.ID) (netip.AddrPort, bool) { return addrOf(id), true }
 	opts.Member = func(a netip.AddrPort) (decide.ID, bool) { return idOf(a), a.Addr().Is4() && a.Port() > 0 }
-	opts.Keys = members.NewKeys(own, keysOf(f))
+	opts.Keys = membership.NewKeys(own, keysOf(f))
 	return nil
 }
 
@@ -62,7 +62,7 @@
 }
 
 // platformMembers are the front ends of the tier, by their places in the platform's configuration.
-func (g *gateway) platformMembers(opts *members.Options) error {
+func (g *gateway) platformMembers(opts *membership.Options) error {
 	c := g.words
 	switch {
 	case c == nil:
@@ -98,9 +98,9 @@
 	return nil
 }
 
-func keysOf(f *config.Fleet) (keys []members.Key) {
+func keysOf(f *config.Fleet) (keys []membership.Key) {
 	for _, k := range f.Keys {
-		keys = append(keys, members.Key{Number: uint8(k.Number), Secret: k.Secret})
+		keys = append(keys, membership.Key{Number: uint8(k.Number), Secret: k.Secret})
 	}
 	return keys
 }
@@ -114,7 +114,7 @@
 		g.log.Info("members.off", "why", "the configuration does not allow words among front ends")
 		return nil
 	}
-	g.fleet.service, err = members.Start(g.loop, g.fleet.opts, g.counters, g.log)
+	g.fleet.service, err = membership.Start(g.loop, g.fleet.opts, g.counters, g.log)
 	if err == nil {
 		g.fleet.waits = false
 		g.log.Info("members", "addr", g.fleet.service.Addr(), "self", uint64(g.fleet.opts.Self), "named", len(g.fleet.opts.Named), "carried", len(g.fleet.opts.Carried) > 0)
@@ -145,7 +145,7 @@
 }
 
 // member is what this process is among others; nil: it is none, at present.
-func (g *gateway) member() *members.Service {
+func (g *gateway) member() *membership.Service {
 	if g.fleet == nil {
 		return nil
 	}
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -147,7 +147,7 @@
 	Event    uint64 // number of the event bus's last event taken; 0: none
 	Shared   []byte // of the front
 	Shapes   []byte // a snapshot; nil: none
-	Members  []byte // of internal/members: the fleet as this member knows it; nil: it is none
+	Members  []byte // of internal/membership: the fleet as this member knows it; nil: it is none
 	Counters map[string]int64
 }
 
--- a/internal/members/keys_test.go
+++ b/internal/membership/keys_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"net/netip"
--- a/internal/members/members.go
+++ b/internal/membership/members.go
@@ -1,6 +1,6 @@
 // Package members carries out what internal/decide/membership decides: datagrams on the loop, signed where there are keys,
 // events in the log, figures. Everything but keys is the loop's.
-package members
+package membership
 
 import (
 	"fmt"
