--- a/cmd/ringlab/fleet.go
+++ b/cmd/ringlab/fleet.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gannetspur/internal/config"
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/lab/fleet"
 	"gannetspur/internal/lab/model"
 	"gannetspur/internal/lab/report"
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 )
 
 // Sites says which gateways at other sites this one works with: a file of its own, for both
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/decide/site/keys.go
+++ b/internal/decide/remotesite/keys.go
@@ -1,4 +1,4 @@
-package site
+package remotesite
 
 import "time"
 
--- a/internal/decide/site/site.go
+++ b/internal/decide/remotesite/site.go
@@ -5,7 +5,7 @@
 //
 // Peers are gateways at other sites: each tells of its own share of its site's room, so that a
 // site with several gateways is several peers.
-package site
+package remotesite
 
 import "time"
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -14,7 +14,7 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/lab/model"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/crossing"
@@ -25,7 +25,7 @@
 // Ways in which sites work together.
 const (
 	Alone   = "alone"   // each for itself
-	Ours    = "room"    // as internal/decide/site decides
+	Ours    = "room"    // as internal/decide/remotesite decides
 	Random  = "random"  // what is turned away goes to any other site, whatever that says of its room
 	Nearest = "nearest" // or to the nearest one
 )
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/lab/model"
 
 	"github.com/google/go-cmp/cmp"
--- a/internal/lab/sitelink/node.go
+++ b/internal/lab/sitelink/node.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
--- a/internal/site/crossing/crossing.go
+++ b/internal/site/crossing/crossing.go
@@ -1,5 +1,5 @@
 // Package crossing takes requests to other sites and serves those of other sites here. It
-// carries out what internal/decide/site decides, over links whose sockets are others' affair
+// carries out what internal/decide/remotesite decides, over links whose sockets are others' affair
 // (internal/site/link), so that it runs in virtual time as well. It belongs to the goroutine
 // of its core.
 package crossing
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/head"
 	"gannetspur/internal/timerqueue"
--- a/internal/site/crossing/link.go
+++ b/internal/site/crossing/link.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/site"
+	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/site/head"
 	"gannetspur/internal/site/mux"
 	"gannetspur/policy"
