--- a/cmd/ringwood/shapes.go
+++ b/cmd/ringwood/shapes.go
@@ -9,7 +9,7 @@
 	"strings"
 	"text/tabwriter"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
 )
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/policy"
 )
 
--- a/internal/decide/shape/heavy.go
+++ b/internal/decide/costmodel/heavy.go
@@ -1,4 +1,4 @@
-package shape
+package costmodel
 
 // heavy keeps the values that are asked for most, and how their cost differs, in
 // bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi, "Efficient Computation of
--- a/internal/decide/shape/shape.go
+++ b/internal/decide/costmodel/shape.go
@@ -15,7 +15,7 @@
 //
 // Work is in milliseconds on one core, memory in megabytes; within, both are powers of
 // two. Figures told by engines are not trusted one by one: see Track.
-package shape
+package costmodel
 
 import (
 	"fmt"
--- a/internal/decide/shape/shape_test.go
+++ b/internal/decide/costmodel/shape_test.go
@@ -1,4 +1,4 @@
-package shape
+package costmodel
 
 import (
 	"math"
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/front/pgwire"
 	"gannetspur/internal/shape"
 )
--- a/internal/lab/shapes/evaluate.go
+++ b/internal/lab/shapes/evaluate.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/lab/register"
 	"gannetspur/internal/lab/traffic"
 	"gannetspur/internal/shape"
--- a/internal/lab/shapes/flood.go
+++ b/internal/lab/shapes/flood.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"runtime/debug"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/shape"
 )
--- a/internal/shape/cache.go
+++ b/internal/shape/cache.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"unsafe"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 
 	lru "github.com/hashicorp/golang-lru/v2"
 	"github.com/maypok86/otter/v2"
--- a/internal/shape/service.go
+++ b/internal/shape/service.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/sqltext"
--- a/internal/shape/shape.go
+++ b/internal/shape/shape.go
@@ -1,6 +1,6 @@
 // Package shape keeps what is known of the shapes of statements: it reads statements
 // for the fronts, holds the records of recurring shapes within a number of bytes, asks
-// internal/decide/shape what executions cost and of which class they are, and writes
+// internal/decide/costmodel what executions cost and of which class they are, and writes
 // snapshots. What it knows is for estimates and classes alone: what a statement may do
 // is sqltext's word and nothing here softens it.
 package shape
@@ -9,7 +9,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/sqltext"
 )
 
--- a/internal/shape/shape_test.go
+++ b/internal/shape/shape_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 )
 
 func book(t *testing.T) *Book {
--- a/internal/shape/snapshot.go
+++ b/internal/shape/snapshot.go
@@ -9,7 +9,7 @@
 	"os"
 	"path/filepath"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "gannetspur/internal/decide/costmodel"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
