--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -25,9 +25,9 @@
 	"gannetspur/internal/logins"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/roster/bus"
 	"gannetspur/internal/roster/consul"
-	"gannetspur/internal/shape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/takeover"
 	"gannetspur/policy"
@@ -40,8 +40,8 @@
 	front    front
 	counters *metrics.Counters
 	log      *slog.Logger
-	shapes   *shape.Service // nil: off
-	reload   func() error   // reads the file again; for the loop's goroutine
+	shapes   *queryshape.Service // nil: off
+	reload   func() error        // reads the file again; for the loop's goroutine
 	since    time.Duration
 
 	listen      func() error              // opens the listener
@@ -177,7 +177,7 @@
 	if most := part(memoryMB, 4) >> 10; s.MemoryKB > most {
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, most)
 	}
-	g.shapes, err = shape.NewService(shape.Settings{
+	g.shapes, err = queryshape.NewService(queryshape.Settings{
 		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.Correct, OnlyTold: s.OnlyTold, Snapshot: s.Snapshot, Every: s.Every(), WorkTold: workTold,
 	}, site.Policy.Classes, g.loop, g.counters, g.log)
 	if err == nil {
--- a/cmd/ringwood/serve_upgrade.go
+++ b/cmd/ringwood/serve_upgrade.go
@@ -13,7 +13,7 @@
 	"gannetspur/internal/config"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 
 	"golang.org/x/sys/unix"
 )
@@ -120,7 +120,7 @@
 		return
 	}
 	if err := g.shapes.Take(k.Shapes); err != nil { // it learns them anew; no reason to stay away
-		g.log.Warn("upgrade.shapes", "error", err, "unusable", errors.Is(err, shape.ErrSnapshotVersion))
+		g.log.Warn("upgrade.shapes", "error", err, "unusable", errors.Is(err, queryshape.ErrSnapshotVersion))
 	}
 }
 
--- a/cmd/ringwood/shapes.go
+++ b/cmd/ringwood/shapes.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 
 	decide "gannetspur/internal/decide/costmodel"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
 )
 
@@ -37,12 +37,12 @@
 		cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", i), UpTo: bound})
 	}
 	cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))})
-	opts := shape.Options{Decide: cfg, Bytes: 64 << 20}
-	book, err := shape.New(opts)
+	opts := queryshape.Options{Decide: cfg, Bytes: 64 << 20}
+	book, err := queryshape.New(opts)
 	if err == nil && c.Snapshot != "" {
-		var snap *shape.Snapshot
-		if snap, err = shape.ReadSnapshot(c.Snapshot); err == nil {
-			book, err = shape.Restore(opts, snap)
+		var snap *queryshape.Snapshot
+		if snap, err = queryshape.ReadSnapshot(c.Snapshot); err == nil {
+			book, err = queryshape.Restore(opts, snap)
 		}
 	}
 	if err != nil {
@@ -74,7 +74,7 @@
 	p := r.Profile(c.SQL, &binds, 0)
 	fmt.Fprintf(w, "profile\t%s\n", profile(&p))
 	s := book.Read(c.SQL)
-	x := book.Estimate(s, &binds, c.Known, shape.Hint{Work: c.Hint})
+	x := book.Estimate(s, &binds, c.Known, queryshape.Hint{Work: c.Hint})
 	e := x.Estimate
 	if e.Known {
 		fmt.Fprintf(w, "expected\t%.4g ms, nine tenths under %.4g ms\n", e.Work, e.Work*e.Spread)
@@ -134,12 +134,12 @@
 
 // Run lists shapes by the work that all their executions took together.
 func (c *topCommand) Run() error {
-	snap, err := shape.ReadSnapshot(c.Snapshot)
+	snap, err := queryshape.ReadSnapshot(c.Snapshot)
 	if err != nil {
 		return err
 	}
-	all := func(s *shape.Saved) float64 { return float64(s.Entry.Seen) * cost(s) }
-	slices.SortStableFunc(snap.Shapes, func(a, b shape.Saved) int { return compare(all(&b), all(&a)) })
+	all := func(s *queryshape.Saved) float64 { return float64(s.Entry.Seen) * cost(s) }
+	slices.SortStableFunc(snap.Shapes, func(a, b queryshape.Saved) int { return compare(all(&b), all(&a)) })
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "seen\twork ms\tprofiles\tshape\n")
 	for i := range snap.Shapes[:min(c.Most, len(snap.Shapes))] {
@@ -156,7 +156,7 @@
 	return w.Flush()
 }
 
-func cost(s *shape.Saved) float64 {
+func cost(s *queryshape.Saved) float64 {
 	if s.Entry.All.N == 0 {
 		return 0
 	}
@@ -189,20 +189,20 @@
 
 // Run lists what has changed, what has come and what has gone.
 func (c *diffCommand) Run() error {
-	old, err := shape.ReadSnapshot(c.Old)
+	old, err := queryshape.ReadSnapshot(c.Old)
 	if err != nil {
 		return err
 	}
-	now, err := shape.ReadSnapshot(c.New)
+	now, err := queryshape.ReadSnapshot(c.New)
 	if err != nil {
 		return err
 	}
-	before := map[string]*shape.Saved{}
+	before := map[string]*queryshape.Saved{}
 	for i := range old.Shapes {
 		before[old.Shapes[i].Norm] = &old.Shapes[i]
 	}
 	type change struct {
-		s        *shape.Saved
+		s        *queryshape.Saved
 		was, is_ float64
 	}
 	var changes []change
--- a/internal/front/pgwire/class.go
+++ b/internal/front/pgwire/class.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/policy"
 )
@@ -31,7 +31,7 @@
 // these before the default. What the statement may do goes before all three: one that
 // may write is never given a class that is safe to repeat. Unless it is a keyed load it
 // has the class for writes, of which one attempt is made.
-func (f *Front) sort(query string, read *shape.Statement) (sorted, *pgproto.Error) {
+func (f *Front) sort(query string, read *queryshape.Statement) (sorted, *pgproto.Error) {
 	name, key, readOnly, named := f.opts.DefaultClass, 0, false, false
 	for _, r := range f.opts.Rules {
 		if sqltext.Begins(query, r.Starts) {
@@ -110,7 +110,7 @@
 
 // check refuses what is not supported, and tells whether the text is empty, or about a
 // transaction. open tells whether one is open.
-func check(query string, read *shape.Statement, open bool) (empty bool, control string, e *pgproto.Error) {
+func check(query string, read *queryshape.Statement, open bool) (empty bool, control string, e *pgproto.Error) {
 	var word string
 	var more bool
 	if read != nil {
--- a/internal/front/pgwire/extended.go
+++ b/internal/front/pgwire/extended.go
@@ -9,7 +9,7 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/policy"
 )
@@ -45,7 +45,7 @@
 
 // read does that for a time when a transaction is open, or none is.
 func (k *conn) read(query string, types []byte, once, open bool) (*statement, *pgproto.Error) {
-	var read *shape.Statement
+	var read *queryshape.Statement
 	switch shapes := k.front.opts.Shapes; {
 	case shapes == nil:
 	case once:
@@ -432,7 +432,7 @@
 	want.Taints = s.taints
 	f := k.front
 	class := s.class
-	var sorted *shape.Execution
+	var sorted *queryshape.Execution
 	if f.opts.Shapes != nil && s.read != nil && s.shape && !want.Describe {
 		if c, x, ok := f.opts.Shapes.Sort(s.read, binds); ok {
 			class, sorted = c, x
--- a/internal/front/pgwire/front.go
+++ b/internal/front/pgwire/front.go
@@ -21,7 +21,7 @@
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/timerqueue"
 )
@@ -50,14 +50,14 @@
 	WriteClass   string            // of what may write and has no class of its own; "": refused
 	ReadOnly     sqltext.Functions // that the operators know to read only
 	Rules        []Rule
-	Shapes       *shape.Service // classes and estimates by the shapes of statements; nil: off
-	MostClients  int            // connections at once; 0: no limit of its own
-	MostHeld     int            // bytes of rows in all open portals together
-	Users        *logins.Users  // who may log in, by password; nil: everybody, unasked
-	TLS          *tls.Config    // nil: encryption is declined
-	RequireTLS   bool           // nobody is let in without
-	TxIdle       time.Duration  // a transaction's client may say nothing for so long; 0: 10 s
-	TxMost       time.Duration  // and the whole may take so long; 0: 60 s
+	Shapes       *queryshape.Service // classes and estimates by the shapes of statements; nil: off
+	MostClients  int                 // connections at once; 0: no limit of its own
+	MostHeld     int                 // bytes of rows in all open portals together
+	Users        *logins.Users       // who may log in, by password; nil: everybody, unasked
+	TLS          *tls.Config         // nil: encryption is declined
+	RequireTLS   bool                // nobody is let in without
+	TxIdle       time.Duration       // a transaction's client may say nothing for so long; 0: 10 s
+	TxMost       time.Duration       // and the whole may take so long; 0: 60 s
 }
 
 // Front accepts clients.
@@ -176,10 +176,10 @@
 	query   string
 	types   []byte // as in Parse
 	empty   bool
-	taints  bool             // it may leave a setting in its engine's session
-	control string           // BEGIN, COMMIT or the like: it is about the transaction
-	read    *shape.Statement // where shapes are read
-	known   *pgproto.Result  // its description, once an engine gave it
+	taints  bool                  // it may leave a setting in its engine's session
+	control string                // BEGIN, COMMIT or the like: it is about the transaction
+	read    *queryshape.Statement // where shapes are read
+	known   *pgproto.Result       // its description, once an engine gave it
 }
 
 type portal struct {
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -16,7 +16,7 @@
 	"gannetspur/internal/http1"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
@@ -53,10 +53,10 @@
 
 // Options bound what clients may take.
 type Options struct {
-	MostClients int            // connections at once; past that the longest idle ones are closed
-	MostHeld    int            // bytes of results that wait to be fetched
-	Shapes      *shape.Service // estimates by the shapes of statements; nil: off
-	CallWithin  time.Duration  // a connection's first call, and any that has begun, must be whole
+	MostClients int                 // connections at once; past that the longest idle ones are closed
+	MostHeld    int                 // bytes of results that wait to be fetched
+	Shapes      *queryshape.Service // estimates by the shapes of statements; nil: off
+	CallWithin  time.Duration       // a connection's first call, and any that has begun, must be whole
 }
 
 // Front accepts clients.
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -9,15 +9,15 @@
 
 	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 )
 
 // withShapes has a gateway learn shapes, before it serves.
-func withShapes(t *testing.T, g *gateway, set shape.Settings) *shape.Service {
+func withShapes(t *testing.T, g *gateway, set queryshape.Settings) *queryshape.Service {
 	t.Helper()
 	set.Bytes = 256 << 10
 	set.Decide = decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 60}, {Name: "report"}}}
-	s, err := shape.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
+	s, err := queryshape.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		return pgRows("a")
 	})
 	g := newGateway(t, nil)
-	withShapes(t, g, shape.Settings{})
+	withShapes(t, g, queryshape.Settings{})
 	g.postgres(addr)
 	k := connect(t, g.addr)
 	const text = "SELECT part FROM stock_4.parts WHERE district = ANY($1)"
@@ -83,7 +83,7 @@
 	write(t, path, damaged)
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	s := withShapes(t, g, shape.Settings{Snapshot: path, Every: time.Hour})
+	s := withShapes(t, g, queryshape.Settings{Snapshot: path, Every: time.Hour})
 	if n := g.stats.Get("shapes.snapshot-unusable"); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
@@ -99,7 +99,7 @@
 	g.do(s.Save)
 	for g.count("shapes.snapshots") == 0 {
 	}
-	snap, err := shape.ReadSnapshot(path)
+	snap, err := queryshape.ReadSnapshot(path)
 	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Entry.Seen != 5 {
 		t.Errorf("%+v, %v", snap, err)
 	}
@@ -134,7 +134,7 @@
 	} {
 		addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
 		g := newGateway(t, nil)
-		g.options.Shapes = withShapes(t, g, shape.Settings{Correct: true, OnlyTold: tt.onlyTold, WorkTold: true})
+		g.options.Shapes = withShapes(t, g, queryshape.Settings{Correct: true, OnlyTold: tt.onlyTold, WorkTold: true})
 		g.platform(addr)
 		head := ""
 		if tt.tells {
--- a/internal/lab/shapes/evaluate.go
+++ b/internal/lab/shapes/evaluate.go
@@ -11,7 +11,7 @@
 	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/lab/register"
 	"gannetspur/internal/lab/traffic"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
 
 	"gonum.org/v1/gonum/stat"
@@ -96,7 +96,7 @@
 // Evaluate plays records through a variant, in order and as a gateway would: estimate,
 // then learn what the execution has cost.
 func Evaluate(records []traffic.Record, v Variant, opts Options) (Result, error) {
-	book, err := shape.New(shape.Options{Decide: v.Config, Bytes: opts.Bytes})
+	book, err := queryshape.New(queryshape.Options{Decide: v.Config, Bytes: opts.Bytes})
 	if err != nil {
 		return Result{}, err
 	}
@@ -111,7 +111,7 @@
 		effect := sqltext.EffectOf(r.Statement, nil).Effect
 		s := book.Read(r.Statement)
 		binds := sqltext.Binds{Values: r.Values, Formats: r.Formats, Types: r.Types}
-		x := book.Estimate(s, &binds, -1, shape.Hint{Work: r.HintWork, MemoryMB: r.HintMB})
+		x := book.Estimate(s, &binds, -1, queryshape.Hint{Work: r.HintWork, MemoryMB: r.HintMB})
 		got := "write"
 		switch {
 		case r.Class == "load" && r.Key > 0: // the rule for INSERT INTO names the class and the key
--- a/internal/lab/shapes/flood.go
+++ b/internal/lab/shapes/flood.go
@@ -9,7 +9,7 @@
 
 	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/metrics"
-	"gannetspur/internal/shape"
+	"gannetspur/internal/queryshape"
 )
 
 // FloodOptions say how a cache is flooded with shapes that never come again while others
@@ -34,7 +34,7 @@
 }
 
 // Caches are the ways to hold shapes that are measured side by side.
-var Caches = map[string]func(int) (shape.Cache, error){"w-tinylfu": shape.NewTinyLFU, "lru": shape.NewLRU, "2q": shape.New2Q}
+var Caches = map[string]func(int) (queryshape.Cache, error){"w-tinylfu": queryshape.NewTinyLFU, "lru": queryshape.NewLRU, "2q": queryshape.New2Q}
 
 // Flood plays statements past one cache.
 func Flood(name string, opts FloodOptions) (FloodResult, error) {
@@ -47,7 +47,7 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	book, err := shape.New(shape.Options{Decide: decide.Config{}, Cache: cache})
+	book, err := queryshape.New(queryshape.Options{Decide: decide.Config{}, Cache: cache})
 	if err != nil {
 		return FloodResult{}, err
 	}
@@ -66,7 +66,7 @@
 		}
 		s := book.Read(text)
 		had := book.Stats.Hits
-		x := book.Estimate(s, nil, -1, shape.Hint{})
+		x := book.Estimate(s, nil, -1, queryshape.Hint{})
 		if recurring && i >= total/2 {
 			res.Asked++
 			if book.Stats.Hits > had {
--- a/internal/shape/cache.go
+++ b/internal/queryshape/cache.go
@@ -1,4 +1,4 @@
-package shape
+package queryshape
 
 import (
 	"fmt"
--- a/internal/shape/shape.go
+++ b/internal/queryshape/shape.go
@@ -3,7 +3,7 @@
 // internal/decide/costmodel what executions cost and of which class they are, and writes
 // snapshots. What it knows is for estimates and classes alone: what a statement may do
 // is sqltext's word and nothing here softens it.
-package shape
+package queryshape
 
 import (
 	"fmt"
