--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -22,12 +22,12 @@
 	"gannetspur/internal/front/pgwire"
 	"gannetspur/internal/front/rest"
 	"gannetspur/internal/handover"
-	"gannetspur/internal/logins"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/queryshape"
 	"gannetspur/internal/roster/bus"
 	"gannetspur/internal/roster/consul"
+	"gannetspur/internal/scramauth"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/takeover"
 	"gannetspur/policy"
@@ -60,14 +60,14 @@
 	whole       func(bool) // has the front give results whole, as the next call may come to another process
 	part        func()     // has the front end connections behind their answers
 
-	users    *logins.Users   // of the PostgreSQL front; nil: everybody is let in
-	words    *config.Config  // what the platform says of words among front ends; nil: nothing
-	sites    *otherSites     // nil: there are none
-	fleet    *fleet          // nil: it is no member among others
-	upgrade  *config.Upgrade // nil: off
-	self     string          // this program's path
-	old      *handover.Old   // where upgrades are on
-	new      *handover.New   // in a process that took over
+	users    *scramauth.Users // of the PostgreSQL front; nil: everybody is let in
+	words    *config.Config   // what the platform says of words among front ends; nil: nothing
+	sites    *otherSites      // nil: there are none
+	fleet    *fleet           // nil: it is no member among others
+	upgrade  *config.Upgrade  // nil: off
+	self     string           // this program's path
+	old      *handover.Old    // where upgrades are on
+	new      *handover.New    // in a process that took over
 	tookOver bool
 	stopping bool  // a planned stop has begun
 	failed   error // ended the loop
@@ -364,7 +364,7 @@
 	opts.TLS, opts.RequireTLS = p.TLS.Config, p.TLS.Require
 	if len(p.Logins) > 0 {
 		if g.users == nil {
-			g.users = logins.NewUsers(p.Logins)
+			g.users = scramauth.NewUsers(p.Logins)
 		} else {
 			g.users = g.users.With(p.Logins)
 		}
--- a/cmd/ringwood/users.go
+++ b/cmd/ringwood/users.go
@@ -7,7 +7,7 @@
 	"os"
 	"strings"
 
-	"gannetspur/internal/logins"
+	"gannetspur/internal/scramauth"
 )
 
 type usersCommand struct {
@@ -23,7 +23,7 @@
 	if password == "" {
 		return errors.Join(errors.New("no password on standard input"), err)
 	}
-	v, err := logins.NewVerifier(password)
+	v, err := scramauth.NewVerifier(password)
 	if err != nil {
 		return err
 	}
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -10,27 +10,27 @@
 	"path/filepath"
 	"strings"
 
-	"gannetspur/internal/logins"
+	"gannetspur/internal/scramauth"
 	"gannetspur/internal/sqltext"
 	"gannetspur/policy"
 )
 
 // Postgres is the deploy file of the second front.
 type Postgres struct {
-	Listen        string        // where clients connect; "": the front is off
-	Settings      string        // the settings, as JSON, in a file beside this one
-	MemoryMB      int           `toml:"memory_mb"`
-	Sockets       int           // descriptor limit
-	MostClients   int           `toml:"most_clients"`
-	TxIdle        float64       `toml:"transaction_idle_s"` // its client may say nothing for so long; 0: 10 s
-	TxMost        float64       `toml:"transaction_most_s"` // and it may take so long; 0: 60 s
-	DefaultClass  string        `toml:"default_class"`
-	WriteClass    string        `toml:"write_class"`         // of what may write and has no class of its own; "": the first that runs once at most
-	ReadOnly      []string      `toml:"read_only_functions"` // names, with their schema where they need one
-	Statements    []Statement   `toml:"statement"`
-	Users         string        // a file of those who may log in, beside this one; "": everybody may, unasked
-	Logins        []logins.User `toml:"-"`
-	User          string        // that engines are told
+	Listen        string           // where clients connect; "": the front is off
+	Settings      string           // the settings, as JSON, in a file beside this one
+	MemoryMB      int              `toml:"memory_mb"`
+	Sockets       int              // descriptor limit
+	MostClients   int              `toml:"most_clients"`
+	TxIdle        float64          `toml:"transaction_idle_s"` // its client may say nothing for so long; 0: 10 s
+	TxMost        float64          `toml:"transaction_most_s"` // and it may take so long; 0: 60 s
+	DefaultClass  string           `toml:"default_class"`
+	WriteClass    string           `toml:"write_class"`         // of what may write and has no class of its own; "": the first that runs once at most
+	ReadOnly      []string         `toml:"read_only_functions"` // names, with their schema where they need one
+	Statements    []Statement      `toml:"statement"`
+	Users         string           // a file of those who may log in, beside this one; "": everybody may, unasked
+	Logins        []scramauth.User `toml:"-"`
+	User          string           // that engines are told
 	Database      string
 	ConnectWithin float64 `toml:"connect_timeout_ms"`
 	IdleClose     float64 `toml:"idle_close_ms"`
--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"os"
 
-	"gannetspur/internal/logins"
+	"gannetspur/internal/scramauth"
 	"gannetspur/policy"
 )
 
@@ -19,7 +19,7 @@
 }
 
 // loadUsers reads a file of users, whose classes must be among the settings'.
-func loadUsers(path string, classes []policy.Class) ([]logins.User, error) {
+func loadUsers(path string, classes []policy.Class) ([]scramauth.User, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("users: %w", err)
@@ -33,10 +33,10 @@
 	for _, class := range classes {
 		known[class.Name] = true
 	}
-	var all []logins.User
+	var all []scramauth.User
 	for i, one := range u.Users {
 		at := func(field string) string { return fmt.Sprintf("user[%d].%s", i, field) }
-		v, err := logins.ParseVerifier(one.Verifier)
+		v, err := scramauth.ParseVerifier(one.Verifier)
 		c.must(err == nil, at("verifier"), "%v", err)
 		c.must(one.Name != "" && len(one.Name) <= 63, at("name"), "%q is not of 1 to 63 bytes", one.Name)
 		c.must(!seen[one.Name], at("name"), "%q is named twice", one.Name)
@@ -45,7 +45,7 @@
 			c.must(known[class], at("classes"), "%q is no class of the settings", class)
 		}
 		seen[one.Name] = true
-		all = append(all, logins.User{Name: one.Name, Verifier: v, Classes: one.Classes, MostClients: one.MostClients})
+		all = append(all, scramauth.User{Name: one.Name, Verifier: v, Classes: one.Classes, MostClients: one.MostClients})
 	}
 	c.must(len(all) > 0, "user", "there is none: nobody could log in")
 	return all, c.err()
--- a/internal/engine/pg/startup.go
+++ b/internal/engine/pg/startup.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/logins"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/scramauth"
 )
 
 // greet begins the startup.
@@ -58,13 +58,13 @@
 		return errors.New("it has not proved that it knows the password")
 	case code == pgproto.AuthOK:
 		return nil
-	case code == pgproto.AuthSASL && l.all.prover != nil && l.proving == nil && strings.Contains("\x00"+string(r.B), "\x00"+logins.Mechanism+"\x00"):
+	case code == pgproto.AuthSASL && l.all.prover != nil && l.proving == nil && strings.Contains("\x00"+string(r.B), "\x00"+scramauth.Mechanism+"\x00"):
 		l.proving = l.all.prover.NewConversation()
 		first, err := l.proving.Step("")
 		if err != nil {
 			return fmt.Errorf("scram: %w", err)
 		}
-		l.conn.Write(pgproto.Append(nil, 'p', pgproto.Str(logins.Mechanism), pgproto.Int32(len(first)), []byte(first)))
+		l.conn.Write(pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(first)))
 	case code == pgproto.AuthSASLContinue && l.proving != nil:
 		final, err := l.proving.Step(string(r.B))
 		if err != nil {
--- a/internal/front/pgwire/front.go
+++ b/internal/front/pgwire/front.go
@@ -17,11 +17,11 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/loginlimit"
-	"gannetspur/internal/logins"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/queryshape"
+	"gannetspur/internal/scramauth"
 	"gannetspur/internal/sqltext"
 	"gannetspur/internal/timerqueue"
 )
@@ -53,7 +53,7 @@
 	Shapes       *queryshape.Service // classes and estimates by the shapes of statements; nil: off
 	MostClients  int                 // connections at once; 0: no limit of its own
 	MostHeld     int                 // bytes of rows in all open portals together
-	Users        *logins.Users       // who may log in, by password; nil: everybody, unasked
+	Users        *scramauth.Users    // who may log in, by password; nil: everybody, unasked
 	TLS          *tls.Config         // nil: encryption is declined
 	RequireTLS   bool                // nobody is let in without
 	TxIdle       time.Duration       // a transaction's client may say nothing for so long; 0: 10 s
@@ -200,8 +200,8 @@
 	process  uint32
 	secret   [4]byte
 	user     string
-	login    *logins.Login // under way
-	proving  bool          // its first message has come
+	login    *scramauth.Login // under way
+	proving  bool             // its first message has come
 	started  bool
 	ended    bool
 	timeout  time.Duration     // statement_timeout; 0: the class's
--- a/internal/front/pgwire/login.go
+++ b/internal/front/pgwire/login.go
@@ -4,9 +4,9 @@
 	"errors"
 	"net"
 
-	"gannetspur/internal/logins"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/scramauth"
 )
 
 // maxLogin bounds a message of a client that has not proved who it is.
@@ -25,7 +25,7 @@
 		return err
 	}
 	k.login = l
-	k.out = pgproto.Append(k.out, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.Str(logins.Mechanism), []byte{0})
+	k.out = pgproto.Append(k.out, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.Str(scramauth.Mechanism), []byte{0})
 	return nil
 }
 
@@ -54,8 +54,8 @@
 		k.proving = true
 		mechanism := r.Str()
 		body = r.Bytes(r.Int32())
-		if !r.End() || mechanism != logins.Mechanism {
-			return true, k.denied(logins.ErrMessages)
+		if !r.End() || mechanism != scramauth.Mechanism {
+			return true, k.denied(scramauth.ErrMessages)
 		}
 	}
 	answer, done, err := k.login.Step(string(body))
@@ -82,7 +82,7 @@
 	f := k.front
 	f.throttle.Failed(f.loop.Now(), host(k.conn))
 	f.stats.Add("pgwire.logins-failed")
-	if errors.Is(err, logins.ErrMessages) {
+	if errors.Is(err, scramauth.ErrMessages) {
 		return fail("08P01", "malformed SCRAM message")
 	}
 	k.fatal(fail("28P01", "password authentication failed for user %q", k.user))
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/logins"
+	"gannetspur/internal/scramauth"
 
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
@@ -35,12 +35,12 @@
 		return time.Millisecond, 1
 	}, Log: slog.New(slog.DiscardHandler)})
 	g := newGateway(t, nil)
-	v, err := logins.NewVerifier("secret")
+	v, err := scramauth.NewVerifier("secret")
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.pgwire.Users = logins.NewUsers([]logins.User{{Name: "desk", Verifier: v}})
+	g.pgwire.Users = scramauth.NewUsers([]scramauth.User{{Name: "desk", Verifier: v}})
 	g.pgwire.TLS, g.pgwire.RequireTLS = serverTLS(certificate(t)), true
 	return g.postgres(ln.Addr().String())
 }
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -15,8 +15,8 @@
 	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/logins"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/scramauth"
 )
 
 // certificate is one that an authority of its own has signed.
@@ -245,7 +245,7 @@
 			return err
 		}}
 	}
-	v, err := logins.NewVerifier("of the gateway")
+	v, err := scramauth.NewVerifier("of the gateway")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 		ranOn := make(chan string, 10)
 		go emul.Postgres(ln, emul.Options{
 			Work:   func(string) (time.Duration, float64) { return time.Millisecond, 1 },
-			Logins: logins.NewUsers([]logins.User{{Name: "ringwood", Verifier: v}}), TLS: tt.engine, Log: slog.New(slog.DiscardHandler),
+			Logins: scramauth.NewUsers([]scramauth.User{{Name: "ringwood", Verifier: v}}), TLS: tt.engine, Log: slog.New(slog.DiscardHandler),
 			Heard: func(_, text string) { ranOn <- text },
 		})
 		g := newGateway(t, nil)
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"gannetspur/internal/logins"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/scramauth"
 
 	"github.com/xdg-go/scram"
 )
@@ -16,19 +16,19 @@
 	t.Helper()
 	engine, _ := pgEngine(t, func(pgCall) []byte { return pgRows("bell") })
 	g := newGateway(t, nil)
-	var users []logins.User
-	for _, u := range []logins.User{{Name: "desk"}, {Name: "guest", Classes: []string{"lookup"}, MostClients: 1}} {
-		v, err := logins.NewVerifier("pässword of " + u.Name)
+	var users []scramauth.User
+	for _, u := range []scramauth.User{{Name: "desk"}, {Name: "guest", Classes: []string{"lookup"}, MostClients: 1}} {
+		v, err := scramauth.NewVerifier("pässword of " + u.Name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if u.Verifier, err = logins.ParseVerifier(v.String()); err != nil { // as from a file
+		if u.Verifier, err = scramauth.ParseVerifier(v.String()); err != nil { // as from a file
 			t.Fatal(err)
 		}
 		users = append(users, u)
 	}
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.pgwire.Users = logins.NewUsers(users)
+	g.pgwire.Users = scramauth.NewUsers(users)
 	return g.postgres(engine)
 }
 
@@ -44,7 +44,7 @@
 	t.Helper()
 	k := &pgClient{t: t, c: dial(t, addr)}
 	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str(user)...), 0)))
-	if w := k.until('R'); w != "R" || !strings.Contains(string(k.last), logins.Mechanism) {
+	if w := k.until('R'); w != "R" || !strings.Contains(string(k.last), scramauth.Mechanism) {
 		return k, w + " " + k.until('Z')
 	}
 	c, err := scram.SHA256.NewClient("", password, "")
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	first = p.first(first)
-	k.send(pgproto.Append(nil, 'p', pgproto.Str(logins.Mechanism), pgproto.Int32(len(first)), []byte(first)))
+	k.send(pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(first)))
 	if w := k.until('R'); w != "R" {
 		return k, w
 	}
@@ -122,7 +122,7 @@
 	k := &pgClient{t: t, c: dial(t, g.addr)}
 	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0)))
 	k.until('R')
-	k.send(pgproto.Append(nil, 'p', pgproto.Str(logins.Mechanism), pgproto.Int32(len(first)), []byte(again(first)(""))))
+	k.send(pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(again(first)(""))))
 	k.until('R')
 	k.send(pgproto.Append(nil, 'p', []byte(final)))
 	if w := k.until('Z'); w != "E(28P01) end" {
@@ -131,7 +131,7 @@
 	for name, m := range map[string][]byte{
 		"a statement first": query("SELECT 1"), "a long one": append([]byte{'p'}, pgproto.Int32(1<<20)...),
 		"another mechanism": pgproto.Append(nil, 'p', pgproto.Str("PLAIN"), pgproto.Int32(1), []byte("x")),
-		"a wrong length":    pgproto.Append(nil, 'p', pgproto.Str(logins.Mechanism), pgproto.Int32(99), []byte("x")),
+		"a wrong length":    pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(99), []byte("x")),
 	} {
 		k := &pgClient{t: t, c: dial(t, g.addr)}
 		_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0)))
--- a/internal/lab/emul/emul.go
+++ b/internal/lab/emul/emul.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gannetspur/internal/lab/model"
-	"gannetspur/internal/logins"
+	"gannetspur/internal/scramauth"
 )
 
 // Work tells how long a statement takes, and the memory that it needs in MB.
@@ -31,7 +31,7 @@
 	Machine *Machine
 	Ask     func(statement string) model.Query
 	Ledger  *Ledger                         // of effects; nil: none is kept
-	Logins  *logins.Users                   // who may log in, of the PostgreSQL wire, by SCRAM; nil: User alone, unasked
+	Logins  *scramauth.Users                // who may log in, of the PostgreSQL wire, by SCRAM; nil: User alone, unasked
 	TLS     *tls.Config                     // of the PostgreSQL wire; nil: encryption is declined
 	Heard   func(session, statement string) // each statement of the PostgreSQL wire, before it runs; nil: nobody
 	Log     *slog.Logger
--- a/internal/lab/emul/pg.go
+++ b/internal/lab/emul/pg.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"gannetspur/internal/lab/model"
-	"gannetspur/internal/logins"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/scramauth"
 )
 
 var columns = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
@@ -288,14 +288,14 @@
 }
 
 // proved has a client log in by SCRAM, and returns what it has sent ahead.
-func proved(c net.Conn, startup string, in []byte, users *logins.Users) (rest []byte, err error) {
+func proved(c net.Conn, startup string, in []byte, users *scramauth.Users) (rest []byte, err error) {
 	_, user, _ := strings.Cut("\x00"+startup, "\x00user\x00")
 	user, _, _ = strings.Cut(user, "\x00")
 	l, err := users.Begin(user)
 	if err != nil {
 		return nil, err
 	}
-	out := pgproto.Append(nil, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.Str(logins.Mechanism), []byte{0})
+	out := pgproto.Append(nil, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.Str(scramauth.Mechanism), []byte{0})
 	p := make([]byte, 4096)
 	for step := 0; ; step++ {
 		if _, err := c.Write(out); err != nil {
--- a/internal/logins/logins.go
+++ b/internal/scramauth/logins.go
@@ -1,7 +1,7 @@
 // Package logins knows users by their SCRAM-SHA-256 verifiers (RFC 5802, RFC 7677), as PostgreSQL
 // writes them, and proves clients by them. No password is held, and a client can't tell an
 // unknown user from a wrong password.
-package logins
+package scramauth
 
 import (
 	"crypto/hmac"
--- a/internal/logins/logins_test.go
+++ b/internal/scramauth/logins_test.go
@@ -1,4 +1,4 @@
-package logins
+package scramauth
 
 import (
 	"errors"
