--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -17,6 +17,7 @@
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/connpool"
+	"gannetspur/internal/discovery/eventbus"
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/front/pgwire"
@@ -25,7 +26,6 @@
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/queryshape"
-	"gannetspur/internal/roster/bus"
 	"gannetspur/internal/roster/consul"
 	"gannetspur/internal/scramauth"
 	"gannetspur/internal/sqltext"
@@ -230,7 +230,7 @@
 	if err := g.openSites(sites, lines.Codec{}, cfg.Site.Policy, cfg.MemoryMB); err != nil {
 		return err
 	}
-	var follower *bus.Follower
+	var follower *eventbus.Follower
 	g.follow = func(k *handover.Knowledge) {
 		last := cfg.Offset
 		if k != nil { // its roster is in the core already
@@ -245,7 +245,7 @@
 			}
 		}
 		if cfg.Bus != "" {
-			follower = bus.New(g.loop, cfg.Bus, last, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
+			follower = eventbus.New(g.loop, cfg.Bus, last, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
 			follower.Start()
 			g.event = follower.Last
 		}
--- a/internal/roster/bus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -1,6 +1,6 @@
 // Package bus follows the platform's event bus, which tells of changes to the
 // list of engines.
-package bus
+package eventbus
 
 import (
 	"encoding/binary"
--- a/internal/roster/bus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -1,4 +1,4 @@
-package bus
+package eventbus
 
 import (
 	"encoding/binary"
