--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -22,7 +22,7 @@
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/front/rest"
+	"gannetspur/internal/frontend/httpapi"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -276,7 +276,7 @@
 		}
 	}
 	g.mostClients = mostClients(cfg.Sockets)
-	f := rest.New(g.loop, g.core, rest.Options{
+	f := httpapi.New(g.loop, g.core, httpapi.Options{
 		MostClients: g.mostClients, MostHeld: part(cfg.MemoryMB, 8), Shapes: g.shapes,
 	}, g.counters)
 	g.front = f
--- a/internal/front/rest/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -1,4 +1,4 @@
-package rest
+package httpapi
 
 import (
 	"fmt"
--- a/internal/front/rest/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -1,6 +1,6 @@
 // Package rest is the platform's front: HTTP/1.1 calls of clients, one at a time
 // on a connection.
-package rest
+package httpapi
 
 import (
 	"bytes"
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -19,7 +19,7 @@
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/front/rest"
+	"gannetspur/internal/frontend/httpapi"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
@@ -39,8 +39,8 @@
 	log     *slog.Logger
 	addr    string
 	lines   *lines.Links
-	rest    *rest.Front
-	options rest.Options
+	rest    *httpapi.Front
+	options httpapi.Options
 	pgwire  pgwire.Options
 	front   *pgwire.Front
 	engine  pg.Options // how engines are spoken to, beside user and database
@@ -130,7 +130,7 @@
 	g.site.MaxStreams = 32
 	g.lines = lines.New(g.loop, g.core, g.site, g.stats, g.log)
 	g.core.SetLinks(g.lines)
-	f := rest.New(g.loop, g.core, g.options, g.stats)
+	f := httpapi.New(g.loop, g.core, g.options, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
