--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -21,8 +21,8 @@
 	"gannetspur/internal/discovery/eventbus"
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/engine/pg"
-	"gannetspur/internal/front/pgwire"
 	"gannetspur/internal/frontend/httpapi"
+	"gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -326,7 +326,7 @@
 	}
 	opts := g.frontOptions(p)
 	g.mostClients = opts.MostClients
-	f := pgwire.New(g.loop, g.core, opts, g.counters)
+	f := postgres.New(g.loop, g.core, opts, g.counters)
 	g.front = f
 	g.listen = func() error { return f.Listen(p.Listen) }
 	g.reload = func() error {
@@ -352,8 +352,8 @@
 	return nil
 }
 
-func (g *gateway) frontOptions(p *config.Postgres) pgwire.Options {
-	opts := pgwire.Options{
+func (g *gateway) frontOptions(p *config.Postgres) postgres.Options {
+	opts := postgres.Options{
 		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MostClients: mostClients(p.Sockets), MostHeld: part(p.MemoryMB, 6),
 		Shapes: g.shapes,
 	}
@@ -376,7 +376,7 @@
 		opts.MostClients = min(opts.MostClients, p.MostClients)
 	}
 	for _, s := range p.Statements {
-		opts.Rules = append(opts.Rules, pgwire.Rule(s))
+		opts.Rules = append(opts.Rules, postgres.Rule(s))
 	}
 	return opts
 }
--- a/internal/front/pgwire/class.go
+++ b/internal/frontend/postgres/class.go
@@ -1,4 +1,4 @@
-package pgwire
+package postgres
 
 import (
 	"fmt"
--- a/internal/front/pgwire/front.go
+++ b/internal/frontend/postgres/front.go
@@ -1,7 +1,7 @@
 // Package pgwire is the front for clients that speak the PostgreSQL wire protocol
 // with extended queries. Each bound execution is one request to the core, with
 // one final answer: a completion or one ErrorResponse.
-package pgwire
+package postgres
 
 import (
 	"crypto/rand"
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -257,7 +257,7 @@
 // The same between statements of PostgreSQL: what runs once at most goes out on another connection.
 func TestRestingConnectionEndsUnderAStatement(t *testing.T) {
 	addr, seen := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	const text = "DELETE FROM stock_1.parts"
 	k.send(query(text))
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -18,8 +18,8 @@
 	"gannetspur/internal/core"
 	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/engine/pg"
-	"gannetspur/internal/front/pgwire"
 	"gannetspur/internal/frontend/httpapi"
+	"gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
@@ -41,8 +41,8 @@
 	lines   *lines.Links
 	rest    *httpapi.Front
 	options httpapi.Options
-	pgwire  pgwire.Options
-	front   *pgwire.Front
+	pgwire  postgres.Options
+	front   *postgres.Front
 	engine  pg.Options // how engines are spoken to, beside user and database
 }
 
@@ -141,7 +141,7 @@
 }
 
 // postgres starts the second front with engines at the addresses.
-func postgres(t *testing.T, engines ...string) *gateway {
+func postgresGateway(t *testing.T, engines ...string) *gateway {
 	t.Helper()
 	return newGateway(t, nil).postgres(engines...)
 }
@@ -152,11 +152,11 @@
 	g.engine.User, g.engine.Database = "ringwood", "register"
 	g.core.SetLinks(pg.New(g.loop, g.core, g.engine, g.stats, g.log))
 	if g.pgwire.DefaultClass == "" {
-		g.pgwire = pgwire.Options{
-			DefaultClass: "lookup", WriteClass: "write", Rules: []pgwire.Rule{{Starts: "insert into", Class: "load", Key: 1}},
+		g.pgwire = postgres.Options{
+			DefaultClass: "lookup", WriteClass: "write", Rules: []postgres.Rule{{Starts: "insert into", Class: "load", Key: 1}},
 		}
 	}
-	f := pgwire.New(g.loop, g.core, g.pgwire, g.stats)
+	f := postgres.New(g.loop, g.core, g.pgwire, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -29,7 +29,7 @@
 		}
 		return pgRows("chain " + c.bind[8:9])
 	})
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	const text = "SELECT part FROM stock_4.parts WHERE id = $1"
 	k.send(parse("s", text), describe("S", "s"), sync)
@@ -63,7 +63,7 @@
 		}
 		return pgRows("a")
 	})
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	k.send(parse("s", "SELECT 1"), bind("", "s"), execute("", 0), bind("", "s"), execute("", 0), sync)
 	same(t, "batch", k.until('Z'), "1 2 D(a) C(SELECT 1) 2 D(a) C(SELECT 1) Z")
@@ -75,7 +75,7 @@
 // the batch is never sent.
 func TestDisconnectMidBatch(t *testing.T) {
 	addr, seen := pgEngine(t, func(pgCall) []byte { return nil })
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	k.send(parse("s", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "s", "k1"), execute("", 0), bind("", "s", "k2"), execute("", 0), sync)
 	if c := await(t, seen); !strings.Contains(c.bind, "k1") {
@@ -93,7 +93,7 @@
 func TestEngineDrainsWhilePortalIsOpen(t *testing.T) {
 	first, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a", "b", "c") })
 	second, _ := pgEngine(t, func(pgCall) []byte { return pgRows("elsewhere") })
-	g := postgres(t, first)
+	g := postgresGateway(t, first)
 	k := connect(t, g.addr)
 	k.send(parse("", "SELECT part FROM stock_1.parts"), bind("p", ""), execute("p", 2), flush)
 	same(t, "first rows", k.until('s'), "1 2 D(a) D(b) s")
@@ -146,7 +146,7 @@
 		"unknown message":   {[]string{addr}, nil, [][]byte{{'#', 0, 0, 0, 4}}, "E(08P01) end", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := postgres(t, tt.engines...)
+			g := postgresGateway(t, tt.engines...)
 			k := connect(t, g.addr, tt.params...)
 			k.send(tt.messages...)
 			got := k.until('Z')
@@ -176,7 +176,7 @@
 	}
 	first, seen1 := pgEngine(t, script)
 	second, seen2 := pgEngine(t, script)
-	g := postgres(t, first, second)
+	g := postgresGateway(t, first, second)
 	k := connect(t, g.addr)
 	k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key-1"), execute("", 0), execute("", 0), sync)
 	same(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) E(55000) Z")
@@ -232,7 +232,7 @@
 		}
 		return pgRows(rows...)
 	})
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	_ = k.c.(*net.TCPConn).SetReadBuffer(64 << 10) // else the kernel might take all at once
 	k.send(query("SELECT more"))
@@ -255,7 +255,7 @@
 		for range seen { // it holds only so many
 		}
 	}()
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	k.send(parse("s", "SELECT $1"))
 	const n = 300
@@ -312,7 +312,7 @@
 // with the right secret.
 func TestCancelRequest(t *testing.T) {
 	addr, seen := pgEngine(t, func(pgCall) []byte { return nil })
-	g := postgres(t, addr)
+	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	k.send(parse("", "SELECT 1"), bind("", ""), execute("", 0), sync)
 	await(t, seen)
@@ -331,7 +331,7 @@
 
 // Encryption is declined with one byte, and the startup goes on in the clear.
 func TestEncryptionIsDeclined(t *testing.T) {
-	g := postgres(t)
+	g := postgresGateway(t)
 	k := &pgClient{t: t, c: dial(t, g.addr)}
 	for _, code := range []uint32{pgproto.SSLReq, pgproto.GSSReq} {
 		k.send(pgproto.AppendStartup(nil, code, nil))
@@ -360,7 +360,7 @@
 	}
 	one, _ := pgEngine(t, script)
 	two, _ := pgEngine(t, script)
-	g := postgres(t, one, two)
+	g := postgresGateway(t, one, two)
 	silent := &pgClient{t: t, c: dial(t, g.addr)}
 	half := connect(t, g.addr)
 	half.send(query("SELECT 1")[:7])
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	decide "gannetspur/internal/decide/costmodel"
-	"gannetspur/internal/front/pgwire"
+	"gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/queryshape"
 )
 
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	g.core.SetLearner(s)
-	g.pgwire = pgwire.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []pgwire.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
+	g.pgwire = postgres.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []postgres.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
 	return s
 }
 
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"gannetspur/internal/front/pgwire"
+	"gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/pgproto"
 	"gannetspur/policy"
 )
@@ -35,14 +35,14 @@
 		"SELECT setval('s', 1)", "EXPLAIN ANALYZE DELETE FROM stock_1.parts", "SELECT 1 FROM stock_1.parts FOR UPDATE",
 		"/* class=write */ SELECT 1", "DO $$ BEGIN END $$", "SELECT count(*) -- \r, setval('s', 1)",
 	} {
-		k := connect(t, postgres(t, engines...).addr) // a gateway that thinks well of all engines
+		k := connect(t, postgresGateway(t, engines...).addr) // a gateway that thinks well of all engines
 		k.send(parse("", text), bind("", ""), execute("", 0), sync)
 		same(t, text, k.until('Z'), "1 2 E(40003) Z")
 		if n := runs(); n != 1 {
 			t.Errorf("%s ran %d times", text, n)
 		}
 	}
-	k := connect(t, postgres(t, engines...).addr)
+	k := connect(t, postgresGateway(t, engines...).addr)
 	k.send(parse("", "SELECT 1"), bind("", ""), execute("", 0), sync)
 	k.until('Z')
 	if n := runs(); n < 2 {
@@ -55,13 +55,13 @@
 func TestSafeClassForWrites(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	g.pgwire = pgwire.Options{
+	g.pgwire = postgres.Options{
 		DefaultClass: "lookup", WriteClass: "write", ReadOnly: map[string]bool{"stock.price_of": true},
-		Rules: []pgwire.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
+		Rules: []postgres.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
 	}
 	g.postgres(addr)
 	bare := newGateway(t, nil)
-	bare.pgwire = pgwire.Options{DefaultClass: "lookup"}
+	bare.pgwire = postgres.Options{DefaultClass: "lookup"}
 	bare.postgres(addr)
 	for _, tt := range []struct {
 		g          *gateway
