--- a/internal/archtest/house_test.go
+++ b/internal/archtest/house_test.go
@@ -15,7 +15,7 @@
 var floors = [][]string{
 	{"cmd/"},
 	{"internal/front/", "internal/wire"},
-	{"internal/engine"},
+	{"internal/backend"},
 	{"internal/site/link"},
 	{"internal/queryshape", "internal/handover", "internal/admin", "internal/control", "internal/takeover", "internal/membership", "internal/site/crossing"},
 	{"internal/roster/", "internal/config"},
--- a/internal/engine/lines/links.go
+++ b/internal/backend/lines/links.go
@@ -11,9 +11,9 @@
 	"time"
 	"unicode/utf8"
 
+	"gannetspur/internal/backend"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/engine"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/timerqueue"
@@ -51,7 +51,7 @@
 	site    config.Site
 	stats   *metrics.Counters
 	log     *slog.Logger
-	engines *engine.Pool[*link]
+	engines *backend.Pool[*link]
 	probes  uint64 // begun
 }
 
@@ -61,13 +61,13 @@
 	if site.ConnectTimeout <= 0 {
 		site.ConnectTimeout = 250 * time.Millisecond
 	}
-	return &Links{loop: loop, core: c, site: site, stats: counters, log: l, engines: engine.NewPool[*link]()}
+	return &Links{loop: loop, core: c, site: site, stats: counters, log: l, engines: backend.NewPool[*link]()}
 }
 
 // link is one connection, from the start of its dial.
 type link struct {
 	all     *Links
-	engine  *engine.Engine[*link]
+	engine  *backend.Engine[*link]
 	conn    *netio.Conn // nil until it is up
 	streams map[string]*stream
 	probe   *probe                   // that is out here, or waits for the connection; nil: none
@@ -116,7 +116,7 @@
 }
 
 // room finds a link that can take a request of this id.
-func room(e *engine.Engine[*link], id string, most int, now time.Duration) *link {
+func room(e *backend.Engine[*link], id string, most int, now time.Duration) *link {
 	for _, l := range e.Links {
 		if l.retired || len(l.streams) >= most || l.streams[id] != nil || now < l.past[id] || l.conn != nil && l.conn.Gone() {
 			continue
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (ls *Links) dial(e *engine.Engine[*link]) *link {
+func (ls *Links) dial(e *backend.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, streams: map[string]*stream{}, past: map[string]time.Duration{}}
 	e.Links = append(e.Links, l)
 	ls.stats.Add("links.dialed")
@@ -135,7 +135,7 @@
 			l.up(c)
 			return
 		}
-		end := engine.DialEnd(err)
+		end := backend.DialEnd(err)
 		if end != core.EndRefused {
 			ls.log.Warn("engine.unreachable", "engine", e.ID, "error", err)
 		}
--- a/internal/engine/pg/links.go
+++ b/internal/backend/pg/links.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
+	"gannetspur/internal/backend"
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/connpool"
-	"gannetspur/internal/engine"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
@@ -55,7 +55,7 @@
 	opts    Options
 	stats   *metrics.Counters
 	log     *slog.Logger
-	engines *engine.Pool[*link]
+	engines *backend.Pool[*link]
 	places  map[string]*place
 	size    int           // of the rows on their way
 	prover  *scram.Client // keeps what it has worked out for each engine's salt; nil: no password
@@ -69,7 +69,7 @@
 	if opts.MostHeld <= 0 {
 		opts.MostHeld = usualHeld
 	}
-	ls := &Links{loop: loop, core: c, opts: opts, stats: counters, log: l, engines: engine.NewPool[*link](), places: map[string]*place{}}
+	ls := &Links{loop: loop, core: c, opts: opts, stats: counters, log: l, engines: backend.NewPool[*link](), places: map[string]*place{}}
 	if opts.Password != "" {
 		var err error
 		if ls.prover, err = scram.SHA256.NewClient("", opts.Password, ""); err != nil { // its text is no password: engines will say so
@@ -82,7 +82,7 @@
 // link is one connection, from the start of its dial.
 type link struct {
 	all     *Links
-	engine  *engine.Engine[*link]
+	engine  *backend.Engine[*link]
 	place   *place
 	free    bool        // the pool counts on it
 	conn    *netio.Conn // nil until it is up
@@ -113,14 +113,14 @@
 	failure *pgproto.Error
 }
 
-func (ls *Links) dial(e *engine.Engine[*link]) *link {
+func (ls *Links) dial(e *backend.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, place: ls.place(e.ID), named: map[string]string{}, applied: map[string]string{}}
 	e.Links = append(e.Links, l)
 	ls.stats.Add("links.dialed")
 	by := ls.loop.Now() + ls.opts.ConnectTimeout
 	ls.loop.Dial(e.Addr, ls.opts.ConnectTimeout, maxBuffer, l, func(c *netio.Conn, err error) {
 		if err != nil {
-			l.lost(engine.DialEnd(err))
+			l.lost(backend.DialEnd(err))
 			return
 		}
 		l.conn = c
--- a/internal/engine/pg/pool.go
+++ b/internal/backend/pg/pool.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"gannetspur/internal/backend"
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/connpool"
-	"gannetspur/internal/engine"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
@@ -119,7 +119,7 @@
 
 // ended has the pool no longer count on connections that have ended, as Closed will tell. Guards against a statement that is
 // promised to one of them.
-func (ls *Links) ended(e *engine.Engine[*link]) {
+func (ls *Links) ended(e *backend.Engine[*link]) {
 	for _, l := range e.Links {
 		if l.free && l.conn.Gone() {
 			l.retired = true
@@ -129,7 +129,7 @@
 }
 
 // run gives an attempt the connection that the pool says.
-func (ls *Links) run(e *engine.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Answer) {
+func (ls *Links) run(e *backend.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Answer) {
 	var l *link
 	if answer == connpool.Use {
 		for _, o := range e.Links {
--- a/internal/engine/pool.go
+++ b/internal/backend/pool.go
@@ -1,6 +1,6 @@
 // Package engine keeps what all kinds of engine links share: which engines there
 // are, and which links lead to each.
-package engine
+package backend
 
 import (
 	"slices"
--- a/internal/frontend/httpapi/encode_test.go
+++ b/internal/frontend/httpapi/encode_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"gannetspur/internal/engine/lines"
+	"gannetspur/internal/backend/lines"
 )
 
 // Answers are JSON whatever the rows hold.
--- a/internal/frontend/httpapi/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"gannetspur/internal/backend/lines"
 	"gannetspur/internal/core"
-	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/http1"
 	"gannetspur/internal/netio"
 
--- a/internal/frontend/httpapi/move_test.go
+++ b/internal/frontend/httpapi/move_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"gannetspur/internal/backend/lines"
 	"gannetspur/internal/core"
-	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/policy"
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -10,9 +10,9 @@
 	"time"
 	"unicode/utf8"
 
+	"gannetspur/internal/backend/lines"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/engine/lines"
 	"gannetspur/internal/http1"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/engine/pg"
+	"gannetspur/internal/backend/pg"
 	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/lab/emul"
 	"gannetspur/internal/pgproto"
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"gannetspur/internal/backend/lines"
+	"gannetspur/internal/backend/pg"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/engine/lines"
-	"gannetspur/internal/engine/pg"
 	"gannetspur/internal/frontend/httpapi"
 	"gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/metrics"
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"gannetspur/internal/backend"
 	"gannetspur/internal/core"
-	"gannetspur/internal/engine"
 	"gannetspur/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -289,7 +289,7 @@
 // take nothing more.
 func TestAddressIsUsedAgain(t *testing.T) {
 	var told []string
-	p := engine.NewPool[*fakeLink]()
+	p := backend.NewPool[*fakeLink]()
 	entry := func(id string, state policy.EngineState, started time.Duration) {
 		p.Engine(core.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
 	}
