--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/backend/lines"
+	"gannetspur/internal/backend/lineproto"
 	"gannetspur/internal/backend/pg"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
@@ -226,8 +226,8 @@
 	if err := g.start(cfg.Site.Policy, cfg.Seed, cfg.MemoryMB, cfg.Sockets); err != nil {
 		return err
 	}
-	g.core.SetLinks(lines.New(g.loop, g.core, cfg.Site, g.counters, g.log))
-	if err := g.openSites(sites, lines.Codec{}, cfg.Site.Policy, cfg.MemoryMB); err != nil {
+	g.core.SetLinks(lineproto.New(g.loop, g.core, cfg.Site, g.counters, g.log))
+	if err := g.openSites(sites, lineproto.Codec{}, cfg.Site.Policy, cfg.MemoryMB); err != nil {
 		return err
 	}
 	var follower *eventbus.Follower
--- a/internal/backend/lines/codec_test.go
+++ b/internal/backend/lineproto/codec_test.go
@@ -1,4 +1,4 @@
-package lines
+package lineproto
 
 import (
 	"testing"
--- a/internal/backend/lines/links.go
+++ b/internal/backend/lineproto/links.go
@@ -1,6 +1,6 @@
 // Package lines carries attempts to engines that speak the platform's line
 // protocol: many requests on one connection, answers in any order.
-package lines
+package lineproto
 
 import (
 	"errors"
--- a/internal/frontend/httpapi/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"gannetspur/internal/backend/lines"
+	"gannetspur/internal/backend/lineproto"
 	"gannetspur/internal/core"
 	"gannetspur/internal/http1"
 	"gannetspur/internal/netio"
@@ -23,9 +23,9 @@
 
 // heldState is a result that its client has not fetched whole.
 type heldState struct {
-	Path  string        `cbor:"1,keyasint"`
-	Parts []lines.Rows  `cbor:"2,keyasint"`
-	Until time.Duration `cbor:"3,keyasint"`
+	Path  string           `cbor:"1,keyasint"`
+	Parts []lineproto.Rows `cbor:"2,keyasint"`
+	Until time.Duration    `cbor:"3,keyasint"`
 }
 
 // Name tells this front from others.
--- a/internal/frontend/httpapi/move_test.go
+++ b/internal/frontend/httpapi/move_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/backend/lines"
+	"gannetspur/internal/backend/lineproto"
 	"gannetspur/internal/core"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -69,7 +69,7 @@
 	}
 	held := func(path string) heldState {
 		return heldState{Path: path, Until: one.loop.Now() + time.Minute,
-			Parts: []lines.Rows{{[]byte("a\tb\tc\n")}, {[]byte("d\te\tf\n")}, {[]byte("g\th\ti\n")}}}
+			Parts: []lineproto.Rows{{[]byte("a\tb\tc\n")}, {[]byte("d\te\tf\n")}, {[]byte("g\th\ti\n")}}}
 	}
 	var before, later []byte
 	do(one, func() {
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -10,7 +10,7 @@
 	"time"
 	"unicode/utf8"
 
-	"gannetspur/internal/backend/lines"
+	"gannetspur/internal/backend/lineproto"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	"gannetspur/internal/http1"
@@ -83,7 +83,7 @@
 
 // held is a result of more than one page that the client has not fetched whole.
 type held struct {
-	pages []lines.Rows
+	pages []lineproto.Rows
 	size  int
 	whole bool // the last part was given at least once
 }
@@ -478,7 +478,7 @@
 	delete(k.front.ids, r.ID)
 	switch a.Verdict {
 	case core.Served:
-		rows, _ := a.Result.(lines.Rows)
+		rows, _ := a.Result.(lineproto.Rows)
 		k.rows(r, rows)
 	case core.Refused:
 		k.write(503, a.ComeBack, []byte(`{"fault":"Busy"}`))
@@ -493,7 +493,7 @@
 
 // rows writes the first part of a result and holds the rest for the client to
 // fetch; a small one goes whole.
-func (k *conn) rows(r *core.Request, rows lines.Rows) {
+func (k *conn) rows(r *core.Request, rows lineproto.Rows) {
 	f := k.front
 	parts := split(rows)
 	size := 0
@@ -513,7 +513,7 @@
 	k.write(200, 0, encode(parts[0], path+"/1"))
 }
 
-func split(rows lines.Rows) (parts []lines.Rows) {
+func split(rows lineproto.Rows) (parts []lineproto.Rows) {
 	size := 0
 	for _, p := range rows {
 		if len(parts) == 0 || size+len(p) > pagePart {
@@ -579,7 +579,7 @@
 }
 
 // encode writes rows of tab-separated columns as arrays of strings.
-func encode(rows lines.Rows, more string) []byte {
+func encode(rows lineproto.Rows, more string) []byte {
 	size := 64
 	for _, p := range rows {
 		size += len(p) + len(p)/2
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/backend/lines"
+	"gannetspur/internal/backend/lineproto"
 	"gannetspur/internal/backend/pg"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
@@ -38,7 +38,7 @@
 	site    config.Site
 	log     *slog.Logger
 	addr    string
-	lines   *lines.Links
+	lines   *lineproto.Links
 	rest    *httpapi.Front
 	options httpapi.Options
 	pgwire  postgres.Options
@@ -128,7 +128,7 @@
 	t := g.t
 	t.Helper()
 	g.site.MaxStreams = 32
-	g.lines = lines.New(g.loop, g.core, g.site, g.stats, g.log)
+	g.lines = lineproto.New(g.loop, g.core, g.site, g.stats, g.log)
 	g.core.SetLinks(g.lines)
 	f := httpapi.New(g.loop, g.core, g.options, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
