--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -140,7 +140,7 @@
 	return g
 }
 
-// postgres starts the second front with engines at the addresses.
+// postgresGateway starts the second front with engines at the addresses.
 func postgresGateway(t *testing.T, engines ...string) *gateway {
 	t.Helper()
 	return newGateway(t, nil).postgres(engines...)
