--- a/cmd/ringwood/serve.go
+++ b/cmd/ringwood/serve.go
@@ -15,14 +15,14 @@
 	"time"
 
 	"gannetspur/internal/backend/lineproto"
-	"gannetspur/internal/backend/pg"
+	pgbackend "gannetspur/internal/backend/postgres"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	"gannetspur/internal/decide/connpool"
 	"gannetspur/internal/discovery/consul"
 	"gannetspur/internal/discovery/eventbus"
 	"gannetspur/internal/frontend/httpapi"
-	"gannetspur/internal/frontend/postgres"
+	pgfrontend "gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -301,7 +301,7 @@
 	if err := g.start(p.Site.Policy, uint64(os.Getpid()), p.MemoryMB, p.Sockets); err != nil {
 		return err
 	}
-	g.core.SetLinks(pg.New(g.loop, g.core, pg.Options{
+	g.core.SetLinks(pgbackend.New(g.loop, g.core, pgbackend.Options{
 		User: p.User, Database: p.Database, Password: p.Engine.Password, TLS: p.Engine.Config,
 		ConnectTimeout: config.FromMS(p.ConnectWithin), MostHeld: part(p.MemoryMB, 4),
 		Pool: connpool.Limits{
@@ -309,7 +309,7 @@
 			Idle: config.FromMS(p.IdleClose), Life: config.FromMS(1000 * p.Pool.Life),
 		},
 	}, g.counters, g.log))
-	if err := g.openSites(sites, pg.Codec{}, p.Site.Policy, p.MemoryMB); err != nil {
+	if err := g.openSites(sites, pgbackend.Codec{}, p.Site.Policy, p.MemoryMB); err != nil {
 		return err
 	}
 	follower := consul.New(g.loop.Post, g.core, g.counters, g.log)
@@ -326,7 +326,7 @@
 	}
 	opts := g.frontOptions(p)
 	g.mostClients = opts.MostClients
-	f := postgres.New(g.loop, g.core, opts, g.counters)
+	f := pgfrontend.New(g.loop, g.core, opts, g.counters)
 	g.front = f
 	g.listen = func() error { return f.Listen(p.Listen) }
 	g.reload = func() error {
@@ -352,8 +352,8 @@
 	return nil
 }
 
-func (g *gateway) frontOptions(p *config.Postgres) postgres.Options {
-	opts := postgres.Options{
+func (g *gateway) frontOptions(p *config.Postgres) pgfrontend.Options {
+	opts := pgfrontend.Options{
 		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MostClients: mostClients(p.Sockets), MostHeld: part(p.MemoryMB, 6),
 		Shapes: g.shapes,
 	}
@@ -376,7 +376,7 @@
 		opts.MostClients = min(opts.MostClients, p.MostClients)
 	}
 	for _, s := range p.Statements {
-		opts.Rules = append(opts.Rules, postgres.Rule(s))
+		opts.Rules = append(opts.Rules, pgfrontend.Rule(s))
 	}
 	return opts
 }
--- a/internal/backend/pg/links.go
+++ b/internal/backend/postgres/links.go
@@ -1,6 +1,6 @@
 // Package pg carries attempts to engines that speak the PostgreSQL wire protocol:
 // one attempt at a time on a connection, which is used again.
-package pg
+package postgres
 
 import (
 	"crypto/tls"
--- a/internal/backend/pg/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -1,4 +1,4 @@
-package pg
+package postgres
 
 import (
 	"crypto/tls"
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/backend/pg"
+	pgbackend "gannetspur/internal/backend/postgres"
 	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/lab/emul"
 	"gannetspur/internal/pgproto"
@@ -252,15 +252,15 @@
 	ran := "T D(SELECT 1) D() C(SELECT 2) ZI"
 	for name, tt := range map[string]struct {
 		engine *tls.Config // that the engine has
-		opts   pg.Options
+		opts   pgbackend.Options
 		want   string
 	}{
-		"both":                  {serverTLS(cert), pg.Options{Password: "of the gateway", TLS: trusting(known)}, ran},
-		"a password alone":      {nil, pg.Options{Password: "of the gateway"}, ran},
-		"a wrong password":      {nil, pg.Options{Password: "another"}, "E(53000 hint) ZI"},
-		"no password":           {nil, pg.Options{}, "E(53000 hint) ZI"},
-		"it declines":           {nil, pg.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
-		"another's certificate": {serverTLS(certificate(t)), pg.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
+		"both":                  {serverTLS(cert), pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, ran},
+		"a password alone":      {nil, pgbackend.Options{Password: "of the gateway"}, ran},
+		"a wrong password":      {nil, pgbackend.Options{Password: "another"}, "E(53000 hint) ZI"},
+		"no password":           {nil, pgbackend.Options{}, "E(53000 hint) ZI"},
+		"it declines":           {nil, pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
+		"another's certificate": {serverTLS(certificate(t)), pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"gannetspur/internal/backend/lineproto"
-	"gannetspur/internal/backend/pg"
+	pgbackend "gannetspur/internal/backend/postgres"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	"gannetspur/internal/frontend/httpapi"
-	"gannetspur/internal/frontend/postgres"
+	pgfrontend "gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/pgproto"
@@ -41,9 +41,9 @@
 	lines   *lineproto.Links
 	rest    *httpapi.Front
 	options httpapi.Options
-	pgwire  postgres.Options
-	front   *postgres.Front
-	engine  pg.Options // how engines are spoken to, beside user and database
+	pgwire  pgfrontend.Options
+	front   *pgfrontend.Front
+	engine  pgbackend.Options // how engines are spoken to, beside user and database
 }
 
 // newGateway reads the settings of the deploy folder; change may change them.
@@ -150,13 +150,13 @@
 	t := g.t
 	t.Helper()
 	g.engine.User, g.engine.Database = "ringwood", "register"
-	g.core.SetLinks(pg.New(g.loop, g.core, g.engine, g.stats, g.log))
+	g.core.SetLinks(pgbackend.New(g.loop, g.core, g.engine, g.stats, g.log))
 	if g.pgwire.DefaultClass == "" {
-		g.pgwire = postgres.Options{
-			DefaultClass: "lookup", WriteClass: "write", Rules: []postgres.Rule{{Starts: "insert into", Class: "load", Key: 1}},
+		g.pgwire = pgfrontend.Options{
+			DefaultClass: "lookup", WriteClass: "write", Rules: []pgfrontend.Rule{{Starts: "insert into", Class: "load", Key: 1}},
 		}
 	}
-	f := postgres.New(g.loop, g.core, g.pgwire, g.stats)
+	f := pgfrontend.New(g.loop, g.core, g.pgwire, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
