--- a/cmd/ringwood/serve_sites.go
+++ b/cmd/ringwood/serve_sites.go
@@ -8,7 +8,7 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/config"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/link"
 	"gannetspur/policy"
 )
@@ -16,8 +16,8 @@
 // otherSites is what a gateway has of other sites.
 type otherSites struct {
 	path    string
-	own     crossing.Name
-	service *crossing.Service
+	own     forwarding.Name
+	service *forwarding.Service
 	runner  *link.Runner
 	listen  string
 	admin   string
@@ -25,7 +25,7 @@
 
 // openSites reads the file of other sites, if there is one, and has the core use them. Links
 // are made later.
-func (g *gateway) openSites(path string, codec crossing.Codec, set policy.Settings, memoryMB int) error {
+func (g *gateway) openSites(path string, codec forwarding.Codec, set policy.Settings, memoryMB int) error {
 	if path == "" {
 		return nil
 	}
@@ -38,7 +38,7 @@
 	if err != nil {
 		return config.Fault{File: path, Field: "keys", Want: err.Error()}
 	}
-	service, err := crossing.New(g.core, g.loop.Timers, crossing.Options{
+	service, err := forwarding.New(g.core, g.loop.Timers, forwarding.Options{
 		Name: own, Start: rand.Uint64(), Config: s.Decide(set.Limits.Tries), Settings: set, Codec: codec, Pack: s.Pack,
 		Held: part(memoryMB, 8) / max(len(peers), 1),
 	}, g.counters, g.log)
@@ -144,9 +144,9 @@
 }
 
 // namesOf are the names that a file of sites gives.
-func namesOf(s *config.Sites) (own crossing.Name, peers []link.Peer) {
+func namesOf(s *config.Sites) (own forwarding.Name, peers []link.Peer) {
 	for _, p := range s.Peers {
-		peers = append(peers, link.Peer{Name: crossing.Name{Site: p.Site, Gateway: p.Gateway}, Addr: p.Address})
+		peers = append(peers, link.Peer{Name: forwarding.Name{Site: p.Site, Gateway: p.Gateway}, Addr: p.Address})
 	}
-	return crossing.Name{Site: s.Site, Gateway: s.Gateway}, peers
+	return forwarding.Name{Site: s.Site, Gateway: s.Gateway}, peers
 }
--- a/cmd/ringwood/site.go
+++ b/cmd/ringwood/site.go
@@ -9,7 +9,7 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/config"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 )
 
 // siteFlags name the gateway that is spoken to.
@@ -18,7 +18,7 @@
 	Sites string `placeholder:"FILE" help:"In place of --admin: the file of sites that the gateway was started with, which names it."`
 }
 
-func (f *siteFlags) ask(r admin.Request) (o crossing.Overview, err error) {
+func (f *siteFlags) ask(r admin.Request) (o forwarding.Overview, err error) {
 	if f.Admin == "" && f.Upgrade == "" && f.Sites != "" {
 		s, err := config.LoadSites(f.Sites)
 		if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func printSites(o crossing.Overview) {
+func printSites(o forwarding.Overview) {
 	takes := "takes work of other sites"
 	if o.Draining {
 		takes = "takes nothing new of other sites"
--- a/internal/archtest/house_test.go
+++ b/internal/archtest/house_test.go
@@ -17,7 +17,7 @@
 	{"internal/front/", "internal/wire"},
 	{"internal/backend"},
 	{"internal/site/link"},
-	{"internal/queryshape", "internal/handover", "internal/admin", "internal/control", "internal/takeover", "internal/membership", "internal/site/crossing"},
+	{"internal/queryshape", "internal/handover", "internal/admin", "internal/control", "internal/takeover", "internal/membership", "internal/site/forwarding"},
 	{"internal/roster/", "internal/config"},
 	{"internal/core", "internal/netio"},
 	{"internal/decide/"},
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -17,7 +17,7 @@
 	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/lab/model"
 	"gannetspur/internal/metrics"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -118,7 +118,7 @@
 	core    *core.Core
 	timers  *timerqueue.Queue // of its own: they end with it
 	wake    *timerqueue.Entry
-	service *crossing.Service
+	service *forwarding.Service
 	stats   *metrics.Counters
 	dead    bool
 }
@@ -196,8 +196,8 @@
 
 func siteName(n int) string { return fmt.Sprintf("site-%02d", n) }
 
-func (g *gateway) name() crossing.Name {
-	return crossing.Name{Site: siteName(g.site.n), Gateway: fmt.Sprintf("gateway-%d", g.n)}
+func (g *gateway) name() forwarding.Name {
+	return forwarding.Name{Site: siteName(g.site.n), Gateway: fmt.Sprintf("gateway-%d", g.n)}
 }
 
 // start begins a life of the gateway.
@@ -225,10 +225,10 @@
 		return err
 	}
 	g.core.SetLinks(&links{g: g, life: g.lives})
-	o := crossing.Options{Name: g.name(), Start: uint64(g.lives), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
+	o := forwarding.Options{Name: g.name(), Start: uint64(g.lives), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
 	for i := range w.opts.Sites { // those that come later are peers too
 		if w.opts.Way != Alone && i != g.site.n && w.near(i, g.site.n) {
-			o.Peers = append(o.Peers, crossing.Name{Site: siteName(i), Gateway: g.name().Gateway})
+			o.Peers = append(o.Peers, forwarding.Name{Site: siteName(i), Gateway: g.name().Gateway})
 		}
 	}
 	switch w.opts.Way {
@@ -239,7 +239,7 @@
 			return slices.MinFunc(all, func(a, b int) int { return int(peers[a].RTT() - peers[b].RTT()) })
 		})
 	}
-	if g.service, err = crossing.New(g.core, g.timers, o, g.stats, log); err != nil {
+	if g.service, err = forwarding.New(g.core, g.timers, o, g.stats, log); err != nil {
 		return err
 	}
 	g.core.SetSites(&timed{g.service, w.opts.Cost})
--- a/internal/lab/fleet/wan.go
+++ b/internal/lab/fleet/wan.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 )
 
 // codec carries marks in place of statements and rows. An answer has some bytes, as rows would.
@@ -47,7 +47,7 @@
 type port struct {
 	wan     *wan
 	side    int
-	link    *crossing.Link
+	link    *forwarding.Link
 	sending bool
 	closed  bool
 	last    time.Duration // when what was sent last arrives
--- a/internal/lab/sitelink/measure.go
+++ b/internal/lab/sitelink/measure.go
@@ -13,7 +13,7 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/lab/link"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 	"gannetspur/policy"
 )
 
@@ -276,7 +276,7 @@
 
 // Packed measures packing of bodies of some sizes.
 func Packed(sizes []int) (all []Packing, err error) {
-	p, err := crossing.NewPacker()
+	p, err := forwarding.NewPacker()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/sitelink/node.go
+++ b/internal/lab/sitelink/node.go
@@ -16,7 +16,7 @@
 	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/link"
 	"gannetspur/policy"
 )
@@ -37,13 +37,13 @@
 
 // The two gateways. The near one dials.
 var (
-	Near = crossing.Name{Site: "a", Gateway: "near"}
-	Far  = crossing.Name{Site: "b", Gateway: "far"}
+	Near = forwarding.Name{Site: "a", Gateway: "near"}
+	Far  = forwarding.Name{Site: "b", Gateway: "far"}
 )
 
 // Options say what a node is like.
 type Options struct {
-	Name     crossing.Name
+	Name     forwarding.Name
 	Dir      string // of its keys
 	Settings policy.Settings
 	Engines  int
@@ -60,13 +60,13 @@
 type Node struct {
 	Loop     *netio.Loop
 	Core     *core.Core
-	Service  *crossing.Service
+	Service  *forwarding.Service
 	Runner   *link.Runner
 	Counters *metrics.Counters
 	Sent     chan *core.Attempt
 	Dropped  chan string
 	Answer   func(statement []byte) []byte // for the loop's goroutine
-	name     crossing.Name
+	name     forwarding.Name
 }
 
 // Engine, Hurry, Drop and Send are those of core.Links.
@@ -111,7 +111,7 @@
 	n.Core.SetLinks(n)
 	cfg := decide.Defaults()
 	cfg.KeysShared, cfg.SilentAfter, cfg.WordEvery, cfg.ColdFor = true, 600*time.Millisecond, 50*time.Millisecond, 0
-	if n.Service, err = crossing.New(n.Core, n.Loop.Timers, crossing.Options{
+	if n.Service, err = forwarding.New(n.Core, n.Loop.Timers, forwarding.Options{
 		Name: o.Name, Start: 1, Config: cfg, Settings: set, Codec: Texts{}, Pack: o.Pack, Held: o.Held,
 	}, n.Counters, log); err != nil {
 		return nil, err
@@ -162,8 +162,8 @@
 }
 
 // Until waits for something to hold of the node's one peer.
-func (n *Node) Until(holds func(crossing.Status) bool) error {
-	var o crossing.Overview
+func (n *Node) Until(holds func(forwarding.Status) bool) error {
+	var o forwarding.Overview
 	for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(2 * time.Millisecond) {
 		ok := false
 		n.Now(func() { o = n.Service.Overview(); ok = holds(o.Peers[0]) })
@@ -227,7 +227,7 @@
 		far.Close()
 		return nil, nil, err
 	}
-	if err = near.Until(func(s crossing.Status) bool { return s.State == "up" && s.Credit > 0 }); err != nil {
+	if err = near.Until(func(s forwarding.Status) bool { return s.State == "up" && s.Credit > 0 }); err != nil {
 		near.Close()
 		far.Close()
 		return nil, nil, err
--- a/internal/lab/sites/sites.go
+++ b/internal/lab/sites/sites.go
@@ -27,7 +27,7 @@
 	"gannetspur/internal/lab/load"
 	"gannetspur/internal/lab/model"
 	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 )
 
 // Names of the two sites. The first one's gateway dials the other's.
@@ -225,7 +225,7 @@
 }
 
 // Overview is how a gateway sees the sites.
-func (b *Both) Overview(ctx context.Context, site int) (o crossing.Overview, err error) {
+func (b *Both) Overview(ctx context.Context, site int) (o forwarding.Overview, err error) {
 	last, err := admin.Call(ctx, b.places[site].admin, admin.Request{Do: "site-status"}, func(admin.Reply) {})
 	if err != nil {
 		return o, err
--- a/internal/site/crossing/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -2,7 +2,7 @@
 // carries out what internal/decide/remotesite decides, over links whose sockets are others' affair
 // (internal/site/link), so that it runs in virtual time as well. It belongs to the goroutine
 // of its core.
-package crossing
+package forwarding
 
 import (
 	"fmt"
--- a/internal/site/crossing/pack_test.go
+++ b/internal/site/forwarding/pack_test.go
@@ -1,4 +1,4 @@
-package crossing
+package forwarding
 
 import (
 	"bytes"
--- a/internal/site/link/keys.go
+++ b/internal/site/link/keys.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 )
 
 // Files name the keys of a gateway, in PEM. A certificate names its gateway by one URI,
@@ -38,7 +38,7 @@
 // at any time; links made from then on use the new ones.
 type Keys struct {
 	files Files
-	own   crossing.Name
+	own   forwarding.Name
 	mu    sync.Mutex
 	set   set
 }
@@ -51,7 +51,7 @@
 }
 
 // LoadKeys reads the keys of a gateway.
-func LoadKeys(files Files, own crossing.Name) (*Keys, error) {
+func LoadKeys(files Files, own forwarding.Name) (*Keys, error) {
 	k := &Keys{files: files, own: own}
 	if err := k.Reload(); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 }
 
 // nameOf is the gateway that a certificate names.
-func nameOf(c *x509.Certificate) (crossing.Name, error) {
+func nameOf(c *x509.Certificate) (forwarding.Name, error) {
 	var names []*url.URL
 	for _, u := range c.URIs {
 		if u.Scheme == "ringwood" {
@@ -144,13 +144,13 @@
 		}
 	}
 	if len(names) != 1 {
-		return crossing.Name{}, fmt.Errorf("%w: it has %d names, wanted is one URI ringwood://SITE/GATEWAY", ErrName, len(names))
+		return forwarding.Name{}, fmt.Errorf("%w: it has %d names, wanted is one URI ringwood://SITE/GATEWAY", ErrName, len(names))
 	}
 	gateway := strings.TrimPrefix(names[0].Path, "/")
 	if names[0].Host == "" || gateway == "" || strings.Contains(gateway, "/") {
-		return crossing.Name{}, fmt.Errorf("%w: %s", ErrName, names[0])
+		return forwarding.Name{}, fmt.Errorf("%w: %s", ErrName, names[0])
 	}
-	return crossing.Name{Site: names[0].Host, Gateway: gateway}, nil
+	return forwarding.Name{Site: names[0].Host, Gateway: gateway}, nil
 }
 
 // Until is when this gateway's own certificate ends.
@@ -160,7 +160,7 @@
 func (k *Keys) Revoked(c *x509.Certificate) bool { return k.now().revoked[c.SerialNumber.String()] }
 
 // config is for one handshake with a peer: want is who it must be, or any gateway.
-func (k *Keys) config(want crossing.Name, server bool, got *proven) *tls.Config {
+func (k *Keys) config(want forwarding.Name, server bool, got *proven) *tls.Config {
 	s := k.now()
 	c := &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{s.cert}, RootCAs: s.roots, ClientCAs: s.roots,
@@ -185,7 +185,7 @@
 		if err != nil {
 			return err
 		}
-		if want != (crossing.Name{}) && name != want {
+		if want != (forwarding.Name{}) && name != want {
 			return fmt.Errorf("%w: it is %s's, wanted is %s", ErrName, name, want)
 		}
 		if cs.NegotiatedProtocol != "ringwood-site/1" {
@@ -207,6 +207,6 @@
 
 // proven is who a peer has proven to be.
 type proven struct {
-	name crossing.Name
+	name forwarding.Name
 	leaf *x509.Certificate
 }
--- a/internal/site/link/link.go
+++ b/internal/site/link/link.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gannetspur/internal/metrics"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/frame"
 	"gannetspur/internal/timerqueue"
 
@@ -38,7 +38,7 @@
 
 // Peer is a gateway at another site, and where it listens.
 type Peer struct {
-	Name crossing.Name
+	Name forwarding.Name
 	Addr string
 }
 
@@ -52,9 +52,9 @@
 type Runner struct {
 	loop    Loop
 	timers  *timerqueue.Queue
-	service *crossing.Service
+	service *forwarding.Service
 	keys    *Keys
-	own     crossing.Name
+	own     forwarding.Name
 	peers   []*remote
 	stats   *metrics.Counters
 	log     *slog.Logger
@@ -73,7 +73,7 @@
 }
 
 // New returns a runner. Start begins.
-func New(loop Loop, timers *timerqueue.Queue, service *crossing.Service, keys *Keys, own crossing.Name, peers []Peer, counters *metrics.Counters, log *slog.Logger) *Runner {
+func New(loop Loop, timers *timerqueue.Queue, service *forwarding.Service, keys *Keys, own forwarding.Name, peers []Peer, counters *metrics.Counters, log *slog.Logger) *Runner {
 	r := &Runner{loop: loop, timers: timers, service: service, keys: keys, own: own, stats: counters, log: log, conns: map[*conn]bool{}}
 	r.SetPeers(peers)
 	return r
@@ -81,7 +81,7 @@
 
 // SetPeers names the peers, to the service as well; see crossing.Service.SetPeers.
 func (r *Runner) SetPeers(peers []Peer) {
-	names := make([]crossing.Name, len(peers))
+	names := make([]forwarding.Name, len(peers))
 	for i, p := range peers {
 		names[i] = p.Name
 	}
@@ -158,7 +158,7 @@
 }
 
 // dials tells whether this side dials a peer.
-func (r *Runner) dials(n crossing.Name) bool { return r.own.String() < n.String() }
+func (r *Runner) dials(n forwarding.Name) bool { return r.own.String() < n.String() }
 
 // look dials those peers that there is no link to.
 func (r *Runner) look() {
@@ -229,7 +229,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), handshakeWithin)
 			defer cancel()
 			var got proven
-			c := tls.Server(raw, r.keys.config(crossing.Name{}, true, &got))
+			c := tls.Server(raw, r.keys.config(forwarding.Name{}, true, &got))
 			if err := c.HandshakeContext(ctx); err != nil {
 				_ = raw.Close()
 				<-room
@@ -274,7 +274,7 @@
 	tls     *tls.Conn
 	proven  proven
 	dialled bool
-	link    *crossing.Link
+	link    *forwarding.Link
 	ends    *timerqueue.Entry
 
 	// For the loop's goroutine:
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -14,7 +14,7 @@
 	"gannetspur/internal/core"
 	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/lab/sitelink"
-	"gannetspur/internal/site/crossing"
+	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/frame"
 	"gannetspur/internal/site/head"
 	"gannetspur/internal/site/link"
@@ -38,7 +38,7 @@
 func (n node) ask(class, id, text, key string, within time.Duration) (*core.Request, sitelink.Answers) {
 	n.t.Helper()
 	if n.near() {
-		n.must(n.Until(func(s crossing.Status) bool { return s.Credit > 0 }))
+		n.must(n.Until(func(s forwarding.Status) bool { return s.Credit > 0 }))
 	}
 	return n.Ask(class, id, []byte(text), key, within)
 }
@@ -143,7 +143,7 @@
 		t.Errorf("its client heard %v later", took)
 	}
 	a.must(a.Count("site.taken-back.silent", 1))
-	a.must(a.Until(func(s crossing.Status) bool { return s.State == "up" }))
+	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "up" }))
 	_, got = a.ask("load", "again", "INSERT", "key-1", 3*time.Second) // within its window
 	want(t, got, core.Served)
 }
@@ -172,9 +172,9 @@
 	a.must(a.Count("site.links-ended", 1)) // the old one, once nothing is on it
 
 	b.Now(func() { b.Runner.SetPeers(nil) }) // it is named no more, and named again
-	a.must(a.Until(func(s crossing.Status) bool { return s.State == "silent" }))
+	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "silent" }))
 	b.Now(func() { b.Runner.SetPeers([]link.Peer{{Name: sitelink.Near}}) })
-	a.must(a.Until(func(s crossing.Status) bool { return s.State == "up" }))
+	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "up" }))
 
 	ca.Revoke(serial)
 	if err := ca.Write(dir); err != nil {
@@ -185,7 +185,7 @@
 			t.Error(err)
 		}
 	})
-	a.must(a.Until(func(s crossing.Status) bool { return s.State == "silent" }))
+	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "silent" }))
 	a.must(a.Count("site.link-failed", 1))
 	_, got = a.ask("lookup", "alone", "SELECT 1", "", 3*time.Second)
 	want(t, got, core.Refused)
