--- a/internal/archtest/house_test.go
+++ b/internal/archtest/house_test.go
@@ -21,7 +21,7 @@
 	{"internal/roster/", "internal/config"},
 	{"internal/core", "internal/netio"},
 	{"internal/decide/"},
-	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/http1", "internal/metrics", "internal/logging", "internal/scramauth", "internal/site/frame", "internal/site/head", "internal/site/mux"},
+	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/http1", "internal/metrics", "internal/logging", "internal/scramauth", "internal/site/frame", "internal/site/message", "internal/site/mux"},
 }
 
 func floor(pkg string) int {
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -14,7 +14,7 @@
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/metrics"
-	"gannetspur/internal/site/head"
+	"gannetspur/internal/site/message"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -84,7 +84,7 @@
 	chooser  decide.Chooser
 	hedge    decide.Hedge
 	keys     *decide.Keys
-	fresh    []head.Key // not told yet; Ago is when, µs of the clock
+	fresh    []message.Key // not told yet; Ago is when, µs of the clock
 	packer   Packer
 	away     map[*core.Request]*crossed
 	ticked   int
@@ -175,7 +175,7 @@
 	r := a.Request
 	s.meter.Sent(s.threads(r.Class))
 	if r.Token != "" && s.keys.Sent(a.Sent, r.Token, a.Sent, false) && len(s.peers) > 0 {
-		s.fresh = append(s.fresh, head.Key{Key: r.Token, Ago: int64(a.Sent / time.Microsecond)})
+		s.fresh = append(s.fresh, message.Key{Key: r.Token, Ago: int64(a.Sent / time.Microsecond)})
 	}
 }
 
@@ -396,7 +396,7 @@
 		if s.draining {
 			takes = 0
 		}
-		to[i].digest(s.words, head.Digest{Room: d.Room, Takes: takes, Drains: s.draining})
+		to[i].digest(s.words, message.Digest{Room: d.Room, Takes: takes, Drains: s.draining})
 		to[i].ping(now)
 	}
 }
@@ -404,15 +404,15 @@
 // tellKeys tells all peers of the keys that were sent since it was last called.
 func (s *Service) tellKeys(now time.Duration) {
 	for len(s.fresh) > 0 {
-		n := min(len(s.fresh), head.MostKeys)
-		all := make([]head.Key, n)
+		n := min(len(s.fresh), message.MostKeys)
+		all := make([]message.Key, n)
 		for i, k := range s.fresh[:n] {
-			all[i] = head.Key{Key: k.Key, Ago: max(int64(now/time.Microsecond)-k.Ago, 0)}
+			all[i] = message.Key{Key: k.Key, Ago: max(int64(now/time.Microsecond)-k.Ago, 0)}
 		}
 		s.fresh = s.fresh[n:]
 		for _, p := range s.peers {
 			if l := p.link(); l != nil {
-				l.tell(head.Keys{Sent: all})
+				l.tell(message.Keys{Sent: all})
 			}
 		}
 	}
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -8,7 +8,7 @@
 
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/remotesite"
-	"gannetspur/internal/site/head"
+	"gannetspur/internal/site/message"
 	"gannetspur/internal/site/mux"
 	"gannetspur/policy"
 )
@@ -80,7 +80,7 @@
 	}
 	l := &Link{s: s, peer: p, t: t, since: s.clock.Now(), dialled: dialled, mine: map[uint32]*crossed{}, theirs: map[uint32]*foreign{}}
 	var err error
-	l.mux, err = mux.New(mux.Config{Dialled: dialled, Held: s.opts.Held, Greet: head.Greet{
+	l.mux, err = mux.New(mux.Config{Dialled: dialled, Held: s.opts.Held, Greet: message.Greet{
 		Site: s.opts.Name.Site, Gateway: s.opts.Name.Gateway, Start: s.opts.Start, Form: s.opts.Codec.Form(), Zstd: s.packer.dec != nil,
 	}}, l)
 	if err != nil {
@@ -177,7 +177,7 @@
 }
 
 // Greeted checks who the other side says that it is.
-func (l *Link) Greeted(g head.Greet) error {
+func (l *Link) Greeted(g message.Greet) error {
 	if n := (Name{g.Site, g.Gateway}); n != l.peer.name {
 		return fmt.Errorf("%w: it says that it is %s, and has proven to be %s", ErrPeer, n, l.peer.name)
 	}
@@ -218,25 +218,25 @@
 	l.heard(max(rtt, 1))
 }
 
-func (l *Link) digest(number uint32, d head.Digest) {
+func (l *Link) digest(number uint32, d message.Digest) {
 	if err := l.mux.Digest(number, d); err != nil {
 		l.t.Close(err)
 	}
 }
 
-func (l *Link) tell(k head.Keys) {
+func (l *Link) tell(k message.Keys) {
 	if err := l.mux.Keys(k); err != nil {
 		l.t.Close(err)
 	}
 }
 
 // Digest takes what the peer says of itself.
-func (l *Link) Digest(d head.Digest) {
+func (l *Link) Digest(d message.Digest) {
 	l.peer.Told(l.s.cfg, l.s.clock.Now(), decide.Digest{Room: d.Room, Takes: d.Takes, Drains: d.Drains})
 }
 
 // Keys takes that keys were sent to engines at the peer's site, the way here included.
-func (l *Link) Keys(k head.Keys) {
+func (l *Link) Keys(k message.Keys) {
 	now := l.s.clock.Now()
 	for _, one := range k.Sent {
 		l.s.keys.Sent(now, one.Key, now-time.Duration(one.Ago)*time.Microsecond-l.peer.Way(), true)
@@ -256,13 +256,13 @@
 	now := s.clock.Now()
 	left, ok := decide.Left(s.cfg, r.Deadline-now, p.Way())
 	statement, err := s.opts.Codec.Statement(r.Statement)
-	if !ok || err != nil || len(statement) == 0 || len(statement) > head.MostBody {
+	if !ok || err != nil || len(statement) == 0 || len(statement) > message.MostBody {
 		return false
 	}
 	class := s.classes[r.Class]
-	a := head.Ask{
+	a := message.Ask{
 		ID: r.ID, Class: r.Class, Effect: uint8(class.Effect), Key: r.Token, Group: r.Set, Left: left.Microseconds(), Work: r.Work.Microseconds(),
-		MB: r.MemoryMB, Repeat: r.Repeat, Sends: min(decide.Grant(s.cfg, q), head.MostSends),
+		MB: r.MemoryMB, Repeat: r.Repeat, Sends: min(decide.Grant(s.cfg, q), message.MostSends),
 	}
 	if q.Doubt {
 		a.Before = q.Ago.Microseconds() + 1
@@ -345,7 +345,7 @@
 }
 
 // Answered takes what became of a request at the other side.
-func (l *Link) Answered(stream uint32, a head.Answer, body []byte) {
+func (l *Link) Answered(stream uint32, a message.Answer, body []byte) {
 	s, c := l.s, l.mine[stream]
 	l.heard(0)
 	if c == nil {
@@ -383,7 +383,7 @@
 	}
 }
 
-func (s *Service) served(c *crossed, now time.Duration, a head.Answer) {
+func (s *Service) served(c *crossed, now time.Duration, a message.Answer) {
 	s.over(c)
 	c.r.Spent -= c.grant - min(a.Sends, c.grant)
 	c.link.peer.Did(now, true)
@@ -392,13 +392,13 @@
 }
 
 // Asked takes a request of another site.
-func (l *Link) Asked(stream uint32, a head.Ask, statement []byte) {
+func (l *Link) Asked(stream uint32, a message.Ask, statement []byte) {
 	s := l.s
 	now := s.clock.Now()
 	class, ok := s.core.Class(a.Class)
 	refuse := func(why string) {
 		s.stats.Add("site.not-taken." + why)
-		l.answer(stream, head.Answer{Verdict: uint8(core.Refused)}, nil)
+		l.answer(stream, message.Answer{Verdict: uint8(core.Refused)}, nil)
 	}
 	raw, err := s.packer.Unpack(statement, a.Raw)
 	var read any
@@ -453,13 +453,13 @@
 		return
 	}
 	delete(l.theirs, f.stream)
-	h := head.Answer{
-		Verdict: uint8(a.Verdict), Ran: r.Ran(), Sends: min(r.Sends(), head.MostSends), ComeBack: a.ComeBack.Microseconds(), Late: a.Late,
+	h := message.Answer{
+		Verdict: uint8(a.Verdict), Ran: r.Ran(), Sends: min(r.Sends(), message.MostSends), ComeBack: a.ComeBack.Microseconds(), Late: a.Late,
 	}
 	var body []byte
 	if a.Verdict == core.Served {
 		var err error
-		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > head.MostBody {
+		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > message.MostBody {
 			s.stats.Add("site.unwritable")
 			h.Verdict, body = uint8(core.Failed), nil
 		}
@@ -473,7 +473,7 @@
 	l.answer(f.stream, h, body)
 }
 
-func (l *Link) answer(stream uint32, h head.Answer, body []byte) {
+func (l *Link) answer(stream uint32, h message.Answer, body []byte) {
 	if err := l.mux.Answer(stream, h, body); err != nil {
 		l.t.Close(err)
 	}
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -16,8 +16,8 @@
 	"gannetspur/internal/lab/sitelink"
 	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/frame"
-	"gannetspur/internal/site/head"
 	"gannetspur/internal/site/link"
+	"gannetspur/internal/site/message"
 )
 
 // node is a gateway of a test.
@@ -212,16 +212,16 @@
 			t.Error(err)
 		}
 	})
-	greet := func(version uint32, g head.Greet) []byte {
-		enc, err := head.Append(nil, &g)
+	greet := func(version uint32, g message.Greet) []byte {
+		enc, err := message.Append(nil, &g)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return frame.Append(nil, frame.Frame{Kind: frame.Greet, Value: version, Body: enc})
 	}
-	good := greet(frame.Version, head.Greet{Site: "a", Gateway: "near", Form: "texts"})
+	good := greet(frame.Version, message.Greet{Site: "a", Gateway: "near", Form: "texts"})
 	var endless []byte
-	enc, err := head.Append(nil, &head.Ask{ID: "i", Class: "lookup", Effect: 2, Left: 1e6, Sends: 1, Size: head.MostBody})
+	enc, err := message.Append(nil, &message.Ask{ID: "i", Class: "lookup", Effect: 2, Left: 1e6, Sends: 1, Size: message.MostBody})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,9 +242,9 @@
 		"another authority's": {"forged", "ringwood-site/1", nil},
 		"no peer":             {"stranger", "ringwood-site/1", nil},
 		"another protocol":    {"good", "h2", nil},
-		"another version":     {"good", "ringwood-site/1", greet(2, head.Greet{Site: "a", Gateway: "near", Form: "texts"})},
-		"another name":        {"good", "ringwood-site/1", greet(frame.Version, head.Greet{Site: "a", Gateway: "other", Form: "texts"})},
-		"another form":        {"good", "ringwood-site/1", greet(frame.Version, head.Greet{Site: "a", Gateway: "near", Form: "postgres"})},
+		"another version":     {"good", "ringwood-site/1", greet(2, message.Greet{Site: "a", Gateway: "near", Form: "texts"})},
+		"another name":        {"good", "ringwood-site/1", greet(frame.Version, message.Greet{Site: "a", Gateway: "other", Form: "texts"})},
+		"another form":        {"good", "ringwood-site/1", greet(frame.Version, message.Greet{Site: "a", Gateway: "near", Form: "postgres"})},
 		"garbage":             {"good", "ringwood-site/1", []byte(strings.Repeat("\xff", 1000))},
 		"without end":         {"good", "ringwood-site/1", endless},
 	} {
--- a/internal/site/head/head.go
+++ b/internal/site/message/head.go
@@ -1,7 +1,7 @@
 // Package head is what the frames of the link between two gateways say, as CBOR (RFC 8949)
 // with small numbers as the fields' names. What can't be read, is out of its bounds or has a
 // field that isn't known is an error: within one version of the link there is none.
-package head
+package message
 
 import (
 	"errors"
--- a/internal/site/head/head_test.go
+++ b/internal/site/message/head_test.go
@@ -1,4 +1,4 @@
-package head
+package message
 
 import (
 	"bytes"
--- a/internal/site/mux/mux.go
+++ b/internal/site/mux/mux.go
@@ -10,13 +10,13 @@
 	"slices"
 
 	"gannetspur/internal/site/frame"
-	"gannetspur/internal/site/head"
+	"gannetspur/internal/site/message"
 )
 
 // Config bounds an end.
 type Config struct {
 	Dialled bool // this side dialled: its streams have odd numbers
-	Greet   head.Greet
+	Greet   message.Greet
 	Window  int // bytes of Data that may come on a stream before this side gives more; 0: Window
 	Streams int // that the other side may have open at once; 0: Streams
 	Held    int // bytes of unfinished bodies that are held for the other side; 0: Held
@@ -34,16 +34,16 @@
 // Handler hears of what comes. It may call the link from within.
 type Handler interface {
 	// Greeted is the first call.
-	Greeted(g head.Greet) error
+	Greeted(g message.Greet) error
 	// Asked tells of a query with its whole statement. Answer or AbortAsked follows, unless
 	// Cancelled comes first.
-	Asked(stream uint32, a head.Ask, statement []byte)
+	Asked(stream uint32, a message.Ask, statement []byte)
 	// Answered is the end of a stream that Ask opened.
-	Answered(stream uint32, a head.Answer, body []byte)
+	Answered(stream uint32, a message.Answer, body []byte)
 	// Cancelled tells that the other side gave up a stream that it had opened.
 	Cancelled(stream uint32)
-	Digest(d head.Digest)
-	Keys(k head.Keys)
+	Digest(d message.Digest)
+	Keys(k message.Keys)
 	// Ponged tells that a ping of that number has come back.
 	Ponged(number uint32)
 	// Leaves tells that the other side wants new streams on another link.
@@ -88,8 +88,8 @@
 	ringed bool // in Link.ring
 	last   bool // nothing more comes from this side behind out
 	// What comes in:
-	ask    *head.Ask
-	answer *head.Answer
+	ask    *message.Ask
+	answer *message.Answer
 	in     []byte
 	wanted int // of in, as the head said
 	given  int // credit that is with the other side
@@ -113,7 +113,7 @@
 	if cfg.Dialled {
 		l.next = 1
 	}
-	enc, err := head.Append(nil, &cfg.Greet)
+	enc, err := message.Append(nil, &cfg.Greet)
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 }
 
 func (l *Link) say(k frame.Kind, stream uint32, h any) error {
-	enc, err := head.Append(nil, h)
+	enc, err := message.Append(nil, h)
 	if err == nil && len(enc) > frame.MostBody {
 		err = fmt.Errorf("site link: a head of %d bytes", len(enc))
 	}
@@ -243,7 +243,7 @@
 
 // Ask opens a stream with a query. ok is false where the link takes none: it has not been greeted, or
 // all numbers are used.
-func (l *Link) Ask(a head.Ask, statement []byte) (id uint32, ok bool, err error) {
+func (l *Link) Ask(a message.Ask, statement []byte) (id uint32, ok bool, err error) {
 	if !l.greeted || l.next >= 1<<31 {
 		return 0, false, nil
 	}
@@ -267,7 +267,7 @@
 }
 
 // Answer ends a stream that the other side opened. One that is no more is passed by.
-func (l *Link) Answer(id uint32, a head.Answer, body []byte) error {
+func (l *Link) Answer(id uint32, a message.Answer, body []byte) error {
 	s := l.streams[id]
 	if s == nil || s.mine {
 		return nil
@@ -299,7 +299,7 @@
 	}
 	slices.Sort(all)
 	for _, id := range all {
-		if err := l.Answer(id, head.Answer{Verdict: 1}, nil); err != nil {
+		if err := l.Answer(id, message.Answer{Verdict: 1}, nil); err != nil {
 			return err
 		}
 	}
@@ -310,8 +310,8 @@
 func (l *Link) Ping(number uint32) { l.put(frame.Frame{Kind: frame.Ping, Value: number}) }
 
 // Digest and Keys say what they say.
-func (l *Link) Digest(number uint32, d head.Digest) error {
-	enc, err := head.Append(nil, &d)
+func (l *Link) Digest(number uint32, d message.Digest) error {
+	enc, err := message.Append(nil, &d)
 	if err != nil {
 		return err
 	}
@@ -320,7 +320,7 @@
 }
 
 // Keys tells of keys that were sent to engines.
-func (l *Link) Keys(k head.Keys) error { return l.say(frame.Keys, 0, &k) }
+func (l *Link) Keys(k message.Keys) error { return l.say(frame.Keys, 0, &k) }
 
 // Leave says that this side wants new streams on another link.
 func (l *Link) Leave() { l.put(frame.Frame{Kind: frame.Leave}) }
@@ -368,20 +368,20 @@
 		}
 	case frame.Credit:
 		if s := l.streams[f.Stream]; s != nil {
-			if s.credit += int(f.Value); s.credit > head.MostBody+l.cfg.Window {
+			if s.credit += int(f.Value); s.credit > message.MostBody+l.cfg.Window {
 				return fmt.Errorf("%w: credit of %d bytes", ErrCredit, s.credit)
 			}
 			l.wants(s)
 		}
 	case frame.Digest:
-		var d head.Digest
-		if err := head.Read(f.Body, &d); err != nil {
+		var d message.Digest
+		if err := message.Read(f.Body, &d); err != nil {
 			return err
 		}
 		l.h.Digest(d)
 	case frame.Keys:
-		var k head.Keys
-		if err := head.Read(f.Body, &k); err != nil {
+		var k message.Keys
+		if err := message.Read(f.Body, &k); err != nil {
 			return err
 		}
 		l.h.Keys(k)
@@ -405,8 +405,8 @@
 	case f.Value != frame.Version:
 		return fmt.Errorf("%w: %d, and this side speaks %d", ErrVersion, f.Value, frame.Version)
 	}
-	var g head.Greet
-	if err := head.Read(f.Body, &g); err != nil {
+	var g message.Greet
+	if err := message.Read(f.Body, &g); err != nil {
 		return err
 	}
 	l.greeted = true
@@ -417,8 +417,8 @@
 func (l *Link) mine(id uint32) bool { return id%2 == l.next%2 }
 
 func (l *Link) asked(f frame.Frame) error {
-	var a head.Ask
-	if err := head.Read(f.Body, &a); err != nil {
+	var a message.Ask
+	if err := message.Read(f.Body, &a); err != nil {
 		return err
 	}
 	if l.mine(f.Stream) || f.Stream <= l.seen {
@@ -432,12 +432,12 @@
 		l.book(s, n)
 		return nil
 	}
-	return l.Answer(s.id, head.Answer{Verdict: 1}, nil) // nothing of it has run
+	return l.Answer(s.id, message.Answer{Verdict: 1}, nil) // nothing of it has run
 }
 
 func (l *Link) answered(f frame.Frame) error {
-	var a head.Answer
-	if err := head.Read(f.Body, &a); err != nil {
+	var a message.Answer
+	if err := message.Read(f.Body, &a); err != nil {
 		return err
 	}
 	s := l.streams[f.Stream]
--- a/internal/site/mux/mux_test.go
+++ b/internal/site/mux/mux_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"gannetspur/internal/site/frame"
-	"gannetspur/internal/site/head"
+	"gannetspur/internal/site/message"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
@@ -31,27 +31,27 @@
 	return e.link.Pull(nil, about)
 }
 
-func (e *end) Greeted(g head.Greet) error {
+func (e *end) Greeted(g message.Greet) error {
 	if g.Form != "lines" {
 		return errors.New("another form")
 	}
 	return nil
 }
-func (e *end) Asked(id uint32, _ head.Ask, s []byte) {
+func (e *end) Asked(id uint32, _ message.Ask, s []byte) {
 	e.asks[id] = bytes.Clone(s)
 	if e.answer != nil {
 		e.answer(id, s)
 	}
 }
-func (e *end) Answered(id uint32, a head.Answer, b []byte) {
+func (e *end) Answered(id uint32, a message.Answer, b []byte) {
 	e.answers[id] = bytes.Clone(b)
 	e.heard = append(e.heard, fmt.Sprintf("answer %d %d", id, a.Verdict))
 }
-func (e *end) Cancelled(id uint32)  { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
-func (e *end) Digest(d head.Digest) { e.heard = append(e.heard, fmt.Sprintf("takes %g", d.Takes)) }
-func (e *end) Keys(k head.Keys)     { e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Sent))) }
-func (e *end) Ponged(n uint32)      { e.heard = append(e.heard, fmt.Sprintf("pong %d", n)) }
-func (e *end) Leaves()              { e.heard = append(e.heard, "leaves") }
+func (e *end) Cancelled(id uint32)     { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
+func (e *end) Digest(d message.Digest) { e.heard = append(e.heard, fmt.Sprintf("takes %g", d.Takes)) }
+func (e *end) Keys(k message.Keys)     { e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Sent))) }
+func (e *end) Ponged(n uint32)         { e.heard = append(e.heard, fmt.Sprintf("pong %d", n)) }
+func (e *end) Leaves()                 { e.heard = append(e.heard, "leaves") }
 func (e *end) Ready() {
 	if e.pulling { // what is pulled from here would overtake
 		e.t.Fatal("told that there is something to pull while it is pulled")
@@ -67,7 +67,7 @@
 
 func newEnd(t testing.TB, cfg Config) *end {
 	e := &end{t: t, answers: map[uint32][]byte{}, asks: map[uint32][]byte{}}
-	cfg.Greet = head.Greet{Site: "s", Gateway: "g", Form: "lines"}
+	cfg.Greet = message.Greet{Site: "s", Gateway: "g", Form: "lines"}
 	l, err := New(cfg, e)
 	fatal(t, err)
 	e.link = l
@@ -118,13 +118,13 @@
 		refused := 0
 		for _, e := range []*end{a, b} {
 			e.answer = func(id uint32, s []byte) {
-				e.must(e.link.Answer(id, head.Answer{Verdict: 2, Ran: true}, bytes.Repeat(s, 2)))
+				e.must(e.link.Answer(id, message.Answer{Verdict: 2, Ran: true}, bytes.Repeat(s, 2)))
 			}
 		}
 		for range rapid.IntRange(1, 20).Draw(rt, "asks") {
 			from := []*end{a, b}[rapid.IntRange(0, 1).Draw(rt, "side")]
 			body := bytes.Repeat([]byte{byte(rapid.IntRange(1, 255).Draw(rt, "fill"))}, 1+size.Draw(rt, "size"))
-			id, ok, err := from.link.Ask(head.Ask{ID: "i", Class: "c", Left: 1, Sends: 1}, body)
+			id, ok, err := from.link.Ask(message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1}, body)
 			if err != nil || !ok {
 				rt.Fatal(ok, err)
 			}
@@ -160,9 +160,9 @@
 func TestSmallPassesLarge(t *testing.T) {
 	a, b := pair(t, Config{})
 	b.answer = func(id uint32, s []byte) {
-		b.must(b.link.Answer(id, head.Answer{Verdict: 2, Ran: true}, bytes.Repeat([]byte("x"), len(s))))
+		b.must(b.link.Answer(id, message.Answer{Verdict: 2, Ran: true}, bytes.Repeat([]byte("x"), len(s))))
 	}
-	large, _, err := a.link.Ask(head.Ask{ID: "large", Class: "c", Left: 1, Sends: 1}, make([]byte, 4<<20))
+	large, _, err := a.link.Ask(message.Ask{ID: "large", Class: "c", Left: 1, Sends: 1}, make([]byte, 4<<20))
 	fatal(t, err)
 	for range 40 { // its answer is on its way
 		pass1(t, a, b)
@@ -170,7 +170,7 @@
 			break
 		}
 	}
-	small, _, err := a.link.Ask(head.Ask{ID: "small", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	small, _, err := a.link.Ask(message.Ask{ID: "small", Class: "c", Left: 1, Sends: 1}, []byte("s"))
 	fatal(t, err)
 	pass(t, a, b, func() int { return 32 << 10 })
 	want := []string{fmt.Sprintf("answer %d 2", small), fmt.Sprintf("answer %d 2", large)}
@@ -193,17 +193,17 @@
 // The rest of what a link says.
 func TestWords(t *testing.T) {
 	a, b := pair(t, Config{Streams: 1})
-	one, _, err := a.link.Ask(head.Ask{ID: "1", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	one, _, err := a.link.Ask(message.Ask{ID: "1", Class: "c", Left: 1, Sends: 1}, []byte("s"))
 	fatal(t, err)
-	two, _, err := a.link.Ask(head.Ask{ID: "2", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	two, _, err := a.link.Ask(message.Ask{ID: "2", Class: "c", Left: 1, Sends: 1}, []byte("s"))
 	fatal(t, err)
 	pass(t, a, b, func() int { return 100 })
 	a.link.Cancel(one)
 	a.link.Ping(7)
-	fatal(t, b.link.Digest(1, head.Digest{Takes: 3}))
-	fatal(t, b.link.Keys(head.Keys{Sent: []head.Key{{Key: "k", Ago: 1}}}))
+	fatal(t, b.link.Digest(1, message.Digest{Takes: 3}))
+	fatal(t, b.link.Keys(message.Keys{Sent: []message.Key{{Key: "k", Ago: 1}}}))
 	b.link.Leave()
-	fatal(t, b.link.Answer(one, head.Answer{Verdict: 2, Ran: true}, []byte("too late")))
+	fatal(t, b.link.Answer(one, message.Answer{Verdict: 2, Ran: true}, []byte("too late")))
 	pass(t, a, b, func() int { return 100 })
 	if !a.link.Left() {
 		t.Error("it has not heard that the other side leaves")
@@ -220,19 +220,19 @@
 // hostile is what a peer may send that must end the link, and is told from a good one.
 func TestHostile(t *testing.T) {
 	enc := func(h any) []byte {
-		b, err := head.Append(nil, h)
+		b, err := message.Append(nil, h)
 		fatal(t, err)
 		return b
 	}
-	greet := frame.Frame{Kind: frame.Greet, Value: frame.Version, Body: enc(&head.Greet{Site: "s", Gateway: "g", Form: "lines"})}
+	greet := frame.Frame{Kind: frame.Greet, Value: frame.Version, Body: enc(&message.Greet{Site: "s", Gateway: "g", Form: "lines"})}
 	ask := func(id uint32, size int) frame.Frame {
-		return frame.Frame{Kind: frame.Ask, Stream: id, Body: enc(&head.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: size})}
+		return frame.Frame{Kind: frame.Ask, Stream: id, Body: enc(&message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: size})}
 	}
 	data := func(id uint32, n int, last uint32) frame.Frame {
 		return frame.Frame{Kind: frame.Data, Stream: id, Value: last, Body: make([]byte, n)}
 	}
 	answer := func(id uint32) frame.Frame {
-		return frame.Frame{Kind: frame.Answer, Stream: id, Body: enc(&head.Answer{Verdict: 1})}
+		return frame.Frame{Kind: frame.Answer, Stream: id, Body: enc(&message.Answer{Verdict: 1})}
 	}
 	for name, tt := range map[string]struct {
 		frames []frame.Frame
@@ -244,7 +244,7 @@
 		"a stream of ours":       {[]frame.Frame{greet, ask(2, 1)}, ErrOrder},
 		"a number twice":         {[]frame.Frame{greet, ask(3, 1), ask(3, 1)}, ErrOrder},
 		"a number that went by":  {[]frame.Frame{greet, ask(3, 1), ask(1, 1)}, ErrOrder},
-		"3 GB announced":         {[]frame.Frame{greet, ask(1, 3<<30)}, head.ErrBounds},
+		"3 GB announced":         {[]frame.Frame{greet, ask(1, 3<<30)}, message.ErrBounds},
 		"more than credit":       {[]frame.Frame{greet, ask(1, 1<<20), data(1, 17<<10, 0)}, ErrCredit},
 		"more than announced":    {[]frame.Frame{greet, ask(1, 10), data(1, 11, 1)}, ErrOrder},
 		"less than announced":    {[]frame.Frame{greet, ask(1, 10), data(1, 9, 1)}, ErrOrder},
@@ -254,7 +254,7 @@
 		"data of no stream":      {[]frame.Frame{greet, data(5, 1, 1)}, ErrOrder},
 		"cancels what we asked":  {[]frame.Frame{greet, {Kind: frame.Cancel, Stream: 2}}, ErrOrder},
 		"boundless credit":       {[]frame.Frame{greet, ask(1, 1), {Kind: frame.Credit, Stream: 1, Value: 1 << 31}}, ErrCredit},
-		"room that is no number": {[]frame.Frame{greet, {Kind: frame.Digest, Body: []byte("\xa2\x01\xa1\x61c\xfb\x7f\xf8\x00\x00\x00\x00\x00\x00\x02\x01")}}, head.ErrBounds},
+		"room that is no number": {[]frame.Frame{greet, {Kind: frame.Digest, Body: []byte("\xa2\x01\xa1\x61c\xfb\x7f\xf8\x00\x00\x00\x00\x00\x00\x02\x01")}}, message.ErrBounds},
 	} {
 		e := newEnd(t, Config{Window: 16 << 10})
 		var b []byte
@@ -272,7 +272,7 @@
 
 // Any bytes behind a greeting end in an error or in wishes for more, and within bounds.
 func FuzzInput(f *testing.F) {
-	h, err := head.Append(nil, &head.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: 3})
+	h, err := message.Append(nil, &message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: 3})
 	fatal(f, err)
 	f.Add(frame.Append(frame.Append(nil, frame.Frame{Kind: frame.Ask, Stream: 1, Body: h}), frame.Frame{Kind: frame.Data, Stream: 1, Value: 1, Body: []byte("abc")}))
 	f.Add(frame.Append(nil, frame.Frame{Kind: frame.Digest, Body: []byte{0xa1, 1, 0xa0}}))
