--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"gannetspur/internal/wire"
+	"gannetspur/internal/simwire"
 )
 
 func main() {
-	if err := wire.NewHost().Run(os.Stdin, os.Stdout); err != nil {
+	if err := simwire.NewHost().Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/archtest/house_test.go
+++ b/internal/archtest/house_test.go
@@ -14,7 +14,7 @@
 // stays on its floor; rooms of one floor that need each other are named together.
 var floors = [][]string{
 	{"cmd/"},
-	{"internal/front/", "internal/wire"},
+	{"internal/front/", "internal/simwire"},
 	{"internal/backend"},
 	{"internal/site/link"},
 	{"internal/queryshape", "internal/handover", "internal/admin", "internal/control", "internal/takeover", "internal/membership", "internal/site/forwarding"},
--- a/internal/wire/codec.go
+++ b/internal/simwire/codec.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/wire/host.go
+++ b/internal/simwire/host.go
@@ -1,6 +1,6 @@
 // Package wire speaks the line protocol of the bench: batches of events in,
 // actions out, for many gateways in one process. It holds no decisions.
-package wire
+package simwire
 
 import (
 	"bufio"
