--- a/internal/archtest/house_test.go
+++ b/internal/archtest/house_test.go
@@ -59,7 +59,7 @@
 			}
 			switch {
 			case !ours:
-			case strings.HasPrefix(to, "internal/lab/") && !lab && pkg != "cmd/ringlab":
+			case strings.HasPrefix(to, "internal/lab/") && !lab && pkg != "cmd/testbed":
 				t.Errorf("%s imports %s: the laboratory is not for serving", pkg, to)
 			case lab && strings.HasPrefix(to, "cmd/"):
 				t.Errorf("%s imports %s", pkg, to)
