--- a/cmd/gateway/beside_test.go
+++ b/cmd/gateway/beside_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/testbed/rig"
 )
 
 const besideEnv = "RINGWOOD_BESIDE_CHILD"
--- a/cmd/gateway/upgrade_test.go
+++ b/cmd/gateway/upgrade_test.go
@@ -19,10 +19,10 @@
 	"time"
 
 	"gannetspur/internal/admin"
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/rig"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/rig"
 )
 
 const upgradeEnv = "RINGWOOD_UPGRADE_CHILD"
--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"gannetspur/internal/lab/report"
+	"gannetspur/internal/testbed/report"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/lab/conformance"
-	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/testbed/conformance"
+	"gannetspur/internal/testbed/rig"
 )
 
 type conformCommand struct {
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -12,9 +12,9 @@
 
 	"gannetspur/internal/config"
 	decide "gannetspur/internal/decide/remotesite"
-	"gannetspur/internal/lab/fleet"
-	"gannetspur/internal/lab/model"
-	"gannetspur/internal/lab/report"
+	"gannetspur/internal/testbed/fleet"
+	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/report"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/cmd/testbed/keys.go
+++ b/cmd/testbed/keys.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"gannetspur/internal/lab/authority"
+	"gannetspur/internal/testbed/authority"
 )
 
 type keysCommand struct {
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/lab/members"
-	"gannetspur/internal/lab/report"
+	"gannetspur/internal/testbed/members"
+	"gannetspur/internal/testbed/report"
 )
 
 // membersExperiment plays membership in virtual time: ours and baselines, on one network.
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/rig"
 )
 
 type replaceCommand struct {
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/report"
-	"gannetspur/internal/lab/upgrades"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/upgrades"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/report"
-	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/lab/shapes"
-	"gannetspur/internal/lab/traffic"
+	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/rig"
+	"gannetspur/internal/testbed/shapes"
+	"gannetspur/internal/testbed/traffic"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/cmd/testbed/sitelink.go
+++ b/cmd/testbed/sitelink.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"gannetspur/internal/lab/report"
-	"gannetspur/internal/lab/sitelink"
+	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/sitelink"
 )
 
 type sitelinkCommand struct {
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/lab/fleet"
-	"gannetspur/internal/lab/link"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/model"
-	"gannetspur/internal/lab/report"
-	"gannetspur/internal/lab/sites"
+	"gannetspur/internal/testbed/fleet"
+	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/sites"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/cmd/testbed/tier.go
+++ b/cmd/testbed/tier.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/lab/link"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/report"
-	"gannetspur/internal/lab/tier"
+	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/tier"
 )
 
 // tierExperiment plays front ends of one tier as processes of the program, with faults between them.
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/traffic"
+	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/traffic"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/vbauerster/mpb/v8"
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/rig"
 	"gannetspur/internal/logging"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/rig"
 )
 
 type tryCommand struct {
--- a/cmd/testbed/try_test.go
+++ b/cmd/testbed/try_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/rig"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/testbed/rig"
 )
 
 // Both fronts come up with one command, answer what the page says to paste, and all of it
--- a/internal/archtest/house_test.go
+++ b/internal/archtest/house_test.go
@@ -47,7 +47,7 @@
 	for _, line := range list(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
 		pkg, imports, _ := strings.Cut(line, ": ")
 		pkg = strings.TrimPrefix(pkg, module)
-		lab := strings.HasPrefix(pkg, "internal/lab/")
+		lab := strings.HasPrefix(pkg, "internal/testbed/")
 		at := floor(pkg)
 		if at < 0 && !lab && pkg != "internal/integration" && pkg != "internal/archtest" {
 			t.Errorf("%s stands on no floor", pkg)
@@ -59,7 +59,7 @@
 			}
 			switch {
 			case !ours:
-			case strings.HasPrefix(to, "internal/lab/") && !lab && pkg != "cmd/testbed":
+			case strings.HasPrefix(to, "internal/testbed/") && !lab && pkg != "cmd/testbed":
 				t.Errorf("%s imports %s: the laboratory is not for serving", pkg, to)
 			case lab && strings.HasPrefix(to, "cmd/"):
 				t.Errorf("%s imports %s", pkg, to)
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, dep := range list(t, "-deps", "./cmd/ringwood", "./cmd/wirehost") {
-		if strings.HasPrefix(dep, module+"internal/lab") || strings.HasPrefix(dep, "gonum.org/") {
+		if strings.HasPrefix(dep, module+"internal/testbed") || strings.HasPrefix(dep, "gonum.org/") {
 			t.Errorf("what serves depends on %s", dep)
 		}
 	}
--- a/internal/integration/conformance_test.go
+++ b/internal/integration/conformance_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/conformance"
-	"gannetspur/internal/lab/emul"
+	"gannetspur/internal/testbed/conformance"
+	"gannetspur/internal/testbed/emul"
 )
 
 // The PostgreSQL front answers each script of the protocol as it should, however its bytes are cut, and the
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/emul"
 	"gannetspur/internal/scramauth"
+	"gannetspur/internal/testbed/emul"
 
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -13,10 +13,10 @@
 	"time"
 
 	pgbackend "gannetspur/internal/backend/postgres"
-	"gannetspur/internal/lab/authority"
-	"gannetspur/internal/lab/emul"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/scramauth"
+	"gannetspur/internal/testbed/authority"
+	"gannetspur/internal/testbed/emul"
 )
 
 // certificate is one that an authority of its own has signed.
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/emul"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/testbed/emul"
 )
 
 // heard is what engines were told, by session, and a way to break a session off at a statement.
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -12,12 +12,12 @@
 
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/lab/authority"
-	"gannetspur/internal/lab/sitelink"
 	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/frame"
 	"gannetspur/internal/site/link"
 	"gannetspur/internal/site/message"
+	"gannetspur/internal/testbed/authority"
+	"gannetspur/internal/testbed/sitelink"
 )
 
 // node is a gateway of a test.
@@ -129,7 +129,7 @@
 }
 
 // The reply to a load is lost and its site falls silent: it is answered for here, long before
-// its client gives up. What it is once the window is over, internal/lab/fleet plays.
+// its client gives up. What it is once the window is over, internal/testbed/fleet plays.
 func TestLostReply(t *testing.T) {
 	_, _, a, b, _ := pair(t)
 	b.hold(true)
--- a/internal/lab/costs/costs.go
+++ b/internal/testbed/costs/costs.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/model"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/model"
 
 	"gonum.org/v1/gonum/stat/distuv"
 )
--- a/internal/lab/emul/emul.go
+++ b/internal/testbed/emul/emul.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/lab/model"
 	"gannetspur/internal/scramauth"
+	"gannetspur/internal/testbed/model"
 )
 
 // Work tells how long a statement takes, and the memory that it needs in MB.
--- a/internal/lab/emul/lines.go
+++ b/internal/testbed/emul/lines.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/lab/model"
+	"gannetspur/internal/testbed/model"
 )
 
 // mostText bounds a statement, as the front end's own limit does.
--- a/internal/lab/emul/machine.go
+++ b/internal/testbed/emul/machine.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/lab/model"
+	"gannetspur/internal/testbed/model"
 )
 
 // Machine has a model engine follow the real clock: what it runs ends when the model says so.
--- a/internal/lab/emul/pg.go
+++ b/internal/testbed/emul/pg.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/model"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/scramauth"
+	"gannetspur/internal/testbed/model"
 )
 
 var columns = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
--- a/internal/lab/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/lab/costs"
+	"gannetspur/internal/testbed/costs"
 	"gannetspur/policy"
 )
 
--- a/internal/lab/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/lab/costs"
-	"gannetspur/internal/lab/model"
+	"gannetspur/internal/testbed/costs"
+	"gannetspur/internal/testbed/model"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
--- a/internal/lab/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet plays sites in virtual time: the same core, decision module, site decisions and
 // link protocol as the gateway's, without sockets, on one clock that jumps from event to
-// event. Engines are those of internal/lab/model. The same options give the same bytes.
+// event. Engines are those of internal/testbed/model. The same options give the same bytes.
 package fleet
 
 import (
@@ -15,9 +15,9 @@
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/remotesite"
-	"gannetspur/internal/lab/model"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/forwarding"
+	"gannetspur/internal/testbed/model"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/remotesite"
-	"gannetspur/internal/lab/model"
+	"gannetspur/internal/testbed/model"
 
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/lab/load/check.go
+++ b/internal/testbed/load/check.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/lab/emul"
+	"gannetspur/internal/testbed/emul"
 )
 
 // Fault is a rule that a request saw broken.
--- a/internal/lab/load/check_test.go
+++ b/internal/testbed/load/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/emul"
+	"gannetspur/internal/testbed/emul"
 
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/lab/load/load.go
+++ b/internal/testbed/load/load.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"gannetspur/internal/lab/traffic"
+	"gannetspur/internal/testbed/traffic"
 
 	"gonum.org/v1/gonum/stat/distuv"
 )
--- a/internal/lab/rig/rig.go
+++ b/internal/testbed/rig/rig.go
@@ -19,9 +19,9 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/link"
-	"gannetspur/internal/lab/model"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/model"
 )
 
 // Options say what to set up.
--- a/internal/lab/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -16,10 +16,10 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/rig"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/rig"
 )
 
 // CostOptions say how to measure what reading shapes costs the gateway.
--- a/internal/lab/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -9,10 +9,10 @@
 	"slices"
 
 	decide "gannetspur/internal/decide/costmodel"
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/traffic"
 	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
+	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/traffic"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/internal/lab/shapes/evaluate_test.go
+++ b/internal/testbed/shapes/evaluate_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"gannetspur/internal/lab/register"
+	"gannetspur/internal/testbed/register"
 )
 
 // On traffic whose truth is known the classifier keeps what the product promises of it,
--- a/internal/lab/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/lab/link"
 	"gannetspur/internal/site/forwarding"
+	"gannetspur/internal/testbed/link"
 	"gannetspur/policy"
 )
 
--- a/internal/lab/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -13,11 +13,11 @@
 
 	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/remotesite"
-	"gannetspur/internal/lab/authority"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/link"
+	"gannetspur/internal/testbed/authority"
 	"gannetspur/policy"
 )
 
--- a/internal/lab/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -20,14 +20,14 @@
 	"time"
 
 	"gannetspur/internal/admin"
-	"gannetspur/internal/lab/authority"
-	"gannetspur/internal/lab/costs"
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/link"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/model"
-	"gannetspur/internal/lab/rig"
 	"gannetspur/internal/site/forwarding"
+	"gannetspur/internal/testbed/authority"
+	"gannetspur/internal/testbed/costs"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/rig"
 )
 
 // Names of the two sites. The first one's gateway dials the other's.
--- a/internal/lab/tier/drawn.go
+++ b/internal/testbed/tier/drawn.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetspur/internal/lab/link"
+	"gannetspur/internal/testbed/link"
 )
 
 // Drawn is a schedule that a seed gives: troubles of all kinds, one after the other and at once, with nobody choosing.
--- a/internal/lab/tier/judge.go
+++ b/internal/testbed/tier/judge.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/load"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/load"
 )
 
 // after is how long what was said of a front end may still be said once it is back, or heard again: a watcher has to
--- a/internal/lab/tier/judge_test.go
+++ b/internal/testbed/tier/judge_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/load"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/load"
 )
 
 // The checker tells what it is there for, and nothing where all is well: each case is a log with one thing put in.
--- a/internal/lab/tier/process.go
+++ b/internal/testbed/tier/process.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/testbed/rig"
 
 	"golang.org/x/sys/unix"
 )
--- a/internal/lab/tier/tier.go
+++ b/internal/testbed/tier/tier.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/link"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/rig"
 
 	"golang.org/x/sys/unix"
 )
--- a/internal/lab/tier/ways.go
+++ b/internal/testbed/tier/ways.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/lab/link"
+	"gannetspur/internal/testbed/link"
 )
 
 // Side names what a front end has connections with.
--- a/internal/lab/traffic/generate.go
+++ b/internal/testbed/traffic/generate.go
@@ -6,7 +6,7 @@
 	"math"
 	"math/rand/v2"
 
-	"gannetspur/internal/lab/register"
+	"gannetspur/internal/testbed/register"
 
 	"gonum.org/v1/gonum/stat/distuv"
 )
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/testbed/traffic/traffic_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"testing"
 
-	"gannetspur/internal/lab/register"
+	"gannetspur/internal/testbed/register"
 
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/lab/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"gannetspur/internal/admin"
-	"gannetspur/internal/lab/costs"
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/model"
-	"gannetspur/internal/lab/rig"
+	"gannetspur/internal/testbed/costs"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/rig"
 )
 
 // Ways in which a new version comes into service.
--- a/internal/lab/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -18,12 +18,12 @@
 	"time"
 
 	"gannetspur/internal/admin"
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/link"
-	"gannetspur/internal/lab/load"
-	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/lab/traffic"
 	"gannetspur/internal/metrics"
+	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/rig"
+	"gannetspur/internal/testbed/traffic"
 )
 
 // Good is the kind of an upgrade that must go through.
