--- a/cmd/gateway/beside_test.go
+++ b/cmd/gateway/beside_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/testbed/rig"
+	"gannetspur/internal/testbed/harness"
 )
 
 const besideEnv = "RINGWOOD_BESIDE_CHILD"
@@ -57,7 +57,7 @@
 	t.Helper()
 	p := &platformOf{t: t, dir: t.TempDir(), seen: map[string][]string{}, hold: make(chan struct{})}
 	var err error
-	if p.socket, p.addr, err = rig.Hold("127.0.0.1:0"); err != nil {
+	if p.socket, p.addr, err = harness.Hold("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.socket.Close() })
@@ -142,7 +142,7 @@
 // start starts a process at the socket.
 func (p *platformOf) start() *process {
 	p.t.Helper()
-	endpoint, err := rig.Free()
+	endpoint, err := harness.Free()
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/cmd/gateway/upgrade_test.go
+++ b/cmd/gateway/upgrade_test.go
@@ -21,8 +21,8 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
-	"gannetspur/internal/testbed/rig"
 )
 
 const upgradeEnv = "RINGWOOD_UPGRADE_CHILD"
@@ -58,12 +58,12 @@
 func newSite(t *testing.T, change ...string) *site {
 	t.Helper()
 	dir := t.TempDir()
-	addr, err := rig.Free()
+	addr, err := harness.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &site{t: t, addr: addr, admin: filepath.Join(dir, "a"), ledger: emul.NewLedger(12 * time.Second), held: map[string]chan struct{}{}, ended: make(chan error, 1), events: make(chan map[string]any, 4096)}
-	r, err := rig.New(rig.Options{
+	r, err := harness.New(harness.Options{
 		Root: "../..", Dir: dir, Engines: 2, HTTP: addr, Postgres: addr, Ledger: s.ledger, Log: slog.New(slog.DiscardHandler), Work: s.work,
 	})
 	if err != nil {
--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gannetspur/internal/testbed/conformance"
-	"gannetspur/internal/testbed/rig"
+	"gannetspur/internal/testbed/harness"
 )
 
 type conformCommand struct {
@@ -92,15 +92,15 @@
 			stop()
 		}
 	}()
-	program, err := rig.Build(ctx, ".", dir)
+	program, err := harness.Build(ctx, ".", dir)
 	if err != nil {
 		return nil, err
 	}
-	addr, err := rig.Free()
+	addr, err := harness.Free()
 	if err != nil {
 		return nil, err
 	}
-	r, err := rig.New(rig.Options{
+	r, err := harness.New(harness.Options{
 		Root: ".", Dir: dir, Engines: 1, Work: func(string) (time.Duration, float64) { return 0, 1 }, HTTP: "127.0.0.1:0", Postgres: addr,
 		Log: slog.New(slog.DiscardHandler),
 	})
@@ -108,13 +108,13 @@
 		return nil, err
 	}
 	ends = append(ends, r.Close)
-	g, err := rig.Start(program, io.Discard, "serve", "--postgres", r.Deploy)
+	g, err := harness.Start(program, io.Discard, "serve", "--postgres", r.Deploy)
 	if err != nil {
 		return nil, err
 	}
 	ends = append(ends, g.Stop)
 	c.Server, c.Engine = addr, r.Postgres.Members()[0].Addr.String()
-	return stop, rig.Up(ctx, addr)
+	return stop, harness.Up(ctx, addr)
 }
 
 // loopback tells whether an address is this machine's own.
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
-	"gannetspur/internal/testbed/rig"
 	"gannetspur/internal/testbed/shapes"
 	"gannetspur/internal/testbed/traffic"
 	"gannetspur/internal/testbed/upgrades"
@@ -215,7 +215,7 @@
 	}
 	program := c.Ringwood
 	if program == "" {
-		if program, err = rig.Build(ctx, ".", dir); err != nil {
+		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
 		}
 	}
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/register"
 	"gannetspur/internal/testbed/report"
-	"gannetspur/internal/testbed/rig"
 	"gannetspur/internal/testbed/shapes"
 	"gannetspur/internal/testbed/traffic"
 
@@ -189,7 +189,7 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		if program, err = rig.Build(ctx, ".", dir); err != nil {
+		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
 		}
 	}
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -12,7 +12,7 @@
 
 	"gannetspur/internal/logging"
 	"gannetspur/internal/testbed/emul"
-	"gannetspur/internal/testbed/rig"
+	"gannetspur/internal/testbed/harness"
 )
 
 type tryCommand struct {
@@ -39,11 +39,11 @@
 	defer os.RemoveAll(dir)
 	program := c.Ringwood
 	if program == "" {
-		if program, err = rig.Build(ctx, ".", dir); err != nil {
+		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
 		}
 	}
-	r, err := rig.New(rig.Options{
+	r, err := harness.New(harness.Options{
 		Root: ".", Dir: dir, Engines: c.Engines, Work: emul.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logging.Plain(os.Stdout),
 	})
 	if err != nil {
@@ -52,7 +52,7 @@
 	defer r.Close()
 	var ended [2]chan error
 	for i, args := range [][]string{{"serve", "--config", r.Config, "--shapes", r.Shapes}, {"serve", "--postgres", r.Deploy}} {
-		g, err := rig.Start(program, os.Stdout, append([]string{"--log-format=text"}, args...)...)
+		g, err := harness.Start(program, os.Stdout, append([]string{"--log-format=text"}, args...)...)
 		if err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 		ended[i] = g.Ended
 	}
 	for _, addr := range []string{c.HTTP, c.Postgres} {
-		if err := rig.Up(ctx, addr); err != nil {
+		if err := harness.Up(ctx, addr); err != nil {
 			return err
 		}
 	}
--- a/cmd/testbed/try_test.go
+++ b/cmd/testbed/try_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/testbed/rig"
+	"gannetspur/internal/testbed/harness"
 )
 
 // Both fronts come up with one command, answer what the page says to paste, and all of it
@@ -30,11 +30,11 @@
 		}
 		return
 	}
-	web, err := rig.Free()
+	web, err := harness.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
-	pg, err := rig.Free()
+	pg, err := harness.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	defer cancel()
 	defer p.Process.Kill()
 	for _, addr := range []string{web, pg} {
-		if err := rig.Up(ctx, addr); err != nil {
+		if err := harness.Up(ctx, addr); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testbed/rig/rig.go
+++ b/internal/testbed/harness/rig.go
@@ -1,6 +1,6 @@
 // Package rig sets up ringwood with emulated surroundings on loopback addresses: engines,
 // event bus, catalogue, the files that name them, and the gateway's own processes.
-package rig
+package harness
 
 import (
 	"context"
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -18,8 +18,8 @@
 
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/pgproto"
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/register"
-	"gannetspur/internal/testbed/rig"
 )
 
 // CostOptions say how to measure what reading shapes costs the gateway.
@@ -109,11 +109,11 @@
 		return res, err
 	}
 	defer os.RemoveAll(dir)
-	addr, err := rig.Free()
+	addr, err := harness.Free()
 	if err != nil {
 		return res, err
 	}
-	r, err := rig.New(rig.Options{
+	r, err := harness.New(harness.Options{
 		Root: opts.Root, Dir: dir, Engines: 2, HTTP: "127.0.0.1:0", Postgres: addr, Shapes: on, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
@@ -126,12 +126,12 @@
 		return res, err
 	}
 	defer log.Close()
-	g, err := rig.Start(opts.Program, log, "serve", "--postgres", r.Deploy)
+	g, err := harness.Start(opts.Program, log, "serve", "--postgres", r.Deploy)
 	if err != nil {
 		return res, err
 	}
 	defer g.Stop()
-	if err := rig.Up(ctx, addr); err != nil {
+	if err := harness.Up(ctx, addr); err != nil {
 		return res, err
 	}
 	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests/5); err != nil { // warm
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -24,10 +24,10 @@
 	"gannetspur/internal/testbed/authority"
 	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/model"
-	"gannetspur/internal/testbed/rig"
 )
 
 // Names of the two sites. The first one's gateway dials the other's.
@@ -99,12 +99,12 @@
 // place is one site.
 type place struct {
 	n       int
-	rig     *rig.Rig
+	rig     *harness.Rig
 	addr    string
 	sites   string // where it listens for the other
 	admin   string
 	args    []string
-	gateway *rig.Gateway
+	gateway *harness.Gateway
 	source  *load.Source
 	more    []*load.Source // while it is busy
 	killed  bool
@@ -141,13 +141,13 @@
 		if err = os.Mkdir(dir, 0o700); err != nil {
 			return b, err
 		}
-		if p.addr, err = rig.Free(); err != nil {
+		if p.addr, err = harness.Free(); err != nil {
 			return b, err
 		}
-		if p.sites, err = rig.Free(); err != nil {
+		if p.sites, err = harness.Free(); err != nil {
 			return b, err
 		}
-		if p.rig, err = rig.New(rig.Options{
+		if p.rig, err = harness.New(harness.Options{
 			Root: opts.Root, Dir: dir, Engines: opts.Engines, HTTP: p.addr, Postgres: p.addr, User: "ringwood", Clients: opts.Connections + 200, Name: Names[i] + "/",
 			Ledger: b.ledger, Ask: costs.Query, Machine: func(int) *emul.Machine { return emul.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
 		}); err != nil {
@@ -164,12 +164,12 @@
 		if err = b.write(p); err != nil {
 			return b, err
 		}
-		if p.gateway, err = rig.Start(opts.Program, opts.Log, p.args...); err != nil {
+		if p.gateway, err = harness.Start(opts.Program, opts.Log, p.args...); err != nil {
 			return b, err
 		}
 	}
 	for _, p := range b.places {
-		if err = rig.Up(ctx, p.addr); err != nil {
+		if err = harness.Up(ctx, p.addr); err != nil {
 			return b, err
 		}
 	}
@@ -325,14 +325,14 @@
 	events := slices.Clone(opts.Events)
 	slices.SortStableFunc(events, func(x, y Event) int { return int(x.At - y.At) })
 	for _, e := range events {
-		if err := rig.Pause(ctx, time.Until(begin.Add(e.At))); err != nil {
+		if err := harness.Pause(ctx, time.Until(begin.Add(e.At))); err != nil {
 			return nil, err
 		}
 		if err := b.do(ctx, e, traffic, &running); err != nil {
 			return nil, err
 		}
 	}
-	if err := rig.Pause(ctx, time.Until(begin.Add(opts.Span))); err != nil {
+	if err := harness.Pause(ctx, time.Until(begin.Add(opts.Span))); err != nil {
 		return nil, err
 	}
 	stop()
@@ -357,10 +357,10 @@
 			<-p.gateway.Ended
 		}
 		time.Sleep(500 * time.Millisecond)
-		if p.gateway, err = rig.Start(b.opts.Program, b.opts.Log, p.args...); err != nil {
+		if p.gateway, err = harness.Start(b.opts.Program, b.opts.Log, p.args...); err != nil {
 			return err
 		}
-		if err := rig.Up(ctx, p.addr); err != nil {
+		if err := harness.Up(ctx, p.addr); err != nil {
 			return err
 		}
 		for _, s := range append([]*load.Source{p.source}, p.more...) { // clients see at once that their connections have ended
@@ -378,7 +378,7 @@
 			case !strings.Contains(last.Why, "is not through"): // else the one before answers what it had taken still
 				return fmt.Errorf("the upgrade ended with %q", last.Why)
 			}
-			if err := rig.Pause(ctx, 200*time.Millisecond); err != nil {
+			if err := harness.Pause(ctx, 200*time.Millisecond); err != nil {
 				return err
 			}
 		}
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -12,9 +12,9 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/model"
-	"gannetspur/internal/testbed/rig"
 )
 
 // Ways in which a new version comes into service.
@@ -56,7 +56,7 @@
 	g, err := open(ctx, Options{
 		Front: "postgres", Root: opts.Root, Dir: opts.Dir, Program: opts.Program, Engines: opts.Engines, Connections: opts.Connections,
 		ProveFor: time.Second, Log: opts.Log,
-	}, rig.Options{
+	}, harness.Options{
 		Ledger: ledger, Ask: costs.Query,
 		Machine: func(i int) *emul.Machine {
 			m := emul.NewMachine(model.Usual())
@@ -83,7 +83,7 @@
 	running.Go(func() { s.Run(traffic) })
 	defer running.Wait()
 	defer stop()
-	if err := rig.Pause(ctx, opts.Warm+opts.Span); err != nil {
+	if err := harness.Pause(ctx, opts.Warm+opts.Span); err != nil {
 		return nil, err
 	}
 	event := time.Now()
@@ -108,13 +108,13 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		if g.first, err = rig.Start(opts.Program, opts.Log, g.args...); err != nil {
+		if g.first, err = harness.Start(opts.Program, opts.Log, g.args...); err != nil {
 			return nil, err
 		}
 	default:
 		return nil, fmt.Errorf("there is no way %q", opts.Way)
 	}
-	if err := rig.Pause(ctx, time.Until(event.Add(opts.Span))); err != nil {
+	if err := harness.Pause(ctx, time.Until(event.Add(opts.Span))); err != nil {
 		return nil, err
 	}
 	stop()
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -20,9 +20,9 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
-	"gannetspur/internal/testbed/rig"
 	"gannetspur/internal/testbed/traffic"
 )
 
@@ -109,29 +109,29 @@
 // gate is the gateway that serves just now, whichever process that is.
 type gate struct {
 	opts  Options
-	rig   *rig.Rig
+	rig   *harness.Rig
 	addr  string
 	admin string
 	args  []string
-	first *rig.Gateway
+	first *harness.Gateway
 }
 
 // open sets a gateway up between engines, and returns once it serves. set says what is set up
 // beside what the options say.
-func open(ctx context.Context, opts Options, set rig.Options) (g *gate, err error) {
-	addr, err := rig.Free()
+func open(ctx context.Context, opts Options, set harness.Options) (g *gate, err error) {
+	addr, err := harness.Free()
 	if err != nil {
 		return nil, err
 	}
 	set.Root, set.Dir, set.Engines, set.Clients = opts.Root, opts.Dir, opts.Engines, opts.Connections
 	set.HTTP, set.Postgres, set.User, set.Log = addr, addr, "ringwood", slog.New(slog.DiscardHandler)
-	r, err := rig.New(set)
+	r, err := harness.New(set)
 	if err != nil {
 		return nil, err
 	}
 	g = &gate{opts: opts, rig: r, addr: addr, admin: filepath.Join(opts.Dir, "admin")}
 	if err = g.write(); err == nil {
-		g.first, err = rig.Start(opts.Program, opts.Log, g.args...)
+		g.first, err = harness.Start(opts.Program, opts.Log, g.args...)
 	}
 	if err != nil {
 		r.Close()
@@ -153,7 +153,7 @@
 // Play plays the upgrades.
 func Play(ctx context.Context, opts Options) (res *Result, err error) {
 	ledger := emul.NewLedger(window)
-	g, err := open(ctx, opts, rig.Options{
+	g, err := open(ctx, opts, harness.Options{
 		Ledger: ledger, Link: opts.Link, Work: func(string) (time.Duration, float64) { return opts.Work, 1 },
 	})
 	if err != nil {
@@ -181,7 +181,7 @@
 	go func() { s.Run(traffic); close(ended) }()
 	res = &Result{}
 	defer func() { stop(); <-ended }()
-	if err := rig.Pause(ctx, 2*time.Second); err != nil {
+	if err := harness.Pause(ctx, 2*time.Second); err != nil {
 		return nil, err
 	}
 	res.Stable = time.Now()
@@ -206,11 +206,11 @@
 		}
 		res.Upgrades = append(res.Upgrades, u)
 		opts.Each(u)
-		if err := rig.Pause(ctx, opts.Gap); err != nil {
+		if err := harness.Pause(ctx, opts.Gap); err != nil {
 			return nil, err
 		}
 	}
-	if err := rig.Pause(ctx, time.Second); err != nil {
+	if err := harness.Pause(ctx, time.Second); err != nil {
 		return nil, err
 	}
 	if st, err := admin.StatusOf(ctx, g.admin); err == nil {
@@ -274,7 +274,7 @@
 				return nil
 			}
 		}
-		if over := rig.Pause(ctx, 50*time.Millisecond); over != nil {
+		if over := harness.Pause(ctx, 50*time.Millisecond); over != nil {
 			return errors.Join(errors.New("the gateway never served"), err, over)
 		}
 	}
@@ -384,7 +384,7 @@
 		}
 		u.Done, u.Why = time.Now(), strings.ReplaceAll(last.Why, g.opts.Dir+"/", "")
 		if strings.Contains(u.Why, "not through") {
-			if err := rig.Pause(ctx, 20*time.Millisecond); err != nil {
+			if err := harness.Pause(ctx, 20*time.Millisecond); err != nil {
 				return u, err
 			}
 			continue
