--- a/cmd/gateway/upgrade_test.go
+++ b/cmd/gateway/upgrade_test.go
@@ -20,7 +20,7 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
 )
@@ -46,7 +46,7 @@
 	addr   string
 	admin  string
 	file   string
-	ledger *emul.Ledger
+	ledger *emulator.Ledger
 	old    *exec.Cmd
 	ended  chan error
 	events chan map[string]any
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, addr: addr, admin: filepath.Join(dir, "a"), ledger: emul.NewLedger(12 * time.Second), held: map[string]chan struct{}{}, ended: make(chan error, 1), events: make(chan map[string]any, 4096)}
+	s := &site{t: t, addr: addr, admin: filepath.Join(dir, "a"), ledger: emulator.NewLedger(12 * time.Second), held: map[string]chan struct{}{}, ended: make(chan error, 1), events: make(chan map[string]any, 4096)}
 	r, err := harness.New(harness.Options{
 		Root: "../..", Dir: dir, Engines: 2, HTTP: addr, Postgres: addr, Ledger: s.ledger, Log: slog.New(slog.DiscardHandler), Work: s.work,
 	})
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 )
 
@@ -37,7 +37,7 @@
 	}
 	defer os.RemoveAll(dir)
 	r, err := harness.New(harness.Options{
-		Root: ".", Dir: dir, Engines: 2, HTTP: "127.0.0.1:9090", Postgres: "127.0.0.1:0", Work: emul.Plain,
+		Root: ".", Dir: dir, Engines: 2, HTTP: "127.0.0.1:9090", Postgres: "127.0.0.1:0", Work: emulator.Plain,
 		Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
@@ -149,7 +149,7 @@
 		}
 		bad(e.DelayMS >= 0 && e.DelayMS <= 1000 && e.JitterMS >= 0 && e.JitterMS <= 1000, "delay_ms, jitter_ms: not from 0 to 1000")
 		for i, ev := range e.Events {
-			bad(emul.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: there is no %q", i, ev.Do)
+			bad(emulator.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: there is no %q", i, ev.Do)
 			bad(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is not from 1 to %d", i, ev.Engine, e.Engines)
 		}
 		for _, k := range e.Broken {
--- a/internal/integration/conformance_test.go
+++ b/internal/integration/conformance_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannetspur/internal/testbed/conformance"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 )
 
 // The PostgreSQL front answers each script of the protocol as it should, however its bytes are cut, and the
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	go emul.Postgres(ln, emul.Options{Work: func(string) (time.Duration, float64) { return 0, 1 }, Log: slog.New(slog.DiscardHandler)})
+	go emulator.Postgres(ln, emulator.Options{Work: func(string) (time.Duration, float64) { return 0, 1 }, Log: slog.New(slog.DiscardHandler)})
 	list, err := conformance.All(g.addr, ln.Addr().String(), 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/scramauth"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	go emul.Postgres(ln, emul.Options{Work: func(text string) (time.Duration, float64) {
+	go emulator.Postgres(ln, emulator.Options{Work: func(text string) (time.Duration, float64) {
 		if strings.Contains(text, "pg_sleep") {
 			return time.Minute, 1
 		}
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -16,7 +16,7 @@
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/scramauth"
 	"gannetspur/internal/testbed/authority"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 )
 
 // certificate is one that an authority of its own has signed.
@@ -268,7 +268,7 @@
 		}
 		t.Cleanup(func() { _ = ln.Close() })
 		ranOn := make(chan string, 10)
-		go emul.Postgres(ln, emul.Options{
+		go emulator.Postgres(ln, emulator.Options{
 			Work:   func(string) (time.Duration, float64) { return time.Millisecond, 1 },
 			Logins: scramauth.NewUsers([]scramauth.User{{Name: "ringwood", Verifier: v}}), TLS: tt.engine, Log: slog.New(slog.DiscardHandler),
 			Heard: func(_, text string) { ranOn <- text },
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gannetspur/internal/pgproto"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 )
 
 // heard is what engines were told, by session, and a way to break a session off at a statement.
@@ -108,7 +108,7 @@
 	}
 	h := &heard{Listener: ln, by: map[string][]string{}, conns: map[string]net.Conn{}, changed: make(chan struct{}, 1)}
 	t.Cleanup(func() { _ = ln.Close() })
-	go emul.Postgres(h, emul.Options{
+	go emulator.Postgres(h, emulator.Options{
 		Work: func(string) (time.Duration, float64) { return time.Millisecond, 1 }, Heard: h.hear, Log: slog.New(slog.DiscardHandler),
 	})
 	g := newGateway(t, nil)
@@ -280,7 +280,7 @@
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	seen := make(chan string, 100)
-	go emul.Postgres(ln, emul.Options{Work: slowly, Heard: func(_, text string) { seen <- text }, Log: slog.New(slog.DiscardHandler)})
+	go emulator.Postgres(ln, emulator.Options{Work: slowly, Heard: func(_, text string) { seen <- text }, Log: slog.New(slog.DiscardHandler)})
 	g := newGateway(t, nil)
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
 	g.postgres(ln.Addr().String())
@@ -371,7 +371,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	go emul.Postgres(ln, emul.Options{
+	go emulator.Postgres(ln, emulator.Options{
 		Work: func(string) (time.Duration, float64) { return 0, 1 }, Log: slog.New(slog.DiscardHandler),
 		Heard: func(session, text string) {
 			mu.Lock()
--- a/internal/testbed/costs/costs.go
+++ b/internal/testbed/costs/costs.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/model"
 
 	"gonum.org/v1/gonum/stat/distuv"
@@ -46,7 +46,7 @@
 
 // Query is what an engine is asked by a statement that holds a mark, or by one that holds none.
 func Query(statement string) model.Query {
-	mark := emul.Mark(statement)
+	mark := emulator.Mark(statement)
 	if mark == "" {
 		return model.Query{Work: time.Millisecond, NeedMB: 1, Class: model.Class{Threads: 1}, Priority: 1}
 	}
--- a/internal/testbed/emul/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -1,6 +1,6 @@
 // Package emul stands in for the systems that ringwood works with, from their published
 // protocols: engines of both wires, the event bus, and Consul's catalogue and health API.
-package emul
+package emulator
 
 import (
 	"crypto/tls"
--- a/internal/testbed/emul/ledger.go
+++ b/internal/testbed/emulator/ledger.go
@@ -1,4 +1,4 @@
-package emul
+package emulator
 
 import (
 	"regexp"
--- a/internal/testbed/harness/rig.go
+++ b/internal/testbed/harness/rig.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/model"
 )
@@ -29,16 +29,16 @@
 	Root     string // the repository, whose deploy files are taken
 	Dir      string // for files
 	Engines  int    // of each wire
-	Work     emul.Work
+	Work     emulator.Work
 	HTTP     string // where the platform's front listens
 	Postgres string // where the PostgreSQL front listens
 	Shapes   bool   // in the PostgreSQL front's file
 	User     string // whom engines of the PostgreSQL wire trust; "": everybody
 	Clients  int    // connections that the fronts are set up for; 0: as their files say
-	Ledger   *emul.Ledger
+	Ledger   *emulator.Ledger
 	Name     string // goes before the engines' own in the ledger
 	// Machine and Ask, where given, make engines whose statements wait for each other.
-	Machine func(i int) *emul.Machine
+	Machine func(i int) *emulator.Machine
 	Ask     func(statement string) model.Query
 	Link    *link.Options // between gateways and engines; nil: none
 	Log     *slog.Logger
@@ -46,8 +46,8 @@
 
 // Rig is what was set up. The emulated systems end with Close.
 type Rig struct {
-	Config, Deploy, Shapes string      // the gateways' files
-	Lines, Postgres        *emul.Fleet // the engines of each wire, and what tells of them
+	Config, Deploy, Shapes string          // the gateways' files
+	Lines, Postgres        *emulator.Fleet // the engines of each wire, and what tells of them
 	listeners              []net.Listener
 	links                  []*link.Link
 }
@@ -70,7 +70,7 @@
 }
 
 func (r *Rig) listen() (net.Listener, error) {
-	ln, err := emul.Listen("127.0.0.1:0")
+	ln, err := emulator.Listen("127.0.0.1:0")
 	if err == nil {
 		r.listeners = append(r.listeners, ln)
 	}
@@ -89,24 +89,24 @@
 // New starts the emulated systems and writes the files.
 func New(opts Options) (r *Rig, err error) {
 	r = &Rig{Config: filepath.Join(opts.Dir, "config.json"), Deploy: filepath.Join(opts.Dir, "postgres.toml"), Shapes: filepath.Join(opts.Dir, "shapes.toml"),
-		Lines: emul.NewFleet(), Postgres: emul.NewFleet()}
+		Lines: emulator.NewFleet(), Postgres: emulator.NewFleet()}
 	defer func() {
 		if err != nil {
 			r.Close()
 		}
 	}()
 	for i := range opts.Engines {
-		one := emul.Options{Work: opts.Work, Ask: opts.Ask, Ledger: opts.Ledger}
+		one := emulator.Options{Work: opts.Work, Ask: opts.Ask, Ledger: opts.Ledger}
 		var start func()
 		if opts.Machine != nil {
 			one.Machine = opts.Machine(i)
 			start = one.Machine.Start
 		}
-		if err := r.engine(r.Lines, opts, one, fmt.Sprintf("s-%08x", i+1), emul.Lines, start); err != nil {
+		if err := r.engine(r.Lines, opts, one, fmt.Sprintf("s-%08x", i+1), emulator.Lines, start); err != nil {
 			return nil, err
 		}
 		one.User = opts.User
-		if err := r.engine(r.Postgres, opts, one, fmt.Sprintf("engine-%d", i+1), emul.Postgres, start); err != nil {
+		if err := r.engine(r.Postgres, opts, one, fmt.Sprintf("engine-%d", i+1), emulator.Postgres, start); err != nil {
 			return nil, err
 		}
 	}
@@ -128,8 +128,8 @@
 }
 
 // engine starts one engine, behind a link where there are links.
-func (r *Rig) engine(fleet *emul.Fleet, opts Options, one emul.Options, id string, serve func(net.Listener, emul.Options), start func()) error {
-	ln, err := emul.Listen("127.0.0.1:0")
+func (r *Rig) engine(fleet *emulator.Fleet, opts Options, one emulator.Options, id string, serve func(net.Listener, emulator.Options), start func()) error {
+	ln, err := emulator.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
@@ -270,7 +270,7 @@
 func Free() (string, error) {
 	var last error
 	for range 100 {
-		ln, err := emul.Listen(fmt.Sprintf("127.0.0.1:%d", 18000+rand.IntN(14000)))
+		ln, err := emulator.Listen(fmt.Sprintf("127.0.0.1:%d", 18000+rand.IntN(14000)))
 		if err != nil {
 			last = err
 			continue
--- a/internal/testbed/load/check.go
+++ b/internal/testbed/load/check.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 )
 
 // Fault is a rule that a request saw broken.
@@ -22,8 +22,8 @@
 // answer that is its own, in time; what may run once has run once at most; what runs under a
 // key has had its effect once, and went out within the window of its first send alone; what
 // was served has run.
-func Check(records []Record, runs []emul.Run, window time.Duration) (faults []Fault) {
-	by := map[string][]emul.Run{}
+func Check(records []Record, runs []emulator.Run, window time.Duration) (faults []Fault) {
+	by := map[string][]emulator.Run{}
 	for _, r := range runs {
 		by[r.Mark] = append(by[r.Mark], r)
 	}
@@ -71,15 +71,15 @@
 
 // CheckDrains finds work that reached an engine more than 2 s after the roster was told that
 // it drains or is gone.
-func CheckDrains(runs []emul.Run, history []emul.Change) (faults []Fault) {
+func CheckDrains(runs []emulator.Run, history []emulator.Change) (faults []Fault) {
 	for _, r := range runs {
-		var last emul.Change
+		var last emulator.Change
 		for _, c := range history {
 			if c.ID == r.Engine && c.At.Before(r.At) {
 				last = c
 			}
 		}
-		if late := r.At.Sub(last.At); last.State != emul.Ready && late > stopWithin {
+		if late := r.At.Sub(last.At); last.State != emulator.Ready && late > stopWithin {
 			faults = append(faults, Fault{"drained engine", r.Mark, fmt.Sprintf("sent to %s %v after it was %s", r.Engine, late.Round(time.Millisecond), last.State)})
 		}
 	}
--- a/internal/testbed/load/check_test.go
+++ b/internal/testbed/load/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -12,32 +12,32 @@
 // The checker finds each rule broken, and nothing where none is.
 func TestCheck(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
-	run := func(mark string, s float64, dropped bool) emul.Run {
+	run := func(mark string, s float64, dropped bool) emulator.Run {
 		key := ""
 		if mark[0] == 'k' {
 			key = mark
 		}
-		return emul.Run{Mark: mark, Key: key, At: at(s), Dropped: dropped}
+		return emulator.Run{Mark: mark, Key: key, At: at(s), Dropped: dropped}
 	}
 	rec := func(mark string, v Verdict) Record { return Record{Mark: mark, Kind: Kind(mark[0]), Verdict: v} }
 	for name, tt := range map[string]struct {
 		rec  Record
-		runs []emul.Run
+		runs []emulator.Run
 		want []string
 	}{
-		"served":                    {rec("q-1-1", Served), []emul.Run{run("q-1-1", 0, false)}, nil},
-		"a lookup twice":            {rec("q-1-1", Served), []emul.Run{run("q-1-1", 0, false), run("q-1-1", 1, false)}, nil},
+		"served":                    {rec("q-1-1", Served), []emulator.Run{run("q-1-1", 0, false)}, nil},
+		"a lookup twice":            {rec("q-1-1", Served), []emulator.Run{run("q-1-1", 0, false), run("q-1-1", 1, false)}, nil},
 		"refused, never ran":        {rec("w-1-1", Refused), nil, nil},
-		"in doubt, ran":             {rec("w-1-1", Doubt), []emul.Run{run("w-1-1", 0, false)}, nil},
-		"a write twice":             {rec("w-1-1", Served), []emul.Run{run("w-1-1", 0, false), run("w-1-1", 1, false)}, []string{"effect twice"}},
-		"a key twice, dropped":      {rec("k-1-1", Served), []emul.Run{run("k-1-1", 0, false), run("k-1-1", 5, true)}, nil},
-		"a key past its window":     {rec("k-1-1", Served), []emul.Run{run("k-1-1", 0, false), run("k-1-1", 13, false)}, []string{"effect twice", "key window"}},
+		"in doubt, ran":             {rec("w-1-1", Doubt), []emulator.Run{run("w-1-1", 0, false)}, nil},
+		"a write twice":             {rec("w-1-1", Served), []emulator.Run{run("w-1-1", 0, false), run("w-1-1", 1, false)}, []string{"effect twice"}},
+		"a key twice, dropped":      {rec("k-1-1", Served), []emulator.Run{run("k-1-1", 0, false), run("k-1-1", 5, true)}, nil},
+		"a key past its window":     {rec("k-1-1", Served), []emulator.Run{run("k-1-1", 0, false), run("k-1-1", 13, false)}, []string{"effect twice", "key window"}},
 		"no answer":                 {rec("q-1-1", Silent), nil, []string{"no answer"}},
 		"the connection ended":      {rec("q-1-1", Reset), nil, []string{"no answer"}},
 		"another's rows":            {rec("q-1-1", Spoilt), nil, []string{"spoilt"}},
 		"nobody listens":            {rec("q-1-1", Unasked), nil, []string{"not reached"}},
 		"served and never ran":      {rec("q-1-1", Served), nil, []string{"served what never ran"}},
-		"another one's run is none": {rec("q-1-1", Served), []emul.Run{run("q-1-2", 0, false)}, []string{"served what never ran"}},
+		"another one's run is none": {rec("q-1-1", Served), []emulator.Run{run("q-1-2", 0, false)}, []string{"served what never ran"}},
 	} {
 		var got []string
 		for _, f := range Check([]Record{tt.rec}, tt.runs, 12*time.Second) {
@@ -53,10 +53,10 @@
 // return there is none.
 func TestCheckDrains(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
-	history := []emul.Change{{At: at(10), ID: "a", State: emul.Draining}, {At: at(20), ID: "a", State: emul.Ready}}
-	var runs []emul.Run
+	history := []emulator.Change{{At: at(10), ID: "a", State: emulator.Draining}, {At: at(20), ID: "a", State: emulator.Ready}}
+	var runs []emulator.Run
 	for _, s := range []float64{1, 10.5, 12.1, 13, 19, 21} {
-		runs = append(runs, emul.Run{Engine: "a", Mark: "q-1-1", At: at(s)}, emul.Run{Engine: "b", At: at(s)})
+		runs = append(runs, emulator.Run{Engine: "a", Mark: "q-1-1", At: at(s)}, emulator.Run{Engine: "b", At: at(s)})
 	}
 	if got := CheckDrains(runs, history); len(got) != 2 {
 		t.Errorf("found %v, want the two at 13 s and 19 s", got)
--- a/internal/testbed/model/engine.go
+++ b/internal/testbed/model/engine.go
@@ -1,7 +1,7 @@
 // Package model is an engine of the register as a state machine in virtual time: cores and
 // disks shared by all that runs, memory that is granted and waited for, groups of tables that
 // are warm, loads that hold their group, a cold start. It reads no clock; its caller moves
-// its time on, or follows the real one (internal/testbed/emul).
+// its time on, or follows the real one (internal/testbed/emulator).
 //
 // It follows the operators' brief, not any real database: total work falls beyond a number of
 // threads a core, a query with too little memory does more work, and priorities share what is
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -23,7 +23,7 @@
 	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/testbed/authority"
 	"gannetspur/internal/testbed/costs"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
@@ -47,7 +47,7 @@
 
 // Known tells whether there is a kind of event of this name.
 func Known(do string) bool {
-	return emul.Known(do) || slices.Contains([]string{GatewayDies, Upgrade, SiteDrain, SiteBack, Busy,
+	return emulator.Known(do) || slices.Contains([]string{GatewayDies, Upgrade, SiteDrain, SiteBack, Busy,
 		string(link.Silence), string(link.OneWay), string(link.Lost), string(link.Cut), string(link.Reset)}, do)
 }
 
@@ -87,7 +87,7 @@
 // Result is what was seen.
 type Result struct {
 	Records  [2][]load.Record
-	Runs     []emul.Run
+	Runs     []emulator.Run
 	Faults   []load.Fault
 	Service  float64 // worth answered in time over worth asked
 	Worst    float64 // of all spans of 10 s
@@ -113,7 +113,7 @@
 // Both are two sites that were set up.
 type Both struct {
 	opts   Options
-	ledger *emul.Ledger
+	ledger *emulator.Ledger
 	ca     *authority.Authority
 	places [2]*place
 	link   *link.Link
@@ -122,7 +122,7 @@
 
 // Open sets two sites up, and returns once they serve and, if they are together, know each other.
 func Open(ctx context.Context, opts Options) (b *Both, err error) {
-	b = &Both{opts: opts, ledger: emul.NewLedger(window)}
+	b = &Both{opts: opts, ledger: emulator.NewLedger(window)}
 	defer func() {
 		if err != nil {
 			b.Close()
@@ -149,7 +149,7 @@
 		}
 		if p.rig, err = harness.New(harness.Options{
 			Root: opts.Root, Dir: dir, Engines: opts.Engines, HTTP: p.addr, Postgres: p.addr, User: "ringwood", Clients: opts.Connections + 200, Name: Names[i] + "/",
-			Ledger: b.ledger, Ask: costs.Query, Machine: func(int) *emul.Machine { return emul.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
+			Ledger: b.ledger, Ask: costs.Query, Machine: func(int) *emulator.Machine { return emulator.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
 		}); err != nil {
 			return b, err
 		}
@@ -344,7 +344,7 @@
 func (b *Both) do(ctx context.Context, e Event, traffic context.Context, running *sync.WaitGroup) error {
 	p := b.places[e.Site]
 	switch {
-	case emul.Known(e.Do):
+	case emulator.Known(e.Do):
 		return p.rig.Do(e.Do, e.Engine)
 	case e.Do == GatewayDies:
 		p.killed = true
@@ -441,7 +441,7 @@
 	res.Worst = costs.Worst(spans)
 	res.Faults = load.Check(all, res.Runs, window)
 	for i, p := range b.places {
-		var mine []emul.Run
+		var mine []emulator.Run
 		for _, r := range res.Runs {
 			if id, ok := strings.CutPrefix(r.Engine, Names[i]+"/"); ok {
 				r.Engine = id
--- a/internal/testbed/tier/judge.go
+++ b/internal/testbed/tier/judge.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/load"
 )
 
@@ -17,7 +17,7 @@
 
 // judge holds what was seen against the rules. It knows nothing of how members decide: only what was done to them,
 // what they logged, and what clients and engines saw.
-func (t *tier) judge(res *Result, records []load.Record, runs []emul.Run) {
+func (t *tier) judge(res *Result, records []load.Record, runs []emulator.Run) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	broken := func(format string, args ...any) { res.Broken = append(res.Broken, fmt.Sprintf(format, args...)) }
@@ -112,7 +112,7 @@
 
 // answers holds what clients were told against what engines did. A request at a process that did not run meanwhile may
 // have no answer: nobody there could give one.
-func (t *tier) answers(res *Result, records []load.Record, runs []emul.Run, broken func(string, ...any)) {
+func (t *tier) answers(res *Result, records []load.Record, runs []emulator.Run, broken func(string, ...any)) {
 	by, ran := map[string]load.Record{}, map[string]bool{}
 	for _, r := range runs {
 		ran[r.Mark] = true
--- a/internal/testbed/tier/judge_test.go
+++ b/internal/testbed/tier/judge_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/load"
 )
 
@@ -27,7 +27,7 @@
 		spans   []span
 		up      []bool
 		records []load.Record
-		runs    []emul.Run
+		runs    []emulator.Run
 		want    string
 	}{
 		{name: "all is well", events: died, spans: gone, up: []bool{true, true, false}},
@@ -43,11 +43,11 @@
 		{name: "no answer of one that is gone", events: died, spans: gone, up: []bool{true, true, false}, records: []load.Record{request("q-2-1", 10, load.Reset)}},
 		{name: "a kept connection that ended as another process took the place", spans: []span{{who: 1, from: at(4), to: at(6), parted: true}}, up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)}},
 		{name: "no answer to what had been taken then", spans: []span{{who: 1, from: at(4), to: at(6), parted: true}}, up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)},
-			runs: []emul.Run{{Mark: "q-1-1", At: at(5)}}, want: "no answer"},
+			runs: []emulator.Run{{Mark: "q-1-1", At: at(5)}}, want: "no answer"},
 		{name: "one is said to have left that was only replaced", events: []Event{said(5, 0, 2, "left")}, spans: []span{{who: 2, from: at(4), to: at(6), parted: true}}, up: []bool{true, true, true}, want: "wrong word"},
 		{name: "one that goes on in another process still knows of a death", events: append(died[:2:2], Event{At: at(13), From: 1, Name: "members", Fields: map[string]any{"carried": true}}), spans: gone, up: []bool{true, true, false}},
 		{name: "a load with two effects", up: []bool{true, true, true}, records: []load.Record{request("k-1-1", 5, load.Served)},
-			runs: []emul.Run{{Mark: "k-1-1", At: at(5)}, {Mark: "k-1-1", At: at(5.1)}}, want: "effect twice"},
+			runs: []emulator.Run{{Mark: "k-1-1", At: at(5)}, {Mark: "k-1-1", At: at(5.1)}}, want: "effect twice"},
 	} {
 		play := &tier{procs: []*front{{n: 0}, {n: 1}, {n: 2}}, mesh: &mesh{}, began: began, events: c.events, spans: c.spans, up: c.up}
 		res := &Result{Verdicts: map[load.Verdict]int{}}
--- a/internal/testbed/tier/tier.go
+++ b/internal/testbed/tier/tier.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
@@ -139,10 +139,10 @@
 	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	ledger := emul.NewLedger(12 * time.Second)
+	ledger := emulator.NewLedger(12 * time.Second)
 	r, err := harness.New(harness.Options{
 		Root: opts.Root, Dir: opts.Dir, Engines: opts.Engines, HTTP: "127.0.0.1:9090", Postgres: "127.0.0.1:0", Ledger: ledger,
-		Work: emul.Plain, Log: slog.New(slog.DiscardHandler),
+		Work: emulator.Plain, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -11,7 +11,7 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/testbed/costs"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/model"
@@ -52,14 +52,14 @@
 
 // PlayService plays one event and tells what it cost.
 func PlayService(ctx context.Context, opts ServiceOptions) (res *Service, err error) {
-	ledger := emul.NewLedger(window)
+	ledger := emulator.NewLedger(window)
 	g, err := open(ctx, Options{
 		Front: "postgres", Root: opts.Root, Dir: opts.Dir, Program: opts.Program, Engines: opts.Engines, Connections: opts.Connections,
 		ProveFor: time.Second, Log: opts.Log,
 	}, harness.Options{
 		Ledger: ledger, Ask: costs.Query,
-		Machine: func(i int) *emul.Machine {
-			m := emul.NewMachine(model.Usual())
+		Machine: func(i int) *emulator.Machine {
+			m := emulator.NewMachine(model.Usual())
 			if i < opts.Crowded {
 				m.Take(opts.Share)
 			}
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -19,7 +19,7 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/metrics"
-	"gannetspur/internal/testbed/emul"
+	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
@@ -97,7 +97,7 @@
 type Result struct {
 	Upgrades []Upgrade
 	Records  []load.Record
-	Runs     []emul.Run
+	Runs     []emulator.Run
 	Faults   []load.Fault
 	Ended    int // connections that had ended without a word, at the end
 	Unasked  int // that had an answer waiting that nobody asked for
@@ -152,7 +152,7 @@
 
 // Play plays the upgrades.
 func Play(ctx context.Context, opts Options) (res *Result, err error) {
-	ledger := emul.NewLedger(window)
+	ledger := emulator.NewLedger(window)
 	g, err := open(ctx, opts, harness.Options{
 		Ledger: ledger, Link: opts.Link, Work: func(string) (time.Duration, float64) { return opts.Work, 1 },
 	})
