--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -12,8 +12,8 @@
 
 	"gannetspur/internal/config"
 	decide "gannetspur/internal/decide/remotesite"
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/fleet"
-	"gannetspur/internal/testbed/model"
 	"gannetspur/internal/testbed/report"
 
 	"gonum.org/v1/gonum/stat"
@@ -59,7 +59,7 @@
 	cfg := decide.Defaults()
 	cfg.KeysShared = true
 	return fleet.Options{
-		Site: set, Config: cfg, Way: fleet.Ours, Sites: 2, Gateways: f.Gateways, Engines: f.Engines, Engine: model.Usual(), Rate: f.Rate,
+		Site: set, Config: cfg, Way: fleet.Ours, Sites: 2, Gateways: f.Gateways, Engines: f.Engines, Engine: enginemodel.Usual(), Rate: f.Rate,
 		Loads: f.Loads, Reports: f.Reports, Writes: f.Writes, Elsewhere: f.Elsewhere, Estimates: f.Estimates, Delay: ms(f.DelayMS),
 		Stall: f.Stall, StallFor: ms(f.StallMS), Bandwidth: f.MBps * 1e6, Pack: true, ToldAfter: ms(f.ToldMS),
 		Warm: ms(1000 * f.WarmS), Span: ms(1000 * f.SpanS),
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/fleet"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
-	"gannetspur/internal/testbed/model"
 	"gannetspur/internal/testbed/report"
 	"gannetspur/internal/testbed/sites"
 
@@ -157,7 +157,7 @@
 		o := e.options(set)
 		events := socketScenario(r.scenario).Events(o.Span, 2)
 		r.res, err = sites.Play(ctx, sites.Options{
-			Front: r.front, Root: ".", Dir: sub, Program: program, Together: r.way == fleet.Ours, Engines: e.Engines, Engine: model.Usual(),
+			Front: r.front, Root: ".", Dir: sub, Program: program, Together: r.way == fleet.Ours, Engines: e.Engines, Engine: enginemodel.Usual(),
 			Rate: e.Rate, Loads: e.Loads, Reports: e.Reports, Writes: e.Writes, Connections: e.Connections,
 			Link:   link.Options{Delay: o.Delay, Bandwidth: int(o.Bandwidth), Stall: o.Stall, StallFor: o.StallFor, Seed: r.seed},
 			Events: e.events(events), Warm: o.Warm, Span: o.Span, Seed: r.seed, Log: log,
--- a/internal/testbed/costs/costs.go
+++ b/internal/testbed/costs/costs.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetspur/internal/testbed/emulator"
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 
 	"gonum.org/v1/gonum/stat/distuv"
 )
@@ -45,14 +45,14 @@
 }
 
 // Query is what an engine is asked by a statement that holds a mark, or by one that holds none.
-func Query(statement string) model.Query {
+func Query(statement string) enginemodel.Query {
 	mark := emulator.Mark(statement)
 	if mark == "" {
-		return model.Query{Work: time.Millisecond, NeedMB: 1, Class: model.Class{Threads: 1}, Priority: 1}
+		return enginemodel.Query{Work: time.Millisecond, NeedMB: 1, Class: enginemodel.Class{Threads: 1}, Priority: 1}
 	}
 	c := Of(mark)
 	w, group := Work(mark)
-	return model.Query{Work: w, NeedMB: c.Need, Group: group, Priority: 1, Class: model.Class{Threads: c.Threads, IO: c.IO, Load: c.Load, Waits: c.Waits}}
+	return enginemodel.Query{Work: w, NeedMB: c.Need, Group: group, Priority: 1, Class: enginemodel.Class{Threads: c.Threads, IO: c.IO, Load: c.Load, Waits: c.Waits}}
 }
 
 // Value is what an answer is worth that came so long after its request.
--- a/internal/testbed/emulator/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gannetspur/internal/scramauth"
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 )
 
 // Work tells how long a statement takes, and the memory that it needs in MB.
@@ -29,7 +29,7 @@
 	// Machine, where there is one, has statements wait for each other as on a real engine;
 	// Ask tells what each is. Work is not asked then.
 	Machine *Machine
-	Ask     func(statement string) model.Query
+	Ask     func(statement string) enginemodel.Query
 	Ledger  *Ledger                         // of effects; nil: none is kept
 	Logins  *scramauth.Users                // who may log in, of the PostgreSQL wire, by SCRAM; nil: User alone, unasked
 	TLS     *tls.Config                     // of the PostgreSQL wire; nil: encryption is declined
@@ -39,7 +39,7 @@
 
 // carry has a statement carried out, and tells its end unless stop closes first. running, if
 // any, hears of its number at the machine.
-func (o *Options) carry(statement string, change func(*model.Query), running func(id uint64), stop <-chan struct{}) (end Ended, took time.Duration, ok bool) {
+func (o *Options) carry(statement string, change func(*enginemodel.Query), running func(id uint64), stop <-chan struct{}) (end Ended, took time.Duration, ok bool) {
 	began := time.Now()
 	if o.Machine == nil {
 		took, memory := o.Work(statement)
--- a/internal/testbed/emulator/lines.go
+++ b/internal/testbed/emulator/lines.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 )
 
 // mostText bounds a statement, as the front end's own limit does.
@@ -134,7 +134,7 @@
 		}
 		over := make(chan struct{})
 		go s.notes(ctx, id, over)
-		end, took, ok := s.carry(statement, func(q *model.Query) { s.asked(q, fields) }, func(n uint64) { s.at(id, n) }, ctx.Done())
+		end, took, ok := s.carry(statement, func(q *enginemodel.Query) { s.asked(q, fields) }, func(n uint64) { s.at(id, n) }, ctx.Done())
 		close(over)
 		switch {
 		case !ok:
@@ -168,7 +168,7 @@
 }
 
 // asked takes what the gateway says of a statement.
-func (s *session) asked(q *model.Query, fields string) {
+func (s *session) asked(q *enginemodel.Query, fields string) {
 	for f := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(f, "=")
 		n, err := strconv.ParseFloat(value, 64)
@@ -184,7 +184,7 @@
 
 // done writes the answer: rows that say what was asked, and what the engine reports.
 func (s *session) done(id, fields, statement string, took time.Duration, memory float64) {
-	load := model.Load{Util: 0.1}
+	load := enginemodel.Load{Util: 0.1}
 	if s.Machine != nil {
 		load = s.Machine.Load()
 	}
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -4,13 +4,13 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 )
 
 // Machine has a model engine follow the real clock: what it runs ends when the model says so.
 type Machine struct {
 	mu     sync.Mutex
-	engine *model.Engine
+	engine *enginemodel.Engine
 	origin time.Time
 	timer  *time.Timer
 	last   uint64
@@ -24,15 +24,15 @@
 }
 
 // NewMachine returns a machine that has run for long.
-func NewMachine(cfg model.Config) *Machine {
-	return &Machine{engine: model.New(cfg), origin: time.Now(), out: map[uint64]func(Ended){}}
+func NewMachine(cfg enginemodel.Config) *Machine {
+	return &Machine{engine: enginemodel.New(cfg), origin: time.Now(), out: map[uint64]func(Ended){}}
 }
 
 func (m *Machine) now() time.Duration { return time.Since(m.origin) }
 
 // Run has a query run; done is called once, on a goroutine of its own, unless the query is
 // given up first. Its id is the machine's and is returned.
-func (m *Machine) Run(q model.Query, done func(Ended)) (id uint64) {
+func (m *Machine) Run(q enginemodel.Query, done func(Ended)) (id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.settle()
@@ -86,7 +86,7 @@
 }
 
 // Load is what the engine reports just now.
-func (m *Machine) Load() model.Load {
+func (m *Machine) Load() enginemodel.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.settle()
--- a/internal/testbed/emulator/pg.go
+++ b/internal/testbed/emulator/pg.go
@@ -12,7 +12,7 @@
 
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/scramauth"
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 )
 
 var columns = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
@@ -262,7 +262,7 @@
 			}
 			if opts.Ledger.Begin(opts.Name, query, key) {
 				stop := gone(c)
-				end, _, ok := opts.carry(query+" "+key, func(*model.Query) {}, nil, stop.closed)
+				end, _, ok := opts.carry(query+" "+key, func(*enginemodel.Query) {}, nil, stop.closed)
 				stop.end()
 				if !ok {
 					return nil // the gateway gave it up: it closes the connection
--- a/internal/testbed/model/engine.go
+++ b/internal/testbed/enginemodel/engine.go
@@ -6,7 +6,7 @@
 // It follows the operators' brief, not any real database: total work falls beyond a number of
 // threads a core, a query with too little memory does more work, and priorities share what is
 // short as 1 : 4 : 8 : 16.
-package model
+package enginemodel
 
 import (
 	"cmp"
--- a/internal/testbed/model/engine_test.go
+++ b/internal/testbed/enginemodel/engine_test.go
@@ -1,4 +1,4 @@
-package model
+package enginemodel
 
 import (
 	"math"
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -7,7 +7,7 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/testbed/costs"
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -19,7 +19,7 @@
 	w       *World
 	site    *site
 	id      string
-	model   *model.Engine
+	model   *enginemodel.Engine
 	down    bool
 	listed  bool
 	started time.Duration
@@ -40,7 +40,7 @@
 }
 
 func newEngine(w *World, s *site, n int) *engine {
-	return &engine{w: w, site: s, id: fmt.Sprintf("e-%d-%d", s.n, n), model: model.New(w.opts.Engine), listed: true, out: map[uint64]*running{}}
+	return &engine{w: w, site: s, id: fmt.Sprintf("e-%d-%d", s.n, n), model: enginemodel.New(w.opts.Engine), listed: true, out: map[uint64]*running{}}
 }
 
 // entry is the engine as a gateway's roster names it.
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet plays sites in virtual time: the same core, decision module, site decisions and
 // link protocol as the gateway's, without sockets, on one clock that jumps from event to
-// event. Engines are those of internal/testbed/model. The same options give the same bytes.
+// event. Engines are those of internal/testbed/enginemodel. The same options give the same bytes.
 package fleet
 
 import (
@@ -17,7 +17,7 @@
 	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/site/forwarding"
-	"gannetspur/internal/testbed/model"
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -61,7 +61,7 @@
 	Sites     int
 	Gateways  int // of a site
 	Engines   int // of a site
-	Engine    model.Config
+	Engine    enginemodel.Config
 	Neighbour int // sites on each side, on a ring, that a site is linked to; 0: all
 	Rate      float64
 	Shape     func(site int, at time.Duration) float64 // of the rate, over time; nil: steady
--- a/internal/testbed/harness/rig.go
+++ b/internal/testbed/harness/rig.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/link"
-	"gannetspur/internal/testbed/model"
 )
 
 // Options say what to set up.
@@ -39,7 +39,7 @@
 	Name     string // goes before the engines' own in the ledger
 	// Machine and Ask, where given, make engines whose statements wait for each other.
 	Machine func(i int) *emulator.Machine
-	Ask     func(statement string) model.Query
+	Ask     func(statement string) enginemodel.Query
 	Link    *link.Options // between gateways and engines; nil: none
 	Log     *slog.Logger
 }
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -24,10 +24,10 @@
 	"gannetspur/internal/testbed/authority"
 	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
-	"gannetspur/internal/testbed/model"
 )
 
 // Names of the two sites. The first one's gateway dials the other's.
@@ -69,7 +69,7 @@
 	Program     string // ringwood
 	Together    bool   // the sites are linked
 	Engines     int    // of a site
-	Engine      model.Config
+	Engine      enginemodel.Config
 	Rate        float64 // arrivals a second at each site
 	Loads       float64
 	Reports     float64
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -12,9 +12,9 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
-	"gannetspur/internal/testbed/model"
 )
 
 // Ways in which a new version comes into service.
@@ -59,7 +59,7 @@
 	}, harness.Options{
 		Ledger: ledger, Ask: costs.Query,
 		Machine: func(i int) *emulator.Machine {
-			m := emulator.NewMachine(model.Usual())
+			m := emulator.NewMachine(enginemodel.Usual())
 			if i < opts.Crowded {
 				m.Take(opts.Share)
 			}
