--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -13,8 +13,8 @@
 	"gannetspur/internal/config"
 	decide "gannetspur/internal/decide/remotesite"
 	"gannetspur/internal/testbed/enginemodel"
-	"gannetspur/internal/testbed/fleet"
 	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/simulation"
 
 	"gonum.org/v1/gonum/stat"
 )
@@ -54,12 +54,12 @@
 }
 
 // options are those of one run.
-func (f *fleetCommon) options(set config.Site) fleet.Options {
+func (f *fleetCommon) options(set config.Site) simulation.Options {
 	ms := config.FromMS
 	cfg := decide.Defaults()
 	cfg.KeysShared = true
-	return fleet.Options{
-		Site: set, Config: cfg, Way: fleet.Ours, Sites: 2, Gateways: f.Gateways, Engines: f.Engines, Engine: enginemodel.Usual(), Rate: f.Rate,
+	return simulation.Options{
+		Site: set, Config: cfg, Way: simulation.Ours, Sites: 2, Gateways: f.Gateways, Engines: f.Engines, Engine: enginemodel.Usual(), Rate: f.Rate,
 		Loads: f.Loads, Reports: f.Reports, Writes: f.Writes, Elsewhere: f.Elsewhere, Estimates: f.Estimates, Delay: ms(f.DelayMS),
 		Stall: f.Stall, StallFor: ms(f.StallMS), Bandwidth: f.MBps * 1e6, Pack: true, ToldAfter: ms(f.ToldMS),
 		Warm: ms(1000 * f.WarmS), Span: ms(1000 * f.SpanS),
@@ -109,10 +109,10 @@
 		e.check(bad)
 		bad(e.Sites >= 2 && e.Sites <= 50, "sites: %d is not from 2 to 50", e.Sites)
 		for _, w := range e.Ways {
-			bad(slices.Contains([]string{fleet.Alone, fleet.Ours, fleet.Random, fleet.Nearest}, w), "ways: there is no %q", w)
+			bad(slices.Contains([]string{simulation.Alone, simulation.Ours, simulation.Random, simulation.Nearest}, w), "ways: there is no %q", w)
 		}
 		for _, s := range e.Scenarios {
-			bad(fleet.ScenarioOf(s) != nil, "scenarios: there is no %q", s)
+			bad(simulation.ScenarioOf(s) != nil, "scenarios: there is no %q", s)
 		}
 		bad(len(e.Ways) > 0 && len(e.Scenarios) > 0, "ways, scenarios: none")
 	})
@@ -126,7 +126,7 @@
 	type run struct {
 		scenario, way string
 		seed          uint64
-		res           *fleet.Result
+		res           *simulation.Result
 	}
 	var runs []*run
 	for _, s := range e.Scenarios {
@@ -140,8 +140,8 @@
 		r := runs[i]
 		o := e.options(set)
 		o.Way, o.Seed, o.Sites = r.way, r.seed, e.Sites
-		o.Events = fleet.ScenarioOf(r.scenario).Events(o.Span, o.Sites)
-		r.res, err = fleet.Play(o)
+		o.Events = simulation.ScenarioOf(r.scenario).Events(o.Span, o.Sites)
+		r.res, err = simulation.Play(o)
 		return err
 	})
 	if err != nil {
@@ -166,7 +166,7 @@
 				broken += len(r.res.Faults)
 				raw.Add(s, w, r.seed, fmt.Sprintf("%.4f", r.res.Service()), fmt.Sprintf("%.4f", r.res.Worst), r.res.Requests, r.res.Crossed,
 					fmt.Sprintf("%.1f", r.res.Spent), fmt.Sprintf("%.1f", r.res.Wasted), r.res.Messages, r.res.Bytes, len(r.res.Faults))
-				if w != fleet.Ours { // the others are for comparison: alone, nothing is told of keys
+				if w != simulation.Ours { // the others are for comparison: alone, nothing is told of keys
 					continue
 				}
 				for _, f := range r.res.Faults {
@@ -228,14 +228,14 @@
 		sites     int
 		seed      uint64
 		way       string
-		res       *fleet.Result
+		res       *simulation.Result
 		decisions int
 		us, took  float64
 	}
 	var runs []*run
 	for _, n := range slices.Backward(e.Sites) { // what takes longest begins first
 		for i, seed := range e.Seeds {
-			runs = append(runs, &run{sites: n, seed: seed, way: fleet.Ours}, &run{sites: n, seed: seed, way: fleet.Alone})
+			runs = append(runs, &run{sites: n, seed: seed, way: simulation.Ours}, &run{sites: n, seed: seed, way: simulation.Alone})
 			if i == 0 {
 				runs = append(runs, &run{sites: n, seed: seed, way: again})
 			}
@@ -245,7 +245,7 @@
 		r := runs[i]
 		o := e.options(set)
 		o.Sites, o.Seed, o.Neighbour = r.sites, r.seed, e.Neighbour
-		if r.way == fleet.Alone {
+		if r.way == simulation.Alone {
 			o.Way = r.way
 		}
 		o.Shape = func(site int, at time.Duration) float64 {
@@ -253,13 +253,13 @@
 		}
 		for s := 0; e.Lose > 0 && s < r.sites; s += 10 {
 			at := time.Duration(e.Lose * e.DayS * float64(time.Second))
-			o.Events = append(o.Events, fleet.Event{At: at, Do: fleet.Lose, Site: s, Part: 1},
-				fleet.Event{At: at + time.Duration(e.DayS/10*float64(time.Second)), Do: fleet.Return, Site: s})
+			o.Events = append(o.Events, simulation.Event{At: at, Do: simulation.Lose, Site: s, Part: 1},
+				simulation.Event{At: at + time.Duration(e.DayS/10*float64(time.Second)), Do: simulation.Return, Site: s})
 		}
 		spent := time.Duration(0)
 		o.Cost = func(began time.Time) { r.decisions++; spent += time.Since(began) }
 		began := time.Now()
-		r.res, err = fleet.Play(o)
+		r.res, err = simulation.Play(o)
 		r.took, r.us = time.Since(began).Seconds(), float64(spent.Nanoseconds())/1000/float64(max(r.decisions, 1))
 		return err
 	})
@@ -284,7 +284,7 @@
 			switch r.way {
 			case again:
 				same = first != nil && first.res.Sum() == r.res.Sum()
-			case fleet.Alone:
+			case simulation.Alone:
 				alone = append(alone, r.res.Service())
 			default:
 				if first == nil {
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"gannetspur/internal/testbed/enginemodel"
-	"gannetspur/internal/testbed/fleet"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
+	"gannetspur/internal/testbed/simulation"
 	"gannetspur/internal/testbed/sites"
 
 	"gonum.org/v1/gonum/stat"
@@ -43,7 +43,7 @@
 			bad(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
 		}
 		for _, w := range e.Ways {
-			bad(w == fleet.Alone || w == fleet.Ours, "ways: there is no %q on sockets", w)
+			bad(w == simulation.Alone || w == simulation.Ours, "ways: there is no %q on sockets", w)
 		}
 		for _, s := range e.Scenarios {
 			bad(socketScenario(s) != nil, "scenarios: there is no %q", s)
@@ -52,33 +52,33 @@
 }
 
 // socketOnly are scenarios that sockets have beside those of virtual time.
-var socketOnly = []fleet.Scenario{
-	{Name: "upgrades", What: "both gateways are upgraded in turn while the first site is overloaded", Events: func(span time.Duration, _ int) []fleet.Event {
-		return []fleet.Event{{At: span / 6, Do: fleet.Load, Part: 2}, {At: span / 3, Do: sites.Upgrade, Site: 1}, {At: span / 2, Do: sites.Upgrade},
-			{At: span * 2 / 3, Do: sites.Upgrade, Site: 1}, {At: span * 5 / 6, Do: fleet.Load, Part: 1}}
+var socketOnly = []simulation.Scenario{
+	{Name: "upgrades", What: "both gateways are upgraded in turn while the first site is overloaded", Events: func(span time.Duration, _ int) []simulation.Event {
+		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: sites.Upgrade, Site: 1}, {At: span / 2, Do: sites.Upgrade},
+			{At: span * 2 / 3, Do: sites.Upgrade, Site: 1}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
 	}},
-	{Name: "lost-replies", What: "replies of the second site are lost for a while, then the link is cut", Events: func(span time.Duration, _ int) []fleet.Event {
-		return []fleet.Event{{At: span / 6, Do: fleet.Load, Part: 2}, {At: span / 3, Do: string(link.Lost)}, {At: span / 2, Do: fleet.Mend},
-			{At: span / 2, Do: string(link.Reset)}, {At: span * 5 / 6, Do: fleet.Load, Part: 1}}
+	{Name: "lost-replies", What: "replies of the second site are lost for a while, then the link is cut", Events: func(span time.Duration, _ int) []simulation.Event {
+		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: string(link.Lost)}, {At: span / 2, Do: simulation.Mend},
+			{At: span / 2, Do: string(link.Reset)}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
 	}},
 }
 
-func socketScenario(name string) *fleet.Scenario {
+func socketScenario(name string) *simulation.Scenario {
 	for i := range socketOnly {
 		if socketOnly[i].Name == name {
 			return &socketOnly[i]
 		}
 	}
-	return fleet.ScenarioOf(name)
+	return simulation.ScenarioOf(name)
 }
 
 // events are a scenario's on sockets.
-func (e *sitesExperiment) events(all []fleet.Event) (out []sites.Event) {
+func (e *sitesExperiment) events(all []simulation.Event) (out []sites.Event) {
 	for i, ev := range all {
 		one := sites.Event{At: ev.At, Do: ev.Do, Site: ev.Site, Factor: ev.Part}
 		until := time.Duration(0) // of a link's fault
 		for _, later := range all[i+1:] {
-			if later.Do == fleet.Mend {
+			if later.Do == simulation.Mend {
 				until = later.At - ev.At
 				break
 			}
@@ -89,36 +89,36 @@
 			}
 		}
 		switch ev.Do {
-		case fleet.Lose:
+		case simulation.Lose:
 			engines("die", int(float64(e.Engines)*ev.Part+0.5), 0)
-		case fleet.Return:
+		case simulation.Return:
 			n := 0
 			for _, before := range all[:i] {
-				if before.Do == fleet.Lose && before.Site == ev.Site {
+				if before.Do == simulation.Lose && before.Site == ev.Site {
 					n = int(float64(e.Engines)*before.Part + 0.5)
 				}
 			}
 			engines("return", n, 0)
-		case fleet.Chill:
+		case simulation.Chill:
 			engines("die", e.Engines, 0)
 			engines("return", e.Engines, 3*time.Second)
-		case fleet.Load:
+		case simulation.Load:
 			one.Do = sites.Busy
 			out = append(out, one)
-		case fleet.Cut, fleet.Mute, fleet.OneWay, string(link.Lost):
-			one.Do = map[string]string{fleet.Cut: string(link.Cut), fleet.Mute: string(link.Silence), fleet.OneWay: string(link.OneWay), string(link.Lost): string(link.Lost)}[ev.Do]
+		case simulation.Cut, simulation.Mute, simulation.OneWay, string(link.Lost):
+			one.Do = map[string]string{simulation.Cut: string(link.Cut), simulation.Mute: string(link.Silence), simulation.OneWay: string(link.OneWay), string(link.Lost): string(link.Lost)}[ev.Do]
 			one.For = until
 			out = append(out, one)
-		case fleet.Kill:
+		case simulation.Kill:
 			one.Do = sites.GatewayDies
 			out = append(out, one)
-		case fleet.Drain:
+		case simulation.Drain:
 			one.Do = sites.SiteDrain
 			out = append(out, one)
-		case fleet.Back:
+		case simulation.Back:
 			one.Do = sites.SiteBack
 			out = append(out, one)
-		case fleet.Mend:
+		case simulation.Mend:
 		default:
 			out = append(out, one)
 		}
@@ -130,7 +130,7 @@
 	front, scenario, way string
 	seed                 uint64
 	res                  *sites.Result
-	virtual              *fleet.Result
+	virtual              *simulation.Result
 }
 
 func (e *sitesExperiment) run(ctx context.Context, c *runCommand, program, dir string, log io.Writer) error {
@@ -157,7 +157,7 @@
 		o := e.options(set)
 		events := socketScenario(r.scenario).Events(o.Span, 2)
 		r.res, err = sites.Play(ctx, sites.Options{
-			Front: r.front, Root: ".", Dir: sub, Program: program, Together: r.way == fleet.Ours, Engines: e.Engines, Engine: enginemodel.Usual(),
+			Front: r.front, Root: ".", Dir: sub, Program: program, Together: r.way == simulation.Ours, Engines: e.Engines, Engine: enginemodel.Usual(),
 			Rate: e.Rate, Loads: e.Loads, Reports: e.Reports, Writes: e.Writes, Connections: e.Connections,
 			Link:   link.Options{Delay: o.Delay, Bandwidth: int(o.Bandwidth), Stall: o.Stall, StallFor: o.StallFor, Seed: r.seed},
 			Events: e.events(events), Warm: o.Warm, Span: o.Span, Seed: r.seed, Log: log,
@@ -165,9 +165,9 @@
 		if err != nil {
 			return fmt.Errorf("%s, %s, seed %d: %w", r.scenario, r.way, r.seed, err)
 		}
-		if e.Virtual && fleet.ScenarioOf(r.scenario) != nil {
+		if e.Virtual && simulation.ScenarioOf(r.scenario) != nil {
 			o.Way, o.Seed, o.Events = r.way, r.seed, events
-			r.virtual, err = fleet.Play(o)
+			r.virtual, err = simulation.Play(o)
 		}
 		return err
 	})
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -129,7 +129,7 @@
 }
 
 // The reply to a load is lost and its site falls silent: it is answered for here, long before
-// its client gives up. What it is once the window is over, internal/testbed/fleet plays.
+// its client gives up. What it is once the window is over, internal/testbed/simulation plays.
 func TestLostReply(t *testing.T) {
 	_, _, a, b, _ := pair(t)
 	b.hold(true)
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -1,4 +1,4 @@
-package fleet
+package simulation
 
 import (
 	"fmt"
