--- a/cmd/testbed/tier.go
+++ b/cmd/testbed/tier.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
+	"gannetspur/internal/testbed/cluster"
 	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
-	"gannetspur/internal/testbed/tier"
 )
 
 // tierExperiment plays front ends of one tier as processes of the program, with faults between them.
@@ -37,14 +37,14 @@
 type tierFault struct {
 	AtS    float64 `toml:"at_s"` // from when all have found each other
 	ForS   float64 `toml:"for_s"`
-	Do     tier.Do
-	Who    []int     // front ends, from 1
-	To     []int     // of ways; none: all others
-	Back   bool      // and the way back
-	Share  float64   // of datagrams
-	SlowMS float64   `toml:"slow_ms"`
-	Side   tier.Side // of "link": "engines" (To: their numbers, from 1; none: all), "bus" or "clients"
-	Kind   link.Kind // and what happens there, as upgrade experiments name it
+	Do     cluster.Do
+	Who    []int        // front ends, from 1
+	To     []int        // of ways; none: all others
+	Back   bool         // and the way back
+	Share  float64      // of datagrams
+	SlowMS float64      `toml:"slow_ms"`
+	Side   cluster.Side // of "link": "engines" (To: their numbers, from 1; none: all), "bus" or "clients"
+	Kind   link.Kind    // and what happens there, as upgrade experiments name it
 }
 
 func readTier(path string) (*tierExperiment, error) {
@@ -58,14 +58,14 @@
 			bad(p.SpanS >= 1 && p.SpanS <= 600, "play[%d].span_s: %g is not from 1 to 600", i, p.SpanS)
 			for j, f := range p.Faults {
 				at := fmt.Sprintf("play[%d].fault[%d].", i, j)
-				bad(slices.Contains(tier.Kinds, f.Do), "%sdo: there is no %q", at, f.Do)
+				bad(slices.Contains(cluster.Kinds, f.Do), "%sdo: there is no %q", at, f.Do)
 				bad(len(f.Who) > 0, "%swho: none", at)
 				most := e.processes(p)
 				for _, n := range f.Who {
 					bad(n >= 1 && n <= most, "%swho: %d is not from 1 to %d", at, n, most)
 				}
-				if f.Do == tier.Link {
-					bad(slices.Contains(tier.Sides, f.Side), "%sside: there is no %q", at, f.Side)
+				if f.Do == cluster.Link {
+					bad(slices.Contains(cluster.Sides, f.Side), "%sside: there is no %q", at, f.Side)
 					bad(slices.Contains(link.Kinds, f.Kind), "%skind: there is no %q", at, f.Kind)
 					most = e.Engines
 				}
@@ -86,7 +86,7 @@
 	return e.Processes
 }
 
-func (p tierPlay) faults(seed uint64, processes, engines int) (all []tier.Fault) {
+func (p tierPlay) faults(seed uint64, processes, engines int) (all []cluster.Fault) {
 	less := func(in []int) (out []int) {
 		for _, n := range in {
 			out = append(out, n-1)
@@ -95,13 +95,13 @@
 	}
 	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	for _, f := range p.Faults {
-		all = append(all, tier.Fault{
+		all = append(all, cluster.Fault{
 			At: s(f.AtS), For: s(f.ForS), Do: f.Do, Who: less(f.Who), To: less(f.To), Back: f.Back, Share: f.Share, Slow: s(f.SlowMS / 1000),
 			Side: f.Side, Kind: f.Kind,
 		})
 	}
 	if p.Drawn > 0 {
-		all = append(all, tier.Drawn(seed, processes, engines, p.Drawn, s(p.SpanS))...)
+		all = append(all, cluster.Drawn(seed, processes, engines, p.Drawn, s(p.SpanS))...)
 	}
 	return all
 }
@@ -117,7 +117,7 @@
 		for _, seed := range e.Seeds {
 			sub := filepath.Join(dir, fmt.Sprintf("%s-%d", p.Name, seed))
 			n := e.processes(p)
-			res, err := tier.Run(ctx, tier.Options{
+			res, err := cluster.Run(ctx, cluster.Options{
 				Root: ".", Program: program, Dir: sub, Processes: n, Engines: e.Engines, Alone: p.Alone, Rate: e.Rate, Seed: seed,
 				Faults: p.faults(seed, n, e.Engines), Span: time.Duration(p.SpanS * float64(time.Second)), Log: log,
 			})
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func cell(e tier.Event, field string) any {
+func cell(e cluster.Event, field string) any {
 	if v, ok := e.Fields[field]; ok {
 		return v
 	}
--- a/internal/testbed/tier/mesh.go
+++ b/internal/testbed/cluster/mesh.go
@@ -1,7 +1,7 @@
 // Package tier starts several processes of ringwood as front ends of one tier, with emulated engines, bus and clients,
 // puts relays between them, does to them and to the ways between them what a schedule says, merges what all of them
 // logged, and checks that no rule was broken.
-package tier
+package cluster
 
 import (
 	"errors"
--- a/internal/testbed/tier/ways.go
+++ b/internal/testbed/cluster/ways.go
@@ -1,4 +1,4 @@
-package tier
+package cluster
 
 import (
 	"fmt"
