--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/harness"
-	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
 	"gannetspur/internal/testbed/shapes"
@@ -68,21 +68,21 @@
 		Engine int // from 1
 	} `toml:"event"`
 	LinkFaults []struct {
-		Kind  link.Kind
+		Kind  faultproxy.Kind
 		FromS float64 `toml:"from_s"` // from the start of the links, some 2 s before the first upgrade
 		ForS  float64 `toml:"for_s"`  // 0: to the end
 	} `toml:"link_fault"`
 }
 
 // link is what lies between gateway and engines.
-func (e *experiment) link(seed uint64) *link.Options {
+func (e *experiment) link(seed uint64) *faultproxy.Options {
 	if e.DelayMS <= 0 && e.JitterMS <= 0 && len(e.LinkFaults) == 0 {
 		return nil
 	}
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	opts := &link.Options{Delay: ms(e.DelayMS), Jitter: ms(e.JitterMS), Seed: seed}
+	opts := &faultproxy.Options{Delay: ms(e.DelayMS), Jitter: ms(e.JitterMS), Seed: seed}
 	for _, f := range e.LinkFaults {
-		opts.Faults = append(opts.Faults, link.Fault{Kind: f.Kind, From: ms(1000 * f.FromS), For: ms(1000 * f.ForS)})
+		opts.Faults = append(opts.Faults, faultproxy.Fault{Kind: f.Kind, From: ms(1000 * f.FromS), For: ms(1000 * f.ForS)})
 	}
 	return opts
 }
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"gannetspur/internal/testbed/enginemodel"
-	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
 	"gannetspur/internal/testbed/simulation"
@@ -58,8 +58,8 @@
 			{At: span * 2 / 3, Do: sites.Upgrade, Site: 1}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
 	}},
 	{Name: "lost-replies", What: "replies of the second site are lost for a while, then the link is cut", Events: func(span time.Duration, _ int) []simulation.Event {
-		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: string(link.Lost)}, {At: span / 2, Do: simulation.Mend},
-			{At: span / 2, Do: string(link.Reset)}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
+		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: string(faultproxy.Lost)}, {At: span / 2, Do: simulation.Mend},
+			{At: span / 2, Do: string(faultproxy.Reset)}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
 	}},
 }
 
@@ -105,8 +105,8 @@
 		case simulation.Load:
 			one.Do = sites.Busy
 			out = append(out, one)
-		case simulation.Cut, simulation.Mute, simulation.OneWay, string(link.Lost):
-			one.Do = map[string]string{simulation.Cut: string(link.Cut), simulation.Mute: string(link.Silence), simulation.OneWay: string(link.OneWay), string(link.Lost): string(link.Lost)}[ev.Do]
+		case simulation.Cut, simulation.Mute, simulation.OneWay, string(faultproxy.Lost):
+			one.Do = map[string]string{simulation.Cut: string(faultproxy.Cut), simulation.Mute: string(faultproxy.Silence), simulation.OneWay: string(faultproxy.OneWay), string(faultproxy.Lost): string(faultproxy.Lost)}[ev.Do]
 			one.For = until
 			out = append(out, one)
 		case simulation.Kill:
@@ -159,7 +159,7 @@
 		r.res, err = sites.Play(ctx, sites.Options{
 			Front: r.front, Root: ".", Dir: sub, Program: program, Together: r.way == simulation.Ours, Engines: e.Engines, Engine: enginemodel.Usual(),
 			Rate: e.Rate, Loads: e.Loads, Reports: e.Reports, Writes: e.Writes, Connections: e.Connections,
-			Link:   link.Options{Delay: o.Delay, Bandwidth: int(o.Bandwidth), Stall: o.Stall, StallFor: o.StallFor, Seed: r.seed},
+			Link:   faultproxy.Options{Delay: o.Delay, Bandwidth: int(o.Bandwidth), Stall: o.Stall, StallFor: o.StallFor, Seed: r.seed},
 			Events: e.events(events), Warm: o.Warm, Span: o.Span, Seed: r.seed, Log: log,
 		})
 		if err != nil {
--- a/cmd/testbed/tier.go
+++ b/cmd/testbed/tier.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"gannetspur/internal/testbed/cluster"
-	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
 )
@@ -38,13 +38,13 @@
 	AtS    float64 `toml:"at_s"` // from when all have found each other
 	ForS   float64 `toml:"for_s"`
 	Do     cluster.Do
-	Who    []int        // front ends, from 1
-	To     []int        // of ways; none: all others
-	Back   bool         // and the way back
-	Share  float64      // of datagrams
-	SlowMS float64      `toml:"slow_ms"`
-	Side   cluster.Side // of "link": "engines" (To: their numbers, from 1; none: all), "bus" or "clients"
-	Kind   link.Kind    // and what happens there, as upgrade experiments name it
+	Who    []int           // front ends, from 1
+	To     []int           // of ways; none: all others
+	Back   bool            // and the way back
+	Share  float64         // of datagrams
+	SlowMS float64         `toml:"slow_ms"`
+	Side   cluster.Side    // of "link": "engines" (To: their numbers, from 1; none: all), "bus" or "clients"
+	Kind   faultproxy.Kind // and what happens there, as upgrade experiments name it
 }
 
 func readTier(path string) (*tierExperiment, error) {
@@ -66,7 +66,7 @@
 				}
 				if f.Do == cluster.Link {
 					bad(slices.Contains(cluster.Sides, f.Side), "%sside: there is no %q", at, f.Side)
-					bad(slices.Contains(link.Kinds, f.Kind), "%skind: there is no %q", at, f.Kind)
+					bad(slices.Contains(faultproxy.Kinds, f.Kind), "%skind: there is no %q", at, f.Kind)
 					most = e.Engines
 				}
 				for _, n := range f.To {
--- a/internal/testbed/cluster/drawn.go
+++ b/internal/testbed/cluster/drawn.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/faultproxy"
 )
 
 // Drawn is a schedule that a seed gives: troubles of all kinds, one after the other and at once, with nobody choosing.
@@ -46,10 +46,10 @@
 		case 11:
 			f.Do, f.Who = []Do{DiskFull, NoFiles}[rng.IntN(2)], f.Who[:1]
 		case 12:
-			f.Do, f.Side, f.To, f.Kind = Link, Engines, []int{rng.IntN(engines)}, []link.Kind{link.Silence, link.OneWay, link.Lost, link.Cut, link.Reset}[rng.IntN(5)]
+			f.Do, f.Side, f.To, f.Kind = Link, Engines, []int{rng.IntN(engines)}, []faultproxy.Kind{faultproxy.Silence, faultproxy.OneWay, faultproxy.Lost, faultproxy.Cut, faultproxy.Reset}[rng.IntN(5)]
 			f.For = min(f.For, 5*time.Second)
 		case 13:
-			f.Do, f.Side, f.Kind = Link, Bus, []link.Kind{link.Silence, link.Cut, link.Garbage}[rng.IntN(3)]
+			f.Do, f.Side, f.Kind = Link, Bus, []faultproxy.Kind{faultproxy.Silence, faultproxy.Cut, faultproxy.Garbage}[rng.IntN(3)]
 		}
 		faults = append(faults, f)
 	}
--- a/internal/testbed/cluster/tier.go
+++ b/internal/testbed/cluster/tier.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/harness"
-	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 
 	"golang.org/x/sys/unix"
@@ -49,8 +49,8 @@
 	Back  bool  // and the way back
 	Share float64
 	Slow  time.Duration
-	Side  Side      // of Link: ways to engines (of the numbers in To, from 0; nil: all), to the bus, or from clients
-	Kind  link.Kind // of Link
+	Side  Side            // of Link: ways to engines (of the numbers in To, from 0; nil: all), to the bus, or from clients
+	Kind  faultproxy.Kind // of Link
 }
 
 // Do is a kind of fault.
--- a/internal/testbed/cluster/ways.go
+++ b/internal/testbed/cluster/ways.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/faultproxy"
 )
 
 // Side names what a front end has connections with.
@@ -23,26 +23,26 @@
 
 // ways are the relays of one front end's connections: one to each engine, one to the event bus, and one that its clients come
 // through. With the mesh's, nothing that a front end says or hears passes by a relay.
-type ways struct{ all map[Side][]*link.Link }
+type ways struct{ all map[Side][]*faultproxy.Link }
 
 // open opens a relay to an address and returns where it listens.
 func (w *ways) open(side Side, to string, seed uint64) (string, error) {
-	l, err := link.Listen(to, link.Options{Seed: seed})
+	l, err := faultproxy.Listen(to, faultproxy.Options{Seed: seed})
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", side, err)
 	}
 	if w.all == nil {
-		w.all = map[Side][]*link.Link{}
+		w.all = map[Side][]*faultproxy.Link{}
 	}
 	w.all[side] = append(w.all[side], l)
 	return l.Addr(), nil
 }
 
 // do has something happen to the ways on a side, of these numbers or, where none is given, of all.
-func (w *ways) do(side Side, which []int, kind link.Kind, span time.Duration) {
+func (w *ways) do(side Side, which []int, kind faultproxy.Kind, span time.Duration) {
 	for i, l := range w.all[side] {
 		if len(which) == 0 || slices.Contains(which, i) {
-			l.Add(link.Fault{Kind: kind, For: span})
+			l.Add(faultproxy.Fault{Kind: kind, For: span})
 		}
 	}
 }
--- a/internal/testbed/link/link.go
+++ b/internal/testbed/faultproxy/link.go
@@ -1,7 +1,7 @@
 // Package link is a loopback relay that does to a connection what networks do: delay with
 // jitter, a bandwidth, silence, a cut, a reset, a half-close, garbage, lost replies. What
 // it does and when follows a schedule and a seed, so that a run can be played again.
-package link
+package faultproxy
 
 import (
 	"errors"
--- a/internal/testbed/link/link_test.go
+++ b/internal/testbed/faultproxy/link_test.go
@@ -1,4 +1,4 @@
-package link
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/testbed/harness/rig.go
+++ b/internal/testbed/harness/rig.go
@@ -21,7 +21,7 @@
 
 	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/enginemodel"
-	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/faultproxy"
 )
 
 // Options say what to set up.
@@ -40,7 +40,7 @@
 	// Machine and Ask, where given, make engines whose statements wait for each other.
 	Machine func(i int) *emulator.Machine
 	Ask     func(statement string) enginemodel.Query
-	Link    *link.Options // between gateways and engines; nil: none
+	Link    *faultproxy.Options // between gateways and engines; nil: none
 	Log     *slog.Logger
 }
 
@@ -49,7 +49,7 @@
 	Config, Deploy, Shapes string          // the gateways' files
 	Lines, Postgres        *emulator.Fleet // the engines of each wire, and what tells of them
 	listeners              []net.Listener
-	links                  []*link.Link
+	links                  []*faultproxy.Link
 }
 
 // Do does one thing to the engines of both wires, or to what tells of them.
@@ -137,7 +137,7 @@
 	one.Log = opts.Log.With("engine", one.Name)
 	addr := ln.Addr().String()
 	if opts.Link != nil {
-		l, err := link.Listen(addr, *opts.Link)
+		l, err := faultproxy.Listen(addr, *opts.Link)
 		if err != nil {
 			_ = ln.Close()
 			return err
--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -13,7 +13,7 @@
 
 	"gannetspur/internal/core"
 	"gannetspur/internal/site/forwarding"
-	"gannetspur/internal/testbed/link"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/policy"
 )
 
@@ -113,7 +113,7 @@
 		return nil
 	}
 	return func(addr string) (string, error) {
-		l, err := link.Listen(addr, link.Options{Delay: delay})
+		l, err := faultproxy.Listen(addr, faultproxy.Options{Delay: delay})
 		if err != nil {
 			return "", err
 		}
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -25,8 +25,8 @@
 	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/enginemodel"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/harness"
-	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 )
 
@@ -48,7 +48,7 @@
 // Known tells whether there is a kind of event of this name.
 func Known(do string) bool {
 	return emulator.Known(do) || slices.Contains([]string{GatewayDies, Upgrade, SiteDrain, SiteBack, Busy,
-		string(link.Silence), string(link.OneWay), string(link.Lost), string(link.Cut), string(link.Reset)}, do)
+		string(faultproxy.Silence), string(faultproxy.OneWay), string(faultproxy.Lost), string(faultproxy.Cut), string(faultproxy.Reset)}, do)
 }
 
 // Event is something that happens.
@@ -75,7 +75,7 @@
 	Reports     float64
 	Writes      float64
 	Connections int // of clients, to each gateway
-	Link        link.Options
+	Link        faultproxy.Options
 	Settings    map[string]string // lines of the file of sites that are others than deploy/sites.toml's
 	Events      []Event
 	Warm        time.Duration // at the start, which does not count
@@ -116,7 +116,7 @@
 	ledger *emulator.Ledger
 	ca     *authority.Authority
 	places [2]*place
-	link   *link.Link
+	link   *faultproxy.Link
 	dialed atomic.Uint64 // clients, of all sources: their requests' ids must differ
 }
 
@@ -157,7 +157,7 @@
 			return b, err
 		}
 	}
-	if b.link, err = link.Listen(b.places[1].sites, opts.Link); err != nil {
+	if b.link, err = faultproxy.Listen(b.places[1].sites, opts.Link); err != nil {
 		return b, err
 	}
 	for _, p := range b.places {
@@ -400,7 +400,7 @@
 		running.Go(func() { s.Run(traffic) })
 		return nil
 	}
-	b.link.Add(link.Fault{Kind: link.Kind(e.Do), For: e.For})
+	b.link.Add(faultproxy.Fault{Kind: faultproxy.Kind(e.Do), For: e.For})
 	return nil
 }
 
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -20,8 +20,8 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/harness"
-	"gannetspur/internal/testbed/link"
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/traffic"
 )
@@ -67,8 +67,8 @@
 	MayReturn   bool             // a good one may be returned from: troubles of the engines are taken for its own
 	Gap         time.Duration
 	ProveFor    time.Duration
-	Link        *link.Options // between gateway and engines; nil: none
-	Events      []Event       // among the engines, by time from the first upgrade
+	Link        *faultproxy.Options // between gateway and engines; nil: none
+	Events      []Event             // among the engines, by time from the first upgrade
 	Seed        uint64
 	Log         io.Writer // of the gateways
 	Each        func(Upgrade)
