--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"gannetspur/internal/testbed/harness"
-	"gannetspur/internal/testbed/register"
 	"gannetspur/internal/testbed/report"
 	"gannetspur/internal/testbed/shapes"
 	"gannetspur/internal/testbed/traffic"
+	"gannetspur/internal/testbed/workload"
 
 	"gonum.org/v1/gonum/stat"
 )
@@ -60,7 +60,7 @@
 	}
 	if len(c.Files) == 0 {
 		for _, seed := range c.Seeds {
-			worlds, seeds = append(worlds, shapes.Generated(register.Defaults(seed), c.Number)), append(seeds, seed)
+			worlds, seeds = append(worlds, shapes.Generated(workload.Defaults(seed), c.Number)), append(seeds, seed)
 		}
 	}
 	t := report.Table{Columns: []string{"variant", "class right by count", "by worth", "hard cases alone", "writes taken as reads", "median error", "p90 error"}}
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"gannetspur/internal/testbed/register"
 	"gannetspur/internal/testbed/traffic"
+	"gannetspur/internal/testbed/workload"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/vbauerster/mpb/v8"
@@ -39,8 +39,8 @@
 	HintMissing float64 `default:"0.15" help:"Share of statements without one."`
 }
 
-func (w world) options() register.Options {
-	return register.Options{
+func (w world) options() workload.Options {
+	return workload.Options{
 		Seed: w.Seed, Templates: w.Templates, OneOff: w.OneOff, Hard: w.Hard, Writes: w.Writes,
 		DriftAt: w.DriftAt, Drift: w.Drift, HintNoise: w.HintNoise, HintMissing: w.HintMissing,
 	}
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -19,7 +19,7 @@
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/testbed/harness"
-	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/workload"
 )
 
 // CostOptions say how to measure what reading shapes costs the gateway.
@@ -62,9 +62,9 @@
 const mostPrepared = 200
 
 // lookups are reading statements of the model, with their values written out or bound.
-func lookups(seed uint64, n int, bound bool) []register.Asked {
-	w := register.New(register.Options{Seed: seed, Templates: 200}, n)
-	var texts []register.Asked
+func lookups(seed uint64, n int, bound bool) []workload.Asked {
+	w := workload.New(workload.Options{Seed: seed, Templates: 200}, n)
+	var texts []workload.Asked
 	distinct := map[string]bool{}
 	for len(texts) < n {
 		a := w.Next()
@@ -79,7 +79,7 @@
 
 // messages are what a client sends for one statement: a Query, or a Bind of a statement
 // that it prepares where it has not yet.
-func messages(out []byte, a *register.Asked, named map[string]string) []byte {
+func messages(out []byte, a *workload.Asked, named map[string]string) []byte {
 	if len(a.Values) == 0 {
 		return pgproto.Append(out, 'Q', pgproto.Str(a.Statement))
 	}
@@ -103,7 +103,7 @@
 	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
-func costRound(ctx context.Context, opts CostOptions, texts []register.Asked, on bool) (res CostRound, err error) {
+func costRound(ctx context.Context, opts CostOptions, texts []workload.Asked, on bool) (res CostRound, err error) {
 	dir, err := os.MkdirTemp("", "ringlab-cost-")
 	if err != nil {
 		return res, err
@@ -158,7 +158,7 @@
 
 // ask has clients send statements one after the other. Refusals are waited out at the
 // start, while no engine is known yet.
-func ask(ctx context.Context, addr string, texts []register.Asked, clients, requests int) error {
+func ask(ctx context.Context, addr string, texts []workload.Asked, clients, requests int) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, clients)
 	for i := range clients {
@@ -177,7 +177,7 @@
 	return all
 }
 
-func askOne(ctx context.Context, addr string, texts []register.Asked, from, requests int) error {
+func askOne(ctx context.Context, addr string, texts []workload.Asked, from, requests int) error {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -11,8 +11,8 @@
 	decide "gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/queryshape"
 	"gannetspur/internal/sqltext"
-	"gannetspur/internal/testbed/register"
 	"gannetspur/internal/testbed/traffic"
+	"gannetspur/internal/testbed/workload"
 
 	"gonum.org/v1/gonum/stat"
 )
@@ -25,7 +25,7 @@
 
 // Classes are those that statements are judged by.
 func Classes() []decide.Class {
-	return []decide.Class{{Name: "lookup", UpTo: register.BroadAt}, {Name: "report"}}
+	return []decide.Class{{Name: "lookup", UpTo: workload.BroadAt}, {Name: "report"}}
 }
 
 // Variants are the whole classifier, and each part switched off in turn.
@@ -154,7 +154,7 @@
 				hints = append(hints, math.Abs(math.Log2(r.HintWork/r.Work)))
 				hinted++
 				said := "lookup"
-				if r.HintWork > register.BroadAt {
+				if r.HintWork > workload.BroadAt {
 					said = "report"
 				}
 				if r.Class == "load" || said == r.Class {
@@ -193,8 +193,8 @@
 }
 
 // Generated makes the records of a world in memory.
-func Generated(opts register.Options, number int) []traffic.Record {
-	w := register.New(opts, number)
+func Generated(opts workload.Options, number int) []traffic.Record {
+	w := workload.New(opts, number)
 	all := make([]traffic.Record, number)
 	for i := range all {
 		all[i] = traffic.FromAsked(w.Next())
--- a/internal/testbed/shapes/evaluate_test.go
+++ b/internal/testbed/shapes/evaluate_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/workload"
 )
 
 // On traffic whose truth is known the classifier keeps what the product promises of it,
 // and each part that is switched off is missed somewhere.
 func TestEvaluate(t *testing.T) {
-	records := Generated(register.Defaults(1), 12000)
+	records := Generated(workload.Defaults(1), 12000)
 	results := map[string]Result{}
 	for _, v := range Variants() {
 		res, err := Evaluate(records, v, Options{Train: 0.5, Bytes: 2 << 20})
--- a/internal/testbed/traffic/generate.go
+++ b/internal/testbed/traffic/generate.go
@@ -6,7 +6,7 @@
 	"math"
 	"math/rand/v2"
 
-	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/workload"
 
 	"gonum.org/v1/gonum/stat/distuv"
 )
@@ -83,7 +83,7 @@
 }
 
 // Generate writes so many statements of a world.
-func Generate(w io.Writer, opts register.Options, number int, rate float64, how Comes, progress func(int)) error {
+func Generate(w io.Writer, opts workload.Options, number int, rate float64, how Comes, progress func(int)) error {
 	a, err := newArrivals(how, rate, number, opts.Seed)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	world := register.New(opts, number)
+	world := workload.New(opts, number)
 	for i := range number {
 		r := FromAsked(world.Next())
 		r.At = a.next()
@@ -107,7 +107,7 @@
 }
 
 // FromAsked turns a statement of the model into a record.
-func FromAsked(q register.Asked) Record {
+func FromAsked(q workload.Asked) Record {
 	return Record{
 		Statement: q.Statement, Values: q.Values, Formats: q.Formats, Types: q.Types, HintWork: q.HintWork, HintMB: q.HintMB, Key: q.Key,
 		Class: q.Class, Hard: q.Hard, Template: q.Template, Work: q.Work, MemoryMB: q.MemoryMB, Worth: q.Worth,
--- a/internal/testbed/traffic/traffic_test.go
+++ b/internal/testbed/traffic/traffic_test.go
@@ -6,14 +6,14 @@
 	"io"
 	"testing"
 
-	"gannetspur/internal/testbed/register"
+	"gannetspur/internal/testbed/workload"
 
 	"github.com/google/go-cmp/cmp"
 )
 
 func generate(t testing.TB, how Comes, number int) []byte {
 	var b bytes.Buffer
-	if err := Generate(&b, register.Defaults(7), number, 99, how, nil); err != nil {
+	if err := Generate(&b, workload.Defaults(7), number, 99, how, nil); err != nil {
 		t.Fatal(err)
 	}
 	return b.Bytes()
@@ -45,7 +45,7 @@
 		if !errors.Is(err, io.EOF) || len(all) != 3000 {
 			t.Fatalf("%s: %d records, %v", how, len(all), err)
 		}
-		world := register.New(register.Defaults(7), 3000)
+		world := workload.New(workload.Defaults(7), 3000)
 		last := int64(0)
 		for i := range all {
 			want := FromAsked(world.Next())
--- a/internal/testbed/register/register.go
+++ b/internal/testbed/workload/register.go
@@ -3,7 +3,7 @@
 // statement truly costs there. The cost comes from what a statement means (how many rows
 // it reaches, by which way, and what is done with them), never from its text: nothing
 // that ringwood's classifier looks at has a part in it.
-package register
+package workload
 
 import (
 	"math"
--- a/internal/testbed/register/templates.go
+++ b/internal/testbed/workload/templates.go
@@ -1,4 +1,4 @@
-package register
+package workload
 
 import (
 	"encoding/binary"
