--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/testbed/costs"
+	"gannetspur/internal/testbed/workcost"
 	"gannetspur/policy"
 )
 
@@ -102,7 +102,7 @@
 	}
 	s.marks++
 	c := &client{w: w, site: s, mark: fmt.Sprintf("%c-%d-%d", kind, s.n, s.marks), due: w.now, guess: math.Exp(guessSpread * s.rng.NormFloat64())}
-	name := costs.Of(c.mark).Name
+	name := workcost.Of(c.mark).Name
 	i := slices.IndexFunc(w.opts.Site.Policy.Classes, func(class policy.Class) bool { return class.Name == name })
 	if i < 0 {
 		w.fail(fmt.Errorf("fleet: the settings have no class %q", name))
@@ -130,7 +130,7 @@
 		c.told(core.Answer{Verdict: core.Failed}, "gateway away")
 		return
 	}
-	work, group := costs.Work(c.mark)
+	work, group := workcost.Work(c.mark)
 	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: c.mark, Set: group + 1, Deadline: c.until + c.g.skew(), Client: c, Repeat: c.tries > 1}
 	if w.opts.Estimates {
 		r.Work = time.Duration(float64(work) * c.guess)
@@ -186,10 +186,10 @@
 	if at < 0 {
 		return
 	}
-	worth := costs.Of(c.mark).Worth
+	worth := workcost.Of(c.mark).Worth
 	got := 0.0
 	if served {
-		got = costs.Value(c.mark, now-c.due)
+		got = workcost.Value(c.mark, now-c.due)
 		r.Latency = append(r.Latency, float64(now-c.due)/1e6)
 	}
 	r.Requests++
@@ -220,7 +220,7 @@
 		}
 	}
 	r.order, r.open = nil, nil
-	r.Worst = costs.Worst(r.spans)
+	r.Worst = workcost.Worst(r.spans)
 	for _, s := range w.sites {
 		for _, g := range s.gateways {
 			for name, n := range g.stats.All() {
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"gannetspur/internal/core"
-	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/enginemodel"
+	"gannetspur/internal/testbed/workcost"
 	"gannetspur/internal/timerqueue"
 	"gannetspur/policy"
 )
@@ -168,7 +168,7 @@
 	}
 	e.last++
 	r.id, r.at = e.last, w.now
-	q := costs.Query(r.mark)
+	q := workcost.Query(r.mark)
 	q.ID = r.id
 	took := e.model.Submit(w.now, q)
 	if e.model.Fallen() && !e.down {
@@ -226,7 +226,7 @@
 
 // spent counts what a run took of its engine, and whether its answer was wanted.
 func (w *World) spent(r *running, wanted bool) {
-	x := (w.now - r.at).Seconds() * costs.Of(r.mark).Threads
+	x := (w.now - r.at).Seconds() * workcost.Of(r.mark).Threads
 	w.res.Spent += x
 	if !wanted {
 		w.res.Wasted += x
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -22,12 +22,12 @@
 	"gannetspur/internal/admin"
 	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/testbed/authority"
-	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/workcost"
 )
 
 // Names of the two sites. The first one's gateway dials the other's.
@@ -149,7 +149,7 @@
 		}
 		if p.rig, err = harness.New(harness.Options{
 			Root: opts.Root, Dir: dir, Engines: opts.Engines, HTTP: p.addr, Postgres: p.addr, User: "ringwood", Clients: opts.Connections + 200, Name: Names[i] + "/",
-			Ledger: b.ledger, Ask: costs.Query, Machine: func(int) *emulator.Machine { return emulator.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
+			Ledger: b.ledger, Ask: workcost.Query, Machine: func(int) *emulator.Machine { return emulator.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
 		}); err != nil {
 			return b, err
 		}
@@ -426,11 +426,11 @@
 			}
 			res.Requests++
 			span := &spans[int(at/time.Second)]
-			worth := costs.Of(r.Mark).Worth
+			worth := workcost.Of(r.Mark).Worth
 			span[1] += worth
 			asked += worth
 			if r.Verdict == load.Served {
-				v := costs.Value(r.Mark, r.Latency())
+				v := workcost.Value(r.Mark, r.Latency())
 				span[0] += v
 				got += v
 				res.Took = append(res.Took, float64(r.Latency())/1e6)
@@ -438,7 +438,7 @@
 		}
 	}
 	res.Service = got / max(asked, 1e-9)
-	res.Worst = costs.Worst(spans)
+	res.Worst = workcost.Worst(spans)
 	res.Faults = load.Check(all, res.Runs, window)
 	for i, p := range b.places {
 		var mine []emulator.Run
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"gannetspur/internal/admin"
-	"gannetspur/internal/testbed/costs"
 	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/workcost"
 )
 
 // Ways in which a new version comes into service.
@@ -57,7 +57,7 @@
 		Front: "postgres", Root: opts.Root, Dir: opts.Dir, Program: opts.Program, Engines: opts.Engines, Connections: opts.Connections,
 		ProveFor: time.Second, Log: opts.Log,
 	}, harness.Options{
-		Ledger: ledger, Ask: costs.Query,
+		Ledger: ledger, Ask: workcost.Query,
 		Machine: func(i int) *emulator.Machine {
 			m := emulator.NewMachine(enginemodel.Usual())
 			if i < opts.Crowded {
@@ -131,10 +131,10 @@
 			continue
 		}
 		res.Requests++
-		asked[span] += costs.Of(rec.Mark).Worth
+		asked[span] += workcost.Of(rec.Mark).Worth
 		switch rec.Verdict {
 		case load.Served:
-			got[span] += costs.Value(rec.Mark, rec.Latency())
+			got[span] += workcost.Value(rec.Mark, rec.Latency())
 		case load.Reset, load.Silent, load.Unasked:
 			res.Lost++
 		}
--- a/internal/testbed/costs/costs.go
+++ b/internal/testbed/workcost/costs.go
@@ -1,6 +1,6 @@
 // Package costs says what the requests of the laboratory's clients need and are worth: each by
 // its mark alone, so that an emulated engine, a checker and a model in virtual time agree.
-package costs
+package workcost
 
 import (
 	"hash/fnv"
