--- a/cmd/testbed/keys.go
+++ b/cmd/testbed/keys.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"gannetspur/internal/testbed/authority"
+	"gannetspur/internal/testbed/testca"
 )
 
 type keysCommand struct {
@@ -14,7 +14,7 @@
 
 // Run makes an authority that forgets its key, and keys for gateways that hold for a day.
 func (c *keysCommand) Run() error {
-	ca, err := authority.New("laboratory")
+	ca, err := testca.New("laboratory")
 	if err != nil {
 		return err
 	}
@@ -23,7 +23,7 @@
 		if !ok || site == "" || gateway == "" || strings.Contains(gateway, "/") {
 			return fmt.Errorf("%q is no SITE/GATEWAY", g)
 		}
-		if _, err := ca.Issue(c.Folder, gateway, site, gateway, authority.Tomorrow()); err != nil {
+		if _, err := ca.Issue(c.Folder, gateway, site, gateway, testca.Tomorrow()); err != nil {
 			return err
 		}
 	}
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -15,19 +15,19 @@
 	pgbackend "gannetspur/internal/backend/postgres"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/scramauth"
-	"gannetspur/internal/testbed/authority"
 	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/testca"
 )
 
 // certificate is one that an authority of its own has signed.
 func certificate(t *testing.T) tls.Certificate {
 	t.Helper()
 	dir := t.TempDir()
-	ca, err := authority.New("test")
+	ca, err := testca.New("test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ca.Issue(dir, "front", "lalitpur", "front", authority.Tomorrow()); err != nil {
+	if _, err := ca.Issue(dir, "front", "lalitpur", "front", testca.Tomorrow()); err != nil {
 		t.Fatal(err)
 	}
 	c, err := tls.LoadX509KeyPair(filepath.Join(dir, "front.pem"), filepath.Join(dir, "front.key"))
@@ -219,11 +219,11 @@
 // run; anything else, and nothing is sent.
 func TestGuardedEngines(t *testing.T) {
 	dir := t.TempDir()
-	ca, err := authority.New("engines")
+	ca, err := testca.New("engines")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ca.Issue(dir, "engine", "lalitpur", "engine", authority.Tomorrow()); err != nil {
+	if _, err := ca.Issue(dir, "engine", "lalitpur", "engine", testca.Tomorrow()); err != nil {
 		t.Fatal(err)
 	}
 	if err := ca.Write(dir); err != nil {
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -16,8 +16,8 @@
 	"gannetspur/internal/site/frame"
 	"gannetspur/internal/site/link"
 	"gannetspur/internal/site/message"
-	"gannetspur/internal/testbed/authority"
 	"gannetspur/internal/testbed/sitelink"
+	"gannetspur/internal/testbed/testca"
 )
 
 // node is a gateway of a test.
@@ -72,7 +72,7 @@
 func rows(statement []byte) []byte { return append([]byte("rows of "), statement...) }
 
 // pair starts two nodes that know each other; the near one has no engine.
-func pair(t *testing.T) (ca *authority.Authority, dir string, a, b node, serial int64) {
+func pair(t *testing.T) (ca *testca.Authority, dir string, a, b node, serial int64) {
 	t.Helper()
 	dir = t.TempDir()
 	ca, serial, err := sitelink.Keys(dir)
@@ -155,7 +155,7 @@
 	b.hold(true)
 	_, got := a.ask("lookup", "out", "SELECT 1", "", 8*time.Second)
 	out := next(t, b.Sent)
-	if _, err := ca.Issue(dir, "near", "a", "near", authority.Tomorrow()); err != nil {
+	if _, err := ca.Issue(dir, "near", "a", "near", testca.Tomorrow()); err != nil {
 		t.Fatal(err)
 	}
 	a.Now(func() {
@@ -194,16 +194,16 @@
 // Who can't prove to be a peer, or says what can't be, has no link and does no harm.
 func TestHostilePeers(t *testing.T) {
 	ca, dir, a, b, _ := pair(t)
-	other, err := authority.New("another")
+	other, err := testca.New("another")
 	if err != nil {
 		t.Fatal(err)
 	}
-	revoked, err := ca.Issue(dir, "taken-back", "a", "near", authority.Tomorrow())
+	revoked, err := ca.Issue(dir, "taken-back", "a", "near", testca.Tomorrow())
 	ca.Revoke(revoked)
 	_, err1 := ca.Issue(dir, "expired", "a", "near", time.Now().Add(-time.Minute))
-	_, err2 := ca.Issue(dir, "stranger", "c", "stranger", authority.Tomorrow())
-	_, err3 := other.Issue(dir, "forged", "a", "near", authority.Tomorrow())
-	_, err4 := ca.Issue(dir, "good", "a", "near", authority.Tomorrow())
+	_, err2 := ca.Issue(dir, "stranger", "c", "stranger", testca.Tomorrow())
+	_, err3 := other.Issue(dir, "forged", "a", "near", testca.Tomorrow())
+	_, err4 := ca.Issue(dir, "good", "a", "near", testca.Tomorrow())
 	if err := errors.Join(err, err1, err2, err3, err4, ca.Write(dir)); err != nil {
 		t.Fatal(err)
 	}
@@ -285,17 +285,17 @@
 
 // Keys that can't be used are named with their file, and change nothing.
 func TestBadKeys(t *testing.T) {
-	ca, err := authority.New("test")
+	ca, err := testca.New("test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := authority.New("other")
+	other, err := testca.New("other")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir, wrong := t.TempDir(), t.TempDir()
-	_, err1 := ca.Issue(dir, "far", "b", "far", authority.Tomorrow())
-	_, err2 := ca.Issue(dir, "near", "a", "near", authority.Tomorrow())
+	_, err1 := ca.Issue(dir, "far", "b", "far", testca.Tomorrow())
+	_, err2 := ca.Issue(dir, "near", "a", "near", testca.Tomorrow())
 	if err := errors.Join(err1, err2, ca.Write(dir), other.Write(wrong)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -17,7 +17,7 @@
 	"gannetspur/internal/netio"
 	"gannetspur/internal/site/forwarding"
 	"gannetspur/internal/site/link"
-	"gannetspur/internal/testbed/authority"
+	"gannetspur/internal/testbed/testca"
 	"gannetspur/policy"
 )
 
@@ -194,12 +194,12 @@
 
 // Keys writes an authority's and both gateways' keys to a folder, and returns the far one's
 // serial number.
-func Keys(dir string) (ca *authority.Authority, far int64, err error) {
-	if ca, err = authority.New("sites"); err != nil {
+func Keys(dir string) (ca *testca.Authority, far int64, err error) {
+	if ca, err = testca.New("sites"); err != nil {
 		return nil, 0, err
 	}
-	if _, err = ca.Issue(dir, Near.Gateway, Near.Site, Near.Gateway, authority.Tomorrow()); err == nil {
-		if far, err = ca.Issue(dir, Far.Gateway, Far.Site, Far.Gateway, authority.Tomorrow()); err == nil {
+	if _, err = ca.Issue(dir, Near.Gateway, Near.Site, Near.Gateway, testca.Tomorrow()); err == nil {
+		if far, err = ca.Issue(dir, Far.Gateway, Far.Site, Far.Gateway, testca.Tomorrow()); err == nil {
 			err = ca.Write(dir)
 		}
 	}
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -21,12 +21,12 @@
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/site/forwarding"
-	"gannetspur/internal/testbed/authority"
 	"gannetspur/internal/testbed/emulator"
 	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/harness"
 	"gannetspur/internal/testbed/load"
+	"gannetspur/internal/testbed/testca"
 	"gannetspur/internal/testbed/workcost"
 )
 
@@ -114,7 +114,7 @@
 type Both struct {
 	opts   Options
 	ledger *emulator.Ledger
-	ca     *authority.Authority
+	ca     *testca.Authority
 	places [2]*place
 	link   *faultproxy.Link
 	dialed atomic.Uint64 // clients, of all sources: their requests' ids must differ
@@ -128,7 +128,7 @@
 			b.Close()
 		}
 	}()
-	if b.ca, err = authority.New("sites"); err != nil {
+	if b.ca, err = testca.New("sites"); err != nil {
 		return b, err
 	}
 	if err = b.ca.Write(opts.Dir); err != nil {
@@ -153,7 +153,7 @@
 		}); err != nil {
 			return b, err
 		}
-		if _, err = b.ca.Issue(opts.Dir, Names[i], Names[i], Names[i]+"-1", authority.Tomorrow()); err != nil {
+		if _, err = b.ca.Issue(opts.Dir, Names[i], Names[i], Names[i]+"-1", testca.Tomorrow()); err != nil {
 			return b, err
 		}
 	}
--- a/internal/testbed/authority/authority.go
+++ b/internal/testbed/testca/authority.go
@@ -1,6 +1,6 @@
 // Package authority stands in for a certificate authority: it issues what gateways prove
 // themselves with to each other, good and bad, and lists what it has revoked (RFC 5280).
-package authority
+package testca
 
 import (
 	"crypto/ecdsa"
