--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/testbed/members"
+	"gannetspur/internal/testbed/membershipsim"
 	"gannetspur/internal/testbed/report"
 )
 
@@ -38,7 +38,7 @@
 		bad(len(e.Plays) > 0, "play: none")
 		for i, p := range e.Plays {
 			for _, w := range p.Ways {
-				bad(members.Ways[w] != nil, "play[%d].ways: there is no %q", i, w)
+				bad(membershipsim.Ways[w] != nil, "play[%d].ways: there is no %q", i, w)
 			}
 			for _, n := range p.Members {
 				bad(n >= 3 && n <= 2000, "play[%d].members: %d is not from 3 to 2000", i, n)
@@ -61,8 +61,8 @@
 	}
 	type job struct {
 		play  membersPlay
-		m     members.Measure
-		found members.Found
+		m     membershipsim.Measure
+		found membershipsim.Found
 	}
 	var jobs []*job
 	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
@@ -70,7 +70,7 @@
 		for _, n := range p.Members {
 			for _, way := range p.Ways {
 				for _, seed := range e.Seeds {
-					jobs = append(jobs, &job{play: p, m: members.Measure{
+					jobs = append(jobs, &job{play: p, m: membershipsim.Measure{
 						Way: way, Members: n, Seed: seed, Loss: p.Loss, Seeds: p.Seeds, Warm: s(p.WarmS), Rest: s(p.RestS), Pause: s(p.PauseS), Crashes: p.Crashes, Most: p.Most,
 					}})
 				}
--- a/internal/testbed/members/start_test.go
+++ b/internal/testbed/membershipsim/start_test.go
@@ -1,4 +1,4 @@
-package members
+package membershipsim
 
 import (
 	"testing"
--- a/internal/testbed/members/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -1,7 +1,7 @@
 // Package members plays the membership of front ends in virtual time: the decisions of internal/decide/membership, and
 // two baselines, on one clock that jumps from event to event, over a network that loses, delays, repeats and cuts.
 // The same options give the same bytes.
-package members
+package membershipsim
 
 import (
 	"container/heap"
