--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command ringwood is a front end: it takes requests of clients, has the policy
+// Command gateway is a front end: it takes requests of clients, has the policy
 // module decide where each runs, and relays the answers.
 //
 // Without arguments it serves the platform's protocol as its configuration says
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts gateways on standard input and output.
+// Command simadapter hosts gateways on standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simwire.NewHost().Run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -15,7 +15,7 @@
 )
 
 type compareCommand struct {
-	A  string   `arg:"" help:"Figures of one run, as ringlab run keeps them (CSV)."`
+	A  string   `arg:"" help:"Figures of one run, as testbed run keeps them (CSV)."`
 	B  string   `arg:"" help:"Figures of another."`
 	By []string `default:"front,connections,phase" help:"Columns whose values make a row."`
 	Of string   `default:"latency_ms" help:"Column that is compared."`
--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -77,7 +77,7 @@
 func (c *conformCommand) start() (stop func(), err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	dir, err := os.MkdirTemp("", "ringlab-conform-")
+	dir, err := os.MkdirTemp("", "testbed-conform-")
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command ringlab is the laboratory: it makes traffic whose truth is known, judges the
+// Command testbed is the laboratory: it makes traffic whose truth is known, judges the
 // gateway's parts on it, and sets up a gateway with emulated surroundings to try. Nothing
 // of it is needed to serve.
 package main
@@ -26,10 +26,10 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("ringlab"), kong.UsageOnError(),
+	ctx := kong.Parse(&c, kong.Name("testbed"), kong.UsageOnError(),
 		kong.Description("The laboratory of ringwood: traffic, models and measurements on this machine's loopback."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "ringlab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -20,7 +20,7 @@
 )
 
 type replaceCommand struct {
-	Ringwood string        `default:"bin/ringwood" help:"The program."`
+	Ringwood string        `default:"bin/gateway" help:"The program."`
 	Times    int           `default:"3" help:"How often the process is replaced."`
 	Rate     float64       `default:"100" help:"Calls a second, half of them on kept connections."`
 	For      time.Duration `default:"1s" help:"Time between two replacements."`
@@ -31,7 +31,7 @@
 
 // Run holds a socket, as the platform does, and replaces the process at it under calls.
 func (c *replaceCommand) Run() (err error) {
-	dir, err := os.MkdirTemp("", "ringlab-replace")
+	dir, err := os.MkdirTemp("", "testbed-replace")
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -54,7 +54,7 @@
 	Loads       float64
 	Writes      float64
 	Churn       float64
-	Traffic     string   // file of recorded traffic (ringlab traffic generate) that is played in place of the clients' own; "": none
+	Traffic     string   // file of recorded traffic (testbed traffic generate) that is played in place of the clients' own; "": none
 	Good        int      // upgrades that must go through
 	Broken      []string // and others, of these kinds
 	MayReturn   bool     `toml:"may_return"` // good ones may be returned from, as engines have troubles
@@ -204,7 +204,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	dir, err := os.MkdirTemp("", "ringlab-run-")
+	dir, err := os.MkdirTemp("", "testbed-run-")
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -184,7 +184,7 @@
 	defer cancel()
 	program := c.Ringwood
 	if program == "" {
-		dir, err := os.MkdirTemp("", "ringlab-")
+		dir, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
 			return err
 		}
--- a/cmd/testbed/sitelink.go
+++ b/cmd/testbed/sitelink.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "ringlab-sitelink-")
+	dir, err := os.MkdirTemp("", "testbed-sitelink-")
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -32,7 +32,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
-	dir, err := os.MkdirTemp("", "ringlab-try-")
+	dir, err := os.MkdirTemp("", "testbed-try-")
 	if err != nil {
 		return err
 	}
--- a/internal/archtest/house_test.go
+++ b/internal/archtest/imports_test.go
@@ -14,11 +14,11 @@
 // stays on its floor; rooms of one floor that need each other are named together.
 var floors = [][]string{
 	{"cmd/"},
-	{"internal/front/", "internal/simwire"},
+	{"internal/frontend/", "internal/simwire"},
 	{"internal/backend"},
 	{"internal/site/link"},
 	{"internal/queryshape", "internal/handover", "internal/admin", "internal/control", "internal/takeover", "internal/membership", "internal/site/forwarding"},
-	{"internal/roster/", "internal/config"},
+	{"internal/discovery/", "internal/config"},
 	{"internal/core", "internal/netio"},
 	{"internal/decide/"},
 	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/http1", "internal/metrics", "internal/logging", "internal/scramauth", "internal/site/frame", "internal/site/message", "internal/site/mux"},
@@ -73,7 +73,7 @@
 			t.Errorf("decisions depend on %s", dep)
 		}
 	}
-	for _, dep := range list(t, "-deps", "./cmd/ringwood", "./cmd/wirehost") {
+	for _, dep := range list(t, "-deps", "./cmd/gateway", "./cmd/simadapter") {
 		if strings.HasPrefix(dep, module+"internal/testbed") || strings.HasPrefix(dep, "gonum.org/") {
 			t.Errorf("what serves depends on %s", dep)
 		}
--- a/internal/testbed/conformance/report.go
+++ b/internal/testbed/conformance/report.go
@@ -7,7 +7,7 @@
 
 const heading = `# What the PostgreSQL front answers, message by message
 
-Written by ` + "`ringlab conform --out docs/postgres-conformance.md`" + `, which starts the gateway before one emulated engine and plays each case three times: whole,
+Written by ` + "`testbed conform --out docs/postgres-conformance.md`" + `, which starts the gateway before one emulated engine and plays each case three times: whole,
 byte by byte, in pieces. What comes back is in words: a message's letter, with what matters of it. *refused*: an error, and the connection goes
 on. The emulated engine is asked the same by itself, so that what differs is the gateway's own.
 
--- a/internal/testbed/harness/rig.go
+++ b/internal/testbed/harness/rig.go
@@ -211,8 +211,8 @@
 
 // Build builds ringwood into a folder and returns its path.
 func Build(ctx context.Context, root, dir string) (string, error) {
-	program := filepath.Join(dir, "ringwood")
-	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/ringwood")
+	program := filepath.Join(dir, "gateway")
+	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/gateway")
 	build.Dir, build.Stderr = root, os.Stderr
 	if err := build.Run(); err != nil {
 		return "", fmt.Errorf("build of ringwood (start this from the repository's root, or name a program): %w", err)
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -104,7 +104,7 @@
 }
 
 func costRound(ctx context.Context, opts CostOptions, texts []workload.Asked, on bool) (res CostRound, err error) {
-	dir, err := os.MkdirTemp("", "ringlab-cost-")
+	dir, err := os.MkdirTemp("", "testbed-cost-")
 	if err != nil {
 		return res, err
 	}
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Format, vet and tests; README names this command. Property tests draw from a fixed seed, so that a run
+# Format, vet, linter and tests; README names this command. Property tests draw from a fixed seed, so that a run
 # gives the same verdict every time; RAPID_SEED=0 draws a new one, to search further.
 #
 # KNOWN-RED.txt names tests that fail for a fault which is known and not mended yet, three at most, a line each:
@@ -11,6 +11,7 @@
     exit 1
 fi
 go vet ./...
+go tool -modfile=tools/go.mod golangci-lint run ./...
 skip='^$'
 if [ -s KNOWN-RED.txt ]; then
     [ "$(wc -l < KNOWN-RED.txt)" -le 3 ] || { echo "KNOWN-RED.txt: more than three tests" >&2; exit 1; }
