--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -11,9 +11,9 @@
 	"errors"
 	"fmt"
 	"os"
-	"runtime/debug"
 
 	"gannetspur/internal/config"
+	"gannetspur/internal/gateway"
 	"gannetspur/internal/logging"
 
 	"github.com/alecthomas/kong"
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	if err := run(serving{config: c.Config, postgres: c.Postgres, shapes: c.Shapes, upgrade: c.Upgrade, sites: c.Sites, fleet: c.Fleet}, log); err != nil {
+	if err := gateway.Run(gateway.Files{Config: c.Config, Postgres: c.Postgres, Shapes: c.Shapes, Upgrade: c.Upgrade, Sites: c.Sites, Fleet: c.Fleet}, log); err != nil {
 		for _, f := range config.FaultsOf(err) {
 			log.Error("cannot serve", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Want)
 		}
@@ -65,28 +65,10 @@
 type versionCommand struct{}
 
 func (versionCommand) Run() error {
-	fmt.Println("ringwood " + buildName())
+	fmt.Println("ringwood " + gateway.BuildName())
 	return nil
 }
 
-// buildName names the version that this program was built from.
-func buildName() string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return "of an unknown version"
-	}
-	revision, modified := "unknown", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			modified = ", changed since"
-		}
-	}
-	return fmt.Sprintf("%s (%s%s), %s", info.Main.Version, revision, modified, info.GoVersion)
-}
-
 // oldFlags are flags of the time before there were commands; they went by one dash.
 var oldFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
 
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -14,6 +14,7 @@
 // stays on its floor; rooms of one floor that need each other are named together.
 var floors = [][]string{
 	{"cmd/"},
+	{"internal/gateway"},
 	{"internal/frontend/", "internal/simwire"},
 	{"internal/backend"},
 	{"internal/site/link"},
--- a/cmd/gateway/control.go
+++ b/internal/gateway/control.go
@@ -1,4 +1,4 @@
-package main
+package gateway
 
 import (
 	"fmt"
--- a/cmd/gateway/serve.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,6 @@
-package main
+// Package gateway assembles the gateway from its parts and runs it as one process: frontend, core, backend, discovery, and
+// what replaces, upgrades, reloads and stops it. The commands that operators call are in cmd/gateway.
+package gateway
 
 import (
 	"context"
@@ -83,17 +85,18 @@
 	Idle() bool
 }
 
-// serving says what to serve.
-type serving struct {
-	config   string // the platform's configuration
-	postgres string // the PostgreSQL front's deploy file; "": the platform's front
-	shapes   string // the platform's front's file of shapes; "": off
-	upgrade  string // the file that says how a new version takes over; "": off
-	sites    string // the file that names other sites; "": off
-	fleet    string // the file that says how this front end is a member among others; "": off
+// Files are the paths of the files that say what to serve. An empty path turns off what its file describes.
+type Files struct {
+	Config   string // the platform's configuration
+	Postgres string // the deploy file of the PostgreSQL frontend, which is served in place of the platform's
+	Shapes   string // the cost model of the platform's frontend
+	Upgrade  string // how a new version takes over
+	Sites    string // other sites
+	Fleet    string // membership among other front ends
 }
 
-func run(what serving, logger *slog.Logger) error {
+// Run serves until the process is told to stop.
+func Run(files Files, logger *slog.Logger) error {
 	// First of all: a signal that comes before it is listened for ends the process.
 	told := make(chan os.Signal, 16)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
@@ -102,7 +105,7 @@
 	g := &gateway{counters: metrics.New(), log: logger}
 	in, err := takeOver()
 	if err == nil {
-		err = g.build(ctx, what)
+		err = g.build(ctx, files)
 	}
 	switch {
 	case err != nil:
@@ -149,16 +152,16 @@
 }
 
 // build makes the gateway, which then neither listens nor follows its roster.
-func (g *gateway) build(ctx context.Context, what serving) (err error) {
+func (g *gateway) build(ctx context.Context, files Files) (err error) {
 	switch {
-	case what.postgres != "":
-		err = g.postgres(ctx, what.postgres, what.sites)
-	case what.config != "":
-		err = g.platform(what.config, what.shapes, what.sites)
+	case files.Postgres != "":
+		err = g.postgres(ctx, files.Postgres, files.Sites)
+	case files.Config != "":
+		err = g.platform(files.Config, files.Shapes, files.Sites)
 	default:
 		err = errors.New("nothing to serve: set LB_CONFIG, --config or --postgres")
 	}
-	return errors.Join(err, g.upgradable(what.upgrade), g.openFleet(what.fleet))
+	return errors.Join(err, g.upgradable(files.Upgrade), g.openFleet(files.Fleet))
 }
 
 // print writes the counters.
--- a/cmd/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -1,4 +1,4 @@
-package main
+package gateway
 
 import (
 	"bufio"
@@ -51,7 +51,7 @@
 func TestHangup(t *testing.T) {
 	if args := os.Getenv(childEnv); args != "" {
 		path, deploy, _ := strings.Cut(args, "|")
-		if err := run(serving{config: path, postgres: deploy}, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
+		if err := Run(Files{Config: path, Postgres: deploy}, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
 			t.Fatal(err)
 		}
 		return
--- a/cmd/gateway/beside_test.go
+++ b/internal/gateway/takeover_test.go
@@ -1,4 +1,4 @@
-package main
+package gateway
 
 import (
 	"bufio"
@@ -27,7 +27,7 @@
 	if path == "" {
 		t.Skip("for the tests of replacing the process")
 	}
-	if err := run(serving{config: path}, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
+	if err := Run(Files{Config: path}, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(3)
 	}
--- a/cmd/gateway/serve_upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -1,4 +1,4 @@
-package main
+package gateway
 
 import (
 	"errors"
@@ -41,7 +41,7 @@
 // say says what this process is, and why it can't take over; "": it can. The old process sees
 // its end where that can't be sent.
 func (in *inherited) say(problem string) {
-	_ = in.ch.Send(&handover.Hello{Major: handover.Version.Major, Minor: handover.Version.Minor, Problem: problem, Build: buildName()})
+	_ = in.ch.Send(&handover.Hello{Major: handover.Version.Major, Minor: handover.Version.Minor, Problem: problem, Build: BuildName()})
 }
 
 // room tells whether the connections that wait for this process fit its limits.
@@ -80,7 +80,7 @@
 			g.loop.Stop()
 		},
 	}, g.counters, g.log)
-	g.loop.Post(func() { g.new.Begin(buildName()) })
+	g.loop.Post(func() { g.new.Begin(BuildName()) })
 	return nil
 }
 
@@ -251,7 +251,7 @@
 		g.shapes.Count()
 	}
 	return &admin.Status{
-		PID: os.Getpid(), Build: buildName(), Front: g.front.Name(), Listen: g.front.Addr(), Phase: g.phase(), TookOver: g.tookOver,
+		PID: os.Getpid(), Build: BuildName(), Front: g.front.Name(), Listen: g.front.Addr(), Phase: g.phase(), TookOver: g.tookOver,
 		Up: (g.loop.Now() - g.since).Seconds(), Connections: g.loop.Open(), Unanswered: g.core.Unanswered(), Counters: g.counters.All(),
 	}
 }
--- a/cmd/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -1,4 +1,4 @@
-package main
+package gateway
 
 import (
 	"bufio"
@@ -34,7 +34,7 @@
 	if !ok {
 		t.Skip("for the tests of upgrades")
 	}
-	if err := run(serving{postgres: deploy, upgrade: upgrade}, slog.New(slog.NewJSONHandler(os.Stderr, nil))); err != nil {
+	if err := Run(Files{Postgres: deploy, Upgrade: upgrade}, slog.New(slog.NewJSONHandler(os.Stderr, nil))); err != nil {
 		t.Fatal(err)
 	}
 }
