--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -22,4 +22,3 @@
 	}
 	return fmt.Sprintf("%s (%s%s), %s", info.Main.Version, revision, modified, info.GoVersion)
 }
-
