--- a/cmd/gateway/members.go
+++ b/cmd/gateway/members.go
@@ -61,9 +61,9 @@
 	if !o.View.Majority {
 		known = "half of the fleet or more is not in it: this part may be cut off, and can't know"
 	}
-	fmt.Printf("view %d (%s): %d members; %s; held by %d of %d heard lately\n", o.View.Number, o.View.Digest, o.View.Size, known, o.View.Same, o.View.Heard)
-	if o.Doubt != "" {
-		fmt.Printf("this member doubts itself: %s\n", o.Doubt)
+	fmt.Printf("view %d (%s): %d members; %s; held by %d of %d heard lately\n", o.View.Number, o.View.Digest, o.View.Size, known, o.View.SameView, o.View.HeardMembers)
+	if o.SelfSuspicion != "" {
+		fmt.Printf("this member doubts itself: %s\n", o.SelfSuspicion)
 	}
 	fmt.Printf("\n%-22s %-8s %8s %6s  %s\n", "member", "state", "heard ms", "loss", "witnesses")
 	for _, m := range o.Members {
@@ -77,14 +77,14 @@
 		for _, w := range []struct {
 			what string
 			by   []decide.ID
-		}{{"not heard by", m.Deaf}, {"not heard by, though alive:", m.Aside}, {"heard by", m.Hear}} {
+		}{{"not heard by", m.NotHeardBy}, {"not heard by, though alive:", m.NotHeardButAliveBy}, {"heard by", m.HeardBy}} {
 			if len(w.by) > 0 {
 				said = append(said, fmt.Sprintf("%s %v", w.what, w.by))
 			}
 		}
-		if m.Doubts {
+		if m.SuspectsItself {
 			said = append(said, "doubts itself")
 		}
-		fmt.Printf("%-22s %-8s %8s %6.2f  %s\n", name, m.State, heard, m.Loss, strings.Join(said, "; "))
+		fmt.Printf("%-22s %-8s %8s %6.2f  %s\n", name, m.State, heard, m.LossRate, strings.Join(said, "; "))
 	}
 }
--- a/cmd/gateway/serve_fleet.go
+++ b/cmd/gateway/serve_fleet.go
@@ -36,7 +36,7 @@
 	}
 	g.fleet = &fleet{path: path, file: f}
 	opts := &g.fleet.opts
-	opts.Config, opts.Chance = f.Decide(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	opts.Config, opts.Random = f.Decide(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	if f.Peers == "platform" {
 		return g.platformMembers(opts)
 	}
@@ -45,9 +45,9 @@
 	for _, s := range f.Seeds {
 		opts.Named = append(opts.Named, idOf(netip.MustParseAddrPort(s)))
 	}
-	opts.Address = func(id decide.ID) (netip.AddrPort, bool) { return addrOf(id), true }
-	opts.Member = func(a netip.AddrPort) (decide.ID, bool) { return idOf(a), a.Addr().Is4() && a.Port() > 0 }
-	opts.Keys = membership.NewKeys(own, keysOf(f))
+	opts.AddressOf = func(id decide.ID) (netip.AddrPort, bool) { return addrOf(id), true }
+	opts.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { return idOf(a), a.Addr().Is4() && a.Port() > 0 }
+	opts.Keys = membership.NewKeyring(own, keysOf(f))
 	return nil
 }
 
@@ -88,13 +88,13 @@
 		return errors.New("configuration: peer_listen is not among peers")
 	}
 	opts.Listen, opts.Config.Closed = c.PeerListen, true
-	opts.Address = func(id decide.ID) (a netip.AddrPort, ok bool) {
+	opts.AddressOf = func(id decide.ID) (a netip.AddrPort, ok bool) {
 		if id < 1 || int(id) > len(addrs) {
 			return a, false
 		}
 		return addrs[id-1], true
 	}
-	opts.Member = func(a netip.AddrPort) (decide.ID, bool) { id, ok := places[a]; return id, ok }
+	opts.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { id, ok := places[a]; return id, ok }
 	return nil
 }
 
@@ -117,7 +117,7 @@
 	g.fleet.service, err = membership.Start(g.loop, g.fleet.opts, g.counters, g.log)
 	if err == nil {
 		g.fleet.waits = false
-		g.log.Info("members", "addr", g.fleet.service.Addr(), "self", uint64(g.fleet.opts.Self), "named", len(g.fleet.opts.Named), "carried", len(g.fleet.opts.Carried) > 0)
+		g.log.Info("members", "addr", g.fleet.service.Addr(), "self", uint64(g.fleet.opts.Self), "named", len(g.fleet.opts.Named), "carried", len(g.fleet.opts.SavedState) > 0)
 	}
 	return err
 }
@@ -158,7 +158,7 @@
 	if m == nil {
 		return nil
 	}
-	b, err := m.Carry()
+	b, err := m.SaveState()
 	if err != nil { // the next one begins as after a restart
 		g.log.Error("members.carried", "error", err)
 	}
@@ -172,8 +172,8 @@
 	if m == nil {
 		return
 	}
-	g.fleet.opts.Carried = g.carryFleet()
-	m.HandOn()
+	g.fleet.opts.SavedState = g.carryFleet()
+	m.HandOver()
 	g.fleet.service = nil
 }
 
@@ -190,8 +190,8 @@
 	if m == nil {
 		return nil
 	}
-	f := m.Figures()
-	return &core.PeerFigures{Live: f.Live, Named: f.Named, Cut: f.Cut, Lost: f.Dead + f.Lost, View: int(f.View.Number), Majority: f.Majority}
+	f := m.Stats()
+	return &core.PeerFigures{Live: f.Live, Named: f.Named, Cut: f.PartlyReachable, Lost: f.Dead + f.Unreachable, View: int(f.View.Number), Majority: f.Majority}
 }
 
 // reloadFleet has the keys read again. All else holds from the start on.
@@ -201,7 +201,7 @@
 	}
 	f, err := config.LoadFleet(g.fleet.path)
 	if err == nil {
-		g.fleet.opts.Keys.Set(keysOf(f))
+		g.fleet.opts.Keys.Replace(keysOf(f))
 	}
 	return err
 }
--- a/cmd/gateway/serve_upgrade.go
+++ b/cmd/gateway/serve_upgrade.go
@@ -114,7 +114,7 @@
 func (g *gateway) learn(k *handover.Knowledge) {
 	g.core.Learn(k.Core)
 	if g.fleet != nil {
-		g.fleet.opts.Carried = k.Members
+		g.fleet.opts.SavedState = k.Members
 	}
 	if g.shapes == nil || len(k.Shapes) == 0 {
 		return
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -30,14 +30,14 @@
 	Secret []byte `toml:"-"`
 }
 
-// LoadFleet reads the file and its keys. What it leaves out is as decide/members' Defaults say.
+// LoadFleet reads the file and its keys. What it leaves out is as decide/membership's DefaultConfig says.
 func LoadFleet(path string) (*Fleet, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	d := decide.Defaults()
-	f := Fleet{BeatMS: float64(d.Beat) / float64(time.Millisecond), BytesPerS: d.Bytes, BurstBytes: d.Burst}
+	d := decide.DefaultConfig()
+	f := Fleet{BeatMS: float64(d.HeartbeatInterval) / float64(time.Millisecond), BytesPerS: d.BytesPerSecond, BurstBytes: d.BurstBytes}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &f) {
 		f.check(c, filepath.Dir(path))
@@ -99,10 +99,10 @@
 
 // Decide is what the decisions take of it: spans follow the beat.
 func (f *Fleet) Decide() decide.Config {
-	d := decide.Defaults()
+	d := decide.DefaultConfig()
 	beat := FromMS(f.BeatMS)
-	d.Hold = time.Duration(float64(d.Hold) * float64(beat) / float64(d.Beat))
-	d.Most = time.Duration(float64(d.Most) * float64(beat) / float64(d.Beat))
-	d.Beat, d.Bytes, d.Burst = beat, f.BytesPerS, f.BurstBytes
+	d.SuspicionTimeout = time.Duration(float64(d.SuspicionTimeout) * float64(beat) / float64(d.HeartbeatInterval))
+	d.MaxViewDelay = time.Duration(float64(d.MaxViewDelay) * float64(beat) / float64(d.HeartbeatInterval))
+	d.HeartbeatInterval, d.BytesPerSecond, d.BurstBytes = beat, f.BytesPerS, f.BurstBytes
 	return d
 }
--- a/internal/decide/membership/carry_test.go
+++ b/internal/decide/membership/carry_test.go
@@ -23,9 +23,9 @@
 	f.heard = nil
 	before := f.all[0].view
 
-	c := f.all[0].Carry()
+	c := f.all[0].SaveState()
 	f.run(f.now+2*time.Second, nil) // it serves on meanwhile
-	next, err := Resume(Defaults(), c, 1, []ID{1, 2, 3, 4, 5, 6, 7}, f.now, &draws{9})
+	next, err := Resume(DefaultConfig(), c, 1, []ID{1, 2, 3, 4, 5, 6, 7}, f.now, &draws{9})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,40 +44,40 @@
 		if m.view != before {
 			t.Errorf("%d has the view %v, not %v", m.self.id, m.view, before)
 		}
-		if got := m.Rumours(5); len(got) != 2 {
+		if got := m.GossipMessages(5); len(got) != 2 {
 			t.Errorf("%d has the rumours %v", m.self.id, got)
 		}
 	}
 }
 
 func TestResumeOfSpoilt(t *testing.T) {
-	good := func() Carried {
+	good := func() SavedState {
 		f := fewOf(3)
 		_ = f.all[0].Publish(5, 1, []byte("said")) // of what it has, this never fails
 		f.run(f.now+10*time.Second, nil)
-		return f.all[0].Carry()
+		return f.all[0].SaveState()
 	}
 	for _, c := range []struct {
 		name  string
-		spoil func(*Carried)
+		spoil func(*SavedState)
 	}{
-		{"itself among the others", func(c *Carried) { c.Members[0].ID = c.Self }},
-		{"an id that is none", func(c *Carried) { c.Members[0].ID = MostID + 1 }},
-		{"a state that is none", func(c *Carried) { c.Members[0].State = 99 }},
-		{"a loss that is none", func(c *Carried) { c.Members[0].Loss = -1 }},
-		{"a time to come", func(c *Carried) { c.Members[0].Ago = -1 }},
-		{"another's record", func(c *Carried) { c.Members[0].Record = c.Members[1].Record }},
-		{"half a record", func(c *Carried) { c.Members[0].Record = c.Members[0].Record[:3] }},
-		{"more than a record", func(c *Carried) { c.Members[0].Record = append(c.Members[0].Record, 0) }},
-		{"one twice", func(c *Carried) { c.Members = append(c.Members, c.Members[0]) }},
-		{"half a rumour", func(c *Carried) { c.Talk = c.Talk[:len(c.Talk)-1] }},
+		{"itself among the others", func(c *SavedState) { c.Members[0].ID = c.Self }},
+		{"an id that is none", func(c *SavedState) { c.Members[0].ID = MaxID + 1 }},
+		{"a state that is none", func(c *SavedState) { c.Members[0].State = 99 }},
+		{"a loss that is none", func(c *SavedState) { c.Members[0].LossRate = -1 }},
+		{"a time to come", func(c *SavedState) { c.Members[0].ViewAge = -1 }},
+		{"another's record", func(c *SavedState) { c.Members[0].Record = c.Members[1].Record }},
+		{"half a record", func(c *SavedState) { c.Members[0].Record = c.Members[0].Record[:3] }},
+		{"more than a record", func(c *SavedState) { c.Members[0].Record = append(c.Members[0].Record, 0) }},
+		{"one twice", func(c *SavedState) { c.Members = append(c.Members, c.Members[0]) }},
+		{"half a rumour", func(c *SavedState) { c.Gossip = c.Gossip[:len(c.Gossip)-1] }},
 	} {
 		one := good()
-		if _, err := Resume(Defaults(), one, 1, nil, time.Hour, &draws{}); err != nil {
+		if _, err := Resume(DefaultConfig(), one, 1, nil, time.Hour, &draws{}); err != nil {
 			t.Fatal(err)
 		}
 		c.spoil(&one)
-		if _, err := Resume(Defaults(), one, 1, nil, time.Hour, &draws{}); !errors.Is(err, ErrCarried) {
+		if _, err := Resume(DefaultConfig(), one, 1, nil, time.Hour, &draws{}); !errors.Is(err, ErrInvalidSavedState) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -92,8 +92,8 @@
 		r := record{Author: id, Inc: 1}
 		m.merge(r, false)
 	}
-	m.Handle(f.now, Heard{From: from + 50000, B: seal(message{Kind: kindBeat, From: from + 50000}.append(nil))})
-	if len(m.all) != mostMembers || m.Crowded < mostMembers || m.Crowded > mostMembers+10 {
-		t.Errorf("%d are known, %d were too many", len(m.all), m.Crowded)
+	m.Handle(f.now, DatagramReceived{From: from + 50000, Payload: seal(message{Kind: kindBeat, From: from + 50000}.append(nil))})
+	if len(m.all) != mostMembers || m.RejectedMembers < mostMembers || m.RejectedMembers > mostMembers+10 {
+		t.Errorf("%d are known, %d were too many", len(m.all), m.RejectedMembers)
 	}
 }
--- a/internal/decide/membership/fixture_test.go
+++ b/internal/decide/membership/fixture_test.go
@@ -36,10 +36,10 @@
 	have.Has = filter{0, 1, 0x80, 0xff}
 	have.Carries = []record{{Author: self, Inc: 1_800_000_000, Seq: 65535}}
 	tell.About = 1
-	tell.Carries = []record{own, {Author: other, Inc: 1_799_999_000, Seq: 1, Left: true}, {Author: 1, Inc: 1, Words: []entry{{MostID, 255, deaf}}}}
-	talk.Talk = []Rumour{
-		{Topic: 5, Key: 4_000_000_000, Owner: self, Inc: 1_800_000_000, Version: 3, Body: []byte("a body")},
-		{Topic: 255, Key: 0, Owner: other, Inc: 9, Version: 4_000_000_000},
+	tell.Carries = []record{own, {Author: other, Inc: 1_799_999_000, Seq: 1, Left: true}, {Author: 1, Inc: 1, Words: []entry{{MaxID, 255, deaf}}}}
+	talk.Talk = []GossipMessage{
+		{Topic: 5, Key: 4_000_000_000, Owner: self, Incarnation: 1_800_000_000, Version: 3, Body: []byte("a body")},
+		{Topic: 255, Key: 0, Owner: other, Incarnation: 9, Version: 4_000_000_000},
 	}
 	more.About = 1
 	more.Has = filter{7}
--- a/internal/decide/membership/gossip.go
+++ b/internal/decide/membership/gossip.go
@@ -7,14 +7,14 @@
 )
 
 // told takes that a record needs to be passed on once less.
-func (m *Machine) told(id ID) {
+func (m *Node) told(id ID) {
 	if m.news[id]--; m.news[id] <= 0 {
 		delete(m.news, id)
 	}
 }
 
 // write changes this member's own record, and has it passed on.
-func (m *Machine) write(change func(*record)) {
+func (m *Node) write(change func(*record)) {
 	was := m.self.record
 	m.sum(was)
 	change(&m.self.record)
@@ -26,26 +26,26 @@
 }
 
 // renew begins another incarnation of this member.
-func (m *Machine) renew(inc uint32) { m.write(func(r *record) { r.Inc, r.Seq = inc, 0 }) }
+func (m *Node) renew(inc uint32) { m.write(func(r *record) { r.Inc, r.Seq = inc, 0 }) }
 
 // sum takes a record into the digests, or out of them.
-func (m *Machine) sum(r record) { m.digest ^= r.hash() }
+func (m *Node) sum(r record) { m.digest ^= r.hash() }
 
 // spread has a record passed on, once on each ring, and some times more where it speaks of others, as time counts then. The more
 // is new of late, the fewer times: what is lost or left out is found by the digests and asked for, by those who lack it. Guards
 // against a start or a death of hundreds, of which each would tell all of it to others that know it already.
-func (m *Machine) spread(id ID) {
+func (m *Node) spread(id ID) {
 	m.fresh++
-	later := m.cfg.Beat/16 + m.cfg.Beat/8*time.Duration(m.rng.IntN(64))/64
-	few := m.fresh <= 2*m.cfg.Rings
+	later := m.cfg.HeartbeatInterval/16 + m.cfg.HeartbeatInterval/8*time.Duration(m.rng.IntN(64))/64
+	few := m.fresh <= 2*m.cfg.RingCount
 	switch pressing := m.peers[id].presses; {
 	case pressing && few:
-		m.news[id] = m.cfg.Rings + 2
+		m.news[id] = m.cfg.RingCount + 2
 		later = 0 // there is little to say: it goes at once
 	case pressing:
-		m.news[id] = max(m.cfg.Rings/2, 1)
+		m.news[id] = max(m.cfg.RingCount/2, 1)
 	case few || id == m.self.id:
-		m.news[id] = m.cfg.Rings
+		m.news[id] = m.cfg.RingCount
 	default:
 		return
 	}
@@ -56,19 +56,19 @@
 
 // take reads a datagram. What says that it is of another member than the one whose address it came from is dropped:
 // guards against one that says it is everybody.
-func (m *Machine) take(from ID, b []byte) {
+func (m *Node) take(from ID, b []byte) {
 	long := len(b)
 	b, err := open(b)
 	var d message
 	if err == nil {
 		d, err = read(b)
 	}
-	if err != nil || d.From != from || from == m.self.id || long > m.cfg.Limit {
-		m.Dropped++
+	if err != nil || d.From != from || from == m.self.id || long > m.cfg.MaxDatagramBytes {
+		m.DroppedDatagrams++
 		return
 	}
 	if !m.room(from) {
-		m.Dropped++
+		m.DroppedDatagrams++
 		return
 	}
 	p := m.peer(from)
@@ -101,7 +101,7 @@
 }
 
 // answers does what a datagram asks for.
-func (m *Machine) answers(p *peer, d message) {
+func (m *Node) answers(p *peer, d message) {
 	switch d.Kind {
 	case kindBeat:
 		if gap := d.Seq - p.beat; p.beat != 0 && gap >= 1 && gap < 16 {
@@ -120,7 +120,7 @@
 		m.say(kindAnswer, p, uint64(d.Seq), nil)
 	case kindAsk:
 		if o := m.peers[ID(d.About)]; o != nil && o != m.self && o.known {
-			o.vouch, m.look = m.now+6*m.cfg.Beat, true
+			o.vouch, m.look = m.now+6*m.cfg.HeartbeatInterval, true
 			m.say(kindProbe, o, 0, nil)
 		}
 	case kindHave:
@@ -131,13 +131,13 @@
 		return
 	}
 	switch {
-	case m.now-p.synced < m.cfg.Beat || m.leaving:
+	case m.now-p.synced < m.cfg.HeartbeatInterval || m.leaving:
 	case d.Inc < p.record.Inc: // of an earlier start, or it was never told what was said of it
 		p.synced = m.now
 		m.say(kindTell, p, 0, []record{p.record})
 	case d.Inc > p.record.Inc && p.known: // it has answered what was said of it, and that was lost
 		m.inquire(p)
-	case p.known && !p.state.In(): // it is told what became of it, and by whom
+	case p.known && !p.state.InView(): // it is told what became of it, and by whom
 		p.synced = m.now
 		rs := []record{p.record}
 		for _, id := range p.against[:min(3, len(p.against))] {
@@ -147,14 +147,14 @@
 	case m.misses(p) && m.now-m.synced >= m.pace(p):
 		m.inquire(p)
 	}
-	if p.unlike > 0 && m.now-p.unlike > 3*m.cfg.Beat && m.now-m.talk.asked > 3*m.cfg.Beat && len(m.talk.news) == 0 && !m.leaving {
+	if p.unlike > 0 && m.now-p.unlike > 3*m.cfg.HeartbeatInterval && m.now-m.talk.asked > 3*m.cfg.HeartbeatInterval && len(m.talk.news) == 0 && !m.leaving {
 		m.inquireRumours(p)
 	}
 }
 
 // merge takes another's record, or what others remember of this member. What came as an answer is known to others already, and
 // is passed on only where others wait for it.
-func (m *Machine) merge(r record, answer bool) {
+func (m *Node) merge(r record, answer bool) {
 	if r.Author == m.self.id {
 		if own := m.self.record; r.Inc > own.Inc || r.Inc == own.Inc && (r.Seq > own.Seq || r.Seq == own.Seq && r.hash() != own.hash() || r.Left && !m.leaving) {
 			m.renew(r.Inc + 1)
@@ -186,7 +186,7 @@
 	}
 	if again {
 		m.look, m.voided = true, true
-		if p.known && p.state.In() && (p.mine == deaf || p.mine == aside) && p.heard < m.now {
+		if p.known && p.state.InView() && (p.mine == deaf || p.mine == aside) && p.heard < m.now {
 			// It has heard that it is not heard, and says that it lives. To this member others say it. Of one that was gone it is
 			// looked at anew: those who could say so may have lost it meanwhile.
 			if p.mine == deaf {
@@ -205,12 +205,12 @@
 }
 
 // beats tells that this member lives, and looks for those that may have come back.
-func (m *Machine) beats() {
+func (m *Node) beats() {
 	if m.seq++; uint16(m.seq) == 0 {
 		m.seq++
 	}
 	m.fresh /= 2
-	if m.now-m.synced > m.cfg.Beat/2 { // who knows much more may not be among those who tell this member anything
+	if m.now-m.synced > m.cfg.HeartbeatInterval/2 { // who knows much more may not be among those who tell this member anything
 		for _, p := range m.some(1, m.lacks) {
 			m.inquire(p)
 		}
@@ -219,12 +219,12 @@
 	for _, p := range m.targets() {
 		m.say(kindBeat, p, 0, m.due(true))
 	}
-	if m.seq%4 != 1 && m.now-m.began > 8*m.cfg.Beat && len(m.order) > 1 {
+	if m.seq%4 != 1 && m.now-m.began > 8*m.cfg.HeartbeatInterval && len(m.order) > 1 {
 		return
 	}
 	var away []*peer
 	for _, p := range m.all {
-		if !p.state.In() { // also one that has left: others may have said so for it
+		if !p.state.InView() { // also one that has left: others may have said so for it
 			away = append(away, p)
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 // due are the records to pass on, those that were least often first; where pressing, only those that others wait for.
-func (m *Machine) due(pressing bool) (rs []record) {
+func (m *Node) due(pressing bool) (rs []record) {
 	ids := make([]ID, 0, len(m.news))
 	for id := range m.news {
 		if !pressing || m.peers[id].presses {
@@ -256,7 +256,7 @@
 }
 
 // pass passes on what is new, at once.
-func (m *Machine) pass() {
+func (m *Node) pass() {
 	m.flush = 0
 	for _, p := range m.listeners() {
 		if rs := m.due(false); len(rs) > 0 && m.tokens > 2*m.reserve() {
@@ -267,16 +267,18 @@
 		}
 	}
 	if len(m.news)+len(m.talk.news) > 0 && m.tokens > 2*m.reserve() {
-		m.flush = m.now + m.cfg.Beat/8
+		m.flush = m.now + m.cfg.HeartbeatInterval/8
 	}
 }
 
 // reserve is kept for beats and questions, in bytes: those of two beats.
-func (m *Machine) reserve() float64 { return float64(2 * m.cfg.Rings * (2*mostHead + m.cfg.Frame)) }
+func (m *Node) reserve() float64 {
+	return float64(2 * m.cfg.RingCount * (2*mostHead + m.cfg.FrameOverheadBytes))
+}
 
 // keep is what must be left once a datagram of a kind is sent: a question may not take the bytes of the next beats, nor news
 // those of questions. Guards against members that ask so much that they no longer say that they live, and have to be asked.
-func (m *Machine) keep(kind byte) float64 {
+func (m *Node) keep(kind byte) float64 {
 	switch kind {
 	case kindBeat:
 		return 0
@@ -290,25 +292,25 @@
 
 // say sends a datagram with as many of the records as fit and may be sent, and tells how many, or -1 where nothing
 // was sent: that would go over the budget. What tells that a member lives goes before what it knows of others.
-func (m *Machine) say(kind byte, to *peer, about uint64, rs []record) int {
+func (m *Node) say(kind byte, to *peer, about uint64, rs []record) int {
 	return m.send(message{Kind: kind, About: about, Carries: rs}, to)
 }
 
-func (m *Machine) send(d message, to *peer) (n int) {
+func (m *Node) send(d message, to *peer) (n int) {
 	rs := d.Carries
-	if len(rs) == 0 && to.agreed != m.view.Digest && m.now-m.viewed < 8*m.cfg.Beat && (d.Kind == kindBeat || d.Kind == kindProbe || d.Kind == kindAnswer) {
+	if len(rs) == 0 && to.agreed != m.view.Digest && m.now-m.viewed < 8*m.cfg.HeartbeatInterval && (d.Kind == kindBeat || d.Kind == kindProbe || d.Kind == kindAnswer) {
 		rs = []record{m.self.record} // it may not know this member, and so not tell it that it lives
 	}
 	d.Carries = nil
 	d.From, d.Inc, d.Seq, d.View = m.self.id, m.self.record.Inc, uint16(m.seq), m.view
 	d.Knows = uint32(m.knows)
 	d.Records = m.digest&^0xff | m.murmur(d.Seq)
-	b := d.append(make([]byte, 0, m.cfg.Limit))
-	frame := sumBytes + m.cfg.Frame
-	if float64(len(b)+frame)+m.keep(d.Kind) > m.tokens || len(b)+sumBytes > m.cfg.Limit {
+	b := d.append(make([]byte, 0, m.cfg.MaxDatagramBytes))
+	frame := sumBytes + m.cfg.FrameOverheadBytes
+	if float64(len(b)+frame)+m.keep(d.Kind) > m.tokens || len(b)+sumBytes > m.cfg.MaxDatagramBytes {
 		return -1
 	}
-	most := min(m.cfg.Limit-sumBytes, int(m.tokens-m.reserve())-frame)
+	most := min(m.cfg.MaxDatagramBytes-sumBytes, int(m.tokens-m.reserve())-frame)
 	at := d.place()
 	for _, r := range rs {
 		whole := len(b)
@@ -326,4 +328,4 @@
 }
 
 // murmur is a byte of the rumours' digest, another one in each turn: what differs shows soon, though a byte is little.
-func (m *Machine) murmur(seq uint16) uint32 { return mix(m.talk.digest, uint32(seq)) & 0xff }
+func (m *Node) murmur(seq uint16) uint32 { return mix(m.talk.digest, uint32(seq)) & 0xff }
--- a/internal/decide/membership/liar_test.go
+++ b/internal/decide/membership/liar_test.go
@@ -7,15 +7,15 @@
 
 // few are members that hear each other at once. spoil may change what one of them says, or says for another.
 type few struct {
-	all   []*Machine
+	all   []*Node
 	now   time.Duration
-	heard []Told
+	heard []MemberReport
 }
 
-func (f *few) run(until time.Duration, spoil func(from *Machine, s Send) []Heard) {
+func (f *few) run(until time.Duration, spoil func(from *Node, s Send) []DatagramReceived) {
 	type on struct {
 		to ID
-		h  Heard
+		h  DatagramReceived
 	}
 	var way []on
 	for ; f.now < until; f.now += 50 * time.Millisecond {
@@ -30,12 +30,12 @@
 			}
 			for _, a := range out {
 				switch a := a.(type) {
-				case Told:
-					if a.About != m.self.id {
+				case MemberReport:
+					if a.Member != m.self.id {
 						f.heard = append(f.heard, a)
 					}
 				case Send:
-					says := []Heard{{m.self.id, a.B}}
+					says := []DatagramReceived{{m.self.id, a.Payload}}
 					if spoil != nil {
 						says = spoil(m, a)
 					}
@@ -71,9 +71,9 @@
 func TestOneAccusesAll(t *testing.T) {
 	f := fewOf(5)
 	f.whole(t)
-	f.run(f.now+30*time.Second, func(m *Machine, s Send) []Heard {
+	f.run(f.now+30*time.Second, func(m *Node, s Send) []DatagramReceived {
 		if m.self.id != 2 {
-			return []Heard{{m.self.id, s.B}}
+			return []DatagramReceived{{m.self.id, s.Payload}}
 		}
 		r := record{Author: 2, Inc: m.self.record.Inc, Seq: uint16(f.now / time.Millisecond)}
 		for _, o := range f.all {
@@ -81,10 +81,10 @@
 				r.Words = append(r.Words, entry{o.self.id, uint8(o.self.record.Inc), deaf})
 			}
 		}
-		return []Heard{{2, seal(message{Kind: kindTell, From: 2, Inc: r.Inc, Carries: []record{r}}.append(nil))}, {2, s.B}}
+		return []DatagramReceived{{2, seal(message{Kind: kindTell, From: 2, Inc: r.Inc, Carries: []record{r}}.append(nil))}, {2, s.Payload}}
 	})
 	for _, h := range f.heard {
-		if !h.State.In() {
+		if !h.State.InView() {
 			t.Errorf("%+v", h)
 		}
 	}
@@ -96,20 +96,20 @@
 // these others, and in the end all are there.
 func TestOneSaysItIsEverybody(t *testing.T) {
 	f := fewOf(5)
-	f.run(f.now+10*time.Second, func(m *Machine, s Send) (says []Heard) {
-		says = []Heard{{m.self.id, s.B}}
+	f.run(f.now+10*time.Second, func(m *Node, s Send) (says []DatagramReceived) {
+		says = []DatagramReceived{{m.self.id, s.Payload}}
 		if m.self.id == 2 {
 			for _, o := range f.all {
 				r := o.self.record
 				r.Seq, r.Left = r.Seq+1, true
-				says = append(says, Heard{2, seal(message{Kind: kindBeat, From: o.self.id, Inc: 1 << 30}.append(nil))},
-					Heard{2, seal(message{Kind: kindTell, From: 2, Inc: m.self.record.Inc, Carries: []record{r}}.append(nil))})
+				says = append(says, DatagramReceived{2, seal(message{Kind: kindBeat, From: o.self.id, Inc: 1 << 30}.append(nil))},
+					DatagramReceived{2, seal(message{Kind: kindTell, From: 2, Inc: m.self.record.Inc, Carries: []record{r}}.append(nil))})
 			}
 		}
 		return says
 	})
 	for _, m := range f.all {
-		if m.self.id != 2 && m.Dropped == 0 {
+		if m.self.id != 2 && m.DroppedDatagrams == 0 {
 			t.Errorf("%d believed one that said it was another", m.self.id)
 		}
 	}
@@ -122,8 +122,8 @@
 	f := fewOf(2)
 	f.all = f.all[:1]
 	f.run(f.now+20*time.Second, nil)
-	why, doubts := f.all[0].Doubt()
-	if s, _, _ := f.all[0].State(2); !s.In() || !doubts {
+	why, doubts := f.all[0].SelfSuspicion()
+	if s, _, _ := f.all[0].State(2); !s.InView() || !doubts {
 		t.Errorf("the other is %s, doubt %q", s, why)
 	}
 }
--- a/internal/decide/membership/members.go
+++ b/internal/decide/membership/members.go
@@ -14,37 +14,37 @@
 	"time"
 )
 
-// ID names a member, and its address: the same after a restart. The caller chooses them, up to MostID: small ones cost
+// ID names a member, and its address: the same after a restart. The caller chooses them, up to MaxID: small ones cost
 // fewer bytes.
 type ID uint64
 
-// MostID has room for an IPv4 address with its port.
-const MostID = 1<<48 - 1
+// MaxID has room for an IPv4 address with its port.
+const MaxID = 1<<48 - 1
 
 // key is the same for a member at all members.
 func (id ID) key() uint32 { return uint32(id) ^ uint32(id>>32)*0x9e3779b1 }
 
 // Config is the same at all members of an installation.
 type Config struct {
-	Beat   time.Duration // how often each watcher is told that a member lives
-	Rings  int           // watchers of a member
-	Quorum int           // of them must not hear it before it is called dead or lost
-	Missed int           // beats in a row that may be missed on a way that loses none, before it is asked
-	Probes int           // questions without an answer before it is said not to be heard
-	Hold   time.Duration // how long enough words against a member must stand before they count
-	Most   time.Duration // how long a change of the view waits for others that are under way, at most
-	Bytes  float64       // sent a second, at most, in the long run; at any size of the fleet
-	Burst  float64       // bytes saved up while there is nothing to say
-	Frame  int           // bytes that the sender adds to each datagram, which count
-	Limit  int           // bytes of a datagram, without these
-	Closed bool          // nobody is a member but those that the settings name
+	HeartbeatInterval   time.Duration // how often each watcher is told that a member lives
+	RingCount           int           // watchers of a member
+	Quorum              int           // of them must not hear it before it is called dead or lost
+	MaxMissedHeartbeats int           // beats in a row that may be missed on a way that loses none, before it is asked
+	MaxUnansweredProbes int           // questions without an answer before it is said not to be heard
+	SuspicionTimeout    time.Duration // how long enough words against a member must stand before they count
+	MaxViewDelay        time.Duration // how long a change of the view waits for others that are under way, at most
+	BytesPerSecond      float64       // sent a second, at most, in the long run; at any size of the fleet
+	BurstBytes          float64       // bytes saved up while there is nothing to say
+	FrameOverheadBytes  int           // bytes that the sender adds to each datagram, which count
+	MaxDatagramBytes    int           // bytes of a datagram, without these
+	Closed              bool          // nobody is a member but those that the settings name
 }
 
-// Defaults are for front ends of one installation within 20 ms of each other.
-func Defaults() Config {
+// DefaultConfig is for front ends of one installation within 20 ms of each other.
+func DefaultConfig() Config {
 	return Config{
-		Beat: 500 * time.Millisecond, Rings: 4, Quorum: 3, Missed: 2, Probes: 3, Hold: time.Second,
-		Most: 4 * time.Second, Bytes: 400, Burst: 6000, Limit: 256,
+		HeartbeatInterval: 500 * time.Millisecond, RingCount: 4, Quorum: 3, MaxMissedHeartbeats: 2, MaxUnansweredProbes: 3, SuspicionTimeout: time.Second,
+		MaxViewDelay: 4 * time.Second, BytesPerSecond: 400, BurstBytes: 6000, MaxDatagramBytes: 256,
 	}
 }
 
@@ -55,11 +55,11 @@
 const (
 	Unknown State = iota // named by the settings, and not heard of since the start
 	Alive
-	Suspect // some don't hear it, and it is not yet known what that means
-	Cut     // some don't hear it, others do; or it hears nobody
-	Dead    // nobody who watched it hears it, and more than half of the fleet is here
-	Lost    // the same, but the fleet's larger part may be where it is: nobody here can know
-	Left    // it said so itself
+	Suspect         // some don't hear it, and it is not yet known what that means
+	PartlyReachable // some don't hear it, others do; or it hears nobody
+	Dead            // nobody who watched it hears it, and more than half of the fleet is here
+	Unreachable     // the same, but the fleet's larger part may be where it is: nobody here can know
+	Departed        // it said so itself
 )
 
 var stateNames = [...]string{"unknown", "alive", "suspect", "cut", "dead", "lost", "left"}
@@ -67,35 +67,35 @@
 func (s State) String() string { return stateNames[s] }
 
 // In tells whether members of the state are in the view.
-func (s State) In() bool { return s == Alive || s == Suspect || s == Cut }
+func (s State) InView() bool { return s == Alive || s == Suspect || s == PartlyReachable }
 
 // View is the set of those that serve, as one member has it. Two members have the same view when the digests are
 // the same; the number orders the views that one member has had, and rises with those of others.
 type View struct {
-	Number uint32
-	Digest uint32
-	Size   int
+	Number uint32 `cbor:"Number"`
+	Digest uint32 `cbor:"Digest"`
+	Size   int    `cbor:"Size"`
 }
 
 // Actions.
 type (
 	// Send has a datagram sent.
 	Send struct {
-		To ID
-		B  []byte
+		To      ID
+		Payload []byte
 	}
-	// Changed tells that another view holds here.
-	Changed struct {
+	// ViewChanged tells that another view holds here.
+	ViewChanged struct {
 		View View
 		// Majority tells whether it has more than half of those that were in a view lately. Without it this member
 		// is in the smaller part of a fleet that is cut, or most others are gone: it can't know which.
 		Majority bool
 	}
-	// Told tells of a change of one member, for an operator.
-	Told struct {
-		About     ID
+	// MemberReport tells of a change of one member, for an operator.
+	MemberReport struct {
+		Member    ID
 		State     State
-		Why       string
+		Reason    string
 		Witnesses []ID
 	}
 )
@@ -104,10 +104,10 @@
 type (
 	// Tick tells the time; it is due each Step.
 	Tick struct{}
-	// Heard is a datagram that came from the address of a member.
-	Heard struct {
-		From ID
-		B    []byte
+	// DatagramReceived is a datagram that came from the address of a member.
+	DatagramReceived struct {
+		From    ID
+		Payload []byte
 	}
 	// Leave is a planned stop: all are told at once.
 	Leave struct{}
@@ -150,16 +150,16 @@
 	grace   time.Duration // it came back: until then old words don't count for the worst
 }
 
-// Chance is a random source: *rand.Rand is one.
-type Chance interface {
+// RandomSource is a random source: *rand.Rand is one.
+type RandomSource interface {
 	IntN(n int) int
 	Shuffle(n int, swap func(i, j int))
 }
 
-// Machine is one member. It is not for several goroutines.
-type Machine struct {
+// Node is one member. It is not for several goroutines.
+type Node struct {
 	cfg       Config
-	rng       Chance
+	rng       RandomSource
 	self      *peer
 	peers     map[ID]*peer
 	all       []*peer       // the same, by id: what goes over them has one order, whatever a map's is
@@ -212,9 +212,9 @@
 	still  time.Duration // since then it is the same
 	waits  time.Duration // since then some would be called dead
 
-	Dropped int // datagrams that could not be read, or were not of whom they said
-	Crowded int // members that would have been too many
-	Refused int // rumours that were too many
+	DroppedDatagrams int // datagrams that could not be read, or were not of whom they said
+	RejectedMembers  int // members that would have been too many
+	RejectedGossip   int // rumours that were too many
 
 	out []any
 }
@@ -222,16 +222,16 @@
 // New returns a member. inc has to be higher than that of any earlier process of this member that may be remembered:
 // the second of the start will do, as one that is not is corrected by what others remember. named are the members
 // that the settings name, itself perhaps among them; others come to be known by their records.
-func New(cfg Config, self ID, inc uint32, named []ID, now time.Duration, rng Chance) *Machine {
+func New(cfg Config, self ID, inc uint32, named []ID, now time.Duration, rng RandomSource) *Node {
 	m := begin(cfg, self, inc, named, now, rng)
 	m.judge()
 	return m
 }
 
-func begin(cfg Config, self ID, inc uint32, named []ID, now time.Duration, rng Chance) *Machine {
-	m := &Machine{
+func begin(cfg Config, self ID, inc uint32, named []ID, now time.Duration, rng RandomSource) *Node {
+	m := &Node{
 		cfg: cfg, rng: rng, peers: map[ID]*peer{}, now: now, began: now, next: now, beatAt: now, loss: lossAtFirst,
-		tokens: cfg.Burst, asks: cfg.Burst / asking, filled: now, news: map[ID]int{}, talk: rumours{all: map[about]Rumour{}, news: map[about]int{}}, answer: now, stale: true,
+		tokens: cfg.BurstBytes, asks: cfg.BurstBytes / asking, filled: now, news: map[ID]int{}, talk: rumours{all: map[about]GossipMessage{}, news: map[about]int{}}, answer: now, stale: true,
 	}
 	m.self = &peer{id: self, known: true, record: record{Author: self, Inc: inc}, state: Alive, seenIn: now}
 	m.enter(m.self)
@@ -249,7 +249,7 @@
 const mostMembers = 4096
 
 // room tells whether another member may come to be known; those that the settings name always may.
-func (m *Machine) room(id ID) bool {
+func (m *Node) room(id ID) bool {
 	if m.peers[id] != nil {
 		return true
 	}
@@ -257,13 +257,13 @@
 		return false
 	}
 	if len(m.all) >= mostMembers {
-		m.Crowded++
+		m.RejectedMembers++
 		return false
 	}
 	return true
 }
 
-func (m *Machine) peer(id ID) *peer {
+func (m *Node) peer(id ID) *peer {
 	p := m.peers[id]
 	if p == nil {
 		p = &peer{id: id, record: record{Author: id}}
@@ -272,23 +272,23 @@
 	return p
 }
 
-func (m *Machine) enter(p *peer) {
+func (m *Node) enter(p *peer) {
 	m.peers[p.id] = p
 	i, _ := slices.BinarySearchFunc(m.all, p, byID)
 	m.all = slices.Insert(m.all, i, p)
 }
 
 // Step is how often a Tick is due.
-func (m *Machine) Step() time.Duration { return m.cfg.Beat / 10 }
+func (m *Node) TickInterval() time.Duration { return m.cfg.HeartbeatInterval / 10 }
 
 // View is what holds here, and whether more than half of the fleet is in it.
-func (m *Machine) View() (v View, majority bool) { return m.view, m.major }
+func (m *Node) View() (v View, majority bool) { return m.view, m.major }
 
 // Doubt tells whether this member trusts its own ears less at present, and why.
-func (m *Machine) Doubt() (why string, doubts bool) { return m.why, m.now < m.doubt }
+func (m *Node) SelfSuspicion() (why string, doubts bool) { return m.why, m.now < m.doubt }
 
 // State is what is held of a member, and who says so.
-func (m *Machine) State(id ID) (s State, against, by []ID) {
+func (m *Node) State(id ID) (s State, against, by []ID) {
 	p := m.peers[id]
 	if p == nil {
 		return Unknown, nil, nil
@@ -297,25 +297,25 @@
 }
 
 // Handle takes one event and returns what to do, in order. Times never go back.
-func (m *Machine) Handle(now time.Duration, event any) []any {
+func (m *Node) Handle(now time.Duration, event any) []any {
 	m.out = nil
 	m.refill(now)
 	m.now = now
 	switch e := event.(type) {
 	case Tick:
 		m.tick()
-	case Heard:
-		m.take(e.From, e.B)
+	case DatagramReceived:
+		m.take(e.From, e.Payload)
 	case Leave:
 		m.leave()
 	}
 	return m.out
 }
 
-func (m *Machine) tick() {
+func (m *Node) tick() {
 	late := m.now - m.next
-	m.next = m.now + m.Step()
-	if late > m.cfg.Beat {
+	m.next = m.now + m.TickInterval()
+	if late > m.cfg.HeartbeatInterval {
 		m.woke(late)
 	}
 	if m.leaving {
@@ -327,7 +327,7 @@
 	m.judge()
 	m.expire()
 	if m.now >= m.beatAt {
-		m.beatAt = max(m.beatAt+m.cfg.Beat, m.now+m.cfg.Beat/2)
+		m.beatAt = max(m.beatAt+m.cfg.HeartbeatInterval, m.now+m.cfg.HeartbeatInterval/2)
 		m.beats()
 	} else if m.flush > 0 && m.now >= m.flush {
 		m.pass()
@@ -336,43 +336,43 @@
 
 // woke takes that this member stood still: whoever it watched has had no chance to be heard. Guards against a
 // process that is stopped, or that gets no processor, and then calls all others silent.
-func (m *Machine) woke(late time.Duration) {
+func (m *Node) woke(late time.Duration) {
 	for _, p := range m.all {
 		p.fresh, p.asked = m.now, 0
 	}
 	m.answer = m.now
-	m.doubts("stood still for "+late.Round(time.Millisecond).String(), 4*m.cfg.Beat)
+	m.doubts("stood still for "+late.Round(time.Millisecond).String(), 4*m.cfg.HeartbeatInterval)
 }
 
-func (m *Machine) doubts(why string, span time.Duration) {
+func (m *Node) doubts(why string, span time.Duration) {
 	if m.now >= m.doubt {
-		m.out = append(m.out, Told{About: m.self.id, State: m.self.state, Why: "doubts itself: " + why})
+		m.out = append(m.out, MemberReport{Member: m.self.id, State: m.self.state, Reason: "doubts itself: " + why})
 	}
 	m.doubt, m.why = max(m.doubt, m.now+span), why
 }
 
 // ears looks whether this member hears anybody at all. Guards against one that is cut off and takes that for the
 // death of all others.
-func (m *Machine) ears() {
-	if len(m.order) < 2 || m.now-m.answer <= time.Duration(m.cfg.Missed)*m.cfg.Beat {
+func (m *Node) ears() {
+	if len(m.order) < 2 || m.now-m.answer <= time.Duration(m.cfg.MaxMissedHeartbeats)*m.cfg.HeartbeatInterval {
 		return
 	}
-	m.doubts("hears nobody", m.cfg.Beat)
+	m.doubts("hears nobody", m.cfg.HeartbeatInterval)
 	if m.now >= m.seek { // those around it may be gone and others not
-		m.seek = m.now + m.cfg.Beat
-		for _, p := range m.some(m.cfg.Rings, func(p *peer) bool { return true }) {
+		m.seek = m.now + m.cfg.HeartbeatInterval
+		for _, p := range m.some(m.cfg.RingCount, func(p *peer) bool { return true }) {
 			m.say(kindProbe, p, 0, nil)
 		}
 	}
 }
 
 // leave tells all watchers at once that this member ends, and some others, as word may be lost.
-func (m *Machine) leave() {
+func (m *Node) leave() {
 	m.leaving = true
 	to := m.targets()
 	m.write(func(r *record) { r.Left = true })
-	m.self.state = Left
-	for _, p := range m.some(m.cfg.Rings, func(p *peer) bool { return p.state.In() }) {
+	m.self.state = Departed
+	for _, p := range m.some(m.cfg.RingCount, func(p *peer) bool { return p.state.InView() }) {
 		to = append(to, p)
 	}
 	for _, p := range to {
@@ -381,7 +381,7 @@
 }
 
 // some are members drawn by chance, each once, so many at most.
-func (m *Machine) some(n int, of func(*peer) bool) []*peer {
+func (m *Node) some(n int, of func(*peer) bool) []*peer {
 	var all []*peer
 	for _, p := range m.order {
 		if p != m.self && of(p) {
@@ -396,9 +396,9 @@
 }
 
 // refill adds to what may be sent.
-func (m *Machine) refill(now time.Duration) {
-	m.tokens = min(m.cfg.Burst, m.tokens+m.cfg.Bytes*(now-m.filled).Seconds())
-	m.asks = min(m.cfg.Burst/asking, m.asks+m.cfg.Bytes/2/asking*(now-m.filled).Seconds())
+func (m *Node) refill(now time.Duration) {
+	m.tokens = min(m.cfg.BurstBytes, m.tokens+m.cfg.BytesPerSecond*(now-m.filled).Seconds())
+	m.asks = min(m.cfg.BurstBytes/asking, m.asks+m.cfg.BytesPerSecond/2/asking*(now-m.filled).Seconds())
 	m.filled = now
 }
 
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -32,7 +32,7 @@
 }
 
 // clone copies a member with all that it holds.
-func (m *Machine) clone() *Machine {
+func (m *Node) clone() *Node {
 	c := *m
 	to := map[*peer]*peer{}
 	c.peers = map[ID]*peer{}
@@ -65,7 +65,7 @@
 type model struct {
 	cfg    Config
 	now    time.Duration
-	all    []*Machine
+	all    []*Node
 	alive  []bool
 	paused []time.Duration
 	woke   []time.Duration
@@ -85,7 +85,7 @@
 	return w
 }
 
-func (w *model) member(i int) *Machine {
+func (w *model) member(i int) *Node {
 	var named []ID
 	for id := range w.alive {
 		named = append(named, ID(id+1))
@@ -158,7 +158,7 @@
 	handle := func(i int, e any) {
 		for _, a := range w.all[i].Handle(w.now, e) {
 			switch a := a.(type) {
-			case Told:
+			case MemberReport:
 				w.judge(i, a)
 			case Send:
 				to, at := int(a.To)-1, w.now+10*time.Millisecond
@@ -170,7 +170,7 @@
 					w.unsure[i][to] = w.now
 					at += 490 * time.Millisecond
 				}
-				way = append(way, on{at, to, i, a.B})
+				way = append(way, on{at, to, i, a.Payload})
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 			case d.at > w.now:
 				way = append(way, d)
 			case w.alive[d.to] && w.now >= w.paused[d.to]:
-				handle(d.to, Heard{ID(d.from + 1), d.b})
+				handle(d.to, DatagramReceived{ID(d.from + 1), d.b})
 			}
 		}
 		for i, m := range w.all {
@@ -199,8 +199,8 @@
 
 // judge holds what a member says of another against what was done: whom more than half of the fleet has heard, both
 // ways, for 5 s is not called dead, and one that has stood still calls nobody dead when it goes on.
-func (w *model) judge(by int, said Told) {
-	of := int(said.About) - 1
+func (w *model) judge(by int, said MemberReport) {
+	of := int(said.Member) - 1
 	if said.State != Dead || of == by || w.broken != "" {
 		return
 	}
@@ -305,7 +305,7 @@
 		steps[3] = 3
 	}
 	for _, n := range []int{3, 4} {
-		states, schedules, found := explore(n, steps[n], Defaults())
+		states, schedules, found := explore(n, steps[n], DefaultConfig())
 		if found != "" {
 			t.Errorf("%d members: %s", n, found)
 		}
@@ -315,8 +315,8 @@
 
 // The check finds a defect that is put in on purpose: one that does not hear another has it called dead at once.
 func TestModelFindsDefect(t *testing.T) {
-	cfg := Defaults()
-	cfg.Quorum, cfg.Hold = 1, 0
+	cfg := DefaultConfig()
+	cfg.Quorum, cfg.SuspicionTimeout = 1, 0
 	if _, _, found := explore(3, 2, cfg); found == "" {
 		t.Error("nothing found")
 	} else {
--- a/internal/decide/membership/record.go
+++ b/internal/decide/membership/record.go
@@ -135,7 +135,7 @@
 // member adds a signed difference to an id, where that is one.
 func member(at ID, by uint64) (ID, error) {
 	id := int64(at) + zag(by)
-	if by > 2*MostID+1 || id < 0 || id > MostID {
+	if by > 2*MaxID+1 || id < 0 || id > MaxID {
 		return 0, errWire
 	}
 	return ID(id), nil
@@ -162,7 +162,7 @@
 		}
 		by := v >> 2
 		if i > 0 { // it was written as it is
-			if by > MostID {
+			if by > MaxID {
 				return r, nil, errWire
 			}
 			by = zig(int64(by))
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -35,12 +35,12 @@
 	{name: "slow", members: 7, span: 60 * time.Second, loss: 0.05, delay: 900 * time.Millisecond},
 	{name: "closed", members: 6, span: 60 * time.Second, delay: 20 * time.Millisecond, config: func(c *Config) { c.Closed = true }},
 	{name: "signed", members: 8, span: 60 * time.Second, loss: 0.1, delay: 20 * time.Millisecond, config: func(c *Config) {
-		c.Frame += 25
-		c.Limit -= 25
+		c.FrameOverheadBytes += 25
+		c.MaxDatagramBytes -= 25
 	}},
 	{name: "discovered by two seeds", members: 60, seeds: 2, span: 25 * time.Second, loss: 0.05, delay: 20 * time.Millisecond},
 	{name: "quick", members: 6, span: 30 * time.Second, loss: 0.05, delay: 20 * time.Millisecond, config: func(c *Config) {
-		c.Beat, c.Hold, c.Most, c.Bytes = 200*time.Millisecond, 400*time.Millisecond, 1600*time.Millisecond, 1000
+		c.HeartbeatInterval, c.SuspicionTimeout, c.MaxViewDelay, c.BytesPerSecond = 200*time.Millisecond, 400*time.Millisecond, 1600*time.Millisecond, 1000
 	}},
 }
 
@@ -48,7 +48,7 @@
 
 // replayNode is a member of the played fleet.
 type replayNode struct {
-	machine *Machine
+	machine *Node
 	id      ID
 	inc     uint32
 	rate    float64 // of its clock
@@ -79,7 +79,7 @@
 }
 
 func newReplay(s replayScenario, seed uint64) *replay {
-	r := &replay{replayScenario: s, cfg: Defaults(), now: time.Hour, rng: rand.New(rand.NewPCG(seed, 77)), loss: s.loss, digest: sha256.New()}
+	r := &replay{replayScenario: s, cfg: DefaultConfig(), now: time.Hour, rng: rand.New(rand.NewPCG(seed, 77)), loss: s.loss, digest: sha256.New()}
 	if s.config != nil {
 		s.config(&r.cfg)
 	}
@@ -122,7 +122,7 @@
 
 // replaceProcess has another process resume what the one before carried.
 func (r *replay) replaceProcess(n *replayNode) {
-	carried := n.machine.Carry()
+	carried := n.machine.SaveState()
 	n.inc++
 	m, err := Resume(r.cfg, carried, n.inc, r.named(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
 	if err != nil {
@@ -157,12 +157,12 @@
 		at := replayUint(uint64(r.now)) + " " + replayUint(uint64(n.id))
 		switch a := a.(type) {
 		case Send:
-			r.write(at, "send", replayUint(uint64(a.To)), hex.EncodeToString(a.B))
+			r.write(at, "send", replayUint(uint64(a.To)), hex.EncodeToString(a.Payload))
 			copies := 1 + r.rng.IntN(30)/29
 			for range copies {
 				late := time.Duration(r.rng.Int64N(int64(r.delay))) + time.Millisecond
 				lost := r.rng.Float64() < r.loss || r.cut != nil && r.cut(n.id, a.To)
-				b := a.B
+				b := a.Payload
 				if r.rng.IntN(400) == 0 { // it is changed on its way
 					b = append([]byte(nil), b...)
 					b[r.rng.IntN(len(b))] ^= 4
@@ -171,10 +171,10 @@
 					r.way = append(r.way, replayDatagram{r.now + late, n.id, a.To, b})
 				}
 			}
-		case Changed:
+		case ViewChanged:
 			r.write(at, "view", replayView(a.View), strconv.FormatBool(a.Majority))
-		case Told:
-			r.write(at, "state", replayUint(uint64(a.About)), strconv.Itoa(int(a.State)), a.State.String(), a.Why, replayIDs(a.Witnesses))
+		case MemberReport:
+			r.write(at, "state", replayUint(uint64(a.Member)), strconv.Itoa(int(a.State)), a.State.String(), a.Reason, replayIDs(a.Witnesses))
 		default:
 			r.write(at, "unknown action")
 		}
@@ -185,29 +185,29 @@
 func (r *replay) report(n *replayNode) {
 	m := n.machine
 	view, majority := m.View()
-	why, doubts := m.Doubt()
-	heard, same := m.Agrees()
+	why, doubts := m.SelfSuspicion()
+	heard, same := m.ViewAgreement()
 	r.write("report", replayUint(uint64(n.id)), replayView(view), strconv.FormatBool(majority), why, strconv.FormatBool(doubts), strconv.Itoa(heard), strconv.Itoa(same),
-		strconv.Itoa(m.Dropped), strconv.Itoa(m.Crowded), strconv.Itoa(m.Refused))
+		strconv.Itoa(m.DroppedDatagrams), strconv.Itoa(m.RejectedMembers), strconv.Itoa(m.RejectedGossip))
 	for _, o := range m.Snapshot(r.clock(n)) {
-		r.write(replayUint(uint64(o.ID)), strconv.Itoa(int(o.State)), replayUint(uint64(o.Inc)), strconv.FormatInt(int64(o.Heard), 10), strconv.FormatFloat(o.Loss, 'g', -1, 64),
-			strconv.FormatBool(o.Doubts), strconv.FormatBool(o.Same), strconv.FormatBool(o.Watched), replayIDs(o.Deaf), replayIDs(o.Aside), replayIDs(o.Hear))
+		r.write(replayUint(uint64(o.ID)), strconv.Itoa(int(o.State)), replayUint(uint64(o.Incarnation)), strconv.FormatInt(int64(o.SinceHeard), 10), strconv.FormatFloat(o.LossRate, 'g', -1, 64),
+			strconv.FormatBool(o.SuspectsItself), strconv.FormatBool(o.SameView), strconv.FormatBool(o.Monitored), replayIDs(o.NotHeardBy), replayIDs(o.NotHeardButAliveBy), replayIDs(o.HeardBy))
 		state, against, by := m.State(o.ID)
 		r.write(strconv.Itoa(int(state)), replayIDs(against), replayIDs(by))
 	}
 	for topic := range uint8(3) {
-		for _, u := range m.Rumours(topic) {
-			r.write("gossip", strconv.Itoa(int(u.Topic)), replayUint(uint64(u.Key)), replayUint(uint64(u.Owner)), replayUint(uint64(u.Inc)), replayUint(uint64(u.Version)), hex.EncodeToString(u.Body))
+		for _, u := range m.GossipMessages(topic) {
+			r.write("gossip", strconv.Itoa(int(u.Topic)), replayUint(uint64(u.Key)), replayUint(uint64(u.Owner)), replayUint(uint64(u.Incarnation)), replayUint(uint64(u.Version)), hex.EncodeToString(u.Body))
 		}
 	}
 }
 
 // carry writes down what a member would leave to the next process.
 func (r *replay) carry(n *replayNode) {
-	c := n.machine.Carry()
-	r.write("carry", replayUint(uint64(c.Self)), replayUint(uint64(c.Inc)), replayView(c.View), strconv.FormatBool(c.Major), replayUint(uint64(c.Seen)), hex.EncodeToString(c.Talk))
+	c := n.machine.SaveState()
+	r.write("carry", replayUint(uint64(c.Self)), replayUint(uint64(c.Incarnation)), replayView(c.View), strconv.FormatBool(c.HasMajority), replayUint(uint64(c.HighestView)), hex.EncodeToString(c.Gossip))
 	for _, o := range c.Members {
-		r.write(replayUint(uint64(o.ID)), hex.EncodeToString(o.Record), strconv.Itoa(int(o.State)), strconv.FormatInt(int64(o.Ago), 10), strconv.FormatFloat(o.Loss, 'g', -1, 64))
+		r.write(replayUint(uint64(o.ID)), hex.EncodeToString(o.Record), strconv.Itoa(int(o.State)), strconv.FormatInt(int64(o.ViewAge), 10), strconv.FormatFloat(o.LossRate, 'g', -1, 64))
 	}
 }
 
@@ -284,12 +284,12 @@
 			case d.at > r.now || n != nil && n.alive && r.now < n.paused:
 				r.way = append(r.way, d)
 			case n != nil && n.alive:
-				r.handle(n, Heard{d.from, d.b})
+				r.handle(n, DatagramReceived{d.from, d.b})
 			}
 		}
 		for _, n := range r.nodes {
 			if n.alive && r.now >= n.paused && r.clock(n) >= n.due {
-				n.due = r.clock(n) + n.machine.Step()
+				n.due = r.clock(n) + n.machine.TickInterval()
 				r.handle(n, Tick{})
 			}
 		}
--- a/internal/decide/membership/rumour_test.go
+++ b/internal/decide/membership/rumour_test.go
@@ -16,17 +16,17 @@
 func TestRumours(t *testing.T) {
 	f := fewOf(7)
 	chance := rand.New(rand.NewPCG(1, 1))
-	loss := func(m *Machine, s Send) []Heard {
+	loss := func(m *Node, s Send) []DatagramReceived {
 		if chance.IntN(2) == 0 {
 			return nil
 		}
-		return []Heard{{m.self.id, s.B}}
+		return []DatagramReceived{{m.self.id, s.Payload}}
 	}
 	same := func(what string, want ...string) {
 		t.Helper()
 		for _, m := range f.all {
 			var got []string
-			for _, r := range m.Rumours(5) {
+			for _, r := range m.GossipMessages(5) {
 				got = append(got, fmt.Sprintf("%d.%d %s", r.Owner, r.Key, r.Body))
 			}
 			if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" {
@@ -56,15 +56,15 @@
 func TestRumoursAreBounded(t *testing.T) {
 	f := fewOf(2)
 	m := f.all[0]
-	if err := m.Publish(1, 1, make([]byte, MostBody+1)); !errors.Is(err, ErrLong) {
+	if err := m.Publish(1, 1, make([]byte, MaxGossipBody+1)); !errors.Is(err, ErrGossipBodyTooLong) {
 		t.Errorf("a long one: %v", err)
 	}
-	for key := range uint32(MostOwn) {
+	for key := range uint32(MaxGossipPerOwner) {
 		if err := m.Publish(1, key, []byte("x")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := m.Publish(1, MostOwn, []byte("x")); !errors.Is(err, ErrFull) {
+	if err := m.Publish(1, MaxGossipPerOwner, []byte("x")); !errors.Is(err, ErrTooManyGossipMessages) {
 		t.Errorf("one too many: %v", err)
 	}
 	if err := m.Publish(1, 3, []byte("y")); err != nil {
@@ -72,9 +72,9 @@
 	}
 	// One that does not keep to it is refused by others.
 	for key := range uint32(500) {
-		f.all[1].hearRumour(Rumour{Topic: 2, Key: key, Owner: 1, Version: 1, Body: []byte("z")})
+		f.all[1].hearRumour(GossipMessage{Topic: 2, Key: key, Owner: 1, Version: 1, Body: []byte("z")})
 	}
-	if n := len(f.all[1].Rumours(2)); n > 2*MostOwn || f.all[1].Refused == 0 {
-		t.Errorf("%d are kept, %d refused", n, f.all[1].Refused)
+	if n := len(f.all[1].GossipMessages(2)); n > 2*MaxGossipPerOwner || f.all[1].RejectedGossip == 0 {
+		t.Errorf("%d are kept, %d refused", n, f.all[1].RejectedGossip)
 	}
 }
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -54,8 +54,8 @@
 type thing struct{ key, hash uint32 }
 
 // ask sends a question for what is not in a filter of the things that this member has, or in so many parts of them.
-func (m *Machine) ask(kind byte, p *peer, have []thing, parts int, rs []record) {
-	room := m.cfg.Limit - sumBytes - mostHead - 1 - 24 // the last for this member's own record
+func (m *Node) ask(kind byte, p *peer, have []thing, parts int, rs []record) {
+	room := m.cfg.MaxDatagramBytes - sumBytes - mostHead - 1 - 24 // the last for this member's own record
 	parts = min(max(len(have)*tight/(8*room)+1, parts), 255)
 	d := message{Kind: kind, Carries: rs, About: uint64(m.rng.IntN(parts))<<8 | uint64(parts)}
 	have = slices.DeleteFunc(have, func(t thing) bool { return !part(t.key, d.About) })
@@ -72,10 +72,12 @@
 }
 
 // mayAsk tells whether there are bytes for one more question.
-func (m *Machine) mayAsk() bool { return m.asks >= float64(m.cfg.Limit+m.cfg.Frame) }
+func (m *Node) mayAsk() bool {
+	return m.asks >= float64(m.cfg.MaxDatagramBytes+m.cfg.FrameOverheadBytes)
+}
 
 // inquire asks another what it has that is not here.
-func (m *Machine) inquire(p *peer) {
+func (m *Node) inquire(p *peer) {
 	p.synced, m.synced, m.brought, m.gained = m.now, m.now, m.gained, 0
 	var own []record
 	if p.heard == 0 || !p.known { // it may not know this one
@@ -98,7 +100,7 @@
 }
 
 // inquireRumours asks another what rumours it has that are not here.
-func (m *Machine) inquireRumours(p *peer) {
+func (m *Node) inquireRumours(p *peer) {
 	m.talk.asked = m.now
 	if !m.mayAsk() {
 		return
@@ -111,11 +113,11 @@
 }
 
 // lacks tells whether another knows of many more members than this one.
-func (m *Machine) lacks(p *peer) bool { return p.knows > m.knows+leads }
+func (m *Node) lacks(p *peer) bool { return p.knows > m.knows+leads }
 
 // misses tells whether another is to be asked for what differs: one that is not known, or has had other records for a while, and not so
 // many fewer that it will rather ask itself.
-func (m *Machine) misses(p *peer) bool {
+func (m *Node) misses(p *peer) bool {
 	if !p.known {
 		return true
 	}
@@ -124,14 +126,14 @@
 
 // pace is how long one question for what differs waits after another: much that is missing is asked for at once, as long as something
 // comes of it.
-func (m *Machine) pace(p *peer) time.Duration {
+func (m *Node) pace(p *peer) time.Duration {
 	switch {
 	case m.gained >= leads, m.lacks(p) && m.gained > 0:
-		return m.cfg.Beat / 2
+		return m.cfg.HeartbeatInterval / 2
 	case m.lacks(p):
-		return m.cfg.Beat
+		return m.cfg.HeartbeatInterval
 	}
-	return 3 * m.cfg.Beat
+	return 3 * m.cfg.HeartbeatInterval
 }
 
 const (
@@ -150,7 +152,7 @@
 
 // supply tells what another lacks or has otherwise, as much as its share of what may be sent; the rest when it asks again, or
 // asks others. What says something of members does not go first: who does not know a member yet can't tell what is said of it.
-func (m *Machine) supply(p *peer, d message) {
+func (m *Node) supply(p *peer, d message) {
 	var rs []record
 	for _, o := range m.all {
 		if o.known && !d.covers(o.id.key(), o.record.hash()) {
@@ -160,12 +162,12 @@
 	m.rng.Shuffle(len(rs), func(i, j int) { rs[i], rs[j] = rs[j], rs[i] })
 	spare := m.tokens - m.reserve()
 	if d.Knows <= 1 {
-		if m.tokens < m.cfg.Burst/2 { // others will find it, who are told of it
+		if m.tokens < m.cfg.BurstBytes/2 { // others will find it, who are told of it
 			return
 		}
 		rs = rs[:min(len(rs), leads)]
 	}
-	share := max(spare/shares, float64(m.cfg.Limit-sumBytes-mostHead)) // a whole datagram, as its head costs as much each time
+	share := max(spare/shares, float64(m.cfg.MaxDatagramBytes-sumBytes-mostHead)) // a whole datagram, as its head costs as much each time
 	for n, r := range rs {
 		if share -= float64(len(r.append(nil, d.place()))); share < 0 {
 			rs = rs[:max(n, 1)]
--- a/internal/decide/membership/sync_test.go
+++ b/internal/decide/membership/sync_test.go
@@ -48,7 +48,7 @@
 		b.merge(a.self.record, true)
 		for turn := range 400 {
 			now := time.Hour + time.Duration(turn)*2*time.Second
-			for _, pair := range [][2]*Machine{{a, b}, {b, a}} {
+			for _, pair := range [][2]*Node{{a, b}, {b, a}} {
 				from, to := pair[0], pair[1]
 				from.refill(now)
 				to.refill(now)
@@ -56,8 +56,8 @@
 				from.seq++
 				from.inquire(from.peers[to.self.id])
 				for _, s := range sends(from.out, to.self.id) {
-					for _, back := range sends(to.Handle(now, Heard{from.self.id, s.B}), from.self.id) {
-						from.Handle(now, Heard{to.self.id, back.B})
+					for _, back := range sends(to.Handle(now, DatagramReceived{from.self.id, s.Payload}), from.self.id) {
+						from.Handle(now, DatagramReceived{to.self.id, back.Payload})
 					}
 				}
 			}
@@ -90,10 +90,10 @@
 	for range 100 {
 		m.inquire(m.peers[2])
 	}
-	if left := m.cfg.Burst - m.cfg.Burst/asking; m.tokens < left {
+	if left := m.cfg.BurstBytes - m.cfg.BurstBytes/asking; m.tokens < left {
 		t.Errorf("%.0f bytes are left, %.0f at least", m.tokens, left)
 	}
-	if m.asks >= float64(m.cfg.Limit) {
+	if m.asks >= float64(m.cfg.MaxDatagramBytes) {
 		t.Errorf("%.0f bytes for questions are left after a hundred", m.asks)
 	}
 }
--- a/internal/decide/membership/watch.go
+++ b/internal/decide/membership/watch.go
@@ -12,19 +12,19 @@
 // watched by several that have nothing else in common, and no choice of chance decides how soon a death is seen.
 
 // turn puts the rings in order anew after a change of who stands on them.
-func (m *Machine) turn() {
+func (m *Node) turn() {
 	if !m.stale {
 		return
 	}
 	m.stale, m.look = false, true
 	m.order = m.order[:0]
 	for _, p := range m.all {
-		if p.state.In() {
+		if p.state.InView() {
 			m.order = append(m.order, p)
 		}
 	}
 	m.rings = m.rings[:0]
-	for r := range m.cfg.Rings {
+	for r := range m.cfg.RingCount {
 		ring := slices.Clone(m.order)
 		slices.SortFunc(ring, func(a, b *peer) int {
 			return cmp.Or(cmp.Compare(mix(a.id.key(), uint32(r)), mix(b.id.key(), uint32(r))), byID(a, b))
@@ -34,7 +34,7 @@
 }
 
 // along gives the members of a ring from this one on, in one direction, until f has enough.
-func (m *Machine) along(ring []*peer, dir int, f func(*peer) bool) {
+func (m *Node) along(ring []*peer, dir int, f func(*peer) bool) {
 	at := slices.Index(ring, m.self)
 	for i := 1; i < len(ring); i++ {
 		if !f(ring[(at+dir*i+i*len(ring))%len(ring)]) {
@@ -48,7 +48,7 @@
 
 // targets are those that are told that this member lives: the next on each ring; where that one may be gone the next
 // after it, and it itself at each fourth beat.
-func (m *Machine) targets() (to []*peer) {
+func (m *Node) targets() (to []*peer) {
 	m.turn()
 	add := func(p *peer) {
 		if !slices.Contains(to, p) {
@@ -70,16 +70,16 @@
 
 // listeners are those that news is passed to: as many as there are rings, half of them members that are heard, of
 // which it is certain that they live, and the others those next on the rings.
-func (m *Machine) listeners() []*peer {
-	certain := m.cfg.Rings / 2
+func (m *Node) listeners() []*peer {
+	certain := m.cfg.RingCount / 2
 	if len(m.self.record.Words) > 1 { // many may be gone, of those next on the rings too
-		certain = m.cfg.Rings - 1
+		certain = m.cfg.RingCount - 1
 	}
 	to := m.some(certain, func(p *peer) bool { return m.hearing(p) && !p.doubtful() })
 	next := m.targets()
 	m.rng.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
 	for _, p := range next {
-		if len(to) < m.cfg.Rings && !p.doubtful() && !slices.Contains(to, p) {
+		if len(to) < m.cfg.RingCount && !p.doubtful() && !slices.Contains(to, p) {
 			to = append(to, p)
 		}
 	}
@@ -96,7 +96,7 @@
 // lost is the share that is thought to be lost on the way of another: what was measured, and where that is little, and nobody else has
 // missed it, what is lost on all ways here. Guards against a start amid loss, in which those who don't know yet whom to tell that they
 // live are asked too few times.
-func (m *Machine) lost(p *peer) float64 {
+func (m *Node) lost(p *peer) float64 {
 	if p.beats < lossOver && len(p.against) == 0 {
 		return max(p.loss, m.loss)
 	}
@@ -105,23 +105,23 @@
 
 // silence is how long a member may say nothing before it is asked: as many beats as are hardly ever lost in a row on
 // its way.
-func (m *Machine) silence(p *peer) time.Duration {
+func (m *Node) silence(p *peer) time.Duration {
 	n := math.Ceil(math.Log(0.005) / math.Log(max(m.lost(p), 0.05)))
-	beats := min(max(n, float64(m.cfg.Missed)), 10)
-	return time.Duration(beats*float64(m.cfg.Beat)) + m.cfg.Beat/4
+	beats := min(max(n, float64(m.cfg.MaxMissedHeartbeats)), 10)
+	return time.Duration(beats*float64(m.cfg.HeartbeatInterval)) + m.cfg.HeartbeatInterval/4
 }
 
 // hearing tells whether this member hears another at present.
-func (m *Machine) hearing(p *peer) bool { return p.heard > 0 && m.now-p.heard <= m.silence(p) }
+func (m *Node) hearing(p *peer) bool { return p.heard > 0 && m.now-p.heard <= m.silence(p) }
 
 // lively tells whether another was heard not long ago, though it may have no cause to tell this member.
-func (m *Machine) lively(p *peer) bool {
-	return p.heard > 0 && m.now-p.heard <= m.silence(p)+2*m.cfg.Beat
+func (m *Node) lively(p *peer) bool {
+	return p.heard > 0 && m.now-p.heard <= m.silence(p)+2*m.cfg.HeartbeatInterval
 }
 
 // copies is how often a question goes out at once: twice where much is lost. A wrong word costs far more than it, as it goes to
 // all, and so does its answer.
-func (m *Machine) copies(p *peer) int {
+func (m *Node) copies(p *peer) int {
 	if m.lost(p) > 0.1 {
 		return 2
 	}
@@ -129,19 +129,19 @@
 }
 
 // questions is how many may go without an answer, over the same way and back.
-func (m *Machine) questions(p *peer) int {
+func (m *Node) questions(p *peer) int {
 	both := 1 - (1-m.lost(p))*(1-m.lost(p))
 	n := math.Ceil(math.Log(0.002) / (float64(m.copies(p)) * math.Log(max(both, 0.05))))
-	return int(min(max(n, float64(m.cfg.Probes)), 8))
+	return int(min(max(n, float64(m.cfg.MaxUnansweredProbes)), 8))
 }
 
 // judges tells whether this member is one of those that look for themselves where another is not heard by somebody:
 // chance decides, the same for all, so that there are witnesses enough though those on the rings may be gone too.
-func (m *Machine) judges(p *peer) bool {
+func (m *Node) judges(p *peer) bool {
 	mine, before := mix(p.id.key(), m.self.id.key()), 0
 	for _, o := range m.order {
 		if o != p && o != m.self && len(o.against) == 0 && mix(p.id.key(), o.id.key()) < mine {
-			if before++; before >= m.cfg.Rings {
+			if before++; before >= m.cfg.RingCount {
 				return false
 			}
 		}
@@ -152,7 +152,7 @@
 // cares settles whom this member has to hear: the one before it on each ring; where that is not heard twice as many
 // more each time, as many may be gone at once; and whom others don't hear, where it judges or has vouched. cared
 // are these and all others of whom its record may have to say something.
-func (m *Machine) cares() {
+func (m *Node) cares() {
 	m.turn()
 	if !m.look {
 		return
@@ -197,21 +197,21 @@
 // attests tells whether too few living members say of one that is dead or lost here that they don't hear it: witnesses leave, or their
 // processes are replaced and say nothing of what they have not seen. Some of those who hold it for dead say so in their place then. Guards
 // against a member that learns of it later, and would hold it for alive with nobody to tell it otherwise.
-func (m *Machine) attests(p *peer) bool {
-	return (p.state == Dead || p.state == Lost) && p.mine == none && m.witnesses(p) < m.cfg.Quorum && !m.hearing(p)
+func (m *Node) attests(p *peer) bool {
+	return (p.state == Dead || p.state == Unreachable) && p.mine == none && m.witnesses(p) < m.cfg.Quorum && !m.hearing(p)
 }
 
 // watch asks those that are silent, first themselves and then by way of others.
-func (m *Machine) watch() {
+func (m *Node) watch() {
 	m.cares()
 	for _, p := range m.cared {
 		if !p.watched || m.now < p.askAt || m.now-p.fresh < m.silence(p) {
 			continue
 		}
 		if p.mine == deaf || p.mine == aside { // it is asked still, now and then
-			p.askAt = m.now + 4*m.cfg.Beat
+			p.askAt = m.now + 4*m.cfg.HeartbeatInterval
 			if p.mine == deaf { // the more rarely, the longer it is away
-				p.askAt = m.now + 4*m.cfg.Beat<<min(p.again, 4)
+				p.askAt = m.now + 4*m.cfg.HeartbeatInterval<<min(p.again, 4)
 				p.again++
 			}
 			m.say(kindProbe, p, 0, nil)
@@ -224,7 +224,7 @@
 			m.say(kindProbe, p, 0, nil)
 		}
 		p.asked++
-		p.askAt = m.now + 2*m.cfg.Beat/5
+		p.askAt = m.now + 2*m.cfg.HeartbeatInterval/5
 		if p.asked == 2 && !p.doubtful() {
 			for _, o := range m.some(2, func(o *peer) bool { return o != p && len(o.against) == 0 && o.mine == none }) {
 				m.say(kindAsk, o, uint64(p.id), nil)
@@ -234,7 +234,7 @@
 }
 
 // revise brings this member's own record up to what it hears.
-func (m *Machine) revise() {
+func (m *Node) revise() {
 	changed := false
 	m.open = 0
 	for _, p := range m.cared {
@@ -248,13 +248,13 @@
 	doubts := m.now < m.doubt
 	m.look = m.look || changed
 	m.voided = m.voided || changed || doubts != m.self.record.Doubts
-	if !m.voided || m.now-m.wrote < m.cfg.Beat/4 { // what comes one after the other goes out together
+	if !m.voided || m.now-m.wrote < m.cfg.HeartbeatInterval/4 { // what comes one after the other goes out together
 		return
 	}
 	if m.writes == 0 {
 		m.writes = m.now
 	}
-	if m.open >= 2 && m.now-m.writes < 3*m.cfg.Beat { // and so does what happens to many: each record goes to all
+	if m.open >= 2 && m.now-m.writes < 3*m.cfg.HeartbeatInterval { // and so does what happens to many: each record goes to all
 		return
 	}
 	m.writes = 0
@@ -265,7 +265,7 @@
 			words = append(words, entry{p.id, uint8(p.record.Inc), p.mine})
 		}
 	}
-	for longest := m.cfg.Limit - sumBytes - mostHead; len((record{Author: m.self.id, Inc: m.self.record.Inc, Seq: 1<<16 - 1, Words: words}).append(nil, place{})) > longest; {
+	for longest := m.cfg.MaxDatagramBytes - sumBytes - mostHead; len((record{Author: m.self.id, Inc: m.self.record.Inc, Seq: 1<<16 - 1, Words: words}).append(nil, place{})) > longest; {
 		words = words[:len(words)-1] // what does not fit a datagram nobody would hear of
 	}
 	if slices.Equal(words, m.self.record.Words) && doubts == m.self.record.Doubts {
@@ -279,7 +279,7 @@
 const vouchers = 2
 
 // listen settles what this member says of another one.
-func (m *Machine) listen(p *peer) {
+func (m *Node) listen(p *peer) {
 	heard := m.hearing(p)
 	disputed := len(p.against)+len(p.aside) > 0
 	switch {
@@ -299,23 +299,23 @@
 	case p.mine == deaf && len(p.by) > 0:
 		p.mine = aside
 		m.contradicted()
-	case p.mine == aside && len(p.by) == 0 && (len(p.against) > 0 || m.now-p.turned > 4*m.cfg.Beat && m.now-p.fresh > 4*m.cfg.Beat) && m.now >= m.doubt:
+	case p.mine == aside && len(p.by) == 0 && (len(p.against) > 0 || m.now-p.turned > 4*m.cfg.HeartbeatInterval && m.now-p.fresh > 4*m.cfg.HeartbeatInterval) && m.now >= m.doubt:
 		p.mine, p.asked, p.askAt = none, 0, 0 // those who heard it don't any more, or nobody says so: it is asked anew
-	case p.mine == none && disputed && heard && p.heard > p.turned && len(p.by) < vouchers && (p.watched || m.now < p.vouch || m.now-p.turned > m.cfg.Beat):
+	case p.mine == none && disputed && heard && p.heard > p.turned && len(p.by) < vouchers && (p.watched || m.now < p.vouch || m.now-p.turned > m.cfg.HeartbeatInterval):
 		p.mine = hears
-	case p.mine == hears && (!disputed && m.now-p.turned > 4*m.cfg.Beat || !heard && p.asked >= m.questions(p) && m.now >= p.askAt):
+	case p.mine == hears && (!disputed && m.now-p.turned > 4*m.cfg.HeartbeatInterval || !heard && p.asked >= m.questions(p) && m.now >= p.askAt):
 		p.mine = none
 	}
 }
 
 // contradicted takes that others hear whom this member does not. Guards against one whose own ears are bad: it goes
 // on to say whom it does not hear, and it counts for nothing.
-func (m *Machine) contradicted() {
-	if m.wrongAt == 0 || m.now-m.wrongAt > 20*m.cfg.Beat {
+func (m *Node) contradicted() {
+	if m.wrongAt == 0 || m.now-m.wrongAt > 20*m.cfg.HeartbeatInterval {
 		m.wrong = 0
 	}
 	m.wrongAt = m.now
 	if m.wrong++; m.wrong >= 2 {
-		m.doubts("others hear whom it does not", 20*m.cfg.Beat)
+		m.doubts("others hear whom it does not", 20*m.cfg.HeartbeatInterval)
 	}
 }
--- a/internal/decide/membership/wire.go
+++ b/internal/decide/membership/wire.go
@@ -42,7 +42,7 @@
 	About   uint64
 	Has     filter
 	Carries []record
-	Talk    []Rumour
+	Talk    []GossipMessage
 }
 
 func (d message) place() place { return place{d.From, d.Inc} }
@@ -97,7 +97,7 @@
 	}
 	d.Kind = b[0] & 0xf
 	v, b, err := number(b[1:])
-	if err != nil || v > MostID || len(b) < 10 {
+	if err != nil || v > MaxID || len(b) < 10 {
 		return d, errWire
 	}
 	d.From, d.Inc = ID(v), binary.BigEndian.Uint32(b)
@@ -110,7 +110,7 @@
 		return d, errWire
 	}
 	d.View = View{Number: uint32(v), Digest: binary.BigEndian.Uint32(b)}
-	if v, b, err = number(b[4:]); err != nil || v > MostID {
+	if v, b, err = number(b[4:]); err != nil || v > MaxID {
 		return d, errWire
 	}
 	d.About = v
@@ -121,7 +121,7 @@
 		d.Has, b = slices.Clone(b[1:1+int(b[0])]), b[1+int(b[0]):]
 	}
 	for d.Kind == kindTalk && len(b) > 0 {
-		var r Rumour
+		var r GossipMessage
 		if r, b, err = readRumour(b); err != nil {
 			return d, err
 		}
--- a/internal/decide/membership/wire_test.go
+++ b/internal/decide/membership/wire_test.go
@@ -26,8 +26,8 @@
 func TestWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := message{
-			Kind: byte(rapid.IntRange(kindBeat, kindMore).Draw(t, "kind")), From: ID(rapid.Uint64Range(0, MostID).Draw(t, "from")), Inc: 7, Seq: 9, Records: 11, Knows: rapid.Uint32Range(0, mostMembers).Draw(t, "knows"),
-			View: View{Number: rapid.Uint32().Draw(t, "number"), Digest: 13}, About: rapid.Uint64Range(0, MostID).Draw(t, "about"),
+			Kind: byte(rapid.IntRange(kindBeat, kindMore).Draw(t, "kind")), From: ID(rapid.Uint64Range(0, MaxID).Draw(t, "from")), Inc: 7, Seq: 9, Records: 11, Knows: rapid.Uint32Range(0, mostMembers).Draw(t, "knows"),
+			View: View{Number: rapid.Uint32().Draw(t, "number"), Digest: 13}, About: rapid.Uint64Range(0, MaxID).Draw(t, "about"),
 		}
 		switch d.Kind {
 		case kindHave, kindMore:
@@ -35,7 +35,7 @@
 			d.Carries = []record{drawRecord(t, 5)}
 		case kindTalk:
 			for i := range rapid.IntRange(0, 3).Draw(t, "rumours") {
-				d.Talk = append(d.Talk, Rumour{Topic: 3, Key: rapid.Uint32().Draw(t, "key"), Owner: ID(i), Inc: 1, Version: 9, Body: rapid.SliceOfN(rapid.Byte(), 0, MostBody).Draw(t, "body")})
+				d.Talk = append(d.Talk, GossipMessage{Topic: 3, Key: rapid.Uint32().Draw(t, "key"), Owner: ID(i), Incarnation: 1, Version: 9, Body: rapid.SliceOfN(rapid.Byte(), 0, MaxGossipBody).Draw(t, "body")})
 			}
 		default:
 			for i := range rapid.IntRange(0, 4).Draw(t, "records") {
@@ -53,7 +53,7 @@
 	f.Add(message{Kind: kindBeat, From: 300, Carries: []record{{Author: 3, Words: []entry{{4, 1, deaf}}}}}.append(nil))
 	f.Add(message{Kind: kindHave, About: 2, Has: filter{1, 2, 3}, Carries: []record{{Author: 3}}}.append(nil))
 	f.Add(message{Kind: kindMore, Has: filter{7}}.append(nil))
-	f.Add(message{Kind: kindTalk, Talk: []Rumour{{Topic: 1, Key: 300, Owner: 4, Version: 2, Body: []byte("x")}}}.append(nil))
+	f.Add(message{Kind: kindTalk, Talk: []GossipMessage{{Topic: 1, Key: 300, Owner: 4, Version: 2, Body: []byte("x")}}}.append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d, err := read(b)
 		if err != nil {
@@ -65,8 +65,8 @@
 	})
 }
 
-func newMachine(id ID, seed uint64) *Machine {
-	return New(Defaults(), id, 1, []ID{1, 2, 3, 4, 5}, time.Hour, rand.New(rand.NewPCG(seed, 1)))
+func newMachine(id ID, seed uint64) *Node {
+	return New(DefaultConfig(), id, 1, []ID{1, 2, 3, 4, 5}, time.Hour, rand.New(rand.NewPCG(seed, 1)))
 }
 
 // A datagram of which one byte was changed on its way is not read.
@@ -128,19 +128,19 @@
 				if rapid.IntRange(0, 9).Draw(t, "liar") == 0 {
 					d.From++
 				}
-				e = Heard{from, seal(d.append(nil))}
+				e = DatagramReceived{from, seal(d.append(nil))}
 			} else {
 				now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond
 			}
 			for _, a := range m.Handle(now, e) {
 				if s, ok := a.(Send); ok {
-					sent += float64(len(s.B))
-					if len(s.B) > m.cfg.Limit || s.To == 1 {
-						t.Fatalf("%d bytes to %d", len(s.B), s.To)
+					sent += float64(len(s.Payload))
+					if len(s.Payload) > m.cfg.MaxDatagramBytes || s.To == 1 {
+						t.Fatalf("%d bytes to %d", len(s.Payload), s.To)
 					}
 				}
 			}
-			if most := m.cfg.Burst + m.cfg.Bytes*(now-began).Seconds(); sent > most+1 {
+			if most := m.cfg.BurstBytes + m.cfg.BytesPerSecond*(now-began).Seconds(); sent > most+1 {
 				t.Fatalf("sent %f, %f at most", sent, most)
 			}
 		}
@@ -175,8 +175,8 @@
 
 // Whatever a member has to say of members whose ids are addresses, its record fits a datagram, beside a head.
 func TestRecordFitsADatagram(t *testing.T) {
-	cfg := Defaults()
-	cfg.Limit -= 25
+	cfg := DefaultConfig()
+	cfg.MaxDatagramBytes -= 25
 	address := func(host int) ID { return ID(10<<40 | host<<16 | 7946) }
 	var named []ID
 	for host := range 300 {
@@ -193,7 +193,7 @@
 		t.Errorf("only %d words", n)
 	}
 	d := message{Kind: kindTell, From: address(0), Inc: 1, Seq: 1<<16 - 1, Records: 1<<32 - 1, Knows: mostMembers, View: View{Number: 1<<32 - 1, Digest: 1<<32 - 1}, Carries: []record{m.self.record}}
-	if n := len(seal(d.append(nil))); n > cfg.Limit {
+	if n := len(seal(d.append(nil))); n > cfg.MaxDatagramBytes {
 		t.Errorf("%d bytes", n)
 	}
 }
--- a/internal/membership/fixture_test.go
+++ b/internal/membership/fixture_test.go
@@ -34,31 +34,31 @@
 	return b
 }
 
-func carriedFixture() decide.Carried {
-	return decide.Carried{
-		Self: 1, Inc: 1_800_000_000, View: decide.View{Number: 9, Digest: 0xdeadbeef, Size: 3}, Major: true, Seen: 12,
-		Members: []decide.CarriedMember{
+func carriedFixture() decide.SavedState {
+	return decide.SavedState{
+		Self: 1, Incarnation: 1_800_000_000, View: decide.View{Number: 9, Digest: 0xdeadbeef, Size: 3}, HasMajority: true, HighestView: 12,
+		Members: []decide.SavedMember{
 			// author 2, incarnation 300, sequence 5, says that it does not hear member 4 (incarnation 7)
-			{ID: 2, Record: []byte{4, 0xd8, 4, 5, 4, 0x11, 7}, State: decide.Alive, Ago: 5 * time.Second, Loss: 0.25},
+			{ID: 2, Record: []byte{4, 0xd8, 4, 5, 4, 0x11, 7}, State: decide.Alive, ViewAge: 5 * time.Second, LossRate: 0.25},
 			{ID: 3, State: decide.Unknown},
-			{ID: 4, Record: []byte{8, 14, 1, 1}, State: decide.Left, Ago: time.Hour, Loss: 1},
+			{ID: 4, Record: []byte{8, 14, 1, 1}, State: decide.Departed, ViewAge: time.Hour, LossRate: 1},
 		},
 		// owner 2, incarnation 300, version 4, topic 5, key 6, 2 bytes; then one of member 1 itself
-		Talk: []byte{2, 0, 0, 1, 44, 4, 5, 6, 2, 'h', 'i', 1, 0x6b, 0x49, 0xd2, 0, 1, 5, 7, 1, 'x'},
+		Gossip: []byte{2, 0, 0, 1, 44, 4, 5, 6, 2, 'h', 'i', 1, 0x6b, 0x49, 0xd2, 0, 1, 5, 7, 1, 'x'},
 	}
 }
 
 // resumeStored does what a process does with what the one before it carried.
 func resumeStored(b []byte) error {
-	var c decide.Carried
+	var c decide.SavedState
 	if err := carriedMode.Unmarshal(b, &c); err != nil {
 		return err
 	}
-	m, err := decide.Resume(decide.Defaults(), c, 1, []decide.ID{1, 2, 3}, 5*time.Hour, rand.New(rand.NewPCG(1, 1)))
+	m, err := decide.Resume(decide.DefaultConfig(), c, 1, []decide.ID{1, 2, 3}, 5*time.Hour, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		return err
 	}
-	for now := 5 * time.Hour; now < 5*time.Hour+time.Second; now += m.Step() {
+	for now := 5 * time.Hour; now < 5*time.Hour+time.Second; now += m.TickInterval() {
 		m.Handle(now, decide.Tick{})
 	}
 	return nil
@@ -66,7 +66,7 @@
 
 func TestCarriedOfEarlierVersion(t *testing.T) {
 	b := storedBytes(t, "carried.hex")
-	var got decide.Carried
+	var got decide.SavedState
 	if err := carriedMode.Unmarshal(b, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -79,16 +79,16 @@
 	if err := resumeStored(b); err != nil {
 		t.Error(err)
 	}
-	m, err := decide.Resume(decide.Defaults(), got, 1, nil, 5*time.Hour, rand.New(rand.NewPCG(1, 1)))
+	m, err := decide.Resume(decide.DefaultConfig(), got, 1, nil, 5*time.Hour, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for id, want := range map[decide.ID]decide.State{2: decide.Alive, 3: decide.Unknown, 4: decide.Left} {
+	for id, want := range map[decide.ID]decide.State{2: decide.Alive, 3: decide.Unknown, 4: decide.Departed} {
 		if state, _, _ := m.State(id); state != want {
 			t.Errorf("state of member %d = %s, want %s", id, state, want)
 		}
 	}
-	if all := m.Rumours(5); len(all) != 2 || string(all[0].Body) != "x" || string(all[1].Body) != "hi" || all[1].Inc != 300 || all[1].Version != 4 || all[1].Key != 6 {
+	if all := m.GossipMessages(5); len(all) != 2 || string(all[0].Body) != "x" || string(all[1].Body) != "hi" || all[1].Incarnation != 300 || all[1].Version != 4 || all[1].Key != 6 {
 		t.Errorf("resumed with %+v", all)
 	}
 }
@@ -105,7 +105,7 @@
 	for i := range len(b) * 8 {
 		flipped := slices.Clone(b)
 		flipped[i/8] ^= 1 << (i % 8)
-		if err := resumeStored(flipped); errors.Is(err, decide.ErrCarried) {
+		if err := resumeStored(flipped); errors.Is(err, decide.ErrInvalidSavedState) {
 			refused++
 		}
 	}
@@ -124,22 +124,22 @@
 func TestSignedOfEarlierVersion(t *testing.T) {
 	b := storedBytes(t, "signed.hex")
 	from, to, keys, words := signedFixture()
-	if again := NewKeys(from, keys).seal(signedAt, to, words); !slices.Equal(again, b) {
+	if again := NewKeyring(from, keys).seal(signedAt, to, words); !slices.Equal(again, b) {
 		t.Errorf("signed anew as %x, want %x", again, b)
 	}
-	got, why := NewKeys(to, keys).open(signedAt, from, b)
+	got, why := NewKeyring(to, keys).open(signedAt, from, b)
 	if why != "" || !slices.Equal(got, words) {
 		t.Errorf("opened as %q %s, want %q", got, why, words)
 	}
 	for n := range b {
-		if _, why := NewKeys(to, keys).open(signedAt, from, b[:n]); why == "" {
+		if _, why := NewKeyring(to, keys).open(signedAt, from, b[:n]); why == "" {
 			t.Errorf("%d of %d bytes are taken", n, len(b))
 		}
 	}
 	for i := range len(b) * 8 {
 		flipped := slices.Clone(b)
 		flipped[i/8] ^= 1 << (i % 8)
-		if _, why := NewKeys(to, keys).open(signedAt, from, flipped); why == "" {
+		if _, why := NewKeyring(to, keys).open(signedAt, from, flipped); why == "" {
 			t.Errorf("bit %d is changed and the datagram is taken", i)
 		}
 	}
--- a/internal/membership/keys.go
+++ b/internal/membership/keys.go
@@ -31,8 +31,8 @@
 	Secret []byte
 }
 
-// Keys sign with the first and take any of them: two while they are changed.
-type Keys struct {
+// Keyring signs with the first and take any of them: two while they are changed.
+type Keyring struct {
 	self netip.AddrPort
 
 	mu    sync.Mutex
@@ -47,13 +47,13 @@
 	seen   map[int64]bool
 }
 
-// NewKeys are keys of the member that listens at an address.
-func NewKeys(self netip.AddrPort, keys []Key) *Keys {
-	return &Keys{self: self, keys: keys, from: map[netip.AddrPort]*stamps{}}
+// NewKeyring returns the keys of the member that listens at an address.
+func NewKeyring(self netip.AddrPort, keys []Key) *Keyring {
+	return &Keyring{self: self, keys: keys, from: map[netip.AddrPort]*stamps{}}
 }
 
-// Set changes the keys.
-func (k *Keys) Set(keys []Key) {
+// Replace changes the keys.
+func (k *Keyring) Replace(keys []Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.keys = keys
@@ -68,7 +68,7 @@
 }
 
 // seal signs words to an address.
-func (k *Keys) seal(now time.Duration, to netip.AddrPort, words []byte) []byte {
+func (k *Keyring) seal(now time.Duration, to netip.AddrPort, words []byte) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stamp = max(k.stamp+1, now.Microseconds())
@@ -78,7 +78,7 @@
 }
 
 // open gives the words of a datagram, or why it is of no use.
-func (k *Keys) open(now time.Duration, from netip.AddrPort, b []byte) (words []byte, why string) {
+func (k *Keyring) open(now time.Duration, from netip.AddrPort, b []byte) (words []byte, why string) {
 	if len(b) <= overhead {
 		return nil, "short"
 	}
--- a/internal/membership/keys_test.go
+++ b/internal/membership/keys_test.go
@@ -11,29 +11,29 @@
 func TestKeys(t *testing.T) {
 	a, b, c := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2"), netip.MustParseAddrPort("127.0.0.1:3")
 	one, two := Key{1, []byte("one")}, Key{2, []byte("two")}
-	sender := NewKeys(a, []Key{one})
+	sender := NewKeyring(a, []Key{one})
 	const now = 1000 * time.Hour
 	for _, c := range []struct {
 		name   string
-		taker  *Keys
+		taker  *Keyring
 		make   func() []byte
 		later  time.Duration
 		twice  bool
 		reason string
 	}{
-		{name: "good", taker: NewKeys(b, []Key{one})},
-		{name: "a key that is going", taker: NewKeys(b, []Key{two, one})},
-		{name: "a key that is gone", taker: NewKeys(b, []Key{two}), reason: "key"},
-		{name: "a key of the same number", taker: NewKeys(b, []Key{{1, []byte("other")}}), reason: "unsigned"},
-		{name: "meant for another", taker: NewKeys(c, []Key{one}), reason: "unsigned"},
-		{name: "twice", taker: NewKeys(b, []Key{one}), twice: true, reason: "replay"},
-		{name: "kept for long", taker: NewKeys(b, []Key{one}), later: time.Hour, reason: "old"},
-		{name: "spoilt", taker: NewKeys(b, []Key{one}), reason: "unsigned", make: func() []byte {
+		{name: "good", taker: NewKeyring(b, []Key{one})},
+		{name: "a key that is going", taker: NewKeyring(b, []Key{two, one})},
+		{name: "a key that is gone", taker: NewKeyring(b, []Key{two}), reason: "key"},
+		{name: "a key of the same number", taker: NewKeyring(b, []Key{{1, []byte("other")}}), reason: "unsigned"},
+		{name: "meant for another", taker: NewKeyring(c, []Key{one}), reason: "unsigned"},
+		{name: "twice", taker: NewKeyring(b, []Key{one}), twice: true, reason: "replay"},
+		{name: "kept for long", taker: NewKeyring(b, []Key{one}), later: time.Hour, reason: "old"},
+		{name: "spoilt", taker: NewKeyring(b, []Key{one}), reason: "unsigned", make: func() []byte {
 			d := sender.seal(now, b, []byte("words"))
 			d[10] ^= 1
 			return d
 		}},
-		{name: "short", taker: NewKeys(b, []Key{one}), reason: "short", make: func() []byte { return make([]byte, overhead) }},
+		{name: "short", taker: NewKeyring(b, []Key{one}), reason: "short", make: func() []byte { return make([]byte, overhead) }},
 	} {
 		d := sender.seal(now, b, []byte("words"))
 		if c.make != nil {
@@ -50,7 +50,7 @@
 		}
 	}
 	// One that was kept while others came is late; one that was overtaken is not.
-	taker := NewKeys(b, []Key{one})
+	taker := NewKeyring(b, []Key{one})
 	first, second := sender.seal(now, b, []byte("1")), sender.seal(now+3*time.Second, b, []byte("2"))
 	third := sender.seal(now+10*time.Second, b, []byte("3"))
 	for i, one := range []struct {
@@ -65,10 +65,10 @@
 
 // A datagram is no longer for being signed.
 func TestSignedIsNoLonger(t *testing.T) {
-	cfg := signed(decide.Defaults())
+	cfg := signed(decide.DefaultConfig())
 	self := netip.MustParseAddrPort("127.0.0.1:7946")
-	k := NewKeys(self, []Key{{1, []byte("a secret of the two of them")}})
-	if n := len(k.seal(1000*time.Hour, self, make([]byte, cfg.Limit))); n > decide.Defaults().Limit {
-		t.Errorf("%d bytes, %d at most", n, decide.Defaults().Limit)
+	k := NewKeyring(self, []Key{{1, []byte("a secret of the two of them")}})
+	if n := len(k.seal(1000*time.Hour, self, make([]byte, cfg.MaxDatagramBytes))); n > decide.DefaultConfig().MaxDatagramBytes {
+		t.Errorf("%d bytes, %d at most", n, decide.DefaultConfig().MaxDatagramBytes)
 	}
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -22,19 +22,19 @@
 	Self   decide.ID
 	Named  []decide.ID // whom the settings name
 	// Address tells where a member is reached, and Member whose address one is; false: nobody's.
-	Address func(decide.ID) (netip.AddrPort, bool)
-	Member  func(netip.AddrPort) (decide.ID, bool)
-	Config  decide.Config
-	Keys    *Keys // nil: datagrams are not signed
-	Chance  decide.Chance
-	Carried []byte // what the process before this one knew, of Carry; nil: there was none
+	AddressOf  func(decide.ID) (netip.AddrPort, bool)
+	MemberAt   func(netip.AddrPort) (decide.ID, bool)
+	Config     decide.Config
+	Keys       *Keyring // nil: datagrams are not signed
+	Random     decide.RandomSource
+	SavedState []byte // what the process before this one knew, of Carry; nil: there was none
 }
 
 // Service is one member.
 type Service struct {
 	loop    *netio.Loop
 	opts    Options
-	machine *decide.Machine
+	machine *decide.Node
 	socket  *netio.Datagrams
 	stats   *metrics.Counters
 	log     *slog.Logger
@@ -53,13 +53,13 @@
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	now := loop.Now()
-	if len(opts.Carried) > 0 {
+	if len(opts.SavedState) > 0 {
 		if s.machine, err = s.resume(now); err != nil { // others tell it all that it needs
 			log.Warn("members.carried", "error", err, "then", "it begins as after a restart")
 		}
 	}
 	if s.machine == nil {
-		s.machine = decide.New(opts.Config, opts.Self, uint32(now/time.Second), opts.Named, now, opts.Chance)
+		s.machine = decide.New(opts.Config, opts.Self, uint32(now/time.Second), opts.Named, now, opts.Random)
 	}
 	s.tick()
 	return s, nil
@@ -67,20 +67,20 @@
 
 // signed is a configuration whose datagrams, with what signing adds, are as long as without. Guards the bound of 256 bytes.
 func signed(cfg decide.Config) decide.Config {
-	cfg.Frame += overhead
-	cfg.Limit -= overhead
+	cfg.FrameOverheadBytes += overhead
+	cfg.MaxDatagramBytes -= overhead
 	return cfg
 }
 
-func (s *Service) resume(now time.Duration) (*decide.Machine, error) {
-	var c decide.Carried
-	if err := carriedMode.Unmarshal(s.opts.Carried, &c); err != nil {
+func (s *Service) resume(now time.Duration) (*decide.Node, error) {
+	var c decide.SavedState
+	if err := carriedMode.Unmarshal(s.opts.SavedState, &c); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	if c.Self != s.opts.Self {
 		return nil, fmt.Errorf("members: the process before was member %d, this one is %d", c.Self, s.opts.Self)
 	}
-	return decide.Resume(s.opts.Config, c, uint32(now/time.Second), s.opts.Named, now, s.opts.Chance)
+	return decide.Resume(s.opts.Config, c, uint32(now/time.Second), s.opts.Named, now, s.opts.Random)
 }
 
 // carriedMode bounds what is read of another process.
@@ -92,17 +92,17 @@
 	return m
 }()
 
-// Carry is what this process knows of the fleet, for one that takes its place.
-func (s *Service) Carry() ([]byte, error) {
-	b, err := cbor.Marshal(s.machine.Carry())
+// SaveState returns what this process knows of the fleet, for one that takes its place.
+func (s *Service) SaveState() ([]byte, error) {
+	b, err := cbor.Marshal(s.machine.SaveState())
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	return b, nil
 }
 
-// HandOn frees the address, and says nothing to anybody: another process goes on as this member.
-func (s *Service) HandOn() {
+// HandOver frees the address, and says nothing to anybody: another process goes on as this member.
+func (s *Service) HandOver() {
 	if s.over {
 		return
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	now := s.loop.Now()
-	s.ticker = s.loop.Timers.Add(now+s.machine.Step(), s.tick)
+	s.ticker = s.loop.Timers.Add(now+s.machine.TickInterval(), s.tick)
 	s.handle(decide.Tick{})
 }
 
@@ -140,13 +140,13 @@
 			return
 		}
 	}
-	id, ok := s.opts.Member(from)
+	id, ok := s.opts.MemberAt(from)
 	if !ok {
 		s.stats.Add("members.dropped.foreign")
 		return
 	}
 	s.stats.Add("members.datagrams-in")
-	s.handle(decide.Heard{From: id, B: b})
+	s.handle(decide.DatagramReceived{From: id, Payload: b})
 }
 
 func (s *Service) handle(event any) {
@@ -154,26 +154,26 @@
 		switch a := a.(type) {
 		case decide.Send:
 			s.send(a)
-		case decide.Changed:
+		case decide.ViewChanged:
 			s.stats.Add("members.views")
 			s.log.Info("members.view", "number", a.View.Number, "digest", fmt.Sprintf("%08x", a.View.Digest), "size", a.View.Size, "majority", a.Majority)
-		case decide.Told:
+		case decide.MemberReport:
 			s.stats.Add("members.told." + a.State.String())
-			s.log.Info("members.state", "member", uint64(a.About), "state", a.State.String(), "why", a.Why, "witnesses", a.Witnesses)
+			s.log.Info("members.state", "member", uint64(a.Member), "state", a.State.String(), "why", a.Reason, "witnesses", a.Witnesses)
 		}
 	}
-	s.stats.Set("members.dropped.unreadable", int64(s.machine.Dropped))
-	s.stats.Set("members.dropped.crowded", int64(s.machine.Crowded))
+	s.stats.Set("members.dropped.unreadable", int64(s.machine.DroppedDatagrams))
+	s.stats.Set("members.dropped.crowded", int64(s.machine.RejectedMembers))
 	s.stats.Set("members.dropped.flood", s.socket.Dropped())
 }
 
 func (s *Service) send(a decide.Send) {
-	to, ok := s.opts.Address(a.To)
+	to, ok := s.opts.AddressOf(a.To)
 	if !ok {
 		s.stats.Add("members.unreachable")
 		return
 	}
-	b := a.B
+	b := a.Payload
 	if s.opts.Keys != nil {
 		b = s.opts.Keys.seal(s.loop.Now(), to, b)
 	}
@@ -194,35 +194,35 @@
 	s.log.Info("members.left")
 }
 
-// Figures are what operators are told at the control endpoint.
-type Figures struct {
-	Live, Named, Suspect, Cut, Dead, Lost int
-	View                                  decide.View
-	Majority                              bool
-	Heard, Same                           int // members heard lately, and of them those that have this view
-	Doubt                                 string
+// Stats are what operators are told at the control endpoint.
+type Stats struct {
+	Live, Named, Suspect, PartlyReachable, Dead, Unreachable int
+	View                                                     decide.View
+	Majority                                                 bool
+	HeardMembers, SameView                                   int // members heard lately, and of them those that have this view
+	SelfSuspicion                                            string
 }
 
-// Figures is a snapshot.
-func (s *Service) Figures() Figures {
-	f := Figures{}
+// Stats is a snapshot.
+func (s *Service) Stats() Stats {
+	f := Stats{}
 	f.View, f.Majority = s.machine.View()
 	f.Live = f.View.Size
-	f.Heard, f.Same = s.machine.Agrees()
-	if why, doubts := s.machine.Doubt(); doubts {
-		f.Doubt = why
+	f.HeardMembers, f.SameView = s.machine.ViewAgreement()
+	if why, doubts := s.machine.SelfSuspicion(); doubts {
+		f.SelfSuspicion = why
 	}
 	for _, m := range s.machine.Snapshot(s.loop.Now()) {
 		f.Named++
 		switch m.State {
 		case decide.Suspect:
 			f.Suspect++
-		case decide.Cut:
-			f.Cut++
+		case decide.PartlyReachable:
+			f.PartlyReachable++
 		case decide.Dead:
 			f.Dead++
-		case decide.Lost:
-			f.Lost++
+		case decide.Unreachable:
+			f.Unreachable++
 		}
 	}
 	return f
@@ -230,51 +230,51 @@
 
 // Overview is all that a member holds, for operators.
 type Overview struct {
-	Self    uint64      `json:"self"`
-	Addr    string      `json:"address"`
-	View    OverviewSet `json:"view"`
-	Doubt   string      `json:"doubt,omitempty"`
-	Members []One       `json:"members"`
+	Self          uint64           `json:"self"`
+	Addr          string           `json:"address"`
+	View          ViewOverview     `json:"view"`
+	SelfSuspicion string           `json:"doubt,omitempty"`
+	Members       []MemberOverview `json:"members"`
 }
 
-// OverviewSet is a view.
-type OverviewSet struct {
-	Number   uint32 `json:"number"`
-	Digest   string `json:"digest"`
-	Size     int    `json:"size"`
-	Majority bool   `json:"majority"` // more than half of those here lately are in it
-	Heard    int    `json:"heard"`    // members that were heard lately
-	Same     int    `json:"same"`     // of these, those that have the same view
+// ViewOverview is a view.
+type ViewOverview struct {
+	Number       uint32 `json:"number"`
+	Digest       string `json:"digest"`
+	Size         int    `json:"size"`
+	Majority     bool   `json:"majority"` // more than half of those here lately are in it
+	HeardMembers int    `json:"heard"`    // members that were heard lately
+	SameView     int    `json:"same"`     // of these, those that have the same view
 }
 
-// One is one member.
-type One struct {
-	ID      uint64      `json:"id"`
-	Address string      `json:"address"`
-	State   string      `json:"state"`
-	Inc     uint32      `json:"incarnation"`
-	HeardMS float64     `json:"heard_ms"` // ago; -1: not since the start
-	Loss    float64     `json:"loss"`
-	Doubts  bool        `json:"doubts_itself,omitempty"`
-	Watched bool        `json:"watched,omitempty"`
-	Deaf    []decide.ID `json:"not_heard_by,omitempty"`
-	Aside   []decide.ID `json:"not_heard_by_but_alive,omitempty"`
-	Hear    []decide.ID `json:"heard_by,omitempty"`
+// MemberOverview is one member.
+type MemberOverview struct {
+	ID                 uint64      `json:"id"`
+	Address            string      `json:"address"`
+	State              string      `json:"state"`
+	Incarnation        uint32      `json:"incarnation"`
+	HeardMS            float64     `json:"heard_ms"` // ago; -1: not since the start
+	LossRate           float64     `json:"loss"`
+	SuspectsItself     bool        `json:"doubts_itself,omitempty"`
+	Monitored          bool        `json:"watched,omitempty"`
+	NotHeardBy         []decide.ID `json:"not_heard_by,omitempty"`
+	NotHeardButAliveBy []decide.ID `json:"not_heard_by_but_alive,omitempty"`
+	HeardBy            []decide.ID `json:"heard_by,omitempty"`
 }
 
 // Overview is a snapshot.
 func (s *Service) Overview() Overview {
-	f := s.Figures()
-	o := Overview{Self: uint64(s.opts.Self), Addr: s.Addr(), Doubt: f.Doubt, View: OverviewSet{f.View.Number, fmt.Sprintf("%08x", f.View.Digest), f.View.Size, f.Majority, f.Heard, f.Same}}
+	f := s.Stats()
+	o := Overview{Self: uint64(s.opts.Self), Addr: s.Addr(), SelfSuspicion: f.SelfSuspicion, View: ViewOverview{f.View.Number, fmt.Sprintf("%08x", f.View.Digest), f.View.Size, f.Majority, f.HeardMembers, f.SameView}}
 	for _, m := range s.machine.Snapshot(s.loop.Now()) {
-		one := One{
-			ID: uint64(m.ID), State: m.State.String(), Inc: m.Inc, HeardMS: float64(m.Heard) / float64(time.Millisecond), Loss: m.Loss,
-			Doubts: m.Doubts, Watched: m.Watched, Deaf: m.Deaf, Aside: m.Aside, Hear: m.Hear,
+		one := MemberOverview{
+			ID: uint64(m.ID), State: m.State.String(), Incarnation: m.Incarnation, HeardMS: float64(m.SinceHeard) / float64(time.Millisecond), LossRate: m.LossRate,
+			SuspectsItself: m.SuspectsItself, Monitored: m.Monitored, NotHeardBy: m.NotHeardBy, NotHeardButAliveBy: m.NotHeardButAliveBy, HeardBy: m.HeardBy,
 		}
-		if m.Heard < 0 {
+		if m.SinceHeard < 0 {
 			one.HeardMS = -1
 		}
-		if a, ok := s.opts.Address(m.ID); ok {
+		if a, ok := s.opts.AddressOf(m.ID); ok {
 			one.Address = a.String()
 		}
 		o.Members = append(o.Members, one)
--- a/internal/testbed/membershipsim/baseline.go
+++ b/internal/testbed/membershipsim/baseline.go
@@ -12,7 +12,7 @@
 
 // Ours is internal/decide/membership as it is by default.
 func Ours(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member {
-	return decide.New(decide.Defaults(), id, inc, named, now, rng)
+	return decide.New(decide.DefaultConfig(), id, inc, named, now, rng)
 }
 
 // Baselines are played to compare with, on the same network: written here, after what is published of them.
@@ -37,7 +37,7 @@
 	return &heartbeats{self: id, named: named, heard: map[decide.ID]time.Duration{}, dead: map[decide.ID]bool{}, next: now}
 }
 
-func (h *heartbeats) Step() time.Duration { return 50 * time.Millisecond }
+func (h *heartbeats) TickInterval() time.Duration { return 50 * time.Millisecond }
 
 func (h *heartbeats) State(id decide.ID) (decide.State, []decide.ID, []decide.ID) {
 	_, known := h.heard[id]
@@ -52,17 +52,17 @@
 
 func (h *heartbeats) Handle(now time.Duration, event any) (out []any) {
 	switch e := event.(type) {
-	case decide.Heard:
+	case decide.DatagramReceived:
 		if h.dead[e.From] {
 			delete(h.dead, e.From)
-			out = append(out, decide.Told{About: e.From, State: decide.Alive}, decide.Changed{})
+			out = append(out, decide.MemberReport{Member: e.From, State: decide.Alive}, decide.ViewChanged{})
 		}
 		h.heard[e.From] = now
 	case decide.Tick:
 		for _, id := range h.named {
 			if at, ok := h.heard[id]; ok && !h.dead[id] && now-at > deadAfter {
 				h.dead[id] = true
-				out = append(out, decide.Told{About: id, State: decide.Dead}, decide.Changed{})
+				out = append(out, decide.MemberReport{Member: id, State: decide.Dead}, decide.ViewChanged{})
 			}
 		}
 		if now < h.next {
@@ -71,7 +71,7 @@
 		h.next += beatEvery
 		for _, id := range h.named {
 			if id != h.self {
-				out = append(out, decide.Send{To: id, B: make([]byte, beatBytes)})
+				out = append(out, decide.Send{To: id, Payload: make([]byte, beatBytes)})
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 	return s
 }
 
-func (s *swim) Step() time.Duration { return 50 * time.Millisecond }
+func (s *swim) TickInterval() time.Duration { return 50 * time.Millisecond }
 
 func (s *swim) State(id decide.ID) (decide.State, []decide.ID, []decide.ID) {
 	if p := s.others[id]; p != nil {
@@ -158,7 +158,7 @@
 			delete(s.news, id)
 		}
 	}
-	return decide.Send{To: to, B: b}
+	return decide.Send{To: to, Payload: b}
 }
 
 func (s *swim) spread(id decide.ID) {
@@ -175,9 +175,9 @@
 		return nil
 	}
 	if p.state != state {
-		out = append(out, decide.Told{About: id, State: state})
+		out = append(out, decide.MemberReport{Member: id, State: state})
 		if (p.state == decide.Dead) != (state == decide.Dead) {
-			out = append(out, decide.Changed{})
+			out = append(out, decide.ViewChanged{})
 		}
 	}
 	p.state, p.inc, p.since = state, inc, now
@@ -187,9 +187,9 @@
 
 func (s *swim) Handle(now time.Duration, event any) (out []any) {
 	switch e := event.(type) {
-	case decide.Heard:
-		kind, about := e.B[0], decide.ID(binary.BigEndian.Uint32(e.B[1:]))
-		for b := e.B[5:]; len(b) >= 7; b = b[7:] {
+	case decide.DatagramReceived:
+		kind, about := e.Payload[0], decide.ID(binary.BigEndian.Uint32(e.Payload[1:]))
+		for b := e.Payload[5:]; len(b) >= 7; b = b[7:] {
 			id, state, inc := decide.ID(binary.BigEndian.Uint32(b)), decide.State(b[4]), binary.BigEndian.Uint16(b[5:])
 			if id == s.self {
 				if state != decide.Alive && inc >= s.inc {
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -59,17 +59,17 @@
 		Members: o.Members, Seed: o.Seed, Loss: o.Loss, Named: o.named(), Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ways[o.Way],
 		Hear: func(now time.Duration, at decide.ID, a any) {
 			switch a := a.(type) {
-			case decide.Changed:
+			case decide.ViewChanged:
 				changes[at]++
-			case decide.Told:
-				if quiet || a.State != decide.Dead && a.State != decide.Lost {
+			case decide.MemberReport:
+				if quiet || a.State != decide.Dead && a.State != decide.Unreachable {
 					return
 				}
-				_, is := dead[a.About]
+				_, is := dead[a.Member]
 				switch {
-				case is && known[a.About][at] == 0:
-					known[a.About][at] = now
-				case is, a.About == paused && now >= pausedFrom && now <= pausedTo+5*time.Second:
+				case is && known[a.Member][at] == 0:
+					known[a.Member][at] = now
+				case is, a.Member == paused && now >= pausedFrom && now <= pausedTo+5*time.Second:
 				case at == paused && now >= pausedTo:
 					f.WrongBy++
 					f.Wrong++
@@ -152,13 +152,13 @@
 		if m == nil {
 			return false
 		}
-		if ours, ok := m.(*decide.Machine); ok {
+		if ours, ok := m.(*decide.Node); ok {
 			if v, _ := ours.View(); v.Size != w.opts.Members {
 				return false
 			}
 		}
 		for _, other := range w.All() {
-			if s, _, _ := m.State(other); !s.In() {
+			if s, _, _ := m.State(other); !s.InView() {
 				return false
 			}
 		}
@@ -183,13 +183,13 @@
 		w.Run(w.Now() + look)
 		done := true
 		for _, id := range w.Living() {
-			m, ok := w.Member(id).(*decide.Machine)
+			m, ok := w.Member(id).(*decide.Node)
 			if ok {
 				v, _ := m.View()
 				done = done && v.Size == len(w.Living())
 			}
 			for _, d := range die {
-				if s, _, _ := w.Member(id).State(d); s.In() {
+				if s, _, _ := w.Member(id).State(d); s.InView() {
 					done = false
 				}
 			}
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -13,9 +13,9 @@
 
 // Member is one member of a fleet: internal/decide/membership, or a baseline.
 type Member interface {
-	// Handle takes decide.Tick, decide.Heard or decide.Leave, and returns actions of internal/decide/membership.
+	// Handle takes decide.Tick, decide.DatagramReceived or decide.Leave, and returns actions of internal/decide/membership.
 	Handle(now time.Duration, event any) []any
-	Step() time.Duration
+	TickInterval() time.Duration
 	// State is what it holds of another.
 	State(id decide.ID) (decide.State, []decide.ID, []decide.ID)
 }
@@ -208,8 +208,8 @@
 }
 
 // replace has a process go on as the member that another one was, whether that one still lives or not.
-func (w *World) replace(n *node, c decide.Carried) {
-	m, err := decide.Resume(decide.Defaults(), c, uint32(1+w.now/time.Second), w.All(), n.clock(w.now), w.live(n))
+func (w *World) replace(n *node, c decide.SavedState) {
+	m, err := decide.Resume(decide.DefaultConfig(), c, uint32(1+w.now/time.Second), w.All(), n.clock(w.now), w.live(n))
 	if err != nil { // of a member's own words: it can't be
 		panic(err)
 	}
@@ -226,7 +226,7 @@
 		return
 	}
 	w.handle(n, decide.Tick{})
-	w.at(w.now+time.Duration(float64(n.m.Step())/n.drift), func() { w.tick(n, life) })
+	w.at(w.now+time.Duration(float64(n.m.TickInterval())/n.drift), func() { w.tick(n, life) })
 }
 
 func (w *World) handle(n *node, event any) {
@@ -244,9 +244,9 @@
 }
 
 func (w *World) send(from decide.ID, s decide.Send) {
-	w.Bytes[from] += len(s.B)
+	w.Bytes[from] += len(s.Payload)
 	w.Datagrams[from]++
-	w.Kinds[s.B[0]&15] += len(s.B)
+	w.Kinds[s.Payload[0]&15] += len(s.Payload)
 	by := w.ways[[2]decide.ID{from, s.To}]
 	copies := 1
 	if w.rng.Float64() < w.opts.Twice {
@@ -259,7 +259,7 @@
 		if lost || by.severed || to == nil {
 			continue
 		}
-		w.at(w.now+took, func() { w.deliver(to, to.life, decide.Heard{From: from, B: s.B}) })
+		w.at(w.now+took, func() { w.deliver(to, to.life, decide.DatagramReceived{From: from, Payload: s.Payload}) })
 	}
 }
 
@@ -311,11 +311,11 @@
 		case e.Do == Crash:
 			n.alive = false
 		case e.Do == Replace:
-			m, ok := n.m.(*decide.Machine)
+			m, ok := n.m.(*decide.Node)
 			if !ok {
 				continue // baselines know of none
 			}
-			c := m.Carry()
+			c := m.SaveState()
 			w.at(w.now+e.For, func() { w.replace(n, c) })
 		case e.Do == Jump:
 			n.ahead += e.For
--- a/internal/testbed/membershipsim/world_test.go
+++ b/internal/testbed/membershipsim/world_test.go
@@ -119,20 +119,20 @@
 				return
 			}
 			switch a := a.(type) {
-			case decide.Changed:
+			case decide.ViewChanged:
 				changes[at]++
-			case decide.Told:
-				if by := fmt.Sprintf("%d.%d says that %d", at, w.nodes[at].life, a.About); slices.Contains(st.gone, a.About) {
-					if a.State.In() && buried[by] {
+			case decide.MemberReport:
+				if by := fmt.Sprintf("%d.%d says that %d", at, w.nodes[at].life, a.Member); slices.Contains(st.gone, a.Member) {
+					if a.State.InView() && buried[by] {
 						say("%v: %s is %s, and it was dead", now-settled, by, a.State)
 					}
-					buried[by] = !a.State.In()
+					buried[by] = !a.State.InView()
 				}
 				switch {
-				case a.State == decide.Dead && !slices.Contains(st.gone, a.About) && !slices.Contains(st.may, a.About),
-					a.State == decide.Dead && slices.Contains(st.lost, a.About),
-					a.State == decide.Lost && !slices.Contains(slices.Concat(st.gone, st.may, st.lost), a.About):
-					say("%v: %d calls %d %s: %s, %v", now-settled, at, a.About, a.State, a.Why, a.Witnesses)
+				case a.State == decide.Dead && !slices.Contains(st.gone, a.Member) && !slices.Contains(st.may, a.Member),
+					a.State == decide.Dead && slices.Contains(st.lost, a.Member),
+					a.State == decide.Unreachable && !slices.Contains(slices.Concat(st.gone, st.may, st.lost), a.Member):
+					say("%v: %d calls %d %s: %s, %v", now-settled, at, a.Member, a.State, a.Reason, a.Witnesses)
 				}
 			}
 		},
@@ -146,14 +146,14 @@
 	w.Run(settled + st.span)
 	want := except(w.All(), st.gone...)
 	for _, id := range want {
-		m, ok := w.Member(id).(*decide.Machine)
+		m, ok := w.Member(id).(*decide.Node)
 		if !ok {
 			say("%d does not live", id)
 			continue
 		}
 		var have []decide.ID
 		for _, o := range w.All() {
-			if st, _, _ := m.State(o); st.In() {
+			if st, _, _ := m.State(o); st.InView() {
 				have = append(have, o)
 			}
 		}
