--- /dev/null
+++ b/internal/admin/stored_test.go
@@ -0,0 +1,159 @@
+package admin
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// storedCalls are requests with their replies. testdata has a folder's worth of their lines as
+// version c18a9bd wrote them: the operators' command and the gateway may differ in version.
+var storedCalls = []struct {
+	name    string
+	request Request
+	replies []Reply
+}{
+	{"status", Request{Do: "status"}, []Reply{{Status: &Status{
+		PID: 4242, Build: "ringwood 1.0", Front: "postgres", Listen: "127.0.0.1:5432", Phase: "probation", TookOver: true, Up: 12.5,
+		Connections: 7, Unanswered: 3, Counters: map[string]int64{"answered.served.lookup": 99},
+	}, Done: true}}},
+	{"upgrade", Request{Do: "upgrade", Program: "/opt/new", Args: []string{"serve", "--upgrade", "x.toml"}}, []Reply{
+		{Phase: "greeting"}, {Phase: "warming"}, {Phase: "idle", Why: "it died", Done: true},
+	}},
+	{"check", Request{Do: "check"}, []Reply{{Build: "ringwood 1.1", Why: "no port", Done: true}}},
+	{"site-drain", Request{Do: "site-drain", Site: "pokhara"}, []Reply{{Sites: json.RawMessage(`{"sites":[]}`), Done: true}}},
+	{"members", Request{Do: "members"}, []Reply{{Fleet: json.RawMessage(`{"members":1}`), Done: true}}},
+}
+
+func storedLines(t *testing.T, name string) string {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(b)
+}
+
+// rawCall is what a server writes to one that sends these bytes and no more.
+func rawCall(t *testing.T, path, sent string) string {
+	t.Helper()
+	c, err := net.Dial("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
+	if _, err := io.WriteString(c, sent); err != nil {
+		t.Fatal(err)
+	}
+	if err := c.(*net.UnixConn).CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(got)
+}
+
+// The server reads the stored requests and answers with the stored lines, byte for byte; a
+// request that is cut short is refused with a reason.
+func TestStoredRequests(t *testing.T) {
+	for _, tt := range storedCalls {
+		t.Run(tt.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "admin")
+			asked := make(chan Request, 1)
+			s, err := Listen(path, func(r Request, say func(Reply)) {
+				asked <- r
+				for _, reply := range tt.replies {
+					say(reply)
+				}
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer s.Close()
+			request := storedLines(t, tt.name+".request")
+			if got, want := rawCall(t, path, request), storedLines(t, tt.name+".replies"); got != want {
+				t.Errorf("replies\n%s, want\n%s", got, want)
+			}
+			if diff := cmp.Diff(tt.request, <-asked); diff != "" {
+				t.Errorf("request (-want +got):\n%s", diff)
+			}
+			for cut := range request {
+				got := rawCall(t, path, request[:cut])
+				if !strings.HasPrefix(got, `{"why":"the request can't be read: `) || !strings.HasSuffix(got, `,"done":true}`+"\n") {
+					t.Errorf("cut at byte %d: %q", cut, got)
+				}
+			}
+		})
+	}
+}
+
+// The operators' side writes the stored request, byte for byte, and reads the stored replies;
+// where these are cut short that is an error.
+func TestStoredReplies(t *testing.T) {
+	for _, tt := range storedCalls {
+		t.Run(tt.name, func(t *testing.T) {
+			replies := storedLines(t, tt.name+".replies")
+			got, asked, err := callWith(t, tt.request, replies)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if want := storedLines(t, tt.name+".request"); asked != want {
+				t.Errorf("request %q, want %q", asked, want)
+			}
+			if diff := cmp.Diff(tt.replies, got); diff != "" {
+				t.Errorf("replies (-want +got):\n%s", diff)
+			}
+			for _, cut := range []int{0, 1, len(replies) / 2, len(replies) - 2} {
+				if _, _, err := callWith(t, tt.request, replies[:cut]); err == nil {
+					t.Errorf("read, cut at byte %d of %d", cut, len(replies))
+				}
+			}
+		})
+	}
+	if _, _, err := callWith(t, Request{Do: "status"}, ""); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("no reply: error %v", err)
+	}
+}
+
+// callWith calls a server that answers with these bytes, whatever it is asked.
+func callWith(t *testing.T, r Request, replies string) (got []Reply, asked string, err error) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "admin")
+	ln, err := net.Listen("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	lines := make(chan string, 1)
+	go func() {
+		c, err := ln.Accept()
+		if err != nil {
+			lines <- err.Error()
+			return
+		}
+		defer c.Close()
+		line, err := bufio.NewReader(c).ReadString('\n')
+		if err != nil {
+			line = err.Error()
+		}
+		_, _ = io.WriteString(c, replies)
+		lines <- line
+	}()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	last, err := Call(ctx, path, r, func(reply Reply) { got = append(got, reply) })
+	return append(got, last), <-lines, err
+}
--- /dev/null
+++ b/internal/decide/handover/replay_test.go
@@ -0,0 +1,295 @@
+package handover
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// testdata/replay.txt has, a line each, the name of a replay and the digest of all that the
+// decisions of version c18a9bd said in it. What goes into a digest is written by fixed
+// words, so that names in this package can change.
+func TestReplay(t *testing.T) {
+	text, err := os.ReadFile("testdata/replay.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Fields(string(text))
+	got := strings.Fields(replayAll())
+	if len(got) != len(want) {
+		t.Fatalf("%d words, want %d", len(got), len(want))
+	}
+	for i := 0; i < len(want); i += 2 {
+		if got[i] != want[i] || got[i+1] != want[i+1] {
+			t.Errorf("%s %s, want %s %s", got[i], got[i+1], want[i], want[i+1])
+		}
+	}
+}
+
+func replayAll() string {
+	var b strings.Builder
+	for seed := range uint64(20) {
+		fmt.Fprintf(&b, "source-%d %s\n", seed, replayOld(seed))
+		fmt.Fprintf(&b, "target-%d %s\n", seed, replayNew(seed))
+	}
+	fmt.Fprintf(&b, "recover %s\n", replayRecover())
+	return b.String()
+}
+
+// digest is what a replay said, as words and numbers.
+type digest struct{ hash.Hash }
+
+func newDigest() digest { return digest{sha256.New()} }
+
+func (d digest) add(words ...any) {
+	for _, w := range words {
+		fmt.Fprint(d, w, " ")
+	}
+	fmt.Fprintln(d)
+}
+
+func (d digest) text() string { return fmt.Sprintf("%x", d.Sum(nil)) }
+
+func (d digest) request(r Request) {
+	d.add("request", r.Open, int(r.Effect), r.Sent, int64(r.FirstSend), int64(r.Window), int64(r.Deadline), r.Answering, r.Kept)
+}
+
+// replayOld feeds the machine of the process that serves with streams of inputs, most of
+// which could come in its phase and some of which could not.
+func replayOld(seed uint64) string {
+	r := rand.New(rand.NewPCG(seed, 1))
+	d := newDigest()
+	for range 150 {
+		cfg := Defaults()
+		if r.IntN(3) == 0 {
+			cfg = Config{
+				GreetWithin: duration(r, 2000), WarmWithin: duration(r, 2000), ProveFor: duration(r, 3000), ProveWithin: duration(r, 9000),
+				SilentFor: duration(r, 2000), GoodAnswers: r.IntN(40), BadShare: float64(r.IntN(5)) / 10, MostMemory: int64(r.IntN(2)) * 1000,
+			}
+		}
+		replayOldOnce(d, r, NewOld(cfg, Version{1, r.IntN(3)}))
+	}
+	return d.text()
+}
+
+func duration(r *rand.Rand, ms int) time.Duration {
+	return time.Duration(r.IntN(ms)) * time.Millisecond
+}
+
+func replayOldOnce(d digest, r *rand.Rand, o *Old) {
+	now, next := time.Duration(0), ConnID(0)
+	for range 20 + r.IntN(120) {
+		if r.IntN(3) == 0 {
+			now += duration(r, 900+r.IntN(8)/7*4000)
+		}
+		var in any
+		if r.IntN(10) < 2 {
+			in = nextForOld(r, o.Phase())
+		} else {
+			in = anyForOld(r, ConnID(r.IntN(int(next)+2)), next+1)
+			if a, ok := in.(Accepted); ok {
+				next = a.Conn
+			}
+		}
+		for _, e := range o.Step(now, in) {
+			oldEffect(d, e)
+		}
+		d.add("phase", int(o.Phase()), o.Phase().String(), o.Why())
+	}
+}
+
+// nextForOld is an input that leads on from a phase, or away from it.
+func nextForOld(r *rand.Rand, p Phase) any {
+	switch p {
+	case Idle:
+		return Upgrade{UsualBad: float64(r.IntN(6)-1) / 10}
+	case Greeting:
+		if r.IntN(8) == 0 {
+			return Hello{Version: Version{1, 1}, Problem: "no port " + strconv.Itoa(r.IntN(9))}
+		}
+		return Hello{Version: Version{1 + r.IntN(8)/7, r.IntN(3)}}
+	case Warming:
+		return Ready{}
+	case Probation:
+		if r.IntN(2) == 0 { // one that gives no good answer
+			return Alive{Bad: r.IntN(8) / 7, Open: r.IntN(2)}
+		}
+		return Alive{Good: r.IntN(30), Bad: r.IntN(3), Open: r.IntN(2)}
+	case Returning:
+		return Died{}
+	}
+	return Tick{}
+}
+
+// anyForOld is any input, for a connection that may be there.
+func anyForOld(r *rand.Rand, id, next ConnID) any {
+	switch n := r.IntN(40); {
+	case n < 5:
+		return Accepted{next}
+	case n < 9:
+		return Busy{id}
+	case n < 13:
+		return Free{id}
+	case n < 15:
+		return Kept{id}
+	case n < 18:
+		return Closed{id}
+	case n < 21:
+		return TheyClosed{id}
+	case n < 26:
+		return Recorded{id, anyRequest(r)}
+	case n < 28:
+		return Heard{}
+	case n < 31:
+		return Alive{Good: r.IntN(8), Bad: r.IntN(2), Open: r.IntN(3)}
+	case n < 37:
+		return Tick{}
+	case n < 38:
+		return Memory{int64(r.IntN(1100))}
+	}
+	switch r.IntN(12) {
+	case 0, 1:
+		return Died{}
+	case 2:
+		return Stop{}
+	case 3, 4:
+		return Ready{}
+	case 5, 6:
+		return Hello{Version: Version{1, r.IntN(4)}}
+	}
+	return Upgrade{}
+}
+
+func anyRequest(r *rand.Rand) Request {
+	return Request{
+		Open: r.IntN(3) > 0, Effect: Effect(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSend: duration(r, 3000), Window: duration(r, 9000),
+		Deadline: duration(r, 9000), Answering: r.IntN(3), Kept: r.IntN(2) > 0,
+	}
+}
+
+func oldEffect(d digest, e any) {
+	switch e := e.(type) {
+	case Spawn:
+		d.add("start the target")
+	case SendState:
+		d.add("send the state")
+	case StopAccepting:
+		d.add("stop accepting")
+	case StartAccepting:
+		d.add("start accepting")
+	case SendGo:
+		d.add("send go")
+	case Give:
+		d.add("give", uint32(e.Conn))
+	case SendCommit:
+		d.add("send commit")
+	case Forget:
+		d.add("forget", uint32(e.Conn))
+	case Kill:
+		d.add("kill")
+	case TakeBack:
+		d.add("take back", uint32(e.Conn))
+		d.request(e.Request)
+	case Report:
+		d.add("report", e.Why)
+	case BeginStop:
+		d.add("begin the stop")
+	case Exit:
+		d.add("exit")
+	default:
+		d.add("unknown")
+	}
+}
+
+// replayNew does the same with the machine of the process that takes over.
+func replayNew(seed uint64) string {
+	r := rand.New(rand.NewPCG(seed, 2))
+	d := newDigest()
+	for range 400 {
+		n := NewNew(Version{1, r.IntN(3)})
+		order := []any{Started{}, State{}, Warm{}, Go{}, Given{1}, Commit{}, Ended{}}
+		for range 25 {
+			var in any
+			if r.IntN(2) == 0 && len(order) > 0 {
+				in, order = order[0], order[1:]
+			} else {
+				in = anyForNew(r)
+			}
+			for _, e := range n.Step(0, in) {
+				newEffect(d, e)
+			}
+			d.add("state", n.Owner(), n.Serving())
+		}
+	}
+	return d.text()
+}
+
+func anyForNew(r *rand.Rand) any {
+	switch r.IntN(30) {
+	case 0:
+		return Started{}
+	case 1:
+		return Started{"no port"}
+	case 2, 3:
+		return State{}
+	case 4, 5:
+		return Warm{}
+	case 6:
+		return Go{}
+	case 7:
+		return Commit{}
+	case 8:
+		return Ended{}
+	}
+	return Given{ConnID(r.IntN(100))}
+}
+
+func newEffect(d digest, e any) {
+	switch e := e.(type) {
+	case SendHello:
+		d.add("send hello", e.Version.Major, e.Version.Minor, e.Problem)
+	case SendReady:
+		d.add("send ready")
+	case TakeState:
+		d.add("take the state")
+	case Adopt:
+		d.add("adopt", uint32(e.Conn))
+	case StopRecording:
+		d.add("stop recording")
+	case StartAccepting:
+		d.add("start accepting")
+	case Exit:
+		d.add("exit")
+	default:
+		d.add("unknown")
+	}
+}
+
+// replayRecover asks what becomes of requests of all kinds, at the edges of their times.
+func replayRecover() string {
+	r := rand.New(rand.NewPCG(7, 3))
+	d := newDigest()
+	for range 20000 {
+		q := anyRequest(r)
+		now := duration(r, 9000)
+		switch r.IntN(4) {
+		case 0:
+			now = q.Deadline + time.Duration(r.IntN(3)-1)
+		case 1:
+			now = q.FirstSend + q.Window - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
+		}
+		d.add(int(Recover(q, r.IntN(3), now)))
+	}
+	for major := range 3 {
+		for minor := range 5 {
+			d.add(Version{1, 2}.Speaks(Version{major, minor}))
+		}
+	}
+	return d.text()
+}
--- /dev/null
+++ b/internal/decide/takeover/replay_test.go
@@ -0,0 +1,71 @@
+package takeover
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// testdata/replay.txt has, a line each, a seed and the digest of all that the decisions of
+// version c18a9bd said over processes made from it. What goes into a digest is written by
+// fixed words, so that names in this package can change.
+func TestReplay(t *testing.T) {
+	text, err := os.ReadFile("testdata/replay.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, got := strings.Split(string(text), "\n"), strings.Split(replayAll(), "\n")
+	if len(got) != len(want) {
+		t.Fatalf("%d lines, want %d", len(got), len(want))
+	}
+	for i := range want {
+		if got[i] != want[i] {
+			t.Errorf("line %d: %q, want %q", i, got[i], want[i])
+		}
+	}
+}
+
+func replayAll() string {
+	var b strings.Builder
+	for seed := range uint64(10) {
+		fmt.Fprintf(&b, "%d %x\n", seed, replay(seed))
+	}
+	return b.String()
+}
+
+func replay(seed uint64) []byte {
+	r := rand.New(rand.NewPCG(seed, 1))
+	d := sha256.New()
+	for range 3000 {
+		now := 10*time.Second + time.Duration(r.IntN(5))*time.Millisecond
+		self := anyProcess(r, 0, now)
+		var others []Process
+		for i := range r.IntN(5) {
+			others = append(others, anyProcess(r, i+1, now))
+		}
+		step, from := Next(self, others, now)
+		fmt.Fprintf(d, "%d %q %t %t %g\n", int(step), from, Replaced(self, others), Asked(self, others), Share(others))
+		for _, o := range others {
+			fmt.Fprintf(d, "%t %t\n", self.After(o), o.After(self))
+		}
+	}
+	return d.Sum(nil)
+}
+
+// anyProcess began some time ago, often at the edge of the time that one waits.
+func anyProcess(r *rand.Rand, i int, now time.Duration) Process {
+	p := Process{
+		ID: fmt.Sprint(i), Began: now - time.Duration(r.IntN(4)*500)*time.Millisecond - time.Duration(r.IntN(3)-1),
+		Ready: r.IntN(3) > 0, Stopping: r.IntN(3) == 0, Knows: r.IntN(2) == 0,
+	}
+	for other := range 5 {
+		if r.IntN(2) == 0 {
+			p.Heard = append(p.Heard, fmt.Sprint(other))
+		}
+	}
+	return p
+}
--- /dev/null
+++ b/internal/frontend/postgres/stored_test.go
@@ -0,0 +1,76 @@
+package postgres
+
+import (
+	"bytes"
+	"os"
+	"testing"
+	"time"
+
+	"gannetspur/internal/pgproto"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+)
+
+// storedState is the state of a connection whose bytes version c18a9bd wrote to
+// testdata/connection.cbor: a process of that version hands its connections over so.
+var storedState = connState{
+	Process: 70000, Secret: [4]byte{1, 2, 3, 4}, Started: true, Timeout: 7 * time.Second, Skip: true, Describe: true, Describing: "p",
+	Statements: []statementState{
+		{Named: true, Name: "s", Query: "SELECT 1", Types: []byte{0, 0}},
+		{Query: "SELECT $1", Known: &pgproto.Result{Params: []byte{0, 1, 0, 0, 0, 23}, Fields: []byte{0, 0}}},
+	},
+	Portals: []portalState{{
+		Name: "p", Statement: 1, Bind: []byte{0, 0, 0, 1, 0, 0, 0, 1, '7', 0, 0}, Token: "key",
+		Result: &pgproto.Result{Rows: []byte("rows"), Count: 2, Tag: "SELECT 2", Empty: true, Status: []byte("status")}, Given: 3, Rest: []byte("rest"), Over: true,
+	}, {Name: "", Statement: 0, Bind: make([]byte, 6)}},
+	User: "app", Settings: []pgproto.Setting{{Name: "application_name", Text: "billing"}},
+}
+
+// The stored state is read whole and written anew byte for byte; cut short it is refused, and
+// with any bit changed it is refused or read as something else.
+func TestStoredState(t *testing.T) {
+	stored, err := os.ReadFile("testdata/connection.cbor")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got connState
+	if err := cbor.Unmarshal(stored, &got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(storedState, got); diff != "" {
+		t.Errorf("state (-want +got):\n%s", diff)
+	}
+	if written, err := cbor.Marshal(storedState); err != nil || !bytes.Equal(written, stored) {
+		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
+	}
+	f := &Front{}
+	if accept, err := f.Restore(stored); accept == nil || err != nil {
+		t.Errorf("restore: error %v", err)
+	}
+	for cut := range stored {
+		if _, err := f.Restore(stored[:cut]); err == nil {
+			t.Errorf("restored, cut at byte %d of %d", cut, len(stored))
+		}
+	}
+	for i := range stored {
+		for bit := range 8 {
+			damaged := bytes.Clone(stored)
+			damaged[i] ^= 1 << bit
+			if accept, err := f.Restore(damaged); (accept == nil) == (err == nil) {
+				t.Errorf("byte %d, bit %d changed: neither a handler nor an error", i, bit)
+			}
+		}
+	}
+}
+
+// What connections of version c18a9bd shared: where the process numbers of new ones begin.
+func TestStoredSharedState(t *testing.T) {
+	f := &Front{last: 7}
+	if got, want := f.Shared(), []byte{0x1a, 0, 1, 0, 7}; !bytes.Equal(got, want) {
+		t.Errorf("shared state = %x, want %x", got, want)
+	}
+	if err := f.TakeShared([]byte{0x1a, 0, 1, 0, 7}); err != nil || f.last != 65543 {
+		t.Errorf("numbers begin at %d, error %v, want 65543", f.last, err)
+	}
+}
--- /dev/null
+++ b/internal/handover/stored_test.go
@@ -0,0 +1,199 @@
+package handover
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"gannetspur/internal/core"
+	"gannetspur/internal/decide/adminstate"
+	"gannetspur/policy"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+)
+
+// storedFrames are one frame of each kind. testdata/frames has their bytes as version c18a9bd
+// sent them: two processes of different versions must read each other's frames.
+var storedFrames = []struct {
+	file        string
+	message     Message
+	descriptors int
+}{
+	{"hello", &Hello{Major: 1, Minor: 2, Problem: "gateway.toml:7: listen: missing", Build: "ringwood 1.0 (c18a9bd)"}, 0},
+	{"hello-without-problem", &Hello{Major: 1, Build: "x"}, 0},
+	{"ready", &Ready{}, 0},
+	{"alive", &Alive{Good: 17, Bad: 3, Open: 300}, 0},
+	{"input", &Input{Conn: 70000, At: 1 << 40, Came: 90 * time.Minute, B: []byte("GET /x\x00\xff")}, 0},
+	{"sending", &Sending{Conn: 7, Effect: 1, At: 3 * time.Second, Window: 12 * time.Second, Deadline: time.Minute}, 0},
+	{"output", &Output{Conn: 7, At: 99, B: []byte("HTTP/1.1 200 OK"), Settled: true, Ending: true, Consumed: 1 << 33, State: []byte{0xa1, 1, 0xf5}}, 0},
+	{"output-unsettled", &Output{Conn: 7, At: 99, B: []byte("part")}, 0},
+	{"closed", &Closed{Conn: 1 << 31}, 0},
+	{"world", &World{Sections: map[string]cbor.RawMessage{"event": {0x18, 0x29}}}, 0},
+	{"go", &Go{}, 0},
+	{"given", &Given{Conn: 7, Front: "rest", State: []byte{0xa0}, Unread: []byte("GET ")}, 1},
+	{"commit", &Commit{}, 0},
+	{"reload", &Reload{}, 0},
+	{"counts", &Counts{Counters: map[string]int64{"taken.lookup": 12345678901}}, 0},
+	{"shared", &Shared{B: []byte{0x1a, 0, 1, 0, 7}}, 0},
+	{"stray", &Stray{B: []byte("cancel request")}, 0},
+}
+
+// storedKnowledge is what testdata/knowledge.cbor holds, as version c18a9bd wrote it.
+func storedKnowledge() *Knowledge {
+	return &Knowledge{
+		Clock: Clock{Now: 1234567 * time.Second, Mono: 89 * time.Second},
+		Core: core.Known{
+			Engines: []core.Engine{{Engine: policy.Engine{ID: "s-1"}}},
+			Bans:    adminstate.Bans{"s-1": {Out: true, At: time.Minute, Since: time.Second}},
+		},
+		Event: 4242, Shared: []byte("shared"), Shapes: []byte("shapes"), Members: []byte("members"),
+		Counters: map[string]int64{"taken.lookup": 3, "answered.served.lookup": 2},
+	}
+}
+
+func storedBytes(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// The bytes of each frame are read to the same message, and written anew byte for byte.
+func TestFramesOfStoredVersion(t *testing.T) {
+	seen := map[byte]bool{}
+	for _, tt := range storedFrames {
+		t.Run(tt.file, func(t *testing.T) {
+			stored := storedBytes(t, filepath.Join("frames", tt.file+".bin"))
+			got, descriptors, used, err := parse(stored)
+			if err != nil || used != len(stored) || descriptors != tt.descriptors {
+				t.Fatalf("parse: %d descriptors, %d of %d bytes, error %v", descriptors, used, len(stored), err)
+			}
+			if diff := cmp.Diff(tt.message, got); diff != "" {
+				t.Errorf("message (-want +got):\n%s", diff)
+			}
+			if written := sentBytes(t, tt.message, tt.descriptors); !bytes.Equal(written, stored) {
+				t.Errorf("sent as\n%x, want\n%x", written, stored)
+			}
+			seen[stored[5]] = true
+		})
+	}
+	for kind := range byte(0xff) {
+		if (blank(kind) != nil) != seen[kind] {
+			t.Errorf("kind %d: known %v, stored %v", kind, blank(kind) != nil, seen[kind])
+		}
+	}
+}
+
+// sentBytes are the bytes of a message as they lie in the channel.
+func sentBytes(t *testing.T, m Message, descriptors int) []byte {
+	t.Helper()
+	a, b := pairs(t)
+	var fds []int
+	for range descriptors {
+		fds = append(fds, int(os.Stdin.Fd()))
+	}
+	if err := a.Send(m, fds...); err != nil {
+		t.Fatal(err)
+	}
+	_ = a.Close()
+	raw, err := io.ReadAll(b.conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// A frame that is cut short is waited for, and refused at the channel's end; one with a
+// changed byte is read as something else or refused with a typed error. None panics.
+func TestDamagedFrames(t *testing.T) {
+	for _, tt := range storedFrames {
+		t.Run(tt.file, func(t *testing.T) {
+			stored := storedBytes(t, filepath.Join("frames", tt.file+".bin"))
+			for cut := range stored {
+				if m, _, used, err := parse(stored[:cut]); m != nil || used != 0 || err != nil {
+					t.Errorf("cut at byte %d: %T, %d bytes used, error %v", cut, m, used, err)
+				}
+				if err := readBytes(t, stored[:cut]); cut > 0 && !errors.Is(err, ErrFrame) || cut == 0 && err != nil {
+					t.Errorf("a channel that ends at byte %d: error %v", cut, err)
+				}
+			}
+			for i := range stored {
+				for bit := range 8 {
+					damaged := bytes.Clone(stored)
+					damaged[i] ^= 1 << bit
+					_, _, used, err := parse(damaged)
+					if used > len(damaged) || err != nil && (used > 0 || !errors.Is(err, ErrFrame) && !errors.Is(err, ErrKind)) {
+						t.Errorf("byte %d, bit %d changed: %d bytes used, error %v", i, bit, used, err)
+					}
+				}
+			}
+		})
+	}
+}
+
+// readBytes is the error with which a channel ends after these bytes.
+func readBytes(t *testing.T, raw []byte) error {
+	t.Helper()
+	a, f, err := Pair()
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := FromFile(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer b.Close()
+	if _, err := a.conn.Write(raw); err != nil {
+		t.Fatal(err)
+	}
+	_ = a.Close()
+	return b.Read(func(Message, []int) {})
+}
+
+// What a process of version c18a9bd knew is read whole, cut or changed bytes are refused or
+// read as something else, and each part goes under its old name.
+func TestKnowledgeOfStoredVersion(t *testing.T) {
+	stored := storedBytes(t, "knowledge.cbor")
+	got, unknown, err := DecodeKnowledge(stored)
+	if err != nil || len(unknown) > 0 {
+		t.Fatalf("unknown sections %q, error %v", unknown, err)
+	}
+	if diff := cmp.Diff(storedKnowledge(), got); diff != "" {
+		t.Errorf("knowledge (-want +got):\n%s", diff)
+	}
+	written, err := storedKnowledge().Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	// Go's maps have no order, so the bytes of the parts are compared one by one.
+	var now, then struct {
+		Sections map[string]any `cbor:"1,keyasint"`
+	}
+	if err := errors.Join(cbor.Unmarshal(written, &now), cbor.Unmarshal(stored, &then)); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(then, now); diff != "" {
+		t.Errorf("written (-stored +now):\n%s", diff)
+	}
+	for cut := range stored {
+		if _, _, err := DecodeKnowledge(stored[:cut]); err == nil {
+			t.Errorf("read, cut at byte %d of %d", cut, len(stored))
+		}
+	}
+	for i := range stored {
+		for bit := range 8 {
+			damaged := bytes.Clone(stored)
+			damaged[i] ^= 1 << bit
+			if k, _, err := DecodeKnowledge(damaged); (k == nil) == (err == nil) {
+				t.Errorf("byte %d, bit %d changed: %v, error %v", i, bit, k, err)
+			}
+		}
+	}
+}
