--- /dev/null
+++ b/internal/core/replay_test.go
@@ -0,0 +1,341 @@
+package core
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"gannetspur/internal/metrics"
+	"gannetspur/internal/timerqueue"
+	"gannetspur/policy"
+)
+
+// TestReplay drives the life of requests by seeded events: clients that come, leave and go on,
+// attempts that end in every way, another site, engines that come and go, operators' calls.
+// What links, clients and the other site hear goes into a digest that version c18a9bd wrote.
+func TestReplay(t *testing.T) {
+	const digestFile = "testdata/replay.sha256"
+	want, err := os.ReadFile(digestFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	digest := sha256.New()
+	for seed := range uint64(40) {
+		newReplay(t, digest, seed).run()
+	}
+	if got := hex.EncodeToString(digest.Sum(nil)); got != strings.TrimSpace(string(want)) {
+		t.Errorf("digest of all calls = %s, want %s", got, want)
+	}
+}
+
+// replay is one seeded run. The wording of what it writes does not depend on identifiers.
+type replay struct {
+	out      io.Writer
+	random   *rand.Rand
+	now      time.Duration
+	timers   *timerqueue.Queue
+	core     *Core
+	counters *metrics.Counters
+	open     []*Request
+	attempts []*Attempt
+	settling []*Attempt
+	serial   int
+}
+
+func newReplay(t *testing.T, out io.Writer, seed uint64) *replay {
+	t.Helper()
+	r := &replay{out: out, random: rand.New(rand.NewPCG(seed, 2)), now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
+	set := newWorld(t, 0).settings()
+	var err error
+	if r.core, err = New(set, seed, r, r.timers, r.counters, slog.New(slog.DiscardHandler)); err != nil {
+		t.Fatal(err)
+	}
+	r.core.SetLinks(replayLinks{r})
+	r.core.SetLearner(r)
+	r.core.SetSending(func(q *Request, at time.Duration) { r.say("first send %s %d", q.ID, at) })
+	r.core.SetBanned(func() { r.say("bans changed") })
+	if seed%2 == 0 {
+		r.core.SetSites(replaySites{r})
+	}
+	return r
+}
+
+func (r *replay) say(format string, args ...any) {
+	fmt.Fprintf(r.out, format+"\n", args...)
+}
+
+func (r *replay) Now() time.Duration { return r.now }
+
+func (r *replay) Answer(q *Request, a Answer) {
+	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.ComeBack), a.Late, a.Sent, a.Doubt, a.Result, a.Detail)
+	r.dropOpen(q)
+}
+
+func (r *replay) Part(q *Request, a Answer) {
+	r.say("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.Detail)
+}
+
+func (r *replay) Served(q *Request, rep Report, elapsed time.Duration) {
+	r.say("served %s %d %d", q.ID, int64(rep.Work), int64(elapsed))
+}
+
+func (r *replay) GivenUp(q *Request, elapsed time.Duration) {
+	r.say("given up %s %d", q.ID, int64(elapsed))
+}
+
+func (r *replay) Over(q *Request) { r.say("over %s", q.ID) }
+
+type replayLinks struct{ *replay }
+
+func (l replayLinks) Send(a *Attempt) {
+	ok := l.core.Writing(a)
+	l.say("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Within), a.MemoryMB, a.Priority, ok)
+	if !ok {
+		l.core.End(a, EndNotSent, Report{})
+		return
+	}
+	l.attempts = append(l.attempts, a)
+}
+
+func (l replayLinks) Drop(a *Attempt) bool {
+	must := a.MustSettle()
+	l.say("drop %s %s %t", a.Request.ID, a.Engine, must)
+	if must {
+		l.settling = append(l.settling, a)
+	}
+	return !must
+}
+
+func (l replayLinks) Hurry(a *Attempt, priority int) {
+	l.say("hurry %s %s %d", a.Request.ID, a.Engine, priority)
+}
+
+func (l replayLinks) Engine(e Engine) {
+	if e.State != policy.EngineGone { // those that a whole list lacks come in no fixed order
+		l.say("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.Fresh)
+	}
+}
+
+func (l replayLinks) Probe(engine string) {
+	l.say("probe %s", engine)
+	if l.random.IntN(2) == 0 {
+		l.core.Probed(engine, EndServed, policy.Load{})
+		return
+	}
+	l.core.Probed(engine, EndConnectTimeout, policy.Load{})
+}
+
+func (l replayLinks) Continue(a *Attempt) {
+	l.say("continue %s %s %v", a.Request.ID, a.Engine, a.Request.Statement)
+}
+
+type replaySites struct{ *replay }
+
+func (s replaySites) Cross(q *Request, turned bool) bool {
+	if s.random.IntN(3) > 0 {
+		return false
+	}
+	s.say("cross %s %t", q.ID, turned)
+	s.core.Away(q, q.Deadline-time.Millisecond)
+	return true
+}
+
+func (s replaySites) Drop(q *Request)    { s.say("drop there %s", q.ID) }
+func (s replaySites) Sending(a *Attempt) { s.say("sending %s %s", a.Request.ID, a.Engine) }
+func (s replaySites) Engine(Engine)      {}
+func (s replaySites) Ended(a *Attempt, end End, _ Report) {
+	s.say("ended %s %s %d", a.Request.ID, a.Engine, int(end))
+}
+
+func (r *replay) run() {
+	r.engines(policy.ListFull, 6)
+	for range 1500 {
+		r.step()
+		r.now += time.Duration(r.random.IntN(20)) * time.Millisecond
+		r.timers.Sweep(r.now)
+	}
+	for len(r.open) > 1 { // EndAll answers several in no fixed order
+		r.leaves(r.open[0])
+	}
+	r.core.EndAll()
+	r.arrive()
+	for _, a := range append(r.attempts, r.settling...) {
+		r.core.End(a, EndReset, Report{})
+	}
+	figures := r.core.Figures()
+	r.say("figures %d %d %d %d", figures.Written, figures.Inflight, figures.Listed, figures.Down)
+	for _, c := range figures.Classes {
+		r.say("class %s %d %d %d", c.Class, c.Served, c.Refused, c.Failed)
+	}
+	var all strings.Builder
+	r.counters.Print(&all)
+	r.say("%s", all.String())
+}
+
+func (r *replay) step() {
+	switch r.random.IntN(16) {
+	case 0, 1, 2, 3, 4:
+		r.arrive()
+	case 5, 6, 7, 8, 9:
+		r.end()
+	case 10:
+		if q := r.anyOpen(); q != nil {
+			r.leaves(q)
+		}
+	case 11:
+		if a := r.anyAttempt(); a != nil {
+			r.core.Note(a, policy.NoteKind(r.random.IntN(3)), float64(r.random.IntN(50)))
+		}
+	case 12:
+		r.engines(policy.ListChanges, 1+r.random.IntN(2))
+	case 13:
+		r.call()
+	case 14:
+		r.there()
+	default:
+		r.goOn()
+	}
+}
+
+func (r *replay) arrive() {
+	r.serial++
+	class := []string{"read", "load", "write", "unheard-of"}[min(r.random.IntN(10)/3, 3)]
+	q := &Request{
+		ID: fmt.Sprintf("r%d", r.serial), Class: class, Token: "key", Deadline: r.now + time.Duration(1+r.random.IntN(5000))*time.Millisecond,
+		Client: r, Note: r.serial, Statement: "first", Stream: class == "write" && r.random.IntN(3) == 0,
+	}
+	if r.random.IntN(4) == 0 {
+		q.Order = fmt.Sprintf("key-%d", r.random.IntN(5))
+	}
+	if r.random.IntN(10) == 0 {
+		q.MostSends, q.Spent = 3, r.random.IntN(3)
+	}
+	var left *Left
+	if r.random.IntN(15) == 0 {
+		left = &Left{Came: r.now, Sent: r.now - time.Duration(r.random.IntN(2))*time.Second, Settle: r.random.IntN(3) == 0}
+	}
+	r.say("arrive %s %s", q.ID, class)
+	r.open = append(r.open, q)
+	r.core.TakeLeft(q, left)
+}
+
+func (r *replay) end() {
+	if len(r.settling) > 0 && r.random.IntN(3) == 0 {
+		a := r.settling[0]
+		r.settling = r.settling[1:]
+		r.core.End(a, EndCancelled, Report{})
+		return
+	}
+	a := r.anyAttempt()
+	if a == nil {
+		return
+	}
+	end := EndServed
+	if r.random.IntN(3) == 0 {
+		end = End(r.random.IntN(int(endCount)))
+	}
+	rep := Report{Result: "rows", Work: time.Duration(r.random.IntN(100)) * time.Millisecond, MemoryMB: float64(r.random.IntN(20))}
+	if end == EndError || end == EndRejected {
+		rep.Result, rep.Detail = nil, fmt.Sprintf("error of %s", a.Engine)
+	}
+	r.say("end %s %s %d", a.Request.ID, a.Engine, int(end))
+	r.core.End(a, end, rep)
+}
+
+func (r *replay) there() {
+	for _, q := range r.open {
+		if !r.core.IsAway(q) {
+			continue
+		}
+		how := r.random.IntN(5)
+		r.say("there %s %d", q.ID, how)
+		switch how {
+		case 0:
+			r.core.Settled(q, Answer{Verdict: Served, Result: "rows from there"})
+		case 1:
+			r.core.Crossed(q, r.now)
+			r.core.Settled(q, Answer{Verdict: Failed})
+		case 2:
+			r.core.Here(q, true)
+		case 3:
+			r.core.Crossed(q, r.now)
+			r.core.Here(q, false)
+		default:
+			r.core.Here(q, false)
+		}
+		r.say("known %s %d %d %t %t", q.ID, q.Sends(), int64(q.FirstSent()), q.Ran(), r.core.Doubt(q))
+		return
+	}
+}
+
+func (r *replay) goOn() {
+	for _, a := range r.attempts {
+		if a.Ended() || !a.Request.Stream {
+			continue
+		}
+		r.core.Part(a, Report{Result: "part", Detail: nil})
+		if r.random.IntN(2) == 0 {
+			r.say("goes on %t", r.core.Continue(a.Request, "next", 300*time.Millisecond))
+		}
+		return
+	}
+}
+
+func (r *replay) call() {
+	err := r.core.Ban(fmt.Sprintf("e%d", r.random.IntN(8)), r.random.IntN(2) == 0)
+	r.say("call %t", err != nil)
+}
+
+func (r *replay) engines(mode policy.ListMode, n int) {
+	var list []Engine
+	for i := range n {
+		id := i
+		if mode == policy.ListChanges {
+			id = r.random.IntN(8)
+		}
+		state := policy.EngineLive
+		if mode == policy.ListChanges {
+			state = policy.EngineState(r.random.IntN(3))
+		}
+		list = append(list, Engine{Addr: fmt.Sprintf("127.0.0.1:%d", id), Engine: policy.Engine{ID: fmt.Sprintf("e%d", id), Kind: "k", State: state}})
+	}
+	r.core.Roster(mode, list)
+}
+
+func (r *replay) anyOpen() *Request {
+	if len(r.open) == 0 {
+		return nil
+	}
+	return r.open[r.random.IntN(len(r.open))]
+}
+
+func (r *replay) leaves(q *Request) {
+	r.say("leaves %s", q.ID)
+	r.core.Gone(q)
+	r.dropOpen(q)
+}
+
+func (r *replay) dropOpen(q *Request) {
+	for i, o := range r.open {
+		if o == q {
+			r.open = append(r.open[:i], r.open[i+1:]...)
+			return
+		}
+	}
+}
+
+// anyAttempt picks one of the latest attempts, which may have ended already.
+func (r *replay) anyAttempt() *Attempt {
+	if len(r.attempts) == 0 {
+		return nil
+	}
+	recent := r.attempts[max(0, len(r.attempts)-20):]
+	return recent[r.random.IntN(len(recent))]
+}
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -63,18 +63,8 @@
 func newWorld(t *testing.T, engines int) *world {
 	t.Helper()
 	w := &world{now: time.Hour, timers: timerqueue.New()}
-	set := policy.Settings{
-		Gateways: 1, Round: time.Millisecond, Kinds: []policy.Kind{{Name: "k", Cores: 8, MemoryMB: 1000}},
-		Classes: []policy.Class{
-			{Name: "read", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1, Effect: policy.Safe},
-			{Name: "load", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1, Effect: policy.Keyed, Group: policy.GroupAll, Window: 12 * time.Second},
-			{Name: "write", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1},
-		},
-		Limits: policy.Limits{Tries: 3, Cancel: true, ComeBack: true, MostComeBack: time.Second},
-		Goal:   policy.Goal{Whole: 1},
-	}
 	var err error
-	if w.core, err = New(set, 1, w, w.timers, metrics.New(), slog.New(slog.DiscardHandler)); err != nil {
+	if w.core, err = New(w.settings(), 1, w, w.timers, metrics.New(), slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	w.core.SetLinks(drops{w})
@@ -87,6 +77,19 @@
 	return w
 }
 
+func (w *world) settings() policy.Settings {
+	return policy.Settings{
+		Gateways: 1, Round: time.Millisecond, Kinds: []policy.Kind{{Name: "k", Cores: 8, MemoryMB: 1000}},
+		Classes: []policy.Class{
+			{Name: "read", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1, Effect: policy.Safe},
+			{Name: "load", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1, Effect: policy.Keyed, Group: policy.GroupAll, Window: 12 * time.Second},
+			{Name: "write", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1},
+		},
+		Limits: policy.Limits{Tries: 3, Cancel: true, ComeBack: true, MostComeBack: time.Second},
+		Goal:   policy.Goal{Whole: 1},
+	}
+}
+
 func (w *world) take(class string) *Request {
 	r := &Request{ID: "r", Class: class, Token: "key", Deadline: w.now + 5*time.Second, Client: w}
 	w.core.Take(r)
--- /dev/null
+++ b/internal/core/stored_test.go
@@ -0,0 +1,59 @@
+package core
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"gannetspur/internal/decide/adminstate"
+	"gannetspur/policy"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+)
+
+// TestStoredKnown reads what a core of version c18a9bd passed on in a live upgrade, writes the
+// same bytes again, and is whole or refused where they are damaged.
+func TestStoredKnown(t *testing.T) {
+	stored, err := os.ReadFile("testdata/known.cbor")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Known
+	if err := cbor.Unmarshal(stored, &got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(storedKnown(), got); diff != "" {
+		t.Errorf("stored state (-want +got):\n%s", diff)
+	}
+	written, err := cbor.Marshal(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(stored, written); diff != "" {
+		t.Errorf("bytes written (-want +got):\n%s", diff)
+	}
+	for n := range stored {
+		if err := cbor.Unmarshal(stored[:n], new(Known)); err == nil {
+			t.Errorf("the first %d of %d bytes were read without an error", n, len(stored))
+		}
+	}
+	for i := range stored {
+		spoilt := append([]byte{}, stored...)
+		spoilt[i] ^= 0xff
+		_ = cbor.Unmarshal(spoilt, new(Known)) // an error or other values, never a panic
+	}
+}
+
+// storedKnown has one entry at most in each map: the order of several would not be fixed.
+// What the policy learned has its own fixture there.
+func storedKnown() Known {
+	return Known{
+		Engines: []Engine{
+			{Engine: policy.Engine{ID: "s-00000007", Zone: "hall-a", Kind: "std-8", Cell: 3, State: policy.EngineLive}, Addr: "127.0.0.9:70"},
+			{Engine: policy.Engine{ID: "s-00000008", Zone: "hall-b", Kind: "std-16", Cell: -4, State: policy.EngineDraining, Started: 5 * time.Second, Fresh: true}, Addr: "[::1]:80"},
+		},
+		Learned: policy.Learned{},
+		Bans:    adminstate.Bans{"s-00000007": {Out: false, At: 9 * time.Second, Since: 4 * time.Second}},
+	}
+}
--- /dev/null
+++ b/internal/decide/adminstate/stored_test.go
@@ -0,0 +1,55 @@
+package adminstate
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+)
+
+// TestStoredBans reads the operators' disables as version c18a9bd wrote them into takeover
+// files and handover frames.
+func TestStoredBans(t *testing.T) {
+	stored, err := os.ReadFile("testdata/bans.cbor")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Bans
+	if err := cbor.Unmarshal(stored, &got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(storedBans(), got); diff != "" {
+		t.Errorf("stored disables (-want +got):\n%s", diff)
+	}
+	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := mode.Marshal(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(stored, written); diff != "" {
+		t.Errorf("bytes written (-want +got):\n%s", diff)
+	}
+	for n := range stored {
+		if err := cbor.Unmarshal(stored[:n], new(Bans)); err == nil {
+			t.Errorf("the first %d of %d bytes were read without an error", n, len(stored))
+		}
+	}
+	for i := range stored {
+		spoilt := append([]byte{}, stored...)
+		spoilt[i] ^= 0xff
+		_ = cbor.Unmarshal(spoilt, new(Bans)) // an error or other values, never a panic
+	}
+}
+
+func storedBans() Bans {
+	return Bans{
+		"s-00c41f7a": {Out: true, At: 1_700_000_000 * time.Second},
+		"s-00000007": {Out: false, At: 1_700_000_100 * time.Second, Since: 1_700_000_050 * time.Second},
+		"":           {Out: true, At: -1},
+	}
+}
