--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -44,6 +44,11 @@
 // Rows is a whole result: its pages as the engine sent them, each of whole rows.
 type Rows [][]byte
 
+var (
+	_ core.Links  = (*Links)(nil)
+	_ core.Prober = (*Links)(nil)
+)
+
 // Links holds the connections to all engines.
 type Links struct {
 	loop    *netio.Loop
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -48,6 +48,11 @@
 	MostHeld       int             // bytes of rows of all results that are on their way
 }
 
+var (
+	_ core.Links     = (*Links)(nil)
+	_ core.Continuer = (*Links)(nil)
+)
+
 // Links holds the connections to all engines.
 type Links struct {
 	loop    *netio.Loop
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -245,6 +245,11 @@
 	return len(f.conns) == 0
 }
 
+var (
+	_ core.Client = (*conn)(nil)
+	_ core.Leaver = (*conn)(nil)
+)
+
 // conn is one client connection.
 type conn struct {
 	front   *Front
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -193,6 +193,8 @@
 	over      bool            // its completion was passed on
 }
 
+var _ core.Streamer = (*conn)(nil)
+
 // conn is one client connection.
 type conn struct {
 	front    *Front
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -26,6 +26,8 @@
 	WorkTold bool          // engines tell the work; else times stand for it
 }
 
+var _ core.Learner = (*Service)(nil)
+
 // Service is a book at work in a gateway: fronts ask it when a request comes, and the
 // core tells it what served ones have cost. It belongs to the loop's goroutine.
 type Service struct {
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -65,6 +65,8 @@
 	redialAfter = 4
 )
 
+var _ core.Sites = (*Service)(nil)
+
 // Service is the other sites, as one gateway knows them. It is a core.Sites.
 type Service struct {
 	core   *core.Core
