--- /dev/null
+++ b/internal/decide/connpool/replay_test.go
@@ -0,0 +1,115 @@
+package connpool
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestReplay feeds seeded events to pools and compares the digest of all decisions with the
+// one recorded before the package was reworked.
+func TestReplay(t *testing.T) {
+	want, err := os.ReadFile("testdata/replay.sha256")
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := sha256.New()
+	for seed, limits := range []Limits{
+		{},
+		{Most: 1},
+		{Most: 4, Keep: 2, Idle: time.Second, Life: time.Minute},
+		{Most: 6, MostUser: 2, Keep: 3, Idle: 500 * time.Millisecond},
+		{MostUser: 1},
+		{Most: 3, MostUser: 5, Life: 7 * time.Second},
+	} {
+		replay(h, uint64(seed), limits)
+	}
+	if got := hex.EncodeToString(h.Sum(nil)); got != strings.TrimSpace(string(want)) {
+		t.Errorf("digest of decisions = %s, want %s", got, want)
+	}
+}
+
+// replay writes each decision of one seeded stream of events.
+func replay(w io.Writer, seed uint64, limits Limits) {
+	rng := rand.New(rand.NewPCG(31, seed))
+	p := Pool{Limits: limits}
+	users := []string{"a", "b", "c", "d"}
+	var works, waits []*Ticket
+	free, opening, now := 0, 0, time.Duration(0)
+	take := func(ticket *Ticket, answer Answer) {
+		works = append(works, ticket)
+		if answer == Use {
+			free--
+		}
+	}
+	for range 4000 {
+		now += time.Duration(rng.IntN(40)) * time.Millisecond
+		switch rng.IntN(8) {
+		case 0, 1, 2:
+			user := rng.IntN(len(users))
+			ticket, answer := p.Ask(now, users[user], now+time.Duration(rng.IntN(400))*time.Millisecond)
+			fmt.Fprintf(w, "ask %d: %d\n", user, uint8(answer))
+			switch answer {
+			case Wait:
+				waits = append(waits, ticket)
+			case Use, Open:
+				take(ticket, answer)
+			case Full:
+				p.Leave(now, ticket)
+			}
+		case 3, 4:
+			if len(works) == 0 {
+				break
+			}
+			i := rng.IntN(len(works))
+			p.Leave(now, works[i])
+			works = slices.Delete(works, i, i+1)
+			if rng.IntN(4) > 0 {
+				p.Free()
+				free++
+			} else {
+				p.Closed()
+			}
+		case 5:
+			if len(waits) > 0 && rng.IntN(3) == 0 {
+				i := rng.IntN(len(waits))
+				p.Leave(now, waits[i])
+				waits = slices.Delete(waits, i, i+1)
+			}
+		case 6:
+			stale := p.Stale(now, now-time.Duration(rng.IntN(2000))*time.Millisecond)
+			fmt.Fprintf(w, "stale %t lives for %d\n", stale, int64(p.LivesFor(rng.Float64())))
+			if stale && free > 0 {
+				p.Taken()
+				p.Closed()
+				free--
+			}
+		default:
+			if opening > 0 && rng.IntN(2) == 0 {
+				opening--
+				p.Free()
+				free++
+			}
+			ahead := p.Ahead(opening > 0)
+			fmt.Fprintf(w, "ahead %t\n", ahead)
+			if ahead {
+				opening++
+			}
+		}
+		for ticket, answer, ok := p.Next(now); ok; ticket, answer, ok = p.Next(now) {
+			i := slices.Index(waits, ticket)
+			fmt.Fprintf(w, "next %d: %d\n", i, uint8(answer))
+			waits = slices.Delete(waits, i, i+1)
+			take(ticket, answer)
+		}
+		open, idle, waiting := p.Counts()
+		fmt.Fprintf(w, "counts %d %d %d\n", open, idle, waiting)
+	}
+}
--- /dev/null
+++ b/internal/decide/costmodel/replay_test.go
@@ -0,0 +1,132 @@
+package costmodel
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+
+	"gannetspur/internal/sqltext"
+)
+
+// replayDigests reads the digests that the code before the renames produced, by case.
+func replayDigests(t *testing.T) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/replay.sha256")
+	if err != nil {
+		t.Fatal(err)
+	}
+	digests := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		digest, name, ok := strings.Cut(strings.TrimSpace(line), "  ")
+		if !ok {
+			t.Fatalf("testdata/replay.sha256: malformed line %q", line)
+		}
+		digests[name] = digest
+	}
+	return digests
+}
+
+// TestReplay feeds seeded executions to the model and compares the digest of all
+// estimates with the one recorded before the package was reworked.
+func TestReplay(t *testing.T) {
+	want := replayDigests(t)
+	for name, cfg := range map[string]Config{
+		"default":       {Classes: classes()},
+		"three-classes": {Classes: []Class{{Name: "a", UpTo: 50}, {Name: "b", UpTo: 500}, {Name: "c"}}, Hysteresis: 2},
+		"no-classes":    {},
+		"no-parameters": {Classes: classes(), NoParameters: true},
+		"no-prior":      {Classes: classes(), NoPrior: true},
+		"no-forgetting": {Classes: classes(), NoForgetting: true},
+		"no-hint":       {Classes: classes(), NoHint: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := sha256.New()
+			replay(h, cfg)
+			if got := hex.EncodeToString(h.Sum(nil)); got != want[name] {
+				t.Errorf("digest of estimates = %s, want %s", got, want[name])
+			}
+		})
+	}
+}
+
+// replay writes each estimate of a seeded stream of executions.
+func replay(w io.Writer, cfg Config) {
+	const shapes, executions = 40, 6000
+	m := New(cfg)
+	rng := rand.New(rand.NewPCG(11, 12))
+	entries := make([]Entry, shapes)
+	statements := make([]sqltext.Features, shapes)
+	for i := range statements {
+		statements[i] = sqltext.Features{
+			Verb: "siudm"[i%5], Tables: int32(1 + i%4), Joins: int32(i % 3), Aggregates: int32(i % 2), Windows: int32(i / 37),
+			Groups: int32(i % 2), Sorts: int32(i % 3), Distincts: int32(i / 30), Selects: int32(1 + i%3), Rows: int32(i % 5),
+			Where: i%7 != 0, Limited: i%6 == 0,
+		}
+	}
+	for i := range executions {
+		shape := min(int(rng.ExpFloat64()*6), shapes-1)
+		profile := sqltext.Profile{
+			Alternatives: []int{0, 0, 1, 5, 40, 900}[rng.IntN(6)], Span: []float64{0, 0, 7, 365}[rng.IntN(4)], HalfOpen: rng.IntN(9) == 0,
+			Wild: sqltext.Wild(rng.IntN(4)), Limit: []float64{0, 10, 1e5}[rng.IntN(3)], Off: rng.IntN(20) / 19, Open: rng.IntN(12) == 0,
+			Rows: int(statements[shape].Rows), Column: uint32(rng.IntN(3)), Key: rng.Uint64N(200),
+		}
+		if rng.IntN(3) == 0 {
+			profile.Key = 7
+		}
+		q := Query{Features: &statements[shape], Profile: profile, Known: rng.IntN(7) - 1}
+		if rng.IntN(10) > 0 {
+			q.Entry = &entries[shape]
+		}
+		work := math.Exp2(4+float64(shape)/6) * (1 + float64(profile.Alternatives)/100) * math.Exp(0.3*rng.NormFloat64())
+		if profile.Key == 7 {
+			work *= 6
+		}
+		if i > executions/2 && shape%3 == 0 {
+			work *= 12
+		}
+		if rng.IntN(2) == 0 {
+			q.Hint = work * (0.2 + rng.Float64()*0.2)
+			q.HintMB = 20 * rng.Float64()
+		}
+		truth := Truth{Work: work, MemoryMB: 30 * rng.Float64(), AtLeast: rng.IntN(15) == 0}
+		switch rng.IntN(200) {
+		case 0:
+			truth.Work = math.NaN()
+		case 1:
+			truth.Work = 1e12
+		case 2:
+			truth.MemoryMB = -1
+		case 3:
+			q.Hint = math.Inf(1)
+		}
+		if rng.IntN(5) > 0 {
+			writeEstimate(w, m.Estimate(&q))
+		}
+		m.Learn(&q, truth)
+		if i%500 == 499 {
+			restored, err := Restore(cfg, m.State())
+			if err != nil {
+				fmt.Fprintf(w, "restore failed\n")
+				continue
+			}
+			m = restored
+		}
+	}
+	for i := range entries {
+		fmt.Fprintf(w, "entry %d: %d seen, valid %t\n", i, entries[i].Seen, entries[i].Check() == nil)
+	}
+}
+
+func writeEstimate(w io.Writer, e Estimate) {
+	fmt.Fprintf(w, "%t %.12g %.12g %.12g %d", e.Known, e.Work, e.Spread, e.MemoryMB, e.Class)
+	for _, v := range []Voice{e.Record, e.Like, e.Prior, e.Hint, e.Key} {
+		fmt.Fprintf(w, " %.12g/%.12g/%.12g/%.12g", v.Mid, v.Dev, v.N, v.Weight)
+	}
+	fmt.Fprintln(w)
+}
--- /dev/null
+++ b/internal/decide/loginlimit/replay_test.go
@@ -0,0 +1,44 @@
+package loginlimit
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestReplay feeds seeded failures to throttles and compares the digest of all decisions with
+// the one recorded before the package was reworked. Instants are multiples of an eighth of a
+// second: the levels are exact, whatever order a map is read in.
+func TestReplay(t *testing.T) {
+	want, err := os.ReadFile("testdata/replay.sha256")
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := sha256.New()
+	for seed, cfg := range []Config{
+		Defaults(),
+		{Burst: 3, Every: time.Second, Most: 8},
+		{Burst: 5, Every: 4 * time.Second, Most: 20},
+		{Burst: 0, Every: 0, Most: 0},
+	} {
+		rng := rand.New(rand.NewPCG(41, uint64(seed)))
+		l, now := New(cfg), time.Hour
+		for range 5000 {
+			now += time.Duration(rng.IntN(3)) * 125 * time.Millisecond
+			addr := strconv.Itoa(min(int(rng.ExpFloat64()*8), 60))
+			if rng.IntN(3) > 0 {
+				l.Failed(now, addr)
+			}
+			fmt.Fprintf(h, "%s waits %d; %d remembered\n", addr, int64(l.Wait(now, addr)), l.Len())
+		}
+	}
+	if got := hex.EncodeToString(h.Sum(nil)); got != strings.TrimSpace(string(want)) {
+		t.Errorf("digest of decisions = %s, want %s", got, want)
+	}
+}
