--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -23,29 +23,30 @@
 
 // Run names every fault of every file in one pass.
 func (c *checkCommand) Run() error {
-	bad := 0
+	total := 0
 	for _, path := range c.Files {
-		faults := config.FaultsOf(c.check(path))
+		faults := config.FaultsOf(checkFile(path))
 		for _, f := range faults {
 			fmt.Println(f.Error())
 		}
 		if len(faults) == 0 {
 			fmt.Printf("%s: good\n", path)
 		}
-		bad += len(faults)
+		total += len(faults)
 	}
-	if bad > 0 {
-		fmt.Printf("%d faults\n", bad)
-		return errTold
+	if total > 0 {
+		fmt.Printf("%d faults\n", total)
+		return errReported
 	}
 	return nil
 }
 
-// check reads one file as what it looks like: JSON with known and settings is a platform
-// configuration, other JSON the settings object alone; TOML with an address to listen at
-// or a Consul to ask is a deploy file, with peers a fleet's, with a site a file of sites, with a socket for operators one of upgrades, other
-// TOML a file of shapes.
-func (c *checkCommand) check(path string) error {
+// checkFile reads a file as the kind that it looks like.
+//
+// JSON with "settings" is a platform configuration, other JSON the settings object alone. TOML with "peers" is a fleet's file,
+// with "site" a file of sites, with "admin" one of upgrades, with an address to listen at or a Consul to poll a deploy file of
+// the PostgreSQL frontend, and other TOML a file of shapes.
+func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return config.Fault{File: path, Want: err.Error()}
--- a/cmd/gateway/completion.go
+++ b/cmd/gateway/completion.go
@@ -11,30 +11,37 @@
 	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
 }
 
-// Run prints a script made from the grammar, so that it can't fall behind it.
-func (c *completionCommand) Run(k *kong.Kong) error {
+// Run prints a script that is made from the grammar of the command line, so that the two can't differ.
+func (c *completionCommand) Run(parser *kong.Kong) error {
 	var cases strings.Builder
-	var walk func(n *kong.Node, path string)
-	walk = func(n *kong.Node, path string) {
-		var words []string
-		for _, child := range n.Children {
-			words = append(words, child.Name)
-		}
-		for _, flags := range n.AllFlags(true) {
-			for _, f := range flags {
-				words = append(words, "--"+f.Name)
-			}
-		}
-		fmt.Fprintf(&cases, "    %q) words=%q ;;\n", strings.TrimSpace(path), strings.Join(words, " "))
-		for _, child := range n.Children {
-			walk(child, path+" "+child.Name)
+	writeCompletionCases(&cases, parser.Model.Node, "")
+	prologue := ""
+	if c.Shell == "zsh" {
+		prologue = "autoload -U +X bashcompinit && bashcompinit\n"
+	}
+	_, err := fmt.Printf(completionScript, prologue, cases.String())
+	return err
+}
+
+// writeCompletionCases writes a case of the script for a command and for each command below it.
+func writeCompletionCases(script *strings.Builder, command *kong.Node, path string) {
+	var candidates []string
+	for _, child := range command.Children {
+		candidates = append(candidates, child.Name)
+	}
+	for _, flags := range command.AllFlags(true) {
+		for _, flag := range flags {
+			candidates = append(candidates, "--"+flag.Name)
 		}
 	}
-	walk(k.Model.Node, "")
-	if c.Shell == "zsh" {
-		fmt.Println("autoload -U +X bashcompinit && bashcompinit")
+	fmt.Fprintf(script, "    %q) words=%q ;;\n", strings.TrimSpace(path), strings.Join(candidates, " "))
+	for _, child := range command.Children {
+		writeCompletionCases(script, child, path+" "+child.Name)
 	}
-	fmt.Printf(`_ringwood() {
+}
+
+// completionScript takes the shell's prologue and the cases.
+const completionScript = `%s_ringwood() {
   local path="" word words="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
     word="${COMP_WORDS[i]}"
@@ -45,6 +52,5 @@
   COMPREPLY=($(compgen -W "$words" -- "${COMP_WORDS[COMP_CWORD]}"))
 }
 complete -o default -F _ringwood ringwood
-`, cases.String())
-	return nil
-}
+complete -o default -F _ringwood gateway
+`
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -45,52 +45,65 @@
 	Fleet    string `placeholder:"FILE" help:"Be a member among other front ends as this file says."`
 }
 
-func (c *serveCommand) Run(all *cli) error {
-	log, err := logging.New(os.Stderr, logging.Options{Format: all.LogFormat, Level: all.LogLevel})
+// Run serves until the process is told to stop. Each fault of the files is one event in the log.
+func (c *serveCommand) Run(global *cli) error {
+	log, err := logging.New(os.Stderr, logging.Options{Format: global.LogFormat, Level: global.LogLevel})
 	if err != nil {
 		return err
 	}
-	if err := gateway.Run(gateway.Files{Config: c.Config, Postgres: c.Postgres, Shapes: c.Shapes, Upgrade: c.Upgrade, Sites: c.Sites, Fleet: c.Fleet}, log); err != nil {
-		for _, f := range config.FaultsOf(err) {
-			log.Error("cannot serve", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Want)
-		}
-		return errTold
+	err = gateway.Run(gateway.Files{
+		Config:   c.Config,
+		Postgres: c.Postgres,
+		Shapes:   c.Shapes,
+		Upgrade:  c.Upgrade,
+		Sites:    c.Sites,
+		Fleet:    c.Fleet,
+	}, log)
+	if err == nil {
+		return nil
+	}
+	for _, fault := range config.FaultsOf(err) {
+		log.Error("cannot serve", "file", fault.File, "line", fault.Line, "field", fault.Field, "error", fault.Want)
 	}
-	return nil
+	return errReported
 }
 
-// errTold is an error that has been told already.
-var errTold = errors.New("told")
+// errReported stands for faults that have been printed already.
+var errReported = errors.New("reported")
 
 type versionCommand struct{}
 
 func (versionCommand) Run() error {
-	fmt.Println("ringwood " + gateway.BuildName())
-	return nil
+	_, err := fmt.Println("ringwood " + gateway.BuildName())
+	return err
 }
 
-// oldFlags are flags of the time before there were commands; they went by one dash.
-var oldFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
+// deprecatedFlags maps the spellings of versions that had no commands to those of today.
+var deprecatedFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
 
-func main() {
-	args := make([]string, len(os.Args)-1)
-	for i, a := range os.Args[1:] {
-		if new, ok := oldFlags[a]; ok {
-			a = new
+func withoutDeprecated(args []string) []string {
+	current := make([]string, len(args))
+	for i, arg := range args {
+		if replacement, ok := deprecatedFlags[arg]; ok {
+			arg = replacement
 		}
-		args[i] = a
+		current[i] = arg
 	}
-	var c cli
-	parser, err := kong.New(&c, kong.Name("ringwood"), kong.UsageOnError(),
+	return current
+}
+
+func main() {
+	var commandLine cli
+	parser, err := kong.New(&commandLine, kong.Name("ringwood"), kong.UsageOnError(),
 		kong.Description("A gateway between clients and query engines. It serves as $LB_CONFIG, --config or --postgres says."))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ringwood:", err)
 		os.Exit(1)
 	}
-	ctx, err := parser.Parse(args)
+	ctx, err := parser.Parse(withoutDeprecated(os.Args[1:]))
 	parser.FatalIfErrorf(err)
-	if err := ctx.Run(&c, parser); err != nil {
-		if !errors.Is(err, errTold) {
+	if err := ctx.Run(&commandLine, parser); err != nil {
+		if !errors.Is(err, errReported) {
 			fmt.Fprintln(os.Stderr, "ringwood:", err)
 		}
 		os.Exit(1)
--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -18,7 +18,7 @@
 	Sites string `placeholder:"FILE" help:"In place of --admin: the file of sites that the gateway was started with, which names it."`
 }
 
-func (f *siteFlags) ask(r admin.Request) (o forwarding.Overview, err error) {
+func (f *siteFlags) request(r admin.Request) (o forwarding.Overview, err error) {
 	if f.Admin == "" && f.Upgrade == "" && f.Sites != "" {
 		s, err := config.LoadSites(f.Sites)
 		if err != nil {
@@ -48,7 +48,7 @@
 }
 
 func (c *siteStatusCommand) Run() error {
-	o, err := c.ask(admin.Request{Do: "site-status"})
+	o, err := c.request(admin.Request{Do: "site-status"})
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 func (c *siteUndrainCommand) Run() error { return drain(&c.siteFlags, "site-undrain", c.Site) }
 
 func drain(f *siteFlags, do, site string) error {
-	o, err := f.ask(admin.Request{Do: do, Site: site})
+	o, err := f.request(admin.Request{Do: do, Site: site})
 	if err == nil {
 		printSites(o)
 	}
