--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -112,7 +112,7 @@
 		if line := jsonLine(raw, "settings."+field); field != "" && line > jsonLine(raw, "settings") {
 			field = "settings." + field
 		}
-		k.add(field, "%s", what)
+		k.addf(field, "%s", what)
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
 			k.faults[0].Line = 1 + bytes.Count(raw[:min(int(syntax.Offset), len(raw))], []byte("\n"))
@@ -121,7 +121,7 @@
 	}
 	for _, a := range []struct{ name, addr string }{{"listen", f.Listen}, {"bus", f.Bus}, {"control", f.Control}} {
 		if a.addr != "" { // the second front needs none
-			k.address(a.name, a.addr)
+			k.requireAddress(a.name, a.addr)
 		}
 	}
 	c := &Config{
@@ -130,7 +130,7 @@
 	}
 	if f.Seed != "" {
 		seed, err := strconv.ParseUint(f.Seed, 16, 64)
-		k.must(err == nil, "seed", "%q is not a number of up to 16 hex digits", f.Seed)
+		k.requiref(err == nil, "seed", "%q is not a number of up to 16 hex digits", f.Seed)
 		c.Seed = seed
 	}
 	for i, b := range f.Known.Batch {
@@ -142,18 +142,18 @@
 		c.Known = append(c.Known, ev)
 	}
 	if f.Settings == nil {
-		k.add("settings", "missing")
+		k.addf("settings", "missing")
 		return nil, k.err()
 	}
 	c.Site = *f.Settings
 	if f.PeerListen != "" {
-		k.address("peer_listen", f.PeerListen)
+		k.requireAddress("peer_listen", f.PeerListen)
 	}
 	for i, p := range f.Peers {
-		k.address(fmt.Sprintf("peers[%d]", i), p)
+		k.requireAddress(fmt.Sprintf("peers[%d]", i), p)
 	}
-	k.must(c.Site.Policy.Gateways >= 1, "settings.balancers", "not at least 1")
-	k.must(len(c.Site.Policy.Classes) > 0, "settings.classes", "none")
+	k.requiref(c.Site.Policy.Gateways >= 1, "settings.balancers", "not at least 1")
+	k.requiref(len(c.Site.Policy.Classes) > 0, "settings.classes", "none")
 	if err := k.err(); err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 	if !c.settings(raw, &s) {
 		return c.err()
 	}
-	c.must(len(s.Policy.Classes) > 0, "classes", "none")
+	c.requiref(len(s.Policy.Classes) > 0, "classes", "none")
 	return c.err()
 }
 
@@ -179,7 +179,7 @@
 		return true
 	}
 	field, what := splitField(err)
-	c.add(field, "%s", what)
+	c.addf(field, "%s", what)
 	return false
 }
 
@@ -193,8 +193,8 @@
 	return field, what
 }
 
-// checkAddr tells what is wrong with an address of the form host:port.
-func checkAddr(addr string) error {
+// checkAddress tells what is wrong with an address of the form host:port.
+func checkAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -207,9 +207,9 @@
 
 func (t *target) engine(k *checker, at string) core.Engine {
 	state, ok := states[t.State]
-	k.must(ok, at+"state", "unknown value %q", t.State)
-	k.must(t.UID != "", at+"uid", "missing")
-	k.address(at+"endpoint", t.Endpoint)
+	k.requiref(ok, at+"state", "unknown value %q", t.State)
+	k.requiref(t.UID != "", at+"uid", "missing")
+	k.requireAddress(at+"endpoint", t.Endpoint)
 	e := core.Engine{Addr: t.Endpoint, Engine: policy.Engine{
 		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
 	}}
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -3,17 +3,11 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math"
 	"time"
 
 	"gannetspur/policy"
 )
 
-// FromMS turns fractional milliseconds, exact to the microsecond, into a duration.
-func FromMS(ms float64) time.Duration {
-	return time.Duration(math.Round(ms*1000)) * time.Microsecond
-}
-
 // Site is one deployment's settings: what the module is given, and what only
 // its surroundings need.
 type Site struct {
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -5,13 +5,12 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"time"
 
 	decide "gannetspur/internal/decide/remotesite"
 )
 
-// Sites says which gateways at other sites this one works with: a file of its own, for both
-// fronts. It is for installations with several sites and a link between them.
+// Sites says which gateways at other sites this one works with: a file of its own, for both frontends. It is for installations
+// with several sites and a link between them.
 type Sites struct {
 	Site    string // where this gateway is
 	Gateway string // its name there
@@ -53,19 +52,13 @@
 	Address string // where it listens; it may be left out where it dials this one
 }
 
-// LoadSites reads the file. What it leaves out is as decide/site's Defaults say.
+// LoadSites reads the file. What the file leaves out is as remotesite.Defaults says.
 func LoadSites(path string) (*Sites, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("sites: %w", err)
 	}
-	d := decide.Defaults()
-	ms := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
-	s := Sites{
-		SilentAfterMS: ms(d.SilentAfter), SlowAboveMS: ms(d.SlowAbove), ColdForS: d.ColdFor.Seconds(), ColdStart: d.ColdStart, SlackMS: ms(d.Slack),
-		SpillBelow: d.SpillBelow, StopAbove: d.StopAbove, TakeAbove: d.TakeAbove, Reserve: d.Reserve, Threads: d.Threads,
-		WordEveryMS: ms(d.WordEvery), Price: d.Price, Affinity: d.Affinity, HedgeShare: d.HedgeShare,
-	}
+	s := defaultSites()
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &s) {
 		s.check(c, filepath.Dir(path))
@@ -76,71 +69,125 @@
 	return &s, nil
 }
 
-// mostSites bounds the peers of one gateway.
-const mostSites = 256
+func defaultSites() Sites {
+	d := decide.Defaults()
+	return Sites{
+		SilentAfterMS: milliseconds(d.SilentAfter),
+		SlowAboveMS:   milliseconds(d.SlowAbove),
+		ColdForS:      d.ColdFor.Seconds(),
+		ColdStart:     d.ColdStart,
+		SlackMS:       milliseconds(d.Slack),
+		SpillBelow:    d.SpillBelow,
+		StopAbove:     d.StopAbove,
+		TakeAbove:     d.TakeAbove,
+		Reserve:       d.Reserve,
+		Threads:       d.Threads,
+		WordEveryMS:   milliseconds(d.WordEvery),
+		Price:         d.Price,
+		Affinity:      d.Affinity,
+		HedgeShare:    d.HedgeShare,
+	}
+}
+
+const (
+	maxSitePeers    = 256
+	maxSiteNameSize = 63 // bytes
+
+	// staleReportIntervals is after how many report intervals a site's last load report counts for nothing.
+	staleReportIntervals = 8
+)
 
 func (s *Sites) check(c *checker, dir string) {
-	name := func(field, v string) {
-		c.must(v != "" && len(v) <= 63 && strings.Trim(v, "abcdefghijklmnopqrstuvwxyz0123456789-") == "", field,
-			"%q is no name of 1 to 63 small letters, digits and hyphens", v)
-	}
-	name("site", s.Site)
-	name("gateway", s.Gateway)
+	checkSiteName(c, "site", s.Site)
+	checkSiteName(c, "gateway", s.Gateway)
 	if s.Listen != "" {
-		c.address("listen", s.Listen)
+		c.requireAddress("listen", s.Listen)
 	}
-	c.must(len(s.Peers) <= mostSites, "peer", "%d are too many, %d are the most", len(s.Peers), mostSites)
-	own, seen := s.Site+"/"+s.Gateway, map[string]bool{}
-	for i, p := range s.Peers {
-		at := func(field string) string { return fmt.Sprintf("peer[%d].%s", i, field) }
-		name(at("site"), p.Site)
-		name(at("gateway"), p.Gateway)
-		c.must(p.Site != s.Site, at("site"), "%q is this gateway's own site", p.Site)
-		n := p.Site + "/" + p.Gateway
-		c.must(!seen[n], at("gateway"), "%s is named twice", n)
-		seen[n] = true
+	s.checkPeers(c)
+	s.Keys.resolve(c, dir)
+	c.requireRanges([]numberRange{
+		{"silent_after_ms", s.SilentAfterMS, 300, 60000},
+		{"slow_above_ms", s.SlowAboveMS, 1, 60000},
+		{"cold_for_s", s.ColdForS, 0, 3600},
+		{"cold_start", s.ColdStart, 0.01, 1},
+		{"slack_ms", s.SlackMS, 0, 10000},
+		{"spill_below", s.SpillBelow, 0, 1},
+		{"stop_above", s.StopAbove, s.SpillBelow, 1},
+		{"take_above", s.TakeAbove, 0, 1},
+		{"reserve", s.Reserve, 0, 1},
+		{"threads_per_core", s.Threads, 0.1, 100},
+		{"word_every_ms", s.WordEveryMS, 20, min(10000, s.SilentAfterMS/3)},
+		{"price", s.Price, 0, 1e9},
+		{"affinity", s.Affinity, 0, 1},
+		{"hedge_share", s.HedgeShare, 0, 1},
+	})
+}
+
+func (s *Sites) checkPeers(c *checker) {
+	c.requiref(len(s.Peers) <= maxSitePeers, "peer", "%d are too many, %d are the most", len(s.Peers), maxSitePeers)
+	own := s.Site + "/" + s.Gateway
+	seen := map[string]bool{}
+	for i, peer := range s.Peers {
+		prefix := fmt.Sprintf("peer[%d].", i)
+		checkSiteName(c, prefix+"site", peer.Site)
+		checkSiteName(c, prefix+"gateway", peer.Gateway)
+		c.requiref(peer.Site != s.Site, prefix+"site", "%q is this gateway's own site", peer.Site)
+		name := peer.Site + "/" + peer.Gateway
+		c.requiref(!seen[name], prefix+"gateway", "%s is named twice", name)
+		seen[name] = true
 		switch {
-		case p.Address != "":
-			c.address(at("address"), p.Address)
-		case own < n: // of two gateways the one dials whose name comes first
-			c.add(at("address"), "missing; this gateway dials %s, whose name comes later", n)
+		case peer.Address != "":
+			c.requireAddress(prefix+"address", peer.Address)
+		case own < name: // of two gateways, the one whose name comes first dials
+			c.addf(prefix+"address", "missing; this gateway dials %s, whose name comes later", name)
 		case s.Listen == "":
-			c.add("listen", "missing; %s dials this gateway", n)
+			c.addf("listen", "missing; %s dials this gateway", name)
 		}
 	}
-	for _, k := range []struct {
+}
+
+func checkSiteName(c *checker, field, name string) {
+	wellFormed := name != "" && len(name) <= maxSiteNameSize && strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
+	c.requiref(wellFormed, field, "%q is no name of 1 to 63 small letters, digits and hyphens", name)
+}
+
+// resolve makes the paths absolute or relative to the process's folder, and names those that are missing.
+func (k *SiteKeys) resolve(c *checker, dir string) {
+	for _, required := range []struct {
 		field string
-		file  *string
-	}{{"keys.certificate", &s.Keys.Certificate}, {"keys.key", &s.Keys.Key}, {"keys.authority", &s.Keys.Authority}, {"keys.revoked", &s.Keys.Revoked}} {
-		switch {
-		case *k.file == "" && k.field == "keys.revoked":
-			continue
-		case *k.file == "":
-			c.add(k.field, "missing; wanted is a file in PEM")
+		path  *string
+	}{{"keys.certificate", &k.Certificate}, {"keys.key", &k.Key}, {"keys.authority", &k.Authority}} {
+		if *required.path == "" {
+			c.addf(required.field, "missing; wanted is a file in PEM")
 			continue
 		}
-		*k.file = beside(dir, *k.file)
+		*required.path = resolvePath(dir, *required.path)
 	}
-	for _, f := range []struct {
-		name        string
-		v, low, top float64
-	}{
-		{"silent_after_ms", s.SilentAfterMS, 300, 60000}, {"slow_above_ms", s.SlowAboveMS, 1, 60000}, {"cold_for_s", s.ColdForS, 0, 3600},
-		{"cold_start", s.ColdStart, 0.01, 1}, {"slack_ms", s.SlackMS, 0, 10000}, {"spill_below", s.SpillBelow, 0, 1},
-		{"stop_above", s.StopAbove, s.SpillBelow, 1}, {"take_above", s.TakeAbove, 0, 1}, {"reserve", s.Reserve, 0, 1},
-		{"threads_per_core", s.Threads, 0.1, 100}, {"word_every_ms", s.WordEveryMS, 20, min(10000, s.SilentAfterMS/3)}, {"price", s.Price, 0, 1e9},
-		{"affinity", s.Affinity, 0, 1}, {"hedge_share", s.HedgeShare, 0, 1},
-	} {
-		c.must(f.v >= f.low && f.v <= f.top, f.name, "%g is not from %g to %g", f.v, f.low, f.top)
+	if k.Revoked != "" {
+		k.Revoked = resolvePath(dir, k.Revoked)
 	}
 }
 
-// Decide is what the decisions take of it. tries are the sends of one query over all sites.
-func (s *Sites) Decide(tries int) decide.Config {
-	word := FromMS(s.WordEveryMS)
+// Decide returns the configuration of the decisions on other sites. maxAttempts bounds the attempts of one request over all sites.
+func (s *Sites) Decide(maxAttempts int) decide.Config {
+	reportInterval := FromMS(s.WordEveryMS)
 	return decide.Config{
-		SilentAfter: FromMS(s.SilentAfterMS), SlowAbove: FromMS(s.SlowAboveMS), ColdFor: FromMS(1000 * s.ColdForS), ColdStart: s.ColdStart, Slack: FromMS(s.SlackMS),
-		SpillBelow: s.SpillBelow, StopAbove: s.StopAbove, TakeAbove: s.TakeAbove, Reserve: s.Reserve, Threads: s.Threads,
-		StaleAfter: 8 * word, WordEvery: word, Tries: max(tries, 1), Price: s.Price, Affinity: s.Affinity, HedgeShare: s.HedgeShare, KeysShared: s.KeysShared,
+		SilentAfter: FromMS(s.SilentAfterMS),
+		SlowAbove:   FromMS(s.SlowAboveMS),
+		ColdFor:     FromSeconds(s.ColdForS),
+		ColdStart:   s.ColdStart,
+		Slack:       FromMS(s.SlackMS),
+		SpillBelow:  s.SpillBelow,
+		StopAbove:   s.StopAbove,
+		TakeAbove:   s.TakeAbove,
+		Reserve:     s.Reserve,
+		Threads:     s.Threads,
+		StaleAfter:  staleReportIntervals * reportInterval,
+		WordEvery:   reportInterval,
+		Tries:       max(maxAttempts, 1),
+		Price:       s.Price,
+		Affinity:    s.Affinity,
+		HedgeShare:  s.HedgeShare,
+		KeysShared:  s.KeysShared,
 	}
 }
--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"time"
 
 	"gannetspur/internal/decide/handover"
 )
@@ -12,16 +11,17 @@
 // Upgrade says how a new version takes over: a file of its own, for both fronts. It is for
 // installations where one machine runs the old and the new process side by side.
 type Upgrade struct {
-	Admin       string  // the socket that operators speak to, a path
-	Program     string  // what takes over; "": the program that runs, as it is on disk then
-	GreetWithin float64 `toml:"greet_within_s"` // 0.1 to 600
-	WarmWithin  float64 `toml:"warm_within_s"`  // 0.1 to 600
-	ProveFor    float64 `toml:"prove_for_s"`    // 0.1 to 600
-	ProveWithin float64 `toml:"prove_within_s"` // at least prove_for_s, to 3600
-	SilentFor   float64 `toml:"silent_for_s"`   // 0.3 to 60: it speaks every 0.1 s
-	GoodAnswers int     `toml:"good_answers"`   // 0 to 1,000,000
-	BadShare    float64 `toml:"bad_share"`      // 0 to 1
-	MostMemory  int     `toml:"most_memory_mb"` // 0: no bound
+	Admin   string // the socket that operators speak to, a path
+	Program string // what takes over; "": the program that runs, as it is on disk then
+
+	HelloTimeoutSeconds     float64 `toml:"greet_within_s"` // 0.1 to 600
+	WarmUpTimeoutSeconds    float64 `toml:"warm_within_s"`  // 0.1 to 600
+	ProbationSeconds        float64 `toml:"prove_for_s"`    // 0.1 to 600
+	MaxProbationSeconds     float64 `toml:"prove_within_s"` // at least prove_for_s, to 3600
+	HeartbeatTimeoutSeconds float64 `toml:"silent_for_s"`   // 0.3 to 60; a heartbeat comes every 0.1 s
+	MinSuccesses            int     `toml:"good_answers"`   // 0 to 1,000,000
+	MaxFailureFraction      float64 `toml:"bad_share"`      // 0 to 1
+	MaxMemoryMB             int     `toml:"most_memory_mb"` // 0: no bound
 }
 
 // LoadUpgrade reads the file. What it leaves out is as handover.Defaults says.
@@ -32,8 +32,13 @@
 	}
 	d := handover.Defaults()
 	u := Upgrade{
-		GreetWithin: d.GreetWithin.Seconds(), WarmWithin: d.WarmWithin.Seconds(), ProveFor: d.ProveFor.Seconds(),
-		ProveWithin: d.ProveWithin.Seconds(), SilentFor: d.SilentFor.Seconds(), GoodAnswers: d.GoodAnswers, BadShare: d.BadShare,
+		HelloTimeoutSeconds:     d.GreetWithin.Seconds(),
+		WarmUpTimeoutSeconds:    d.WarmWithin.Seconds(),
+		ProbationSeconds:        d.ProveFor.Seconds(),
+		MaxProbationSeconds:     d.ProveWithin.Seconds(),
+		HeartbeatTimeoutSeconds: d.SilentFor.Seconds(),
+		MinSuccesses:            d.GoodAnswers,
+		MaxFailureFraction:      d.BadShare,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &u) {
@@ -45,40 +50,45 @@
 	return &u, nil
 }
 
-// mostSocketPath is what a unix socket's address holds (unix(7)), less the name that it is
-// made under first.
-const mostSocketPath = 96
+// maxSocketPathBytes is what a unix socket's address holds (unix(7)), less the suffix of the name that it is bound to first.
+const maxSocketPathBytes = 96
 
 func (u *Upgrade) check(c *checker) {
-	switch _, err := os.Stat(filepath.Dir(u.Admin)); {
+	_, err := os.Stat(filepath.Dir(u.Admin))
+	switch {
 	case u.Admin == "":
-		c.add("admin", "missing; wanted is the path of the socket that operators speak to")
-	case len(u.Admin) > mostSocketPath:
-		c.add("admin", "%d bytes are too many for a socket's path, %d are the most", len(u.Admin), mostSocketPath)
+		c.addf("admin", "missing; wanted is the path of the socket that operators speak to")
+	case len(u.Admin) > maxSocketPathBytes:
+		c.addf("admin", "%d bytes are too many for a socket's path, %d are the most", len(u.Admin), maxSocketPathBytes)
 	case err != nil:
-		c.add("admin", "its folder can't be used: %v", err)
+		c.addf("admin", "its folder can't be used: %v", err)
 	}
 	if u.Program != "" {
 		_, err := os.Stat(u.Program)
-		c.must(err == nil, "program", "it can't be started: %v", err)
-	}
-	for _, f := range []struct {
-		name        string
-		v, low, top float64
-	}{
-		{"greet_within_s", u.GreetWithin, 0.1, 600}, {"warm_within_s", u.WarmWithin, 0.1, 600}, {"prove_for_s", u.ProveFor, 0.1, 600},
-		{"prove_within_s", u.ProveWithin, u.ProveFor, 3600}, {"silent_for_s", u.SilentFor, 0.3, 60}, {"bad_share", u.BadShare, 0, 1},
-		{"good_answers", float64(u.GoodAnswers), 0, 1e6}, {"most_memory_mb", float64(u.MostMemory), 0, 1e6},
-	} {
-		c.must(f.v >= f.low && f.v <= f.top, f.name, "%g is not from %g to %g", f.v, f.low, f.top)
+		c.requiref(err == nil, "program", "it can't be started: %v", err)
 	}
+	c.requireRanges([]numberRange{
+		{"greet_within_s", u.HelloTimeoutSeconds, 0.1, 600},
+		{"warm_within_s", u.WarmUpTimeoutSeconds, 0.1, 600},
+		{"prove_for_s", u.ProbationSeconds, 0.1, 600},
+		{"prove_within_s", u.MaxProbationSeconds, u.ProbationSeconds, 3600},
+		{"silent_for_s", u.HeartbeatTimeoutSeconds, 0.3, 60},
+		{"bad_share", u.MaxFailureFraction, 0, 1},
+		{"good_answers", float64(u.MinSuccesses), 0, 1e6},
+		{"most_memory_mb", float64(u.MaxMemoryMB), 0, 1e6},
+	})
 }
 
-// Decide is what the decisions take of it.
+// Decide returns the configuration of the handover's decisions.
 func (u *Upgrade) Decide() handover.Config {
-	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	return handover.Config{
-		GreetWithin: s(u.GreetWithin), WarmWithin: s(u.WarmWithin), ProveFor: s(u.ProveFor), ProveWithin: s(u.ProveWithin),
-		SilentFor: s(u.SilentFor), GoodAnswers: u.GoodAnswers, BadShare: u.BadShare, MostMemory: int64(u.MostMemory) << 20,
+		GreetWithin: seconds(u.HelloTimeoutSeconds),
+		WarmWithin:  seconds(u.WarmUpTimeoutSeconds),
+		ProveFor:    seconds(u.ProbationSeconds),
+		ProveWithin: seconds(u.MaxProbationSeconds),
+		SilentFor:   seconds(u.HeartbeatTimeoutSeconds),
+		GoodAnswers: u.MinSuccesses,
+		BadShare:    u.MaxFailureFraction,
+		MostMemory:  int64(u.MaxMemoryMB) << 20,
 	}
 }
--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -11,10 +11,10 @@
 // users is a file of users.
 type users struct {
 	Users []struct {
-		Name        string
-		Verifier    string   // as ringwood users verifier prints it
-		Classes     []string // that it may ask for; empty: all
-		MostClients int      `toml:"most_clients"` // 0: no limit of its own
+		Name       string
+		Verifier   string   // as ringwood users verifier prints it
+		Classes    []string // that it may ask for; empty: all
+		MaxClients int      `toml:"most_clients"` // 0: no limit of its own
 	} `toml:"user"`
 }
 
@@ -34,19 +34,19 @@
 		known[class.Name] = true
 	}
 	var all []scramauth.User
-	for i, one := range u.Users {
-		at := func(field string) string { return fmt.Sprintf("user[%d].%s", i, field) }
-		v, err := scramauth.ParseVerifier(one.Verifier)
-		c.must(err == nil, at("verifier"), "%v", err)
-		c.must(one.Name != "" && len(one.Name) <= 63, at("name"), "%q is not of 1 to 63 bytes", one.Name)
-		c.must(!seen[one.Name], at("name"), "%q is named twice", one.Name)
-		c.must(one.MostClients >= 0, at("most_clients"), "%d is below 0", one.MostClients)
-		for _, class := range one.Classes {
-			c.must(known[class], at("classes"), "%q is no class of the settings", class)
+	for i, user := range u.Users {
+		prefix := fmt.Sprintf("user[%d].", i)
+		v, err := scramauth.ParseVerifier(user.Verifier)
+		c.requiref(err == nil, prefix+"verifier", "%v", err)
+		c.requiref(user.Name != "" && len(user.Name) <= 63, prefix+"name", "%q is not of 1 to 63 bytes", user.Name)
+		c.requiref(!seen[user.Name], prefix+"name", "%q is named twice", user.Name)
+		c.requiref(user.MaxClients >= 0, prefix+"most_clients", "%d is below 0", user.MaxClients)
+		for _, class := range user.Classes {
+			c.requiref(known[class], prefix+"classes", "%q is no class of the settings", class)
 		}
-		seen[one.Name] = true
-		all = append(all, scramauth.User{Name: one.Name, Verifier: v, Classes: one.Classes, MostClients: one.MostClients})
+		seen[user.Name] = true
+		all = append(all, scramauth.User{Name: user.Name, Verifier: v, Classes: user.Classes, MostClients: user.MaxClients})
 	}
-	c.must(len(all) > 0, "user", "there is none: nobody could log in")
+	c.requiref(len(all) > 0, "user", "there is none: nobody could log in")
 	return all, c.err()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -181,7 +181,7 @@
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, most)
 	}
 	g.shapes, err = queryshape.NewService(queryshape.Settings{
-		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.Correct, OnlyTold: s.OnlyTold, Snapshot: s.Snapshot, Every: s.Every(), WorkTold: workTold,
+		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.CorrectEstimates, OnlyTold: s.OnlyWithEstimate, Snapshot: s.Snapshot, Every: s.SnapshotInterval(), WorkTold: workTold,
 	}, site.Policy.Classes, g.loop, g.counters, g.log)
 	if err == nil {
 		g.core.SetLearner(g.shapes)
@@ -306,10 +306,10 @@
 	}
 	g.core.SetLinks(pgbackend.New(g.loop, g.core, pgbackend.Options{
 		User: p.User, Database: p.Database, Password: p.Engine.Password, TLS: p.Engine.Config,
-		ConnectTimeout: config.FromMS(p.ConnectWithin), MostHeld: part(p.MemoryMB, 4),
+		ConnectTimeout: config.FromMS(p.ConnectTimeoutMS), MostHeld: part(p.MemoryMB, 4),
 		Pool: connpool.Limits{
-			Most: p.Pool.PerEngine, MostUser: p.Pool.PerUser, Keep: p.Pool.Keep,
-			Idle: config.FromMS(p.IdleClose), Life: config.FromMS(1000 * p.Pool.Life),
+			Most: p.Pool.PerEngine, MostUser: p.Pool.PerUser, Keep: p.Pool.MinIdle,
+			Idle: config.FromMS(p.IdleCloseMS), Life: config.FromSeconds(p.Pool.LifeSeconds),
 		},
 	}, g.counters, g.log))
 	if err := g.openSites(sites, pgbackend.Codec{}, p.Site.Policy, p.MemoryMB); err != nil {
@@ -360,10 +360,10 @@
 		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MostClients: mostClients(p.Sockets), MostHeld: part(p.MemoryMB, 6),
 		Shapes: g.shapes,
 	}
-	for _, name := range p.ReadOnly {
+	for _, name := range p.ReadOnlyFunctions {
 		opts.ReadOnly[name] = true
 	}
-	opts.TxIdle, opts.TxMost = config.FromMS(1000*p.TxIdle), config.FromMS(1000*p.TxMost)
+	opts.TxIdle, opts.TxMost = config.FromMS(1000*p.TransactionIdleSeconds), config.FromMS(1000*p.TransactionMaxSeconds)
 	opts.TLS, opts.RequireTLS = p.TLS.Config, p.TLS.Require
 	if len(p.Logins) > 0 {
 		if g.users == nil {
@@ -375,8 +375,8 @@
 	} else if a, err := netip.ParseAddrPort(strings.Replace(p.Listen, "localhost:", "127.0.0.1:", 1)); err != nil || !a.Addr().IsLoopback() {
 		g.log.Warn("trust", "listen", p.Listen, "why", "no file of users: everybody who reaches this address is let in")
 	}
-	if p.MostClients > 0 {
-		opts.MostClients = min(opts.MostClients, p.MostClients)
+	if p.MaxClients > 0 {
+		opts.MostClients = min(opts.MostClients, p.MaxClients)
 	}
 	for _, s := range p.Statements {
 		opts.Rules = append(opts.Rules, pgfrontend.Rule(s))
