--- a/internal/decide/loginlimit/replay_test.go
+++ b/internal/decide/loginlimit/replay_test.go
@@ -23,9 +23,9 @@
 	h := sha256.New()
 	for seed, cfg := range []Config{
 		Defaults(),
-		{Burst: 3, Every: time.Second, Most: 8},
-		{Burst: 5, Every: 4 * time.Second, Most: 20},
-		{Burst: 0, Every: 0, Most: 0},
+		{Burst: 3, RefillInterval: time.Second, MaxAddresses: 8},
+		{Burst: 5, RefillInterval: 4 * time.Second, MaxAddresses: 20},
+		{Burst: 0, RefillInterval: 0, MaxAddresses: 0},
 	} {
 		rng := rand.New(rand.NewPCG(41, uint64(seed)))
 		l, now := New(cfg), time.Hour
@@ -33,9 +33,9 @@
 			now += time.Duration(rng.IntN(3)) * 125 * time.Millisecond
 			addr := strconv.Itoa(min(int(rng.ExpFloat64()*8), 60))
 			if rng.IntN(3) > 0 {
-				l.Failed(now, addr)
+				l.RecordFailure(now, addr)
 			}
-			fmt.Fprintf(h, "%s waits %d; %d remembered\n", addr, int64(l.Wait(now, addr)), l.Len())
+			fmt.Fprintf(h, "%s waits %d; %d remembered\n", addr, int64(l.RetryAfter(now, addr)), l.Len())
 		}
 	}
 	if got := hex.EncodeToString(h.Sum(nil)); got != strings.TrimSpace(string(want)) {
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -69,7 +69,7 @@
 	listener *netio.Listener
 	conns    map[uint32]*conn // by the process number that each was told
 	last     uint32
-	throttle *loginlimit.Throttle
+	throttle *loginlimit.Limiter
 	held     int // bytes of rows in open portals
 	draining bool
 	accepted func(*netio.Conn)
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -15,7 +15,7 @@
 // askPassword begins a login by SCRAM (RFC 5802) in PostgreSQL's SASL messages.
 func (k *conn) askPassword() error {
 	f := k.front
-	if wait := f.throttle.Wait(f.loop.Now(), host(k.conn)); wait > 0 {
+	if wait := f.throttle.RetryAfter(f.loop.Now(), host(k.conn)); wait > 0 {
 		f.stats.Add("pgwire.logins-held-off")
 		k.fatal(fail("28000", "too many failed logins from this address; try again in %d s", int(wait.Seconds())+1))
 		return nil
@@ -80,7 +80,7 @@
 // denied ends a login that has failed.
 func (k *conn) denied(err error) error {
 	f := k.front
-	f.throttle.Failed(f.loop.Now(), host(k.conn))
+	f.throttle.RecordFailure(f.loop.Now(), host(k.conn))
 	f.stats.Add("pgwire.logins-failed")
 	if errors.Is(err, scramauth.ErrMessages) {
 		return fail("08P01", "malformed SCRAM message")
