--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -501,7 +501,7 @@
 		l.all.size -= len(l.result.Rows)
 	}
 	if l.ticket != nil {
-		l.place.pool.Leave(l.all.core.Now(), l.ticket)
+		l.place.pool.Release(l.all.core.Now(), l.ticket)
 	}
 	l.attempt, l.ticket, l.result, l.failure = nil, nil, nil, nil
 }
@@ -653,7 +653,7 @@
 	was := l.ready
 	l.retired, l.conn, l.ready = true, nil, false
 	l.taken()
-	l.place.pool.Closed()
+	l.place.pool.ConnectionClosed()
 	l.stall.Stop()
 	l.all.stats.Add("links.ended." + end.String())
 	l.engine.Remove(l)
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -38,7 +38,7 @@
 func (w *waiter) leave() {
 	w.late.Stop()
 	delete(w.place.waits, w.ticket)
-	w.place.pool.Leave(w.all.core.Now(), w.ticket)
+	w.place.pool.Release(w.all.core.Now(), w.ticket)
 }
 
 func (ls *Links) place(id string) *place {
@@ -100,8 +100,8 @@
 	p := ls.place(e.ID)
 	ls.ended(e)
 	by := a.Sent + a.Within - tellBefore
-	switch ticket, answer := p.pool.Ask(ls.core.Now(), user, by); answer {
-	case connpool.Wait:
+	switch ticket, answer := p.pool.Acquire(ls.core.Now(), user, by); answer {
+	case connpool.Queued:
 		ls.stats.Add("links.waited")
 		w := &waiter{all: ls, attempt: a, ticket: ticket, place: p}
 		p.waits[ticket] = w
@@ -110,7 +110,7 @@
 			w.leave()
 			ls.core.End(a, core.EndCrowded, core.Report{})
 		})
-	case connpool.Full:
+	case connpool.Rejected:
 		ls.core.End(a, core.EndCrowded, core.Report{})
 	default:
 		ls.run(e, a, ticket, answer)
@@ -129,9 +129,9 @@
 }
 
 // run gives an attempt the connection that the pool says.
-func (ls *Links) run(e *backend.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Answer) {
+func (ls *Links) run(e *backend.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Decision) {
 	var l *link
-	if answer == connpool.Use {
+	if answer == connpool.UseIdle {
 		for _, o := range e.Links {
 			if o.free {
 				l = o
@@ -180,7 +180,7 @@
 	for _, l := range e.Links {
 		opening = opening || !l.ready && !l.retired
 	}
-	if p.pool.Ahead(opening) {
+	if p.pool.OpenAhead(opening) {
 		ls.dial(e)
 	}
 }
@@ -193,7 +193,7 @@
 	}
 	if l.ready && !l.free {
 		l.free = true
-		l.place.pool.Free()
+		l.place.pool.AddIdle()
 		l.all.next(l.engine.ID)
 	}
 }
@@ -202,20 +202,20 @@
 func (l *link) taken() {
 	if l.free {
 		l.free = false
-		l.place.pool.Taken()
+		l.place.pool.RemoveIdle()
 	}
 }
 
 // watchIdle closes the link once it has idled for too long, unless it is kept.
 func (l *link) watchIdle() {
-	idle := l.all.opts.Pool.Idle
+	idle := l.all.opts.Pool.IdleTimeout
 	if idle <= 0 {
 		return
 	}
 	l.all.loop.Timers.Add(max(l.used, l.all.core.Now()-idle)+idle, func() {
 		switch {
 		case l.conn == nil:
-		case l.free && l.place.pool.Stale(l.all.core.Now(), l.used):
+		case l.free && l.place.pool.IdleExpired(l.all.core.Now(), l.used):
 			l.close(core.EndIdle)
 		default:
 			if l.attempt != nil || l.free && l.all.core.Now() >= l.used+idle { // at work, or kept
@@ -228,7 +228,7 @@
 
 // watchAge has the link take no more once it is old.
 func (l *link) watchAge() {
-	if life := l.place.pool.LivesFor(rand.Float64()); life > 0 {
+	if life := l.place.pool.Lifetime(rand.Float64()); life > 0 {
 		l.all.loop.Timers.Add(l.all.core.Now()+life, func() {
 			if l.conn != nil {
 				l.Retire()
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -11,49 +11,49 @@
 
 // Limits bound the connections to one engine. Zero values set no bound.
 type Limits struct {
-	Most     int           // connections at once, those that are being opened too; too few: statements wait while the engine has room
-	MostUser int           // of them that work for one user; at Most or above it bounds nothing
-	Keep     int           // connections that are opened ahead and stay open while idle; as many take memory at the engine for nothing
-	Idle     time.Duration // a connection past Keep that did nothing for so long is closed; too short: each statement pays for a login
-	Life     time.Duration // a connection is closed behind its statement once it is so old; an engine's memory for it grows with age
+	MaxConnections int           // connections at once, those that are being opened too; too few: statements wait while the engine has room
+	MaxPerUser     int           // of them that work for one user; at Most or above it bounds nothing
+	MinConnections int           // connections that are opened ahead and stay open while idle; as many take memory at the engine for nothing
+	IdleTimeout    time.Duration // a connection past Keep that did nothing for so long is closed; too short: each statement pays for a login
+	MaxLifetime    time.Duration // a connection is closed behind its statement once it is so old; an engine's memory for it grows with age
 }
 
 // Answer is what becomes of a statement that wants a connection.
-type Answer uint8
+type Decision uint8
 
 // Answers.
 const (
-	Use  Answer = iota // an idle connection
-	Open               // a new one
-	Wait               // until Next names it
-	Full               // it would wait past its time: it is told so now
+	UseIdle  Decision = iota // an idle connection
+	OpenNew                  // a new one
+	Queued                   // until Next names it
+	Rejected                 // it would wait past its time: it is told so now
 )
 
 // Ticket is one statement that waits, or works on a connection.
 type Ticket struct {
-	user  string
-	since time.Duration // it works since then
-	state state
+	user      string
+	startedAt time.Duration // it works since then
+	state     state
 }
 
 type state uint8
 
 const (
 	waiting state = iota
-	working
-	over
+	active
+	released
 )
 
 // Pool decides for one engine. Its zero value has no limits.
 type Pool struct {
-	Limits Limits
-	open   int            // connections, those that are being opened too
-	idle   int            // of these, without a statement and ready for one
-	works  map[string]int // statements with a connection, by user
-	line   []*Ticket      // that wait, in order of arrival
-	hold   float64        // usual time that a statement keeps its connection, seconds; 0: none has ended yet
-	turns  uint64
-	last   map[string]uint64 // the latest turn of a user who waits or works
+	Limits          Limits
+	open            int            // connections, those that are being opened too
+	idle            int            // of these, without a statement and ready for one
+	active          map[string]int // statements with a connection, by user
+	queue           []*Ticket      // that wait, in order of arrival
+	meanHoldSeconds float64        // usual time that a statement keeps its connection, seconds; 0: none has ended yet
+	dispatches      uint64
+	lastDispatch    map[string]uint64 // the latest turn of a user who waits or works
 }
 
 // holdWeight is that of one statement in the usual time that a connection is kept.
@@ -61,81 +61,81 @@
 
 // Ask wants a connection for a statement of a user, who waits for it until by at the latest. The ticket is to be given
 // back by Leave, however the statement ends.
-func (p *Pool) Ask(now time.Duration, user string, by time.Duration) (*Ticket, Answer) {
+func (p *Pool) Acquire(now time.Duration, user string, by time.Duration) (*Ticket, Decision) {
 	t := &Ticket{user: user}
-	if (p.idle > 0 || p.mayOpen()) && p.mayWork(user) && !p.ahead(user) {
-		return t, p.work(now, t)
+	if (p.idle > 0 || p.canOpen()) && p.belowUserLimit(user) && !p.mustQueue(user) {
+		return t, p.assign(now, t)
 	}
-	if now+p.wait(user) > by {
-		t.state = over
-		return t, Full
+	if now+p.estimateWait(user) > by {
+		t.state = released
+		return t, Rejected
 	}
-	p.line = append(p.line, t)
-	return t, Wait
+	p.queue = append(p.queue, t)
+	return t, Queued
 }
 
 // Next names who goes next of those who wait, and how, until there is nobody who can. Of users the one goes with the
 // fewest statements at work, then the one whose latest turn is longest ago: one that sends much does not
 // hold up one that sends little. A user's own go in their order.
-func (p *Pool) Next(now time.Duration) (*Ticket, Answer, bool) {
-	if p.idle == 0 && !p.mayOpen() {
+func (p *Pool) Next(now time.Duration) (*Ticket, Decision, bool) {
+	if p.idle == 0 && !p.canOpen() {
 		return nil, 0, false
 	}
 	best := -1
-	for i, t := range p.line {
-		if p.mayWork(t.user) && (best < 0 || p.before(t.user, p.line[best].user)) {
+	for i, t := range p.queue {
+		if p.belowUserLimit(t.user) && (best < 0 || p.hasPriority(t.user, p.queue[best].user)) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return nil, 0, false
 	}
-	t := p.line[best]
-	p.line = slices.Delete(p.line, best, best+1)
-	return t, p.work(now, t), true
+	t := p.queue[best]
+	p.queue = slices.Delete(p.queue, best, best+1)
+	return t, p.assign(now, t), true
 }
 
 // before tells whether a user goes before another.
-func (p *Pool) before(a, b string) bool {
-	if p.works[a] != p.works[b] {
-		return p.works[a] < p.works[b]
+func (p *Pool) hasPriority(a, b string) bool {
+	if p.active[a] != p.active[b] {
+		return p.active[a] < p.active[b]
 	}
-	return p.last[a] < p.last[b]
+	return p.lastDispatch[a] < p.lastDispatch[b]
 }
 
 // Leave takes a ticket back whose statement is over, once. Its connection is told of by Free or Closed.
-func (p *Pool) Leave(now time.Duration, t *Ticket) {
+func (p *Pool) Release(now time.Duration, t *Ticket) {
 	switch t.state {
 	case waiting:
-		if i := slices.Index(p.line, t); i >= 0 {
-			p.line = slices.Delete(p.line, i, i+1)
+		if i := slices.Index(p.queue, t); i >= 0 {
+			p.queue = slices.Delete(p.queue, i, i+1)
 		}
-	case working:
-		took := (now - t.since).Seconds()
-		if p.hold == 0 {
-			p.hold = took
+	case active:
+		took := (now - t.startedAt).Seconds()
+		if p.meanHoldSeconds == 0 {
+			p.meanHoldSeconds = took
 		}
-		p.hold += (took - p.hold) * holdWeight
-		if p.works[t.user]--; p.works[t.user] <= 0 {
-			delete(p.works, t.user)
+		p.meanHoldSeconds += (took - p.meanHoldSeconds) * holdWeight
+		if p.active[t.user]--; p.active[t.user] <= 0 {
+			delete(p.active, t.user)
 		}
 	}
-	t.state = over
-	if p.works[t.user] == 0 && !slices.ContainsFunc(p.line, func(o *Ticket) bool { return o.user == t.user }) {
-		delete(p.last, t.user)
+	t.state = released
+	if p.active[t.user] == 0 && !slices.ContainsFunc(p.queue, func(o *Ticket) bool { return o.user == t.user }) {
+		delete(p.lastDispatch, t.user)
 	}
 }
 
 // Free tells that a connection is ready for a statement: it has served one, or was opened ahead.
-func (p *Pool) Free() { p.idle++ }
+func (p *Pool) AddIdle() { p.idle++ }
 
 // Taken tells that a connection which was free is not any more, without a statement: it is being closed or tidied up.
-func (p *Pool) Taken() { p.idle = max(p.idle-1, 0) }
+func (p *Pool) RemoveIdle() { p.idle = max(p.idle-1, 0) }
 
 // Ahead tells whether a connection should be opened ahead, and counts it. One at a time: opening is whether any is
 // being opened now. A cold engine, or one that is refused by, is not met by all of them at once.
-func (p *Pool) Ahead(opening bool) bool {
-	if opening || p.open >= p.Limits.Keep || !p.mayOpen() {
+func (p *Pool) OpenAhead(opening bool) bool {
+	if opening || p.open >= p.Limits.MinConnections || !p.canOpen() {
 		return false
 	}
 	p.open++
@@ -143,56 +143,58 @@
 }
 
 // Closed tells that a connection is no more.
-func (p *Pool) Closed() { p.open = max(p.open-1, 0) }
+func (p *Pool) ConnectionClosed() { p.open = max(p.open-1, 0) }
 
 // Stale tells whether a free connection has been idle for too long: those that are kept aren't.
-func (p *Pool) Stale(now, used time.Duration) bool {
-	return p.Limits.Idle > 0 && p.open > p.Limits.Keep && now-used >= p.Limits.Idle
+func (p *Pool) IdleExpired(now, used time.Duration) bool {
+	return p.Limits.IdleTimeout > 0 && p.open > p.Limits.MinConnections && now-used >= p.Limits.IdleTimeout
 }
 
 // LivesFor is how long a connection takes statements; 0: for ever. draw, from 0 to 1, spreads the ages over a tenth, so that
 // connections which were opened together don't end together.
-func (p *Pool) LivesFor(draw float64) time.Duration {
-	return p.Limits.Life - time.Duration(draw*float64(p.Limits.Life)/10)
+func (p *Pool) Lifetime(draw float64) time.Duration {
+	return p.Limits.MaxLifetime - time.Duration(draw*float64(p.Limits.MaxLifetime)/10)
 }
 
 // Counts are the connections, the free ones among them, and the statements that wait.
-func (p *Pool) Counts() (open, idle, waits int) { return p.open, p.idle, len(p.line) }
+func (p *Pool) Counts() (open, idle, waits int) { return p.open, p.idle, len(p.queue) }
 
 // work gives a statement a connection: there is one that is idle, or one may be opened.
-func (p *Pool) work(now time.Duration, t *Ticket) Answer {
-	if p.works == nil {
-		p.works, p.last = map[string]int{}, map[string]uint64{}
+func (p *Pool) assign(now time.Duration, t *Ticket) Decision {
+	if p.active == nil {
+		p.active, p.lastDispatch = map[string]int{}, map[string]uint64{}
 	}
-	p.turns++
-	t.state, t.since = working, now
-	p.works[t.user]++
-	p.last[t.user] = p.turns
+	p.dispatches++
+	t.state, t.startedAt = active, now
+	p.active[t.user]++
+	p.lastDispatch[t.user] = p.dispatches
 	if p.idle > 0 {
 		p.idle--
-		return Use
+		return UseIdle
 	}
 	p.open++
-	return Open
+	return OpenNew
 }
 
-func (p *Pool) mayOpen() bool { return p.Limits.Most <= 0 || p.open < p.Limits.Most }
+func (p *Pool) canOpen() bool {
+	return p.Limits.MaxConnections <= 0 || p.open < p.Limits.MaxConnections
+}
 
-func (p *Pool) mayWork(user string) bool {
-	return p.Limits.MostUser <= 0 || p.works[user] < p.Limits.MostUser
+func (p *Pool) belowUserLimit(user string) bool {
+	return p.Limits.MaxPerUser <= 0 || p.active[user] < p.Limits.MaxPerUser
 }
 
 // ahead tells whether somebody waits whom a newcomer of the user may not pass: any who could go.
-func (p *Pool) ahead(user string) bool {
-	return slices.ContainsFunc(p.line, func(t *Ticket) bool { return t.user == user || p.mayWork(t.user) })
+func (p *Pool) mustQueue(user string) bool {
+	return slices.ContainsFunc(p.queue, func(t *Ticket) bool { return t.user == user || p.belowUserLimit(t.user) })
 }
 
 // wait is how long a newcomer of the user would wait at the least: those of the user who wait go first, and of the
 // others as many turns as the user takes, each user in turn. Without an idea of how long a connection is kept it is 0:
 // nobody is turned away on a guess.
-func (p *Pool) wait(user string) time.Duration {
+func (p *Pool) estimateWait(user string) time.Duration {
 	own, others := 0, map[string]int{}
-	for _, t := range p.line {
+	for _, t := range p.queue {
 		if t.user == user {
 			own++
 		} else {
@@ -203,11 +205,11 @@
 	for _, n := range others {
 		before += min(n, own+1)
 	}
-	places := float64(max(p.Limits.Most, 1))
-	if most := p.Limits.MostUser; most > 0 && !p.mayWork(user) { // its own bound holds it up
+	places := float64(max(p.Limits.MaxConnections, 1))
+	if most := p.Limits.MaxPerUser; most > 0 && !p.belowUserLimit(user) { // its own bound holds it up
 		before, places = own, float64(most)
 	}
 	// The first place is free after a part of a turn: with n places, a turn ends every hold/n.
 	turns := math.Floor(float64(before) / places)
-	return time.Duration((turns*p.hold + p.hold/places) * float64(time.Second))
+	return time.Duration((turns*p.meanHoldSeconds + p.meanHoldSeconds/places) * float64(time.Second))
 }
--- a/internal/decide/connpool/replay_test.go
+++ b/internal/decide/connpool/replay_test.go
@@ -23,11 +23,11 @@
 	h := sha256.New()
 	for seed, limits := range []Limits{
 		{},
-		{Most: 1},
-		{Most: 4, Keep: 2, Idle: time.Second, Life: time.Minute},
-		{Most: 6, MostUser: 2, Keep: 3, Idle: 500 * time.Millisecond},
-		{MostUser: 1},
-		{Most: 3, MostUser: 5, Life: 7 * time.Second},
+		{MaxConnections: 1},
+		{MaxConnections: 4, MinConnections: 2, IdleTimeout: time.Second, MaxLifetime: time.Minute},
+		{MaxConnections: 6, MaxPerUser: 2, MinConnections: 3, IdleTimeout: 500 * time.Millisecond},
+		{MaxPerUser: 1},
+		{MaxConnections: 3, MaxPerUser: 5, MaxLifetime: 7 * time.Second},
 	} {
 		replay(h, uint64(seed), limits)
 	}
@@ -43,9 +43,9 @@
 	users := []string{"a", "b", "c", "d"}
 	var works, waits []*Ticket
 	free, opening, now := 0, 0, time.Duration(0)
-	take := func(ticket *Ticket, answer Answer) {
+	take := func(ticket *Ticket, answer Decision) {
 		works = append(works, ticket)
-		if answer == Use {
+		if answer == UseIdle {
 			free--
 		}
 	}
@@ -54,50 +54,50 @@
 		switch rng.IntN(8) {
 		case 0, 1, 2:
 			user := rng.IntN(len(users))
-			ticket, answer := p.Ask(now, users[user], now+time.Duration(rng.IntN(400))*time.Millisecond)
+			ticket, answer := p.Acquire(now, users[user], now+time.Duration(rng.IntN(400))*time.Millisecond)
 			fmt.Fprintf(w, "ask %d: %d\n", user, uint8(answer))
 			switch answer {
-			case Wait:
+			case Queued:
 				waits = append(waits, ticket)
-			case Use, Open:
+			case UseIdle, OpenNew:
 				take(ticket, answer)
-			case Full:
-				p.Leave(now, ticket)
+			case Rejected:
+				p.Release(now, ticket)
 			}
 		case 3, 4:
 			if len(works) == 0 {
 				break
 			}
 			i := rng.IntN(len(works))
-			p.Leave(now, works[i])
+			p.Release(now, works[i])
 			works = slices.Delete(works, i, i+1)
 			if rng.IntN(4) > 0 {
-				p.Free()
+				p.AddIdle()
 				free++
 			} else {
-				p.Closed()
+				p.ConnectionClosed()
 			}
 		case 5:
 			if len(waits) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(waits))
-				p.Leave(now, waits[i])
+				p.Release(now, waits[i])
 				waits = slices.Delete(waits, i, i+1)
 			}
 		case 6:
-			stale := p.Stale(now, now-time.Duration(rng.IntN(2000))*time.Millisecond)
-			fmt.Fprintf(w, "stale %t lives for %d\n", stale, int64(p.LivesFor(rng.Float64())))
+			stale := p.IdleExpired(now, now-time.Duration(rng.IntN(2000))*time.Millisecond)
+			fmt.Fprintf(w, "stale %t lives for %d\n", stale, int64(p.Lifetime(rng.Float64())))
 			if stale && free > 0 {
-				p.Taken()
-				p.Closed()
+				p.RemoveIdle()
+				p.ConnectionClosed()
 				free--
 			}
 		default:
 			if opening > 0 && rng.IntN(2) == 0 {
 				opening--
-				p.Free()
+				p.AddIdle()
 				free++
 			}
-			ahead := p.Ahead(opening > 0)
+			ahead := p.OpenAhead(opening > 0)
 			fmt.Fprintf(w, "ahead %t\n", ahead)
 			if ahead {
 				opening++
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -308,8 +308,8 @@
 		User: p.User, Database: p.Database, Password: p.Engine.Password, TLS: p.Engine.Config,
 		ConnectTimeout: config.FromMS(p.ConnectWithin), MostHeld: part(p.MemoryMB, 4),
 		Pool: connpool.Limits{
-			Most: p.Pool.PerEngine, MostUser: p.Pool.PerUser, Keep: p.Pool.Keep,
-			Idle: config.FromMS(p.IdleClose), Life: config.FromMS(1000 * p.Pool.Life),
+			MaxConnections: p.Pool.PerEngine, MaxPerUser: p.Pool.PerUser, MinConnections: p.Pool.Keep,
+			IdleTimeout: config.FromMS(p.IdleClose), MaxLifetime: config.FromMS(1000 * p.Pool.Life),
 		},
 	}, g.counters, g.log))
 	if err := g.openSites(sites, pgbackend.Codec{}, p.Site.Policy, p.MemoryMB); err != nil {
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -47,7 +47,7 @@
 // No more connections are opened to an engine than it may have; the others wait, users by turns, and
 // none is lost.
 func TestPoolIsBoundedAndFair(t *testing.T) {
-	p := newPooled(t, connpool.Limits{Most: 1})
+	p := newPooled(t, connpool.Limits{MaxConnections: 1})
 	var clients []*pgClient
 	for n := range 4 {
 		clients = append(clients, p.send("office", fmt.Sprintf("SELECT 'office %d' FROM stock_1.parts", n)))
@@ -73,7 +73,7 @@
 
 // One user has no more connections than it may, however many are left; others have theirs.
 func TestPoolBoundsAUser(t *testing.T) {
-	p := newPooled(t, connpool.Limits{Most: 3, MostUser: 1})
+	p := newPooled(t, connpool.Limits{MaxConnections: 3, MaxPerUser: 1})
 	for n := range 3 {
 		p.send("office", fmt.Sprintf("SELECT %d FROM stock_1.parts", n))
 	}
@@ -100,7 +100,7 @@
 // Where transactions whose clients think have all connections, a statement waits as long as it has time, and is refused
 // then: it was never sent, and trying again is harmless, a write's too. The transaction goes on.
 func TestPoolOfIdleTransactions(t *testing.T) {
-	g, _ := transacting(t, func(g *gateway) { g.engine.Pool.Most = 1 })
+	g, _ := transacting(t, func(g *gateway) { g.engine.Pool.MaxConnections = 1 })
 	k, other := connect(t, g.addr), connect(t, g.addr, "options", "-c statement_timeout=300")
 	k.says("BEGIN")
 	same(t, "in the transaction", k.says("SELECT 1"), "T D(SELECT 1) D() C(SELECT 2) ZT")
@@ -122,7 +122,7 @@
 
 // Connections are opened ahead of any statement, and again for one that ended, be it by its age.
 func TestPoolKeepsConnections(t *testing.T) {
-	p := newPooled(t, connpool.Limits{Most: 4, Keep: 2, Life: 200 * time.Millisecond})
+	p := newPooled(t, connpool.Limits{MaxConnections: 4, MinConnections: 2, MaxLifetime: 200 * time.Millisecond})
 	for p.count("links.dialed") < 5 { // two, and those that come after them
 		time.Sleep(time.Millisecond)
 	}
@@ -139,7 +139,7 @@
 // there already ends as he would.
 func TestPoolOfAnEngineThatLeaves(t *testing.T) {
 	for _, state := range []policy.EngineState{policy.EngineDraining, policy.EngineGone} {
-		p := newPooled(t, connpool.Limits{Most: 1})
+		p := newPooled(t, connpool.Limits{MaxConnections: 1})
 		first := p.send("office", "SELECT 1 FROM stock_1.parts")
 		await(t, p.asked)
 		second := p.send("office", "SELECT 2 FROM stock_1.parts")
