--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -45,7 +45,7 @@
 			c.must(known[class], at("classes"), "%q is no class of the settings", class)
 		}
 		seen[one.Name] = true
-		all = append(all, scramauth.User{Name: one.Name, Verifier: v, Classes: one.Classes, MostClients: one.MostClients})
+		all = append(all, scramauth.User{Name: one.Name, Verifier: v, Classes: one.Classes, MaxClients: one.MostClients})
 	}
 	c.must(len(all) > 0, "user", "there is none: nobody could log in")
 	return all, c.err()
--- a/internal/config/users_test.go
+++ b/internal/config/users_test.go
@@ -35,7 +35,7 @@
 		return LoadPostgres(filepath.Join(dir, "postgres.toml"))
 	}
 	p, err := read(office)
-	if err != nil || len(p.Logins) != 1 || p.Logins[0].Name != "office" || p.Logins[0].MostClients != 2 {
+	if err != nil || len(p.Logins) != 1 || p.Logins[0].Name != "office" || p.Logins[0].MaxClients != 2 {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	for _, tt := range []struct{ old, new, want string }{
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -20,7 +20,7 @@
 		k.fatal(fail("28000", "too many failed logins from this address; try again in %d s", int(wait.Seconds())+1))
 		return nil
 	}
-	l, err := f.opts.Users.Begin(k.user)
+	l, err := f.opts.Users.StartLogin(k.user)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 		mechanism := r.Str()
 		body = r.Bytes(r.Int32())
 		if !r.End() || mechanism != scramauth.Mechanism {
-			return true, k.denied(scramauth.ErrMessages)
+			return true, k.denied(scramauth.ErrMalformedMessage)
 		}
 	}
 	answer, done, err := k.login.Step(string(body))
@@ -68,7 +68,7 @@
 	}
 	k.out = pgproto.Append(k.out, 'R', pgproto.Int32(pgproto.AuthSASLFinal), []byte(answer))
 	k.login = nil
-	if u := k.front.opts.Users.Get(k.user); u == nil || u.MostClients > 0 && k.front.connected(k.user) >= u.MostClients {
+	if u := k.front.opts.Users.Get(k.user); u == nil || u.MaxClients > 0 && k.front.connected(k.user) >= u.MaxClients {
 		k.fatal(fail("53300", "too many connections for role %q", k.user))
 		return true, nil
 	}
@@ -82,7 +82,7 @@
 	f := k.front
 	f.throttle.RecordFailure(f.loop.Now(), host(k.conn))
 	f.stats.Add("pgwire.logins-failed")
-	if errors.Is(err, scramauth.ErrMessages) {
+	if errors.Is(err, scramauth.ErrMalformedMessage) {
 		return fail("08P01", "malformed SCRAM message")
 	}
 	k.fatal(fail("28P01", "password authentication failed for user %q", k.user))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -369,7 +369,7 @@
 		if g.users == nil {
 			g.users = scramauth.NewUsers(p.Logins)
 		} else {
-			g.users = g.users.With(p.Logins)
+			g.users = g.users.WithUsers(p.Logins)
 		}
 		opts.Users = g.users
 	} else if a, err := netip.ParseAddrPort(strings.Replace(p.Listen, "localhost:", "127.0.0.1:", 1)); err != nil || !a.Addr().IsLoopback() {
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -17,7 +17,7 @@
 	engine, _ := pgEngine(t, func(pgCall) []byte { return pgRows("bell") })
 	g := newGateway(t, nil)
 	var users []scramauth.User
-	for _, u := range []scramauth.User{{Name: "desk"}, {Name: "guest", Classes: []string{"lookup"}, MostClients: 1}} {
+	for _, u := range []scramauth.User{{Name: "desk"}, {Name: "guest", Classes: []string{"lookup"}, MaxClients: 1}} {
 		v, err := scramauth.NewVerifier("pässword of " + u.Name)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scramauth/fixture_test.go
+++ b/internal/scramauth/fixture_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	conversation := client.NewConversation()
-	l, err := u.Begin(name)
+	l, err := u.StartLogin(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,15 +63,15 @@
 			t.Errorf("login with another password: done = %v, %v, want %v", done, err, ErrDenied)
 		}
 		for n := range verifier {
-			if _, err := ParseVerifier(verifier[:n]); !errors.Is(err, ErrVerifier) {
-				t.Errorf("cut at %d bytes: %v, want %v", n, err, ErrVerifier)
+			if _, err := ParseVerifier(verifier[:n]); !errors.Is(err, ErrInvalidVerifier) {
+				t.Errorf("cut at %d bytes: %v, want %v", n, err, ErrInvalidVerifier)
 			}
 			for bit := range 8 {
 				damaged := []byte(verifier)
 				damaged[n] ^= 1 << bit
 				other, err := ParseVerifier(string(damaged))
-				if err != nil && !errors.Is(err, ErrVerifier) {
-					t.Errorf("byte %d, bit %d changed: %v, want %v", n, bit, err, ErrVerifier)
+				if err != nil && !errors.Is(err, ErrInvalidVerifier) {
+					t.Errorf("byte %d, bit %d changed: %v, want %v", n, bit, err, ErrInvalidVerifier)
 				}
 				if err != nil {
 					continue
--- a/internal/scramauth/logins_test.go
+++ b/internal/scramauth/logins_test.go
@@ -33,7 +33,7 @@
 		"", "pencil", "md5abc", strings.Replace(pencil, "4096", "1", 1), strings.Replace(pencil, "4096", "99999999", 1), strings.Replace(pencil, "4096", "x", 1),
 		strings.Replace(pencil, "W22ZaJ0SNY7soEsUEjb6gQ==", "W22Z", 1), strings.Replace(pencil, "==$", "$", 1), pencil[:len(pencil)-4], strings.Replace(pencil, "$WG", "WG", 1),
 	} {
-		if _, err := ParseVerifier(bad); !errors.Is(err, ErrVerifier) {
+		if _, err := ParseVerifier(bad); !errors.Is(err, ErrInvalidVerifier) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -52,9 +52,9 @@
 	salts := map[string]string{}
 	for i, name := range []string{"user", "other", "third", "other", "user"} {
 		if i == 3 { // the file is read again
-			u = u.With([]User{{Name: "user", Verifier: v}})
+			u = u.WithUsers([]User{{Name: "user", Verifier: v}})
 		}
-		l, err := u.Begin(name)
+		l, err := u.StartLogin(name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 	f.Add("y,,n=a,r=b", "")
 	f.Add("p=tls-exporter,,n=,r=a", "c=")
 	f.Fuzz(func(t *testing.T, first, final string) {
-		l, err := u.Begin("user")
+		l, err := u.StartLogin("user")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/emulator/pg.go
+++ b/internal/testbed/emulator/pg.go
@@ -291,7 +291,7 @@
 func proved(c net.Conn, startup string, in []byte, users *scramauth.Users) (rest []byte, err error) {
 	_, user, _ := strings.Cut("\x00"+startup, "\x00user\x00")
 	user, _, _ = strings.Cut(user, "\x00")
-	l, err := users.Begin(user)
+	l, err := users.StartLogin(user)
 	if err != nil {
 		return nil, err
 	}
