--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -57,7 +57,7 @@
 func (f *fleetCommon) options(set config.Site) simulation.Options {
 	ms := config.FromMS
 	cfg := decide.Defaults()
-	cfg.KeysShared = true
+	cfg.SharedDedup = true
 	return simulation.Options{
 		Site: set, Config: cfg, Way: simulation.Ours, Sites: 2, Gateways: f.Gateways, Engines: f.Engines, Engine: enginemodel.Usual(), Rate: f.Rate,
 		Loads: f.Loads, Reports: f.Reports, Writes: f.Writes, Elsewhere: f.Elsewhere, Estimates: f.Estimates, Delay: ms(f.DelayMS),
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -62,9 +62,9 @@
 	d := decide.Defaults()
 	ms := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 	s := Sites{
-		SilentAfterMS: ms(d.SilentAfter), SlowAboveMS: ms(d.SlowAbove), ColdForS: d.ColdFor.Seconds(), ColdStart: d.ColdStart, SlackMS: ms(d.Slack),
-		SpillBelow: d.SpillBelow, StopAbove: d.StopAbove, TakeAbove: d.TakeAbove, Reserve: d.Reserve, Threads: d.Threads,
-		WordEveryMS: ms(d.WordEvery), Price: d.Price, Affinity: d.Affinity, HedgeShare: d.HedgeShare,
+		SilentAfterMS: ms(d.UnreachableAfter), SlowAboveMS: ms(d.SlowRTT), ColdForS: d.RampDuration.Seconds(), ColdStart: d.RampStart, SlackMS: ms(d.HopSlack),
+		SpillBelow: d.SpillBelow, StopAbove: d.StopSpillAbove, TakeAbove: d.MinPeerCapacity, Reserve: d.LocalReserve, Threads: d.ThreadsPerCore,
+		WordEveryMS: ms(d.DigestInterval), Price: d.MinPriorityWeight, Affinity: d.AffinityBonus, HedgeShare: d.HedgeRatio,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &s) {
@@ -139,8 +139,8 @@
 func (s *Sites) Decide(tries int) decide.Config {
 	word := FromMS(s.WordEveryMS)
 	return decide.Config{
-		SilentAfter: FromMS(s.SilentAfterMS), SlowAbove: FromMS(s.SlowAboveMS), ColdFor: FromMS(1000 * s.ColdForS), ColdStart: s.ColdStart, Slack: FromMS(s.SlackMS),
-		SpillBelow: s.SpillBelow, StopAbove: s.StopAbove, TakeAbove: s.TakeAbove, Reserve: s.Reserve, Threads: s.Threads,
-		StaleAfter: 8 * word, WordEvery: word, Tries: max(tries, 1), Price: s.Price, Affinity: s.Affinity, HedgeShare: s.HedgeShare, KeysShared: s.KeysShared,
+		UnreachableAfter: FromMS(s.SilentAfterMS), SlowRTT: FromMS(s.SlowAboveMS), RampDuration: FromMS(1000 * s.ColdForS), RampStart: s.ColdStart, HopSlack: FromMS(s.SlackMS),
+		SpillBelow: s.SpillBelow, StopSpillAbove: s.StopAbove, MinPeerCapacity: s.TakeAbove, LocalReserve: s.Reserve, ThreadsPerCore: s.Threads,
+		DigestMaxAge: 8 * word, DigestInterval: word, MaxAttempts: max(tries, 1), MinPriorityWeight: s.Price, AffinityBonus: s.Affinity, HedgeRatio: s.HedgeShare, SharedDedup: s.KeysShared,
 	}
 }
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	want := decide.Defaults()
-	want.Tries = 3
+	want.MaxAttempts = 3
 	if diff := cmp.Diff(want, s.Decide(3)); diff != "" {
 		t.Error(diff)
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %v", tt.want, err)
 		}
 	}
-	if d := decide.Defaults(); d.StaleAfter != 8*d.WordEvery || d.SilentAfter < 3*d.WordEvery || d.WordEvery < 20*time.Millisecond {
+	if d := decide.Defaults(); d.DigestMaxAge != 8*d.DigestInterval || d.UnreachableAfter < 3*d.DigestInterval || d.DigestInterval < 20*time.Millisecond {
 		t.Errorf("the defaults don't fit each other: %+v", d)
 	}
 }
--- a/internal/decide/remotesite/choose.go
+++ b/internal/decide/remotesite/choose.go
@@ -3,19 +3,19 @@
 import "time"
 
 // Where is the kind of a choice.
-type Where uint8
+type Destination uint8
 
 // Choices.
 const (
-	Here   Where = iota // this site's decision module has it, or has had it
-	There               // it crosses
-	Answer              // neither: it may not go out again, and its client is told so
+	Local  Destination = iota // this site's decision module has it, or has had it
+	Remote                    // it crosses
+	Reject                    // neither: it may not go out again, and its client is told so
 )
 
 // Choice is where a query goes.
 type Choice struct {
-	Where Where
-	Peer  int // with There
+	Destination Destination
+	Peer        int // with There
 }
 
 // Chooser chooses for one gateway. Its zero value is ready.
@@ -32,13 +32,13 @@
 // sites keep their own, one that frees up gets its own back, and since nothing crosses twice
 // there is no loop with any number of sites.
 func (c *Chooser) Choose(cfg Config, now time.Duration, q *Query, room float64, peers []*Peer) Choice {
-	if !Again(cfg, q, 0) {
-		return Choice{Where: Answer}
+	if !MayAttempt(cfg, q, 0) {
+		return Choice{Destination: Reject}
 	}
-	if q.Foreign {
-		return Choice{Where: Here}
+	if q.Forwarded {
+		return Choice{Destination: Local}
 	}
-	if q.Turned {
+	if q.RejectedLocally {
 		room = 0
 	}
 	if c.spilling == nil {
@@ -47,12 +47,12 @@
 	switch {
 	case room < cfg.SpillBelow:
 		c.spilling[q.Class] = true
-	case room > cfg.StopAbove:
+	case room > cfg.StopSpillAbove:
 		c.spilling[q.Class] = false
 	}
-	if !c.spilling[q.Class] || q.Worth < cfg.Price {
-		c.warm.ran(now, q.Group, home)
-		return Choice{Where: Here}
+	if !c.spilling[q.Class] || q.PriorityWeight < cfg.MinPriorityWeight {
+		c.warm.ran(now, q.TableGroup, home)
+		return Choice{Destination: Local}
 	}
 	best, most := -1, 0.0
 	for i, p := range peers {
@@ -61,38 +61,38 @@
 		}
 	}
 	if best < 0 {
-		c.warm.ran(now, q.Group, home)
-		return Choice{Where: Here}
+		c.warm.ran(now, q.TableGroup, home)
+		return Choice{Destination: Local}
 	}
-	c.warm.ran(now, q.Group, best)
+	c.warm.ran(now, q.TableGroup, best)
 	peers[best].credit -= q.Work
-	return Choice{There, best}
+	return Choice{Remote, best}
 }
 
 // score is how much better off a query is at a peer, in shares of room; 0 or less: it stays.
 func (c *Chooser) score(cfg Config, now time.Duration, q *Query, room float64, p *Peer, place int) float64 {
 	switch p.State(cfg, now) {
-	case Up, Slow, Cold:
+	case Up, Slow, RampingUp:
 	default:
 		return 0
 	}
-	left, ok := Left(cfg, q.Left, p.Way())
-	if !ok || !Again(cfg, q, p.Way()) {
+	left, ok := RemainingAfter(cfg, q.Remaining, p.OneWayDelay())
+	if !ok || !MayAttempt(cfg, q, p.OneWayDelay()) {
 		return 0
 	}
 	offer := p.offers(cfg, now, q.Class)
-	wanted := cfg.TakeAbove
-	switch at, warm := c.warm.where(now, q.Group); {
+	wanted := cfg.MinPeerCapacity
+	switch at, warm := c.warm.where(now, q.TableGroup); {
 	case !warm:
 	case at == place: // its tables are warm there
-		offer += cfg.Affinity
-	case at == home && !q.Turned:
-		wanted += cfg.Affinity
+		offer += cfg.AffinityBonus
+	case at == home && !q.RejectedLocally:
+		wanted += cfg.AffinityBonus
 	}
 	if offer < wanted || offer <= room {
 		return 0
 	}
-	return (offer - room) * float64(left) / float64(q.Left)
+	return (offer - room) * float64(left) / float64(q.Remaining)
 }
 
 // home is the place of this site among those where tables are warm.
--- a/internal/decide/remotesite/hedge.go
+++ b/internal/decide/remotesite/hedge.go
@@ -8,7 +8,7 @@
 // Hedge decides which crossings of safe classes are run at this site as well, while they are
 // still out: those that take far longer than is usual, within a budget. Its zero value is
 // ready. (Dean and Barroso, "The Tail at Scale", 2013.)
-type Hedge struct {
+type Hedger struct {
 	crossed float64 // of late; both fade
 	hedged  float64
 	at      time.Duration
@@ -28,19 +28,19 @@
 	hedgeLeast  = 8   // crossings of a class before that is known
 )
 
-func (h *Hedge) fade(now time.Duration) {
+func (h *Hedger) fade(now time.Duration) {
 	f := math.Exp(-float64(max(now-h.at, 0)) / float64(hedgeFades))
 	h.crossed, h.hedged, h.at = h.crossed*f, h.hedged*f, now
 }
 
 // Crossed counts a crossing.
-func (h *Hedge) Crossed(now time.Duration) {
+func (h *Hedger) RecordForward(now time.Duration) {
 	h.fade(now)
 	h.crossed++
 }
 
 // Took takes how long one took that was served.
-func (h *Hedge) Took(class string, took time.Duration) {
+func (h *Hedger) RecordLatency(class string, took time.Duration) {
 	if h.usual == nil {
 		h.usual = map[string]*usual{}
 	}
@@ -57,7 +57,7 @@
 
 // When is how long after a crossing of a class a hedge of it may be due; ok is false where
 // that isn't known yet.
-func (h *Hedge) When(class string) (after time.Duration, ok bool) {
+func (h *Hedger) Delay(class string) (after time.Duration, ok bool) {
 	u := h.usual[class]
 	if u == nil || u.n < hedgeLeast {
 		return 0, false
@@ -67,9 +67,9 @@
 
 // May tells whether a crossing that is late is run here as well, and counts it if so. room is
 // what this site has for the class.
-func (h *Hedge) May(cfg Config, now time.Duration, q *Query, room float64) bool {
+func (h *Hedger) Allow(cfg Config, now time.Duration, q *Query, room float64) bool {
 	h.fade(now)
-	if q.Effect != Safe || !Again(cfg, q, 0) || room < cfg.SpillBelow || h.hedged+1 > hedgeFree+cfg.HedgeShare*h.crossed {
+	if q.Idempotency != Idempotent || !MayAttempt(cfg, q, 0) || room < cfg.SpillBelow || h.hedged+1 > hedgeFree+cfg.HedgeRatio*h.crossed {
 		return false
 	}
 	h.hedged++
--- a/internal/decide/remotesite/meter.go
+++ b/internal/decide/remotesite/meter.go
@@ -8,7 +8,7 @@
 // Meter measures what room this gateway's part of its own site has, from what it has out
 // there, what its module turns away and what engines report. Its zero value is not ready:
 // see NewMeter.
-type Meter struct {
+type CapacityMeter struct {
 	cfg      Config
 	gateways float64 // of this site, which share its engines
 	engines  map[string]*station
@@ -19,15 +19,15 @@
 }
 
 // Station is an engine as the meter sees it.
-type Station struct {
-	Cores     float64
-	Live      bool          // it may be sent to
-	ColdUntil time.Duration // it reaches its capacity then
-	ColdFor   time.Duration
-	ColdStart float64
+type Engine struct {
+	Cores             float64
+	Live              bool          // it may be sent to
+	WarmUpUntil       time.Duration // it reaches its capacity then
+	WarmUpPeriod      time.Duration
+	WarmUpMinCapacity float64
 }
 
-type station struct{ Station }
+type station struct{ Engine }
 
 // measure is what is known of a class.
 type measure struct {
@@ -50,12 +50,12 @@
 )
 
 // NewMeter returns a meter for one of so many gateways of a site.
-func NewMeter(cfg Config, gateways int) *Meter {
-	return &Meter{cfg: cfg, gateways: float64(max(gateways, 1)), engines: map[string]*station{}, classes: map[string]*measure{}}
+func NewCapacityMeter(cfg Config, gateways int) *CapacityMeter {
+	return &CapacityMeter{cfg: cfg, gateways: float64(max(gateways, 1)), engines: map[string]*station{}, classes: map[string]*measure{}}
 }
 
 // Engine takes an engine of this site, or a change to it.
-func (m *Meter) Engine(id string, s Station) {
+func (m *CapacityMeter) UpdateEngine(id string, s Engine) {
 	if !s.Live {
 		delete(m.engines, id)
 		return
@@ -63,7 +63,7 @@
 	m.engines[id] = &station{s}
 }
 
-func (m *Meter) class(name string) *measure {
+func (m *CapacityMeter) class(name string) *measure {
 	c := m.classes[name]
 	if c == nil {
 		c = &measure{}
@@ -78,21 +78,21 @@
 }
 
 // Came counts a query of a class.
-func (m *Meter) Came(now time.Duration, class string) {
+func (m *CapacityMeter) RecordArrival(now time.Duration, class string) {
 	c := m.class(class)
 	c.fade(now)
 	c.came++
 }
 
 // Turned counts one that this site's module turned away.
-func (m *Meter) Turned(now time.Duration, class string) {
+func (m *CapacityMeter) RecordRejection(now time.Duration, class string) {
 	c := m.class(class)
 	c.fade(now)
 	c.turned++
 }
 
 // Usual is the usual work of a class in seconds of one core; 0: unknown.
-func (m *Meter) Usual(class string) float64 {
+func (m *CapacityMeter) TypicalWork(class string) float64 {
 	if c := m.classes[class]; c != nil {
 		return c.work
 	}
@@ -100,13 +100,13 @@
 }
 
 // Sent and Ended count threads that are out at engines.
-func (m *Meter) Sent(threads float64) { m.held += threads }
+func (m *CapacityMeter) AttemptStarted(threads float64) { m.held += threads }
 
 // Ended takes the end of an attempt.
-func (m *Meter) Ended(threads float64) { m.held = max(m.held-threads, 0) }
+func (m *CapacityMeter) AttemptEnded(threads float64) { m.held = max(m.held-threads, 0) }
 
 // Took takes how long an engine took to answer, and the query's work, s (0: unknown).
-func (m *Meter) Took(class string, took time.Duration, work float64) {
+func (m *CapacityMeter) RecordLatency(class string, took time.Duration, work float64) {
 	c := m.class(class)
 	if c.n++; c.n == 1 {
 		c.quick, c.work = took.Seconds(), work
@@ -131,7 +131,7 @@
 }
 
 // Reported takes an engine's report of the share of its cores in use.
-func (m *Meter) Reported(now time.Duration, busy float64) {
+func (m *CapacityMeter) RecordUtilization(now time.Duration, busy float64) {
 	if !(busy >= 0) {
 		return
 	}
@@ -140,11 +140,11 @@
 }
 
 // Capacity is what the engines of this site have, in cores, cold ones what they have by now.
-func (m *Meter) Capacity(now time.Duration) (cores float64) {
+func (m *CapacityMeter) AvailableCores(now time.Duration) (cores float64) {
 	for _, e := range m.engines {
 		warm := 1.0
-		if left := e.ColdUntil - now; left > 0 && e.ColdFor > 0 {
-			warm = 1 - (1-e.ColdStart)*min(float64(left)/float64(e.ColdFor), 1)
+		if left := e.WarmUpUntil - now; left > 0 && e.WarmUpPeriod > 0 {
+			warm = 1 - (1-e.WarmUpMinCapacity)*min(float64(left)/float64(e.WarmUpPeriod), 1)
 		}
 		cores += e.Cores * warm
 	}
@@ -154,20 +154,20 @@
 // coldMost is the work of a query that is better not begun here while an engine is cold: what
 // the coldest does in a second, divided among the gateways. Guards a cold engine against large
 // queries of several gateways at once, beyond what the module of each sees.
-func (m *Meter) coldMost(now time.Duration) float64 {
+func (m *CapacityMeter) coldMost(now time.Duration) float64 {
 	most := math.Inf(1)
 	for _, e := range m.engines {
-		if now < e.ColdUntil {
-			most = min(most, e.ColdStart*e.Cores/m.gateways)
+		if now < e.WarmUpUntil {
+			most = min(most, e.WarmUpMinCapacity*e.Cores/m.gateways)
 		}
 	}
 	return most
 }
 
 // threads is what this site's engines can hold, and what they do, as this gateway sees it.
-func (m *Meter) threads(now time.Duration) (can, held float64) {
-	cores := m.Capacity(now)
-	can, held = cores*m.cfg.Threads, m.held*m.gateways
+func (m *CapacityMeter) threads(now time.Duration) (can, held float64) {
+	cores := m.AvailableCores(now)
+	can, held = cores*m.cfg.ThreadsPerCore, m.held*m.gateways
 	if age := now - m.busyAt; m.busyAt > 0 && age < busyFades {
 		held = max(held, m.busy*cores*(1-float64(age)/float64(busyFades)))
 	}
@@ -175,7 +175,7 @@
 }
 
 // passes is the share of a class that the module lets in, counted sharply.
-func (m *Meter) passes(now time.Duration, class string) float64 {
+func (m *CapacityMeter) passes(now time.Duration, class string) float64 {
 	c := m.classes[class]
 	if c == nil {
 		return 1
@@ -185,7 +185,7 @@
 }
 
 // Room is what this site has for a class, as a share of its capacity.
-func (m *Meter) Room(now time.Duration, class string) float64 {
+func (m *CapacityMeter) FreeCapacity(now time.Duration, class string) float64 {
 	can, held := m.threads(now)
 	if can <= 0 {
 		return 0
@@ -196,44 +196,44 @@
 // RoomFor is what this site has for one of its own queries: none where an engine is cold and the
 // query is more than such a one should get, so that it goes where engines are warm, if anywhere
 // takes it.
-func (m *Meter) RoomFor(now time.Duration, q *Query) float64 {
+func (m *CapacityMeter) FreeCapacityFor(now time.Duration, q *Query) float64 {
 	if q.Work > m.coldMost(now) {
 		return 0
 	}
-	return m.Room(now, q.Class)
+	return m.FreeCapacity(now, q.Class)
 }
 
 // Accept tells whether a query of another site is begun here: not where its answer could not be
 // in time, nor where the room is kept for this site's own clients. What is turned away
 // by it never ran.
-func (m *Meter) Accept(now time.Duration, q *Query) bool {
-	if m.Room(now, q.Class) <= m.cfg.Reserve || q.Left <= 0 || q.Work > m.coldMost(now) {
+func (m *CapacityMeter) Accepts(now time.Duration, q *Query) bool {
+	if m.FreeCapacity(now, q.Class) <= m.cfg.LocalReserve || q.Remaining <= 0 || q.Work > m.coldMost(now) {
 		return false
 	}
 	c := m.classes[q.Class]
-	return c == nil || c.n < quickN || q.Left.Seconds() >= quickPart*c.quick*c.scale(q.Work)
+	return c == nil || c.n < quickN || q.Remaining.Seconds() >= quickPart*c.quick*c.scale(q.Work)
 }
 
 // Digest is what this gateway says of itself: the room, and the work that it takes from all
 // other sites together until its next word, within its part of what the engines have free
 // beyond the reserve.
-func (m *Meter) Digest(now time.Duration, classes []string) Digest {
-	d := Digest{Room: make(map[string]float64, len(classes))}
+func (m *CapacityMeter) Digest(now time.Duration, classes []string) Digest {
+	d := Digest{FreeCapacity: make(map[string]float64, len(classes))}
 	most := 0.0
 	for _, name := range classes {
-		d.Room[name] = m.Room(now, name)
+		d.FreeCapacity[name] = m.FreeCapacity(now, name)
 		most = max(most, m.passes(now, name))
 	}
 	can, held := m.threads(now)
-	spare := max(can*(1-m.cfg.Reserve)-held, 0) / m.gateways
-	d.Takes = spare * most * m.cfg.WordEvery.Seconds()
+	spare := max(can*(1-m.cfg.LocalReserve)-held, 0) / m.gateways
+	d.AcceptableWork = spare * most * m.cfg.DigestInterval.Seconds()
 	return d
 }
 
 // Divide divides what a gateway takes among its peers: half evenly, half by what each has
 // asked of late. Their sum is never above what it takes, so that it isn't pushed over when
 // several turn to it at once.
-func Divide(takes float64, asked []float64) []float64 {
+func DivideWork(takes float64, asked []float64) []float64 {
 	parts := make([]float64, len(asked))
 	if len(asked) == 0 || !(takes > 0) {
 		return parts
--- a/internal/decide/remotesite/replay_test.go
+++ b/internal/decide/remotesite/replay_test.go
@@ -34,16 +34,16 @@
 func replay(w io.Writer, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	cfg, now := Defaults(), time.Hour
-	cfg.Price = 0.2
-	cfg.KeysShared = seed%2 == 0
+	cfg.MinPriorityWeight = 0.2
+	cfg.SharedDedup = seed%2 == 0
 	classes := []string{"lookup", "report", "load"}
 	var chooser Chooser
-	var hedge Hedge
-	meter := NewMeter(cfg, 2)
-	keys := NewKeys(12*time.Second, 20)
+	var hedge Hedger
+	meter := NewCapacityMeter(cfg, 2)
+	keys := NewKeyHistory(12*time.Second, 20)
 	peers := []*Peer{{}, {}, {}}
 	for _, p := range peers {
-		p.Linked(true)
+		p.SetConnected(true)
 	}
 	for range 4000 {
 		now += time.Duration(rng.IntN(60)) * time.Millisecond
@@ -52,88 +52,88 @@
 		class := classes[rng.IntN(len(classes))]
 		switch rng.IntN(24) {
 		case 0, 1, 2, 3:
-			p.Heard(cfg, now, time.Duration(rng.IntN(60+400*i))*time.Millisecond)
+			p.RecordReply(cfg, now, time.Duration(rng.IntN(60+400*i))*time.Millisecond)
 		case 4, 5, 6, 7:
-			p.Told(cfg, now, Digest{
-				Room:  map[string]float64{"lookup": rng.Float64(), "report": rng.Float64()*2 - 0.5, "load": rng.Float64()},
-				Takes: rng.Float64()*6 - 0.5, Drains: rng.IntN(40) == 0,
+			p.RecordDigest(cfg, now, Digest{
+				FreeCapacity:   map[string]float64{"lookup": rng.Float64(), "report": rng.Float64()*2 - 0.5, "load": rng.Float64()},
+				AcceptableWork: rng.Float64()*6 - 0.5, Draining: rng.IntN(40) == 0,
 			})
 		case 8:
 			switch rng.IntN(30) {
 			case 0:
-				p.Leaves()
+				p.RecordDeparture()
 			case 1:
-				p.Linked(false)
+				p.SetConnected(false)
 			case 2:
-				p.Shut(true)
+				p.SetDrained(true)
 			default:
-				p.Linked(true)
-				p.Shut(false)
+				p.SetConnected(true)
+				p.SetDrained(false)
 			}
 		case 9:
-			p.Did(now, rng.IntN(4) > 0)
+			p.RecordOutcome(now, rng.IntN(4) > 0)
 			fmt.Fprintf(w, "distrust %.12g\n", p.Distrust(now))
 		case 10:
 			name := []string{"a", "b"}[rng.IntN(2)]
-			s := Station{Cores: float64(4 + rng.IntN(12)), Live: rng.IntN(5) > 0}
+			s := Engine{Cores: float64(4 + rng.IntN(12)), Live: rng.IntN(5) > 0}
 			if rng.IntN(3) == 0 {
-				s.ColdUntil, s.ColdFor, s.ColdStart = now+5*time.Second, 10*time.Second, 0.25
+				s.WarmUpUntil, s.WarmUpPeriod, s.WarmUpMinCapacity = now+5*time.Second, 10*time.Second, 0.25
 			}
-			meter.Engine(name, s)
+			meter.UpdateEngine(name, s)
 		case 11:
-			meter.Reported(now, rng.Float64()*1.2-0.1)
-			meter.Turned(now, class)
+			meter.RecordUtilization(now, rng.Float64()*1.2-0.1)
+			meter.RecordRejection(now, class)
 		case 12, 13:
-			meter.Took(class, time.Duration(rng.IntN(900))*time.Millisecond, rng.Float64())
-			hedge.Took(class, time.Duration(50+rng.IntN(400))*time.Millisecond)
-			after, ok := hedge.When(class)
+			meter.RecordLatency(class, time.Duration(rng.IntN(900))*time.Millisecond, rng.Float64())
+			hedge.RecordLatency(class, time.Duration(50+rng.IntN(400))*time.Millisecond)
+			after, ok := hedge.Delay(class)
 			fmt.Fprintf(w, "hedge after %d %t\n", int64(after), ok)
 		case 14:
-			meter.Sent(float64(rng.IntN(6)))
+			meter.AttemptStarted(float64(rng.IntN(6)))
 		case 15:
-			meter.Ended(float64(rng.IntN(6)))
+			meter.AttemptEnded(float64(rng.IntN(6)))
 		case 16:
 			key := strconv.Itoa(rng.IntN(40))
 			at := now - time.Duration(rng.IntN(15000))*time.Millisecond
-			fmt.Fprintf(w, "key %t\n", keys.Sent(now, key, at, rng.IntN(2) == 0))
+			fmt.Fprintf(w, "key %t\n", keys.Record(now, key, at, rng.IntN(2) == 0))
 			if rng.IntN(4) == 0 {
-				keys.Never(key, at)
+				keys.Retract(key, at)
 			}
-			first, elsewhere, ok := keys.First(now, strconv.Itoa(rng.IntN(40)))
+			first, elsewhere, ok := keys.FirstSend(now, strconv.Itoa(rng.IntN(40)))
 			fmt.Fprintf(w, "first %d %t %t of %d\n", int64(first), elsewhere, ok, keys.Len())
 		case 17:
 			d := meter.Digest(now, classes)
-			fmt.Fprintf(w, "digest %.12g %.12g %.12g %.12g %t\n", d.Takes, d.Room["lookup"], d.Room["report"], d.Room["load"], d.Drains)
-			for _, part := range Divide(d.Takes, []float64{rng.Float64(), 0, rng.Float64() * 3}) {
+			fmt.Fprintf(w, "digest %.12g %.12g %.12g %.12g %t\n", d.AcceptableWork, d.FreeCapacity["lookup"], d.FreeCapacity["report"], d.FreeCapacity["load"], d.Draining)
+			for _, part := range DivideWork(d.AcceptableWork, []float64{rng.Float64(), 0, rng.Float64() * 3}) {
 				fmt.Fprintf(w, "part %.12g\n", part)
 			}
 		default:
-			meter.Came(now, class)
+			meter.RecordArrival(now, class)
 			replayQuery(w, rng, cfg, now, class, &chooser, &hedge, meter, peers)
 		}
-		c, changed := p.Watch(cfg, now)
+		c, changed := p.StateChange(cfg, now)
 		fmt.Fprintf(w, "peer %d %t %d %d way %d rtt %d age %d credit %.12g ramp %.12g room %.12g shut %t\n", i, changed, uint8(c.From), uint8(c.To),
-			int64(p.Way()), int64(p.RTT()), int64(p.Age(now)), p.Credit(), p.Ramp(cfg, now), p.Room(class), p.IsShut())
+			int64(p.OneWayDelay()), int64(p.RTT()), int64(p.SinceReply(now)), p.Credit(), p.RampFraction(cfg, now), p.FreeCapacity(class), p.IsDrained())
 	}
 }
 
 // replayQuery writes what is decided of one query.
-func replayQuery(w io.Writer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedge *Hedge, meter *Meter, peers []*Peer) {
+func replayQuery(w io.Writer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedge *Hedger, meter *CapacityMeter, peers []*Peer) {
 	q := Query{
-		Class: class, Effect: Effect(rng.IntN(3)), Work: rng.Float64() * 2, Worth: rng.Float64(), Group: int64(rng.IntN(6)),
-		Left: time.Duration(rng.IntN(4000)) * time.Millisecond, Foreign: rng.IntN(8) == 0, Turned: rng.IntN(4) == 0, Sends: rng.IntN(4),
-		Doubt: rng.IntN(3) == 0, Ago: time.Duration(rng.IntN(14000)) * time.Millisecond, Window: 12 * time.Second, ThereOnly: rng.IntN(6) == 0,
+		Class: class, Idempotency: Idempotency(rng.IntN(3)), Work: rng.Float64() * 2, PriorityWeight: rng.Float64(), TableGroup: int64(rng.IntN(6)),
+		Remaining: time.Duration(rng.IntN(4000)) * time.Millisecond, Forwarded: rng.IntN(8) == 0, RejectedLocally: rng.IntN(4) == 0, Attempts: rng.IntN(4),
+		MayHaveRun: rng.IntN(3) == 0, SinceFirstAttempt: time.Duration(rng.IntN(14000)) * time.Millisecond, DedupWindow: 12 * time.Second, DedupNotShared: rng.IntN(6) == 0,
 	}
-	room := meter.RoomFor(now, &q)
-	accepted := meter.Accept(now, &q)
+	room := meter.FreeCapacityFor(now, &q)
+	accepted := meter.Accepts(now, &q)
 	choice := chooser.Choose(cfg, now, &q, room, peers)
-	fmt.Fprintf(w, "room %.12g %.12g capacity %.12g usual %.12g accepted %t choice %d %d grant %d again %t\n", room, meter.Room(now, class),
-		meter.Capacity(now), meter.Usual(class), accepted, uint8(choice.Where), choice.Peer, Grant(cfg, &q), Again(cfg, &q, 30*time.Millisecond))
-	if choice.Where == There {
-		left, ok := Left(cfg, q.Left, peers[choice.Peer].Way())
-		hedge.Crossed(now)
-		fmt.Fprintf(w, "left %d %t hedged %t\n", int64(left), ok, hedge.May(cfg, now, &q, room))
-		end := End(rng.IntN(2))
-		fmt.Fprintf(w, "next %d doubt %t\n", uint8(After(cfg, &q, end)), q.Doubt)
+	fmt.Fprintf(w, "room %.12g %.12g capacity %.12g usual %.12g accepted %t choice %d %d grant %d again %t\n", room, meter.FreeCapacity(now, class),
+		meter.AvailableCores(now), meter.TypicalWork(class), accepted, uint8(choice.Destination), choice.Peer, AttemptGrant(cfg, &q), MayAttempt(cfg, &q, 30*time.Millisecond))
+	if choice.Destination == Remote {
+		left, ok := RemainingAfter(cfg, q.Remaining, peers[choice.Peer].OneWayDelay())
+		hedge.RecordForward(now)
+		fmt.Fprintf(w, "left %d %t hedged %t\n", int64(left), ok, hedge.Allow(cfg, now, &q, room))
+		end := Failure(rng.IntN(2))
+		fmt.Fprintf(w, "next %d doubt %t\n", uint8(AfterFailure(cfg, &q, end)), q.MayHaveRun)
 	}
 }
--- a/internal/decide/remotesite/site_test.go
+++ b/internal/decide/remotesite/site_test.go
@@ -13,11 +13,11 @@
 // peer has been up for long, takes so much work and has so much room.
 func peer(cfg Config, now time.Duration, rtt time.Duration, takes, room float64) *Peer {
 	p := &Peer{}
-	p.Linked(true)
-	for at := now - cfg.ColdFor - time.Second; at <= now; at += cfg.SilentAfter / 2 {
-		p.Heard(cfg, at, rtt)
+	p.SetConnected(true)
+	for at := now - cfg.RampDuration - time.Second; at <= now; at += cfg.UnreachableAfter / 2 {
+		p.RecordReply(cfg, at, rtt)
 	}
-	p.Told(cfg, now, Digest{Room: map[string]float64{"lookup": room}, Takes: takes})
+	p.RecordDigest(cfg, now, Digest{FreeCapacity: map[string]float64{"lookup": room}, AcceptableWork: takes})
 	return p
 }
 
@@ -28,42 +28,42 @@
 	var got [][2]string
 	now := time.Hour
 	at := func() {
-		if c, changed := p.Watch(cfg, now); changed {
-			got = append(got, [2]string{c.To.String(), c.Why})
+		if c, changed := p.StateChange(cfg, now); changed {
+			got = append(got, [2]string{c.To.String(), c.Reason})
 		}
 	}
 	hear := func(n int, rtt time.Duration) {
 		for range n {
 			now += 500 * ms
-			p.Heard(cfg, now, rtt)
+			p.RecordReply(cfg, now, rtt)
 		}
 		at()
 	}
 	at()
-	p.Heard(cfg, now, 40*ms) // without a link it is silent all the same
+	p.RecordReply(cfg, now, 40*ms) // without a link it is silent all the same
 	at()
-	p.Linked(true)
+	p.SetConnected(true)
 	at()
 	hear(40, 40*ms)
 	hear(40, 600*ms)
-	p.Told(cfg, now+cfg.SilentAfter, Digest{Takes: 5}) // what it says proves one way only
-	now += cfg.SilentAfter
+	p.RecordDigest(cfg, now+cfg.UnreachableAfter, Digest{AcceptableWork: 5}) // what it says proves one way only
+	now += cfg.UnreachableAfter
 	at()
 	hear(1, 0)
-	if r := p.Ramp(cfg, now+cfg.ColdFor/2); r < 0.55 || r > 0.65 {
+	if r := p.RampFraction(cfg, now+cfg.RampDuration/2); r < 0.55 || r > 0.65 {
 		t.Errorf("half way up the ramp it is sent %g", r)
 	}
-	p.Told(cfg, now, Digest{Drains: true})
+	p.RecordDigest(cfg, now, Digest{Draining: true})
 	at()
-	p.Told(cfg, now, Digest{})
+	p.RecordDigest(cfg, now, Digest{})
 	at()
-	p.Shut(true)
+	p.SetDrained(true)
 	at()
-	p.Shut(false)
-	p.Leaves()
+	p.SetDrained(false)
+	p.RecordDeparture()
 	at()
 	hear(1, 0)
-	p.Linked(false)
+	p.SetConnected(false)
 	at()
 	want := [][2]string{
 		{"cold", "heard for the first time"}, {"up", "heard for 20s since its silence; round trip 40ms"}, {"slow", "round trip 597ms"},
@@ -78,14 +78,16 @@
 // Where a query goes.
 func TestChoose(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
-	cfg.Price = 0.5
-	usual := Query{Class: "lookup", Effect: Safe, Work: 0.2, Worth: 1, Left: 2 * time.Second}
+	cfg.MinPriorityWeight = 0.5
+	usual := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: 2 * time.Second}
 	change := func(f func(*Query)) Query { q := usual; f(&q); return q }
 	keyed := func(ago time.Duration) Query {
-		return change(func(q *Query) { q.Effect, q.Sends, q.Doubt, q.Window, q.Ago = Keyed, 1, true, 12*time.Second, ago })
+		return change(func(q *Query) {
+			q.Idempotency, q.Attempts, q.MayHaveRun, q.DedupWindow, q.SinceFirstAttempt = IdempotentWithKey, 1, true, 12*time.Second, ago
+		})
 	}
 	near := func() *Peer { return peer(cfg, now, 40*ms, 10, 0.8) }
-	there := Choice{There, 0}
+	there := Choice{Remote, 0}
 	for name, tt := range map[string]struct {
 		q    Query
 		room float64
@@ -94,22 +96,22 @@
 	}{
 		"room here":              {usual, 0.5, near(), Choice{}},
 		"none here, much there":  {usual, 0.05, near(), there},
-		"turned away here":       {change(func(q *Query) { q.Turned = true }), 0.9, near(), there},
+		"turned away here":       {change(func(q *Query) { q.RejectedLocally = true }), 0.9, near(), there},
 		"none anywhere":          {usual, 0.05, peer(cfg, now, 40*ms, 10, 0.05), Choice{}},
 		"it takes no more":       {usual, 0.05, peer(cfg, now, 40*ms, 0, 0.8), Choice{}},
-		"it crossed already":     {change(func(q *Query) { q.Foreign = true }), 0.05, near(), Choice{}},
-		"not worth the crossing": {change(func(q *Query) { q.Worth = 0.4 }), 0.05, near(), Choice{}},
-		"too late for the way":   {change(func(q *Query) { q.Left = 50 * ms }), 0.05, near(), Choice{}},
+		"it crossed already":     {change(func(q *Query) { q.Forwarded = true }), 0.05, near(), Choice{}},
+		"not worth the crossing": {change(func(q *Query) { q.PriorityWeight = 0.4 }), 0.05, near(), Choice{}},
+		"too late for the way":   {change(func(q *Query) { q.Remaining = 50 * ms }), 0.05, near(), Choice{}},
 		"silent":                 {usual, 0.05, &Peer{}, Choice{}},
-		"tried often enough":     {change(func(q *Query) { q.Sends = 3 }), 0.05, near(), Choice{Where: Answer}},
-		"in doubt, may run once": {change(func(q *Query) { q.Sends, q.Doubt, q.Effect = 1, true, Unsafe }), 0.5, near(), Choice{Where: Answer}},
+		"tried often enough":     {change(func(q *Query) { q.Attempts = 3 }), 0.05, near(), Choice{Destination: Reject}},
+		"in doubt, may run once": {change(func(q *Query) { q.Attempts, q.MayHaveRun, q.Idempotency = 1, true, NotIdempotent }), 0.5, near(), Choice{Destination: Reject}},
 		"in doubt, keyed":        {keyed(time.Second), 0.05, near(), there},
 		"window ends on the way": {keyed(11940 * ms), 0.05, near(), Choice{}},
-		"window over":            {keyed(11960 * ms), 0.5, near(), Choice{Where: Answer}},
+		"window over":            {keyed(11960 * ms), 0.5, near(), Choice{Destination: Reject}},
 		"its key holds there only": {change(func(q *Query) {
-			q.Effect, q.Sends, q.Doubt, q.Window, q.ThereOnly = Keyed, 1, true, 12*time.Second, true
-		}), 0.5, near(), Choice{Where: Answer}},
-		"never sent, may run once": {change(func(q *Query) { q.Effect = Unsafe }), 0.05, near(), there},
+			q.Idempotency, q.Attempts, q.MayHaveRun, q.DedupWindow, q.DedupNotShared = IdempotentWithKey, 1, true, 12*time.Second, true
+		}), 0.5, near(), Choice{Destination: Reject}},
+		"never sent, may run once": {change(func(q *Query) { q.Idempotency = NotIdempotent }), 0.05, near(), there},
 	} {
 		var c Chooser
 		if got := c.Choose(cfg, now, &tt.q, tt.room, []*Peer{tt.peer}); got != tt.want {
@@ -117,21 +119,21 @@
 		}
 	}
 	var c Chooser
-	if got := c.Choose(cfg, now, &usual, 0, []*Peer{peer(cfg, now, 300*ms, 10, 0.8), near()}); got != (Choice{There, 1}) {
+	if got := c.Choose(cfg, now, &usual, 0, []*Peer{peer(cfg, now, 300*ms, 10, 0.8), near()}); got != (Choice{Remote, 1}) {
 		t.Errorf("of two as empty the nearer: %+v", got)
 	}
 	liar := near()
 	for range 20 {
-		liar.Did(now, false)
+		liar.RecordOutcome(now, false)
 	}
-	if got := c.Choose(cfg, now, &usual, 0, []*Peer{liar}); got.Where != Here {
+	if got := c.Choose(cfg, now, &usual, 0, []*Peer{liar}); got.Destination != Local {
 		t.Errorf("to one that turned all away: %+v", got)
 	}
 	if later := now + 20*time.Second; liar.Distrust(later) > 0.1 {
 		t.Errorf("distrust is %g after 20 s", liar.Distrust(later))
 	}
 	stale := near()
-	if got := c.Choose(cfg, now+cfg.StaleAfter, &usual, 0, []*Peer{stale}); got.Where != Here {
+	if got := c.Choose(cfg, now+cfg.DigestMaxAge, &usual, 0, []*Peer{stale}); got.Destination != Local {
 		t.Errorf("on stale word: %+v", got)
 	}
 }
@@ -142,18 +144,18 @@
 	cfg, now := Defaults(), time.Hour
 	var c Chooser
 	p := peer(cfg, now, 40*ms, 1000, 0.9)
-	var got []Where
+	var got []Destination
 	for _, room := range []float64{0.2, 0.05, 0.2, 0.29, 0.35, 0.2, 0.12} {
-		q := Query{Class: "lookup", Effect: Safe, Work: 0.2, Worth: 1, Left: time.Second}
-		got = append(got, c.Choose(cfg, now, &q, room, []*Peer{p}).Where)
+		q := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: time.Second}
+		got = append(got, c.Choose(cfg, now, &q, room, []*Peer{p}).Destination)
 	}
-	if diff := cmp.Diff([]Where{Here, There, There, There, Here, Here, Here}, got); diff != "" {
+	if diff := cmp.Diff([]Destination{Local, Remote, Remote, Remote, Local, Local, Local}, got); diff != "" {
 		t.Error(diff)
 	}
 	full, empty := peer(cfg, now, 40*ms, 1000, 0.80), peer(cfg, now, 40*ms, 1000, 0.85)
-	q := Query{Class: "lookup", Effect: Safe, Work: 0.2, Worth: 1, Left: time.Second, Group: 7}
+	q := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: time.Second, TableGroup: 7}
 	c.warm.ran(now, 7, 0)
-	if got := c.Choose(cfg, now, &q, 0, []*Peer{full, empty}); got != (Choice{There, 0}) {
+	if got := c.Choose(cfg, now, &q, 0, []*Peer{full, empty}); got != (Choice{Remote, 0}) {
 		t.Errorf("a group that is warm at the first went %+v", got)
 	}
 	for g := range int64(3 * warmMost) {
@@ -173,23 +175,23 @@
 		gap     time.Duration
 	}{
 		"word by word": {func(*Peer, time.Duration) {}, 400 * ms},
-		"drains":       {func(p *Peer, now time.Duration) { p.Told(cfg, now, Digest{Drains: true}) }, 400 * ms},
-		"leaves":       {func(p *Peer, _ time.Duration) { p.Leaves() }, 400 * ms},
-		"silent":       {func(*Peer, time.Duration) {}, cfg.SilentAfter},
+		"drains":       {func(p *Peer, now time.Duration) { p.RecordDigest(cfg, now, Digest{Draining: true}) }, 400 * ms},
+		"leaves":       {func(p *Peer, _ time.Duration) { p.RecordDeparture() }, 400 * ms},
+		"silent":       {func(*Peer, time.Duration) {}, cfg.UnreachableAfter},
 	} {
 		now := time.Hour
 		p := peer(cfg, now, 40*ms, 0.25, 0.9)
 		var c Chooser
-		var got []Where
+		var got []Destination
 		for range 2 {
-			q := Query{Class: "lookup", Effect: Safe, Work: 2, Worth: 1, Left: 3 * time.Second}
-			got = append(got, c.Choose(cfg, now, &q, 0, []*Peer{p}).Where)
+			q := Query{Class: "lookup", Idempotency: Idempotent, Work: 2, PriorityWeight: 1, Remaining: 3 * time.Second}
+			got = append(got, c.Choose(cfg, now, &q, 0, []*Peer{p}).Destination)
 			tt.between(p, now)
 			now += tt.gap
-			p.Heard(cfg, now, 40*ms)
-			p.Told(cfg, now, Digest{Room: map[string]float64{"lookup": 0.9}, Takes: 0.25})
+			p.RecordReply(cfg, now, 40*ms)
+			p.RecordDigest(cfg, now, Digest{FreeCapacity: map[string]float64{"lookup": 0.9}, AcceptableWork: 0.25})
 		}
-		if diff := cmp.Diff([]Where{There, Here}, got); diff != "" {
+		if diff := cmp.Diff([]Destination{Remote, Local}, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
 	}
@@ -210,42 +212,42 @@
 			i := rapid.IntRange(0, 1).Draw(t, "site")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				peers[i].Linked(rapid.IntRange(0, 9).Draw(t, "linked") > 0)
-				peers[i].Heard(cfg, now, time.Duration(rapid.IntRange(0, 900).Draw(t, "rtt"))*ms)
+				peers[i].SetConnected(rapid.IntRange(0, 9).Draw(t, "linked") > 0)
+				peers[i].RecordReply(cfg, now, time.Duration(rapid.IntRange(0, 900).Draw(t, "rtt"))*ms)
 			case 1, 2, 3:
-				d := Digest{Room: map[string]float64{"lookup": rapid.Float64Range(-1, 2).Draw(t, "room there")}, Takes: rapid.Float64Range(-1, 5).Draw(t, "takes"),
-					Drains: rapid.IntRange(0, 9).Draw(t, "drains") == 0}
-				peers[i].Told(cfg, now, d)
-				takes[i] += max(d.Takes, 0)
+				d := Digest{FreeCapacity: map[string]float64{"lookup": rapid.Float64Range(-1, 2).Draw(t, "room there")}, AcceptableWork: rapid.Float64Range(-1, 5).Draw(t, "takes"),
+					Draining: rapid.IntRange(0, 9).Draw(t, "drains") == 0}
+				peers[i].RecordDigest(cfg, now, d)
+				takes[i] += max(d.AcceptableWork, 0)
 			case 4:
 				if rapid.IntRange(0, 5).Draw(t, "end") == 0 {
-					peers[i].Leaves()
+					peers[i].RecordDeparture()
 				}
-				peers[i].Did(now, rapid.Bool().Draw(t, "well"))
+				peers[i].RecordOutcome(now, rapid.Bool().Draw(t, "well"))
 			default:
-				q := Query{Class: "lookup", Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Work: rapid.Float64Range(0.01, 2).Draw(t, "work"), Worth: 1,
-					Left: time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * ms, Foreign: rapid.Bool().Draw(t, "crossed"), Sends: rapid.IntRange(0, 4).Draw(t, "sends"),
-					Doubt: rapid.Bool().Draw(t, "doubt"), Ago: time.Duration(rapid.IntRange(0, 14000).Draw(t, "ago")) * ms, Window: 12 * time.Second,
-					ThereOnly: rapid.Bool().Draw(t, "there only"), Turned: rapid.Bool().Draw(t, "turned")}
+				q := Query{Class: "lookup", Idempotency: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Work: rapid.Float64Range(0.01, 2).Draw(t, "work"), PriorityWeight: 1,
+					Remaining: time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * ms, Forwarded: rapid.Bool().Draw(t, "crossed"), Attempts: rapid.IntRange(0, 4).Draw(t, "sends"),
+					MayHaveRun: rapid.Bool().Draw(t, "doubt"), SinceFirstAttempt: time.Duration(rapid.IntRange(0, 14000).Draw(t, "ago")) * ms, DedupWindow: 12 * time.Second,
+					DedupNotShared: rapid.Bool().Draw(t, "there only"), RejectedLocally: rapid.Bool().Draw(t, "turned")}
 				choice := c.Choose(cfg, now, &q, rapid.Float64Range(0, 1).Draw(t, "room"), peers)
-				if choice.Where == Answer {
+				if choice.Destination == Reject {
 					break
 				}
-				if q.Sends >= cfg.Tries || q.Doubt && (q.Effect == Unsafe || q.Effect == Keyed && (q.ThereOnly || q.Ago >= q.Window)) {
+				if q.Attempts >= cfg.MaxAttempts || q.MayHaveRun && (q.Idempotency == NotIdempotent || q.Idempotency == IdempotentWithKey && (q.DedupNotShared || q.SinceFirstAttempt >= q.DedupWindow)) {
 					t.Fatalf("%+v goes out again: %+v", q, choice)
 				}
-				if n := Grant(cfg, &q); n < 1 || n+q.Sends > cfg.Tries {
+				if n := AttemptGrant(cfg, &q); n < 1 || n+q.Attempts > cfg.MaxAttempts {
 					t.Fatalf("%+v: the other site may send it %d times", q, n)
 				}
-				if choice.Where != There {
+				if choice.Destination != Remote {
 					break
 				}
 				p := peers[choice.Peer]
-				if s := p.State(cfg, now); q.Foreign || s == Silent || s == Draining || s == Gone {
+				if s := p.State(cfg, now); q.Forwarded || s == Unreachable || s == Draining || s == Departed {
 					t.Fatalf("%+v crosses to a site that is %v", q, s)
 				}
-				if left, ok := Left(cfg, q.Left, p.Way()); !ok || left > q.Left {
-					t.Fatalf("%v is left of %v", left, q.Left)
+				if left, ok := RemainingAfter(cfg, q.Remaining, p.OneWayDelay()); !ok || left > q.Remaining {
+					t.Fatalf("%v is left of %v", left, q.Remaining)
 				}
 				largest = max(largest, q.Work)
 				if sent[choice.Peer] += q.Work; sent[choice.Peer] > takes[choice.Peer]+largest+1e-9 {
@@ -261,22 +263,22 @@
 	cfg := Defaults()
 	for name, tt := range map[string]struct {
 		q    Query
-		end  End
-		want Next
+		end  Failure
+		want NextStep
 	}{
-		"read, in doubt":              {Query{Effect: Safe, Sends: 1}, InDoubt, RunHere},
-		"read, tried enough":          {Query{Effect: Safe, Sends: 3}, InDoubt, AnswerRefuse},
-		"write, in doubt":             {Query{Effect: Unsafe, Sends: 1}, InDoubt, AnswerDoubt},
-		"write, never ran":            {Query{Effect: Unsafe}, Never, RunHere},
-		"never ran, no room here":     {Query{Effect: Safe, Turned: true}, Never, AnswerRefuse},
-		"in doubt, no room here":      {Query{Effect: Safe, Turned: true, Sends: 1}, InDoubt, RunHere},
-		"load, in doubt":              {Query{Effect: Keyed, Sends: 1, Ago: time.Second, Window: 12 * time.Second}, InDoubt, RunHere},
-		"load, 11 s":                  {Query{Effect: Keyed, Sends: 1, Ago: 11 * time.Second, Window: 12 * time.Second}, InDoubt, RunHere},
-		"load, 13 s":                  {Query{Effect: Keyed, Sends: 1, Ago: 13 * time.Second, Window: 12 * time.Second}, InDoubt, AnswerDoubt},
-		"load, other engines' key":    {Query{Effect: Keyed, Sends: 1, Ago: time.Second, Window: 12 * time.Second, ThereOnly: true}, InDoubt, AnswerDoubt},
-		"load, never ran, its window": {Query{Effect: Keyed, Ago: time.Hour, Window: 12 * time.Second}, Never, RunHere},
+		"read, in doubt":              {Query{Idempotency: Idempotent, Attempts: 1}, InDoubt, RunLocally},
+		"read, tried enough":          {Query{Idempotency: Idempotent, Attempts: 3}, InDoubt, ReportRejected},
+		"write, in doubt":             {Query{Idempotency: NotIdempotent, Attempts: 1}, InDoubt, ReportInDoubt},
+		"write, never ran":            {Query{Idempotency: NotIdempotent}, NeverRan, RunLocally},
+		"never ran, no room here":     {Query{Idempotency: Idempotent, RejectedLocally: true}, NeverRan, ReportRejected},
+		"in doubt, no room here":      {Query{Idempotency: Idempotent, RejectedLocally: true, Attempts: 1}, InDoubt, RunLocally},
+		"load, in doubt":              {Query{Idempotency: IdempotentWithKey, Attempts: 1, SinceFirstAttempt: time.Second, DedupWindow: 12 * time.Second}, InDoubt, RunLocally},
+		"load, 11 s":                  {Query{Idempotency: IdempotentWithKey, Attempts: 1, SinceFirstAttempt: 11 * time.Second, DedupWindow: 12 * time.Second}, InDoubt, RunLocally},
+		"load, 13 s":                  {Query{Idempotency: IdempotentWithKey, Attempts: 1, SinceFirstAttempt: 13 * time.Second, DedupWindow: 12 * time.Second}, InDoubt, ReportInDoubt},
+		"load, other engines' key":    {Query{Idempotency: IdempotentWithKey, Attempts: 1, SinceFirstAttempt: time.Second, DedupWindow: 12 * time.Second, DedupNotShared: true}, InDoubt, ReportInDoubt},
+		"load, never ran, its window": {Query{Idempotency: IdempotentWithKey, SinceFirstAttempt: time.Hour, DedupWindow: 12 * time.Second}, NeverRan, RunLocally},
 	} {
-		if got := After(cfg, &tt.q, tt.end); got != tt.want {
+		if got := AfterFailure(cfg, &tt.q, tt.end); got != tt.want {
 			t.Errorf("%s: %d, want %d", name, got, tt.want)
 		}
 	}
@@ -286,53 +288,53 @@
 // what is cold; and what it offers is divided, never multiplied.
 func TestMeter(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
-	m := NewMeter(cfg, 2)
-	if r := m.Room(now, "lookup"); r != 0 {
+	m := NewCapacityMeter(cfg, 2)
+	if r := m.FreeCapacity(now, "lookup"); r != 0 {
 		t.Errorf("without an engine it has room for %g", r)
 	}
-	m.Engine("a", Station{Cores: 8, Live: true})
-	m.Engine("b", Station{Cores: 8, Live: true, ColdUntil: now + 10*time.Second, ColdFor: 10 * time.Second, ColdStart: 0.25})
-	if c := m.Capacity(now); c != 10 {
+	m.UpdateEngine("a", Engine{Cores: 8, Live: true})
+	m.UpdateEngine("b", Engine{Cores: 8, Live: true, WarmUpUntil: now + 10*time.Second, WarmUpPeriod: 10 * time.Second, WarmUpMinCapacity: 0.25})
+	if c := m.AvailableCores(now); c != 10 {
 		t.Errorf("with one of two engines cold it has %g cores", c)
 	}
-	if m.Accept(now, &Query{Class: "lookup", Work: 2, Left: time.Second}) || !m.Accept(now, &Query{Class: "lookup", Work: 0.5, Left: time.Second}) {
+	if m.Accepts(now, &Query{Class: "lookup", Work: 2, Remaining: time.Second}) || !m.Accepts(now, &Query{Class: "lookup", Work: 0.5, Remaining: time.Second}) {
 		t.Error("of other sites' work a cold site takes small pieces only")
 	}
 	now += 10 * time.Second
-	m.Sent(8)
-	if r := m.Room(now, "lookup"); r != 0.5 {
+	m.AttemptStarted(8)
+	if r := m.FreeCapacity(now, "lookup"); r != 0.5 {
 		t.Errorf("with 8 of 32 threads out of each of two gateways there is room for %g", r)
 	}
 	for range 10 {
-		m.Came(now, "lookup")
+		m.RecordArrival(now, "lookup")
 	}
-	m.Turned(now, "lookup")
-	if r := m.Room(now, "lookup"); r != 0.4 || m.Room(now, "report") != 0.5 {
+	m.RecordRejection(now, "lookup")
+	if r := m.FreeCapacity(now, "lookup"); r != 0.4 || m.FreeCapacity(now, "report") != 0.5 {
 		t.Errorf("with a tenth turned away there is room for %g", r)
 	}
-	m.Reported(now, 1)
+	m.RecordUtilization(now, 1)
 	for range 60 {
-		m.Reported(now, 1)
+		m.RecordUtilization(now, 1)
 	}
-	if r := m.Room(now, "report"); r > 0.51 || r < 0.49 {
+	if r := m.FreeCapacity(now, "report"); r > 0.51 || r < 0.49 {
 		t.Errorf("with all cores in use there is room for %g", r)
 	}
 	for range 20 {
-		m.Took("lookup", 300*ms, 0.2)
+		m.RecordLatency("lookup", 300*ms, 0.2)
 	}
-	if m.Accept(now, &Query{Class: "lookup", Work: 0.2, Left: 150 * ms}) || !m.Accept(now, &Query{Class: "lookup", Work: 0.2, Left: 400 * ms}) ||
-		m.Accept(now, &Query{Class: "lookup", Work: 2, Left: 400 * ms}) {
+	if m.Accepts(now, &Query{Class: "lookup", Work: 0.2, Remaining: 150 * ms}) || !m.Accepts(now, &Query{Class: "lookup", Work: 0.2, Remaining: 400 * ms}) ||
+		m.Accepts(now, &Query{Class: "lookup", Work: 2, Remaining: 400 * ms}) {
 		t.Error("what can't be in time is refused at once, and only that")
 	}
-	m.Engine("a", Station{})
-	m.Engine("b", Station{})
-	if d := m.Digest(now, []string{"lookup"}); d.Takes != 0 || d.Room["lookup"] != 0 {
+	m.UpdateEngine("a", Engine{})
+	m.UpdateEngine("b", Engine{})
+	if d := m.Digest(now, []string{"lookup"}); d.AcceptableWork != 0 || d.FreeCapacity["lookup"] != 0 {
 		t.Errorf("without engines it says %+v", d)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		takes := rapid.Float64Range(-1, 100).Draw(t, "takes")
 		sum := 0.0
-		for _, p := range Divide(takes, rapid.SliceOf(rapid.Float64Range(-1, 50)).Draw(t, "asked")) {
+		for _, p := range DivideWork(takes, rapid.SliceOf(rapid.Float64Range(-1, 50)).Draw(t, "asked")) {
 			if sum += p; p < 0 {
 				t.Fatal("a part below 0")
 			}
@@ -346,20 +348,20 @@
 // Hedges are of safe queries, late, where there is room, and within their budget.
 func TestHedge(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
-	var h Hedge
-	if _, ok := h.When("lookup"); ok {
+	var h Hedger
+	if _, ok := h.Delay("lookup"); ok {
 		t.Error("nothing is known yet")
 	}
 	for range 30 {
-		h.Took("lookup", 200*ms)
-		h.Crossed(now)
+		h.RecordLatency("lookup", 200*ms)
+		h.RecordForward(now)
 	}
-	if d, ok := h.When("lookup"); !ok || d < 200*ms || d > 500*ms {
+	if d, ok := h.Delay("lookup"); !ok || d < 200*ms || d > 500*ms {
 		t.Errorf("late after %v", d)
 	}
 	n := 0
 	for range 20 {
-		if h.May(cfg, now, &Query{Effect: Safe, Sends: 1}, 0.5) {
+		if h.Allow(cfg, now, &Query{Idempotency: Idempotent, Attempts: 1}, 0.5) {
 			n++
 		}
 	}
@@ -367,12 +369,12 @@
 		t.Errorf("%d hedges for 30 crossings", n)
 	}
 	now += 10 * time.Minute
-	for _, q := range []*Query{{Effect: Keyed}, {Effect: Unsafe}, {Effect: Safe, Sends: 3}} {
-		if h.May(cfg, now, q, 0.5) {
+	for _, q := range []*Query{{Idempotency: IdempotentWithKey}, {Idempotency: NotIdempotent}, {Idempotency: Idempotent, Attempts: 3}} {
+		if h.Allow(cfg, now, q, 0.5) {
 			t.Errorf("%+v is hedged", q)
 		}
 	}
-	if h.May(cfg, now, &Query{Effect: Safe}, 0.01) || !h.May(cfg, now, &Query{Effect: Safe}, 0.5) {
+	if h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01) || !h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5) {
 		t.Error("a hedge wants room here")
 	}
 }
@@ -380,33 +382,33 @@
 // The earliest send of a key counts, whoever tells of it, and what is remembered is bounded.
 func TestKeys(t *testing.T) {
 	now := time.Hour
-	k := NewKeys(time.Minute, 3)
-	k.Sent(now, "a", now, false)
-	k.Sent(now, "a", now-2*time.Second, true)
-	if k.Sent(now, "a", now, false) {
+	k := NewKeyHistory(time.Minute, 3)
+	k.Record(now, "a", now, false)
+	k.Record(now, "a", now-2*time.Second, true)
+	if k.Record(now, "a", now, false) {
 		t.Error("a later send is news")
 	}
-	if at, elsewhere, ok := k.First(now, "a"); !ok || at != now-2*time.Second || !elsewhere {
+	if at, elsewhere, ok := k.FirstSend(now, "a"); !ok || at != now-2*time.Second || !elsewhere {
 		t.Error(at, elsewhere, ok)
 	}
-	k.Never("a", now)
-	if _, _, ok := k.First(now, "a"); !ok {
+	k.Retract("a", now)
+	if _, _, ok := k.FirstSend(now, "a"); !ok {
 		t.Error("a send that never ran took another one back")
 	}
-	k.Never("a", now-2*time.Second)
-	if _, _, ok := k.First(now, "a"); ok {
+	k.Retract("a", now-2*time.Second)
+	if _, _, ok := k.FirstSend(now, "a"); ok {
 		t.Error("it never ran")
 	}
-	if k.Sent(now, "old", now-time.Hour, true) || k.Sent(now, "", now, true) {
+	if k.Record(now, "old", now-time.Hour, true) || k.Record(now, "", now, true) {
 		t.Error("what is past or no key is news")
 	}
 	for _, key := range []string{"b", "c", "d", "e"} {
-		k.Sent(now, key, now, false)
+		k.Record(now, key, now, false)
 	}
-	if _, _, ok := k.First(now, "b"); ok || k.Len() != 3 {
+	if _, _, ok := k.FirstSend(now, "b"); ok || k.Len() != 3 {
 		t.Errorf("%d keys", k.Len())
 	}
-	if _, _, ok := k.First(now+time.Minute, "e"); ok {
+	if _, _, ok := k.FirstSend(now+time.Minute, "e"); ok {
 		t.Error("remembered past its time")
 	}
 }
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -82,10 +82,10 @@
 	cores    map[string]float64
 	peers    []*peer
 	views    []*decide.Peer // of peers, in the same order
-	meter    *decide.Meter
+	meter    *decide.CapacityMeter
 	chooser  decide.Chooser
-	hedge    decide.Hedge
-	keys     *decide.Keys
+	hedge    decide.Hedger
+	keys     *decide.KeyHistory
 	fresh    []message.Key // not told yet; Ago is when, µs of the clock
 	packer   Packer
 	away     map[*core.Request]*crossed
@@ -118,7 +118,7 @@
 	s := &Service{
 		core: c, clock: c, timers: timers, opts: opts, cfg: opts.Config, stats: counters, log: log,
 		classes: map[string]policy.Class{}, cores: map[string]float64{}, away: map[*core.Request]*crossed{},
-		meter: decide.NewMeter(opts.Config, opts.Settings.Gateways), keys: decide.NewKeys(keysFor, keysMost),
+		meter: decide.NewCapacityMeter(opts.Config, opts.Settings.Gateways), keys: decide.NewKeyHistory(keysFor, keysMost),
 	}
 	for _, class := range opts.Settings.Classes {
 		s.classes[class.Name] = class
@@ -163,11 +163,11 @@
 	if cores <= 0 {
 		cores = 1
 	}
-	st := decide.Station{Cores: cores, Live: e.State == policy.EngineLive}
+	st := decide.Engine{Cores: cores, Live: e.State == policy.EngineLive}
 	if rules := s.opts.Settings.Rules; e.Fresh {
-		st.ColdUntil, st.ColdFor, st.ColdStart = e.Started+rules.ColdFor, rules.ColdFor, rules.ColdStart
+		st.WarmUpUntil, st.WarmUpPeriod, st.WarmUpMinCapacity = e.Started+rules.ColdFor, rules.ColdFor, rules.ColdStart
 	}
-	s.meter.Engine(e.ID, st)
+	s.meter.UpdateEngine(e.ID, st)
 }
 
 func (s *Service) threads(class string) float64 { return max(s.classes[class].Threads, 1) }
@@ -175,8 +175,8 @@
 // Sending counts an attempt at an engine of this site, and remembers the key that it has.
 func (s *Service) Sending(a *core.Attempt) {
 	r := a.Request
-	s.meter.Sent(s.threads(r.Class))
-	if r.Token != "" && s.keys.Sent(a.Sent, r.Token, a.Sent, false) && len(s.peers) > 0 {
+	s.meter.AttemptStarted(s.threads(r.Class))
+	if r.Token != "" && s.keys.Record(a.Sent, r.Token, a.Sent, false) && len(s.peers) > 0 {
 		s.fresh = append(s.fresh, message.Key{Key: r.Token, Ago: int64(a.Sent / time.Microsecond)})
 	}
 }
@@ -184,20 +184,20 @@
 // Ended takes the end of one.
 func (s *Service) Ended(a *core.Attempt, end core.End, rep core.Report) {
 	r := a.Request
-	s.meter.Ended(s.threads(r.Class))
+	s.meter.AttemptEnded(s.threads(r.Class))
 	now := s.clock.Now()
 	if end == core.EndServed {
 		work := rep.Work
 		if work <= 0 {
 			work = r.Work
 		}
-		s.meter.Took(r.Class, now-a.Sent, work.Seconds())
+		s.meter.RecordLatency(r.Class, now-a.Sent, work.Seconds())
 	}
 	if rep.Load.Told {
-		s.meter.Reported(now, rep.Load.Busy)
+		s.meter.RecordUtilization(now, rep.Load.Busy)
 	}
 	if a.NeverRan() && r.Token != "" && !r.Ran() {
-		s.keys.Never(r.Token, a.Sent)
+		s.keys.Retract(r.Token, a.Sent)
 	}
 }
 
@@ -205,17 +205,17 @@
 func (s *Service) query(r *core.Request, turned bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
-		Class: r.Class, Effect: decide.Effect(class.Effect), Work: r.Work.Seconds(), Worth: class.Worth, Group: r.Set, Left: r.Deadline - now,
-		Foreign: r.Foreign, Turned: turned, Sends: r.Sends(), Window: class.Window,
-		ThereOnly: class.Effect == policy.Keyed && (class.Group != policy.GroupAll || !s.cfg.KeysShared),
+		Class: r.Class, Idempotency: decide.Idempotency(class.Effect), Work: r.Work.Seconds(), PriorityWeight: class.Worth, TableGroup: r.Set, Remaining: r.Deadline - now,
+		Forwarded: r.Foreign, RejectedLocally: turned, Attempts: r.Sends(), DedupWindow: class.Window,
+		DedupNotShared: class.Effect == policy.Keyed && (class.Group != policy.GroupAll || !s.cfg.SharedDedup),
 	}
 	if q.Work <= 0 {
-		if q.Work = s.meter.Usual(r.Class); q.Work <= 0 {
+		if q.Work = s.meter.TypicalWork(r.Class); q.Work <= 0 {
 			q.Work = class.Aim.Seconds() / 3 * max(class.Threads, 1)
 		}
 	}
 	if first := r.FirstSent(); first > 0 {
-		q.Doubt, q.Ago = true, now-first
+		q.MayHaveRun, q.SinceFirstAttempt = true, now-first
 	}
 	return q
 }
@@ -224,11 +224,11 @@
 func (s *Service) Cross(r *core.Request, turned bool) bool {
 	now := s.clock.Now()
 	if turned {
-		s.meter.Turned(now, r.Class)
+		s.meter.RecordRejection(now, r.Class)
 	} else {
-		s.meter.Came(now, r.Class)
+		s.meter.RecordArrival(now, r.Class)
 		if r.MostSends == 0 {
-			r.MostSends = s.cfg.Tries
+			r.MostSends = s.cfg.MaxAttempts
 		}
 		if s.tooLate(r) {
 			return true
@@ -244,8 +244,8 @@
 			return s.chooser.Choose(s.cfg, now, q, room, peers)
 		}
 	}
-	choice := choose(now, &q, s.meter.RoomFor(now, &q), s.views)
-	return choice.Where == decide.There && s.send(r, &q, s.peers[choice.Peer])
+	choice := choose(now, &q, s.meter.FreeCapacityFor(now, &q), s.views)
+	return choice.Destination == decide.Remote && s.send(r, &q, s.peers[choice.Peer])
 }
 
 // tooLate settles a request whose key may have run, once its window is over, or where no engine
@@ -255,7 +255,7 @@
 	if r.Token == "" {
 		return false
 	}
-	first, elsewhere, known := s.keys.First(s.clock.Now(), r.Token)
+	first, elsewhere, known := s.keys.FirstSend(s.clock.Now(), r.Token)
 	if known {
 		s.core.Crossed(r, first)
 	}
@@ -263,9 +263,9 @@
 		return false
 	}
 	q := s.query(r, false)
-	q.Sends = 0
-	q.ThereOnly = q.ThereOnly && elsewhere
-	if decide.Again(s.cfg, &q, 0) {
+	q.Attempts = 0
+	q.DedupNotShared = q.DedupNotShared && elsewhere
+	if decide.MayAttempt(s.cfg, &q, 0) {
 		return false
 	}
 	s.stats.Add("site.key-over")
@@ -284,7 +284,7 @@
 	found := false
 	for _, p := range s.peers {
 		if !p.off && (p.name.Site == site || p.name.String() == site) {
-			p.Shut(!off)
+			p.SetDrained(!off)
 			found = true
 		}
 	}
@@ -326,12 +326,12 @@
 // tick sees silences, tells of keys, and says now and then how much room there is.
 func (s *Service) tick() {
 	now := s.clock.Now()
-	s.timers.Add(now+s.cfg.WordEvery/ticksAWord, s.tick)
+	s.timers.Add(now+s.cfg.DigestInterval/ticksAWord, s.tick)
 	for _, p := range s.peers {
 		s.watch(p, now)
 		for _, l := range slices.Clone(p.links) {
 			switch {
-			case p.Age(now) > redialAfter*s.cfg.SilentAfter && now-l.since > redialAfter*s.cfg.SilentAfter:
+			case p.SinceReply(now) > redialAfter*s.cfg.UnreachableAfter && now-l.since > redialAfter*s.cfg.UnreachableAfter:
 				l.t.Close(ErrSilent)
 			case l.done(now):
 				l.t.Close(nil)
@@ -355,12 +355,12 @@
 
 // watch takes back what is at a peer that has fallen silent.
 func (s *Service) watch(p *peer, now time.Duration) {
-	c, changed := p.Watch(s.cfg, now)
+	c, changed := p.StateChange(s.cfg, now)
 	if !changed {
 		return
 	}
-	s.event(Event{At: now, Peer: p.name, From: c.From.String(), To: c.To.String(), Why: c.Why})
-	if c.To == decide.Silent {
+	s.event(Event{At: now, Peer: p.name, From: c.From.String(), To: c.To.String(), Why: c.Reason})
+	if c.To == decide.Unreachable {
 		for _, l := range slices.Clone(p.links) {
 			l.takeBack("silent")
 		}
@@ -394,11 +394,11 @@
 	}
 	s.words++
 	d := s.meter.Digest(now, s.names)
-	for i, takes := range decide.Divide(d.Takes, asked) {
+	for i, takes := range decide.DivideWork(d.AcceptableWork, asked) {
 		if s.draining {
 			takes = 0
 		}
-		to[i].digest(s.words, message.Digest{Room: d.Room, Takes: takes, Drains: s.draining})
+		to[i].digest(s.words, message.Digest{Room: d.FreeCapacity, Takes: takes, Drains: s.draining})
 		to[i].ping(now)
 	}
 }
@@ -472,9 +472,9 @@
 // Overview tells how the sites stand.
 func (s *Service) Overview() Overview {
 	now := s.clock.Now()
-	o := Overview{Name: s.opts.Name.String(), Draining: s.draining, Room: map[string]float64{}, Cores: s.meter.Capacity(now)}
+	o := Overview{Name: s.opts.Name.String(), Draining: s.draining, Room: map[string]float64{}, Cores: s.meter.AvailableCores(now)}
 	for _, name := range s.names {
-		o.Room[name] = s.meter.Room(now, name)
+		o.Room[name] = s.meter.FreeCapacity(now, name)
 	}
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	for _, p := range s.peers {
@@ -482,7 +482,7 @@
 			continue
 		}
 		st := Status{
-			Peer: p.name.String(), State: p.State(s.cfg, now).String(), Drained: p.IsShut(), HeardMS: ms(p.Age(now)), RTTMS: ms(p.RTT()),
+			Peer: p.name.String(), State: p.State(s.cfg, now).String(), Drained: p.IsDrained(), HeardMS: ms(p.SinceReply(now)), RTTMS: ms(p.RTT()),
 			Links: len(p.links), Room: map[string]float64{}, Credit: p.Credit(), Distrust: p.Distrust(now),
 		}
 		for _, l := range p.links {
@@ -490,7 +490,7 @@
 			st.Theirs += len(l.theirs)
 		}
 		for _, name := range s.names {
-			st.Room[name] = p.Room(name)
+			st.Room[name] = p.FreeCapacity(name)
 		}
 		o.Peers = append(o.Peers, st)
 	}
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -145,8 +145,8 @@
 	}
 	l.closed = true
 	l.peer.links = slices.DeleteFunc(l.peer.links, func(o *Link) bool { return o == l })
-	if l.peer.Linked(len(l.peer.links) > 0); l.theyLeft > 0 && len(l.peer.links) == 0 {
-		l.peer.Leaves()
+	if l.peer.SetConnected(len(l.peer.links) > 0); l.theyLeft > 0 && len(l.peer.links) == 0 {
+		l.peer.RecordDeparture()
 	}
 	l.takeBack("broken")
 	for _, id := range sorted(l.theirs) {
@@ -185,7 +185,7 @@
 		return fmt.Errorf("%w: it speaks %s, and this side %s", ErrPeer, g.Form, form)
 	}
 	l.greeted, l.packs = true, g.Zstd && l.s.packer.enc != nil
-	l.peer.Linked(true)
+	l.peer.SetConnected(true)
 	l.s.log.Info("site.linked", "peer", l.peer.name.String(), "start", g.Start)
 	if l.s.leaving {
 		l.leave()
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (l *Link) heard(rtt time.Duration) { l.peer.Heard(l.s.cfg, l.s.clock.Now(), rtt) }
+func (l *Link) heard(rtt time.Duration) { l.peer.RecordReply(l.s.cfg, l.s.clock.Now(), rtt) }
 
 func (l *Link) ping(now time.Duration) {
 	l.pinged++
@@ -232,14 +232,14 @@
 
 // Digest takes what the peer says of itself.
 func (l *Link) Digest(d message.Digest) {
-	l.peer.Told(l.s.cfg, l.s.clock.Now(), decide.Digest{Room: d.Room, Takes: d.Takes, Drains: d.Drains})
+	l.peer.RecordDigest(l.s.cfg, l.s.clock.Now(), decide.Digest{FreeCapacity: d.Room, AcceptableWork: d.Takes, Draining: d.Drains})
 }
 
 // Keys takes that keys were sent to engines at the peer's site, the way here included.
 func (l *Link) Keys(k message.Keys) {
 	now := l.s.clock.Now()
 	for _, one := range k.Sent {
-		l.s.keys.Sent(now, one.Key, now-time.Duration(one.Ago)*time.Microsecond-l.peer.Way(), true)
+		l.s.keys.Record(now, one.Key, now-time.Duration(one.Ago)*time.Microsecond-l.peer.OneWayDelay(), true)
 	}
 }
 
@@ -254,7 +254,7 @@
 		return false
 	}
 	now := s.clock.Now()
-	left, ok := decide.Left(s.cfg, r.Deadline-now, p.Way())
+	left, ok := decide.RemainingAfter(s.cfg, r.Deadline-now, p.OneWayDelay())
 	statement, err := s.opts.Codec.Statement(r.Statement)
 	if !ok || err != nil || len(statement) == 0 || len(statement) > message.MostBody {
 		return false
@@ -262,10 +262,10 @@
 	class := s.classes[r.Class]
 	a := message.Ask{
 		ID: r.ID, Class: r.Class, Effect: uint8(class.Effect), Key: r.Token, Group: r.Set, Left: left.Microseconds(), Work: r.Work.Microseconds(),
-		MB: r.MemoryMB, Repeat: r.Repeat, Sends: min(decide.Grant(s.cfg, q), message.MostSends),
+		MB: r.MemoryMB, Repeat: r.Repeat, Sends: min(decide.AttemptGrant(s.cfg, q), message.MostSends),
 	}
-	if q.Doubt {
-		a.Before = q.Ago.Microseconds() + 1
+	if q.MayHaveRun {
+		a.Before = q.SinceFirstAttempt.Microseconds() + 1
 	}
 	if l.packs {
 		statement, a.Raw = s.packer.Pack(statement)
@@ -274,16 +274,16 @@
 	if err != nil || !ok {
 		return false
 	}
-	c := &crossed{r: r, link: l, stream: id, at: now, grant: a.Sends, turned: q.Turned, work: q.Work}
+	c := &crossed{r: r, link: l, stream: id, at: now, grant: a.Sends, turned: q.RejectedLocally, work: q.Work}
 	l.mine[id], s.away[r] = c, c
 	r.Spent += c.grant // given back where the answer says that it took fewer
 	if r.Token != "" {
-		s.keys.Sent(now, r.Token, now, true)
+		s.keys.Record(now, r.Token, now, true)
 	}
 	s.stats.Add("site.crossed." + r.Class)
-	s.hedge.Crossed(now)
+	s.hedge.RecordForward(now)
 	s.core.Away(r, r.Deadline-s.opts.Settings.Round)
-	if after, known := s.hedge.When(r.Class); known && class.Effect == policy.Safe && now+after < r.Deadline {
+	if after, known := s.hedge.Delay(r.Class); known && class.Effect == policy.Safe && now+after < r.Deadline {
 		s.timers.Add(now+after, func() { s.late(c) })
 	}
 	return true
@@ -296,7 +296,7 @@
 	}
 	now := s.clock.Now()
 	q := s.query(c.r, false)
-	if s.hedge.May(s.cfg, now, &q, s.meter.Room(now, c.r.Class)) {
+	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.r.Class)) {
 		s.stats.Add("site.hedged." + c.r.Class)
 		s.core.Here(c.r, true)
 	}
@@ -320,23 +320,23 @@
 }
 
 // end takes the end of a crossing that has brought no answer for the client.
-func (s *Service) end(c *crossed, end decide.End, a core.Answer, sends int) {
+func (s *Service) end(c *crossed, end decide.Failure, a core.Answer, sends int) {
 	now, r := s.clock.Now(), c.r
 	s.over(c)
 	c.link.mux.Cancel(c.stream) // one that was answered is no more
-	c.link.peer.Did(now, false)
-	if end == decide.Never {
+	c.link.peer.RecordOutcome(now, false)
+	if end == decide.NeverRan {
 		r.Spent -= c.grant - min(sends, c.grant)
-		s.keys.Never(r.Token, c.at)
+		s.keys.Retract(r.Token, c.at)
 	} else {
 		s.core.Crossed(r, c.at)
 	}
 	q := s.query(r, c.turned)
-	switch decide.After(s.cfg, &q, end) {
-	case decide.RunHere:
+	switch decide.AfterFailure(s.cfg, &q, end) {
+	case decide.RunLocally:
 		s.stats.Add("site.run-here." + r.Class)
 		s.core.Here(r, false)
-	case decide.AnswerRefuse:
+	case decide.ReportRejected:
 		s.core.Settled(r, core.Answer{Verdict: core.Refused, ComeBack: a.ComeBack})
 	default:
 		s.stats.Add("site.doubt." + r.Class)
@@ -371,7 +371,7 @@
 		s.core.Settled(c.r, answer)
 	case !a.Ran && (a.Verdict == 1 || !a.Detail):
 		s.stats.Add("site.turned-away-there." + c.r.Class)
-		s.end(c, decide.Never, answer, a.Sends)
+		s.end(c, decide.NeverRan, answer, a.Sends)
 	case a.Detail: // an engine's word on the statement: another would say the same
 		s.over(c)
 		if a.Ran {
@@ -386,8 +386,8 @@
 func (s *Service) served(c *crossed, now time.Duration, a message.Answer) {
 	s.over(c)
 	c.r.Spent -= c.grant - min(a.Sends, c.grant)
-	c.link.peer.Did(now, true)
-	s.hedge.Took(c.r.Class, now-c.at)
+	c.link.peer.RecordOutcome(now, true)
+	s.hedge.RecordLatency(c.r.Class, now-c.at)
 	s.stats.Add("site.served-there." + c.r.Class)
 }
 
@@ -422,11 +422,11 @@
 		Repeat: a.Repeat, Foreign: true, MostSends: a.Sends,
 	}
 	if a.Before > 0 {
-		r.Prior = max(now-us(a.Before-1)-l.peer.Way(), 1)
+		r.Prior = max(now-us(a.Before-1)-l.peer.OneWayDelay(), 1)
 	}
 	q := s.query(r, false)
 	l.peer.asked += q.Work
-	if s.opts.Choose == nil && !s.meter.Accept(now, &q) {
+	if s.opts.Choose == nil && !s.meter.Accepts(now, &q) {
 		refuse("no-room")
 		return
 	}
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -253,7 +253,7 @@
 
 // begin writes an execution down, and tells whether it is carried out.
 func (l *ledger) begin(w *World, r *running) bool {
-	if l.sends[r.mark]++; l.sends[r.mark] > l.tries[r.mark]*w.cfg().Tries {
+	if l.sends[r.mark]++; l.sends[r.mark] > l.tries[r.mark]*w.cfg().MaxAttempts {
 		w.res.fault("sent too often", r.mark, fmt.Sprintf("%d sends over all sites for %d tries of its client", l.sends[r.mark], l.tries[r.mark]))
 	}
 	kind := r.mark[0]
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -293,21 +293,21 @@
 	return func(now time.Duration, q *decide.Query, _ float64, peers []*decide.Peer) decide.Choice {
 		var all []int
 		for i, p := range peers {
-			if s := p.State(g.w.opts.Config, now); s == decide.Up || s == decide.Slow || s == decide.Cold {
+			if s := p.State(g.w.opts.Config, now); s == decide.Up || s == decide.Slow || s == decide.RampingUp {
 				all = append(all, i)
 			}
 		}
-		if !q.Turned || q.Foreign || len(all) == 0 || !decide.Again(g.w.cfg(), q, 0) {
+		if !q.RejectedLocally || q.Forwarded || len(all) == 0 || !decide.MayAttempt(g.w.cfg(), q, 0) {
 			return decide.Choice{}
 		}
-		return decide.Choice{Where: decide.There, Peer: pick(all, peers)}
+		return decide.Choice{Destination: decide.Remote, Peer: pick(all, peers)}
 	}
 }
 
 // cfg is what all gateways decide by.
 func (w *World) cfg() decide.Config {
 	cfg := w.opts.Config
-	cfg.Tries = max(w.opts.Site.Policy.Limits.Tries, 1)
+	cfg.MaxAttempts = max(w.opts.Site.Policy.Limits.Tries, 1)
 	return cfg
 }
 
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -110,7 +110,7 @@
 	}
 	n.Core.SetLinks(n)
 	cfg := decide.Defaults()
-	cfg.KeysShared, cfg.SilentAfter, cfg.WordEvery, cfg.ColdFor = true, 600*time.Millisecond, 50*time.Millisecond, 0
+	cfg.SharedDedup, cfg.UnreachableAfter, cfg.DigestInterval, cfg.RampDuration = true, 600*time.Millisecond, 50*time.Millisecond, 0
 	if n.Service, err = forwarding.New(n.Core, n.Loop.Timers, forwarding.Options{
 		Name: o.Name, Start: 1, Config: cfg, Settings: set, Codec: Texts{}, Pack: o.Pack, Held: o.Held,
 	}, n.Counters, log); err != nil {
