--- a/internal/decide/costmodel/heavy.go
+++ b/internal/decide/costmodel/heavy.go
@@ -6,7 +6,7 @@
 // value that is new costs a bounded time. Keys are seeded hashes: an outsider can't
 // choose which values meet in a set.
 type heavy struct {
-	Sets [heavySets][heavyWays]heavyKey
+	Sets [heavySets][heavyWays]heavyKey `cbor:"Sets"`
 }
 
 const (
@@ -17,11 +17,12 @@
 )
 
 type heavyKey struct {
-	Key    uint64
-	Count  uint32
-	Offset Track // of the cost: from the estimate, or, of values that look alike, from what the shape usually costs
+	Key    uint64 `cbor:"Key"`
+	Count  uint32 `cbor:"Count"`
+	Offset Track  `cbor:"Offset"` // of the cost: from the estimate, or, of values that look alike, from what the shape usually costs
 	// Of values that look alike: the errors that these two voices made on them.
-	Prior, Hint Track
+	Prior Track `cbor:"Prior"`
+	Hint  Track `cbor:"Hint"`
 }
 
 // telling tells whether enough is known of the value to correct by it.
--- a/internal/decide/costmodel/prior.go
+++ b/internal/decide/costmodel/prior.go
@@ -42,10 +42,10 @@
 // squares with forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with
 // errors clipped so that one voice moves little.
 type prior struct {
-	W     vector
-	P     [dims][dims]float64
-	N     int
-	Track Track // of its own errors
+	W     vector              `cbor:"W"`
+	P     [dims][dims]float64 `cbor:"P"`
+	N     int                 `cbor:"N"`
+	Track Track               `cbor:"Track"` // of its own errors
 }
 
 const (
--- a/internal/decide/costmodel/shape.go
+++ b/internal/decide/costmodel/shape.go
@@ -82,22 +82,22 @@
 
 // Entry is what is kept of one shape. Its size does not depend on the shape.
 type Entry struct {
-	Seen    uint32 // executions, saturating
-	All     Track  // of the cost, whatever the values
-	Offset  Track  // of the cost against the prior
-	Usual   Track  // of what the prior says of its executions
-	Hint    Track  // of the cost against the hint
-	Memory  Track  // of the memory against its hint
-	Buckets [mostBuckets]Bucket
+	Seen    uint32              `cbor:"Seen"`   // executions, saturating
+	All     Track               `cbor:"All"`    // of the cost, whatever the values
+	Offset  Track               `cbor:"Offset"` // of the cost against the prior
+	Usual   Track               `cbor:"Usual"`  // of what the prior says of its executions
+	Hint    Track               `cbor:"Hint"`   // of the cost against the hint
+	Memory  Track               `cbor:"Memory"` // of the memory against its hint
+	Buckets [mostBuckets]Bucket `cbor:"Buckets"`
 }
 
 // Bucket is the record of the executions of one shape whose values look alike.
 type Bucket struct {
-	Key    uint32
-	Used   uint32 // Seen of the entry when it was last used
-	Work   Track
-	Memory Track
-	Class  uint8 // 1 and up: place of the class last decided; 0: none yet
+	Key    uint32 `cbor:"Key"`
+	Used   uint32 `cbor:"Used"` // Seen of the entry when it was last used
+	Work   Track  `cbor:"Work"`
+	Memory Track  `cbor:"Memory"`
+	Class  uint8  `cbor:"Class"` // 1 and up: place of the class last decided; 0: none yet
 }
 
 // Query is one execution as the decision sees it.
@@ -144,15 +144,22 @@
 
 // state is what a model has learned, but for its prior.
 type state struct {
-	All   [knownClasses]common // by known class, for shapes without a record
-	Heavy heavy                // values that come often
-	Like  heavy                // values that look alike
-	Fresh [3]fresh             // errors on values new to a shape, by how strange these are
+	All   [knownClasses]common `cbor:"All"`   // by known class, for shapes without a record
+	Heavy heavy                `cbor:"Heavy"` // values that come often
+	Like  heavy                `cbor:"Like"`  // values that look alike
+	Fresh [3]fresh             `cbor:"Fresh"` // errors on values new to a shape, by how strange these are
 }
 
-type common struct{ Hint, HintMB, Memory Track }
+type common struct {
+	Hint   Track `cbor:"Hint"`
+	HintMB Track `cbor:"HintMB"`
+	Memory Track `cbor:"Memory"`
+}
 
-type fresh struct{ Prior, Hint Track }
+type fresh struct {
+	Prior Track `cbor:"Prior"`
+	Hint  Track `cbor:"Hint"`
+}
 
 // strangeness sorts how far the prior finds an execution from the shape's usual ones.
 func strangeness(unusual float64) int {
--- a/internal/decide/costmodel/state.go
+++ b/internal/decide/costmodel/state.go
@@ -10,8 +10,8 @@
 // State is what a model has learned, in a form that can be written down. Its layout goes
 // with Layout: one of another layout can't be taken.
 type State struct {
-	Prior  prior
-	Common state
+	Prior  prior `cbor:"Prior"`
+	Common state `cbor:"Common"`
 }
 
 // Layout changes whenever what a State or an Entry holds changes its meaning.
@@ -46,7 +46,7 @@
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if err := finite(v.Field(i), name+"."+v.Type().Field(i).Name); err != nil {
+			if err := finite(v.Field(i), name+"."+v.Type().Field(i).Tag.Get("cbor")); err != nil {
 				return err
 			}
 		}
--- a/internal/decide/costmodel/track.go
+++ b/internal/decide/costmodel/track.go
@@ -10,10 +10,10 @@
 // one side raises the step, as a CUSUM chart would (Page, "Continuous Inspection
 // Schemes", 1954).
 type Track struct {
-	Mid float32 // log2
-	Dev float32 // mean distance from it, in powers of two
-	N   float32 // values seen, at most trackMost
-	Run int8    // errors in a row on one side; the sign is the side's
+	Mid float32 `cbor:"Mid"` // log2
+	Dev float32 `cbor:"Dev"` // mean distance from it, in powers of two
+	N   float32 `cbor:"N"`   // values seen, at most trackMost
+	Run int8    `cbor:"Run"` // errors in a row on one side; the sign is the side's
 }
 
 const (
