--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -72,20 +72,20 @@
 func defaultSites() Sites {
 	d := decide.Defaults()
 	return Sites{
-		SilentAfterMS: milliseconds(d.SilentAfter),
-		SlowAboveMS:   milliseconds(d.SlowAbove),
-		ColdForS:      d.ColdFor.Seconds(),
-		ColdStart:     d.ColdStart,
-		SlackMS:       milliseconds(d.Slack),
+		SilentAfterMS: milliseconds(d.UnreachableAfter),
+		SlowAboveMS:   milliseconds(d.SlowRTT),
+		ColdForS:      d.RampDuration.Seconds(),
+		ColdStart:     d.RampStart,
+		SlackMS:       milliseconds(d.HopSlack),
 		SpillBelow:    d.SpillBelow,
-		StopAbove:     d.StopAbove,
-		TakeAbove:     d.TakeAbove,
-		Reserve:       d.Reserve,
-		Threads:       d.Threads,
-		WordEveryMS:   milliseconds(d.WordEvery),
-		Price:         d.Price,
-		Affinity:      d.Affinity,
-		HedgeShare:    d.HedgeShare,
+		StopAbove:     d.StopSpillAbove,
+		TakeAbove:     d.MinPeerCapacity,
+		Reserve:       d.LocalReserve,
+		Threads:       d.ThreadsPerCore,
+		WordEveryMS:   milliseconds(d.DigestInterval),
+		Price:         d.MinPriorityWeight,
+		Affinity:      d.AffinityBonus,
+		HedgeShare:    d.HedgeRatio,
 	}
 }
 
@@ -93,8 +93,8 @@
 	maxSitePeers    = 256
 	maxSiteNameSize = 63 // bytes
 
-	// staleReportIntervals is after how many report intervals a site's last load report counts for nothing.
-	staleReportIntervals = 8
+	// staleDigestIntervals is after how many intervals a site's last digest of its load counts for nothing.
+	staleDigestIntervals = 8
 )
 
 func (s *Sites) check(c *checker, dir string) {
@@ -170,24 +170,24 @@
 
 // Decide returns the configuration of the decisions on other sites. maxAttempts bounds the attempts of one request over all sites.
 func (s *Sites) Decide(maxAttempts int) decide.Config {
-	reportInterval := FromMS(s.WordEveryMS)
+	digestInterval := FromMS(s.WordEveryMS)
 	return decide.Config{
-		SilentAfter: FromMS(s.SilentAfterMS),
-		SlowAbove:   FromMS(s.SlowAboveMS),
-		ColdFor:     FromSeconds(s.ColdForS),
-		ColdStart:   s.ColdStart,
-		Slack:       FromMS(s.SlackMS),
-		SpillBelow:  s.SpillBelow,
-		StopAbove:   s.StopAbove,
-		TakeAbove:   s.TakeAbove,
-		Reserve:     s.Reserve,
-		Threads:     s.Threads,
-		StaleAfter:  staleReportIntervals * reportInterval,
-		WordEvery:   reportInterval,
-		Tries:       max(maxAttempts, 1),
-		Price:       s.Price,
-		Affinity:    s.Affinity,
-		HedgeShare:  s.HedgeShare,
-		KeysShared:  s.KeysShared,
+		UnreachableAfter:  FromMS(s.SilentAfterMS),
+		SlowRTT:           FromMS(s.SlowAboveMS),
+		RampDuration:      FromSeconds(s.ColdForS),
+		RampStart:         s.ColdStart,
+		HopSlack:          FromMS(s.SlackMS),
+		SpillBelow:        s.SpillBelow,
+		StopSpillAbove:    s.StopAbove,
+		MinPeerCapacity:   s.TakeAbove,
+		LocalReserve:      s.Reserve,
+		ThreadsPerCore:    s.Threads,
+		DigestMaxAge:      staleDigestIntervals * digestInterval,
+		DigestInterval:    digestInterval,
+		MaxAttempts:       max(maxAttempts, 1),
+		MinPriorityWeight: s.Price,
+		AffinityBonus:     s.Affinity,
+		HedgeRatio:        s.HedgeShare,
+		SharedDedup:       s.KeysShared,
 	}
 }
--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -45,7 +45,7 @@
 			c.requiref(known[class], prefix+"classes", "%q is no class of the settings", class)
 		}
 		seen[user.Name] = true
-		all = append(all, scramauth.User{Name: user.Name, Verifier: v, Classes: user.Classes, MostClients: user.MaxClients})
+		all = append(all, scramauth.User{Name: user.Name, Verifier: v, Classes: user.Classes, MaxClients: user.MaxClients})
 	}
 	c.requiref(len(all) > 0, "user", "there is none: nobody could log in")
 	return all, c.err()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -308,8 +308,11 @@
 		User: p.User, Database: p.Database, Password: p.Engine.Password, TLS: p.Engine.Config,
 		ConnectTimeout: config.FromMS(p.ConnectTimeoutMS), MostHeld: part(p.MemoryMB, 4),
 		Pool: connpool.Limits{
-			Most: p.Pool.PerEngine, MostUser: p.Pool.PerUser, Keep: p.Pool.MinIdle,
-			Idle: config.FromMS(p.IdleCloseMS), Life: config.FromSeconds(p.Pool.LifeSeconds),
+			MaxConnections: p.Pool.PerEngine,
+			MaxPerUser:     p.Pool.PerUser,
+			MinConnections: p.Pool.MinIdle,
+			IdleTimeout:    config.FromMS(p.IdleCloseMS),
+			MaxLifetime:    config.FromSeconds(p.Pool.LifeSeconds),
 		},
 	}, g.counters, g.log))
 	if err := g.openSites(sites, pgbackend.Codec{}, p.Site.Policy, p.MemoryMB); err != nil {
@@ -369,7 +372,7 @@
 		if g.users == nil {
 			g.users = scramauth.NewUsers(p.Logins)
 		} else {
-			g.users = g.users.With(p.Logins)
+			g.users = g.users.WithUsers(p.Logins)
 		}
 		opts.Users = g.users
 	} else if a, err := netip.ParseAddrPort(strings.Replace(p.Listen, "localhost:", "127.0.0.1:", 1)); err != nil || !a.Addr().IsLoopback() {
