--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what a front end is told: its configuration as JSON, with
-// the settings that the adapter reads too, and the deploy file of the second front.
+// Package config reads the platform's configuration and settings (JSON) and the operators' deploy files (TOML). It maps their
+// keys to the terms of the code, and names every fault by file, line and key.
 package config
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config is what one front end is told at its start.
+// Config is the platform's configuration of one gateway process.
 type Config struct {
 	Name     string
 	Listen   string
@@ -29,10 +29,10 @@
 	Sockets  int
 	Bus      string
 	Offset   uint64  // of the last known event
-	Known    []Event // the roster's events up to now
+	Known    []Event // the endpoint list's events up to now
 	Site     Site
 
-	PeerListen string   // where words of other front ends come
+	PeerListen string   // where datagrams of other front ends arrive
 	Peers      []string // an address of each front end of the tier, its own included
 }
 
@@ -81,8 +81,8 @@
 	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineGone,
 }
 
-// EventSum is a sum of what the configuration tells of the roster: where two agree, the events
-// that follow have the same numbers.
+// EventSum is a checksum of the endpoint list in the configuration. Where two processes agree on it, the events that follow
+// have the same numbers.
 func (c *Config) EventSum() (uint64, error) {
 	b, err := json.Marshal([]any{c.Offset, c.Known})
 	if err != nil {
@@ -105,62 +105,90 @@
 func Parse(raw []byte) (*Config, error) { return parse(raw, "configuration") }
 
 func parse(raw []byte, path string) (*Config, error) {
-	k := &checker{file: path, locate: func(field string) int { return jsonLine(raw, field) }}
+	check := &checker{file: path, locate: func(field string) int { return jsonLine(raw, field) }}
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
-		field, what := splitField(err)
-		if line := jsonLine(raw, "settings."+field); field != "" && line > jsonLine(raw, "settings") {
-			field = "settings." + field
-		}
-		k.addf(field, "%s", what)
-		var syntax *json.SyntaxError
-		if errors.As(err, &syntax) {
-			k.faults[0].Line = 1 + bytes.Count(raw[:min(int(syntax.Offset), len(raw))], []byte("\n"))
-		}
-		return nil, k.err()
-	}
-	for _, a := range []struct{ name, addr string }{{"listen", f.Listen}, {"bus", f.Bus}, {"control", f.Control}} {
-		if a.addr != "" { // the second front needs none
-			k.requireAddress(a.name, a.addr)
-		}
+		check.addJSONError(raw, err)
+		return nil, check.err()
 	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Control: f.Control, MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets),
-		Bus: f.Bus, Offset: f.Known.Offset, PeerListen: f.PeerListen, Peers: f.Peers,
-	}
-	if f.Seed != "" {
-		seed, err := strconv.ParseUint(f.Seed, 16, 64)
-		k.requiref(err == nil, "seed", "%q is not a number of up to 16 hex digits", f.Seed)
-		c.Seed = seed
-	}
-	for i, b := range f.Known.Batch {
-		ev := Event{Whole: b.Topology.All}
-		for j, t := range b.Topology.Targets {
-			ev.Engines = append(ev.Engines, t.engine(k, fmt.Sprintf("known.batch[%d].topology.targets[%d].", i, j)))
-		}
-		c.Offset = max(c.Offset, b.Offset)
-		c.Known = append(c.Known, ev)
+		Name:       f.Name,
+		Listen:     f.Listen,
+		Control:    f.Control,
+		MemoryMB:   int(f.Limits.MemoryMB),
+		Sockets:    int(f.Limits.Sockets),
+		Bus:        f.Bus,
+		Offset:     f.Known.Offset,
+		PeerListen: f.PeerListen,
+		Peers:      f.Peers,
 	}
+	f.checkAddresses(check)
+	c.readSeed(check, f.Seed)
+	c.readKnownEvents(check, &f)
 	if f.Settings == nil {
-		k.addf("settings", "missing")
-		return nil, k.err()
+		check.addf("settings", "missing")
+		return nil, check.err()
 	}
 	c.Site = *f.Settings
-	if f.PeerListen != "" {
-		k.requireAddress("peer_listen", f.PeerListen)
-	}
-	for i, p := range f.Peers {
-		k.requireAddress(fmt.Sprintf("peers[%d]", i), p)
-	}
-	k.requiref(c.Site.Policy.Gateways >= 1, "settings.balancers", "not at least 1")
-	k.requiref(len(c.Site.Policy.Classes) > 0, "settings.classes", "none")
-	if err := k.err(); err != nil {
+	check.requiref(c.Site.Policy.Gateways >= 1, "settings.balancers", "not at least 1")
+	check.requiref(len(c.Site.Policy.Classes) > 0, "settings.classes", "none")
+	if err := check.err(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// CheckSettings tells what is wrong with a file that holds the settings object alone.
+// addJSONError adds the fault that stopped the decoder.
+func (c *checker) addJSONError(raw []byte, err error) {
+	field, problem := splitFieldError(err)
+	inSettings := jsonLine(raw, "settings."+field) > jsonLine(raw, "settings")
+	if field != "" && inSettings {
+		field = "settings." + field
+	}
+	c.addf(field, "%s", problem)
+	var syntax *json.SyntaxError
+	if errors.As(err, &syntax) {
+		end := min(int(syntax.Offset), len(raw))
+		c.faults[0].Line = 1 + bytes.Count(raw[:end], []byte("\n"))
+	}
+}
+
+// checkAddresses checks those that are there: the PostgreSQL frontend needs none of them.
+func (f *file) checkAddresses(c *checker) {
+	for _, a := range []struct{ field, address string }{
+		{"listen", f.Listen}, {"bus", f.Bus}, {"control", f.Control}, {"peer_listen", f.PeerListen},
+	} {
+		if a.address != "" {
+			c.requireAddress(a.field, a.address)
+		}
+	}
+	for i, peer := range f.Peers {
+		c.requireAddress(fmt.Sprintf("peers[%d]", i), peer)
+	}
+}
+
+func (c *Config) readSeed(check *checker, text string) {
+	if text == "" {
+		return
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	check.requiref(err == nil, "seed", "%q is not a number of up to 16 hex digits", text)
+	c.Seed = seed
+}
+
+func (c *Config) readKnownEvents(check *checker, f *file) {
+	for i, batch := range f.Known.Batch {
+		event := Event{Whole: batch.Topology.All}
+		for j, target := range batch.Topology.Targets {
+			prefix := fmt.Sprintf("known.batch[%d].topology.targets[%d].", i, j)
+			event.Engines = append(event.Engines, target.engine(check, prefix))
+		}
+		c.Offset = max(c.Offset, batch.Offset)
+		c.Known = append(c.Known, event)
+	}
+}
+
+// CheckSettings returns what is wrong with a file that holds the settings object alone.
 func CheckSettings(path string, raw []byte) error {
 	c := &checker{file: path}
 	var s Site
@@ -171,45 +199,45 @@
 	return c.err()
 }
 
-// settings reads the settings object, and names the field at fault.
+// settings reads the settings object, and names the field at fault. It reports whether the object could be read.
 func (c *checker) settings(raw []byte, s *Site) bool {
 	c.locate = func(field string) int { return jsonLine(raw, field) }
 	err := json.Unmarshal(raw, s)
 	if err == nil {
 		return true
 	}
-	field, what := splitField(err)
-	c.addf(field, "%s", what)
+	field, problem := splitFieldError(err)
+	c.addf(field, "%s", problem)
 	return false
 }
 
-// splitField parts the field that an error of JSON names from what is wrong with it.
-func splitField(err error) (field, what string) {
+// splitFieldError splits an error of the JSON decoder, or of Site's own, into the field that it names and the problem.
+func splitFieldError(err error) (field, problem string) {
 	text := fieldError(err).Error()
-	field, what, ok := strings.Cut(text, ": ")
+	field, problem, ok := strings.Cut(text, ": ")
 	if !ok || strings.Contains(field, " ") {
 		return "", text
 	}
-	return field, what
+	return field, problem
 }
 
-// checkAddress tells what is wrong with an address of the form host:port.
-func checkAddress(addr string) error {
-	_, port, err := net.SplitHostPort(addr)
+// checkAddress returns what is wrong with an address of the form HOST:PORT.
+func checkAddress(address string) error {
+	_, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: the port is no number up to 65535", addr)
+		return fmt.Errorf("%q: the port is no number up to 65535", address)
 	}
 	return nil
 }
 
-func (t *target) engine(k *checker, at string) core.Engine {
-	state, ok := states[t.State]
-	k.requiref(ok, at+"state", "unknown value %q", t.State)
-	k.requiref(t.UID != "", at+"uid", "missing")
-	k.requireAddress(at+"endpoint", t.Endpoint)
+func (t *target) engine(check *checker, prefix string) core.Engine {
+	state, known := states[t.State]
+	check.requiref(known, prefix+"state", "unknown value %q", t.State)
+	check.requiref(t.UID != "", prefix+"uid", "missing")
+	check.requireAddress(prefix+"endpoint", t.Endpoint)
 	e := core.Engine{Addr: t.Endpoint, Engine: policy.Engine{
 		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
 	}}
@@ -217,8 +245,8 @@
 	return e
 }
 
-// started reads a Unix millisecond, 0 for long ago. Module time counts from the
-// same origin.
+// started returns the instant of a Unix millisecond, and whether it is known: 0 stands for long ago. Time in the policy counts
+// from the same origin.
 func started(ms float64) (time.Duration, bool) {
 	if ms <= 0 {
 		return 0, false
