--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -57,17 +57,26 @@
 		_, err := os.Stat(filepath.Dir(s.Snapshot))
 		c.requiref(err == nil, prefix+"snapshot", "its folder can't be used: %v", err)
 	}
-	for i, class := range s.Classes {
-		prefix := fmt.Sprintf("%sclass[%d].", prefix, i)
-		found := slices.IndexFunc(classes, func(class policy.Class) bool { return class.Name == class.Name })
-		c.requiref(found >= 0, prefix+"name", "%q is no class of the settings", class.Name)
-		c.requiref(found < 0 || classes[found].Effect == policy.Safe, prefix+"name", "class %q is not safe to repeat; statements that read are sorted here", class.Name)
-		last := i == len(s.Classes)-1
-		c.requiref(!last || class.UpToMS == 0, prefix+"up_to_ms", "the last class has no end")
-		c.requiref(last || class.UpToMS > 0 && (i == 0 || class.UpToMS > s.Classes[i-1].UpToMS), prefix+"up_to_ms", "%g is not above the class before", class.UpToMS)
+	for i := range s.Classes {
+		s.checkClass(c, i, fmt.Sprintf("%sclass[%d].", prefix, i), classes)
 	}
 }
 
+func (s *Shapes) checkClass(c *checker, i int, prefix string, known []policy.Class) {
+	class := s.Classes[i]
+	found := slices.IndexFunc(known, func(k policy.Class) bool { return k.Name == class.Name })
+	c.requiref(found >= 0, prefix+"name", "%q is no class of the settings", class.Name)
+	if found >= 0 {
+		c.requiref(known[found].Effect == policy.Safe, prefix+"name", "class %q is not safe to repeat; statements that read are sorted here", class.Name)
+	}
+	if i == len(s.Classes)-1 {
+		c.requiref(class.UpToMS == 0, prefix+"up_to_ms", "the last class has no end")
+		return
+	}
+	rising := class.UpToMS > 0 && (i == 0 || class.UpToMS > s.Classes[i-1].UpToMS)
+	c.requiref(rising, prefix+"up_to_ms", "%g is not above the class before", class.UpToMS)
+}
+
 // LoadShapes reads a file of its own, for the platform's front.
 func LoadShapes(path string) (*Shapes, error) {
 	raw, err := os.ReadFile(path)
