--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -30,10 +30,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
-	d := handover.Defaults()
+	d := handover.DefaultConfig()
 	u := Upgrade{
-		GreetWithin: d.GreetWithin.Seconds(), WarmWithin: d.WarmWithin.Seconds(), ProveFor: d.ProveFor.Seconds(),
-		ProveWithin: d.ProveWithin.Seconds(), SilentFor: d.SilentFor.Seconds(), GoodAnswers: d.GoodAnswers, BadShare: d.BadShare,
+		GreetWithin: d.GreetTimeout.Seconds(), WarmWithin: d.WarmTimeout.Seconds(), ProveFor: d.MinProbation.Seconds(),
+		ProveWithin: d.MaxProbation.Seconds(), SilentFor: d.HeartbeatTimeout.Seconds(), GoodAnswers: d.MinGoodAnswers, BadShare: d.MaxBadShare,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &u) {
@@ -78,7 +78,7 @@
 func (u *Upgrade) Decide() handover.Config {
 	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	return handover.Config{
-		GreetWithin: s(u.GreetWithin), WarmWithin: s(u.WarmWithin), ProveFor: s(u.ProveFor), ProveWithin: s(u.ProveWithin),
-		SilentFor: s(u.SilentFor), GoodAnswers: u.GoodAnswers, BadShare: u.BadShare, MostMemory: int64(u.MostMemory) << 20,
+		GreetTimeout: s(u.GreetWithin), WarmTimeout: s(u.WarmWithin), MinProbation: s(u.ProveFor), MaxProbation: s(u.ProveWithin),
+		HeartbeatTimeout: s(u.SilentFor), MinGoodAnswers: u.GoodAnswers, MaxBadShare: u.BadShare, MaxMemory: int64(u.MostMemory) << 20,
 	}
 }
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -34,7 +34,7 @@
 	Probation              // it serves; everything can still be taken back
 	Finishing              // it is the owner for good; what is in flight here ends here
 	Returning              // it is being ended; nothing is taken back before it is dead
-	Gone                   // nothing is left here
+	Exited                   // nothing is left here
 )
 
 var phaseNames = [...]string{"idle", "greeting", "warming", "probation", "finishing", "returning", "gone"}
@@ -43,58 +43,58 @@
 
 // Config bounds an upgrade. All times count from the start of their phase.
 type Config struct {
-	GreetWithin time.Duration // for the new process to say what it is; too short: a slow disk ends upgrades
-	WarmWithin  time.Duration // to take what is known and be ready
-	ProveFor    time.Duration // it serves at least so long before it is the owner for good
-	ProveWithin time.Duration // and without any work at most so long; above ProveFor
-	SilentFor   time.Duration // it is heard of at least so often, or ended
-	GoodAnswers int           // it gives at least so many good answers, where there is work
-	BadShare    float64       // of its answers that may be errors of its own, 0 to 1
-	MostMemory  int64         // bytes that it may take; 0: no bound
+	GreetTimeout time.Duration // for the new process to say what it is; too short: a slow disk ends upgrades
+	WarmTimeout  time.Duration // to take what is known and be ready
+	MinProbation    time.Duration // it serves at least so long before it is the owner for good
+	MaxProbation time.Duration // and without any work at most so long; above ProveFor
+	HeartbeatTimeout   time.Duration // it is heard of at least so often, or ended
+	MinGoodAnswers int           // it gives at least so many good answers, where there is work
+	MaxBadShare    float64       // of its answers that may be errors of its own, 0 to 1
+	MaxMemory  int64         // bytes that it may take; 0: no bound
 }
 
-// Defaults are for a machine that runs both side by side without strain.
-func Defaults() Config {
+// DefaultConfig are for a machine that runs both side by side without strain.
+func DefaultConfig() Config {
 	return Config{
-		GreetWithin: 5 * time.Second, WarmWithin: 10 * time.Second, ProveFor: 3 * time.Second, ProveWithin: 15 * time.Second,
-		SilentFor: time.Second, GoodAnswers: 20, BadShare: 0.1,
+		GreetTimeout: 5 * time.Second, WarmTimeout: 10 * time.Second, MinProbation: 3 * time.Second, MaxProbation: 15 * time.Second,
+		HeartbeatTimeout: time.Second, MinGoodAnswers: 20, MaxBadShare: 0.1,
 	}
 }
 
 // Version is what two processes must agree on: how state and messages are written.
 type Version struct{ Major, Minor int }
 
-// Speaks tells whether two versions understand each other: the same major one, and minor
+// CompatibleWith tells whether two versions understand each other: the same major one, and minor
 // ones at most one apart.
-func (v Version) Speaks(o Version) bool {
+func (v Version) CompatibleWith(o Version) bool {
 	return v.Major == o.Major && v.Minor-o.Minor <= 1 && o.Minor-v.Minor <= 1
 }
 
 // ConnID names a connection for both processes.
 type ConnID uint32
 
-// Effect says how far a request may be repeated, as in policy.
-type Effect uint8
+// Idempotency says how far a request may be repeated, as in policy.
+type Idempotency uint8
 
 // The effects; the zero value is the most cautious.
 const (
-	Unsafe Effect = iota
-	Keyed
-	Safe
+	NotIdempotent Idempotency = iota
+	IdempotentWithKey
+	Idempotent
 )
 
 // Request is the new process's record of a request that it took, which it sends before it
 // does the next thing with it: before it is sent to an engine, and before its answer is
 // written.
 type Request struct {
-	Open      bool
-	Effect    Effect
+	InFlight      bool
+	Idempotency    Idempotency
 	Sent      bool          // it goes to an engine: it may have run
 	FirstSend time.Duration // of it anywhere, on the clock that both processes share
-	Window    time.Duration // in which engines drop a repeat, of Keyed
+	KeyWindow    time.Duration // in which engines drop a repeat, of Keyed
 	Deadline  time.Duration // when its client gives up
-	Answering int           // length of the answer that is being written; 0: none yet
-	Kept      bool          // the record holds that answer
+	ResponseLength int           // length of the answer that is being written; 0: none yet
+	ResponseRecorded      bool          // the record holds that answer
 }
 
 // Recovery is what becomes of a request whose process died.
@@ -102,12 +102,12 @@
 
 // Recoveries.
 const (
-	Nothing   Recovery = iota // there is none, or it is answered
-	SendAgain                 // it goes to an engine (again), with its key and the time of its first send
-	TellDoubt                 // it may have run and may not be repeated: its client is told so at once
-	TellLate                  // its time is over
-	Break                     // a part of its answer was written: the connection ends, so that its client can tell
-	SendRest                  // its answer is known: what was not written of it is written
+	NothingToRecover   Recovery = iota // there is none, or it is answered
+	Resend                 // it goes to an engine (again), with its key and the time of its first send
+	ReportInDoubt                 // it may have run and may not be repeated: its client is told so at once
+	ReportDeadlineExceeded                  // its time is over
+	CloseConnection                     // a part of its answer was written: the connection ends, so that its client can tell
+	WriteRemainder                  // its answer is known: what was not written of it is written
 )
 
 // margin is kept to the end of a key's window, for the way to the engine.
@@ -118,20 +118,20 @@
 // tells of a socket whoever wrote to it (tcp(7), TCP_INFO).
 func Recover(r Request, written int, now time.Duration) Recovery {
 	switch {
-	case !r.Open:
-		return Nothing
-	case r.Answering > 0 && written >= r.Answering:
-		return Nothing
-	case r.Answering > 0 && r.Kept:
-		return SendRest
+	case !r.InFlight:
+		return NothingToRecover
+	case r.ResponseLength > 0 && written >= r.ResponseLength:
+		return NothingToRecover
+	case r.ResponseLength > 0 && r.ResponseRecorded:
+		return WriteRemainder
 	case written > 0:
-		return Break
+		return CloseConnection
 	case now >= r.Deadline:
-		return TellLate
-	case !r.Sent || r.Effect == Safe:
-		return SendAgain
-	case r.Effect == Keyed && now < r.FirstSend+r.Window-margin:
-		return SendAgain
+		return ReportDeadlineExceeded
+	case !r.Sent || r.Idempotency == Idempotent:
+		return Resend
+	case r.Idempotency == IdempotentWithKey && now < r.FirstSend+r.KeyWindow-margin:
+		return Resend
 	}
-	return TellDoubt
+	return ReportInDoubt
 }
--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -10,8 +10,8 @@
 // world is two processes, the channel between them, clients and engines, as small as shows
 // every interleaving: each client has one connection and one request.
 type world struct {
-	old                                      Old
-	new                                      New
+	old                                      Source
+	new                                      Target
 	oldAlive                                 bool
 	newAlive                                 bool // started and not dead
 	spawned                                  bool
@@ -27,7 +27,7 @@
 
 // client is one connection and what is true of its request.
 type client struct {
-	effect  Effect
+	effect  Idempotency
 	oldHas  bool
 	newHas  bool
 	asked   bool // its request is in the socket, or further
@@ -44,14 +44,14 @@
 
 // all times are one unit: a step happens at 0, what lets time pass at 1.
 func modelConfig() Config {
-	return Config{GreetWithin: limit, WarmWithin: limit, ProveFor: limit, ProveWithin: limit, SilentFor: limit, GoodAnswers: 1, BadShare: 0.5}
+	return Config{GreetTimeout: limit, WarmTimeout: limit, MinProbation: limit, MaxProbation: limit, HeartbeatTimeout: limit, MinGoodAnswers: 1, MaxBadShare: 0.5}
 }
 
 func newWorld() world {
-	w := world{old: *NewOld(modelConfig(), Version{1, 0}), new: *NewNew(Version{1, 1}), oldAlive: true, oldListens: true, oldOpen: true}
+	w := world{old: *NewSource(modelConfig(), Version{1, 0}), new: *NewTarget(Version{1, 1}), oldAlive: true, oldListens: true, oldOpen: true}
 	for i := range w.conns {
-		w.conns[i] = client{effect: []Effect{Unsafe, Keyed}[i], oldHas: true}
-		w.old.Step(0, Accepted{ConnID(i)})
+		w.conns[i] = client{effect: []Idempotency{NotIdempotent, IdempotentWithKey}[i], oldHas: true}
+		w.old.Step(0, ConnectionAccepted{ConnID(i)})
 	}
 	return w
 }
@@ -83,30 +83,30 @@
 func (w *world) oldStep(f faults, now time.Duration, in any) {
 	for _, e := range w.old.Step(now, in) {
 		switch e := e.(type) {
-		case Spawn:
+		case StartTarget:
 			w.spawned, w.newAlive, w.newOpen = true, true, true
-			w.new, w.toNew, w.toOld, w.started, w.warming = *NewNew(Version{1, 1}), nil, nil, false, false
+			w.new, w.toNew, w.toOld, w.started, w.warming = *NewTarget(Version{1, 1}), nil, nil, false, false
 		case SendState:
-			w.toNew = append(w.toNew, State{})
-		case SendGo:
-			w.toNew = append(w.toNew, Go{})
+			w.toNew = append(w.toNew, StateReceived{})
+		case SendServe:
+			w.toNew = append(w.toNew, ServeRequested{})
 		case SendCommit:
-			w.toNew = append(w.toNew, Commit{})
-		case Give:
+			w.toNew = append(w.toNew, OwnershipCommitted{})
+		case TransferConnection:
 			w.conns[e.Conn].oldHas = false
-			w.toNew = append(w.toNew, Given(e))
+			w.toNew = append(w.toNew, ConnectionReceived(e))
 		case StopAccepting:
 			w.oldListens = false
 		case StartAccepting:
 			w.oldListens = true
-		case Kill:
+		case KillTarget:
 			if f.backEarly {
-				w.oldStep(f, now, Died{})
+				w.oldStep(f, now, TargetExited{})
 			}
 			w.killNew()
-		case TakeBack:
+		case ReclaimConnection:
 			w.takeBack(f, e)
-		case Exit, BeginStop:
+		case Exit, BeginShutdown:
 			w.oldAlive, w.oldListens, w.oldOpen = false, false, false
 		}
 	}
@@ -118,7 +118,7 @@
 	}
 }
 
-func (w *world) takeBack(f faults, e TakeBack) {
+func (w *world) takeBack(f faults, e ReclaimConnection) {
 	c := &w.conns[e.Conn]
 	c.oldHas = true
 	if c.at != 'n' {
@@ -133,33 +133,33 @@
 		written = 1
 	}
 	how := Recover(e.Request, written, now)
-	if f.blindRetry && how == TellDoubt {
-		how = SendAgain
+	if f.blindRetry && how == ReportInDoubt {
+		how = Resend
 	}
 	switch how {
-	case Nothing:
-		if !e.Request.Open { // never recorded: the old process reads it anew, if it is still there
+	case NothingToRecover:
+		if !e.Request.InFlight { // never recorded: the old process reads it anew, if it is still there
 			if c.stage <= 1 {
 				c.at, c.stage = 0, 0
 			}
 			return
 		}
 		c.at = 'd'
-	case Break:
+	case CloseConnection:
 		c.broken, c.at = true, 'd'
-	case TellDoubt, TellLate:
+	case ReportInDoubt, ReportDeadlineExceeded:
 		c.answers++
 		c.at = 'd'
-	case SendRest:
+	case WriteRemainder:
 		c.answers++
 		c.at = 'd'
-	case SendAgain:
+	case Resend:
 		w.run(c)
 		c.answers++
 		c.at = 'd'
 	}
 	if w.old.find(e.Conn) != nil {
-		w.old.Step(0, Free{e.Conn})
+		w.old.Step(0, ConnectionIdle{e.Conn})
 	}
 }
 
@@ -174,14 +174,14 @@
 	for _, e := range w.new.Step(0, in) {
 		switch e := e.(type) {
 		case SendHello:
-			w.toOld = append(w.toOld, Hello(e))
+			w.toOld = append(w.toOld, TargetHello(e))
 		case SendReady:
-			w.toOld = append(w.toOld, Ready{})
-		case TakeState:
+			w.toOld = append(w.toOld, TargetReady{})
+		case ApplyState:
 			w.warming = true
 		case StartAccepting:
 			w.newListens = true
-		case Adopt:
+		case AdoptConnection:
 			w.conns[e.Conn].newHas = true
 		case Exit:
 			w.killNew()
@@ -194,11 +194,11 @@
 	if w.new.Owner() {
 		return
 	}
-	r := Request{Open: true, Effect: w.conns[i].effect, Window: 5 * limit, Deadline: 100 * limit, Sent: stage >= 2}
+	r := Request{InFlight: true, Idempotency: w.conns[i].effect, KeyWindow: 5 * limit, Deadline: 100 * limit, Sent: stage >= 2}
 	if stage >= 4 {
-		r.Answering, r.Kept = 1, true
+		r.ResponseLength, r.ResponseRecorded = 1, true
 	}
-	w.toOld = append(w.toOld, Recorded{ConnID(i), r})
+	w.toOld = append(w.toOld, RequestRecorded{ConnID(i), r})
 }
 
 // steps are all that can happen next. Faults come last, and only so many.
@@ -209,32 +209,32 @@
 		all = append(all, step{name, n})
 	}
 	if w.oldAlive && w.upgrades < 1 && w.old.phase == Idle {
-		do("upgrade", func(n *world) { n.upgrades++; n.oldStep(f, 0, Upgrade{}) })
+		do("upgrade", func(n *world) { n.upgrades++; n.oldStep(f, 0, UpgradeRequested{}) })
 	}
 	if w.newAlive && !w.started {
-		do("new starts", func(n *world) { n.started = true; n.newStep(Started{}) })
-		do("new can't serve", func(n *world) { n.started = true; n.newStep(Started{"port"}) })
+		do("new starts", func(n *world) { n.started = true; n.newStep(TargetStarted{}) })
+		do("new can't serve", func(n *world) { n.started = true; n.newStep(TargetStarted{"port"}) })
 	}
 	if w.newAlive && w.warming {
-		do("new is warm", func(n *world) { n.warming = false; n.newStep(Warm{}) })
+		do("new is warm", func(n *world) { n.warming = false; n.newStep(StateApplied{}) })
 	}
 	if w.newAlive && w.started && len(w.toNew) > 0 {
 		do("to new", func(n *world) { m := n.toNew[0]; n.toNew = n.toNew[1:]; n.newStep(m) })
 	}
 	if w.newAlive && w.started && !w.oldAlive && len(w.toNew) == 0 && !w.new.orphan {
-		do("new sees the end", func(n *world) { n.newStep(Ended{}) })
+		do("new sees the end", func(n *world) { n.newStep(SourceExited{}) })
 	}
 	if w.oldAlive && len(w.toOld) > 0 {
 		do("to old", func(n *world) { m := n.toOld[0]; n.toOld = n.toOld[1:]; n.oldStep(f, 0, m) })
 	}
 	if w.oldAlive && w.spawned && !w.newAlive && (len(w.toOld) == 0 || f.unread) {
-		do("new is reaped", func(n *world) { n.spawned = false; n.toOld = nil; n.oldStep(f, 0, Died{}) })
+		do("new is reaped", func(n *world) { n.spawned = false; n.toOld = nil; n.oldStep(f, 0, TargetExited{}) })
 	}
 	if w.oldAlive && w.old.unproven() {
 		do("time passes", func(n *world) { n.oldStep(f, limit, Tick{}) })
 	}
 	if w.oldAlive && w.newAlive && w.old.phase == Probation && w.new.Serving() {
-		do("proof", func(n *world) { n.oldStep(f, limit, Alive{Good: 1}) })
+		do("proof", func(n *world) { n.oldStep(f, limit, TargetHeartbeat{Good: 1}) })
 	}
 	if !w.window {
 		do("windows end", func(n *world) { n.window = true })
@@ -260,7 +260,7 @@
 		do(name("client asks"), func(n *world) { n.conns[i].asked = true })
 	}
 	if c.asked && c.at == 0 && c.oldHas && w.oldAlive {
-		do(name("old takes"), func(n *world) { n.conns[i].at = 'o'; n.oldStep(f, 0, Busy{ConnID(i)}) })
+		do(name("old takes"), func(n *world) { n.conns[i].at = 'o'; n.oldStep(f, 0, ConnectionBusy{ConnID(i)}) })
 	}
 	if c.at == 'o' && w.oldAlive {
 		do(name("old answers"), func(n *world) {
@@ -268,7 +268,7 @@
 			n.run(k)
 			k.answers++
 			k.at = 'd'
-			n.oldStep(f, 0, Free{ConnID(i)})
+			n.oldStep(f, 0, ConnectionIdle{ConnID(i)})
 		})
 	}
 	if !c.newHas || !w.newAlive {
@@ -302,7 +302,7 @@
 			return fmt.Sprintf("connection %d has two owners", i)
 		case c.answers > 1:
 			return fmt.Sprintf("request %d has two answers", i)
-		case c.effect == Unsafe && c.runs > 1:
+		case c.effect == NotIdempotent && c.runs > 1:
 			return fmt.Sprintf("request %d, which may run once, ran twice", i)
 		case c.lateRun:
 			return fmt.Sprintf("request %d ran again past its window", i)
--- a/internal/decide/handover/new.go
+++ b/internal/decide/handover/new.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// New is the process that takes over. Its zero value is not ready: see NewNew.
-type New struct {
+// Target is the process that takes over. Its zero value is not ready: see NewNew.
+type Target struct {
 	version Version
 	taking  bool // it takes what is known
 	warm    bool // and has taken it
@@ -12,31 +12,31 @@
 	orphan  bool // the old process is dead
 }
 
-// NewNew returns the machine of a process that was started to take over.
-func NewNew(v Version) *New { return &New{version: v} }
+// NewTarget returns the machine of a process that was started to take over.
+func NewTarget(v Version) *Target { return &Target{version: v} }
 
 // Owner tells whether the process is the owner for good.
-func (n *New) Owner() bool { return n.owner }
+func (n *Target) Owner() bool { return n.owner }
 
 // Serving tells whether the process serves what it is given.
-func (n *New) Serving() bool { return n.going }
+func (n *Target) Serving() bool { return n.going }
 
 // Inputs of the new process.
 type (
-	// Started tells that the process runs and has read its configuration; Problem is why
+	// TargetStarted tells that the process runs and has read its configuration; Problem is why
 	// it can't serve.
-	Started struct{ Problem string }
-	// State is what the old process knows; Warm tells that it was taken.
-	State struct{}
-	Warm  struct{}
-	// Go tells it to serve what it is given from here on.
-	Go struct{}
-	// Given is a connection with its state.
-	Given struct{ Conn ConnID }
-	// Commit tells it that it is the owner for good.
-	Commit struct{}
-	// Ended tells that the channel is at its end: the old process is dead.
-	Ended struct{}
+	TargetStarted struct{ Problem string }
+	// StateReceived is what the old process knows; Warm tells that it was taken.
+	StateReceived struct{}
+	StateApplied  struct{}
+	// ServeRequested tells it to serve what it is given from here on.
+	ServeRequested struct{}
+	// ConnectionReceived is a connection with its state.
+	ConnectionReceived struct{ Conn ConnID }
+	// OwnershipCommitted tells it that it is the owner for good.
+	OwnershipCommitted struct{}
+	// SourceExited tells that the channel is at its end: the old process is dead.
+	SourceExited struct{}
 )
 
 // Effects of the new process, beside Report, StartAccepting and Exit.
@@ -47,42 +47,42 @@
 		Problem string
 	}
 	SendReady struct{}
-	// TakeState begins to take what is known. Warm follows.
-	TakeState struct{}
-	// Adopt makes a connection its own.
-	Adopt struct{ Conn ConnID }
+	// ApplyState begins to take what is known. Warm follows.
+	ApplyState struct{}
+	// AdoptConnection makes a connection its own.
+	AdoptConnection struct{ Conn ConnID }
 	// StopRecording ends the records of requests: nobody would take anything back.
 	StopRecording struct{}
 )
 
 // Step takes one input and returns what to do, in order.
-func (n *New) Step(_ time.Duration, in any) []any {
+func (n *Target) Step(_ time.Duration, in any) []any {
 	switch in := in.(type) {
-	case Started:
+	case TargetStarted:
 		if in.Problem != "" {
 			return []any{SendHello{n.version, in.Problem}, Exit{}}
 		}
 		return []any{SendHello{n.version, ""}}
-	case State:
+	case StateReceived:
 		if !n.taking {
 			n.taking = true
-			return []any{TakeState{}}
+			return []any{ApplyState{}}
 		}
-	case Warm:
+	case StateApplied:
 		n.warm = true
 		if n.orphan {
 			return n.own()
 		}
 		return []any{SendReady{}}
-	case Go:
+	case ServeRequested:
 		n.going = n.going || n.warm
-	case Given:
-		return []any{Adopt(in)}
-	case Commit:
+	case ConnectionReceived:
+		return []any{AdoptConnection(in)}
+	case OwnershipCommitted:
 		if n.going && !n.owner {
 			return n.own()
 		}
-	case Ended:
+	case SourceExited:
 		n.orphan = true
 		if !n.owner && (n.warm || !n.taking) {
 			return n.own() // without the state it serves as a process does that was just started
@@ -93,7 +93,7 @@
 
 // own makes the process the owner: it was told so, or the old one died and what was given is
 // its own.
-func (n *New) own() []any {
+func (n *Target) own() []any {
 	n.owner, n.going = true, true
 	return []any{StopRecording{}, StartAccepting{}}
 }
--- a/internal/decide/handover/old_test.go
+++ b/internal/decide/handover/old_test.go
@@ -15,8 +15,8 @@
 // upgrade has one report, and the old process leaves only when nothing is here.
 func TestOldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Defaults()
-		o := NewOld(cfg, Version{1, 0})
+		cfg := DefaultConfig()
+		o := NewSource(cfg, Version{1, 0})
 		now := time.Duration(0)
 		type where byte
 		const (
@@ -27,15 +27,15 @@
 		conns := map[ConnID]where{}
 		next, reports, upgrades, accepting, dead, gone := ConnID(1), 0, 0, true, true, false
 		step := func(in any) {
-			_, died := in.(Died)
+			_, died := in.(TargetExited)
 			for _, e := range o.Step(now, in) {
 				if gone {
 					t.Fatalf("%#v after the exit", e)
 				}
 				switch e := e.(type) {
-				case Spawn:
+				case StartTarget:
 					dead = false
-				case Give:
+				case TransferConnection:
 					if conns[e.Conn] != here {
 						t.Fatalf("%d is given, and is %d", e.Conn, conns[e.Conn])
 					}
@@ -43,14 +43,14 @@
 						t.Fatalf("%d is given to nobody", e.Conn)
 					}
 					conns[e.Conn] = given
-				case TakeBack:
+				case ReclaimConnection:
 					if conns[e.Conn] != given || !died {
 						t.Fatalf("%d is taken back, and is %d", e.Conn, conns[e.Conn])
 					}
-					if conns[e.Conn] = here; e.Request.Open {
+					if conns[e.Conn] = here; e.Request.InFlight {
 						conns[e.Conn] = busy
 					}
-				case Forget:
+				case ReleaseDuplicate:
 					if conns[e.Conn] != given {
 						t.Fatalf("%d is forgotten, and is %d", e.Conn, conns[e.Conn])
 					}
@@ -59,7 +59,7 @@
 					accepting = false
 				case StartAccepting:
 					accepting = true
-				case Report:
+				case ReportOutcome:
 					reports++
 				case Exit:
 					for id, w := range conns {
@@ -70,7 +70,7 @@
 					gone = true
 				}
 			}
-			if !accepting && o.Phase() != Finishing && o.Phase() != Gone {
+			if !accepting && o.Phase() != Finishing && o.Phase() != Exited {
 				t.Fatalf("nobody accepts in %v", o.Phase())
 			}
 		}
@@ -88,7 +88,7 @@
 					upgrades++
 				}
 				was := reports
-				step(Upgrade{})
+				step(UpgradeRequested{})
 				if o.Phase() != Greeting && reports == was {
 					t.Fatal("no word on an upgrade that did not begin")
 				} else if reports > was {
@@ -99,50 +99,50 @@
 				if accepting && !gone {
 					conns[next] = here
 					next++
-					step(Accepted{next - 1})
+					step(ConnectionAccepted{next - 1})
 				}
 			},
 			"busy": func(*rapid.T) {
 				if id, ok := some(here); ok {
 					conns[id] = busy
-					step(Busy{id})
+					step(ConnectionBusy{id})
 				}
 			},
 			"free": func(*rapid.T) {
 				if id, ok := some(busy); ok {
 					conns[id] = here
-					step(Free{id})
+					step(ConnectionIdle{id})
 				}
 			},
 			"close": func(*rapid.T) {
 				if id, ok := some(here); ok {
 					delete(conns, id)
-					step(Closed{id})
+					step(ConnectionClosed{id})
 				}
 			},
 			"they close": func(*rapid.T) {
 				if id, ok := some(given); ok && !dead {
-					step(TheyClosed{id})
+					step(TargetClosedConnection{id})
 				}
 			},
 			"record": func(t *rapid.T) {
 				if id, ok := some(given); ok && !dead {
-					step(Recorded{id, Request{Open: rapid.Bool().Draw(t, "open")}})
+					step(RequestRecorded{id, Request{InFlight: rapid.Bool().Draw(t, "open")}})
 				}
 			},
 			"hello": func(t *rapid.T) {
 				if !dead {
-					step(Hello{Version: Version{1, rapid.IntRange(0, 2).Draw(t, "minor")}})
+					step(TargetHello{Version: Version{1, rapid.IntRange(0, 2).Draw(t, "minor")}})
 				}
 			},
 			"ready": func(*rapid.T) {
 				if !dead {
-					step(Ready{})
+					step(TargetReady{})
 				}
 			},
 			"alive": func(t *rapid.T) {
 				if !dead {
-					step(Alive{Good: rapid.IntRange(0, 30).Draw(t, "good"), Bad: rapid.IntRange(0, 3).Draw(t, "bad")})
+					step(TargetHeartbeat{Good: rapid.IntRange(0, 30).Draw(t, "good"), Bad: rapid.IntRange(0, 3).Draw(t, "bad")})
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -152,7 +152,7 @@
 			"die": func(*rapid.T) {
 				if !dead {
 					dead = true
-					step(Died{})
+					step(TargetExited{})
 					if !gone && o.Phase() != Idle {
 						t.Fatalf("the new process is dead, and the upgrade stands at %v", o.Phase())
 					}
@@ -176,18 +176,18 @@
 		now     time.Duration
 		want    Recovery
 	}{
-		"none":                        {Request{}, 0, 0, Nothing},
-		"never sent":                  {Request{Open: true, Deadline: s}, 0, 0, SendAgain},
-		"never sent, its time over":   {Request{Open: true, Deadline: s}, 0, s, TellLate},
-		"may run once, sent":          {Request{Open: true, Sent: true, Deadline: s}, 0, 0, TellDoubt},
-		"safe, sent":                  {Request{Open: true, Sent: true, Effect: Safe, Deadline: s}, 0, 0, SendAgain},
-		"keyed, in its window":        {Request{Open: true, Sent: true, Effect: Keyed, FirstSend: s, Window: 12 * s, Deadline: 60 * s}, 0, 12 * s, SendAgain},
-		"keyed, at its window's end":  {Request{Open: true, Sent: true, Effect: Keyed, FirstSend: s, Window: 12 * s, Deadline: 60 * s}, 0, 13*s - margin, TellDoubt},
-		"answer written":              {Request{Open: true, Sent: true, Answering: 10, Deadline: s}, 10, 0, Nothing},
-		"answer known, half written":  {Request{Open: true, Sent: true, Answering: 10, Kept: true, Deadline: s}, 5, 0, SendRest},
-		"answer known, none, late":    {Request{Open: true, Sent: true, Answering: 10, Kept: true, Deadline: s}, 0, 2 * s, SendRest},
-		"answer lost, half written":   {Request{Open: true, Sent: true, Answering: 10, Deadline: s}, 5, 0, Break},
-		"answer lost, safe, none yet": {Request{Open: true, Sent: true, Effect: Safe, Answering: 10, Deadline: s}, 0, 0, SendAgain},
+		"none":                        {Request{}, 0, 0, NothingToRecover},
+		"never sent":                  {Request{InFlight: true, Deadline: s}, 0, 0, Resend},
+		"never sent, its time over":   {Request{InFlight: true, Deadline: s}, 0, s, ReportDeadlineExceeded},
+		"may run once, sent":          {Request{InFlight: true, Sent: true, Deadline: s}, 0, 0, ReportInDoubt},
+		"safe, sent":                  {Request{InFlight: true, Sent: true, Idempotency: Idempotent, Deadline: s}, 0, 0, Resend},
+		"keyed, in its window":        {Request{InFlight: true, Sent: true, Idempotency: IdempotentWithKey, FirstSend: s, KeyWindow: 12 * s, Deadline: 60 * s}, 0, 12 * s, Resend},
+		"keyed, at its window's end":  {Request{InFlight: true, Sent: true, Idempotency: IdempotentWithKey, FirstSend: s, KeyWindow: 12 * s, Deadline: 60 * s}, 0, 13*s - margin, ReportInDoubt},
+		"answer written":              {Request{InFlight: true, Sent: true, ResponseLength: 10, Deadline: s}, 10, 0, NothingToRecover},
+		"answer known, half written":  {Request{InFlight: true, Sent: true, ResponseLength: 10, ResponseRecorded: true, Deadline: s}, 5, 0, WriteRemainder},
+		"answer known, none, late":    {Request{InFlight: true, Sent: true, ResponseLength: 10, ResponseRecorded: true, Deadline: s}, 0, 2 * s, WriteRemainder},
+		"answer lost, half written":   {Request{InFlight: true, Sent: true, ResponseLength: 10, Deadline: s}, 5, 0, CloseConnection},
+		"answer lost, safe, none yet": {Request{InFlight: true, Sent: true, Idempotency: Idempotent, ResponseLength: 10, Deadline: s}, 0, 0, Resend},
 	} {
 		if got := Recover(tt.r, tt.written, tt.now); got != tt.want {
 			t.Errorf("%s: %d, want %d", name, got, tt.want)
@@ -209,9 +209,9 @@
 		"worse than usual by far": {0.2, 10, 20, Returning},
 		"too few to tell":         {0, 5, 5, Probation},
 	} {
-		o := NewOld(Defaults(), Version{1, 0})
+		o := NewSource(DefaultConfig(), Version{1, 0})
 		var kinds []string
-		for _, in := range []any{Upgrade{tt.usual}, Hello{Version: Version{1, 0}}, Ready{}, Alive{Good: tt.good, Bad: tt.bad}} {
+		for _, in := range []any{UpgradeRequested{tt.usual}, TargetHello{Version: Version{1, 0}}, TargetReady{}, TargetHeartbeat{Good: tt.good, Bad: tt.bad}} {
 			for _, e := range o.Step(0, in) {
 				kinds = append(kinds, reflect.TypeOf(e).Name())
 			}
@@ -229,12 +229,12 @@
 // A new process that takes requests and answers none does not pass for one without work.
 func TestAnswersNothing(t *testing.T) {
 	for open, want := range map[int]Phase{0: Finishing, 3: Returning} {
-		o := NewOld(Defaults(), Version{1, 0})
-		o.Step(0, Accepted{1})
-		for _, in := range []any{Upgrade{}, Hello{Version: Version{1, 0}}, Busy{1}, Ready{}} {
+		o := NewSource(DefaultConfig(), Version{1, 0})
+		o.Step(0, ConnectionAccepted{1})
+		for _, in := range []any{UpgradeRequested{}, TargetHello{Version: Version{1, 0}}, ConnectionBusy{1}, TargetReady{}} {
 			o.Step(0, in)
 		}
-		o.Step(15*time.Second, Alive{Open: open})
+		o.Step(15*time.Second, TargetHeartbeat{InFlight: open})
 		if o.Phase() != want {
 			t.Errorf("with %d open: %v, want %v", open, o.Phase(), want)
 		}
@@ -243,21 +243,21 @@
 
 // A new process that dies after it was the owner leaves the old one, while it lives, serving.
 func TestOwnerDies(t *testing.T) {
-	o := NewOld(Defaults(), Version{1, 0})
-	o.Step(0, Accepted{1})
-	o.Step(0, Accepted{2})
-	for _, in := range []any{Upgrade{}, Hello{Version: Version{1, 1}}, Busy{1}, Ready{}} {
+	o := NewSource(DefaultConfig(), Version{1, 0})
+	o.Step(0, ConnectionAccepted{1})
+	o.Step(0, ConnectionAccepted{2})
+	for _, in := range []any{UpgradeRequested{}, TargetHello{Version: Version{1, 1}}, ConnectionBusy{1}, TargetReady{}} {
 		o.Step(0, in)
 	}
-	o.Step(5*time.Second, Alive{Good: 100})
+	o.Step(5*time.Second, TargetHeartbeat{Good: 100})
 	if o.Phase() != Finishing {
 		t.Fatalf("it stands at %v", o.Phase())
 	}
-	want := []any{StartAccepting{}, Report{"it died after it was the owner; what it had was lost"}}
-	if diff := cmp.Diff(want, o.Step(6*time.Second, Died{})); diff != "" || o.Phase() != Idle {
+	want := []any{StartAccepting{}, ReportOutcome{"it died after it was the owner; what it had was lost"}}
+	if diff := cmp.Diff(want, o.Step(6*time.Second, TargetExited{})); diff != "" || o.Phase() != Idle {
 		t.Errorf("%v (-want +got):\n%s", o.Phase(), diff)
 	}
-	if out := o.Step(7*time.Second, Free{1}); len(out) != 0 {
+	if out := o.Step(7*time.Second, ConnectionIdle{1}); len(out) != 0 {
 		t.Errorf("what is free stays here: %v", out)
 	}
 }
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -57,7 +57,7 @@
 func (d digest) text() string { return fmt.Sprintf("%x", d.Sum(nil)) }
 
 func (d digest) request(r Request) {
-	d.add("request", r.Open, int(r.Effect), r.Sent, int64(r.FirstSend), int64(r.Window), int64(r.Deadline), r.Answering, r.Kept)
+	d.add("request", r.InFlight, int(r.Idempotency), r.Sent, int64(r.FirstSend), int64(r.KeyWindow), int64(r.Deadline), r.ResponseLength, r.ResponseRecorded)
 }
 
 // replayOld feeds the machine of the process that serves with streams of inputs, most of
@@ -66,14 +66,14 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	d := newDigest()
 	for range 150 {
-		cfg := Defaults()
+		cfg := DefaultConfig()
 		if r.IntN(3) == 0 {
 			cfg = Config{
-				GreetWithin: duration(r, 2000), WarmWithin: duration(r, 2000), ProveFor: duration(r, 3000), ProveWithin: duration(r, 9000),
-				SilentFor: duration(r, 2000), GoodAnswers: r.IntN(40), BadShare: float64(r.IntN(5)) / 10, MostMemory: int64(r.IntN(2)) * 1000,
+				GreetTimeout: duration(r, 2000), WarmTimeout: duration(r, 2000), MinProbation: duration(r, 3000), MaxProbation: duration(r, 9000),
+				HeartbeatTimeout: duration(r, 2000), MinGoodAnswers: r.IntN(40), MaxBadShare: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
 			}
 		}
-		replayOldOnce(d, r, NewOld(cfg, Version{1, r.IntN(3)}))
+		replayOldOnce(d, r, NewSource(cfg, Version{1, r.IntN(3)}))
 	}
 	return d.text()
 }
@@ -82,7 +82,7 @@
 	return time.Duration(r.IntN(ms)) * time.Millisecond
 }
 
-func replayOldOnce(d digest, r *rand.Rand, o *Old) {
+func replayOldOnce(d digest, r *rand.Rand, o *Source) {
 	now, next := time.Duration(0), ConnID(0)
 	for range 20 + r.IntN(120) {
 		if r.IntN(3) == 0 {
@@ -93,7 +93,7 @@
 			in = nextForOld(r, o.Phase())
 		} else {
 			in = anyForOld(r, ConnID(r.IntN(int(next)+2)), next+1)
-			if a, ok := in.(Accepted); ok {
+			if a, ok := in.(ConnectionAccepted); ok {
 				next = a.Conn
 			}
 		}
@@ -108,21 +108,21 @@
 func nextForOld(r *rand.Rand, p Phase) any {
 	switch p {
 	case Idle:
-		return Upgrade{UsualBad: float64(r.IntN(6)-1) / 10}
+		return UpgradeRequested{UsualBadShare: float64(r.IntN(6)-1) / 10}
 	case Greeting:
 		if r.IntN(8) == 0 {
-			return Hello{Version: Version{1, 1}, Problem: "no port " + strconv.Itoa(r.IntN(9))}
+			return TargetHello{Version: Version{1, 1}, Problem: "no port " + strconv.Itoa(r.IntN(9))}
 		}
-		return Hello{Version: Version{1 + r.IntN(8)/7, r.IntN(3)}}
+		return TargetHello{Version: Version{1 + r.IntN(8)/7, r.IntN(3)}}
 	case Warming:
-		return Ready{}
+		return TargetReady{}
 	case Probation:
 		if r.IntN(2) == 0 { // one that gives no good answer
-			return Alive{Bad: r.IntN(8) / 7, Open: r.IntN(2)}
+			return TargetHeartbeat{Bad: r.IntN(8) / 7, InFlight: r.IntN(2)}
 		}
-		return Alive{Good: r.IntN(30), Bad: r.IntN(3), Open: r.IntN(2)}
+		return TargetHeartbeat{Good: r.IntN(30), Bad: r.IntN(3), InFlight: r.IntN(2)}
 	case Returning:
-		return Died{}
+		return TargetExited{}
 	}
 	return Tick{}
 }
@@ -131,51 +131,51 @@
 func anyForOld(r *rand.Rand, id, next ConnID) any {
 	switch n := r.IntN(40); {
 	case n < 5:
-		return Accepted{next}
+		return ConnectionAccepted{next}
 	case n < 9:
-		return Busy{id}
+		return ConnectionBusy{id}
 	case n < 13:
-		return Free{id}
+		return ConnectionIdle{id}
 	case n < 15:
-		return Kept{id}
+		return TransferCancelled{id}
 	case n < 18:
-		return Closed{id}
+		return ConnectionClosed{id}
 	case n < 21:
-		return TheyClosed{id}
+		return TargetClosedConnection{id}
 	case n < 26:
-		return Recorded{id, anyRequest(r)}
+		return RequestRecorded{id, anyRequest(r)}
 	case n < 28:
-		return Heard{}
+		return TargetActive{}
 	case n < 31:
-		return Alive{Good: r.IntN(8), Bad: r.IntN(2), Open: r.IntN(3)}
+		return TargetHeartbeat{Good: r.IntN(8), Bad: r.IntN(2), InFlight: r.IntN(3)}
 	case n < 37:
 		return Tick{}
 	case n < 38:
-		return Memory{int64(r.IntN(1100))}
+		return TargetMemory{int64(r.IntN(1100))}
 	}
 	switch r.IntN(12) {
 	case 0, 1:
-		return Died{}
+		return TargetExited{}
 	case 2:
-		return Stop{}
+		return StopRequested{}
 	case 3, 4:
-		return Ready{}
+		return TargetReady{}
 	case 5, 6:
-		return Hello{Version: Version{1, r.IntN(4)}}
+		return TargetHello{Version: Version{1, r.IntN(4)}}
 	}
-	return Upgrade{}
+	return UpgradeRequested{}
 }
 
 func anyRequest(r *rand.Rand) Request {
 	return Request{
-		Open: r.IntN(3) > 0, Effect: Effect(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSend: duration(r, 3000), Window: duration(r, 9000),
-		Deadline: duration(r, 9000), Answering: r.IntN(3), Kept: r.IntN(2) > 0,
+		InFlight: r.IntN(3) > 0, Idempotency: Idempotency(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSend: duration(r, 3000), KeyWindow: duration(r, 9000),
+		Deadline: duration(r, 9000), ResponseLength: r.IntN(3), ResponseRecorded: r.IntN(2) > 0,
 	}
 }
 
 func oldEffect(d digest, e any) {
 	switch e := e.(type) {
-	case Spawn:
+	case StartTarget:
 		d.add("start the target")
 	case SendState:
 		d.add("send the state")
@@ -183,22 +183,22 @@
 		d.add("stop accepting")
 	case StartAccepting:
 		d.add("start accepting")
-	case SendGo:
+	case SendServe:
 		d.add("send go")
-	case Give:
+	case TransferConnection:
 		d.add("give", uint32(e.Conn))
 	case SendCommit:
 		d.add("send commit")
-	case Forget:
+	case ReleaseDuplicate:
 		d.add("forget", uint32(e.Conn))
-	case Kill:
+	case KillTarget:
 		d.add("kill")
-	case TakeBack:
+	case ReclaimConnection:
 		d.add("take back", uint32(e.Conn))
 		d.request(e.Request)
-	case Report:
+	case ReportOutcome:
 		d.add("report", e.Why)
-	case BeginStop:
+	case BeginShutdown:
 		d.add("begin the stop")
 	case Exit:
 		d.add("exit")
@@ -212,8 +212,8 @@
 	r := rand.New(rand.NewPCG(seed, 2))
 	d := newDigest()
 	for range 400 {
-		n := NewNew(Version{1, r.IntN(3)})
-		order := []any{Started{}, State{}, Warm{}, Go{}, Given{1}, Commit{}, Ended{}}
+		n := NewTarget(Version{1, r.IntN(3)})
+		order := []any{TargetStarted{}, StateReceived{}, StateApplied{}, ServeRequested{}, ConnectionReceived{1}, OwnershipCommitted{}, SourceExited{}}
 		for range 25 {
 			var in any
 			if r.IntN(2) == 0 && len(order) > 0 {
@@ -233,21 +233,21 @@
 func anyForNew(r *rand.Rand) any {
 	switch r.IntN(30) {
 	case 0:
-		return Started{}
+		return TargetStarted{}
 	case 1:
-		return Started{"no port"}
+		return TargetStarted{"no port"}
 	case 2, 3:
-		return State{}
+		return StateReceived{}
 	case 4, 5:
-		return Warm{}
+		return StateApplied{}
 	case 6:
-		return Go{}
+		return ServeRequested{}
 	case 7:
-		return Commit{}
+		return OwnershipCommitted{}
 	case 8:
-		return Ended{}
+		return SourceExited{}
 	}
-	return Given{ConnID(r.IntN(100))}
+	return ConnectionReceived{ConnID(r.IntN(100))}
 }
 
 func newEffect(d digest, e any) {
@@ -256,9 +256,9 @@
 		d.add("send hello", e.Version.Major, e.Version.Minor, e.Problem)
 	case SendReady:
 		d.add("send ready")
-	case TakeState:
+	case ApplyState:
 		d.add("take the state")
-	case Adopt:
+	case AdoptConnection:
 		d.add("adopt", uint32(e.Conn))
 	case StopRecording:
 		d.add("stop recording")
@@ -282,13 +282,13 @@
 		case 0:
 			now = q.Deadline + time.Duration(r.IntN(3)-1)
 		case 1:
-			now = q.FirstSend + q.Window - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
+			now = q.FirstSend + q.KeyWindow - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
 		}
 		d.add(int(Recover(q, r.IntN(3), now)))
 	}
 	for major := range 3 {
 		for minor := range 5 {
-			d.add(Version{1, 2}.Speaks(Version{major, minor}))
+			d.add(Version{1, 2}.CompatibleWith(Version{major, minor}))
 		}
 	}
 	return d.text()
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -223,7 +223,7 @@
 			return
 		}
 		defer s.file.Close()
-		build, err := handover.Check(s.p, s.file, s.conns, g.upgrade.Decide().GreetWithin)
+		build, err := handover.Check(s.p, s.file, s.conns, g.upgrade.Decide().GreetTimeout)
 		reply := admin.Reply{Build: build, Done: true}
 		if err != nil {
 			reply.Why = err.Error()
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -35,7 +35,7 @@
 	stats *metrics.Counters
 	log   *slog.Logger
 
-	machine   *decide.New
+	machine   *decide.Target
 	build     string
 	alone     bool // the old process is dead or has left
 	good, bad int64
@@ -46,7 +46,7 @@
 func NewNew(loop *netio.Loop, c *core.Core, front Front, ch *Channel, opts NewOptions, counters *metrics.Counters, log *slog.Logger) *New {
 	return &New{
 		loop: loop, core: c, front: front, ch: ch, opts: opts, stats: counters, log: log,
-		machine: decide.NewNew(Version), journals: map[core.Client]*journal{},
+		machine: decide.NewTarget(Version), journals: map[core.Client]*journal{},
 	}
 }
 
@@ -60,7 +60,7 @@
 		n.loop.Post(func() { n.ended(err) })
 	}()
 	n.build = build
-	n.step(decide.Started{})
+	n.step(decide.TargetStarted{})
 	n.alive()
 }
 
@@ -122,11 +122,11 @@
 	case *Go:
 		good, bad := GoodAndBad(n.stats)
 		n.good, n.bad = good, bad
-		n.step(decide.Go{})
+		n.step(decide.ServeRequested{})
 	case *Given:
 		n.given(m, fds)
 	case *Commit:
-		n.step(decide.Commit{})
+		n.step(decide.OwnershipCommitted{})
 	case *Reload:
 		n.opts.Reload()
 	case *Counts:
@@ -147,7 +147,7 @@
 // world takes what the old process knows. Where that can't be read, this process is not
 // ready: it ends, and the old one goes on.
 func (n *New) world(w *World) {
-	n.step(decide.State{})
+	n.step(decide.StateReceived{})
 	k, unknown, err := w.decode()
 	for _, name := range unknown {
 		n.log.Warn("upgrade.section-passed-by", "section", name)
@@ -163,7 +163,7 @@
 		n.opts.Stop()
 		return
 	}
-	n.step(decide.Warm{})
+	n.step(decide.StateApplied{})
 }
 
 func (n *New) given(m *Given, fds []int) {
@@ -203,7 +203,7 @@
 		return
 	}
 	n.stats.Add("upgrade.adopted")
-	n.step(decide.Given{Conn: decide.ConnID(m.Conn)})
+	n.step(decide.ConnectionReceived{Conn: decide.ConnID(m.Conn)})
 }
 
 func (n *New) stopRecording() {
@@ -225,7 +225,7 @@
 	n.front.OnShared(nil)
 	n.front.OnStray(nil)
 	_ = n.ch.Close()
-	n.step(decide.Ended{})
+	n.step(decide.SourceExited{})
 }
 
 // sending records that a request goes to an engine, before it does.
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -53,7 +53,7 @@
 	stats *metrics.Counters
 	log   *slog.Logger
 
-	machine *decide.Old // nil: there never was an upgrade
+	machine *decide.Source // nil: there never was an upgrade
 	program Program     // of the upgrade that is under way
 	proc    *process
 	tell    func(phase, why string, done bool)
@@ -137,7 +137,7 @@
 		tell(o.Phase(), "another upgrade is under way", true)
 		return
 	}
-	o.machine = decide.NewOld(o.opts.Config, Version)
+	o.machine = decide.NewSource(o.opts.Config, Version)
 	o.tell, o.told, o.build, o.began = tell, decide.Idle, "", o.loop.Now()
 	o.program = p
 	o.mine, o.busy, o.kept = map[decide.ConnID]*netio.Conn{}, map[decide.ConnID]bool{}, map[decide.ConnID]*kept{}
@@ -149,14 +149,14 @@
 	o.front.OnAccept(func(c *netio.Conn) { // its handler is there from the next turn on
 		o.loop.Post(func() {
 			if o.UnderWay() && movable(c) != nil {
-				o.step(decide.Accepted{Conn: o.enter(c)})
+				o.step(decide.ConnectionAccepted{Conn: o.enter(c)})
 			}
 		})
 	})
 	for id := range uint32(len(o.mine)) {
-		o.machine.Step(o.loop.Now(), decide.Accepted{Conn: decide.ConnID(o.last - uint32(len(o.mine)) + 1 + id)})
+		o.machine.Step(o.loop.Now(), decide.ConnectionAccepted{Conn: decide.ConnID(o.last - uint32(len(o.mine)) + 1 + id)})
 	}
-	o.step(decide.Upgrade{UsualBad: o.share})
+	o.step(decide.UpgradeRequested{UsualBadShare: o.share})
 }
 
 func (o *Old) enter(c *netio.Conn) decide.ConnID {
@@ -172,7 +172,7 @@
 	if !o.UnderWay() {
 		return false
 	}
-	o.step(decide.Stop{})
+	o.step(decide.StopRequested{})
 	return true
 }
 
@@ -184,7 +184,7 @@
 }
 
 func (o *Old) step(in any) {
-	if _, died := in.(decide.Died); died {
+	if _, died := in.(decide.TargetExited); died {
 		o.recall()
 	}
 	o.effects = append(o.effects, o.machine.Step(o.loop.Now(), in)...)
@@ -204,16 +204,16 @@
 	later := time.Duration(-1)
 	for back := 0; len(o.effects) > 0; {
 		switch o.effects[0].(type) {
-		case decide.Give:
+		case decide.TransferConnection:
 			if o.given >= perPoll {
 				later = poll
 			}
 			o.given++
-		case decide.TakeBack:
+		case decide.ReclaimConnection:
 			if back++; back > perTurn {
 				later = 0
 			}
-		case decide.Kill:
+		case decide.KillTarget:
 			o.recall()
 		}
 		if later >= 0 {
@@ -227,7 +227,7 @@
 	if p := o.machine.Phase(); p != o.told {
 		o.told = p
 		o.log.Info("upgrade.phase", "phase", p.String(), "mine", len(o.mine), "theirs", len(o.kept))
-		if p != decide.Idle && p != decide.Gone {
+		if p != decide.Idle && p != decide.Exited {
 			o.tell(p.String(), "", false)
 		}
 	}
@@ -241,7 +241,7 @@
 func (o *Old) recall() {
 	var kept []decide.ConnID
 	o.effects = slices.DeleteFunc(o.effects, func(e any) bool {
-		g, ok := e.(decide.Give)
+		g, ok := e.(decide.TransferConnection)
 		if ok {
 			kept = append(kept, g.Conn)
 		}
@@ -249,17 +249,17 @@
 	})
 	for _, id := range kept {
 		o.busy[id] = true // until it is looked at again
-		o.machine.Step(o.loop.Now(), decide.Kept{Conn: id})
+		o.machine.Step(o.loop.Now(), decide.TransferCancelled{Conn: id})
 	}
 }
 
 func (o *Old) do(effect any) {
 	switch e := effect.(type) {
-	case decide.Spawn:
+	case decide.StartTarget:
 		o.spawn()
 	case decide.SendState:
 		o.sendState()
-	case decide.SendGo:
+	case decide.SendServe:
 		o.send(&Shared{o.front.Shared()})
 		o.front.OnShared(func(b []byte) { o.send(&Shared{b}) })
 		o.front.OnStray(func(b []byte) { o.send(&Stray{b}) })
@@ -277,22 +277,22 @@
 		if o.opts.Over != nil {
 			o.opts.Over()
 		}
-	case decide.Give:
+	case decide.TransferConnection:
 		o.give(e.Conn)
-	case decide.Forget:
+	case decide.ReleaseDuplicate:
 		o.forget(e.Conn)
-	case decide.Kill:
+	case decide.KillTarget:
 		o.log.Warn("upgrade.ending", "why", o.machine.Why())
 		if o.proc != nil {
 			o.proc.kill()
 		} else {
-			o.loop.Post(func() { o.step(decide.Died{}) })
+			o.loop.Post(func() { o.step(decide.TargetExited{}) })
 		}
-	case decide.TakeBack:
+	case decide.ReclaimConnection:
 		o.takeBack(e)
-	case decide.Report:
+	case decide.ReportOutcome:
 		o.report(e.Why)
-	case decide.BeginStop:
+	case decide.BeginShutdown:
 		o.opts.Stop()
 	case decide.Exit:
 		o.exit()
@@ -316,7 +316,7 @@
 		_ = f.Close()
 	}
 	if err != nil {
-		o.loop.Post(func() { o.step(decide.Hello{Version: Version, Problem: err.Error()}) })
+		o.loop.Post(func() { o.step(decide.TargetHello{Version: Version, Problem: err.Error()}) })
 		return
 	}
 	o.log.Info("upgrade.started", "program", o.program.Path, "pid", o.proc.cmd.Process.Pid)
@@ -351,7 +351,7 @@
 			_ = proc.ch.Close()
 			if o.proc == proc {
 				o.proc = nil
-				o.step(decide.Died{})
+				o.step(decide.TargetExited{})
 			}
 		})
 	}()
@@ -378,31 +378,31 @@
 	switch m := m.(type) {
 	case *Hello:
 		o.build = m.Build
-		o.step(decide.Hello{Version: decide.Version{Major: m.Major, Minor: m.Minor}, Problem: m.Problem})
+		o.step(decide.TargetHello{Version: decide.Version{Major: m.Major, Minor: m.Minor}, Problem: m.Problem})
 	case *Ready:
 		o.sync()
-		o.step(decide.Ready{})
+		o.step(decide.TargetReady{})
 	case *Alive:
-		o.step(decide.Alive{Good: m.Good, Bad: m.Bad, Open: m.Open})
+		o.step(decide.TargetHeartbeat{Good: m.Good, Bad: m.Bad, InFlight: m.Open})
 	case *Input:
 		if k := o.kept[decide.ConnID(m.Conn)]; k != nil {
 			k.input(m)
 		}
-		o.step(decide.Heard{})
+		o.step(decide.TargetActive{})
 	case *Sending:
 		if k := o.kept[decide.ConnID(m.Conn)]; k != nil {
 			k.sending = m
 		}
-		o.step(decide.Recorded{Conn: decide.ConnID(m.Conn), Request: m.request()})
+		o.step(decide.RequestRecorded{Conn: decide.ConnID(m.Conn), Request: m.request()})
 	case *Output:
 		if k := o.kept[decide.ConnID(m.Conn)]; k != nil {
 			k.output(m)
 		}
 		if m.Settled {
-			o.step(decide.Recorded{Conn: decide.ConnID(m.Conn)})
+			o.step(decide.RequestRecorded{Conn: decide.ConnID(m.Conn)})
 		}
 	case *Closed:
-		o.step(decide.TheyClosed{Conn: decide.ConnID(m.Conn)})
+		o.step(decide.TargetClosedConnection{Conn: decide.ConnID(m.Conn)})
 	case *Shared:
 		if err := o.front.TakeShared(m.B); err != nil {
 			o.log.Warn("upgrade.shared", "error", err)
@@ -416,7 +416,7 @@
 
 func (m *Sending) request() decide.Request {
 	return decide.Request{
-		Open: true, Effect: decide.Effect(m.Effect), Sent: true, FirstSend: m.At, Window: m.Window, Deadline: m.Deadline,
+		InFlight: true, Idempotency: decide.Idempotency(m.Effect), Sent: true, FirstSend: m.At, KeyWindow: m.Window, Deadline: m.Deadline,
 	}
 }
 
@@ -463,16 +463,16 @@
 		if c.Over() {
 			delete(o.mine, id)
 			delete(o.busy, id)
-			o.step(decide.Closed{Conn: id})
+			o.step(decide.ConnectionClosed{Conn: id})
 			continue
 		}
 		if ok := free(c, m); ok == o.busy[id] {
 			if ok {
 				delete(o.busy, id)
-				o.step(decide.Free{Conn: id})
+				o.step(decide.ConnectionIdle{Conn: id})
 			} else {
 				o.busy[id] = true
-				o.step(decide.Busy{Conn: id})
+				o.step(decide.ConnectionBusy{Conn: id})
 			}
 		}
 	}
@@ -486,7 +486,7 @@
 	m := movable(c)
 	if !c.Over() && !free(c, m) {
 		o.busy[id] = true
-		o.effects = append(o.effects, o.machine.Step(o.loop.Now(), decide.Kept{Conn: id})...)
+		o.effects = append(o.effects, o.machine.Step(o.loop.Now(), decide.TransferCancelled{Conn: id})...)
 		return
 	}
 	delete(o.mine, id)
@@ -494,7 +494,7 @@
 	state := m.State()
 	fd, unread, err := c.Detach()
 	if err != nil { // its end is told soon
-		o.effects = append(o.effects, o.machine.Step(o.loop.Now(), decide.TheyClosed{Conn: id})...)
+		o.effects = append(o.effects, o.machine.Step(o.loop.Now(), decide.TargetClosedConnection{Conn: id})...)
 		return
 	}
 	m.Left()
@@ -516,7 +516,7 @@
 // takeBack makes a connection this process's own again. What the new one had recorded to
 // write and did not is written first; what it had read and not answered is read anew, and
 // what it had sent to an engine goes out again only as Recover says.
-func (o *Old) takeBack(e decide.TakeBack) {
+func (o *Old) takeBack(e decide.ReclaimConnection) {
 	k := o.kept[e.Conn]
 	if k == nil {
 		return
@@ -542,7 +542,7 @@
 	left := core.Left{Came: k.came}
 	if k.sending != nil {
 		left.Sent = k.sending.At
-		left.Settle = decide.Recover(k.sending.request(), 0, o.loop.Now()) != decide.SendAgain
+		left.Settle = decide.Recover(k.sending.request(), 0, o.loop.Now()) != decide.Resend
 	}
 	restore, err := o.front.Restore(k.state)
 	if err != nil {
@@ -589,7 +589,7 @@
 	}
 	if o.proc != nil && now-o.memory >= memoryEvery {
 		o.memory = now
-		o.step(decide.Memory{Bytes: metrics.Resident(o.proc.cmd.Process.Pid)})
+		o.step(decide.TargetMemory{Bytes: metrics.Resident(o.proc.cmd.Process.Pid)})
 	}
 	o.step(decide.Tick{})
 }
--- a/internal/handover/spawn.go
+++ b/internal/handover/spawn.go
@@ -106,7 +106,7 @@
 		switch {
 		case h.Problem != "":
 			return h.Build, errors.New(h.Problem)
-		case !Version.Speaks(v):
+		case !Version.CompatibleWith(v):
 			return h.Build, fmt.Errorf("it speaks version %d.%d, and this one %d.%d", h.Major, h.Minor, Version.Major, Version.Minor)
 		}
 		return h.Build, nil
