--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -24,21 +24,21 @@
 	MaxMemoryMB             int     `toml:"most_memory_mb"` // 0: no bound
 }
 
-// LoadUpgrade reads the file. What it leaves out is as handover.Defaults says.
+// LoadUpgrade reads the file. What it leaves out is as handover.DefaultConfig says.
 func LoadUpgrade(path string) (*Upgrade, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
-	d := handover.Defaults()
+	d := handover.DefaultConfig()
 	u := Upgrade{
-		HelloTimeoutSeconds:     d.GreetWithin.Seconds(),
-		WarmUpTimeoutSeconds:    d.WarmWithin.Seconds(),
-		ProbationSeconds:        d.ProveFor.Seconds(),
-		MaxProbationSeconds:     d.ProveWithin.Seconds(),
-		HeartbeatTimeoutSeconds: d.SilentFor.Seconds(),
-		MinSuccesses:            d.GoodAnswers,
-		MaxFailureFraction:      d.BadShare,
+		HelloTimeoutSeconds:     d.GreetTimeout.Seconds(),
+		WarmUpTimeoutSeconds:    d.WarmTimeout.Seconds(),
+		ProbationSeconds:        d.MinProbation.Seconds(),
+		MaxProbationSeconds:     d.MaxProbation.Seconds(),
+		HeartbeatTimeoutSeconds: d.HeartbeatTimeout.Seconds(),
+		MinSuccesses:            d.MinGoodAnswers,
+		MaxFailureFraction:      d.MaxBadShare,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &u) {
@@ -82,13 +82,13 @@
 // Decide returns the configuration of the handover's decisions.
 func (u *Upgrade) Decide() handover.Config {
 	return handover.Config{
-		GreetWithin: seconds(u.HelloTimeoutSeconds),
-		WarmWithin:  seconds(u.WarmUpTimeoutSeconds),
-		ProveFor:    seconds(u.ProbationSeconds),
-		ProveWithin: seconds(u.MaxProbationSeconds),
-		SilentFor:   seconds(u.HeartbeatTimeoutSeconds),
-		GoodAnswers: u.MinSuccesses,
-		BadShare:    u.MaxFailureFraction,
-		MostMemory:  int64(u.MaxMemoryMB) << 20,
+		GreetTimeout:     seconds(u.HelloTimeoutSeconds),
+		WarmTimeout:      seconds(u.WarmUpTimeoutSeconds),
+		MinProbation:     seconds(u.ProbationSeconds),
+		MaxProbation:     seconds(u.MaxProbationSeconds),
+		HeartbeatTimeout: seconds(u.HeartbeatTimeoutSeconds),
+		MinGoodAnswers:   u.MinSuccesses,
+		MaxBadShare:      u.MaxFailureFraction,
+		MaxMemory:        int64(u.MaxMemoryMB) << 20,
 	}
 }
