--- a/internal/decide/handover/old_test.go
+++ b/internal/decide/handover/old_test.go
@@ -216,9 +216,9 @@
 				kinds = append(kinds, reflect.TypeOf(e).Name())
 			}
 		}
-		want := []string{"Spawn", "SendState", "SendGo"}
+		want := []string{"StartTarget", "SendState", "SendServe"}
 		if tt.want == Returning {
-			want = append(want, "Kill")
+			want = append(want, "KillTarget")
 		}
 		if diff := cmp.Diff(want, kinds); diff != "" || o.Phase() != tt.want {
 			t.Errorf("%s: %v (-want +got):\n%s", name, o.Phase(), diff)
