--- a/internal/decide/membership/members.go
+++ b/internal/decide/membership/members.go
@@ -77,41 +77,54 @@
 	Size   int    `cbor:"Size"`
 }
 
-// Actions.
-type (
-	// Send has a datagram sent.
-	Send struct {
-		To      ID
-		Payload []byte
-	}
-	// ViewChanged tells that another view holds here.
-	ViewChanged struct {
-		View View
-		// Majority tells whether it has more than half of those that were in a view lately. Without it this member
-		// is in the smaller part of a fleet that is cut, or most others are gone: it can't know which.
-		Majority bool
-	}
-	// MemberReport tells of a change of one member, for an operator.
-	MemberReport struct {
-		Member    ID
-		State     State
-		Reason    string
-		Witnesses []ID
-	}
-)
+// Event is something that happens to a Node: a Tick, a DatagramReceived or a Leave.
+type Event interface{ isEvent() }
 
-// Events.
-type (
-	// Tick tells the time; it is due each Step.
-	Tick struct{}
-	// DatagramReceived is a datagram that came from the address of a member.
-	DatagramReceived struct {
-		From    ID
-		Payload []byte
-	}
-	// Leave is a planned stop: all are told at once.
-	Leave struct{}
-)
+// Tick says that time has passed. One is due every TickInterval.
+type Tick struct{}
+
+// DatagramReceived is a datagram that came from the address of a member.
+type DatagramReceived struct {
+	From    ID
+	Payload []byte
+}
+
+// Leave is a graceful shutdown of this member.
+type Leave struct{}
+
+func (Tick) isEvent()             {}
+func (DatagramReceived) isEvent() {}
+func (Leave) isEvent()            {}
+
+// Action is what the caller of a Node has to carry out: a Send, or a ViewChanged or MemberReport to publish.
+type Action interface{ isAction() }
+
+// Send asks for a datagram to be sent to a member.
+type Send struct {
+	To      ID
+	Payload []byte
+}
+
+// ViewChanged reports that this member has installed another view.
+type ViewChanged struct {
+	View View
+	// Majority tells whether the view holds more than half of the members that were in a view recently. Without a
+	// majority either this member is in the smaller part of a partitioned fleet or most others have failed; it can't
+	// tell which.
+	Majority bool
+}
+
+// MemberReport reports a change of one member to operators.
+type MemberReport struct {
+	Member    ID
+	State     State
+	Reason    string
+	Witnesses []ID // members that don't hear it
+}
+
+func (Send) isAction()         {}
+func (ViewChanged) isAction()  {}
+func (MemberReport) isAction() {}
 
 // peer is what is known of another member, or of this one.
 type peer struct {
@@ -216,7 +229,7 @@
 	RejectedMembers  int // members that would have been too many
 	RejectedGossip   int // rumours that were too many
 
-	out []any
+	out []Action
 }
 
 // New returns a member. inc has to be higher than that of any earlier process of this member that may be remembered:
@@ -297,7 +310,7 @@
 }
 
 // Handle takes one event and returns what to do, in order. Times never go back.
-func (m *Node) Handle(now time.Duration, event any) []any {
+func (m *Node) Handle(now time.Duration, event Event) []Action {
 	m.out = nil
 	m.refill(now)
 	m.now = now
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -155,7 +155,7 @@
 		b        []byte
 	}
 	var way []on
-	handle := func(i int, e any) {
+	handle := func(i int, e Event) {
 		for _, a := range w.all[i].Handle(w.now, e) {
 			switch a := a.(type) {
 			case MemberReport:
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -151,7 +151,7 @@
 func replayUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 // handle gives a member an event, writes down what it does and sends its datagrams.
-func (r *replay) handle(n *replayNode, event any) {
+func (r *replay) handle(n *replayNode, event Event) {
 	for _, a := range n.machine.Handle(r.clock(n), event) {
 		r.actions++
 		at := replayUint(uint64(r.now)) + " " + replayUint(uint64(n.id))
--- a/internal/decide/membership/sync_test.go
+++ b/internal/decide/membership/sync_test.go
@@ -72,7 +72,7 @@
 	})
 }
 
-func sends(out []any, to ID) (all []Send) {
+func sends(out []Action, to ID) (all []Send) {
 	for _, o := range out {
 		if s, ok := o.(Send); ok && s.To == to {
 			all = append(all, s)
--- a/internal/decide/membership/wire_test.go
+++ b/internal/decide/membership/wire_test.go
@@ -121,7 +121,7 @@
 		m := newMachine(1, rapid.Uint64().Draw(t, "seed"))
 		now, began, sent := time.Hour, time.Hour, 0.0
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
-			var e any = Tick{}
+			var e Event = Tick{}
 			if rapid.IntRange(0, 3).Draw(t, "what") > 0 {
 				from := ID(rapid.Uint32Range(2, 300).Draw(t, "from"))
 				d := message{Kind: byte(rapid.IntRange(kindBeat, kindAnswer).Draw(t, "kind")), From: from, Inc: 1, Seq: 1, Carries: []record{drawRecord(t, from)}}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -149,7 +149,7 @@
 	s.handle(decide.DatagramReceived{From: id, Payload: b})
 }
 
-func (s *Service) handle(event any) {
+func (s *Service) handle(event decide.Event) {
 	for _, a := range s.machine.Handle(s.loop.Now(), event) {
 		switch a := a.(type) {
 		case decide.Send:
--- a/internal/testbed/membershipsim/baseline.go
+++ b/internal/testbed/membershipsim/baseline.go
@@ -50,7 +50,7 @@
 	return decide.Unknown, nil, nil
 }
 
-func (h *heartbeats) Handle(now time.Duration, event any) (out []any) {
+func (h *heartbeats) Handle(now time.Duration, event decide.Event) (out []decide.Action) {
 	switch e := event.(type) {
 	case decide.DatagramReceived:
 		if h.dead[e.From] {
@@ -135,7 +135,7 @@
 	swimAsk
 )
 
-func (s *swim) say(kind byte, to, about decide.ID) any {
+func (s *swim) say(kind byte, to, about decide.ID) decide.Action {
 	b := append([]byte{kind}, binary.BigEndian.AppendUint32(nil, uint32(about))...)
 	ids := make([]decide.ID, 0, len(s.news))
 	for id := range s.news {
@@ -165,7 +165,7 @@
 	s.news[id] = int(3 * math.Ceil(math.Log2(float64(len(s.others)+2))))
 }
 
-func (s *swim) set(id decide.ID, state decide.State, inc uint16, now time.Duration) (out []any) {
+func (s *swim) set(id decide.ID, state decide.State, inc uint16, now time.Duration) (out []decide.Action) {
 	p := s.others[id]
 	if p == nil {
 		return nil
@@ -185,7 +185,7 @@
 	return out
 }
 
-func (s *swim) Handle(now time.Duration, event any) (out []any) {
+func (s *swim) Handle(now time.Duration, event decide.Event) (out []decide.Action) {
 	switch e := event.(type) {
 	case decide.DatagramReceived:
 		kind, about := e.Payload[0], decide.ID(binary.BigEndian.Uint32(e.Payload[1:]))
@@ -221,7 +221,7 @@
 	return out
 }
 
-func (s *swim) turn(now time.Duration) (out []any) {
+func (s *swim) turn(now time.Duration) (out []decide.Action) {
 	doubtFor := time.Duration(3*math.Ceil(math.Log10(float64(len(s.others)+2)))) * swimPeriod
 	for _, id := range s.ids() {
 		if p := s.others[id]; p.state == decide.Suspect && now-p.since > doubtFor {
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -57,7 +57,7 @@
 	quiet := true
 	w := New(Options{
 		Members: o.Members, Seed: o.Seed, Loss: o.Loss, Named: o.named(), Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ways[o.Way],
-		Hear: func(now time.Duration, at decide.ID, a any) {
+		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
 			switch a := a.(type) {
 			case decide.ViewChanged:
 				changes[at]++
--- a/internal/testbed/membershipsim/start_test.go
+++ b/internal/testbed/membershipsim/start_test.go
@@ -14,7 +14,7 @@
 	w := New(Options{
 		Members: n, Seed: 1, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
 		Named: func(decide.ID) []decide.ID { return []decide.ID{1, 1001} },
-		Hear: func(now time.Duration, at decide.ID, a any) {
+		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
 			if a, ok := a.(decide.MemberReport); ok && (a.State == decide.Dead || a.State == decide.Unreachable) {
 				t.Errorf("%v: %d calls %d %s, and all live", now, at, a.Member, a.State)
 			}
@@ -36,7 +36,7 @@
 	told := 0
 	w := New(Options{
 		Members: n, Seed: 1, Loss: 0.3, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
-		Hear: func(now time.Duration, at decide.ID, a any) {
+		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
 			if a, ok := a.(decide.MemberReport); ok && now > 30*s {
 				told++
 				if !a.State.InView() {
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -14,7 +14,7 @@
 // Member is one member of a fleet: internal/decide/membership, or a baseline.
 type Member interface {
 	// Handle takes decide.Tick, decide.DatagramReceived or decide.Leave, and returns actions of internal/decide/membership.
-	Handle(now time.Duration, event any) []any
+	Handle(now time.Duration, event decide.Event) []decide.Action
 	TickInterval() time.Duration
 	// State is what it holds of another.
 	State(id decide.ID) (decide.State, []decide.ID, []decide.ID)
@@ -33,7 +33,7 @@
 	Make    func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
 	Named   func(id decide.ID) []decide.ID // whom its settings name; nil: all
 	Events  []Event
-	Hear    func(now time.Duration, at decide.ID, action any) // of what members tell; nil: nobody
+	Hear    func(now time.Duration, at decide.ID, action decide.Action) // of what members tell; nil: nobody
 }
 
 // Event is something that happens to members or to the ways between them.
@@ -229,7 +229,7 @@
 	w.at(w.now+time.Duration(float64(n.m.TickInterval())/n.drift), func() { w.tick(n, life) })
 }
 
-func (w *World) handle(n *node, event any) {
+func (w *World) handle(n *node, event decide.Event) {
 	began := time.Now()
 	out := n.m.Handle(n.clock(w.now), event)
 	w.CPU += time.Since(began)
@@ -263,7 +263,7 @@
 	}
 }
 
-func (w *World) deliver(n *node, life int, event any) {
+func (w *World) deliver(n *node, life int, event decide.Event) {
 	if !n.alive || n.life != life {
 		return
 	}
--- a/internal/testbed/membershipsim/world_test.go
+++ b/internal/testbed/membershipsim/world_test.go
@@ -114,7 +114,7 @@
 	var w *World
 	opts := Options{
 		Members: st.members, Seed: seed, Loss: st.loss, Twice: 0.02, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
-		Hear: func(now time.Duration, at decide.ID, a any) {
+		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
 			if now < settled {
 				return
 			}
@@ -188,7 +188,7 @@
 		opts := Options{
 			Members: 30, Seed: 4, Loss: 0.2, Twice: 0.02, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
 			Events: []Event{{At: 12 * s, Do: Crash, Who: seq(1, 20)}, {At: 20 * s, Do: Start, Who: seq(1, 10)}},
-			Hear:   func(now time.Duration, at decide.ID, a any) { fmt.Fprintln(h, now, at, a) },
+			Hear:   func(now time.Duration, at decide.ID, a decide.Action) { fmt.Fprintln(h, now, at, a) },
 		}
 		w := New(opts)
 		w.Run(35 * s)
