--- a/internal/decide/membership/carry_test.go
+++ b/internal/decide/membership/carry_test.go
@@ -21,7 +21,7 @@
 	f.all = f.all[:6]
 	f.run(f.now+8*time.Second, nil)
 	f.heard = nil
-	before := f.all[0].view
+	before := f.all[0].views.current
 
 	c := f.all[0].SaveState()
 	f.run(f.now+2*time.Second, nil) // it serves on meanwhile
@@ -41,8 +41,8 @@
 		t.Errorf("one is told of: %+v", told)
 	}
 	for _, m := range f.all {
-		if m.view != before {
-			t.Errorf("%d has the view %v, not %v", m.self.id, m.view, before)
+		if m.views.current != before {
+			t.Errorf("%d has the view %v, not %v", m.self.id, m.views.current, before)
 		}
 		if got := m.GossipMessages(5); len(got) != 2 {
 			t.Errorf("%d has the rumours %v", m.self.id, got)
@@ -88,12 +88,12 @@
 	f := fewOf(2)
 	f.run(f.now+2*time.Second, nil)
 	m, from := f.all[0], f.all[1].self.id
-	for id := ID(100); id < 100+2*mostMembers; id++ {
-		r := record{Author: id, Inc: 1}
-		m.merge(r, false)
+	for id := ID(100); id < 100+2*maxMembers; id++ {
+		r := record{Author: id, Incarnation: 1}
+		m.mergeRecord(r)
 	}
-	m.Handle(f.now, DatagramReceived{From: from + 50000, Payload: seal(message{Kind: kindBeat, From: from + 50000}.append(nil))})
-	if len(m.all) != mostMembers || m.RejectedMembers < mostMembers || m.RejectedMembers > mostMembers+10 {
-		t.Errorf("%d are known, %d were too many", len(m.all), m.RejectedMembers)
+	m.Handle(f.now, DatagramReceived{From: from + 50000, Payload: appendChecksum(message{Kind: kindHeartbeat, From: from + 50000}.appendTo(nil))})
+	if len(m.members.sorted) != maxMembers || m.RejectedMembers < maxMembers || m.RejectedMembers > maxMembers+10 {
+		t.Errorf("%d are known, %d were too many", len(m.members.sorted), m.RejectedMembers)
 	}
 }
--- a/internal/decide/membership/fixture_test.go
+++ b/internal/decide/membership/fixture_test.go
@@ -24,25 +24,25 @@
 	self := ID(10<<40 | 3<<16 | 7946)
 	other := ID(10<<40 | 4<<16 | 7946)
 	third := ID(10<<40 | 9<<16 | 7946)
-	head := func(kind byte) message {
-		return message{Kind: kind, From: self, Inc: 1_800_000_000, Seq: 4711, Records: 0xdeadbeef, Knows: 300, View: View{Number: 77, Digest: 0xcafe0123}}
+	head := func(kind kind) message {
+		return message{Kind: kind, From: self, Incarnation: 1_800_000_000, Sequence: 4711, RecordsDigest: 0xdeadbeef, KnownMembers: 300, View: View{Number: 77, Digest: 0xcafe0123}}
 	}
-	own := record{Author: self, Inc: 1_800_000_000, Seq: 12, Doubts: true, Words: []entry{{other, 7, deaf}, {third, 200, aside}, {third + 5, 0, hears}}}
-	beat, probe, answer, ask, have, tell, talk, more := head(kindBeat), head(kindProbe), head(kindAnswer), head(kindAsk), head(kindHave), head(kindTell), head(kindTalk), head(kindMore)
-	beat.Carries = []record{own}
-	answer.About = 4710
-	ask.About = uint64(third)
-	have.About = 1<<8 | 3
-	have.Has = filter{0, 1, 0x80, 0xff}
-	have.Carries = []record{{Author: self, Inc: 1_800_000_000, Seq: 65535}}
-	tell.About = 1
-	tell.Carries = []record{own, {Author: other, Inc: 1_799_999_000, Seq: 1, Left: true}, {Author: 1, Inc: 1, Words: []entry{{MaxID, 255, deaf}}}}
-	talk.Talk = []GossipMessage{
+	own := record{Author: self, Incarnation: 1_800_000_000, Sequence: 12, SuspectsItself: true, Statements: []statement{{other, 7, notHeard}, {third, 200, notHeardButAlive}, {third + 5, 0, heardDirectly}}}
+	beat, probe, answer, ask, have, tell, talk, more := head(kindHeartbeat), head(kindPing), head(kindAck), head(kindPingRequest), head(kindRecordsRequest), head(kindRecords), head(kindGossip), head(kindGossipRequest)
+	beat.Records = []record{own}
+	answer.Argument = 4710
+	ask.Argument = uint64(third)
+	have.Argument = 1<<8 | 3
+	have.Filter = bloomFilter{0, 1, 0x80, 0xff}
+	have.Records = []record{{Author: self, Incarnation: 1_800_000_000, Sequence: 65535}}
+	tell.Argument = 1
+	tell.Records = []record{own, {Author: other, Incarnation: 1_799_999_000, Sequence: 1, Departed: true}, {Author: 1, Incarnation: 1, Statements: []statement{{MaxID, 255, notHeard}}}}
+	talk.Gossip = []GossipMessage{
 		{Topic: 5, Key: 4_000_000_000, Owner: self, Incarnation: 1_800_000_000, Version: 3, Body: []byte("a body")},
 		{Topic: 255, Key: 0, Owner: other, Incarnation: 9, Version: 4_000_000_000},
 	}
-	more.About = 1
-	more.Has = filter{7}
+	more.Argument = 1
+	more.Filter = bloomFilter{7}
 	return []datagramFixture{{"beat", beat}, {"probe", probe}, {"answer", answer}, {"ask", ask}, {"have", have}, {"tell", tell}, {"talk", talk}, {"more", more}}
 }
 
@@ -64,18 +64,18 @@
 	for _, c := range datagramFixtures() {
 		t.Run(c.name, func(t *testing.T) {
 			b := stored[c.name]
-			body, err := open(b)
+			body, err := verifyChecksum(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := read(body)
+			got, err := decodeMessage(body)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(c.message, got, cmpopts.EquateEmpty()); diff != "" {
 				t.Error(diff)
 			}
-			if again := seal(got.append(nil)); !slices.Equal(again, b) {
+			if again := appendChecksum(got.appendTo(nil)); !slices.Equal(again, b) {
 				t.Errorf("written anew as %x, want %x", again, b)
 			}
 			checkDamaged(t, b, body)
@@ -88,20 +88,20 @@
 func checkDamaged(t *testing.T, b, body []byte) {
 	t.Helper()
 	for n := range b {
-		if _, err := open(b[:n]); err == nil {
+		if _, err := verifyChecksum(b[:n]); err == nil {
 			t.Errorf("%d of %d bytes are taken", n, len(b))
 		}
 	}
 	for i := range len(b) * 8 {
 		flipped := slices.Clone(b)
 		flipped[i/8] ^= 1 << (i % 8)
-		if _, err := open(flipped); err == nil {
+		if _, err := verifyChecksum(flipped); err == nil {
 			t.Errorf("bit %d is changed and the datagram is taken", i)
 		}
 	}
 	readOrRefuse := func(what string, n int, b []byte) {
-		got, err := read(b)
-		if err == nil && !slices.Equal(got.append(nil), b) {
+		got, err := decodeMessage(b)
+		if err == nil && !slices.Equal(got.appendTo(nil), b) {
 			t.Errorf("%s %d: read and written otherwise", what, n)
 		}
 	}
--- a/internal/decide/membership/liar_test.go
+++ b/internal/decide/membership/liar_test.go
@@ -51,8 +51,8 @@
 func (f *few) whole(t *testing.T) {
 	t.Helper()
 	for _, m := range f.all {
-		if m.view.Size != len(f.all) || m.view.Digest != f.all[0].view.Digest {
-			t.Errorf("%d has the view %v", m.self.id, m.view)
+		if m.views.current.Size != len(f.all) || m.views.current.Digest != f.all[0].views.current.Digest {
+			t.Errorf("%d has the view %v", m.self.id, m.views.current)
 		}
 	}
 }
@@ -75,13 +75,13 @@
 		if m.self.id != 2 {
 			return []DatagramReceived{{m.self.id, s.Payload}}
 		}
-		r := record{Author: 2, Inc: m.self.record.Inc, Seq: uint16(f.now / time.Millisecond)}
+		r := record{Author: 2, Incarnation: m.self.record.Incarnation, Sequence: uint16(f.now / time.Millisecond)}
 		for _, o := range f.all {
 			if o != m {
-				r.Words = append(r.Words, entry{o.self.id, uint8(o.self.record.Inc), deaf})
+				r.Statements = append(r.Statements, statement{o.self.id, uint8(o.self.record.Incarnation), notHeard})
 			}
 		}
-		return []DatagramReceived{{2, seal(message{Kind: kindTell, From: 2, Inc: r.Inc, Carries: []record{r}}.append(nil))}, {2, s.Payload}}
+		return []DatagramReceived{{2, appendChecksum(message{Kind: kindRecords, From: 2, Incarnation: r.Incarnation, Records: []record{r}}.appendTo(nil))}, {2, s.Payload}}
 	})
 	for _, h := range f.heard {
 		if !h.State.InView() {
@@ -101,9 +101,9 @@
 		if m.self.id == 2 {
 			for _, o := range f.all {
 				r := o.self.record
-				r.Seq, r.Left = r.Seq+1, true
-				says = append(says, DatagramReceived{2, seal(message{Kind: kindBeat, From: o.self.id, Inc: 1 << 30}.append(nil))},
-					DatagramReceived{2, seal(message{Kind: kindTell, From: 2, Inc: m.self.record.Inc, Carries: []record{r}}.append(nil))})
+				r.Sequence, r.Departed = r.Sequence+1, true
+				says = append(says, DatagramReceived{2, appendChecksum(message{Kind: kindHeartbeat, From: o.self.id, Incarnation: 1 << 30}.appendTo(nil))},
+					DatagramReceived{2, appendChecksum(message{Kind: kindRecords, From: 2, Incarnation: m.self.record.Incarnation, Records: []record{r}}.appendTo(nil))})
 			}
 		}
 		return says
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -35,10 +35,10 @@
 func (m *Node) clone() *Node {
 	c := *m
 	to := map[*peer]*peer{}
-	c.peers = map[ID]*peer{}
-	for id, p := range m.peers {
+	c.members.byID = map[ID]*peer{}
+	for id, p := range m.members.byID {
 		q := *p
-		to[p], c.peers[id] = &q, &q
+		to[p], c.members.byID[id] = &q, &q
 	}
 	all := func(in []*peer) (out []*peer) {
 		for _, p := range in {
@@ -46,18 +46,18 @@
 		}
 		return out
 	}
-	c.all = all(m.all)
-	c.self, c.order, c.cared, c.rings = to[m.self], all(m.order), all(m.cared), nil
-	for _, r := range m.rings {
-		c.rings = append(c.rings, all(r))
+	c.members.sorted = all(m.members.sorted)
+	c.self, c.topology.inView, c.monitor.peers, c.topology.rings = to[m.self], all(m.topology.inView), all(m.monitor.peers), nil
+	for _, r := range m.topology.rings {
+		c.topology.rings = append(c.topology.rings, all(r))
 	}
-	c.news = map[ID]int{}
-	for id, n := range m.news {
-		c.news[id] = n
+	c.outbox.pending = map[ID]int{}
+	for id, n := range m.outbox.pending {
+		c.outbox.pending[id] = n
 	}
-	c.talk.all, c.talk.news = maps.Clone(m.talk.all), maps.Clone(m.talk.news)
-	rng := *m.rng.(*draws)
-	c.rng, c.out = &rng, nil
+	c.gossip.messages, c.gossip.pending = maps.Clone(m.gossip.messages), maps.Clone(m.gossip.pending)
+	rng := *m.random.(*draws)
+	c.random, c.actions = &rng, nil
 	return &c
 }
 
@@ -190,7 +190,7 @@
 				w.woke[i] = w.now
 				continue
 			}
-			if w.now >= m.next {
+			if w.now >= m.nextTickAt {
 				handle(i, Tick{})
 			}
 		}
@@ -242,9 +242,9 @@
 func (w *model) state() uint64 {
 	h := fnv.New64a()
 	for i, m := range w.all {
-		fmt.Fprintln(h, w.alive[i], m.view, m.major, m.self.record, w.now-m.doubt > 0)
-		for _, p := range m.all {
-			fmt.Fprintln(h, p.state, p.mine, p.record, p.against, p.aside, p.by, p.asked, (w.now-p.fresh)/(100*time.Millisecond))
+		fmt.Fprintln(h, w.alive[i], m.views.current, m.views.hasMajority, m.self.record, w.now-m.health.suspectUntil > 0)
+		for _, p := range m.members.sorted {
+			fmt.Fprintln(h, p.state, p.ownObservation, p.record, p.notHeardBy, p.notHeardButAliveBy, p.heardBy, p.pingsSent, (w.now-p.silentSince)/(100*time.Millisecond))
 		}
 	}
 	return h.Sum64()
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -133,15 +133,17 @@
 }
 
 func (r *replay) write(parts ...string) {
-	fmt.Fprintln(r.digest, strings.Join(parts, " "))
+	_, _ = fmt.Fprintln(r.digest, strings.Join(parts, " ")) // a hash never fails
 }
 
 func replayIDs(ids []ID) string {
-	s := "["
+	var s strings.Builder
+	s.WriteString("[")
 	for _, id := range ids {
-		s += strconv.FormatUint(uint64(id), 10) + ","
+		s.WriteString(strconv.FormatUint(uint64(id), 10) + ",")
 	}
-	return s + "]"
+	s.WriteString("]")
+	return s.String()
 }
 
 func replayView(v View) string {
--- a/internal/decide/membership/rumour_test.go
+++ b/internal/decide/membership/rumour_test.go
@@ -49,7 +49,7 @@
 	same("later", "1.0 second", "1.1 first", "2.0 first", "3.0 first", "3.1 first")
 
 	f.all = f.all[1:]
-	f.run(f.now+remembers+15*time.Second, nil)
+	f.run(f.now+recentMemory+15*time.Second, nil)
 	same("without the first", "2.0 first", "3.0 first", "3.1 first")
 }
 
@@ -72,7 +72,7 @@
 	}
 	// One that does not keep to it is refused by others.
 	for key := range uint32(500) {
-		f.all[1].hearRumour(GossipMessage{Topic: 2, Key: key, Owner: 1, Version: 1, Body: []byte("z")})
+		f.all[1].receiveGossip(GossipMessage{Topic: 2, Key: key, Owner: 1, Version: 1, Body: []byte("z")})
 	}
 	if n := len(f.all[1].GossipMessages(2)); n > 2*MaxGossipPerOwner || f.all[1].RejectedGossip == 0 {
 		t.Errorf("%d are kept, %d refused", n, f.all[1].RejectedGossip)
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -6,180 +6,187 @@
 	"time"
 )
 
-// What is lost or was never passed on is found by digests in each datagram, and asked for: a member tells by a filter which
-// records it has, and the other answers with those that it has besides. So what comes back is new, whether much differs (a start
-// of hundreds) or one record of a thousand.
-
-// filter is a Bloom filter (Bloom 1970) of two bits for each thing in it. What is in it is always found; of what is not, up
-// to one in four seems to be, other things in each question, as they are salted.
-type filter []byte
+// Records and gossip that were lost, or not passed on, are found by the digests in each datagram and requested: a
+// member sends a filter of what it has, and the other answers with what it has besides. So the answer is new, whether
+// much differs (a start of hundreds) or one record of a thousand.
 
 const (
-	// roomy and tight are the bits for each thing in a filter where there is room, and where there is little: below that
-	// the things are divided into parts, of which one is asked for. Few things have a byte each, which costs little.
-	roomy = 4
-	tight = 3
+	// answerBudgetDivisor is the part of the saved-up bytes that one answer may use. Guards against a start in which
+	// the first few members to ask use up all that a seed may send.
+	answerBudgetDivisor = 8
+	// maxAnswerDatagrams bounds the datagrams of one answer.
+	maxAnswerDatagrams = 3
+	// recordsPerAnswer is how many records an answer has at most, approximately. Where more are missing, a partition
+	// of them is requested, with a smaller filter.
+	recordsPerAnswer = 40
+	// bootstrapRecords is how many members one that knows nobody is told of; it asks these next.
+	bootstrapRecords = 4
+	// ownRecordBytes is the space in a request for this member's own record.
+	ownRecordBytes = 24
+	// maxPartitions fits the byte of a partition.
+	maxPartitions = 255
+	// partitionSalt makes partitions independent of other uses of the hash.
+	partitionSalt = 7
+	// idleSyncHeartbeats is how long, in heartbeat intervals, one request waits after another that brought little.
+	idleSyncHeartbeats = 3
 )
 
-// bits are the two of a thing.
-func (f filter) bits(hash, salt uint32) (i, j uint32) {
-	h := mix(hash, salt)
-	n := uint32(len(f)) * 8
-	return h & 0xffff % n, h >> 16 % n
+// antiEntropy is the progress of this member's requests for records.
+type antiEntropy struct {
+	requestedAt    time.Duration // the last request
+	gained         int           // records that it brought
+	previousGained int           // records that the request before it brought
 }
 
-func (f filter) add(hash, salt uint32) {
-	i, j := f.bits(hash, salt)
-	f[i/8] |= 1 << (i % 8)
-	f[j/8] |= 1 << (j % 8)
-}
+// partition is a share of all items, by the hash of their keys: one of so many. It is encoded in the argument of a
+// request.
+type partition struct{ number, count uint64 }
 
-func (f filter) has(hash, salt uint32) bool {
-	if len(f) == 0 {
-		return false
-	}
-	i, j := f.bits(hash, salt)
-	return f[i/8]&(1<<(i%8)) != 0 && f[j/8]&(1<<(j%8)) != 0
-}
+func (p partition) argument() uint64 { return p.number<<8 | p.count }
 
-// part tells whether a thing is in the part that about names: its number, and of how many, in a byte each.
-func part(key uint32, about uint64) bool { return uint64(mix(key, 7))%max(about&0xff, 1) == about>>8 }
+func partitionOf(argument uint64) partition { return partition{argument >> 8, max(argument&0xff, 1)} }
 
-// covers tells whether a question is not for this thing: its sender has it, or asks for another part.
-func (d message) covers(key, hash uint32) bool {
-	return !part(key, d.About) || d.Has.has(hash, uint32(d.Seq))
+func (p partition) contains(key uint32) bool {
+	return uint64(mixHash(key, partitionSalt))%p.count == p.number
 }
 
-// thing is a record or a rumour: what it is about, and which one it is.
-type thing struct{ key, hash uint32 }
+// excludes tells whether a request does not ask for an item: its sender has it, or asks for another partition.
+func (m message) excludes(key, hash uint32) bool {
+	return !partitionOf(m.Argument).contains(key) || m.Filter.contains(hash, uint32(m.Sequence))
+}
 
-// ask sends a question for what is not in a filter of the things that this member has, or in so many parts of them.
-func (m *Node) ask(kind byte, p *peer, have []thing, parts int, rs []record) {
-	room := m.cfg.MaxDatagramBytes - sumBytes - mostHead - 1 - 24 // the last for this member's own record
-	parts = min(max(len(have)*tight/(8*room)+1, parts), 255)
-	d := message{Kind: kind, Carries: rs, About: uint64(m.rng.IntN(parts))<<8 | uint64(parts)}
-	have = slices.DeleteFunc(have, func(t thing) bool { return !part(t.key, d.About) })
-	if len(have) > 0 {
-		d.Has = make(filter, min(max(len(have)*roomy/8+1, min(len(have), 64)), room))
+// syncItem is a record or a gossip message: the hash of its key, and that of this version of it.
+type syncItem struct{ key, hash uint32 }
+
+// sendSyncRequest requests what is not among the items of this member, or a partition of it where there are many.
+func (n *Node) sendSyncRequest(kind kind, p *peer, items []syncItem, minPartitions int, records []record) {
+	capacity := n.config.MaxDatagramBytes - checksumBytes - maxHeaderBytes - 1 - ownRecordBytes
+	partitions := min(max(len(items)*minBitsPerItem/(8*capacity)+1, minPartitions), maxPartitions)
+	requested := partition{uint64(n.random.IntN(partitions)), uint64(partitions)}
+	items = slices.DeleteFunc(items, func(i syncItem) bool { return !requested.contains(i.key) })
+	m := message{Kind: kind, Records: records, Argument: requested.argument()}
+	if len(items) > 0 {
+		m.Filter = make(bloomFilter, filterBytes(len(items), capacity))
 	}
-	for _, t := range have {
-		d.Has.add(t.hash, uint32(uint16(m.seq)))
+	for _, i := range items {
+		m.Filter.add(i.hash, uint32(uint16(n.sequence)))
 	}
-	had := m.tokens
-	if m.send(d, p) >= 0 {
-		m.asks -= had - m.tokens
+	before := n.budget.available
+	if n.send(m, p) >= 0 {
+		n.budget.syncAvailable -= before - n.budget.available
 	}
 }
 
-// mayAsk tells whether there are bytes for one more question.
-func (m *Node) mayAsk() bool {
-	return m.asks >= float64(m.cfg.MaxDatagramBytes+m.cfg.FrameOverheadBytes)
+// canSendSyncRequest tells whether the budget allows another request.
+func (n *Node) canSendSyncRequest() bool {
+	return n.budget.syncAvailable >= float64(n.config.MaxDatagramBytes+n.config.FrameOverheadBytes)
 }
 
-// inquire asks another what it has that is not here.
-func (m *Node) inquire(p *peer) {
-	p.synced, m.synced, m.brought, m.gained = m.now, m.now, m.gained, 0
-	var own []record
-	if p.heard == 0 || !p.known { // it may not know this one
-		own = []record{m.self.record}
-	}
-	if !m.mayAsk() {
+// requestRecords requests from a peer the records that it has and this member has not.
+func (n *Node) requestRecords(p *peer) {
+	p.syncedAt = n.now
+	n.sync.requestedAt = n.now
+	n.sync.previousGained = n.sync.gained
+	n.sync.gained = 0
+	if !n.canSendSyncRequest() {
 		return
 	}
-	var have []thing
-	for _, o := range m.all {
-		if o.known {
-			have = append(have, thing{o.id.key(), o.record.hash()})
+	var own []record
+	if p.lastHeard == 0 || !p.known { // it may not know this member
+		own = []record{n.self.record}
+	}
+	var items []syncItem
+	for _, other := range n.members.sorted {
+		if other.known {
+			items = append(items, syncItem{other.id.hashKey(), other.record.hash()})
 		}
 	}
-	parts := (p.knows-m.knows)/answered + 1
-	if m.brought >= answered/2 { // what the last one brought was not all
-		parts *= 2
+	partitions := (p.knownMembers-n.members.known)/recordsPerAnswer + 1
+	if n.sync.previousGained >= recordsPerAnswer/2 { // the last answer was not complete
+		partitions *= 2
 	}
-	m.ask(kindHave, p, have, parts, own)
+	n.sendSyncRequest(kindRecordsRequest, p, items, partitions, own)
 }
 
-// inquireRumours asks another what rumours it has that are not here.
-func (m *Node) inquireRumours(p *peer) {
-	m.talk.asked = m.now
-	if !m.mayAsk() {
+// requestGossip requests from a peer the gossip that it has and this member has not.
+func (n *Node) requestGossip(p *peer) {
+	n.gossip.requestedAt = n.now
+	if !n.canSendSyncRequest() {
 		return
 	}
-	var have []thing
-	for a, r := range m.talk.all {
-		have = append(have, thing{a.hash(), r.hash()})
+	var items []syncItem
+	for key, g := range n.gossip.messages {
+		items = append(items, syncItem{key.hash(), g.hash()})
 	}
-	m.ask(kindMore, p, have, 1, nil)
+	n.sendSyncRequest(kindGossipRequest, p, items, 1, nil)
 }
 
-// lacks tells whether another knows of many more members than this one.
-func (m *Node) lacks(p *peer) bool { return p.knows > m.knows+leads }
+// knowsManyMore tells whether a peer knows many more members than this one.
+func (n *Node) knowsManyMore(p *peer) bool { return p.knownMembers > n.members.known+bootstrapRecords }
 
-// misses tells whether another is to be asked for what differs: one that is not known, or has had other records for a while, and not so
-// many fewer that it will rather ask itself.
-func (m *Node) misses(p *peer) bool {
+// shouldRequestRecords tells whether a peer should be asked for records: it is not known, or its records have differed
+// for a while and are not so many fewer that it will ask itself.
+func (n *Node) shouldRequestRecords(p *peer) bool {
 	if !p.known {
 		return true
 	}
-	return p.differs > 0 && p.knows+leads >= m.knows && (m.now-p.differs >= m.pace(p) || m.lacks(p))
+	if p.recordsDifferSince == 0 || p.knownMembers+bootstrapRecords < n.members.known {
+		return false
+	}
+	return n.now-p.recordsDifferSince >= n.syncInterval(p) || n.knowsManyMore(p)
 }
 
-// pace is how long one question for what differs waits after another: much that is missing is asked for at once, as long as something
-// comes of it.
-func (m *Node) pace(p *peer) time.Duration {
+// syncInterval is how long one request for records waits after another. Much that is missing is requested quickly, as
+// long as answers bring something.
+func (n *Node) syncInterval(p *peer) time.Duration {
 	switch {
-	case m.gained >= leads, m.lacks(p) && m.gained > 0:
-		return m.cfg.HeartbeatInterval / 2
-	case m.lacks(p):
-		return m.cfg.HeartbeatInterval
+	case n.sync.gained >= bootstrapRecords, n.knowsManyMore(p) && n.sync.gained > 0:
+		return n.config.HeartbeatInterval / 2
+	case n.knowsManyMore(p):
+		return n.config.HeartbeatInterval
 	}
-	return 3 * m.cfg.HeartbeatInterval
+	return n.heartbeats(idleSyncHeartbeats)
 }
 
-const (
-	// asking is the part of what is saved up that may go to questions for what differs; of what is sent in the long run it is half of
-	// that. Guards against members that ask so much that none can answer.
-	asking = 3
-	// shares is into how many parts what is saved up is divided: an answer takes one, or a datagram where that is more, so that what is left serves others too.
-	// Guards against a start in which the first few who ask take all that a seed may send.
-	shares = 8
-	// answered is how many records an answer has at most, about: where more are missing, a part of them is asked for, by a smaller
-	// filter.
-	answered = 40
-	// leads is how many members one that knows nobody is told of: it asks these next.
-	leads = 4
-)
-
-// supply tells what another lacks or has otherwise, as much as its share of what may be sent; the rest when it asks again, or
-// asks others. What says something of members does not go first: who does not know a member yet can't tell what is said of it.
-func (m *Node) supply(p *peer, d message) {
-	var rs []record
-	for _, o := range m.all {
-		if o.known && !d.covers(o.id.key(), o.record.hash()) {
-			rs = append(rs, o.record)
+// answerRecordsRequest sends records that a peer lacks, or has in another version, as many as its part of the budget
+// allows. It gets the rest when it asks again, or asks others.
+func (n *Node) answerRecordsRequest(p *peer, request message) {
+	var records []record
+	for _, other := range n.members.sorted {
+		if other.known && !request.excludes(other.id.hashKey(), other.record.hash()) {
+			records = append(records, other.record)
 		}
 	}
-	m.rng.Shuffle(len(rs), func(i, j int) { rs[i], rs[j] = rs[j], rs[i] })
-	spare := m.tokens - m.reserve()
-	if d.Knows <= 1 {
-		if m.tokens < m.cfg.BurstBytes/2 { // others will find it, who are told of it
-			return
+	n.random.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
+	isBootstrap := request.KnownMembers <= 1
+	if isBootstrap {
+		if n.budget.available < n.config.BurstBytes/2 {
+			return // others that the peer is told of will find it
 		}
-		rs = rs[:min(len(rs), leads)]
-	}
-	share := max(spare/shares, float64(m.cfg.MaxDatagramBytes-sumBytes-mostHead)) // a whole datagram, as its head costs as much each time
-	for n, r := range rs {
-		if share -= float64(len(r.append(nil, d.place()))); share < 0 {
-			rs = rs[:max(n, 1)]
-			break
+		records = records[:min(len(records), bootstrapRecords)]
+	}
+	records = n.withinAnswerBudget(records, request.deltaBase())
+	// Neighbouring IDs take fewer bytes.
+	slices.SortFunc(records, func(a, b record) int { return cmp.Compare(a.Author, b.Author) })
+	for range maxAnswerDatagrams {
+		sent := n.sendRecords(kindRecords, p, answerArgument, records)
+		if sent <= 0 {
+			return
 		}
+		records = records[sent:]
 	}
-	slices.SortFunc(rs, func(a, b record) int { return cmp.Compare(a.Author, b.Author) }) // neighbours are written in fewer bytes
-	for range 3 {
-		n := m.say(kindTell, p, 1, rs)
-		if n <= 0 {
-			return
+}
+
+// withinAnswerBudget cuts records to what one answer may use of the budget: at least a full datagram, as the header
+// costs the same each time.
+func (n *Node) withinAnswerBudget(records []record, base deltaBase) []record {
+	spare := n.budget.available - n.reservedBytes()
+	quota := max(spare/answerBudgetDivisor, float64(n.config.MaxDatagramBytes-checksumBytes-maxHeaderBytes))
+	for i, r := range records {
+		quota -= float64(len(r.appendTo(nil, base)))
+		if quota < 0 {
+			return records[:max(i, 1)]
 		}
-		rs = rs[n:]
 	}
+	return records
 }
--- a/internal/decide/membership/sync_test.go
+++ b/internal/decide/membership/sync_test.go
@@ -12,19 +12,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "things")
 		salt := rapid.Uint32().Draw(t, "salt")
-		f := make(filter, n*roomy/8+1)
+		f := make(bloomFilter, n*bitsPerItem/8+1)
 		for i := range n {
-			f.add(mix(uint32(i), 1), salt)
+			f.add(mixHash(uint32(i), 1), salt)
 		}
 		for i := range n {
-			if !f.has(mix(uint32(i), 1), salt) {
+			if !f.contains(mixHash(uint32(i), 1), salt) {
 				t.Fatalf("%d of %d is not found", i, n)
 			}
 		}
 		const others = 4000
 		seem := 0
 		for i := range others {
-			if f.has(mix(uint32(i), 2), salt) {
+			if f.contains(mixHash(uint32(i), 2), salt) {
 				seem++
 			}
 		}
@@ -39,36 +39,36 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newMachine(1, 1), newMachine(2, 2)
 		for i := range rapid.IntRange(0, 300).Draw(t, "a has") {
-			a.merge(record{Author: ID(100 + i), Inc: 1}, true)
+			a.mergeAnswer(record{Author: ID(100 + i), Incarnation: 1})
 		}
 		for i := range rapid.IntRange(0, 300).Draw(t, "b has") {
-			b.merge(record{Author: ID(250 + i), Inc: 1 + uint32(i%3)}, true)
+			b.mergeAnswer(record{Author: ID(250 + i), Incarnation: 1 + uint32(i%3)})
 		}
-		a.merge(b.self.record, true)
-		b.merge(a.self.record, true)
+		a.mergeAnswer(b.self.record)
+		b.mergeAnswer(a.self.record)
 		for turn := range 400 {
 			now := time.Hour + time.Duration(turn)*2*time.Second
 			for _, pair := range [][2]*Node{{a, b}, {b, a}} {
 				from, to := pair[0], pair[1]
-				from.refill(now)
-				to.refill(now)
-				from.now, to.now, from.out = now, now, nil
-				from.seq++
-				from.inquire(from.peers[to.self.id])
-				for _, s := range sends(from.out, to.self.id) {
+				from.budget.refill(from.config, now)
+				to.budget.refill(to.config, now)
+				from.now, to.now, from.actions = now, now, nil
+				from.sequence++
+				from.requestRecords(from.members.byID[to.self.id])
+				for _, s := range sends(from.actions, to.self.id) {
 					for _, back := range sends(to.Handle(now, DatagramReceived{from.self.id, s.Payload}), from.self.id) {
 						from.Handle(now, DatagramReceived{to.self.id, back.Payload})
 					}
 				}
 			}
-			if a.digest == b.digest {
-				if a.knows != b.knows {
-					t.Fatalf("the same digests, %d and %d records", a.knows, b.knows)
+			if a.members.digest == b.members.digest {
+				if a.members.known != b.members.known {
+					t.Fatalf("the same digests, %d and %d records", a.members.known, b.members.known)
 				}
 				return
 			}
 		}
-		t.Fatalf("never equal: %d and %d records", a.knows, b.knows)
+		t.Fatalf("never equal: %d and %d records", a.members.known, b.members.known)
 	})
 }
 
@@ -85,15 +85,15 @@
 func TestQuestionsHaveAPart(t *testing.T) {
 	m := newMachine(1, 1)
 	for i := range 300 {
-		m.merge(record{Author: ID(100 + i), Inc: 1}, true)
+		m.mergeAnswer(record{Author: ID(100 + i), Incarnation: 1})
 	}
 	for range 100 {
-		m.inquire(m.peers[2])
+		m.requestRecords(m.members.byID[2])
 	}
-	if left := m.cfg.BurstBytes - m.cfg.BurstBytes/asking; m.tokens < left {
-		t.Errorf("%.0f bytes are left, %.0f at least", m.tokens, left)
+	if left := m.config.BurstBytes - m.config.BurstBytes/syncBudgetDivisor; m.budget.available < left {
+		t.Errorf("%.0f bytes are left, %.0f at least", m.budget.available, left)
 	}
-	if m.asks >= float64(m.cfg.MaxDatagramBytes) {
-		t.Errorf("%.0f bytes for questions are left after a hundred", m.asks)
+	if m.budget.syncAvailable >= float64(m.config.MaxDatagramBytes) {
+		t.Errorf("%.0f bytes for questions are left after a hundred", m.budget.syncAvailable)
 	}
 }
--- a/internal/decide/membership/wire_test.go
+++ b/internal/decide/membership/wire_test.go
@@ -12,13 +12,13 @@
 )
 
 func drawRecord(t *rapid.T, author ID) record {
-	r := record{Author: author, Inc: rapid.Uint32().Draw(t, "inc"), Seq: rapid.Uint16().Draw(t, "seq"), Left: rapid.Bool().Draw(t, "left"), Doubts: rapid.Bool().Draw(t, "doubts")}
+	r := record{Author: author, Incarnation: rapid.Uint32().Draw(t, "inc"), Sequence: rapid.Uint16().Draw(t, "seq"), Departed: rapid.Bool().Draw(t, "left"), SuspectsItself: rapid.Bool().Draw(t, "doubts")}
 	for _, id := range rapid.SliceOfNDistinct(rapid.Uint32Range(0, 5000), 0, 12, rapid.ID).Draw(t, "about") {
 		if ID(id) != author {
-			r.Words = append(r.Words, entry{ID(id), uint8(id), verdict(1 + id%3)})
+			r.Statements = append(r.Statements, statement{ID(id), uint8(id), observation(1 + id%3)})
 		}
 	}
-	slices.SortFunc(r.Words, func(a, b entry) int { return int(a.About) - int(b.About) })
+	slices.SortFunc(r.Statements, func(a, b statement) int { return int(a.Member) - int(b.Member) })
 	return r
 }
 
@@ -26,23 +26,23 @@
 func TestWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := message{
-			Kind: byte(rapid.IntRange(kindBeat, kindMore).Draw(t, "kind")), From: ID(rapid.Uint64Range(0, MaxID).Draw(t, "from")), Inc: 7, Seq: 9, Records: 11, Knows: rapid.Uint32Range(0, mostMembers).Draw(t, "knows"),
-			View: View{Number: rapid.Uint32().Draw(t, "number"), Digest: 13}, About: rapid.Uint64Range(0, MaxID).Draw(t, "about"),
+			Kind: kind(rapid.IntRange(int(kindHeartbeat), int(kindGossipRequest)).Draw(t, "kind")), From: ID(rapid.Uint64Range(0, MaxID).Draw(t, "from")), Incarnation: 7, Sequence: 9, RecordsDigest: 11, KnownMembers: rapid.Uint32Range(0, maxMembers).Draw(t, "knows"),
+			View: View{Number: rapid.Uint32().Draw(t, "number"), Digest: 13}, Argument: rapid.Uint64Range(0, MaxID).Draw(t, "about"),
 		}
 		switch d.Kind {
-		case kindHave, kindMore:
-			d.Has = rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "filter")
-			d.Carries = []record{drawRecord(t, 5)}
-		case kindTalk:
+		case kindRecordsRequest, kindGossipRequest:
+			d.Filter = rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "filter")
+			d.Records = []record{drawRecord(t, 5)}
+		case kindGossip:
 			for i := range rapid.IntRange(0, 3).Draw(t, "rumours") {
-				d.Talk = append(d.Talk, GossipMessage{Topic: 3, Key: rapid.Uint32().Draw(t, "key"), Owner: ID(i), Incarnation: 1, Version: 9, Body: rapid.SliceOfN(rapid.Byte(), 0, MaxGossipBody).Draw(t, "body")})
+				d.Gossip = append(d.Gossip, GossipMessage{Topic: 3, Key: rapid.Uint32().Draw(t, "key"), Owner: ID(i), Incarnation: 1, Version: 9, Body: rapid.SliceOfN(rapid.Byte(), 0, MaxGossipBody).Draw(t, "body")})
 			}
 		default:
 			for i := range rapid.IntRange(0, 4).Draw(t, "records") {
-				d.Carries = append(d.Carries, drawRecord(t, ID(i)))
+				d.Records = append(d.Records, drawRecord(t, ID(i)))
 			}
 		}
-		got, err := read(d.append(nil))
+		got, err := decodeMessage(d.appendTo(nil))
 		if diff := cmp.Diff(d, got, cmpopts.EquateEmpty()); err != nil || diff != "" {
 			t.Fatalf("%v %s", err, diff)
 		}
@@ -50,16 +50,16 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(message{Kind: kindBeat, From: 300, Carries: []record{{Author: 3, Words: []entry{{4, 1, deaf}}}}}.append(nil))
-	f.Add(message{Kind: kindHave, About: 2, Has: filter{1, 2, 3}, Carries: []record{{Author: 3}}}.append(nil))
-	f.Add(message{Kind: kindMore, Has: filter{7}}.append(nil))
-	f.Add(message{Kind: kindTalk, Talk: []GossipMessage{{Topic: 1, Key: 300, Owner: 4, Version: 2, Body: []byte("x")}}}.append(nil))
+	f.Add(message{Kind: kindHeartbeat, From: 300, Records: []record{{Author: 3, Statements: []statement{{4, 1, notHeard}}}}}.appendTo(nil))
+	f.Add(message{Kind: kindRecordsRequest, Argument: 2, Filter: bloomFilter{1, 2, 3}, Records: []record{{Author: 3}}}.appendTo(nil))
+	f.Add(message{Kind: kindGossipRequest, Filter: bloomFilter{7}}.appendTo(nil))
+	f.Add(message{Kind: kindGossip, Gossip: []GossipMessage{{Topic: 1, Key: 300, Owner: 4, Version: 2, Body: []byte("x")}}}.appendTo(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d, err := read(b)
+		d, err := decodeMessage(b)
 		if err != nil {
 			return
 		}
-		if again := d.append(nil); !slices.Equal(again, b) {
+		if again := d.appendTo(nil); !slices.Equal(again, b) {
 			t.Errorf("%x is written as %x", b, again)
 		}
 	})
@@ -71,14 +71,14 @@
 
 // A datagram of which one byte was changed on its way is not read.
 func TestSpoilt(t *testing.T) {
-	b := seal(message{Kind: kindTell, From: 3, Carries: []record{{Author: 3}, {Author: 4, Left: true}}}.append(nil))
-	if _, err := open(b); err != nil {
+	b := appendChecksum(message{Kind: kindRecords, From: 3, Records: []record{{Author: 3}, {Author: 4, Departed: true}}}.appendTo(nil))
+	if _, err := verifyChecksum(b); err != nil {
 		t.Fatal(err)
 	}
 	for i := range b {
 		spoilt := slices.Clone(b)
 		spoilt[i] ^= 1 << (i % 8)
-		if _, err := open(spoilt); err == nil {
+		if _, err := verifyChecksum(spoilt); err == nil {
 			t.Errorf("byte %d", i)
 		}
 	}
@@ -90,24 +90,26 @@
 		var rs []record
 		for i := range rapid.IntRange(1, 8).Draw(t, "records") {
 			r := drawRecord(t, ID(2+i%4))
-			r.Inc, r.Seq = r.Inc%3, r.Seq%3
-			if slices.ContainsFunc(rs, func(o record) bool { return o.Author == r.Author && o.Inc == r.Inc && o.Seq == r.Seq }) {
+			r.Incarnation, r.Sequence = r.Incarnation%3, r.Sequence%3
+			if slices.ContainsFunc(rs, func(o record) bool {
+				return o.Author == r.Author && o.Incarnation == r.Incarnation && o.Sequence == r.Sequence
+			}) {
 				continue // an author writes one record under one number
 			}
 			rs = append(rs, r)
 		}
 		a, b := newMachine(1, 1), newMachine(1, 1)
 		for _, r := range rs {
-			a.merge(r, false)
+			a.mergeRecord(r)
 		}
 		for _, i := range rapid.Permutation(append(rs, rs...)).Draw(t, "order") {
-			b.merge(i, false)
+			b.mergeRecord(i)
 		}
-		if a.digest != b.digest {
+		if a.members.digest != b.members.digest {
 			t.Fatal("the order counts")
 		}
-		for id, p := range a.peers {
-			if diff := cmp.Diff(p.record, b.peers[id].record, cmpopts.EquateEmpty()); diff != "" {
+		for id, p := range a.members.byID {
+			if diff := cmp.Diff(p.record, b.members.byID[id].record, cmpopts.EquateEmpty()); diff != "" {
 				t.Fatal(diff)
 			}
 		}
@@ -124,23 +126,23 @@
 			var e Event = Tick{}
 			if rapid.IntRange(0, 3).Draw(t, "what") > 0 {
 				from := ID(rapid.Uint32Range(2, 300).Draw(t, "from"))
-				d := message{Kind: byte(rapid.IntRange(kindBeat, kindAnswer).Draw(t, "kind")), From: from, Inc: 1, Seq: 1, Carries: []record{drawRecord(t, from)}}
+				d := message{Kind: kind(rapid.IntRange(int(kindHeartbeat), int(kindAck)).Draw(t, "kind")), From: from, Incarnation: 1, Sequence: 1, Records: []record{drawRecord(t, from)}}
 				if rapid.IntRange(0, 9).Draw(t, "liar") == 0 {
 					d.From++
 				}
-				e = DatagramReceived{from, seal(d.append(nil))}
+				e = DatagramReceived{from, appendChecksum(d.appendTo(nil))}
 			} else {
 				now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond
 			}
 			for _, a := range m.Handle(now, e) {
 				if s, ok := a.(Send); ok {
 					sent += float64(len(s.Payload))
-					if len(s.Payload) > m.cfg.MaxDatagramBytes || s.To == 1 {
+					if len(s.Payload) > m.config.MaxDatagramBytes || s.To == 1 {
 						t.Fatalf("%d bytes to %d", len(s.Payload), s.To)
 					}
 				}
 			}
-			if most := m.cfg.BurstBytes + m.cfg.BytesPerSecond*(now-began).Seconds(); sent > most+1 {
+			if most := m.config.BurstBytes + m.config.BytesPerSecond*(now-began).Seconds(); sent > most+1 {
 				t.Fatalf("sent %f, %f at most", sent, most)
 			}
 		}
@@ -154,20 +156,20 @@
 	m, other := f.all[0], f.all[1]
 	own := m.self.record
 	remembered := own
-	remembered.Words = []entry{{4, 1, deaf}}
+	remembered.Statements = []statement{{4, 1, notHeard}}
 	if own.hash() == remembered.hash() {
 		t.Error("what a record says does not count")
 	}
-	p := other.peers[1]
-	other.sum(p.record)
+	p := other.members.byID[1]
+	other.members.toggleDigest(p.record)
 	p.record = remembered
-	other.sum(p.record)
+	other.members.toggleDigest(p.record)
 	f.run(f.now+20*time.Second, nil)
-	if m.self.record.Inc == own.Inc {
+	if m.self.record.Incarnation == own.Incarnation {
 		t.Error("it goes on under the same number")
 	}
 	for _, o := range f.all {
-		if o.digest != m.digest {
+		if o.members.digest != m.members.digest {
 			t.Errorf("member %d has other records", o.self.id)
 		}
 	}
@@ -184,16 +186,16 @@
 	}
 	m := New(cfg, address(0), 1_800_000_000, named, time.Hour, rand.New(rand.NewPCG(1, 1)))
 	for _, id := range named[1:] {
-		m.merge(record{Author: id, Inc: 1_800_000_000}, true)
-		m.peers[id].mine = deaf
+		m.mergeAnswer(record{Author: id, Incarnation: 1_800_000_000})
+		m.members.byID[id].ownObservation = notHeard
 	}
-	m.voided, m.now = true, m.now+time.Minute
-	m.revise()
-	if n := len(m.self.record.Words); n < 30 {
+	m.ownStatements.stale, m.now = true, m.now+time.Minute
+	m.updateStatements()
+	if n := len(m.self.record.Statements); n < 30 {
 		t.Errorf("only %d words", n)
 	}
-	d := message{Kind: kindTell, From: address(0), Inc: 1, Seq: 1<<16 - 1, Records: 1<<32 - 1, Knows: mostMembers, View: View{Number: 1<<32 - 1, Digest: 1<<32 - 1}, Carries: []record{m.self.record}}
-	if n := len(seal(d.append(nil))); n > cfg.MaxDatagramBytes {
+	d := message{Kind: kindRecords, From: address(0), Incarnation: 1, Sequence: 1<<16 - 1, RecordsDigest: 1<<32 - 1, KnownMembers: maxMembers, View: View{Number: 1<<32 - 1, Digest: 1<<32 - 1}, Records: []record{m.self.record}}
+	if n := len(appendChecksum(d.appendTo(nil))); n > cfg.MaxDatagramBytes {
 		t.Errorf("%d bytes", n)
 	}
 }
