--- a/internal/membership/fixture_test.go
+++ b/internal/membership/fixture_test.go
@@ -18,8 +18,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written by the version before the names of this package changed: in hexadecimal, what a
-// process carries to the one that takes its place, and a signed datagram.
+// The files in testdata were written by the version before the names of this package changed: in hexadecimal, the
+// state that a process saves for the one that replaces it, and a signed datagram.
 
 func storedBytes(t *testing.T, name string) []byte {
 	t.Helper()
@@ -34,7 +34,7 @@
 	return b
 }
 
-func carriedFixture() decide.SavedState {
+func savedStateFixture() decide.SavedState {
 	return decide.SavedState{
 		Self: 1, Incarnation: 1_800_000_000, View: decide.View{Number: 9, Digest: 0xdeadbeef, Size: 3}, HasMajority: true, HighestView: 12,
 		Members: []decide.SavedMember{
@@ -48,10 +48,10 @@
 	}
 }
 
-// resumeStored does what a process does with what the one before it carried.
+// resumeStored does what a process does with the saved state of the one before it.
 func resumeStored(b []byte) error {
 	var c decide.SavedState
-	if err := carriedMode.Unmarshal(b, &c); err != nil {
+	if err := savedStateDecoding.Unmarshal(b, &c); err != nil {
 		return err
 	}
 	m, err := decide.Resume(decide.DefaultConfig(), c, 1, []decide.ID{1, 2, 3}, 5*time.Hour, rand.New(rand.NewPCG(1, 1)))
@@ -64,13 +64,13 @@
 	return nil
 }
 
-func TestCarriedOfEarlierVersion(t *testing.T) {
-	b := storedBytes(t, "carried.hex")
+func TestSavedStateOfEarlierVersion(t *testing.T) {
+	b := storedBytes(t, "saved_state.hex")
 	var got decide.SavedState
-	if err := carriedMode.Unmarshal(b, &got); err != nil {
+	if err := savedStateDecoding.Unmarshal(b, &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(carriedFixture(), got); diff != "" {
+	if diff := cmp.Diff(savedStateFixture(), got); diff != "" {
 		t.Error(diff)
 	}
 	if again, err := cbor.Marshal(got); err != nil || !slices.Equal(again, b) {
@@ -94,8 +94,8 @@
 }
 
 // What is cut short is refused; what was changed is refused or resumed, and nothing panics.
-func TestDamagedCarried(t *testing.T) {
-	b := storedBytes(t, "carried.hex")
+func TestDamagedSavedState(t *testing.T) {
+	b := storedBytes(t, "saved_state.hex")
 	for n := range b {
 		if resumeStored(b[:n]) == nil {
 			t.Errorf("%d of %d bytes are taken", n, len(b))
@@ -116,30 +116,27 @@
 
 const signedAt = 500_000 * time.Hour
 
-func signedFixture() (from, to netip.AddrPort, keys []Key, words []byte) {
+func signedFixture() (from, to netip.AddrPort, keys []Key, payload []byte) {
 	return netip.MustParseAddrPort("10.0.0.3:7946"), netip.MustParseAddrPort("10.0.0.4:7946"),
 		[]Key{{7, []byte("a secret of sixteen bytes and more")}, {8, []byte("the one before")}}, []byte("what is signed")
 }
 
-func TestSignedOfEarlierVersion(t *testing.T) {
+func TestSignedDatagramOfEarlierVersion(t *testing.T) {
 	b := storedBytes(t, "signed.hex")
-	from, to, keys, words := signedFixture()
-	if again := NewKeyring(from, keys).seal(signedAt, to, words); !slices.Equal(again, b) {
+	from, to, keys, payload := signedFixture()
+	if again := NewKeyring(from, keys).seal(signedAt, to, payload); !slices.Equal(again, b) {
 		t.Errorf("signed anew as %x, want %x", again, b)
 	}
-	got, why := NewKeyring(to, keys).open(signedAt, from, b)
-	if why != "" || !slices.Equal(got, words) {
-		t.Errorf("opened as %q %s, want %q", got, why, words)
-	}
+	checkOpen(t, NewKeyring(to, keys), signedAt, from, b, string(payload), "")
 	for n := range b {
-		if _, why := NewKeyring(to, keys).open(signedAt, from, b[:n]); why == "" {
+		if _, err := NewKeyring(to, keys).open(signedAt, from, b[:n]); err == nil {
 			t.Errorf("%d of %d bytes are taken", n, len(b))
 		}
 	}
 	for i := range len(b) * 8 {
 		flipped := slices.Clone(b)
 		flipped[i/8] ^= 1 << (i % 8)
-		if _, why := NewKeyring(to, keys).open(signedAt, from, flipped); why == "" {
+		if _, err := NewKeyring(to, keys).open(signedAt, from, flipped); err == nil {
 			t.Errorf("bit %d is changed and the datagram is taken", i)
 		}
 	}
--- /dev/null
+++ b/internal/membership/keyring_test.go
@@ -0,0 +1,88 @@
+package membership
+
+import (
+	"errors"
+	"net/netip"
+	"testing"
+	"time"
+
+	decide "gannetspur/internal/decide/membership"
+)
+
+// checkOpen opens a datagram and wants its payload, or a rejection; "" wants none.
+func checkOpen(t *testing.T, keyring *Keyring, now time.Duration, from netip.AddrPort, datagram []byte, payload string, want rejection) {
+	t.Helper()
+	got, err := keyring.open(now, from, datagram)
+	var reason rejection
+	if err != nil && !errors.As(err, &reason) {
+		t.Fatalf("error = %v, want a rejection", err)
+	}
+	if reason != want || reason == "" && string(got) != payload {
+		t.Errorf("opened as %q with rejection %q, want %q with %q", got, reason, payload, want)
+	}
+}
+
+func TestKeyringAcceptsAndRejects(t *testing.T) {
+	sender, receiver, third := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2"), netip.MustParseAddrPort("127.0.0.1:3")
+	one, two := Key{1, []byte("one")}, Key{2, []byte("two")}
+	signing := NewKeyring(sender, []Key{one})
+	const now = 1000 * time.Hour
+	for _, c := range []struct {
+		name     string
+		keyring  *Keyring
+		tamper   func([]byte) []byte
+		later    time.Duration
+		twice    bool
+		rejected rejection
+	}{
+		{name: "valid", keyring: NewKeyring(receiver, []Key{one})},
+		{name: "previous key", keyring: NewKeyring(receiver, []Key{two, one})},
+		{name: "removed key", keyring: NewKeyring(receiver, []Key{two}), rejected: rejectedKey},
+		{name: "another key of the same number", keyring: NewKeyring(receiver, []Key{{1, []byte("other")}}), rejected: rejectedUnsigned},
+		{name: "for another receiver", keyring: NewKeyring(third, []Key{one}), rejected: rejectedUnsigned},
+		{name: "twice", keyring: NewKeyring(receiver, []Key{one}), twice: true, rejected: rejectedReplay},
+		{name: "old", keyring: NewKeyring(receiver, []Key{one}), later: time.Hour, rejected: rejectedOld},
+		{name: "corrupt", keyring: NewKeyring(receiver, []Key{one}), rejected: rejectedUnsigned, tamper: func(d []byte) []byte {
+			d[10] ^= 1
+			return d
+		}},
+		{name: "short", keyring: NewKeyring(receiver, []Key{one}), rejected: rejectedShort, tamper: func([]byte) []byte { return make([]byte, signedOverhead) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			datagram := signing.seal(now, receiver, []byte("payload"))
+			if c.tamper != nil {
+				datagram = c.tamper(datagram)
+			}
+			if c.twice {
+				checkOpen(t, c.keyring, now, sender, datagram, "payload", "")
+			}
+			checkOpen(t, c.keyring, now+c.later, sender, datagram, "payload", c.rejected)
+		})
+	}
+}
+
+// A datagram that was held back while later ones arrived is rejected; one that was overtaken is not.
+func TestKeyringAcceptsOvertakenDatagrams(t *testing.T) {
+	from, to := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
+	keys := []Key{{1, []byte("one")}}
+	sender, receiver := NewKeyring(from, keys), NewKeyring(to, keys)
+	const now = 1000 * time.Hour
+	first := sender.seal(now, to, []byte("1"))
+	second := sender.seal(now+3*time.Second, to, []byte("2"))
+	third := sender.seal(now+10*time.Second, to, []byte("3"))
+	checkOpen(t, receiver, now, from, second, "2", "")
+	checkOpen(t, receiver, now, from, first, "1", "")
+	checkOpen(t, receiver, now, from, third, "3", "")
+	checkOpen(t, receiver, now, from, first, "", rejectedReplay)
+	checkOpen(t, receiver, now, from, second, "", rejectedReplay)
+}
+
+func TestSignatureFitsDatagramLimit(t *testing.T) {
+	limit := decide.DefaultConfig().MaxDatagramBytes
+	self := netip.MustParseAddrPort("127.0.0.1:7946")
+	keyring := NewKeyring(self, []Key{{1, []byte("a secret of the two of them")}})
+	payload := make([]byte, configWithSignatures(decide.DefaultConfig()).MaxDatagramBytes)
+	if size := len(keyring.seal(1000*time.Hour, self, payload)); size > limit {
+		t.Errorf("signed datagram has %d bytes, want at most %d", size, limit)
+	}
+}
