--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -133,15 +133,17 @@
 }
 
 func (r *replay) write(parts ...string) {
-	fmt.Fprintln(r.digest, strings.Join(parts, " "))
+	_, _ = fmt.Fprintln(r.digest, strings.Join(parts, " ")) // a hash never fails
 }
 
 func replayIDs(ids []ID) string {
-	s := "["
+	var s strings.Builder
+	s.WriteString("[")
 	for _, id := range ids {
-		s += strconv.FormatUint(uint64(id), 10) + ","
+		s.WriteString(strconv.FormatUint(uint64(id), 10) + ",")
 	}
-	return s + "]"
+	s.WriteString("]")
+	return s.String()
 }
 
 func replayView(v View) string {
@@ -151,7 +153,7 @@
 func replayUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 // handle gives a member an event, writes down what it does and sends its datagrams.
-func (r *replay) handle(n *replayNode, event any) {
+func (r *replay) handle(n *replayNode, event Event) {
 	for _, a := range n.machine.Handle(r.clock(n), event) {
 		r.actions++
 		at := replayUint(uint64(r.now)) + " " + replayUint(uint64(n.id))
