--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -45,8 +45,8 @@
 type Rows [][]byte
 
 var (
-	_ core.Links  = (*Links)(nil)
-	_ core.Prober = (*Links)(nil)
+	_ core.Links         = (*Links)(nil)
+	_ core.HealthChecker = (*Links)(nil)
 )
 
 // Links holds the connections to all engines.
@@ -82,7 +82,7 @@
 	began   time.Duration            // when the answer that has come in part did; 0: there is none
 	retired bool                     // takes no more
 	used    time.Duration
-	end     core.End // why it is being closed from here
+	end     core.Outcome // why it is being closed from here
 }
 
 // stream is one attempt on a link.
@@ -97,14 +97,14 @@
 	report  core.Report
 }
 
-// Engine takes an entry of the roster.
-func (ls *Links) Engine(e core.Engine) { ls.engines.Engine(e) }
+// UpdateEngine takes an entry of the roster.
+func (ls *Links) UpdateEngine(e core.Engine) { ls.engines.Engine(e) }
 
 // Send begins an attempt on a connection with room, or on a new one.
 func (ls *Links) Send(a *core.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
-		ls.core.End(a, core.EndNoEngine, core.Report{})
+		ls.core.EndAttempt(a, core.OutcomeNoAddress, core.Report{})
 		return
 	}
 	l := room(e, a.Request.ID, ls.site.MaxStreams, ls.core.Now())
@@ -112,7 +112,7 @@
 		l = ls.dial(e)
 	}
 	s := &stream{attempt: a, link: l}
-	a.Link = s
+	a.LinkState = s
 	l.streams[a.Request.ID] = s
 	l.used = ls.core.Now()
 	if l.conn != nil {
@@ -141,7 +141,7 @@
 			return
 		}
 		end := backend.DialEnd(err)
-		if end != core.EndRefused {
+		if end != core.OutcomeConnectionRefused {
 			ls.log.Warn("engine.unreachable", "engine", e.ID, "error", err)
 		}
 		l.lost(end)
@@ -174,7 +174,7 @@
 	for _, s := range l.streams {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *stream) int { return int(a.attempt.Sent - b.attempt.Sent) })
+	slices.SortFunc(list, func(a, b *stream) int { return int(a.attempt.SentAt - b.attempt.SentAt) })
 	return list
 }
 
@@ -205,7 +205,7 @@
 	l.retired = true
 	for _, s := range l.inOrder() {
 		if s.asked != nil && l.streams[s.attempt.Request.ID] == s {
-			l.settle(s, core.EndCancelled)
+			l.settle(s, core.OutcomeCancelled)
 		}
 	}
 	l.closeIfDone()
@@ -213,7 +213,7 @@
 
 func (l *link) closeIfDone() {
 	if l.retired && l.conn != nil && len(l.streams) == 0 && l.probe == nil {
-		l.end = core.EndIdle
+		l.end = core.OutcomeIdleClosed
 		l.conn.Close()
 	}
 }
@@ -230,18 +230,18 @@
 	}
 	a := s.attempt
 	r := a.Request
-	if !s.link.all.core.Writing(a) {
-		s.link.finish(s, core.EndNotSent)
+	if !s.link.all.core.BeginWrite(a) {
+		s.link.finish(s, core.OutcomeNotSent)
 		return
 	}
 	stmt, _ := r.Statement.(string)
-	left := (a.Sent + a.Within - s.link.all.core.Now()).Milliseconds()
+	left := (a.SentAt + a.Timeout - s.link.all.core.Now()).Milliseconds()
 	b := append(make([]byte, 0, 160+len(stmt)), "want "...)
 	b = append(append(b, r.ID...), " kind="...)
 	b = append(append(b, r.Class...), ",ms="...)
 	b = strconv.AppendInt(b, max(left, 1), 10)
-	if r.Token != "" {
-		b = append(append(b, ",token="...), r.Token...)
+	if r.IdempotencyKey != "" {
+		b = append(append(b, ",token="...), r.IdempotencyKey...)
 	}
 	if a.MemoryMB >= 1 {
 		b = strconv.AppendInt(append(b, ",mb="...), int64(a.MemoryMB), 10)
@@ -250,13 +250,13 @@
 	b = strconv.AppendInt(append(b, ' '), int64(len(stmt)), 10)
 	b = append(append(append(b, "\r\n"...), stmt...), "\r\n"...)
 	if s.written = s.link.conn.Write(b); !s.written { // the connection has ended: it has never run
-		s.link.finish(s, core.EndNotSent)
+		s.link.finish(s, core.OutcomeNotSent)
 	}
 }
 
-// Drop gives an attempt up.
-func (ls *Links) Drop(a *core.Attempt) bool {
-	s, ok := a.Link.(*stream)
+// Cancel gives an attempt up.
+func (ls *Links) Cancel(a *core.Attempt) bool {
+	s, ok := a.LinkState.(*stream)
 	if !ok {
 		return true
 	}
@@ -267,7 +267,7 @@
 	case !s.written || l.conn == nil: // a lost link ends its streams one by one
 	case s.missing > 0: // it is done, and only its pages are still wanted
 		l.conn.Write([]byte("shut " + a.Request.ID + "\r\n"))
-	case a.MustSettle() && !l.retired: // else its process is over
+	case a.MustAwaitEngine() && !l.retired: // else its process is over
 		s.ask()
 		return false
 	default:
@@ -300,7 +300,7 @@
 
 // settled takes an answer for an attempt that was given up: with any but a note the engine is through with it.
 func (l *link) settled(s *stream, a answer) error {
-	end := core.EndCancelled
+	end := core.OutcomeCancelled
 	switch a.word {
 	case "TELL":
 		return nil
@@ -315,11 +315,11 @@
 }
 
 // settle ends an attempt that was given up.
-func (l *link) settle(s *stream, end core.End) {
+func (l *link) settle(s *stream, end core.Outcome) {
 	s.asked.Stop()
 	l.release(s)
 	l.used = l.all.core.Now()
-	l.all.core.End(s.attempt, end, core.Report{})
+	l.all.core.EndAttempt(s.attempt, end, core.Report{})
 	l.closeIfDone()
 }
 
@@ -332,16 +332,16 @@
 	}
 }
 
-// Hurry sets the priority of an attempt that is out.
-func (ls *Links) Hurry(a *core.Attempt, priority int) {
-	if s, ok := a.Link.(*stream); ok && s.written && s.missing == 0 && s.link.conn != nil {
+// SetPriority sets the priority of an attempt that is out.
+func (ls *Links) SetPriority(a *core.Attempt, priority int) {
+	if s, ok := a.LinkState.(*stream); ok && s.written && s.missing == 0 && s.link.conn != nil {
 		s.link.conn.Write([]byte("hurry " + a.Request.ID + " " + strconv.Itoa(priority) + "\r\n"))
 	}
 }
 
 // Data reads the answers that are whole.
 func (l *link) Data(_ *netio.Conn, in *netio.Buffer) {
-	for l.end == core.EndUnknown {
+	for l.end == core.OutcomeUnknown {
 		a, n, err := parse(in.Bytes())
 		if err == nil && n > 0 {
 			err = l.answer(a)
@@ -357,7 +357,7 @@
 		}
 	}
 	l.stall.Stop()
-	if in.Len() > 0 && l.end == core.EndUnknown {
+	if in.Len() > 0 && l.end == core.OutcomeUnknown {
 		now := l.all.loop.Now()
 		if l.began == 0 {
 			l.began = now
@@ -371,11 +371,11 @@
 // spoilt ends the link, and with it all that is open on it: where one answer can't
 // be read, nothing tells where the next begins.
 func (l *link) spoilt(err error) {
-	if l.conn == nil || l.end != core.EndUnknown {
+	if l.conn == nil || l.end != core.OutcomeUnknown {
 		return
 	}
 	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
-	l.end, l.retired = core.EndGarbage, true
+	l.end, l.retired = core.OutcomeUnreadable, true
 	l.conn.Abort()
 }
 
@@ -395,7 +395,7 @@
 	switch a.word {
 	case "TELL":
 		if kind, value, ok := note(a.fields); ok {
-			l.all.core.Note(s.attempt, kind, value)
+			l.all.core.ReportProgress(s.attempt, kind, value)
 		}
 	case "DONE":
 		return l.done(s, a)
@@ -404,7 +404,7 @@
 	case "WAIT", "BROKE", "PAST":
 		end := ends[a.word]
 		if s.missing > 0 {
-			end = core.EndPagesLost
+			end = core.OutcomePagesLost
 		}
 		s.report.Load = gauges(a.fields)
 		l.finish(s, end)
@@ -440,7 +440,7 @@
 	s.pages[0] = append([]byte{}, a.body...)
 	s.missing = pages - 1
 	if s.missing == 0 {
-		l.finish(s, core.EndServed)
+		l.finish(s, core.OutcomeServed)
 		return nil
 	}
 	var b []byte
@@ -469,7 +469,7 @@
 	s.pages[n] = append([]byte{}, a.body...)
 	if s.missing--; s.missing == 0 {
 		l.conn.Write([]byte("shut " + a.id + "\r\n"))
-		l.finish(s, core.EndServed)
+		l.finish(s, core.OutcomeServed)
 	}
 	return nil
 }
@@ -500,29 +500,29 @@
 }
 
 // finish takes the stream off the link and ends its attempt.
-func (l *link) finish(s *stream, end core.End) {
+func (l *link) finish(s *stream, end core.Outcome) {
 	delete(l.streams, s.attempt.Request.ID)
 	l.used = l.all.core.Now()
-	if end == core.EndServed {
+	if end == core.OutcomeServed {
 		s.report.Result = s.pages
 	}
-	l.all.core.End(s.attempt, end, s.report)
+	l.all.core.EndAttempt(s.attempt, end, s.report)
 	l.closeIfDone()
 }
 
 // Closed ends all that was open on the link.
 func (l *link) Closed(*netio.Conn, error) {
 	switch {
-	case l.end != core.EndUnknown:
+	case l.end != core.OutcomeUnknown:
 	case len(l.streams) == 0:
-		l.end = core.EndIdle
+		l.end = core.OutcomeIdleClosed
 	default:
-		l.end = core.EndReset
+		l.end = core.OutcomeConnectionReset
 	}
 	l.lost(l.end)
 }
 
-func (l *link) lost(end core.End) {
+func (l *link) lost(end core.Outcome) {
 	l.retired, l.conn = true, nil
 	l.stall.Stop()
 	l.all.stats.Add("links.ended." + end.String())
@@ -535,10 +535,10 @@
 			continue
 		}
 		if s.asked != nil {
-			l.settle(s, core.EndCancelled)
+			l.settle(s, core.OutcomeCancelled)
 			continue
 		}
 		delete(l.streams, s.attempt.Request.ID)
-		l.all.core.End(s.attempt, end, core.Report{})
+		l.all.core.EndAttempt(s.attempt, end, core.Report{})
 	}
 }
--- a/internal/backend/lineproto/parse.go
+++ b/internal/backend/lineproto/parse.go
@@ -133,4 +133,4 @@
 }
 
 // ends maps the words that end an attempt without a result.
-var ends = map[string]core.End{"WAIT": core.EndFull, "BROKE": core.EndError, "PAST": core.EndPast}
+var ends = map[string]core.Outcome{"WAIT": core.OutcomeEngineFull, "BROKE": core.OutcomeEngineError, "PAST": core.OutcomeDeadlinePassed}
--- a/internal/backend/lineproto/probe.go
+++ b/internal/backend/lineproto/probe.go
@@ -17,18 +17,18 @@
 	timer *timerqueue.Entry
 }
 
-// Probe asks an engine for its load, on a connection that is up where there is one. An engine
+// CheckHealth asks an engine for its load, on a connection that is up where there is one. An engine
 // that a probe is out to is not asked again: two answers would tell the same.
-func (ls *Links) Probe(id string) {
+func (ls *Links) CheckHealth(id string) {
 	e := ls.engines.Get(id)
 	if e == nil {
-		ls.core.Probed(id, core.EndNoEngine, policy.Load{})
+		ls.core.EndHealthCheck(id, core.OutcomeNoAddress, policy.Load{})
 		return
 	}
 	var on *link
 	for _, l := range e.Links {
 		if l.probe != nil {
-			ls.core.Probed(id, core.EndNotSent, policy.Load{})
+			ls.core.EndHealthCheck(id, core.OutcomeNotSent, policy.Load{})
 			return
 		}
 		if !l.retired && (on == nil || on.conn == nil && l.conn != nil) {
@@ -53,7 +53,7 @@
 func (p *probe) wait() {
 	ls := p.link.all
 	p.timer.Stop()
-	p.timer = ls.loop.Timers.Add(ls.core.Now()+ls.site.ConnectTimeout, func() { p.end(core.EndTimeout, policy.Load{}) })
+	p.timer = ls.loop.Timers.Add(ls.core.Now()+ls.site.ConnectTimeout, func() { p.end(core.OutcomeTimeout, policy.Load{}) })
 }
 
 // write asks: for the load where the deployment's probes tell it, else whether the engine is there.
@@ -70,9 +70,9 @@
 func (p *probe) answer(a answer) error {
 	switch a.word {
 	case "FIT":
-		p.end(core.EndServed, gauges(a.fields))
+		p.end(core.OutcomeServed, gauges(a.fields))
 	case "UNFIT":
-		p.end(core.EndError, gauges(a.fields))
+		p.end(core.OutcomeEngineError, gauges(a.fields))
 	default:
 		return fmt.Errorf("unknown word %.20q in the answer to a probe", a.word)
 	}
@@ -80,11 +80,11 @@
 }
 
 // end tells what came of the probe, once. A late answer goes by as one under an unknown id.
-func (p *probe) end(end core.End, load policy.Load) {
+func (p *probe) end(end core.Outcome, load policy.Load) {
 	l := p.link
 	p.timer.Stop()
 	l.probe = nil
 	l.used = l.all.core.Now()
-	l.all.core.Probed(l.engine.ID, end, load)
+	l.all.core.EndHealthCheck(l.engine.ID, end, load)
 	l.closeIfDone()
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -62,12 +62,12 @@
 }
 
 // DialEnd tells how a failed dial ends what waited for it.
-func DialEnd(err error) core.End {
+func DialEnd(err error) core.Outcome {
 	switch {
 	case netio.Refused(err):
-		return core.EndRefused
+		return core.OutcomeConnectionRefused
 	case netio.NoDescriptor(err):
-		return core.EndNoDescriptor
+		return core.OutcomeNoDescriptor
 	}
-	return core.EndConnectTimeout
+	return core.OutcomeConnectTimeout
 }
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -49,8 +49,8 @@
 }
 
 var (
-	_ core.Links     = (*Links)(nil)
-	_ core.Continuer = (*Links)(nil)
+	_ core.Links          = (*Links)(nil)
+	_ core.StreamingLinks = (*Links)(nil)
 )
 
 // Links holds the connections to all engines.
@@ -97,7 +97,7 @@
 	retired bool
 	used    time.Duration
 	stall   *timerqueue.Entry // ends it in the middle of a message
-	end     core.End          // why it is being closed from here
+	end     core.Outcome      // why it is being closed from here
 	key     []byte            // process and secret, as a CancelRequest wants them
 	named   map[string]string // statements that stay prepared here: their names by text and types
 	last    int               // number of the last name given
@@ -137,7 +137,7 @@
 		}
 		ls.loop.Timers.Add(by, func() { // one that accepts and then says nothing
 			if !l.ready && l.conn != nil {
-				l.close(core.EndConnectTimeout)
+				l.close(core.OutcomeConnectTimeout)
 			}
 		})
 	})
@@ -148,8 +148,8 @@
 // prepared it yet, bound, described and run.
 func (l *link) write() {
 	s := l.statement()
-	if s == nil || !l.all.core.Writing(l.attempt) {
-		l.finish(core.EndNotSent, core.Report{})
+	if s == nil || !l.all.core.BeginWrite(l.attempt) {
+		l.finish(core.OutcomeNotSent, core.Report{})
 		return
 	}
 	l.written = true
@@ -172,7 +172,7 @@
 		return
 	}
 	l.written, l.retired = false, true // the connection has ended: it has never run
-	l.finish(core.EndNotSent, core.Report{})
+	l.finish(core.OutcomeNotSent, core.Report{})
 }
 
 // fresh makes room for the next answer.
@@ -213,7 +213,7 @@
 
 // Continue puts the next statement of a transaction on its connection.
 func (ls *Links) Continue(a *core.Attempt) {
-	l, ok := a.Link.(*link)
+	l, ok := a.LinkState.(*link)
 	if !ok || l.attempt != a || l.conn == nil { // its end is on its way
 		return
 	}
@@ -234,7 +234,7 @@
 	l.conn.Write(pgproto.Append(nil, 'Q', pgproto.Str("DISCARD ALL")))
 	l.all.loop.Timers.Add(l.all.core.Now()+l.all.opts.ConnectTimeout, func() {
 		if l.clean {
-			l.close(core.EndIdle)
+			l.close(core.OutcomeIdleClosed)
 		}
 	})
 }
@@ -243,7 +243,7 @@
 // one, one past maxNamed and one of a transaction go without: in a transaction a name that the
 // engine has dropped would be its end.
 func (l *link) prepare(s *pgproto.Statement) (name, out []byte) {
-	if l.attempt.Request.Stream {
+	if l.attempt.Request.Streaming {
 		l.using, l.parsing = "", ""
 		return []byte{0}, pgproto.Append(nil, 'P', []byte{0}, pgproto.Str(s.Query), s.Types)
 	}
@@ -272,21 +272,21 @@
 	return true
 }
 
-// Drop gives an attempt up. Where it was written, the engine is told on a
+// Cancel gives an attempt up. Where it was written, the engine is told on a
 // connection of its own, and the link is not used again: the word could arrive
 // late and end whatever ran there next.
-func (ls *Links) Drop(a *core.Attempt) bool {
-	if w, ok := a.Link.(*waiter); ok {
+func (ls *Links) Cancel(a *core.Attempt) bool {
+	if w, ok := a.LinkState.(*waiter); ok {
 		w.leave()
 		return true
 	}
-	l, ok := a.Link.(*link)
+	l, ok := a.LinkState.(*link)
 	switch {
 	case !ok || l.attempt != a:
 		return true
 	case l.dropped:
 		return false
-	case l.written && a.MustSettle() && l.conn != nil && !l.retired && l.key != nil:
+	case l.written && a.MustAwaitEngine() && l.conn != nil && !l.retired && l.key != nil:
 		l.dropped, l.retired = true, true // the answer, or the connection's end, tells that it is over
 		l.cancel()
 		return false
@@ -296,7 +296,7 @@
 		ls.next(l.engine.ID)
 		return true
 	}
-	l.close(core.EndCancelled)
+	l.close(core.OutcomeCancelled)
 	l.cancel()
 	return true
 }
@@ -322,20 +322,20 @@
 func (silent) Data(_ *netio.Conn, in *netio.Buffer) { in.Consume(in.Len()) }
 func (silent) Closed(*netio.Conn, error)            {}
 
-// Hurry does nothing: this protocol knows no priority.
-func (ls *Links) Hurry(*core.Attempt, int) {}
+// SetPriority does nothing: this protocol knows no priority.
+func (ls *Links) SetPriority(*core.Attempt, int) {}
 
 // Retire has the link take no more.
 func (l *link) Retire() {
 	l.retired = true
 	l.taken()
 	if (l.attempt == nil || l.dropped) && l.conn != nil {
-		l.close(core.EndIdle)
+		l.close(core.OutcomeIdleClosed)
 	}
 }
 
-func (l *link) close(why core.End) {
-	if l.end == core.EndUnknown {
+func (l *link) close(why core.Outcome) {
+	if l.end == core.OutcomeUnknown {
 		l.end = why
 	}
 	l.retired = true
@@ -351,7 +351,7 @@
 		l.encrypt(in)
 		return
 	}
-	for l.end == core.EndUnknown {
+	for l.end == core.OutcomeUnknown {
 		kind, body, n, err := pgproto.Next(in.Bytes(), maxMessage)
 		if err == nil && n > 0 {
 			err = l.message(kind, body, in.Bytes()[:n])
@@ -366,7 +366,7 @@
 		}
 	}
 	l.stall.Stop()
-	if in.Len() > 0 && l.end == core.EndUnknown {
+	if in.Len() > 0 && l.end == core.OutcomeUnknown {
 		l.stall = l.all.loop.Timers.Add(l.all.loop.Now()+stallMost, func() {
 			l.spoilt(errors.New("a message stopped in the middle"))
 		})
@@ -375,11 +375,11 @@
 
 // spoilt ends the link on what can't be read, and what is open on it.
 func (l *link) spoilt(err error) {
-	if l.conn == nil || l.end != core.EndUnknown {
+	if l.conn == nil || l.end != core.OutcomeUnknown {
 		return
 	}
 	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
-	l.close(core.EndGarbage)
+	l.close(core.OutcomeUnreadable)
 }
 
 func (l *link) message(kind byte, body, whole []byte) error {
@@ -482,8 +482,8 @@
 // stop ends an attempt whose answer is still coming, and is too large.
 func (l *link) stop(code, text string) {
 	a := l.attempt
-	l.all.Drop(a)
-	l.all.core.End(a, core.EndTooLarge, core.Report{Detail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
+	l.all.Cancel(a)
+	l.all.core.EndAttempt(a, core.OutcomeResultTooLarge, core.Report{Detail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
 }
 
 // statement is what the attempt on the link runs; nil: there is none.
@@ -510,17 +510,17 @@
 func (l *link) fatal() {
 	end := errorEnd(l.failure.Code)
 	switch {
-	case !l.written && end != core.EndFull: // no word on the statement: it was not sent
-		end = core.EndRefused
-	case l.written && end != core.EndTimeout: // between a commit and its word anything may be true
-		end = core.EndError
+	case !l.written && end != core.OutcomeEngineFull: // no word on the statement: it was not sent
+		end = core.OutcomeConnectionRefused
+	case l.written && end != core.OutcomeTimeout: // between a commit and its word anything may be true
+		end = core.OutcomeEngineError
 	}
 	l.close(end)
 }
 
 // idle takes a ReadyForQuery: the startup, or an answer, is over.
 func (l *link) idle(body []byte) error {
-	stream := l.attempt != nil && l.attempt.Request.Stream
+	stream := l.attempt != nil && l.attempt.Request.Streaming
 	switch {
 	case len(body) != 1 || !l.ready && body[0] != 'I' || body[0] != 'I' && !stream:
 		return errors.New("its session is left in a transaction")
@@ -552,13 +552,13 @@
 	s := l.statement()
 	switch {
 	case l.failure != nil && s.Ends: // it was rolled back, and the engine says why
-		l.finish(core.EndRejected, core.Report{Detail: l.failure})
+		l.finish(core.OutcomeStatementRejected, core.Report{Detail: l.failure})
 	case l.failure != nil && l.stale(l.failure.Code):
-		l.finish(core.EndNotSent, core.Report{})
+		l.finish(core.OutcomeNotSent, core.Report{})
 	case l.failure != nil:
 		l.finish(l.errorEnd(s), core.Report{Detail: l.failure})
 	case l.whole || s.Describe && l.result.Params != nil:
-		l.finish(core.EndServed, core.Report{Result: l.result})
+		l.finish(core.OutcomeServed, core.Report{Result: l.result})
 	default:
 		return errors.New("an answer without an end")
 	}
@@ -577,18 +577,18 @@
 	l.all.size -= len(l.result.Rows)
 	l.fresh()
 	l.goes = true
-	l.all.core.Part(l.attempt, rep)
+	l.all.core.RelayPart(l.attempt, rep)
 	return nil
 }
 
 // errorEnd sorts the error that ended the link's attempt. Of what runs once at most, an
 // engine that was short of something in the middle has done some of it for good where
 // that is outside its transaction (a sequence, say): no other is asked.
-func (l *link) errorEnd(s *pgproto.Statement) core.End {
+func (l *link) errorEnd(s *pgproto.Statement) core.Outcome {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == core.EndFull && class.Effect == policy.Unsafe && !s.Describe {
-		return core.EndError
+	if end == core.OutcomeEngineFull && class.Effect == policy.Unsafe && !s.Describe {
+		return core.OutcomeEngineError
 	}
 	return end
 }
@@ -596,60 +596,60 @@
 // errorEnd sorts an engine's errors. What the engine is short of, or that it is
 // about to stop, is no answer to the statement: another engine may serve it. A
 // fault of the statement's own would be the same everywhere.
-func errorEnd(code string) core.End {
+func errorEnd(code string) core.Outcome {
 	switch code[:2] {
 	case "53":
-		return core.EndFull
+		return core.OutcomeEngineFull
 	case "57":
 		switch code {
 		case "57P03", "57P01": // starting or stopping; a statement that ran is rolled back
-			return core.EndFull
+			return core.OutcomeEngineFull
 		case "57014":
-			return core.EndTimeout
+			return core.OutcomeTimeout
 		}
-		return core.EndError
+		return core.OutcomeEngineError
 	case "08", "40", "58", "XX", "F0":
-		return core.EndError
+		return core.OutcomeEngineError
 	}
-	return core.EndRejected
+	return core.OutcomeStatementRejected
 }
 
-func (l *link) finish(end core.End, rep core.Report) {
+func (l *link) finish(end core.Outcome, rep core.Report) {
 	a, s := l.attempt, l.statement()
-	if l.dropped && end != core.EndServed {
-		end = core.EndCancelled
+	if l.dropped && end != core.OutcomeServed {
+		end = core.OutcomeCancelled
 	}
-	if s != nil && s.Sets != "" && end == core.EndServed {
+	if s != nil && s.Sets != "" && end == core.OutcomeServed {
 		l.applied[s.Sets] = s.Query
 	}
 	l.clear()
 	l.used = l.all.core.Now()
 	switch {
 	case l.retired:
-		l.close(core.EndIdle)
-	case a.Request.Stream || s != nil && s.Taints:
+		l.close(core.OutcomeIdleClosed)
+	case a.Request.Streaming || s != nil && s.Taints:
 		l.tidy()
 	default:
 		l.rest()
 	}
-	l.all.core.End(a, end, rep)
+	l.all.core.EndAttempt(a, end, rep)
 }
 
 // Closed ends what was open on the link.
 func (l *link) Closed(*netio.Conn, error) {
 	switch {
-	case l.end != core.EndUnknown:
+	case l.end != core.OutcomeUnknown:
 	case l.attempt == nil:
-		l.end = core.EndIdle
+		l.end = core.OutcomeIdleClosed
 	case !l.written: // its startup was cut off: nothing of the attempt was sent
-		l.end = core.EndRefused
+		l.end = core.OutcomeConnectionRefused
 	default:
-		l.end = core.EndReset
+		l.end = core.OutcomeConnectionReset
 	}
 	l.lost(l.end)
 }
 
-func (l *link) lost(end core.End) {
+func (l *link) lost(end core.Outcome) {
 	was := l.ready
 	l.retired, l.conn, l.ready = true, nil, false
 	l.taken()
@@ -659,14 +659,14 @@
 	l.engine.Remove(l)
 	if a := l.attempt; a != nil {
 		if l.dropped {
-			end = core.EndCancelled
+			end = core.OutcomeCancelled
 		}
 		var rep core.Report
 		if l.failure != nil {
 			rep.Detail = l.failure
 		}
 		l.clear()
-		l.all.core.End(a, end, rep)
+		l.all.core.EndAttempt(a, end, rep)
 	}
 	l.all.next(l.engine.ID)
 	if was { // else nobody listens there, and asking at once would go on for ever
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -50,9 +50,9 @@
 	return p
 }
 
-// Engine takes an entry of the roster. Guards against sending to an engine that drains, or is taken out by operators, what
+// UpdateEngine takes an entry of the roster. Guards against sending to an engine that drains, or is taken out by operators, what
 // waited for a connection: it may wait for longer than an engine that drains may be sent to.
-func (ls *Links) Engine(e core.Engine) {
+func (ls *Links) UpdateEngine(e core.Engine) {
 	ls.engines.Engine(e)
 	p := ls.place(e.ID)
 	if p.live = e.State == policy.EngineLive; p.live {
@@ -60,20 +60,20 @@
 		ls.ahead(e.ID)
 		return
 	}
-	end := core.EndNotSent
+	end := core.OutcomeNotSent
 	if e.State == policy.EngineGone {
-		end = core.EndNoEngine
+		end = core.OutcomeNoAddress
 	}
 	for _, w := range p.inOrder() {
 		w.leave()
-		ls.core.End(w.attempt, end, core.Report{})
+		ls.core.EndAttempt(w.attempt, end, core.Report{})
 	}
 	ls.forget(e.ID)
 }
 
 // inOrder lists who waits in order of their sends: a map has none.
 func (p *place) inOrder() []*waiter {
-	return slices.SortedFunc(maps.Values(p.waits), func(a, b *waiter) int { return int(a.attempt.Sent - b.attempt.Sent) })
+	return slices.SortedFunc(maps.Values(p.waits), func(a, b *waiter) int { return int(a.attempt.SentAt - b.attempt.SentAt) })
 }
 
 // forget drops what is kept of an engine that the roster does not name, once its connections have ended: one that comes
@@ -90,7 +90,7 @@
 func (ls *Links) Send(a *core.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
-		ls.core.End(a, core.EndNoEngine, core.Report{})
+		ls.core.EndAttempt(a, core.OutcomeNoAddress, core.Report{})
 		return
 	}
 	user := ""
@@ -99,19 +99,19 @@
 	}
 	p := ls.place(e.ID)
 	ls.ended(e)
-	by := a.Sent + a.Within - tellBefore
+	by := a.SentAt + a.Timeout - tellBefore
 	switch ticket, answer := p.pool.Acquire(ls.core.Now(), user, by); answer {
 	case connpool.Queued:
 		ls.stats.Add("links.waited")
 		w := &waiter{all: ls, attempt: a, ticket: ticket, place: p}
 		p.waits[ticket] = w
-		a.Link = w
+		a.LinkState = w
 		w.late = ls.loop.Timers.Add(by, func() {
 			w.leave()
-			ls.core.End(a, core.EndCrowded, core.Report{})
+			ls.core.EndAttempt(a, core.OutcomeNoFreeConnection, core.Report{})
 		})
 	case connpool.Rejected:
-		ls.core.End(a, core.EndCrowded, core.Report{})
+		ls.core.EndAttempt(a, core.OutcomeNoFreeConnection, core.Report{})
 	default:
 		ls.run(e, a, ticket, answer)
 	}
@@ -144,7 +144,7 @@
 	l.free = false
 	l.attempt, l.ticket, l.written, l.goes = a, ticket, false, false
 	l.fresh()
-	a.Link = l
+	a.LinkState = l
 	if l.ready {
 		l.write()
 	}
@@ -188,7 +188,7 @@
 // rest has a connection without a statement wait for one, or end.
 func (l *link) rest() {
 	if l.retired {
-		l.close(core.EndIdle)
+		l.close(core.OutcomeIdleClosed)
 		return
 	}
 	if l.ready && !l.free {
@@ -216,7 +216,7 @@
 		switch {
 		case l.conn == nil:
 		case l.free && l.place.pool.IdleExpired(l.all.core.Now(), l.used):
-			l.close(core.EndIdle)
+			l.close(core.OutcomeIdleClosed)
 		default:
 			if l.attempt != nil || l.free && l.all.core.Now() >= l.used+idle { // at work, or kept
 				l.used = l.all.core.Now()
--- a/internal/backend/postgres/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -33,14 +33,14 @@
 	in.Consume(in.Len())
 	if !yes {
 		l.all.log.Warn("engine.unencrypted", "engine", l.engine.ID)
-		l.close(core.EndRefused)
+		l.close(core.OutcomeConnectionRefused)
 		return
 	}
 	l.conn.SecureAsClient(l.all.opts.TLS, l.all.opts.ConnectTimeout, func(_ tls.ConnectionState, err error) {
 		l.asking = false
 		if err != nil {
 			l.all.log.Warn("engine.tls-failed", "engine", l.engine.ID, "error", err)
-			l.close(core.EndRefused)
+			l.close(core.OutcomeConnectionRefused)
 			return
 		}
 		l.greet()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -198,13 +198,13 @@
 	}
 	for _, c := range f.Classes {
 		line("calls."+c.Class+".success", c.Served, 'c')
-		line("calls."+c.Class+".busy", c.Refused, 'c')
+		line("calls."+c.Class+".busy", c.Rejected, 'c')
 		line("calls."+c.Class+".failure", c.Failed, 'c')
 	}
-	line("backend_calls", f.Written, 'c')
-	line("inflight", int64(f.Inflight), 'g')
-	line("hosts_listed", int64(f.Listed), 'g')
-	line("hosts_down", int64(f.Down), 'g')
+	line("backend_calls", f.AttemptsWritten, 'c')
+	line("inflight", int64(f.InFlight), 'g')
+	line("hosts_listed", int64(f.EnginesListed), 'g')
+	line("hosts_down", int64(f.EnginesDown), 'g')
 	if p := f.Peers; p != nil {
 		line("peers_live", int64(p.Live), 'g')
 		line("peers_named", int64(p.Named), 'g')
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -27,7 +27,7 @@
 
 func TestText(t *testing.T) {
 	got := string(Text(core.Figures{
-		Classes: []core.ClassFigures{{Class: "lookup", Served: 812, Refused: 3, Failed: 1}}, Written: 900, Inflight: 14, Listed: 8, Down: 2,
+		Classes: []core.ClassFigures{{Class: "lookup", Served: 812, Rejected: 3, Failed: 1}}, AttemptsWritten: 900, InFlight: 14, EnginesListed: 8, EnginesDown: 2,
 	}))
 	want := `lb.calls.lookup.success:812|c
 lb.calls.lookup.busy:3|c
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -1,22 +1,22 @@
 package core
 
-// Take accepts a request whose last byte has come. From here on one final answer
-// is owed. The answer may be given before Take returns.
-func (c *Core) Take(r *Request) {
+// Accept accepts a request whose last byte has come. From here on one final answer
+// is owed. The answer may be given before Accept returns.
+func (c *Core) Accept(r *Request) {
 	c.enter(r)
 	if c.stopped {
 		c.final(r.query, c.turnedAway(r))
 		return
 	}
-	if c.sites != nil && c.sites.Cross(r, false) {
+	if c.sites != nil && c.sites.Forward(r, false) {
 		return
 	}
 	c.admit(r)
 }
 
-// Settle takes a request that a process which has died left behind, and that may not go out
+// FailOrphan takes a request that a process which has died left behind, and that may not go out
 // any more. Its client is told so at once.
-func (c *Core) Settle(r *Request) {
+func (c *Core) FailOrphan(r *Request) {
 	c.enter(r)
 	c.final(r.query, Answer{Verdict: Failed})
 }
@@ -30,8 +30,8 @@
 	c.stats.Add("taken." + r.Class)
 }
 
-// Gone tells that the client has stopped waiting: nothing is owed any more.
-func (c *Core) Gone(r *Request) {
+// ClientDisconnected tells that the client has stopped waiting: nothing is owed any more.
+func (c *Core) ClientDisconnected(r *Request) {
 	if r.answered || c.requests[r.query] != r {
 		return
 	}
@@ -47,15 +47,15 @@
 	c.unended--
 }
 
-// TakeLeft takes a request whose bytes may come from a process that has died: left is what
+// AcceptOrphan takes a request whose bytes may come from a process that has died: left is what
 // is known of that, or nil.
-func (c *Core) TakeLeft(r *Request, left *Left) {
+func (c *Core) AcceptOrphan(r *Request, left *Orphan) {
 	if left != nil {
-		r.Prior = left.Sent
-		if left.Settle {
-			c.Settle(r)
+		r.PriorSentAt = left.FirstSentAt
+		if left.MustFail {
+			c.FailOrphan(r)
 			return
 		}
 	}
-	c.Take(r)
+	c.Accept(r)
 }
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -6,8 +6,8 @@
 func (c *Core) admit(r *Request) {
 	r.admitted = true
 	c.tell(policy.Arrive{
-		Query: r.query, Class: r.Class, Key: r.Order, Set: r.Set, Deadline: r.Deadline,
-		Work: r.Work, MemoryMB: r.MemoryMB, Repeat: r.Repeat,
+		Query: r.query, Class: r.Class, Key: r.SerialKey, Set: r.TableGroup, Deadline: r.Deadline,
+		Work: r.Work, MemoryMB: r.MemoryMB, Repeat: r.ClientRetry,
 	})
 }
 
@@ -16,7 +16,7 @@
 	c.tell(policy.Gone{Query: r.query})
 	for _, a := range r.tries {
 		if a.began && !a.ended { // the module leaves what goes on to its end
-			c.drop(a, EndCancelled)
+			c.drop(a, OutcomeCancelled)
 		}
 	}
 	c.forget(r)
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -2,55 +2,55 @@
 
 import "gannetspur/policy"
 
-// End ends an attempt. The first call counts; a late answer after a time-out or
+// EndAttempt ends an attempt. The first call counts; a late answer after a time-out or
 // a cancel is passed by.
-func (c *Core) End(a *Attempt, end End, rep Report) {
+func (c *Core) EndAttempt(a *Attempt, end Outcome, rep Report) {
 	if a.ended {
 		c.stats.Add("end-ignored." + end.String())
 		return
 	}
 	a.ended = true
 	a.timer.Stop()
-	a.Link = nil
+	a.LinkState = nil
 	r := a.Request
 	r.out--
-	a.neverRan = end.Result().NeverRan()
+	a.neverRan = end.PolicyResult().NeverRan()
 	c.stats.Add("ended." + end.String())
 	if a.told {
-		c.sites.Ended(a, end, rep)
+		c.sites.AttemptEnded(a, end, rep)
 	}
 	// Of what may have run and is not safe to repeat, the word of an attempt that never
 	// ran says nothing: it must not stand for the one in doubt.
-	if !a.neverRan || rep.Detail != nil && !c.Doubt(r) {
+	if !a.neverRan || rep.Detail != nil && !c.InDoubt(r) {
 		r.detail = rep.Detail
 	}
-	if c.learner != nil && r.Note != nil && !a.began {
-		switch elapsed := c.clock.Now() - a.Sent; end {
-		case EndServed:
-			c.learner.Served(r, rep, elapsed)
-		case EndTimeout:
-			c.learner.GivenUp(r, elapsed)
+	if c.learner != nil && r.CostContext != nil && !a.began {
+		switch elapsed := c.clock.Now() - a.SentAt; end {
+		case OutcomeServed:
+			c.learner.AttemptServed(r, rep, elapsed)
+		case OutcomeTimeout:
+			c.learner.AttemptTimedOut(r, elapsed)
 		}
 	}
 	switch end {
-	case EndServed:
+	case OutcomeServed:
 		c.final(r.query, Answer{Verdict: Served, Result: rep.Result})
-	case EndRejected, EndTooLarge: // another engine would say the same
+	case OutcomeStatementRejected, OutcomeResultTooLarge: // another engine would say the same
 		c.final(r.query, Answer{Verdict: Failed})
 	}
-	result := end.Result()
-	if a.began && end == EndServed { // how long its client took tells nothing of the engine
+	result := end.PolicyResult()
+	if a.began && end == OutcomeServed { // how long its client took tells nothing of the engine
 		result = policy.Cancelled
 	}
 	c.tell(policy.Outcome{
-		Query: r.query, Attempt: a.n, Result: result, Elapsed: c.clock.Now() - a.Sent,
+		Query: r.query, Attempt: a.n, Result: result, Elapsed: c.clock.Now() - a.SentAt,
 		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.Load,
 	})
 	c.forget(r)
 }
 
-// Note tells of an attempt that is out.
-func (c *Core) Note(a *Attempt, kind policy.NoteKind, value float64) {
+// ReportProgress tells of an attempt that is out.
+func (c *Core) ReportProgress(a *Attempt, kind policy.NoteKind, value float64) {
 	if a.ended {
 		return
 	}
@@ -58,10 +58,10 @@
 	c.tell(policy.Note{Query: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
 }
 
-// Probed ends a probe: the engine answered, with its load where it told that, or it did not.
-func (c *Core) Probed(engine string, end End, load policy.Load) {
+// EndHealthCheck ends a probe: the engine answered, with its load where it told that, or it did not.
+func (c *Core) EndHealthCheck(engine string, end Outcome, load policy.Load) {
 	c.stats.Add("probes.ended." + end.String())
-	c.tell(policy.Probed{Engine: engine, Result: end.Result(), Load: load})
+	c.tell(policy.Probed{Engine: engine, Result: end.PolicyResult(), Load: load})
 }
 
 // forget drops a request that is answered and has nothing out, once no event
@@ -72,8 +72,8 @@
 	case c.busy:
 		c.over = append(c.over, r)
 	default:
-		if _, ok := c.requests[r.query]; ok && c.learner != nil && r.Note != nil {
-			c.learner.Over(r)
+		if _, ok := c.requests[r.query]; ok && c.learner != nil && r.CostContext != nil {
+			c.learner.RequestDone(r)
 		}
 		delete(c.requests, r.query)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,29 +21,29 @@
 type Clock interface{ Now() time.Duration }
 
 // Client is where a request came from. It is given exactly one answer, unless
-// Core.Gone was called first.
+// Core.ClientDisconnected was called first.
 type Client interface{ Answer(r *Request, a Answer) }
 
-// Leaver is a Client that tells whether it has left ahead of Core.Gone, which may wait for its turn.
-type Leaver interface{ Gone() bool }
+// DisconnectDetector is a Client that tells whether it has left ahead of Core.ClientDisconnected, which may wait for its turn.
+type DisconnectDetector interface{ Disconnected() bool }
 
 // Links carries attempts to engines.
 type Links interface {
-	// Send begins an attempt; Core.End ends it.
+	// Send begins an attempt; Core.EndAttempt ends it.
 	Send(a *Attempt)
-	// Drop gives an attempt up that has not ended, and tells whether it is over. One that MustSettle is not
-	// where its engine may run it still; Core.End follows once it can't.
-	Drop(a *Attempt) bool
-	// Hurry sets the priority of an attempt that is out.
-	Hurry(a *Attempt, priority int)
-	// Engine tells of an engine's entry or of a change to it.
-	Engine(e Engine)
+	// Cancel gives an attempt up that has not ended, and tells whether it is over. One that MustAwaitEngine is not
+	// where its engine may run it still; Core.EndAttempt follows once it can't.
+	Cancel(a *Attempt) bool
+	// SetPriority sets the priority of an attempt that is out.
+	SetPriority(a *Attempt, priority int)
+	// UpdateEngine tells of an engine's entry or of a change to it.
+	UpdateEngine(e Engine)
 }
 
-// Prober asks engines for their load. Links that can do so are one.
-type Prober interface {
-	// Probe asks an engine; Core.Probed ends it, once.
-	Probe(engine string)
+// HealthChecker asks engines for their load. Links that can do so are one.
+type HealthChecker interface {
+	// CheckHealth asks an engine; Core.EndHealthCheck ends it, once.
+	CheckHealth(engine string)
 }
 
 // Engine is an entry of the roster with what the decisions don't need.
@@ -54,29 +54,29 @@
 
 // Request is one query or load, from its last byte to its one final answer.
 type Request struct {
-	ID        string // the client's, passed on unchanged
-	Class     string
-	Token     string // idempotency key; "": none
-	Order     string // requests of one key that a front end takes run one at a time, in turn; "": no such key
-	Statement any    // what the front read, for links of the same wire
-	Set       int64  // group of tables
-	Deadline  time.Duration
-	Work      time.Duration // estimate; 0: none
-	MemoryMB  float64       // estimate; 0: none
-	Repeat    bool
-	Client    Client
-	Note      any // the front's own, for the Learner
-	// Prior is when another process, which has died, or another site first sent the request
+	ID             string // the client's, passed on unchanged
+	Class          string
+	IdempotencyKey string // idempotency key; "": none
+	SerialKey      string // requests of one key that a front end takes run one at a time, in turn; "": no such key
+	Statement      any    // what the front read, for links of the same wire
+	TableGroup     int64  // group of tables
+	Deadline       time.Duration
+	Work           time.Duration // estimate; 0: none
+	MemoryMB       float64       // estimate; 0: none
+	ClientRetry    bool
+	Client         Client
+	CostContext    any // the front's own, for the Learner
+	// PriorSentAt is when another process, which has died, or another site first sent the request
 	// to an engine; 0: none did. It may have run since.
-	Prior time.Duration
-	// Foreign is that it came from another site: it goes to no third one.
-	Foreign bool
-	// Stream is that it goes on behind its first answer, as a transaction does: its attempt stays
+	PriorSentAt time.Duration
+	// FromOtherSite is that it came from another site: it goes to no third one.
+	FromOtherSite bool
+	// Streaming is that it goes on behind its first answer, as a transaction does: its attempt stays
 	// out, its Client is a Streamer too, and Continue gives the engine what comes next.
-	Stream bool
-	// MostSends bounds the sends of it over all sites, of which Spent were made elsewhere; 0:
+	Streaming bool
+	// MaxSends bounds the sends of it over all sites, of which PriorSends were made elsewhere; 0:
 	// the module's own bound alone.
-	MostSends, Spent int
+	MaxSends, PriorSends int
 
 	query    uint64
 	tries    []*Attempt
@@ -95,13 +95,13 @@
 
 // Attempt is one send of a request to one engine.
 type Attempt struct {
-	Request  *Request
-	Engine   string        // by id: a new engine may have a gone one's address
-	Within   time.Duration // from Sent
-	Sent     time.Duration
-	MemoryMB float64 // to grant; 0: the engine's own choice
-	Priority int
-	Link     any // the links' own
+	Request   *Request
+	Engine    string        // by id: a new engine may have a gone one's address
+	Timeout   time.Duration // from Sent
+	SentAt    time.Duration
+	MemoryMB  float64 // to grant; 0: the engine's own choice
+	Priority  int
+	LinkState any // the links' own
 
 	n        int
 	ended    bool
@@ -116,13 +116,13 @@
 // Ended tells whether the attempt is over.
 func (a *Attempt) Ended() bool { return a.ended }
 
-// Learner hears what requests have cost at their engines, once for each attempt that was
+// CostObserver hears what requests have cost at their engines, once for each attempt that was
 // served, or given up as its time was over.
-type Learner interface {
-	Served(r *Request, rep Report, elapsed time.Duration)
-	GivenUp(r *Request, elapsed time.Duration)
-	// Over tells that nothing more will be heard of a request: its Note is free.
-	Over(r *Request)
+type CostObserver interface {
+	AttemptServed(r *Request, rep Report, elapsed time.Duration)
+	AttemptTimedOut(r *Request, elapsed time.Duration)
+	// RequestDone tells that nothing more will be heard of a request: its Note is free.
+	RequestDone(r *Request)
 }
 
 // Report is what came with the end of an attempt.
@@ -134,12 +134,12 @@
 	Detail   any // of an error, for fronts of the same wire
 }
 
-// Left is what is known of a request that a process which has died left behind, beside its
+// Orphan is what is known of a request that a process which has died left behind, beside its
 // bytes.
-type Left struct {
-	Came   time.Duration // when its last byte came, or a little later
-	Sent   time.Duration // when it first went to an engine; 0: never
-	Settle bool          // it may not go out any more: Settle, not Take
+type Orphan struct {
+	ReceivedAt  time.Duration // when its last byte came, or a little later
+	FirstSentAt time.Duration // when it first went to an engine; 0: never
+	MustFail    bool          // it may not go out any more: Settle, not Take
 }
 
 // Core is the front end without its wires.
@@ -148,11 +148,11 @@
 	clock   Clock
 	timers  *timerqueue.Queue
 	links   Links
-	learner Learner                       // nil: nobody
+	learner CostObserver                  // nil: nobody
 	sending func(*Request, time.Duration) // hears of first sends before they are made; may be nil
 	stats   *metrics.Counters
-	sites   Sites // nil: there is no other
-	stand   *adminstate.Standing
+	sites   RemoteSites // nil: there is no other
+	stand   *adminstate.Table
 	changed func() // hears that a ban was called or called back here; may be nil
 	figures map[string]*ClassFigures
 	written int64 // attempts written whole
@@ -192,24 +192,24 @@
 // SetLinks names where attempts go.
 func (c *Core) SetLinks(l Links) { c.links = l }
 
-// SetLearner names who hears what requests have cost.
-func (c *Core) SetLearner(l Learner) { c.learner = l }
+// SetCostObserver names who hears what requests have cost.
+func (c *Core) SetCostObserver(l CostObserver) { c.learner = l }
 
-// SetSending names who hears of each request's first send, with its time, before it is made:
+// OnFirstSend names who hears of each request's first send, with its time, before it is made:
 // whoever must be able to tell later that it may have run.
-func (c *Core) SetSending(f func(r *Request, at time.Duration)) { c.sending = f }
+func (c *Core) OnFirstSend(f func(r *Request, at time.Duration)) { c.sending = f }
 
-// Known is what the core knows beside its requests, to be handed to another of the same
+// Snapshot is what the core knows beside its requests, to be handed to another of the same
 // settings.
-type Known struct {
-	Engines []Engine // as the roster told them
-	Learned policy.Learned
-	Bans    adminstate.Bans
+type Snapshot struct {
+	Engines   []Engine // as the roster told them
+	Learned   policy.Learned
+	Overrides adminstate.Overrides `cbor:"Bans"`
 }
 
-// Known is a copy of what the core knows.
-func (c *Core) Known() Known {
-	k := Known{Learned: c.gateway.Learned(), Bans: c.Bans()}
+// Snapshot is a copy of what the core knows.
+func (c *Core) Snapshot() Snapshot {
+	k := Snapshot{Learned: c.gateway.Learned(), Overrides: c.Overrides()}
 	for _, e := range c.engines {
 		k.Engines = append(k.Engines, e)
 	}
@@ -217,12 +217,12 @@
 	return k
 }
 
-// Learn takes what another core knows, in place of the roster so far. No request may have
+// Restore takes what another core knows, in place of the roster so far. No request may have
 // been taken yet.
-func (c *Core) Learn(k Known) {
-	c.TakeBans(k.Bans)
+func (c *Core) Restore(k Snapshot) {
+	c.MergeOverrides(k.Overrides)
 	c.gateway.Learn(c.clock.Now(), k.Learned)
-	c.Roster(policy.ListFull, k.Engines)
+	c.UpdateEndpoints(policy.ListFull, k.Engines)
 }
 
 // Class looks a class up by name.
@@ -246,7 +246,7 @@
 func (c *Core) Unanswered() int { return c.unended }
 
 // Roster tells of the engine list, or of a change to it.
-func (c *Core) Roster(mode policy.ListMode, engines []Engine) {
+func (c *Core) UpdateEndpoints(mode policy.ListMode, engines []Engine) {
 	c.stats.Add("roster.events")
 	ev := policy.Engines{Mode: mode}
 	before := c.engines
@@ -273,16 +273,16 @@
 // hear merges what the operators say into an entry of the roster, and tells of it before the
 // module may name it in a send.
 func (c *Core) hear(e Engine) Engine {
-	e.Engine = c.stand.Hear(e.Engine)
+	e.Engine = c.stand.Update(e.Engine)
 	c.engine(e)
 	return e
 }
 
 // engine tells of an entry of the roster.
 func (c *Core) engine(e Engine) {
-	c.links.Engine(e)
+	c.links.UpdateEngine(e)
 	if c.sites != nil {
-		c.sites.Engine(e)
+		c.sites.UpdateEngine(e)
 	}
 }
 
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -2,68 +2,68 @@
 
 import "gannetspur/policy"
 
-// End is how a connection or an attempt ended: every way there is.
-type End uint8
+// Outcome is how a connection or an attempt ended: every way there is.
+type Outcome uint8
 
 // Ends. The zero value is the most cautious: the attempt may have run.
 const (
-	EndUnknown        End = iota
-	EndServed             // the whole answer is here
-	EndRejected           // the engine found the statement itself at fault; it had no effect
-	EndTooLarge           // it ran, but its answer is larger than can be held here
-	EndError              // the engine answered with an error
-	EndFull               // the engine turned it away unseen
-	EndPast               // the engine found its time over before it ran
-	EndPagesLost          // it ran, but some of its pages can't be had any more
-	EndTimeout            // no answer within the attempt's time
-	EndRefused            // the engine refused the connection
-	EndConnectTimeout     // no connection in time
-	EndNoDescriptor       // no descriptor was free for a connection
-	EndNoEngine           // the roster has no address for the engine
-	EndReset              // the connection broke
-	EndGarbage            // what came on the connection can't be read
-	EndCancelled          // given up from this side
-	EndNotSent            // ended before any of it was written
-	EndCrowded            // no connection is free in its time: it was not sent
-	EndIdle               // a connection that nothing was open on
-	endCount
+	OutcomeUnknown           Outcome = iota
+	OutcomeServed                    // the whole answer is here
+	OutcomeStatementRejected         // the engine found the statement itself at fault; it had no effect
+	OutcomeResultTooLarge            // it ran, but its answer is larger than can be held here
+	OutcomeEngineError               // the engine answered with an error
+	OutcomeEngineFull                // the engine turned it away unseen
+	OutcomeDeadlinePassed            // the engine found its time over before it ran
+	OutcomePagesLost                 // it ran, but some of its pages can't be had any more
+	OutcomeTimeout                   // no answer within the attempt's time
+	OutcomeConnectionRefused         // the engine refused the connection
+	OutcomeConnectTimeout            // no connection in time
+	OutcomeNoDescriptor              // no descriptor was free for a connection
+	OutcomeNoAddress                 // the roster has no address for the engine
+	OutcomeConnectionReset           // the connection broke
+	OutcomeUnreadable                // what came on the connection can't be read
+	OutcomeCancelled                 // given up from this side
+	OutcomeNotSent                   // ended before any of it was written
+	OutcomeNoFreeConnection          // no connection is free in its time: it was not sent
+	OutcomeIdleClosed                // a connection that nothing was open on
+	outcomeCount
 )
 
-var endNames = [endCount]string{
+var outcomeNames = [outcomeCount]string{
 	"unknown", "served", "rejected", "too-large", "error", "full", "past", "pages-lost", "timeout", "refused", "connect-timeout",
 	"no-descriptor", "no-engine", "reset", "garbage", "cancelled", "not-sent", "crowded", "idle",
 }
 
-func (e End) String() string {
-	if e < endCount {
-		return endNames[e]
+func (e Outcome) String() string {
+	if e < outcomeCount {
+		return outcomeNames[e]
 	}
-	return endNames[EndUnknown]
+	return outcomeNames[OutcomeUnknown]
 }
 
-// Result is what an end means to the decisions, and the only place that says so.
+// PolicyResult is what an end means to the decisions, and the only place that says so.
 // What proves that nothing ran is named; all else may have run.
-func (e End) Result() policy.Result {
+func (e Outcome) PolicyResult() policy.Result {
 	switch e {
-	case EndServed, EndTooLarge: // the engine did its part
+	case OutcomeServed, OutcomeResultTooLarge: // the engine did its part
 		return policy.Served
-	case EndError, EndPagesLost:
+	case OutcomeEngineError, OutcomePagesLost:
 		return policy.Failed
-	case EndFull, EndCrowded:
+	case OutcomeEngineFull, OutcomeNoFreeConnection:
 		return policy.Full
-	case EndTimeout:
+	case OutcomeTimeout:
 		return policy.TimedOut
-	case EndRefused, EndNoEngine:
+	case OutcomeConnectionRefused, OutcomeNoAddress:
 		return policy.NoConnection
-	case EndConnectTimeout:
+	case OutcomeConnectTimeout:
 		return policy.Unreached
-	case EndReset:
+	case OutcomeConnectionReset:
 		return policy.Lost
-	case EndGarbage: // any engine's answer may be spoilt on its way; it says nothing of its health
+	case OutcomeUnreadable: // any engine's answer may be spoilt on its way; it says nothing of its health
 		return policy.Unknown
-	case EndCancelled:
+	case OutcomeCancelled:
 		return policy.Cancelled
-	case EndPast, EndNotSent, EndRejected, EndNoDescriptor: // the last is no fault of the engine's
+	case OutcomeDeadlinePassed, OutcomeNotSent, OutcomeStatementRejected, OutcomeNoDescriptor: // the last is no fault of the engine's
 		return policy.NotSent
 	}
 	return policy.Unknown
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -12,8 +12,8 @@
 
 // The three final answers.
 const (
-	Failed  Verdict = iota // no promise of what ran
-	Refused                // trying again is harmless
+	Failed   Verdict = iota // no promise of what ran
+	Rejected                // trying again is harmless
 	Served
 )
 
@@ -23,13 +23,13 @@
 
 // Answer is a final answer.
 type Answer struct {
-	Verdict  Verdict
-	ComeBack time.Duration // with Refused: not before this long from now; 0: unsaid
-	Late     bool          // the request's time was over
-	Sent     bool          // it went to an engine at least once
-	Doubt    bool          // it may have run, and its class is not safe to repeat
-	Result   any           // with Served
-	Detail   any           // of the latest engine error, if there was one
+	Verdict    Verdict
+	RetryAfter time.Duration // with Refused: not before this long from now; 0: unsaid
+	Late       bool          // the request's time was over
+	Sent       bool          // it went to an engine at least once
+	InDoubt    bool          // it may have run, and its class is not safe to repeat
+	Result     any           // with Served
+	Detail     any           // of the latest engine error, if there was one
 }
 
 // final gives the client its one answer, at once. A second one is passed by.
@@ -39,11 +39,11 @@
 		return
 	}
 	a.Late = a.Verdict != Served && c.clock.Now() >= r.Deadline-c.round
-	a.Doubt = c.Doubt(r)
+	a.InDoubt = c.InDoubt(r)
 	if a.Detail == nil {
 		a.Detail = r.detail
 	}
-	a.Sent = a.Sent || r.Prior > 0 || len(r.tries) > 0
+	a.Sent = a.Sent || r.PriorSentAt > 0 || len(r.tries) > 0
 	c.stats.Add("answered." + a.Verdict.String() + "." + r.Class)
 	c.counted(r, a.Verdict)
 	if a.Late {
@@ -55,17 +55,17 @@
 	c.forget(r)
 }
 
-// Doubt tells whether a request that is open may have run and is not safe to repeat.
-func (c *Core) Doubt(r *Request) bool {
+// InDoubt tells whether a request that is open may have run and is not safe to repeat.
+func (c *Core) InDoubt(r *Request) bool {
 	return c.classes[r.Class].Effect != policy.Safe &&
-		(r.Prior > 0 || r.away != nil || slices.ContainsFunc(r.tries, mayHaveRun))
+		(r.PriorSentAt > 0 || r.away != nil || slices.ContainsFunc(r.tries, mayHaveRun))
 }
 
 func mayHaveRun(a *Attempt) bool { return !a.neverRan }
 
-// EndAll gives every open request its final answer, and each that still comes at once. For the very
+// Shutdown gives every open request its final answer, and each that still comes at once. For the very
 // end of a stop, when those who wait would else be left with none.
-func (c *Core) EndAll() {
+func (c *Core) Shutdown() {
 	c.stopped = true
 	for query, r := range c.requests {
 		if !r.answered {
@@ -78,8 +78,8 @@
 // turnedAway is the answer to a request that goes no further: a refusal unless it may have run and
 // trying again could do harm.
 func (c *Core) turnedAway(r *Request) Answer {
-	if c.Doubt(r) && !c.harmless(r, 0) {
+	if c.InDoubt(r) && !c.harmless(r, 0) {
 		return Answer{Verdict: Failed}
 	}
-	return Answer{Verdict: Refused}
+	return Answer{Verdict: Rejected}
 }
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -35,6 +35,15 @@
 	}
 }
 
+// The core finds these by type assertion: a method renamed here alone would go unnoticed.
+var (
+	_ StreamingClient    = (*replay)(nil)
+	_ CostObserver       = (*replay)(nil)
+	_ HealthChecker      = replayLinks{}
+	_ StreamingLinks     = replayLinks{}
+	_ DisconnectDetector = (*world)(nil)
+)
+
 // replay is one seeded run. The wording of what it writes does not depend on identifiers.
 type replay struct {
 	out      io.Writer
@@ -58,11 +67,11 @@
 		t.Fatal(err)
 	}
 	r.core.SetLinks(replayLinks{r})
-	r.core.SetLearner(r)
-	r.core.SetSending(func(q *Request, at time.Duration) { r.say("first send %s %d", q.ID, at) })
-	r.core.SetBanned(func() { r.say("bans changed") })
+	r.core.SetCostObserver(r)
+	r.core.OnFirstSend(func(q *Request, at time.Duration) { r.say("first send %s %d", q.ID, at) })
+	r.core.OnOverridesChanged(func() { r.say("bans changed") })
 	if seed%2 == 0 {
-		r.core.SetSites(replaySites{r})
+		r.core.SetRemoteSites(replaySites{r})
 	}
 	return r
 }
@@ -74,38 +83,38 @@
 func (r *replay) Now() time.Duration { return r.now }
 
 func (r *replay) Answer(q *Request, a Answer) {
-	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.ComeBack), a.Late, a.Sent, a.Doubt, a.Result, a.Detail)
+	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.Late, a.Sent, a.InDoubt, a.Result, a.Detail)
 	r.dropOpen(q)
 }
 
-func (r *replay) Part(q *Request, a Answer) {
+func (r *replay) PartialAnswer(q *Request, a Answer) {
 	r.say("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.Detail)
 }
 
-func (r *replay) Served(q *Request, rep Report, elapsed time.Duration) {
+func (r *replay) AttemptServed(q *Request, rep Report, elapsed time.Duration) {
 	r.say("served %s %d %d", q.ID, int64(rep.Work), int64(elapsed))
 }
 
-func (r *replay) GivenUp(q *Request, elapsed time.Duration) {
+func (r *replay) AttemptTimedOut(q *Request, elapsed time.Duration) {
 	r.say("given up %s %d", q.ID, int64(elapsed))
 }
 
-func (r *replay) Over(q *Request) { r.say("over %s", q.ID) }
+func (r *replay) RequestDone(q *Request) { r.say("over %s", q.ID) }
 
 type replayLinks struct{ *replay }
 
 func (l replayLinks) Send(a *Attempt) {
-	ok := l.core.Writing(a)
-	l.say("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Within), a.MemoryMB, a.Priority, ok)
+	ok := l.core.BeginWrite(a)
+	l.say("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Timeout), a.MemoryMB, a.Priority, ok)
 	if !ok {
-		l.core.End(a, EndNotSent, Report{})
+		l.core.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
 	l.attempts = append(l.attempts, a)
 }
 
-func (l replayLinks) Drop(a *Attempt) bool {
-	must := a.MustSettle()
+func (l replayLinks) Cancel(a *Attempt) bool {
+	must := a.MustAwaitEngine()
 	l.say("drop %s %s %t", a.Request.ID, a.Engine, must)
 	if must {
 		l.settling = append(l.settling, a)
@@ -113,23 +122,23 @@
 	return !must
 }
 
-func (l replayLinks) Hurry(a *Attempt, priority int) {
+func (l replayLinks) SetPriority(a *Attempt, priority int) {
 	l.say("hurry %s %s %d", a.Request.ID, a.Engine, priority)
 }
 
-func (l replayLinks) Engine(e Engine) {
+func (l replayLinks) UpdateEngine(e Engine) {
 	if e.State != policy.EngineGone { // those that a whole list lacks come in no fixed order
 		l.say("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.Fresh)
 	}
 }
 
-func (l replayLinks) Probe(engine string) {
+func (l replayLinks) CheckHealth(engine string) {
 	l.say("probe %s", engine)
 	if l.random.IntN(2) == 0 {
-		l.core.Probed(engine, EndServed, policy.Load{})
+		l.core.EndHealthCheck(engine, OutcomeServed, policy.Load{})
 		return
 	}
-	l.core.Probed(engine, EndConnectTimeout, policy.Load{})
+	l.core.EndHealthCheck(engine, OutcomeConnectTimeout, policy.Load{})
 }
 
 func (l replayLinks) Continue(a *Attempt) {
@@ -138,19 +147,19 @@
 
 type replaySites struct{ *replay }
 
-func (s replaySites) Cross(q *Request, turned bool) bool {
+func (s replaySites) Forward(q *Request, turned bool) bool {
 	if s.random.IntN(3) > 0 {
 		return false
 	}
 	s.say("cross %s %t", q.ID, turned)
-	s.core.Away(q, q.Deadline-time.Millisecond)
+	s.core.Forwarded(q, q.Deadline-time.Millisecond)
 	return true
 }
 
-func (s replaySites) Drop(q *Request)    { s.say("drop there %s", q.ID) }
-func (s replaySites) Sending(a *Attempt) { s.say("sending %s %s", a.Request.ID, a.Engine) }
-func (s replaySites) Engine(Engine)      {}
-func (s replaySites) Ended(a *Attempt, end End, _ Report) {
+func (s replaySites) Drop(q *Request)           { s.say("drop there %s", q.ID) }
+func (s replaySites) AttemptStarted(a *Attempt) { s.say("sending %s %s", a.Request.ID, a.Engine) }
+func (s replaySites) UpdateEngine(Engine)       {}
+func (s replaySites) AttemptEnded(a *Attempt, end Outcome, _ Report) {
 	s.say("ended %s %s %d", a.Request.ID, a.Engine, int(end))
 }
 
@@ -164,15 +173,15 @@
 	for len(r.open) > 1 { // EndAll answers several in no fixed order
 		r.leaves(r.open[0])
 	}
-	r.core.EndAll()
+	r.core.Shutdown()
 	r.arrive()
 	for _, a := range append(r.attempts, r.settling...) {
-		r.core.End(a, EndReset, Report{})
+		r.core.EndAttempt(a, OutcomeConnectionReset, Report{})
 	}
 	figures := r.core.Figures()
-	r.say("figures %d %d %d %d", figures.Written, figures.Inflight, figures.Listed, figures.Down)
+	r.say("figures %d %d %d %d", figures.AttemptsWritten, figures.InFlight, figures.EnginesListed, figures.EnginesDown)
 	for _, c := range figures.Classes {
-		r.say("class %s %d %d %d", c.Class, c.Served, c.Refused, c.Failed)
+		r.say("class %s %d %d %d", c.Class, c.Served, c.Rejected, c.Failed)
 	}
 	var all strings.Builder
 	r.counters.Print(&all)
@@ -191,7 +200,7 @@
 		}
 	case 11:
 		if a := r.anyAttempt(); a != nil {
-			r.core.Note(a, policy.NoteKind(r.random.IntN(3)), float64(r.random.IntN(50)))
+			r.core.ReportProgress(a, policy.NoteKind(r.random.IntN(3)), float64(r.random.IntN(50)))
 		}
 	case 12:
 		r.engines(policy.ListChanges, 1+r.random.IntN(2))
@@ -208,79 +217,79 @@
 	r.serial++
 	class := []string{"read", "load", "write", "unheard-of"}[min(r.random.IntN(10)/3, 3)]
 	q := &Request{
-		ID: fmt.Sprintf("r%d", r.serial), Class: class, Token: "key", Deadline: r.now + time.Duration(1+r.random.IntN(5000))*time.Millisecond,
-		Client: r, Note: r.serial, Statement: "first", Stream: class == "write" && r.random.IntN(3) == 0,
+		ID: fmt.Sprintf("r%d", r.serial), Class: class, IdempotencyKey: "key", Deadline: r.now + time.Duration(1+r.random.IntN(5000))*time.Millisecond,
+		Client: r, CostContext: r.serial, Statement: "first", Streaming: class == "write" && r.random.IntN(3) == 0,
 	}
 	if r.random.IntN(4) == 0 {
-		q.Order = fmt.Sprintf("key-%d", r.random.IntN(5))
+		q.SerialKey = fmt.Sprintf("key-%d", r.random.IntN(5))
 	}
 	if r.random.IntN(10) == 0 {
-		q.MostSends, q.Spent = 3, r.random.IntN(3)
+		q.MaxSends, q.PriorSends = 3, r.random.IntN(3)
 	}
-	var left *Left
+	var left *Orphan
 	if r.random.IntN(15) == 0 {
-		left = &Left{Came: r.now, Sent: r.now - time.Duration(r.random.IntN(2))*time.Second, Settle: r.random.IntN(3) == 0}
+		left = &Orphan{ReceivedAt: r.now, FirstSentAt: r.now - time.Duration(r.random.IntN(2))*time.Second, MustFail: r.random.IntN(3) == 0}
 	}
 	r.say("arrive %s %s", q.ID, class)
 	r.open = append(r.open, q)
-	r.core.TakeLeft(q, left)
+	r.core.AcceptOrphan(q, left)
 }
 
 func (r *replay) end() {
 	if len(r.settling) > 0 && r.random.IntN(3) == 0 {
 		a := r.settling[0]
 		r.settling = r.settling[1:]
-		r.core.End(a, EndCancelled, Report{})
+		r.core.EndAttempt(a, OutcomeCancelled, Report{})
 		return
 	}
 	a := r.anyAttempt()
 	if a == nil {
 		return
 	}
-	end := EndServed
+	end := OutcomeServed
 	if r.random.IntN(3) == 0 {
-		end = End(r.random.IntN(int(endCount)))
+		end = Outcome(r.random.IntN(int(outcomeCount)))
 	}
 	rep := Report{Result: "rows", Work: time.Duration(r.random.IntN(100)) * time.Millisecond, MemoryMB: float64(r.random.IntN(20))}
-	if end == EndError || end == EndRejected {
+	if end == OutcomeEngineError || end == OutcomeStatementRejected {
 		rep.Result, rep.Detail = nil, fmt.Sprintf("error of %s", a.Engine)
 	}
 	r.say("end %s %s %d", a.Request.ID, a.Engine, int(end))
-	r.core.End(a, end, rep)
+	r.core.EndAttempt(a, end, rep)
 }
 
 func (r *replay) there() {
 	for _, q := range r.open {
-		if !r.core.IsAway(q) {
+		if !r.core.IsForwarded(q) {
 			continue
 		}
 		how := r.random.IntN(5)
 		r.say("there %s %d", q.ID, how)
 		switch how {
 		case 0:
-			r.core.Settled(q, Answer{Verdict: Served, Result: "rows from there"})
+			r.core.CompleteForwarded(q, Answer{Verdict: Served, Result: "rows from there"})
 		case 1:
-			r.core.Crossed(q, r.now)
-			r.core.Settled(q, Answer{Verdict: Failed})
+			r.core.RecordRemoteSend(q, r.now)
+			r.core.CompleteForwarded(q, Answer{Verdict: Failed})
 		case 2:
-			r.core.Here(q, true)
+			r.core.ReturnForwarded(q, true)
 		case 3:
-			r.core.Crossed(q, r.now)
-			r.core.Here(q, false)
+			r.core.RecordRemoteSend(q, r.now)
+			r.core.ReturnForwarded(q, false)
 		default:
-			r.core.Here(q, false)
+			r.core.ReturnForwarded(q, false)
 		}
-		r.say("known %s %d %d %t %t", q.ID, q.Sends(), int64(q.FirstSent()), q.Ran(), r.core.Doubt(q))
+		r.say("known %s %d %d %t %t", q.ID, q.SendCount(), int64(q.FirstSentAt()), q.MayHaveRunHere(), r.core.InDoubt(q))
 		return
 	}
 }
 
 func (r *replay) goOn() {
 	for _, a := range r.attempts {
-		if a.Ended() || !a.Request.Stream {
+		if a.Ended() || !a.Request.Streaming {
 			continue
 		}
-		r.core.Part(a, Report{Result: "part", Detail: nil})
+		r.core.RelayPart(a, Report{Result: "part", Detail: nil})
 		if r.random.IntN(2) == 0 {
 			r.say("goes on %t", r.core.Continue(a.Request, "next", 300*time.Millisecond))
 		}
@@ -306,7 +315,7 @@
 		}
 		list = append(list, Engine{Addr: fmt.Sprintf("127.0.0.1:%d", id), Engine: policy.Engine{ID: fmt.Sprintf("e%d", id), Kind: "k", State: state}})
 	}
-	r.core.Roster(mode, list)
+	r.core.UpdateEndpoints(mode, list)
 }
 
 func (r *replay) anyOpen() *Request {
@@ -318,7 +327,7 @@
 
 func (r *replay) leaves(q *Request) {
 	r.say("leaves %s", q.ID)
-	r.core.Gone(q)
+	r.core.ClientDisconnected(q)
 	r.dropOpen(q)
 }
 
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -19,7 +19,7 @@
 			c.cancel(r, a.Attempt)
 		}
 	case policy.Refuse:
-		c.givenUp(a.Query, Answer{Verdict: Refused, ComeBack: a.ComeBack})
+		c.givenUp(a.Query, Answer{Verdict: Rejected, RetryAfter: a.ComeBack})
 	case policy.Fail:
 		c.givenUp(a.Query, Answer{Verdict: Failed})
 	case policy.Wake:
@@ -27,9 +27,9 @@
 	case policy.Log:
 		c.log.Info("policy", "says", a.Text)
 	case policy.Probe:
-		if p, ok := c.links.(Prober); ok {
+		if p, ok := c.links.(HealthChecker); ok {
 			c.stats.Add("probes.sent")
-			p.Probe(a.Engine)
+			p.CheckHealth(a.Engine)
 		} else { // engines of this wire have no answer to one
 			c.stats.Add("policy.ignored")
 		}
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -10,10 +10,10 @@
 // written, so that it arrives within it.
 const windowMargin = 50 * time.Millisecond
 
-// send begins an attempt. Every attempt ends once, in End, however its link fares.
+// send begins an attempt. Every attempt ends once, in EndAttempt, however its link fares.
 func (c *Core) send(r *Request, s policy.Send) {
 	a := &Attempt{
-		Request: r, Engine: s.Engine, Within: s.Within, Sent: c.clock.Now(),
+		Request: r, Engine: s.Engine, Timeout: s.Within, SentAt: c.clock.Now(),
 		MemoryMB: r.grant, Priority: r.priority, n: len(r.tries) - r.base,
 	}
 	a.notAfter = c.lastRepeat(r)
@@ -24,20 +24,20 @@
 		c.stats.Add("sent-again." + r.Class)
 	}
 	if r.answered { // the module asked before it heard that the client has left
-		c.End(a, EndNotSent, Report{})
+		c.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
-	if r.MostSends > 0 && r.sends() > r.MostSends { // repeats don't multiply over sites
-		c.End(a, EndNotSent, Report{})
+	if r.MaxSends > 0 && r.sends() > r.MaxSends { // repeats don't multiply over sites
+		c.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
 	if c.sites != nil {
 		a.told = true
-		c.sites.Sending(a)
+		c.sites.AttemptStarted(a)
 	}
-	a.timer = c.timers.Add(a.Sent+max(s.Within, time.Millisecond), func() { c.drop(a, EndTimeout) })
+	a.timer = c.timers.Add(a.SentAt+max(s.Within, time.Millisecond), func() { c.drop(a, OutcomeTimeout) })
 	if c.sending != nil && len(r.tries) == 1 {
-		c.sending(r, a.Sent)
+		c.sending(r, a.SentAt)
 	}
 	c.links.Send(a)
 }
@@ -50,12 +50,12 @@
 	if class.Effect != policy.Keyed {
 		return 0
 	}
-	if r.Prior > 0 {
-		return max(r.Prior+class.Window-windowMargin, 1)
+	if r.PriorSentAt > 0 {
+		return max(r.PriorSentAt+class.Window-windowMargin, 1)
 	}
 	for _, a := range r.tries {
 		if !a.neverRan {
-			return max(a.Sent+class.Window-windowMargin, 1)
+			return max(a.SentAt+class.Window-windowMargin, 1)
 		}
 	}
 	return 0
@@ -71,7 +71,7 @@
 	for _, a := range r.tries {
 		if !a.ended {
 			a.Priority = g.Priority
-			c.links.Hurry(a, g.Priority)
+			c.links.SetPriority(a, g.Priority)
 		}
 	}
 }
@@ -82,24 +82,24 @@
 	if n < r.base || n >= len(r.tries) || r.tries[n].ended {
 		return
 	}
-	c.drop(r.tries[n], EndCancelled)
+	c.drop(r.tries[n], OutcomeCancelled)
 }
 
 // drop gives an attempt up, which ends it unless it has to be certain that its engine is through with it.
-func (c *Core) drop(a *Attempt, end End) {
-	if c.links.Drop(a) {
+func (c *Core) drop(a *Attempt, end Outcome) {
+	if c.links.Cancel(a) {
 		if !a.wrote { // it waited for a connection all the time
-			end = EndNotSent
+			end = OutcomeNotSent
 		}
-		c.End(a, end, Report{})
+		c.EndAttempt(a, end, Report{})
 		return
 	}
 	a.timer.Stop()
 	c.stats.Add("settling." + a.Request.Class)
 }
 
-// MustSettle tells whether an attempt that is given up counts as out until its engine is certain to be
+// MustAwaitEngine tells whether an attempt that is given up counts as out until its engine is certain to be
 // through with it: its request is answered, and the next of its key may go out only then. An engine that
 // hangs reads a cancel when it is back; the rest that settings give a key covers the way there alone. Where
 // the request goes on, its own next attempt is not held up.
-func (a *Attempt) MustSettle() bool { return a.Request.Order != "" && a.Request.answered }
+func (a *Attempt) MustAwaitEngine() bool { return a.Request.SerialKey != "" && a.Request.answered }
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -7,49 +7,49 @@
 	"gannetspur/policy"
 )
 
-// Sites takes requests to other sites, before the module hears of them or once it has turned
+// RemoteSites takes requests to other sites, before the module hears of them or once it has turned
 // them away. It is called on the core's goroutine, and may call back from within.
-type Sites interface {
-	// Cross may take a request to another site, by Away, or settle it, by Settled. It tells
+type RemoteSites interface {
+	// Forward may take a request to another site, by Away, or settle it, by Settled. It tells
 	// whether it did either. turned: the module has just turned it away.
-	Cross(r *Request, turned bool) bool
+	Forward(r *Request, turned bool) bool
 	// Drop gives up what is at another site: the request is over.
 	Drop(r *Request)
-	// Sending tells of an attempt at an engine of this site before it is made, Ended of its end.
-	Sending(a *Attempt)
-	Ended(a *Attempt, end End, rep Report)
-	// Engine tells of an engine's entry or of a change to it.
-	Engine(e Engine)
+	// AttemptStarted tells of an attempt at an engine of this site before it is made, Ended of its end.
+	AttemptStarted(a *Attempt)
+	AttemptEnded(a *Attempt, end Outcome, rep Report)
+	// UpdateEngine tells of an engine's entry or of a change to it.
+	UpdateEngine(e Engine)
 }
 
-// SetSites names who takes requests to other sites.
-func (c *Core) SetSites(s Sites) { c.sites = s }
+// SetRemoteSites names who takes requests to other sites.
+func (c *Core) SetRemoteSites(s RemoteSites) { c.sites = s }
 
-// Away marks that a request is at another site from now on, where no engine here has it. until
+// Forwarded marks that a request is at another site from now on, where no engine here has it. until
 // is when it is given up at the latest. Exactly one of Settled, Here or the request's end follows.
-func (c *Core) Away(r *Request, until time.Duration) {
+func (c *Core) Forwarded(r *Request, until time.Duration) {
 	c.stats.Add("away." + r.Class)
 	r.crossed = c.clock.Now()
 	r.away = c.timers.Add(until, func() {
-		c.Crossed(r, r.crossed)
+		c.RecordRemoteSend(r, r.crossed)
 		c.sites.Drop(r)
-		c.Settled(r, Answer{Verdict: Failed})
+		c.CompleteForwarded(r, Answer{Verdict: Failed})
 	})
 }
 
-// IsAway tells whether a request is at another site.
-func (c *Core) IsAway(r *Request) bool { return r.away != nil }
+// IsForwarded tells whether a request is at another site.
+func (c *Core) IsForwarded(r *Request) bool { return r.away != nil }
 
-// Crossed marks that a request may have run at another site, where it was first sent at an
+// RecordRemoteSend marks that a request may have run at another site, where it was first sent at an
 // instant.
-func (c *Core) Crossed(r *Request, at time.Duration) {
-	if first := r.FirstSent(); first == 0 || at < first {
-		r.Prior = at
+func (c *Core) RecordRemoteSend(r *Request, at time.Duration) {
+	if first := r.FirstSentAt(); first == 0 || at < first {
+		r.PriorSentAt = at
 	}
 }
 
-// Settled gives a request its final answer on word of another site.
-func (c *Core) Settled(r *Request, a Answer) {
+// CompleteForwarded gives a request its final answer on word of another site.
+func (c *Core) CompleteForwarded(r *Request, a Answer) {
 	r.away.Stop()
 	r.away = nil
 	if c.requests[r.query] != r || r.answered {
@@ -59,9 +59,9 @@
 	c.leave(r) // a copy of it may be out here
 }
 
-// Here has the module take a request that was at another site, or is there still (copy). Where
+// ReturnForwarded has the module take a request that was at another site, or is there still (copy). Where
 // it may have run there, Crossed was called.
-func (c *Core) Here(r *Request, copy bool) {
+func (c *Core) ReturnForwarded(r *Request, copy bool) {
 	if !copy {
 		r.away.Stop()
 		r.away = nil
@@ -106,9 +106,9 @@
 		r.turned = &a
 		return
 	case c.sites == nil:
-	case a.Verdict == Refused && r.out == 0 && c.sites.Cross(r, true):
+	case a.Verdict == Rejected && r.out == 0 && c.sites.Forward(r, true):
 		return
-	case a.Verdict == Refused && c.Doubt(r) && !c.harmless(r, a.ComeBack):
+	case a.Verdict == Rejected && c.InDoubt(r) && !c.harmless(r, a.RetryAfter):
 		// The module knows nothing of what ran elsewhere.
 		a = Answer{Verdict: Failed}
 	}
@@ -132,24 +132,24 @@
 	return false
 }
 
-// Sends is how often a request was sent to an engine, at any site, as far as is known here.
-func (r *Request) Sends() int { return r.sends() }
+// SendCount is how often a request was sent to an engine, at any site, as far as is known here.
+func (r *Request) SendCount() int { return r.sends() }
 
-func (r *Request) sends() int { return r.Spent + len(r.tries) }
+func (r *Request) sends() int { return r.PriorSends + len(r.tries) }
 
-// FirstSent is when a request that may have run was first sent, at any site; 0: none was.
-func (r *Request) FirstSent() time.Duration {
-	if r.Prior > 0 {
-		return r.Prior
+// FirstSentAt is when a request that may have run was first sent, at any site; 0: none was.
+func (r *Request) FirstSentAt() time.Duration {
+	if r.PriorSentAt > 0 {
+		return r.PriorSentAt
 	}
 	if i := slices.IndexFunc(r.tries, mayHaveRun); i >= 0 {
-		return r.tries[i].Sent
+		return r.tries[i].SentAt
 	}
 	return 0
 }
 
-// Ran tells whether an engine of this site may have run it.
-func (r *Request) Ran() bool { return slices.ContainsFunc(r.tries, mayHaveRun) }
+// MayHaveRunHere tells whether an engine of this site may have run it.
+func (r *Request) MayHaveRunHere() bool { return slices.ContainsFunc(r.tries, mayHaveRun) }
 
 // NeverRan tells whether an attempt's end proves that it never ran.
 func (a *Attempt) NeverRan() bool { return a.neverRan }
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -30,28 +30,28 @@
 
 func (w *world) Send(a *Attempt) {
 	w.sent = append(w.sent, a)
-	if !w.core.Writing(a) {
-		w.core.End(a, EndNotSent, Report{})
+	if !w.core.BeginWrite(a) {
+		w.core.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
 	w.say("send")
 }
-func (w *world) Gone() bool          { return w.left }
-func (w *world) Hurry(*Attempt, int) {}
-func (w *world) Engine(Engine)       {}
+func (w *world) Disconnected() bool        { return w.left }
+func (w *world) SetPriority(*Attempt, int) {}
+func (w *world) UpdateEngine(Engine)       {}
 func (w *world) Answer(_ *Request, a Answer) {
-	w.say("%s doubt=%v late=%v", a.Verdict, a.Doubt, a.Late)
+	w.say("%s doubt=%v late=%v", a.Verdict, a.InDoubt, a.Late)
 }
-func (w *world) Sending(*Attempt)                  {}
-func (w *world) Ended(_ *Attempt, e End, _ Report) { w.say("ended %s", e) }
-func (w *world) Cross(r *Request, turned bool) bool {
+func (w *world) AttemptStarted(*Attempt)                      {}
+func (w *world) AttemptEnded(_ *Attempt, e Outcome, _ Report) { w.say("ended %s", e) }
+func (w *world) Forward(r *Request, turned bool) bool {
 	return w.cross != nil && w.cross(r, turned)
 }
 
 // drops tells links and sites apart: both are asked to drop.
 type drops struct{ *world }
 
-func (d drops) Drop(*Attempt) bool {
+func (d drops) Cancel(*Attempt) bool {
 	d.say("drop attempt")
 	return true
 }
@@ -68,12 +68,12 @@
 		t.Fatal(err)
 	}
 	w.core.SetLinks(drops{w})
-	w.core.SetSites(sitesOf{w})
+	w.core.SetRemoteSites(sitesOf{w})
 	var all []Engine
 	for i := range engines {
 		all = append(all, Engine{Engine: policy.Engine{ID: fmt.Sprint(i), Kind: "k", State: policy.EngineLive}})
 	}
-	w.core.Roster(policy.ListFull, all)
+	w.core.UpdateEndpoints(policy.ListFull, all)
 	return w
 }
 
@@ -91,8 +91,8 @@
 }
 
 func (w *world) take(class string) *Request {
-	r := &Request{ID: "r", Class: class, Token: "key", Deadline: w.now + 5*time.Second, Client: w}
-	w.core.Take(r)
+	r := &Request{ID: "r", Class: class, IdempotencyKey: "key", Deadline: w.now + 5*time.Second, Client: w}
+	w.core.Accept(r)
 	return r
 }
 
@@ -107,7 +107,7 @@
 	away := func(w *world) func(*Request, bool) bool {
 		return func(r *Request, turned bool) bool {
 			w.say("cross turned=%v", turned)
-			w.core.Away(r, r.Deadline-w.core.round)
+			w.core.Forwarded(r, r.Deadline-w.core.round)
 			return true
 		}
 	}
@@ -121,35 +121,35 @@
 	}{
 		"served there": {1, func(w *world) {
 			w.cross = away(w)
-			w.core.Settled(w.take("read"), Answer{Verdict: Served})
+			w.core.CompleteForwarded(w.take("read"), Answer{Verdict: Served})
 		}, []string{"cross turned=false", "served doubt=false late=false"}},
 		"turned away here, served there": {0, func(w *world) {
 			w.cross = once(w, true)
-			w.core.Settled(w.take("read"), Answer{Verdict: Served})
+			w.core.CompleteForwarded(w.take("read"), Answer{Verdict: Served})
 		}, []string{"cross turned=true", "served doubt=false late=false"}},
 		"turned away at both": {0, func(w *world) {
 			w.cross = once(w, true)
-			w.core.Settled(w.take("read"), Answer{Verdict: Refused})
+			w.core.CompleteForwarded(w.take("read"), Answer{Verdict: Rejected})
 		}, []string{"cross turned=true", "refused doubt=false late=false"}},
 		"never ran there, served here": {1, func(w *world) {
 			w.cross = once(w, false)
-			w.core.Here(w.take("write"), false)
-			w.core.End(w.sent[0], EndServed, Report{})
+			w.core.ReturnForwarded(w.take("write"), false)
+			w.core.EndAttempt(w.sent[0], OutcomeServed, Report{})
 		}, []string{"cross turned=false", "send", "ended served", "served doubt=true late=false"}},
 		"may have run there, turned away here": {0, func(w *world) {
 			w.cross = once(w, false)
 			r := w.take("load")
-			w.core.Crossed(r, w.now)
+			w.core.RecordRemoteSend(r, w.now)
 			w.wait(11 * time.Second / 10)
-			w.core.Here(r, false)
+			w.core.ReturnForwarded(r, false)
 		}, []string{"cross turned=false", "refused doubt=true late=false"}},
 		"the same at the end of its window": {0, func(w *world) {
 			w.cross = once(w, false)
-			r := &Request{ID: "r", Class: "load", Token: "key", Deadline: w.now + time.Minute, Client: w}
-			w.core.Take(r)
-			w.core.Crossed(r, w.now)
+			r := &Request{ID: "r", Class: "load", IdempotencyKey: "key", Deadline: w.now + time.Minute, Client: w}
+			w.core.Accept(r)
+			w.core.RecordRemoteSend(r, w.now)
 			w.wait(11 * time.Second)
-			w.core.Here(r, false)
+			w.core.ReturnForwarded(r, false)
 		}, []string{"cross turned=false", "failed doubt=true late=false"}},
 		"its time ends there": {1, func(w *world) {
 			w.cross = once(w, false)
@@ -158,46 +158,46 @@
 		}, []string{"cross turned=false", "drop crossing", "failed doubt=true late=true"}},
 		"its client leaves": {1, func(w *world) {
 			w.cross = once(w, false)
-			w.core.Gone(w.take("read"))
+			w.core.ClientDisconnected(w.take("read"))
 		}, []string{"cross turned=false", "drop crossing"}},
 		"hedged, served here": {1, func(w *world) {
 			w.cross = once(w, false)
-			w.core.Here(w.take("read"), true)
-			w.core.End(w.sent[0], EndServed, Report{})
+			w.core.ReturnForwarded(w.take("read"), true)
+			w.core.EndAttempt(w.sent[0], OutcomeServed, Report{})
 		}, []string{"cross turned=false", "send", "ended served", "drop crossing", "served doubt=false late=false"}},
 		"hedged, served there": {1, func(w *world) {
 			w.cross = once(w, false)
 			r := w.take("read")
-			w.core.Here(r, true)
-			w.core.Settled(r, Answer{Verdict: Served})
+			w.core.ReturnForwarded(r, true)
+			w.core.CompleteForwarded(r, Answer{Verdict: Served})
 		}, []string{"cross turned=false", "send", "served doubt=false late=false", "drop attempt", "ended cancelled"}},
 		"hedged, turned away here, then lost there": {0, func(w *world) {
 			w.cross = once(w, false)
 			r := w.take("read")
-			w.core.Here(r, true)
-			w.core.Crossed(r, w.now)
-			w.core.Here(r, false)
+			w.core.ReturnForwarded(r, true)
+			w.core.RecordRemoteSend(r, w.now)
+			w.core.ReturnForwarded(r, false)
 		}, []string{"cross turned=false", "refused doubt=false late=false"}},
 		"no more sends are granted": {2, func(w *world) {
-			r := &Request{ID: "r", Class: "read", Deadline: w.now + 5*time.Second, Client: w, Foreign: true, MostSends: 1}
-			w.core.Take(r)
-			w.core.End(w.sent[0], EndRefused, Report{})
+			r := &Request{ID: "r", Class: "read", Deadline: w.now + 5*time.Second, Client: w, FromOtherSite: true, MaxSends: 1}
+			w.core.Accept(r)
+			w.core.EndAttempt(w.sent[0], OutcomeConnectionRefused, Report{})
 		}, []string{"send", "ended refused", "refused doubt=false late=false"}},
 		"the end of the process": {1, func(w *world) {
 			w.cross = once(w, false)
 			w.take("write")
-			w.core.EndAll()
+			w.core.Shutdown()
 		}, []string{"cross turned=false", "drop crossing", "failed doubt=true late=false"}},
 		"the end while a repeat is harmless, and what comes behind it": {1, func(w *world) {
 			w.take("load")
-			w.core.EndAll()
+			w.core.Shutdown()
 			w.take("write")
 		}, []string{"send", "refused doubt=true late=false", "drop attempt", "ended cancelled", "refused doubt=false late=false"}},
 		"its client has left, and the core hears of it last": {2, func(w *world) {
 			r := w.take("read")
 			w.left = true
-			w.core.End(w.sent[0], EndReset, Report{})
-			w.core.Gone(r)
+			w.core.EndAttempt(w.sent[0], OutcomeConnectionReset, Report{})
+			w.core.ClientDisconnected(r)
 		}, []string{"send", "ended reset", "ended not-sent", "ended not-sent", "refused doubt=false late=false"}},
 	} {
 		w := newWorld(t, tt.engines)
@@ -216,13 +216,13 @@
 // not written any more.
 func TestRepeatWaitsPastItsWindow(t *testing.T) {
 	w := newWorld(t, 2)
-	w.core.Take(&Request{ID: "r", Class: "load", Token: "key", Deadline: w.now + 30*time.Second, Client: w})
+	w.core.Accept(&Request{ID: "r", Class: "load", IdempotencyKey: "key", Deadline: w.now + 30*time.Second, Client: w})
 	w.wait(12*time.Second - windowMargin - 10*time.Millisecond)
-	w.core.End(w.sent[0], EndReset, Report{})
-	if len(w.sent) != 2 || !w.core.Writing(w.sent[1]) {
+	w.core.EndAttempt(w.sent[0], OutcomeConnectionReset, Report{})
+	if len(w.sent) != 2 || !w.core.BeginWrite(w.sent[1]) {
 		t.Fatalf("%d sent, want a repeat that may be written", len(w.sent))
 	}
-	if w.wait(20 * time.Millisecond); w.core.Writing(w.sent[1]) {
+	if w.wait(20 * time.Millisecond); w.core.BeginWrite(w.sent[1]) {
 		t.Error("it may be written past its window")
 	}
 }
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -27,15 +27,15 @@
 	return nil
 }
 
-// SetBanned names who hears of each call that changed something, before it is answered.
-func (c *Core) SetBanned(f func()) { c.changed = f }
+// OnOverridesChanged names who hears of each call that changed something, before it is answered.
+func (c *Core) OnOverridesChanged(f func()) { c.changed = f }
 
-// Bans are the operators' words on engines.
-func (c *Core) Bans() adminstate.Bans { return c.stand.Bans() }
+// Overrides are the operators' words on engines.
+func (c *Core) Overrides() adminstate.Overrides { return c.stand.Overrides() }
 
-// TakeBans merges in what operators have told another process, and tells whether that was news.
-func (c *Core) TakeBans(other adminstate.Bans) bool {
-	changed := c.stand.Take(other)
+// MergeOverrides merges in what operators have told another process, and tells whether that was news.
+func (c *Core) MergeOverrides(other adminstate.Overrides) bool {
+	changed := c.stand.Merge(other)
 	if len(changed) > 0 {
 		c.log.Info("bans.taken", "engines", changed)
 		c.again(changed)
@@ -56,15 +56,15 @@
 	}
 }
 
-// Writing is asked by links right before they write an attempt whole, and counts it: one that was not has never run. It may
+// BeginWrite is asked by links right before they write an attempt whole, and counts it: one that was not has never run. It may
 // no longer be written where its client has left or has its answer, where an earlier one may have run and its key's window is
 // about to close, or where its engine drains or was taken out while it waited for a connection: it ends as not sent then.
-func (c *Core) Writing(a *Attempt) bool {
+func (c *Core) BeginWrite(a *Attempt) bool {
 	r := a.Request
-	if l, ok := r.Client.(Leaver); r.answered || ok && l.Gone() {
+	if l, ok := r.Client.(DisconnectDetector); r.answered || ok && l.Disconnected() {
 		return false
 	}
-	if a.notAfter > 0 && c.clock.Now() >= a.notAfter || c.stand.Barred(a.Engine) || c.engines[a.Engine].State != policy.EngineLive {
+	if a.notAfter > 0 && c.clock.Now() >= a.notAfter || c.stand.Disabled(a.Engine) || c.engines[a.Engine].State != policy.EngineLive {
 		return false
 	}
 	c.written++
@@ -74,18 +74,18 @@
 
 // ClassFigures are the final answers to requests of one class.
 type ClassFigures struct {
-	Class                   string
-	Served, Refused, Failed int64
+	Class                    string
+	Served, Rejected, Failed int64
 }
 
 // Figures are what operators are told, counted since the process began.
 type Figures struct {
-	Classes  []ClassFigures // in order of name
-	Written  int64          // attempts written whole to engines
-	Inflight int            // requests taken and not ended
-	Listed   int            // engines that the roster names
-	Down     int            // of these, how many are avoided: by operators, or by the module
-	Peers    *PeerFigures   // nil: this front end is no member among others
+	Classes         []ClassFigures // in order of name
+	AttemptsWritten int64          // attempts written whole to engines
+	InFlight        int            // requests taken and not ended
+	EnginesListed   int            // engines that the roster names
+	EnginesDown     int            // of these, how many are avoided: by operators, or by the module
+	Peers           *PeerFigures   // nil: this front end is no member among others
 }
 
 // PeerFigures tell of other front ends, itself included.
@@ -96,14 +96,14 @@
 
 // Figures is a snapshot.
 func (c *Core) Figures() Figures {
-	f := Figures{Written: c.written, Inflight: c.unended, Listed: c.stand.Listed()}
+	f := Figures{AttemptsWritten: c.written, InFlight: c.unended, EnginesListed: c.stand.Listed()}
 	for _, k := range c.figures {
 		f.Classes = append(f.Classes, *k)
 	}
 	slices.SortFunc(f.Classes, func(a, b ClassFigures) int { return cmp.Compare(a.Class, b.Class) })
 	for id := range c.engines {
-		if c.stand.Barred(id) || c.gateway.Avoids(id) {
-			f.Down++
+		if c.stand.Disabled(id) || c.gateway.Avoids(id) {
+			f.EnginesDown++
 		}
 	}
 	return f
@@ -118,8 +118,8 @@
 	switch v {
 	case Served:
 		f.Served++
-	case Refused:
-		f.Refused++
+	case Rejected:
+		f.Rejected++
 	default:
 		f.Failed++
 	}
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got Known
+	var got Snapshot
 	if err := cbor.Unmarshal(stored, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -34,26 +34,26 @@
 		t.Errorf("bytes written (-want +got):\n%s", diff)
 	}
 	for n := range stored {
-		if err := cbor.Unmarshal(stored[:n], new(Known)); err == nil {
+		if err := cbor.Unmarshal(stored[:n], new(Snapshot)); err == nil {
 			t.Errorf("the first %d of %d bytes were read without an error", n, len(stored))
 		}
 	}
 	for i := range stored {
 		spoilt := append([]byte{}, stored...)
 		spoilt[i] ^= 0xff
-		_ = cbor.Unmarshal(spoilt, new(Known)) // an error or other values, never a panic
+		_ = cbor.Unmarshal(spoilt, new(Snapshot)) // an error or other values, never a panic
 	}
 }
 
 // storedKnown has one entry at most in each map: the order of several would not be fixed.
 // What the policy learned has its own fixture there.
-func storedKnown() Known {
-	return Known{
+func storedKnown() Snapshot {
+	return Snapshot{
 		Engines: []Engine{
 			{Engine: policy.Engine{ID: "s-00000007", Zone: "hall-a", Kind: "std-8", Cell: 3, State: policy.EngineLive}, Addr: "127.0.0.9:70"},
 			{Engine: policy.Engine{ID: "s-00000008", Zone: "hall-b", Kind: "std-16", Cell: -4, State: policy.EngineDraining, Started: 5 * time.Second, Fresh: true}, Addr: "[::1]:80"},
 		},
-		Learned: policy.Learned{},
-		Bans:    adminstate.Bans{"s-00000007": {Out: false, At: 9 * time.Second, Since: 4 * time.Second}},
+		Learned:   policy.Learned{},
+		Overrides: adminstate.Overrides{"s-00000007": {Disabled: false, At: 9 * time.Second, DisabledSince: 4 * time.Second}},
 	}
 }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -6,24 +6,24 @@
 	"gannetspur/policy"
 )
 
-// Streamer is a client whose request goes on: it is given each part of the answer. The final
+// StreamingClient is a client whose request goes on: it is given each part of the answer. The final
 // Answer comes as for any other request.
-type Streamer interface {
+type StreamingClient interface {
 	Client
-	Part(r *Request, a Answer)
+	PartialAnswer(r *Request, a Answer)
 }
 
-// Continuer is links that carry requests that go on.
-type Continuer interface {
+// StreamingLinks is links that carry requests that go on.
+type StreamingLinks interface {
 	// Continue puts the request's statement, a new one, on the attempt's connection.
 	Continue(a *Attempt)
 }
 
-// Part passes on an answer of an attempt that goes on. The module hears once that it does: it
+// RelayPart passes on an answer of an attempt that goes on. The module hears once that it does: it
 // neither moves it nor ends it by the deadline from then on.
-func (c *Core) Part(a *Attempt, rep Report) {
+func (c *Core) RelayPart(a *Attempt, rep Report) {
 	r := a.Request
-	s, ok := r.Client.(Streamer)
+	s, ok := r.Client.(StreamingClient)
 	if a.ended || r.answered || !ok {
 		return
 	}
@@ -32,13 +32,13 @@
 		a.began = true
 		c.tell(policy.Began{Query: r.query, Attempt: a.n})
 	}
-	s.Part(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, Detail: rep.Detail})
+	s.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, Detail: rep.Detail})
 }
 
 // Continue gives the engine of a request that goes on its next statement, to be answered within a
 // time. It tells whether there is such an engine.
 func (c *Core) Continue(r *Request, statement any, within time.Duration) bool {
-	links, ok := c.links.(Continuer)
+	links, ok := c.links.(StreamingLinks)
 	if !ok || r.answered || len(r.tries) == 0 {
 		return false
 	}
@@ -47,7 +47,7 @@
 		return false
 	}
 	r.Statement = statement
-	a.timer = c.timers.Add(c.clock.Now()+max(within, time.Millisecond), func() { c.drop(a, EndTimeout) })
+	a.timer = c.timers.Add(c.clock.Now()+max(within, time.Millisecond), func() { c.drop(a, OutcomeTimeout) })
 	links.Continue(a)
 	return true
 }
--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -36,7 +36,7 @@
 // replay writes the results of one seeded run. Its wording does not depend on identifiers.
 func replay(out io.Writer, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	processes := []*Standing{New(), New()}
+	processes := []*Table{New(), New()}
 	now := time.Duration(1)
 	for range 2000 {
 		now += time.Duration(random.IntN(3)) * 40 * time.Second
@@ -49,23 +49,23 @@
 			if random.IntN(2) == 0 {
 				e.Fresh, e.Started = true, now-time.Duration(random.IntN(100))*time.Second
 			}
-			e = s.Hear(e)
+			e = s.Update(e)
 			fmt.Fprintf(out, "hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.Fresh)
 		case 3, 4, 5:
 			out1 := random.IntN(2) == 0
 			changed, err := s.Call(now, id, out1)
 			fmt.Fprintf(out, "call %s %t %t %t\n", id, out1, changed, err != nil)
 		case 6:
-			fmt.Fprintf(out, "take %s\n", strings.Join(s.Take(processes[1-process].Bans()), " "))
+			fmt.Fprintf(out, "take %s\n", strings.Join(s.Merge(processes[1-process].Overrides()), " "))
 		default:
 			if random.IntN(20) == 0 {
 				s.Clear()
 			}
 		}
-		fmt.Fprintf(out, "state %d %t\n", s.Listed(), s.Barred(id))
-		bans := s.Bans()
+		fmt.Fprintf(out, "state %d %t\n", s.Listed(), s.Disabled(id))
+		bans := s.Overrides()
 		for _, name := range slices.Sorted(maps.Keys(bans)) {
-			fmt.Fprintf(out, "ban %s %t %d %d\n", name, bans[name].Out, int64(bans[name].At), int64(bans[name].Since))
+			fmt.Fprintf(out, "ban %s %t %d %d\n", name, bans[name].Disabled, int64(bans[name].At), int64(bans[name].DisabledSince))
 		}
 	}
 }
--- a/internal/decide/adminstate/standing.go
+++ b/internal/decide/adminstate/standing.go
@@ -11,40 +11,40 @@
 	"gannetspur/policy"
 )
 
-// Ban is the operators' latest word on one engine. At is when it was given, on the clock of
+// Override is the operators' latest word on one engine. At is when it was given, on the clock of
 // the caller, which all processes that share bans must share.
-type Ban struct {
-	Out   bool          `cbor:"1,keyasint"`           // nothing more to it
-	At    time.Duration `cbor:"2,keyasint"`           // of the word
-	Since time.Duration `cbor:"3,keyasint,omitempty"` // of the call out that a call back undid; 0: there was none
+type Override struct {
+	Disabled      bool          `cbor:"1,keyasint"`           // nothing more to it
+	At            time.Duration `cbor:"2,keyasint"`           // of the word
+	DisabledSince time.Duration `cbor:"3,keyasint,omitempty"` // of the call out that a call back undid; 0: there was none
 }
 
 // Merge is the word that holds of two: the later one, and of two at one moment the call out, which is
 // the cautious one. In whatever order words are merged, and however often, the same one holds.
-func (b Ban) Merge(o Ban) Ban {
+func (b Override) Merge(o Override) Override {
 	if b.before(o) {
 		return o
 	}
 	return b
 }
 
-func (b Ban) before(o Ban) bool {
+func (b Override) before(o Override) bool {
 	switch {
 	case b.At != o.At:
 		return b.At < o.At
-	case b.Out != o.Out:
-		return o.Out
+	case b.Disabled != o.Disabled:
+		return o.Disabled
 	}
-	return b.Since < o.Since
+	return b.DisabledSince < o.DisabledSince
 }
 
-// Bans are the operators' words by the engine's id.
-type Bans map[string]Ban
+// Overrides are the operators' words by the engine's id.
+type Overrides map[string]Override
 
 // Faults of a call.
 var (
-	ErrUnknown = errors.New("there is no engine of this id")
-	ErrTooMany = errors.New("too many engines are disabled")
+	ErrUnknownEngine   = errors.New("there is no engine of this id")
+	ErrTooManyDisabled = errors.New("too many engines are disabled")
 )
 
 const (
@@ -56,23 +56,23 @@
 	backFor = time.Hour
 )
 
-// Standing is what both voices say. The zero value is not ready; use New.
-type Standing struct {
+// Table is what both voices say. The zero value is not ready; use New.
+type Table struct {
 	listed map[string]bool // by the roster, not gone
-	bans   Bans
+	bans   Overrides
 }
 
 // New returns a Standing that knows of no engine.
-func New() *Standing { return &Standing{listed: map[string]bool{}, bans: Bans{}} }
+func New() *Table { return &Table{listed: map[string]bool{}, bans: Overrides{}} }
 
 // Clear forgets which engines are listed, as a whole list follows. Bans stay.
-func (s *Standing) Clear() { clear(s.listed) }
+func (s *Table) Clear() { clear(s.listed) }
 
-// Hear takes the roster's word on an engine and returns the one that holds: a banned engine
+// Update takes the roster's word on an engine and returns the one that holds: a banned engine
 // that is ready counts as draining, and one that came back counts as started when it did,
 // unless the roster knows of a start since it went out. Guards against feeding an
 // engine that was restarted while out as if it were warm: the roster need not tell.
-func (s *Standing) Hear(e policy.Engine) policy.Engine {
+func (s *Table) Update(e policy.Engine) policy.Engine {
 	if e.State == policy.EngineGone {
 		delete(s.listed, e.ID)
 		return e
@@ -81,52 +81,52 @@
 	b, ok := s.bans[e.ID]
 	switch {
 	case !ok:
-	case b.Out && e.State == policy.EngineLive:
+	case b.Disabled && e.State == policy.EngineLive:
 		e.State = policy.EngineDraining
-	case !b.Out && b.Since > 0 && (!e.Fresh || e.Started < b.Since):
+	case !b.Disabled && b.DisabledSince > 0 && (!e.Fresh || e.Started < b.DisabledSince):
 		e.Started, e.Fresh = b.At, true
 	}
 	return e
 }
 
-// Barred tells whether operators have taken an engine out.
-func (s *Standing) Barred(id string) bool { return s.bans[id].Out }
+// Disabled tells whether operators have taken an engine out.
+func (s *Table) Disabled(id string) bool { return s.bans[id].Disabled }
 
 // Listed is the number of engines that the roster names and that are not gone.
-func (s *Standing) Listed() int { return len(s.listed) }
+func (s *Table) Listed() int { return len(s.listed) }
 
 // Call takes an operator's call: out, or back. It tells whether anything changed. An engine
 // that the roster does not name is unknown, unless it is out. Calling out twice is calling once, and so is
 // calling back.
-func (s *Standing) Call(now time.Duration, id string, out bool) (changed bool, err error) {
+func (s *Table) Call(now time.Duration, id string, out bool) (changed bool, err error) {
 	b, known := s.bans[id]
-	if !s.listed[id] && !b.Out {
-		return false, ErrUnknown
+	if !s.listed[id] && !b.Disabled {
+		return false, ErrUnknownEngine
 	}
-	if out == b.Out {
+	if out == b.Disabled {
 		return false, nil
 	}
 	s.forget(now)
 	if out && s.out() >= mostBans {
-		return false, ErrTooMany
+		return false, ErrTooManyDisabled
 	}
 	if known {
 		now = max(now, b.At+1) // the later word, also where the clock stood still
 	}
-	next := Ban{Out: out, At: now}
+	next := Override{Disabled: out, At: now}
 	if !out {
-		next.Since = b.At
+		next.DisabledSince = b.At
 	}
 	s.bans[id] = next
 	return true, nil
 }
 
-// Bans is a copy of the operators' words.
-func (s *Standing) Bans() Bans { return maps.Clone(s.bans) }
+// Overrides is a copy of the operators' words.
+func (s *Table) Overrides() Overrides { return maps.Clone(s.bans) }
 
-// Take merges another process's words in, and names the engines for which another one holds
+// Merge merges another process's words in, and names the engines for which another one holds
 // now, in order.
-func (s *Standing) Take(other Bans) (changed []string) {
+func (s *Table) Merge(other Overrides) (changed []string) {
 	for id, o := range other {
 		b, known := s.bans[id]
 		if known && b.Merge(o) == b || !known && len(s.bans) >= 2*mostBans {
@@ -140,9 +140,9 @@
 }
 
 // out is how many engines are out.
-func (s *Standing) out() (n int) {
+func (s *Table) out() (n int) {
 	for _, b := range s.bans {
-		if b.Out {
+		if b.Disabled {
 			n++
 		}
 	}
@@ -150,6 +150,6 @@
 }
 
 // forget drops calls back that no longer matter.
-func (s *Standing) forget(now time.Duration) {
-	maps.DeleteFunc(s.bans, func(_ string, b Ban) bool { return !b.Out && now-b.At > backFor })
+func (s *Table) forget(now time.Duration) {
+	maps.DeleteFunc(s.bans, func(_ string, b Override) bool { return !b.Disabled && now-b.At > backFor })
 }
--- a/internal/decide/adminstate/standing_test.go
+++ b/internal/decide/adminstate/standing_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-var words = rapid.Custom(func(t *rapid.T) Ban {
-	return Ban{
-		Out: rapid.Bool().Draw(t, "out"), At: time.Duration(rapid.IntRange(1, 4).Draw(t, "at")),
-		Since: time.Duration(rapid.IntRange(0, 2).Draw(t, "since")),
+var words = rapid.Custom(func(t *rapid.T) Override {
+	return Override{
+		Disabled: rapid.Bool().Draw(t, "out"), At: time.Duration(rapid.IntRange(1, 4).Draw(t, "at")),
+		DisabledSince: time.Duration(rapid.IntRange(0, 2).Draw(t, "since")),
 	}
 })
 
@@ -25,7 +25,7 @@
 		if a.Merge(b) != b.Merge(a) || a.Merge(a) != a || a.Merge(b).Merge(c) != a.Merge(b.Merge(c)) {
 			t.Fatalf("%v, %v and %v merge to different words", a, b, c)
 		}
-		if a.At == b.At && a.Out && !a.Merge(b).Out {
+		if a.At == b.At && a.Disabled && !a.Merge(b).Disabled {
 			t.Fatalf("of %v and %v at one moment the incautious one held", a, b)
 		}
 	})
@@ -47,8 +47,8 @@
 				if rapid.Bool().Draw(t, "fresh") {
 					e.Fresh, e.Started = true, now
 				}
-				roster[e.ID], heard[e.ID] = e, s.Hear(e)
-				other.Hear(e)
+				roster[e.ID], heard[e.ID] = e, s.Update(e)
+				other.Update(e)
 			},
 			"call": func(t *rapid.T) {
 				id, out := ids.Draw(t, "id"), rapid.Bool().Draw(t, "out")
@@ -67,14 +67,14 @@
 					back[id] = now
 				}
 				banned[id] = out
-				heard[id] = s.Hear(roster[id])
+				heard[id] = s.Update(roster[id])
 			},
 			"share": func(t *rapid.T) {
-				other.Take(s.Bans())
-				if diff := cmp.Diff(s.Bans(), other.Bans()); diff != "" {
+				other.Merge(s.Overrides())
+				if diff := cmp.Diff(s.Overrides(), other.Overrides()); diff != "" {
 					t.Fatalf("processes disagree: %s", diff)
 				}
-				if again := other.Take(s.Bans()); len(again) > 0 {
+				if again := other.Merge(s.Overrides()); len(again) > 0 {
 					t.Fatalf("told again, %v changed", again)
 				}
 			},
@@ -84,10 +84,10 @@
 					if e.State != policy.EngineGone {
 						listed++
 					}
-					if s.Barred(id) != banned[id] {
-						t.Fatalf("%s barred: %v", id, s.Barred(id))
+					if s.Disabled(id) != banned[id] {
+						t.Fatalf("%s barred: %v", id, s.Disabled(id))
 					}
-					got := s.Hear(e)
+					got := s.Update(e)
 					if usable := got.State == policy.EngineLive; usable != (e.State == policy.EngineLive && !banned[id]) {
 						t.Fatalf("%s stands %v; the roster says %v, banned %v", id, got.State, e.State, banned[id])
 					}
@@ -108,7 +108,7 @@
 	s := New()
 	for i := range mostBans + 1 {
 		id := string(rune('\u4e00' + i))
-		s.Hear(policy.Engine{ID: id, State: policy.EngineLive})
+		s.Update(policy.Engine{ID: id, State: policy.EngineLive})
 		if _, err := s.Call(time.Duration(i+1), id, true); (err != nil) != (i == mostBans) {
 			t.Fatalf("call %d: %v", i, err)
 		}
--- a/internal/decide/adminstate/stored_test.go
+++ b/internal/decide/adminstate/stored_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got Bans
+	var got Overrides
 	if err := cbor.Unmarshal(stored, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -35,21 +35,21 @@
 		t.Errorf("bytes written (-want +got):\n%s", diff)
 	}
 	for n := range stored {
-		if err := cbor.Unmarshal(stored[:n], new(Bans)); err == nil {
+		if err := cbor.Unmarshal(stored[:n], new(Overrides)); err == nil {
 			t.Errorf("the first %d of %d bytes were read without an error", n, len(stored))
 		}
 	}
 	for i := range stored {
 		spoilt := append([]byte{}, stored...)
 		spoilt[i] ^= 0xff
-		_ = cbor.Unmarshal(spoilt, new(Bans)) // an error or other values, never a panic
+		_ = cbor.Unmarshal(spoilt, new(Overrides)) // an error or other values, never a panic
 	}
 }
 
-func storedBans() Bans {
-	return Bans{
-		"s-00c41f7a": {Out: true, At: 1_700_000_000 * time.Second},
-		"s-00000007": {Out: false, At: 1_700_000_100 * time.Second, Since: 1_700_000_050 * time.Second},
-		"":           {Out: true, At: -1},
+func storedBans() Overrides {
+	return Overrides{
+		"s-00c41f7a": {Disabled: true, At: 1_700_000_000 * time.Second},
+		"s-00000007": {Disabled: false, At: 1_700_000_100 * time.Second, DisabledSince: 1_700_000_050 * time.Second},
+		"":           {Disabled: true, At: -1},
 	}
 }
--- a/internal/discovery/consul/consul.go
+++ b/internal/discovery/consul/consul.go
@@ -32,9 +32,9 @@
 	leastTurn = 20 * time.Millisecond
 )
 
-// Roster is what is told of the engines.
-type Roster interface {
-	Roster(mode policy.ListMode, engines []core.Engine)
+// EndpointUpdater is what is told of the engines.
+type EndpointUpdater interface {
+	UpdateEndpoints(mode policy.ListMode, engines []core.Engine)
 }
 
 // Options come from the deploy file.
@@ -50,7 +50,7 @@
 // the health API whether it may be sent to.
 type Follower struct {
 	post   func(func()) // to the goroutine that owns the roster
-	roster Roster
+	roster EndpointUpdater
 	stats  *metrics.Counters
 	log    *slog.Logger
 	client *http.Client
@@ -64,7 +64,7 @@
 }
 
 // New returns a follower whose news are told by way of post.
-func New(post func(func()), r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
+func New(post func(func()), r EndpointUpdater, counters *metrics.Counters, l *slog.Logger) *Follower {
 	return &Follower{
 		leave: func() {}, post: post, roster: r, stats: counters, log: l,
 		client: &http.Client{Transport: &http.Transport{Proxy: nil}}, known: map[string]core.Engine{},
@@ -275,5 +275,5 @@
 		return
 	}
 	slices.SortFunc(news, func(a, b core.Engine) int { return strings.Compare(a.ID, b.ID) })
-	f.roster.Roster(policy.ListChanges, news)
+	f.roster.UpdateEndpoints(policy.ListChanges, news)
 }
--- a/internal/discovery/consul/consul_test.go
+++ b/internal/discovery/consul/consul_test.go
@@ -22,7 +22,7 @@
 
 type recorder chan string
 
-func (r recorder) Roster(_ policy.ListMode, list []core.Engine) {
+func (r recorder) UpdateEndpoints(_ policy.ListMode, list []core.Engine) {
 	var words []string
 	for _, e := range list {
 		words = append(words, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Addr, e.Zone, e.Kind, states[e.State]))
--- a/internal/discovery/eventbus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -27,9 +27,9 @@
 	mostPause  = time.Second
 )
 
-// Roster is what is told of the engines.
-type Roster interface {
-	Roster(mode policy.ListMode, engines []core.Engine)
+// EndpointUpdater is what is told of the engines.
+type EndpointUpdater interface {
+	UpdateEndpoints(mode policy.ListMode, engines []core.Engine)
 }
 
 // Follower keeps one connection to the bus.
@@ -39,7 +39,7 @@
 	last   uint64 // number of the last event taken
 	zones  []string
 	kinds  []string
-	roster Roster
+	roster EndpointUpdater
 	stats  *metrics.Counters
 	log    *slog.Logger
 
@@ -55,7 +55,7 @@
 
 // New returns a follower that goes on after the event numbered last. Zones and
 // kinds are the lists of the settings that records give places in.
-func New(loop *netio.Loop, addr string, last uint64, zones, kinds []string, r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
+func New(loop *netio.Loop, addr string, last uint64, zones, kinds []string, r EndpointUpdater, counters *metrics.Counters, l *slog.Logger) *Follower {
 	return &Follower{
 		loop: loop, addr: addr, last: last, zones: zones, kinds: kinds,
 		roster: r, stats: counters, log: l, quiet: maxSilence, pause: firstPause,
@@ -214,7 +214,7 @@
 	}
 	f.last = number
 	f.stats.Add("bus.events")
-	f.roster.Roster(mode, engines)
+	f.roster.UpdateEndpoints(mode, engines)
 	return nil
 }
 
--- a/internal/discovery/eventbus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -23,7 +23,7 @@
 
 type recorder chan told
 
-func (r recorder) Roster(mode policy.ListMode, list []core.Engine) { r <- told{mode, list} }
+func (r recorder) UpdateEndpoints(mode policy.ListMode, list []core.Engine) { r <- told{mode, list} }
 
 func frame(number uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
--- a/internal/frontend/httpapi/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -137,4 +137,4 @@
 }
 
 // Recover tells that the call which comes first was another process's, which died.
-func (k *conn) Recover(left core.Left) { k.left = &left }
+func (k *conn) Recover(left core.Orphan) { k.left = &left }
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -246,8 +246,8 @@
 }
 
 var (
-	_ core.Client = (*conn)(nil)
-	_ core.Leaver = (*conn)(nil)
+	_ core.Client             = (*conn)(nil)
+	_ core.DisconnectDetector = (*conn)(nil)
 )
 
 // conn is one client connection.
@@ -262,7 +262,7 @@
 	further bool              // its latest answer named a further part
 	ahead   bool              // something has come behind its latest call
 	came    arrivals          // of what is in its buffer
-	left    *core.Left        // of the call that comes first, where a process that died had it
+	left    *core.Orphan      // of the call that comes first, where a process that died had it
 	close   bool              // after the answer
 	ended   bool              // nothing more is read
 }
@@ -343,15 +343,15 @@
 	k.conn.Close()
 }
 
-// Gone tells whether the client has left, as Closed tells in its turn.
-func (k *conn) Gone() bool { return k.conn.Gone() }
+// Disconnected tells whether the client has left, as Closed tells in its turn.
+func (k *conn) Disconnected() bool { return k.conn.Gone() }
 
 // leave gives an open request up.
 func (k *conn) leave() {
 	if r := k.request; r != nil {
 		k.request = nil
 		delete(k.front.ids, r.ID)
-		k.front.core.Gone(r)
+		k.front.core.ClientDisconnected(r)
 	}
 }
 
@@ -394,8 +394,8 @@
 // did: what a client writes ahead waits here, and its time runs.
 func (k *conn) take(name string, c http1.Call, came time.Duration) *http1.Fault {
 	f := k.front
-	if k.left != nil && k.left.Came > 0 {
-		came = k.left.Came
+	if k.left != nil && k.left.ReceivedAt > 0 {
+		came = k.left.ReceivedAt
 	}
 	class, ok := f.core.Class(name)
 	if !ok {
@@ -406,7 +406,7 @@
 		return http1.Bad("Req-Id: not 16 hex digits")
 	}
 	if open := f.ids[id]; open != nil { // two under one id could not be told apart at an engine
-		if !open.Gone() {
+		if !open.Disconnected() {
 			return http1.Deny(409, "Req-Id: a request of this id is open")
 		}
 		open.leave() // its connection broke, as it will hear in its turn, and this is its client with the same again
@@ -423,7 +423,7 @@
 	}
 	text := string(c.Body)
 	r := &core.Request{
-		ID: id, Class: name, Statement: text, Repeat: c.Head["req-retry"] == "1", Client: k,
+		ID: id, Class: name, Statement: text, ClientRetry: c.Head["req-retry"] == "1", Client: k,
 		Deadline: came + config.FromMS(wait),
 	}
 	var cost float64
@@ -442,27 +442,27 @@
 	}
 	r.Work = config.FromMS(cost)
 	if class.Effect == policy.Keyed {
-		r.Token = c.Head["req-token"]
-		if !isToken(r.Token) { // without its key nothing would drop a repeat
+		r.IdempotencyKey = c.Head["req-token"]
+		if !isToken(r.IdempotencyKey) { // without its key nothing would drop a repeat
 			return http1.Bad("Req-Token: missing or not of 1 to 64 letters, digits, - and _")
 		}
 	}
 	if class.InOrder {
-		r.Order = c.Head["req-key"]
-		if !isToken(r.Order) { // without it nothing would keep its turn
+		r.SerialKey = c.Head["req-key"]
+		if !isToken(r.SerialKey) { // without it nothing would keep its turn
 			return http1.Bad("Req-Key: missing or not of 1 to 64 letters, digits, - and _")
 		}
 	}
 	if s := f.opts.Shapes; s != nil {
 		s.ExpectText(r, text)
 	} else {
-		r.Set, _ = sqltext.Group(text)
+		r.TableGroup, _ = sqltext.Group(text)
 	}
 	k.request, k.good = r, true
 	f.ids[id] = k
 	left := k.left
 	k.left = nil
-	f.core.TakeLeft(r, left)
+	f.core.AcceptOrphan(r, left)
 	return nil
 }
 
@@ -485,8 +485,8 @@
 	case core.Served:
 		rows, _ := a.Result.(lineproto.Rows)
 		k.rows(r, rows)
-	case core.Refused:
-		k.write(503, a.ComeBack, []byte(`{"fault":"Busy"}`))
+	case core.Rejected:
+		k.write(503, a.RetryAfter, []byte(`{"fault":"Busy"}`))
 	default:
 		k.write(500, 0, []byte(`{"fault":"Failed"}`))
 	}
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -450,23 +450,23 @@
 		wait = k.timeout
 	}
 	left, came := k.left, f.core.Now()
-	if k.left = nil; left != nil && left.Came > 0 {
-		came = left.Came
+	if k.left = nil; left != nil && left.ReceivedAt > 0 {
+		came = left.ReceivedAt
 	}
 	r := &core.Request{
 		ID: k.id(), Class: class.Name, Statement: want, Deadline: came + wait, Client: k,
 	}
 	if class.Effect == policy.Keyed {
-		r.Token = token
+		r.IdempotencyKey = token
 	}
 	if class.InOrder {
-		r.Order = token
+		r.SerialKey = token
 	}
 	switch {
 	case s.read == nil || f.opts.Shapes == nil:
-		r.Set, _ = sqltext.Group(s.query)
+		r.TableGroup, _ = sqltext.Group(s.query)
 	default:
-		r.Set, _ = s.read.Group()
+		r.TableGroup, _ = s.read.Group()
 		if sorted != nil {
 			f.opts.Shapes.Sorted(r, sorted)
 		} else if !want.Describe {
@@ -482,7 +482,7 @@
 		}
 		k.failed(answerError(a))
 	}
-	f.core.TakeLeft(r, left)
+	f.core.AcceptOrphan(r, left)
 }
 
 // id is what the connection's requests are called.
@@ -515,16 +515,16 @@
 func answerError(a core.Answer) *pgproto.Error {
 	e, _ := a.Detail.(*pgproto.Error)
 	switch {
-	case a.Doubt && e == nil: // also when its time is over: a time-out would say that nothing was done
+	case a.InDoubt && e == nil: // also when its time is over: a time-out would say that nothing was done
 		return inDoubt()
-	case a.Doubt:
+	case a.InDoubt:
 		return e
 	case a.Late:
 		return fail("57014", "canceling statement due to statement timeout")
-	case a.Verdict == core.Refused:
+	case a.Verdict == core.Rejected:
 		e := fail("53000", "the engines are busy; the statement was refused, and trying again is harmless")
-		if a.ComeBack > 0 {
-			e.Hint = fmt.Sprintf("Try again in %d ms.", (a.ComeBack+time.Millisecond-1)/time.Millisecond)
+		if a.RetryAfter > 0 {
+			e.Hint = fmt.Sprintf("Try again in %d ms.", (a.RetryAfter+time.Millisecond-1)/time.Millisecond)
 		}
 		return e
 	case e != nil:
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -193,7 +193,7 @@
 	over      bool            // its completion was passed on
 }
 
-var _ core.Streamer = (*conn)(nil)
+var _ core.StreamingClient = (*conn)(nil)
 
 // conn is one client connection.
 type conn struct {
@@ -222,7 +222,7 @@
 	ending     bool         // its last words are being written
 	leaving    bool         // it ends once nothing is open on it
 	tx         *transaction // nil: none is open
-	left       *core.Left   // of the request that comes first, where a process that died had it
+	left       *core.Orphan // of the request that comes first, where a process that died had it
 }
 
 // Data reads messages until one waits for its answer.
@@ -284,7 +284,7 @@
 	k.tx = nil
 	if r := k.request; r != nil {
 		k.request, k.then = nil, nil
-		k.front.core.Gone(r)
+		k.front.core.ClientDisconnected(r)
 	}
 }
 
@@ -471,7 +471,7 @@
 	r := k.request
 	k.request, k.then = nil, nil
 	e := fail("57014", "canceling statement due to user request")
-	if f.core.Doubt(r) {
+	if f.core.InDoubt(r) {
 		e = inDoubt()
 	}
 	if k.tx != nil && k.tx.request == r { // with its connection all of it is rolled back, unless it was committing
@@ -487,7 +487,7 @@
 			k.rest()
 		}
 	}
-	f.core.Gone(r)
+	f.core.ClientDisconnected(r)
 	k.failed(e)
 	k.resume()
 }
--- a/internal/frontend/postgres/move.go
+++ b/internal/frontend/postgres/move.go
@@ -186,4 +186,4 @@
 }
 
 // Recover tells that the request which comes first was another process's, which died.
-func (k *conn) Recover(left core.Left) { k.left = &left }
+func (k *conn) Recover(left core.Orphan) { k.left = &left }
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -238,7 +238,7 @@
 		if k.request == r {
 			k.request = nil
 		}
-		k.front.core.Gone(r)
+		k.front.core.ClientDisconnected(r)
 	}
 }
 
@@ -275,7 +275,7 @@
 		e, _ := a.Detail.(*pgproto.Error)
 		switch {
 		case e != nil:
-		case a.Verdict == core.Refused:
+		case a.Verdict == core.Rejected:
 			e = answerError(a)
 		case a.Late:
 			e = fail("57014", "canceling statement due to statement timeout")
@@ -307,14 +307,14 @@
 	}
 	want.Begin, want.Settings, want.User = tx.begin, k.settings, k.user
 	r := &core.Request{
-		ID: k.id(), Class: class.Name, Statement: want, Deadline: f.core.Now() + wait, Client: k, Stream: true,
+		ID: k.id(), Class: class.Name, Statement: want, Deadline: f.core.Now() + wait, Client: k, Streaming: true,
 	}
 	tx.request, k.request = r, r
-	f.core.Take(r)
+	f.core.Accept(r)
 }
 
-// Part takes the answer to a statement of a transaction that goes on.
-func (k *conn) Part(r *core.Request, a core.Answer) {
+// PartialAnswer takes the answer to a statement of a transaction that goes on.
+func (k *conn) PartialAnswer(r *core.Request, a core.Answer) {
 	tx := k.tx
 	if tx == nil || tx.request != r || tx.then == nil {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -184,7 +184,7 @@
 		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.CorrectEstimates, OnlyTold: s.OnlyWithEstimate, Snapshot: s.Snapshot, Every: s.SnapshotInterval(), WorkTold: workTold,
 	}, site.Policy.Classes, g.loop, g.counters, g.log)
 	if err == nil {
-		g.core.SetLearner(g.shapes)
+		g.core.SetCostObserver(g.shapes)
 	}
 	return err
 }
@@ -244,7 +244,7 @@
 				if ev.Whole {
 					mode = policy.ListFull
 				}
-				g.core.Roster(mode, ev.Engines)
+				g.core.UpdateEndpoints(mode, ev.Engines)
 			}
 		}
 		if cfg.Bus != "" {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -32,7 +32,7 @@
 	}
 	g.loop.Timers.Add(at+stopListening, g.front.CloseListener)
 	g.loop.Timers.Add(at+stopReading, g.front.Drain)
-	g.loop.Timers.Add(at+waiting, g.core.EndAll)
+	g.loop.Timers.Add(at+waiting, g.core.Shutdown)
 	var poll func()
 	poll = func() {
 		now := g.loop.Now()
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	g.core.SetSites(service)
+	g.core.SetRemoteSites(service)
 	g.sites = &otherSites{path: path, own: own, service: service, runner: link.New(g.loop, g.loop.Timers, service, keys, own, peers, g.counters, g.log), listen: s.Listen, admin: s.Admin}
 	return nil
 }
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -86,7 +86,7 @@
 
 // know is what this process knows, for the one that takes over.
 func (g *gateway) know() *handover.Knowledge {
-	k := &handover.Knowledge{Core: g.core.Known(), Counters: g.counters.All()}
+	k := &handover.Knowledge{Core: g.core.Snapshot(), Counters: g.counters.All()}
 	if g.event != nil {
 		k.Event = g.event()
 	}
@@ -112,7 +112,7 @@
 
 // learn goes on from what another process has learned.
 func (g *gateway) learn(k *handover.Knowledge) {
-	g.core.Learn(k.Core)
+	g.core.Restore(k.Core)
 	if g.fleet != nil {
 		g.fleet.opts.SavedState = k.Members
 	}
--- a/internal/handover/front.go
+++ b/internal/handover/front.go
@@ -34,7 +34,7 @@
 	// Left tells that it goes on elsewhere.
 	Left()
 	// Recover tells of the request that comes first: a process that died had it.
-	Recover(core.Left)
+	Recover(core.Orphan)
 }
 
 // movable is the handler of a client's connection; nil: it is somebody else's.
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -143,7 +143,7 @@
 // Knowledge is what a process that serves knows.
 type Knowledge struct {
 	Clock    Clock
-	Core     core.Known
+	Core     core.Snapshot
 	Event    uint64 // number of the event bus's last event taken; 0: none
 	Shared   []byte // of the front
 	Shapes   []byte // a snapshot; nil: none
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -52,7 +52,7 @@
 
 // Begin says what this process is and begins to listen to the old one.
 func (n *New) Begin(build string) {
-	n.core.SetSending(n.sending)
+	n.core.OnFirstSend(n.sending)
 	n.front.OnShared(func(b []byte) { n.send(&Shared{b}) })
 	n.front.OnStray(func(b []byte) { n.send(&Stray{b}) })
 	go func() {
@@ -213,7 +213,7 @@
 		}
 	}
 	clear(n.journals)
-	n.core.SetSending(nil)
+	n.core.OnFirstSend(nil)
 }
 
 // ended takes the channel's end: the old process has died, or has left in good order.
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -539,10 +539,10 @@
 	if k.ending {
 		unread = nil
 	}
-	left := core.Left{Came: k.came}
+	left := core.Orphan{ReceivedAt: k.came}
 	if k.sending != nil {
-		left.Sent = k.sending.At
-		left.Settle = decide.Recover(k.sending.request(), 0, o.loop.Now()) != decide.SendAgain
+		left.FirstSentAt = k.sending.At
+		left.MustFail = decide.Recover(k.sending.request(), 0, o.loop.Now()) != decide.SendAgain
 	}
 	restore, err := o.front.Restore(k.state)
 	if err != nil {
@@ -562,7 +562,7 @@
 		return
 	}
 	o.stats.Add("upgrade.taken-back")
-	if left.Settle {
+	if left.MustFail {
 		o.stats.Add("upgrade.in-doubt")
 	}
 	if len(rest) > 0 {
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -47,9 +47,9 @@
 func storedKnowledge() *Knowledge {
 	return &Knowledge{
 		Clock: Clock{Now: 1234567 * time.Second, Mono: 89 * time.Second},
-		Core: core.Known{
-			Engines: []core.Engine{{Engine: policy.Engine{ID: "s-1"}}},
-			Bans:    adminstate.Bans{"s-1": {Out: true, At: time.Minute, Since: time.Second}},
+		Core: core.Snapshot{
+			Engines:   []core.Engine{{Engine: policy.Engine{ID: "s-1"}}},
+			Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute, DisabledSince: time.Second}},
 		},
 		Event: 4242, Shared: []byte("shared"), Shapes: []byte("shapes"), Members: []byte("members"),
 		Counters: map[string]int64{"taken.lookup": 3, "answered.served.lookup": 2},
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	var bans int
-	g.do(func() { bans = len(g.core.Bans()) })
+	g.do(func() { bans = len(g.core.Overrides()) })
 	if bans > 0 {
 		t.Errorf("%d engines are banned", bans)
 	}
@@ -219,10 +219,10 @@
 	var f core.Figures
 	g.do(func() { f = g.core.Figures() })
 	i := slices.IndexFunc(f.Classes, func(c core.ClassFigures) bool { return c.Class == "lookup" })
-	if diff := cmp.Diff(core.ClassFigures{Class: "lookup", Served: want[200], Refused: want[503], Failed: want[500]}, f.Classes[i]); diff != "" {
+	if diff := cmp.Diff(core.ClassFigures{Class: "lookup", Served: want[200], Rejected: want[503], Failed: want[500]}, f.Classes[i]); diff != "" {
 		t.Error(diff)
 	}
-	if f.Inflight != 0 || f.Listed != 1 || f.Written != wants {
+	if f.InFlight != 0 || f.EnginesListed != 1 || f.AttemptsWritten != wants {
 		t.Errorf("%+v; the engine read %d", f, wants)
 	}
 	if want[200] == 0 || want[503]+want[500] == 0 {
@@ -258,14 +258,14 @@
 	}
 	var f core.Figures
 	g.do(func() { f = g.core.Figures() })
-	if f.Listed != 1 || f.Down != 1 {
+	if f.EnginesListed != 1 || f.EnginesDown != 1 {
 		t.Errorf("%+v", f)
 	}
 	if got := operate(t, addr, "POST", "/engines/enable", out); got != "200 {}" {
 		t.Fatal(got)
 	}
 	g.do(func() { f = g.core.Figures() })
-	if f.Down != 0 {
+	if f.EnginesDown != 0 {
 		t.Errorf("%+v", f)
 	}
 	if got := ask(); !strings.HasPrefix(got, "200") { // it serves again
@@ -285,10 +285,10 @@
 	a := &core.Attempt{Request: &core.Request{}, Engine: "e1"}
 	var before, after bool
 	g.do(func() {
-		g.core.Roster(policy.ListChanges, []core.Engine{{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e1", State: policy.EngineLive}}})
-		before = g.core.Writing(a)
+		g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e1", State: policy.EngineLive}}})
+		before = g.core.BeginWrite(a)
 		_ = g.core.Ban("e1", true)
-		after = g.core.Writing(a)
+		after = g.core.BeginWrite(a)
 	})
 	if !before || after {
 		t.Errorf("may be written: %v before the ban, %v after it", before, after)
--- a/internal/integration/order_test.go
+++ b/internal/integration/order_test.go
@@ -177,7 +177,7 @@
 			e.none(t, "while its key is out")
 			if tt.start {
 				g.do(func() {
-					g.core.Roster(policy.ListChanges, []core.Engine{{Addr: e.addr, Engine: policy.Engine{
+					g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{{Addr: e.addr, Engine: policy.Engine{
 						ID: "e" + e.addr, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive, Fresh: true, Started: g.loop.Now(),
 					}}})
 				})
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -115,7 +115,7 @@
 	for _, a := range addrs {
 		list = append(list, core.Engine{Addr: a, Engine: policy.Engine{ID: "e" + a, Zone: "hall-a", Kind: "std-8", State: state}})
 	}
-	g.core.Roster(policy.ListChanges, list)
+	g.core.UpdateEndpoints(policy.ListChanges, list)
 }
 
 // platform starts the platform's front with engines at the addresses.
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -270,8 +270,8 @@
 // may say so.
 func TestEnds(t *testing.T) {
 	got := map[string]policy.Result{}
-	for e := core.EndUnknown; e <= core.EndIdle; e++ {
-		got[e.String()] = e.Result()
+	for e := core.OutcomeUnknown; e <= core.OutcomeIdleClosed; e++ {
+		got[e.String()] = e.PolicyResult()
 	}
 	want := map[string]policy.Result{
 		"unknown": policy.Unknown, "served": policy.Served, "rejected": policy.NotSent, "too-large": policy.Served, "error": policy.Failed,
@@ -507,7 +507,7 @@
 	k := httpConnect(t, g.addr)
 	k.call(post("lookup", ""))
 	g.do(func() {
-		g.core.Roster(policy.ListFull, []core.Engine{{Addr: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
+		g.core.UpdateEndpoints(policy.ListFull, []core.Engine{{Addr: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
 	})
 	for g.count("links.ended.idle") == 0 {
 		runtime.Gosched()
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -145,7 +145,7 @@
 		second := p.send("office", "SELECT 2 FROM stock_1.parts")
 		var old []string
 		p.do(func() {
-			for _, e := range p.core.Known().Engines {
+			for _, e := range p.core.Snapshot().Engines {
 				old = append(old, e.Addr)
 			}
 		})
--- a/internal/integration/probes_test.go
+++ b/internal/integration/probes_test.go
@@ -49,8 +49,8 @@
 			same(t, "request", got, `200 {"result":[]}`)
 			await(t, seen)
 			g.do(func() {
-				g.lines.Probe("e" + addr)
-				g.lines.Probe("e" + addr) // one is out already
+				g.lines.CheckHealth("e" + addr)
+				g.lines.CheckHealth("e" + addr) // one is out already
 			})
 			if line := await(t, seen); !strings.HasPrefix(line, "busy p") {
 				t.Fatalf("asked: %s", line)
@@ -82,9 +82,9 @@
 	})
 	g := newGateway(t, func(s *policy.Settings) { s.LoadTold = false }).platform(addr, "127.0.0.1:1")
 	g.do(func() {
-		g.lines.Probe("nobody")
-		g.lines.Probe("e127.0.0.1:1")
-		g.lines.Probe("e" + addr)
+		g.lines.CheckHealth("nobody")
+		g.lines.CheckHealth("e127.0.0.1:1")
+		g.lines.CheckHealth("e" + addr)
 	})
 	if line := await(t, seen); !strings.HasPrefix(line, "there p") {
 		t.Errorf("asked: %s", line)
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.core.SetLearner(s)
+	g.core.SetCostObserver(s)
 	g.pgwire = postgres.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []postgres.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
 	return s
 }
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -26,7 +26,7 @@
 	WorkTold bool          // engines tell the work; else times stand for it
 }
 
-var _ core.Learner = (*Service)(nil)
+var _ core.CostObserver = (*Service)(nil)
 
 // Service is a book at work in a gateway: fronts ask it when a request comes, and the
 // core tells it what served ones have cost. It belongs to the loop's goroutine.
@@ -59,13 +59,13 @@
 	return &Execution{}
 }
 
-// Over takes a request's execution back.
-func (s *Service) Over(r *core.Request) {
-	x, ok := r.Note.(*Execution)
+// RequestDone takes a request's execution back.
+func (s *Service) RequestDone(r *core.Request) {
+	x, ok := r.CostContext.(*Execution)
 	if !ok {
 		return
 	}
-	r.Note = nil
+	r.CostContext = nil
 	if len(s.free) < mostFree {
 		*x = Execution{}
 		s.free = append(s.free, x)
@@ -193,7 +193,7 @@
 func (s *Service) ExpectText(r *core.Request, text string) {
 	x := s.execution()
 	s.book.readInto(&x.own, text)
-	r.Set, _ = x.own.Group()
+	r.TableGroup, _ = x.own.Group()
 	s.expect(r, x, &x.own, nil)
 }
 
@@ -212,7 +212,7 @@
 }
 
 func (s *Service) put(r *core.Request, x *Execution, threads float64) {
-	r.Note = x
+	r.CostContext = x
 	if !s.set.Correct || !x.Estimate.Known || s.set.OnlyTold && r.Work == 0 {
 		return
 	}
@@ -237,20 +237,20 @@
 // for it, and the decisions take the work of all threads.
 func (s *Service) Sorted(r *core.Request, x *Execution) { s.put(r, x, s.threads[r.Class]) }
 
-// Served learns what a request has cost. It is the core's Learner.
-func (s *Service) Served(r *core.Request, rep core.Report, elapsed time.Duration) {
+// AttemptServed learns what a request has cost. It is the core's Learner.
+func (s *Service) AttemptServed(r *core.Request, rep core.Report, elapsed time.Duration) {
 	s.learn(r, decide.Truth{Work: told(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
 }
 
-// GivenUp learns that a request would have cost more than it was let have.
-func (s *Service) GivenUp(r *core.Request, elapsed time.Duration) {
+// AttemptTimedOut learns that a request would have cost more than it was let have.
+func (s *Service) AttemptTimedOut(r *core.Request, elapsed time.Duration) {
 	if !s.set.WorkTold { // on a crowded engine a time says little of the work
 		s.learn(r, decide.Truth{Work: told(0, elapsed), AtLeast: true})
 	}
 }
 
 func (s *Service) learn(r *core.Request, t decide.Truth) {
-	if x, ok := r.Note.(*Execution); ok {
+	if x, ok := r.CostContext.(*Execution); ok {
 		s.book.Learn(x, t)
 	}
 }
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -65,9 +65,9 @@
 	redialAfter = 4
 )
 
-var _ core.Sites = (*Service)(nil)
+var _ core.RemoteSites = (*Service)(nil)
 
-// Service is the other sites, as one gateway knows them. It is a core.Sites.
+// Service is the other sites, as one gateway knows them. It is a core.RemoteSites.
 type Service struct {
 	core   *core.Core
 	clock  core.Clock
@@ -157,8 +157,8 @@
 	}
 }
 
-// Engine takes an engine of this site.
-func (s *Service) Engine(e core.Engine) {
+// UpdateEngine takes an engine of this site.
+func (s *Service) UpdateEngine(e core.Engine) {
 	cores := s.cores[e.Kind]
 	if cores <= 0 {
 		cores = 1
@@ -172,32 +172,32 @@
 
 func (s *Service) threads(class string) float64 { return max(s.classes[class].Threads, 1) }
 
-// Sending counts an attempt at an engine of this site, and remembers the key that it has.
-func (s *Service) Sending(a *core.Attempt) {
+// AttemptStarted counts an attempt at an engine of this site, and remembers the key that it has.
+func (s *Service) AttemptStarted(a *core.Attempt) {
 	r := a.Request
 	s.meter.AttemptStarted(s.threads(r.Class))
-	if r.Token != "" && s.keys.Record(a.Sent, r.Token, a.Sent, false) && len(s.peers) > 0 {
-		s.fresh = append(s.fresh, message.Key{Key: r.Token, Ago: int64(a.Sent / time.Microsecond)})
+	if r.IdempotencyKey != "" && s.keys.Record(a.SentAt, r.IdempotencyKey, a.SentAt, false) && len(s.peers) > 0 {
+		s.fresh = append(s.fresh, message.Key{Key: r.IdempotencyKey, Ago: int64(a.SentAt / time.Microsecond)})
 	}
 }
 
-// Ended takes the end of one.
-func (s *Service) Ended(a *core.Attempt, end core.End, rep core.Report) {
+// AttemptEnded takes the end of one.
+func (s *Service) AttemptEnded(a *core.Attempt, end core.Outcome, rep core.Report) {
 	r := a.Request
 	s.meter.AttemptEnded(s.threads(r.Class))
 	now := s.clock.Now()
-	if end == core.EndServed {
+	if end == core.OutcomeServed {
 		work := rep.Work
 		if work <= 0 {
 			work = r.Work
 		}
-		s.meter.RecordLatency(r.Class, now-a.Sent, work.Seconds())
+		s.meter.RecordLatency(r.Class, now-a.SentAt, work.Seconds())
 	}
 	if rep.Load.Told {
 		s.meter.RecordUtilization(now, rep.Load.Busy)
 	}
-	if a.NeverRan() && r.Token != "" && !r.Ran() {
-		s.keys.Retract(r.Token, a.Sent)
+	if a.NeverRan() && r.IdempotencyKey != "" && !r.MayHaveRunHere() {
+		s.keys.Retract(r.IdempotencyKey, a.SentAt)
 	}
 }
 
@@ -205,8 +205,8 @@
 func (s *Service) query(r *core.Request, turned bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
-		Class: r.Class, Idempotency: decide.Idempotency(class.Effect), Work: r.Work.Seconds(), PriorityWeight: class.Worth, TableGroup: r.Set, Remaining: r.Deadline - now,
-		Forwarded: r.Foreign, RejectedLocally: turned, Attempts: r.Sends(), DedupWindow: class.Window,
+		Class: r.Class, Idempotency: decide.Idempotency(class.Effect), Work: r.Work.Seconds(), PriorityWeight: class.Worth, TableGroup: r.TableGroup, Remaining: r.Deadline - now,
+		Forwarded: r.FromOtherSite, RejectedLocally: turned, Attempts: r.SendCount(), DedupWindow: class.Window,
 		DedupNotShared: class.Effect == policy.Keyed && (class.Group != policy.GroupAll || !s.cfg.SharedDedup),
 	}
 	if q.Work <= 0 {
@@ -214,27 +214,27 @@
 			q.Work = class.Aim.Seconds() / 3 * max(class.Threads, 1)
 		}
 	}
-	if first := r.FirstSent(); first > 0 {
+	if first := r.FirstSentAt(); first > 0 {
 		q.MayHaveRun, q.SinceFirstAttempt = true, now-first
 	}
 	return q
 }
 
-// Cross takes a request to another site where that is decided.
-func (s *Service) Cross(r *core.Request, turned bool) bool {
+// Forward takes a request to another site where that is decided.
+func (s *Service) Forward(r *core.Request, turned bool) bool {
 	now := s.clock.Now()
 	if turned {
 		s.meter.RecordRejection(now, r.Class)
 	} else {
 		s.meter.RecordArrival(now, r.Class)
-		if r.MostSends == 0 {
-			r.MostSends = s.cfg.MaxAttempts
+		if r.MaxSends == 0 {
+			r.MaxSends = s.cfg.MaxAttempts
 		}
 		if s.tooLate(r) {
 			return true
 		}
 	}
-	if r.Foreign || r.Stream || r.Order != "" || len(s.peers) == 0 { // the turns of a key are this gateway's to keep
+	if r.FromOtherSite || r.Streaming || r.SerialKey != "" || len(s.peers) == 0 { // the turns of a key are this gateway's to keep
 		return false
 	}
 	q := s.query(r, turned)
@@ -252,14 +252,14 @@
 // of this site would drop its repeat. Guards against a client that turns to another gateway
 // with the same key.
 func (s *Service) tooLate(r *core.Request) bool {
-	if r.Token == "" {
+	if r.IdempotencyKey == "" {
 		return false
 	}
-	first, elsewhere, known := s.keys.FirstSend(s.clock.Now(), r.Token)
+	first, elsewhere, known := s.keys.FirstSend(s.clock.Now(), r.IdempotencyKey)
 	if known {
-		s.core.Crossed(r, first)
+		s.core.RecordRemoteSend(r, first)
 	}
-	if r.Prior == 0 {
+	if r.PriorSentAt == 0 {
 		return false
 	}
 	q := s.query(r, false)
@@ -269,7 +269,7 @@
 		return false
 	}
 	s.stats.Add("site.key-over")
-	s.core.Settled(r, core.Answer{Verdict: core.Failed, Sent: true})
+	s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true})
 	return true
 }
 
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -152,7 +152,7 @@
 	for _, id := range sorted(l.theirs) {
 		f := l.theirs[id]
 		delete(l.theirs, id)
-		l.s.core.Gone(f.r)
+		l.s.core.ClientDisconnected(f.r)
 	}
 	l.s.watch(l.peer, l.s.clock.Now())
 }
@@ -261,8 +261,8 @@
 	}
 	class := s.classes[r.Class]
 	a := message.Ask{
-		ID: r.ID, Class: r.Class, Effect: uint8(class.Effect), Key: r.Token, Group: r.Set, Left: left.Microseconds(), Work: r.Work.Microseconds(),
-		MB: r.MemoryMB, Repeat: r.Repeat, Sends: min(decide.AttemptGrant(s.cfg, q), message.MostSends),
+		ID: r.ID, Class: r.Class, Effect: uint8(class.Effect), Key: r.IdempotencyKey, Group: r.TableGroup, Left: left.Microseconds(), Work: r.Work.Microseconds(),
+		MB: r.MemoryMB, Repeat: r.ClientRetry, Sends: min(decide.AttemptGrant(s.cfg, q), message.MostSends),
 	}
 	if q.MayHaveRun {
 		a.Before = q.SinceFirstAttempt.Microseconds() + 1
@@ -276,13 +276,13 @@
 	}
 	c := &crossed{r: r, link: l, stream: id, at: now, grant: a.Sends, turned: q.RejectedLocally, work: q.Work}
 	l.mine[id], s.away[r] = c, c
-	r.Spent += c.grant // given back where the answer says that it took fewer
-	if r.Token != "" {
-		s.keys.Record(now, r.Token, now, true)
+	r.PriorSends += c.grant // given back where the answer says that it took fewer
+	if r.IdempotencyKey != "" {
+		s.keys.Record(now, r.IdempotencyKey, now, true)
 	}
 	s.stats.Add("site.crossed." + r.Class)
 	s.hedge.RecordForward(now)
-	s.core.Away(r, r.Deadline-s.opts.Settings.Round)
+	s.core.Forwarded(r, r.Deadline-s.opts.Settings.Round)
 	if after, known := s.hedge.Delay(r.Class); known && class.Effect == policy.Safe && now+after < r.Deadline {
 		s.timers.Add(now+after, func() { s.late(c) })
 	}
@@ -298,7 +298,7 @@
 	q := s.query(c.r, false)
 	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.r.Class)) {
 		s.stats.Add("site.hedged." + c.r.Class)
-		s.core.Here(c.r, true)
+		s.core.ReturnForwarded(c.r, true)
 	}
 }
 
@@ -326,21 +326,21 @@
 	c.link.mux.Cancel(c.stream) // one that was answered is no more
 	c.link.peer.RecordOutcome(now, false)
 	if end == decide.NeverRan {
-		r.Spent -= c.grant - min(sends, c.grant)
-		s.keys.Retract(r.Token, c.at)
+		r.PriorSends -= c.grant - min(sends, c.grant)
+		s.keys.Retract(r.IdempotencyKey, c.at)
 	} else {
-		s.core.Crossed(r, c.at)
+		s.core.RecordRemoteSend(r, c.at)
 	}
 	q := s.query(r, c.turned)
 	switch decide.AfterFailure(s.cfg, &q, end) {
 	case decide.RunLocally:
 		s.stats.Add("site.run-here." + r.Class)
-		s.core.Here(r, false)
+		s.core.ReturnForwarded(r, false)
 	case decide.ReportRejected:
-		s.core.Settled(r, core.Answer{Verdict: core.Refused, ComeBack: a.ComeBack})
+		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Rejected, RetryAfter: a.RetryAfter})
 	default:
 		s.stats.Add("site.doubt." + r.Class)
-		s.core.Settled(r, core.Answer{Verdict: core.Failed, Sent: true, Detail: a.Detail})
+		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, Detail: a.Detail})
 	}
 }
 
@@ -353,7 +353,7 @@
 		return
 	}
 	now := s.clock.Now()
-	answer := core.Answer{ComeBack: time.Duration(a.ComeBack) * time.Microsecond, Sent: a.Sends > 0}
+	answer := core.Answer{RetryAfter: time.Duration(a.ComeBack) * time.Microsecond, Sent: a.Sends > 0}
 	body, err := s.packer.Unpack(body, a.Raw)
 	if err == nil && a.Verdict == 2 {
 		answer.Result, err = s.opts.Codec.ReadResult(body)
@@ -368,16 +368,16 @@
 	case a.Verdict == 2:
 		answer.Verdict = core.Served
 		s.served(c, now, a)
-		s.core.Settled(c.r, answer)
+		s.core.CompleteForwarded(c.r, answer)
 	case !a.Ran && (a.Verdict == 1 || !a.Detail):
 		s.stats.Add("site.turned-away-there." + c.r.Class)
 		s.end(c, decide.NeverRan, answer, a.Sends)
 	case a.Detail: // an engine's word on the statement: another would say the same
 		s.over(c)
 		if a.Ran {
-			s.core.Crossed(c.r, c.at)
+			s.core.RecordRemoteSend(c.r, c.at)
 		}
-		s.core.Settled(c.r, answer)
+		s.core.CompleteForwarded(c.r, answer)
 	default:
 		s.end(c, decide.InDoubt, answer, a.Sends)
 	}
@@ -385,7 +385,7 @@
 
 func (s *Service) served(c *crossed, now time.Duration, a message.Answer) {
 	s.over(c)
-	c.r.Spent -= c.grant - min(a.Sends, c.grant)
+	c.r.PriorSends -= c.grant - min(a.Sends, c.grant)
 	c.link.peer.RecordOutcome(now, true)
 	s.hedge.RecordLatency(c.r.Class, now-c.at)
 	s.stats.Add("site.served-there." + c.r.Class)
@@ -398,7 +398,7 @@
 	class, ok := s.core.Class(a.Class)
 	refuse := func(why string) {
 		s.stats.Add("site.not-taken." + why)
-		l.answer(stream, message.Answer{Verdict: uint8(core.Refused)}, nil)
+		l.answer(stream, message.Answer{Verdict: uint8(core.Rejected)}, nil)
 	}
 	raw, err := s.packer.Unpack(statement, a.Raw)
 	var read any
@@ -418,11 +418,11 @@
 	}
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	r := &core.Request{
-		ID: a.ID, Class: a.Class, Token: a.Key, Statement: read, Set: a.Group, Deadline: now + us(a.Left), Work: us(a.Work), MemoryMB: a.MB,
-		Repeat: a.Repeat, Foreign: true, MostSends: a.Sends,
+		ID: a.ID, Class: a.Class, IdempotencyKey: a.Key, Statement: read, TableGroup: a.Group, Deadline: now + us(a.Left), Work: us(a.Work), MemoryMB: a.MB,
+		ClientRetry: a.Repeat, FromOtherSite: true, MaxSends: a.Sends,
 	}
 	if a.Before > 0 {
-		r.Prior = max(now-us(a.Before-1)-l.peer.OneWayDelay(), 1)
+		r.PriorSentAt = max(now-us(a.Before-1)-l.peer.OneWayDelay(), 1)
 	}
 	q := s.query(r, false)
 	l.peer.asked += q.Work
@@ -434,7 +434,7 @@
 	r.Client = f
 	l.theirs[stream] = f
 	s.stats.Add("site.taken." + a.Class)
-	s.core.Take(r)
+	s.core.Accept(r)
 }
 
 // Cancelled takes that the other site gave a request up.
@@ -442,7 +442,7 @@
 	if f := l.theirs[stream]; f != nil {
 		delete(l.theirs, stream)
 		l.s.stats.Add("site.cancelled." + f.r.Class)
-		l.s.core.Gone(f.r)
+		l.s.core.ClientDisconnected(f.r)
 	}
 }
 
@@ -454,7 +454,7 @@
 	}
 	delete(l.theirs, f.stream)
 	h := message.Answer{
-		Verdict: uint8(a.Verdict), Ran: r.Ran(), Sends: min(r.Sends(), message.MostSends), ComeBack: a.ComeBack.Microseconds(), Late: a.Late,
+		Verdict: uint8(a.Verdict), Ran: r.MayHaveRunHere(), Sends: min(r.SendCount(), message.MostSends), ComeBack: a.RetryAfter.Microseconds(), Late: a.Late,
 	}
 	var body []byte
 	if a.Verdict == core.Served {
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -114,7 +114,7 @@
 	b.hold(true)
 	r, _ := a.ask("lookup", "leaves", "SELECT 2", "", 3*time.Second)
 	next(t, b.Sent)
-	a.Now(func() { a.Core.Gone(r) })
+	a.Now(func() { a.Core.ClientDisconnected(r) })
 	if id := next(t, b.Dropped); id != "leaves" {
 		t.Errorf("%q was given up", id)
 	}
@@ -123,7 +123,7 @@
 	if left := one.Request.Deadline; left > b.Loop.Now()+300*time.Millisecond {
 		t.Error("the other site has more time than the client")
 	}
-	if ans := want(t, got, core.Failed); !ans.Doubt {
+	if ans := want(t, got, core.Failed); !ans.InDoubt {
 		t.Errorf("%+v of a write that may have run", ans)
 	}
 }
@@ -138,7 +138,7 @@
 	b.Now(func() { time.Sleep(1200 * time.Millisecond) }) // the process stands still: nothing is read, nothing said
 	b.hold(false)
 	began := time.Now()
-	want(t, got, core.Refused) // with no engine here the module turns it away; its key drops a repeat
+	want(t, got, core.Rejected) // with no engine here the module turns it away; its key drops a repeat
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("its client heard %v later", took)
 	}
@@ -164,7 +164,7 @@
 		}
 	})
 	a.must(a.Count("site.links", 2))
-	b.Now(func() { b.Core.End(out, core.EndServed, core.Report{Result: []byte("rows")}) })
+	b.Now(func() { b.Core.EndAttempt(out, core.OutcomeServed, core.Report{Result: []byte("rows")}) })
 	want(t, got, core.Served)
 	b.hold(false)
 	_, got = a.ask("lookup", "next", "SELECT 1", "", 3*time.Second)
@@ -188,7 +188,7 @@
 	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "silent" }))
 	a.must(a.Count("site.link-failed", 1))
 	_, got = a.ask("lookup", "alone", "SELECT 1", "", 3*time.Second)
-	want(t, got, core.Refused)
+	want(t, got, core.Rejected)
 }
 
 // Who can't prove to be a peer, or says what can't be, has no link and does no harm.
--- a/internal/takeover/folder.go
+++ b/internal/takeover/folder.go
@@ -22,7 +22,7 @@
 // State is what one process writes down for the others.
 type State struct {
 	decide.Process
-	Bans   adminstate.Bans
+	Bans   adminstate.Overrides
 	Events uint64 // sum of what its configuration told of the roster; same where numbers of events are
 	World  []byte // what it knows, as handover.Knowledge; nil: nobody waits for it
 }
--- a/internal/takeover/folder_test.go
+++ b/internal/takeover/folder_test.go
@@ -25,7 +25,7 @@
 func stateOf(f *Folder) *State {
 	return &State{
 		Process: decide.Process{ID: f.Self(), Began: time.Hour, Ready: true, Heard: []string{"x"}, Knows: true},
-		Bans:    adminstate.Bans{"s-1": {Out: true, At: time.Minute}}, Events: 1 << 63, World: []byte("world"),
+		Bans:    adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, Events: 1 << 63, World: []byte("world"),
 	}
 }
 
--- a/internal/takeover/stored_test.go
+++ b/internal/takeover/stored_test.go
@@ -17,14 +17,14 @@
 // storedStates are states whose files version c18a9bd wrote: testdata has their bytes. The
 // processes of two versions read each other's files while one takes the other's place.
 var storedStates = map[string]State{
-	"waiting.state": {Process: decide.Process{ID: "17-1", Began: 90 * time.Hour}, Bans: adminstate.Bans{}},
+	"waiting.state": {Process: decide.Process{ID: "17-1", Began: 90 * time.Hour}, Bans: adminstate.Overrides{}},
 	"serving.state": {
 		Process: decide.Process{ID: "18-2", Began: 91 * time.Hour, Ready: true, Stopping: true, Heard: []string{"17-1", "19-3"}, Knows: true},
-		Bans:    adminstate.Bans{"s-1": {Out: true, At: time.Minute}}, Events: 1<<63 + 5, World: []byte("what it knows"),
+		Bans:    adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, Events: 1<<63 + 5, World: []byte("what it knows"),
 	},
 	"returned.state": {
 		Process: decide.Process{ID: "19-3", Ready: true}, Events: 7,
-		Bans: adminstate.Bans{"s-1": {At: time.Hour, Since: time.Minute}},
+		Bans: adminstate.Overrides{"s-1": {At: time.Hour, DisabledSince: time.Minute}},
 	},
 }
 
--- a/internal/takeover/succession.go
+++ b/internal/takeover/succession.go
@@ -58,7 +58,7 @@
 // called once, maybe before Begin returns.
 func (r *Runner) Begin() {
 	r.write()
-	r.core.SetBanned(r.write)
+	r.core.OnOverridesChanged(r.write)
 	r.look()
 }
 
@@ -77,7 +77,7 @@
 // write replaces this process's file. Where it can't, as there is no room, the
 // process goes on: another one starts from its configuration then.
 func (r *Runner) write() {
-	s := State{Process: r.self, Bans: r.core.Bans(), Events: r.opts.Events}
+	s := State{Process: r.self, Bans: r.core.Overrides(), Events: r.opts.Events}
 	if r.self.Knows {
 		var err error
 		if s.World, err = r.opts.Know().Encode(); err != nil {
@@ -109,7 +109,7 @@
 	news := false
 	for _, s := range states {
 		r.others = append(r.others, s.Process)
-		news = r.core.TakeBans(s.Bans) || news
+		news = r.core.MergeOverrides(s.Bans) || news
 	}
 	if news { // whoever comes next may find this process alone
 		r.write()
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -131,15 +131,15 @@
 		return
 	}
 	work, group := workcost.Work(c.mark)
-	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: c.mark, Set: group + 1, Deadline: c.until + c.g.skew(), Client: c, Repeat: c.tries > 1}
+	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: c.mark, TableGroup: group + 1, Deadline: c.until + c.g.skew(), Client: c, ClientRetry: c.tries > 1}
 	if w.opts.Estimates {
 		r.Work = time.Duration(float64(work) * c.guess)
 	}
 	if c.class.Effect == policy.Keyed {
-		r.Token = c.mark
+		r.IdempotencyKey = c.mark
 	}
 	c.over = r
-	c.g.do(func() { c.g.core.Take(r) })
+	c.g.do(func() { c.g.core.Accept(r) })
 }
 
 // Answer takes the final answer.
@@ -153,7 +153,7 @@
 		c.w.res.fault("spoilt", c.mark, fmt.Sprint(a.Result))
 	}
 	what := a.Verdict.String()
-	if a.Verdict == core.Failed && a.Doubt {
+	if a.Verdict == core.Failed && a.InDoubt {
 		what = "doubt"
 	}
 	c.told(a, what)
@@ -172,7 +172,7 @@
 		if w.rng.Float64() < w.opts.Elsewhere {
 			s = w.sites[w.rng.IntN(len(w.sites))]
 		}
-		w.after(100*time.Millisecond+a.ComeBack, func() { c.try(s) })
+		w.after(100*time.Millisecond+a.RetryAfter, func() { c.try(s) })
 		return
 	}
 	c.answered = true
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -66,7 +66,7 @@
 			if entry.Fresh {
 				entry.Started = started + g.skew()
 			}
-			g.do(func() { g.core.Roster(policy.ListChanges, []core.Engine{entry}) })
+			g.do(func() { g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{entry}) })
 		}
 	})
 }
@@ -82,7 +82,7 @@
 		r := e.out[id]
 		delete(e.out, id)
 		e.w.spent(r, false)
-		e.w.after(lan, func() { r.end(core.EndReset, core.Report{}) })
+		e.w.after(lan, func() { r.end(core.OutcomeConnectionReset, core.Report{}) })
 	}
 	e.tell(policy.EngineGone)
 }
@@ -116,9 +116,9 @@
 	}
 }
 
-func (r *running) end(end core.End, rep core.Report) {
+func (r *running) end(end core.Outcome, rep core.Report) {
 	if r.g.lives == r.life {
-		r.g.do(func() { r.g.core.End(r.a, end, rep) })
+		r.g.do(func() { r.g.core.EndAttempt(r.a, end, rep) })
 	}
 }
 
@@ -128,8 +128,8 @@
 	life int
 }
 
-func (l *links) Engine(core.Engine)       {}
-func (l *links) Hurry(*core.Attempt, int) {}
+func (l *links) UpdateEngine(core.Engine)       {}
+func (l *links) SetPriority(*core.Attempt, int) {}
 func (l *links) engine(id string) *engine {
 	for _, e := range l.g.site.engines {
 		if e.id == id {
@@ -143,17 +143,17 @@
 func (l *links) Send(a *core.Attempt) {
 	e := l.engine(a.Engine)
 	r := &running{a: a, g: l.g, life: l.life, e: e, mark: a.Request.Statement.(string)}
-	a.Link = r
+	a.LinkState = r
 	w := l.g.w
 	w.after(lan, func() {
 		switch {
 		case a.Ended() || l.g.lives != l.life || l.g.dead:
 		case e == nil:
-			r.end(core.EndNoEngine, core.Report{})
+			r.end(core.OutcomeNoAddress, core.Report{})
 		case e.down:
-			r.end(core.EndRefused, core.Report{})
-		case !l.g.core.Writing(a):
-			r.end(core.EndNotSent, core.Report{})
+			r.end(core.OutcomeConnectionRefused, core.Report{})
+		case !l.g.core.BeginWrite(a):
+			r.end(core.OutcomeNotSent, core.Report{})
 		default:
 			e.take(r)
 		}
@@ -163,7 +163,7 @@
 func (e *engine) take(r *running) {
 	w := e.w
 	if !w.ledger.begin(w, r) { // a repeat of a key
-		w.after(lan, func() { r.end(core.EndServed, core.Report{Result: r.mark}) })
+		w.after(lan, func() { r.end(core.OutcomeServed, core.Report{Result: r.mark}) })
 		return
 	}
 	e.last++
@@ -178,7 +178,7 @@
 		w.after(20*time.Second, e.start)
 	}
 	if !took {
-		w.after(lan, func() { r.end(core.EndFull, core.Report{}) })
+		w.after(lan, func() { r.end(core.OutcomeEngineFull, core.Report{}) })
 		e.arm()
 		return
 	}
@@ -203,15 +203,15 @@
 			e.w.spent(r, !r.a.Ended() && !r.g.dead)
 			load := e.model.Load()
 			rep := core.Report{Result: r.mark, Load: policy.Load{Told: true, Busy: load.Util, Held: -1, Waiting: float64(load.Waiting), Memory: load.Memory, Disks: load.Disks}}
-			e.w.after(lan, func() { r.end(core.EndServed, rep) })
+			e.w.after(lan, func() { r.end(core.OutcomeServed, rep) })
 		}
 		e.arm()
 	})
 }
 
-// Drop gives an attempt up.
-func (l *links) Drop(a *core.Attempt) bool {
-	if r, ok := a.Link.(*running); ok && r.e != nil && r.e.out[r.id] == r {
+// Cancel gives an attempt up.
+func (l *links) Cancel(a *core.Attempt) bool {
+	if r, ok := a.LinkState.(*running); ok && r.e != nil && r.e.out[r.id] == r {
 		r.e.cancel(r)
 	}
 	return true
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -242,14 +242,14 @@
 	if g.service, err = forwarding.New(g.core, g.timers, o, g.stats, log); err != nil {
 		return err
 	}
-	g.core.SetSites(&timed{g.service, w.opts.Cost})
+	g.core.SetRemoteSites(&timed{g.service, w.opts.Cost})
 	var all []core.Engine
 	for _, e := range g.site.engines {
 		if e.listed {
 			all = append(all, e.entry(policy.EngineLive, g))
 		}
 	}
-	g.do(func() { g.core.Roster(policy.ListFull, all) })
+	g.do(func() { g.core.UpdateEndpoints(policy.ListFull, all) })
 	return nil
 }
 
@@ -313,15 +313,15 @@
 
 // timed hears how long decisions take.
 type timed struct {
-	core.Sites
+	core.RemoteSites
 	cost func(began time.Time)
 }
 
-func (t *timed) Cross(r *core.Request, turned bool) bool {
+func (t *timed) Forward(r *core.Request, turned bool) bool {
 	if t.cost != nil {
 		defer t.cost(time.Now())
 	}
-	return t.Sites.Cross(r, turned)
+	return t.RemoteSites.Forward(r, turned)
 }
 
 // event has something happen.
--- a/internal/testbed/simulation/fleet_test.go
+++ b/internal/testbed/simulation/fleet_test.go
@@ -122,7 +122,7 @@
 }
 
 func (c told) Answer(_ *core.Request, a core.Answer) {
-	*c.got = append(*c.got, fmt.Sprintf("%s %s doubt=%v", c.name, a.Verdict, a.Doubt))
+	*c.got = append(*c.got, fmt.Sprintf("%s %s doubt=%v", c.name, a.Verdict, a.InDoubt))
 }
 
 // The link delivers a load and loses the reply. The far site then tells nothing for 13 s, and the
@@ -141,7 +141,7 @@
 				g := w.sites[site].gateways[0]
 				w.ledger.tries["k-0-1"]++
 				g.do(func() {
-					g.core.Take(&core.Request{ID: name, Class: "load", Token: "k-0-1", Statement: "k-0-1", Deadline: g.Now() + 6*time.Second, Client: told{w, name, &got}})
+					g.core.Accept(&core.Request{ID: name, Class: "load", IdempotencyKey: "k-0-1", Statement: "k-0-1", Deadline: g.Now() + 6*time.Second, Client: told{w, name, &got}})
 				})
 			}
 			at(3*time.Second, func() { ask("first", 0) })
--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -77,7 +77,7 @@
 		ID: fmt.Sprint(c.seq), Class: "lookup", Statement: c.statement, Work: time.Millisecond, Client: &call{c, time.Now()},
 		Deadline: c.node.Loop.Now() + 5*time.Second,
 	}
-	c.node.Core.Take(r)
+	c.node.Core.Accept(r)
 }
 
 // Answer counts one and asks the next.
@@ -239,7 +239,7 @@
 	for i := 0; i < n; i += 500 { // a credit's worth at a time
 		near.Now(func() {
 			for j := range min(500, n-i) {
-				near.Core.Take(&core.Request{
+				near.Core.Accept(&core.Request{
 					ID: fmt.Sprint(i + j), Class: "report", Statement: bytes.Clone(statement), Work: time.Millisecond, Client: got,
 					Deadline: near.Loop.Now() + 20*time.Second,
 				})
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -69,10 +69,10 @@
 	name     forwarding.Name
 }
 
-// Engine, Hurry, Drop and Send are those of core.Links.
-func (n *Node) Engine(core.Engine)       {}
-func (n *Node) Hurry(*core.Attempt, int) {}
-func (n *Node) Drop(a *core.Attempt) bool {
+// UpdateEngine, Hurry, Drop and Send are those of core.Links.
+func (n *Node) UpdateEngine(core.Engine)       {}
+func (n *Node) SetPriority(*core.Attempt, int) {}
+func (n *Node) Cancel(a *core.Attempt) bool {
 	select {
 	case n.Dropped <- a.Request.ID:
 	default: // nobody looks
@@ -80,7 +80,7 @@
 	return true
 }
 func (n *Node) Send(a *core.Attempt) {
-	n.Core.Writing(a)
+	n.Core.BeginWrite(a)
 	if n.Answer == nil {
 		select {
 		case n.Sent <- a:
@@ -89,7 +89,7 @@
 		return
 	}
 	rows := n.Answer(a.Request.Statement.([]byte))
-	n.Loop.Post(func() { n.Core.End(a, core.EndServed, core.Report{Result: rows, Work: time.Millisecond}) })
+	n.Loop.Post(func() { n.Core.EndAttempt(a, core.OutcomeServed, core.Report{Result: rows, Work: time.Millisecond}) })
 }
 
 // Start starts a node. Without engines all that it is asked for crosses.
@@ -116,7 +116,7 @@
 	}, n.Counters, log); err != nil {
 		return nil, err
 	}
-	n.Core.SetSites(n.Service)
+	n.Core.SetRemoteSites(n.Service)
 	keys, err := link.LoadKeys(Files(o.Dir, o.Name.Gateway), o.Name)
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	for i := range o.Engines {
 		all = append(all, core.Engine{Engine: policy.Engine{ID: fmt.Sprint(o.Name, i), Zone: set.Zone, Kind: kind.Name, State: policy.EngineLive}})
 	}
-	n.Core.Roster(policy.ListFull, all)
+	n.Core.UpdateEndpoints(policy.ListFull, all)
 	if err := n.Runner.Start(o.Listen); err != nil {
 		return nil, err
 	}
@@ -153,10 +153,10 @@
 // Ask puts a request to the node.
 func (n *Node) Ask(class, id string, statement []byte, key string, within time.Duration) (*core.Request, Answers) {
 	got := make(Answers, 2)
-	r := &core.Request{ID: id, Class: class, Statement: statement, Token: key, Client: got, Work: time.Millisecond}
+	r := &core.Request{ID: id, Class: class, Statement: statement, IdempotencyKey: key, Client: got, Work: time.Millisecond}
 	n.Now(func() {
 		r.Deadline = n.Loop.Now() + within
-		n.Core.Take(r)
+		n.Core.Accept(r)
 	})
 	return r, got
 }
