--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -582,7 +582,7 @@
 func (l *link) errorEnd(s *pgproto.Statement) core.End {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == core.EndFull && class.Effect == policy.Unsafe && !s.Describe {
+	if end == core.EndFull && class.Idempotency == policy.NotIdempotent && !s.Describe {
 		return core.EndError
 	}
 	return end
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -61,7 +61,7 @@
 		return
 	}
 	end := core.EndNotSent
-	if e.State == policy.EngineGone {
+	if e.State == policy.EngineDeparted {
 		end = core.EndNoEngine
 	}
 	for _, w := range p.inOrder() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -78,7 +78,7 @@
 }
 
 var states = map[string]policy.EngineState{
-	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineGone,
+	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineDeparted,
 }
 
 // EventSum is a sum of what the configuration tells of the roster: where two agree, the events
@@ -213,7 +213,7 @@
 	e := core.Engine{Addr: t.Endpoint, Engine: policy.Engine{
 		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
 	}}
-	e.Started, e.Fresh = started(t.Boot)
+	e.Started, e.StartKnown = started(t.Boot)
 	return e
 }
 
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -145,11 +145,11 @@
 	if !p.site(c, dir) {
 		return // nothing is known of the classes
 	}
-	classes, inOrder := map[string]policy.Effect{}, map[string]bool{}
+	classes, inOrder := map[string]policy.Idempotency{}, map[string]bool{}
 	for _, class := range p.Site.Policy.Classes {
-		classes[class.Name] = class.Effect
-		inOrder[class.Name] = class.InOrder
-		if p.WriteClass == "" && class.Effect == policy.Unsafe && !class.InOrder {
+		classes[class.Name] = class.Idempotency
+		inOrder[class.Name] = class.Ordered
+		if p.WriteClass == "" && class.Idempotency == policy.NotIdempotent && !class.Ordered {
 			p.WriteClass = class.Name
 		}
 	}
@@ -157,10 +157,10 @@
 	for _, s := range []struct{ field, class string }{{"default_class", p.DefaultClass}, {"write_class", p.WriteClass}} {
 		c.must(!inOrder[s.class], s.field, "class %q keeps the order of keys, and nothing names a key here", s.class)
 	}
-	c.must(!p.Site.Policy.Limits.Probes, "settings", "limits.may-probe: engines of the PostgreSQL wire are not probed")
+	c.must(!p.Site.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe: engines of the PostgreSQL wire are not probed")
 	_, ok := classes[p.DefaultClass]
 	c.must(ok, "default_class", "%q is no class of the settings", p.DefaultClass)
-	if e, ok := classes[p.WriteClass]; p.WriteClass != "" && (!ok || e != policy.Unsafe) {
+	if e, ok := classes[p.WriteClass]; p.WriteClass != "" && (!ok || e != policy.NotIdempotent) {
 		c.add("write_class", "%q is no class of the settings whose effect is non_idempotent", p.WriteClass)
 	}
 	for i, s := range p.Statements {
@@ -172,7 +172,7 @@
 		c.must(s.Key >= 0 && s.Key <= 65535, at("key"), "%d is no parameter's number, 1 to 65535", s.Key)
 		c.must(!inOrder[s.Class] || s.Key > 0, at("key"), "missing; class %q keeps the order of keys", s.Class)
 		c.must(!writes || !s.ReadOnly, at("read_only"), "%q writes", s.Starts)
-		c.must(!ok || !writes || effect != policy.Safe, at("class"), "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
+		c.must(!ok || !writes || effect != policy.Idempotent, at("class"), "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
 	}
 	p.Shapes.check(c, "shapes.", p.Site.Policy.Classes)
 	if p.Users != "" {
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -65,7 +65,7 @@
 			}
 		}
 		c.must(found != nil, at+"name", "%q is no class of the settings", sc.Name)
-		c.must(found == nil || found.Effect == policy.Safe, at+"name", "class %q is not safe to repeat; statements that read are sorted here", sc.Name)
+		c.must(found == nil || found.Idempotency == policy.Idempotent, at+"name", "class %q is not safe to repeat; statements that read are sorted here", sc.Name)
 		last := i == len(s.Classes)-1
 		c.must(!last || sc.UpTo == 0, at+"up_to_ms", "the last class has no end")
 		c.must(last || sc.UpTo > 0 && (i == 0 || sc.UpTo > s.Classes[i-1].UpTo), at+"up_to_ms", "%g is not above the class before", sc.UpTo)
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -46,25 +46,25 @@
 func (e End) Result() policy.Result {
 	switch e {
 	case EndServed, EndTooLarge: // the engine did its part
-		return policy.Served
+		return policy.ResultSuccess
 	case EndError, EndPagesLost:
-		return policy.Failed
+		return policy.ResultError
 	case EndFull, EndCrowded:
-		return policy.Full
+		return policy.ResultRejected
 	case EndTimeout:
-		return policy.TimedOut
+		return policy.ResultTimeout
 	case EndRefused, EndNoEngine:
-		return policy.NoConnection
+		return policy.ResultConnectFailed
 	case EndConnectTimeout:
-		return policy.Unreached
+		return policy.ResultConnectTimeout
 	case EndReset:
-		return policy.Lost
+		return policy.ResultConnectionLost
 	case EndGarbage: // any engine's answer may be spoilt on its way; it says nothing of its health
-		return policy.Unknown
+		return policy.ResultUnknown
 	case EndCancelled:
-		return policy.Cancelled
+		return policy.ResultCancelled
 	case EndPast, EndNotSent, EndRejected, EndNoDescriptor: // the last is no fault of the engine's
-		return policy.NotSent
+		return policy.ResultNotSent
 	}
-	return policy.Unknown
+	return policy.ResultUnknown
 }
--- a/internal/decide/adminstate/standing.go
+++ b/internal/decide/adminstate/standing.go
@@ -73,7 +73,7 @@
 // unless the roster knows of a start since it went out. Guards against feeding an
 // engine that was restarted while out as if it were warm: the roster need not tell.
 func (s *Standing) Hear(e policy.Engine) policy.Engine {
-	if e.State == policy.EngineGone {
+	if e.State == policy.EngineDeparted {
 		delete(s.listed, e.ID)
 		return e
 	}
@@ -83,8 +83,8 @@
 	case !ok:
 	case b.Out && e.State == policy.EngineLive:
 		e.State = policy.EngineDraining
-	case !b.Out && b.Since > 0 && (!e.Fresh || e.Started < b.Since):
-		e.Started, e.Fresh = b.At, true
+	case !b.Out && b.Since > 0 && (!e.StartKnown || e.Started < b.Since):
+		e.Started, e.StartKnown = b.At, true
 	}
 	return e
 }
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -162,8 +162,8 @@
 		cores = 1
 	}
 	st := decide.Station{Cores: cores, Live: e.State == policy.EngineLive}
-	if rules := s.opts.Settings.Rules; e.Fresh {
-		st.ColdUntil, st.ColdFor, st.ColdStart = e.Started+rules.ColdFor, rules.ColdFor, rules.ColdStart
+	if rules := s.opts.Settings.Rules; e.StartKnown {
+		st.ColdUntil, st.ColdFor, st.ColdStart = e.Started+rules.WarmUpPeriod, rules.WarmUpPeriod, rules.WarmUpMinCapacity
 	}
 	s.meter.Engine(e.ID, st)
 }
@@ -191,8 +191,8 @@
 		}
 		s.meter.Took(r.Class, now-a.Sent, work.Seconds())
 	}
-	if rep.Load.Told {
-		s.meter.Reported(now, rep.Load.Busy)
+	if rep.Load.Reported {
+		s.meter.Reported(now, rep.Load.CPUUtilization)
 	}
 	if a.NeverRan() && r.Token != "" && !r.Ran() {
 		s.keys.Never(r.Token, a.Sent)
@@ -203,13 +203,13 @@
 func (s *Service) query(r *core.Request, turned bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
-		Class: r.Class, Effect: decide.Effect(class.Effect), Work: r.Work.Seconds(), Worth: class.Worth, Group: r.Set, Left: r.Deadline - now,
-		Foreign: r.Foreign, Turned: turned, Sends: r.Sends(), Window: class.Window,
-		ThereOnly: class.Effect == policy.Keyed && (class.Group != policy.GroupAll || !s.cfg.KeysShared),
+		Class: r.Class, Effect: decide.Effect(class.Idempotency), Work: r.Work.Seconds(), Worth: class.PriorityWeight, Group: r.Set, Left: r.Deadline - now,
+		Foreign: r.Foreign, Turned: turned, Sends: r.Sends(), Window: class.DedupWindow,
+		ThereOnly: class.Idempotency == policy.IdempotentWithKey && (class.DedupScope != policy.DedupAll || !s.cfg.KeysShared),
 	}
 	if q.Work <= 0 {
 		if q.Work = s.meter.Usual(r.Class); q.Work <= 0 {
-			q.Work = class.Aim.Seconds() / 3 * max(class.Threads, 1)
+			q.Work = class.LatencyObjective.Seconds() / 3 * max(class.Threads, 1)
 		}
 	}
 	if first := r.FirstSent(); first > 0 {
