--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -54,7 +54,7 @@
 	log   *slog.Logger
 
 	machine *decide.Source // nil: there never was an upgrade
-	program Program     // of the upgrade that is under way
+	program Program        // of the upgrade that is under way
 	proc    *process
 	tell    func(phase, why string, done bool)
 	told    decide.Phase
