--- a/internal/backend/lineproto/codec.go
+++ b/internal/backend/lineproto/codec.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"unicode/utf8"
 
+	"gannetspur/internal/core"
+
 	"github.com/fxamacker/cbor/v2"
 )
 
@@ -21,8 +23,8 @@
 func (Codec) Form() string { return "lines" }
 
 // Statement encodes a statement.
-func (Codec) Statement(statement any) ([]byte, error) {
-	text, ok := statement.(string)
+func (Codec) Statement(statement core.Statement) ([]byte, error) {
+	text, ok := statement.(Statement)
 	if !ok {
 		return nil, fmt.Errorf("%w: a statement of %T", errCodec, statement)
 	}
@@ -30,7 +32,7 @@
 }
 
 // ReadStatement reads one: text in UTF-8 without zeros.
-func (Codec) ReadStatement(b []byte) (any, error) {
+func (Codec) ReadStatement(b []byte) (core.Statement, error) {
 	if len(b) == 0 || len(b) > mostStatement || !utf8.Valid(b) {
 		return nil, fmt.Errorf("%w: a statement that is no text", errCodec)
 	}
@@ -39,11 +41,11 @@
 			return nil, fmt.Errorf("%w: a statement with a zero", errCodec)
 		}
 	}
-	return string(b), nil
+	return Statement(b), nil
 }
 
 // Result encodes rows.
-func (Codec) Result(result any) ([]byte, error) {
+func (Codec) Result(result core.Result) ([]byte, error) {
 	rows, ok := result.(Rows)
 	if !ok {
 		return nil, fmt.Errorf("%w: a result of %T", errCodec, result)
@@ -52,28 +54,27 @@
 }
 
 // ReadResult reads rows: whole ones, within what an engine may send.
-func (Codec) ReadResult(b []byte) (any, error) {
+func (Codec) ReadResult(b []byte) (core.Result, error) {
 	var pages [][]byte
 	if err := cbor.Unmarshal(b, &pages); err != nil {
 		return nil, fmt.Errorf("%w: %w", errCodec, err)
 	}
-	size := 0
-	for _, p := range pages {
-		size += len(p)
+	rows := Rows(pages)
+	for _, p := range rows {
 		if !wholeRows(p) {
 			return nil, fmt.Errorf("%w: %w", errCodec, errBody)
 		}
 	}
-	if len(pages) > maxPages || size > maxResult {
-		return nil, fmt.Errorf("%w: %d pages of %d bytes", errCodec, len(pages), size)
+	if len(rows) > maxPages || rows.Size() > maxResult {
+		return nil, fmt.Errorf("%w: %d pages of %d bytes", errCodec, len(rows), rows.Size())
 	}
-	return Rows(pages), nil
+	return rows, nil
 }
 
 // Detail has nothing to tell: engines of this wire give no reasons.
-func (Codec) Detail(any) []byte { return nil }
+func (Codec) Detail(error) []byte { return nil }
 
 // ReadDetail is not asked for what Detail never gives.
-func (Codec) ReadDetail([]byte) (any, error) {
+func (Codec) ReadDetail([]byte) (detail, err error) {
 	return nil, fmt.Errorf("%w: a reason", errCodec)
 }
--- a/internal/backend/lineproto/codec_test.go
+++ b/internal/backend/lineproto/codec_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 
+	"gannetspur/internal/core"
+	"gannetspur/internal/pgproto"
+
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -15,13 +18,13 @@
 		t.Fatal(err)
 	}
 	got, err := c.ReadResult(enc)
-	if diff := cmp.Diff(any(rows), got); err != nil || diff != "" {
+	if diff := cmp.Diff(core.Result(rows), got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	if enc, err = c.Statement("SELECT 'ä'"); err != nil {
+	if enc, err = c.Statement(Statement("SELECT 'ä'")); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := c.ReadStatement(enc); err != nil || got != "SELECT 'ä'" {
+	if got, err := c.ReadStatement(enc); err != nil || got != Statement("SELECT 'ä'") {
 		t.Error(got, err)
 	}
 	for _, bad := range []string{"", "SELECT \x00", "SELECT \xff", string(make([]byte, mostStatement+1))} {
@@ -36,10 +39,10 @@
 			t.Errorf("%.20q was taken as rows", bad)
 		}
 	}
-	if _, err := c.Result("rows"); err == nil {
+	if _, err := c.Result(&pgproto.Result{}); err == nil {
 		t.Error("what are no rows was written")
 	}
-	if _, err := c.Statement(1); err == nil {
+	if _, err := c.Statement(&pgproto.Statement{}); err == nil {
 		t.Error("what is no statement was written")
 	}
 }
--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -85,6 +85,20 @@
 	end     core.Outcome // why it is being closed from here
 }
 
+// Statement is a statement's text.
+type Statement string
+
+// SQL is the text.
+func (s Statement) SQL() string { return string(s) }
+
+// Size is the number of bytes of all pages.
+func (r Rows) Size() (size int) {
+	for _, page := range r {
+		size += len(page)
+	}
+	return size
+}
+
 // stream is one attempt on a link.
 type stream struct {
 	attempt *core.Attempt
@@ -97,6 +111,9 @@
 	report  core.Report
 }
 
+// Owner is the attempt of the stream.
+func (s *stream) Owner() *core.Attempt { return s.attempt }
+
 // UpdateEngine takes an entry of the roster.
 func (ls *Links) UpdateEngine(e core.Engine) { ls.engines.Engine(e) }
 
@@ -234,7 +251,7 @@
 		s.link.finish(s, core.OutcomeNotSent)
 		return
 	}
-	stmt, _ := r.Statement.(string)
+	stmt, _ := r.Statement.(Statement)
 	left := (a.SentAt + a.Timeout - s.link.all.core.Now()).Milliseconds()
 	b := append(make([]byte, 0, 160+len(stmt)), "want "...)
 	b = append(append(b, r.ID...), " kind="...)
--- a/internal/backend/postgres/codec.go
+++ b/internal/backend/postgres/codec.go
@@ -6,6 +6,7 @@
 	"strings"
 	"unicode/utf8"
 
+	"gannetspur/internal/core"
 	"gannetspur/internal/pgproto"
 	"gannetspur/internal/sqltext"
 
@@ -33,7 +34,7 @@
 func (Codec) Form() string { return "postgres" }
 
 // Statement encodes a statement.
-func (Codec) Statement(statement any) ([]byte, error) {
+func (Codec) Statement(statement core.Statement) ([]byte, error) {
 	s, ok := statement.(*pgproto.Statement)
 	if !ok {
 		return nil, fmt.Errorf("%w: a statement of %T", errCodec, statement)
@@ -42,7 +43,7 @@
 }
 
 // ReadStatement reads one whose parts make whole messages.
-func (Codec) ReadStatement(b []byte) (any, error) {
+func (Codec) ReadStatement(b []byte) (core.Statement, error) {
 	var s pgproto.Statement
 	if err := reader.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("%w: %w", errCodec, err)
@@ -97,7 +98,7 @@
 }
 
 // Result encodes a result.
-func (Codec) Result(result any) ([]byte, error) {
+func (Codec) Result(result core.Result) ([]byte, error) {
 	r, ok := result.(*pgproto.Result)
 	if !ok {
 		return nil, fmt.Errorf("%w: a result of %T", errCodec, result)
@@ -106,7 +107,7 @@
 }
 
 // ReadResult reads a result of whole rows, as many as it says.
-func (Codec) ReadResult(b []byte) (any, error) {
+func (Codec) ReadResult(b []byte) (core.Result, error) {
 	var r pgproto.Result
 	if err := reader.Unmarshal(b, &r); err != nil {
 		return nil, fmt.Errorf("%w: %w", errCodec, err)
@@ -129,13 +130,13 @@
 	return &r, nil
 }
 
-// Detail encodes an error; nil: it is none.
-func (Codec) Detail(detail any) []byte {
-	if e, ok := detail.(*pgproto.Error); ok {
+// Detail encodes an error; nil: it is none of an engine.
+func (Codec) Detail(detail error) []byte {
+	if e := pgproto.AsError(detail); e != nil {
 		return e.Body()
 	}
 	return nil
 }
 
 // ReadDetail reads an error.
-func (Codec) ReadDetail(b []byte) (any, error) { return pgproto.ReadError(b) }
+func (Codec) ReadDetail(b []byte) (detail, err error) { return pgproto.ReadError(b) }
--- a/internal/backend/postgres/codec_test.go
+++ b/internal/backend/postgres/codec_test.go
@@ -1,8 +1,10 @@
 package postgres
 
 import (
+	"errors"
 	"testing"
 
+	"gannetspur/internal/core"
 	"gannetspur/internal/pgproto"
 
 	"github.com/google/go-cmp/cmp"
@@ -21,7 +23,7 @@
 			t.Fatal(err)
 		}
 		got, err := c.ReadStatement(enc)
-		if diff := cmp.Diff(any(want), got); err != nil || diff != "" {
+		if diff := cmp.Diff(core.Statement(want), got); err != nil || diff != "" {
 			t.Error(err, diff)
 		}
 	}
@@ -32,14 +34,14 @@
 		t.Fatal(err)
 	}
 	got, err := c.ReadResult(enc)
-	if diff := cmp.Diff(any(result), got); err != nil || diff != "" {
+	if diff := cmp.Diff(core.Result(result), got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	e := &pgproto.Error{Severity: "ERROR", Code: "42P01", Message: "no such table"}
 	if got, err := c.ReadDetail(c.Detail(e)); err != nil || got.(*pgproto.Error).Code != "42P01" {
 		t.Error(got, err)
 	}
-	if c.Detail("other") != nil {
+	if c.Detail(errors.New("other")) != nil {
 		t.Error("what is no error was written")
 	}
 	good := pgproto.Statement{Query: "SELECT 1", Types: []byte{0, 0}, Bind: []byte{0, 0, 0, 0, 0, 0}}
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -118,6 +118,9 @@
 	failure *pgproto.Error
 }
 
+// Owner is the attempt that the connection carries; nil: none.
+func (l *link) Owner() *core.Attempt { return l.attempt }
+
 func (ls *Links) dial(e *backend.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, place: ls.place(e.ID), named: map[string]string{}, applied: map[string]string{}}
 	e.Links = append(e.Links, l)
@@ -483,7 +486,7 @@
 func (l *link) stop(code, text string) {
 	a := l.attempt
 	l.all.Cancel(a)
-	l.all.core.EndAttempt(a, core.OutcomeResultTooLarge, core.Report{Detail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
+	l.all.core.EndAttempt(a, core.OutcomeResultTooLarge, core.Report{EngineError: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
 }
 
 // statement is what the attempt on the link runs; nil: there is none.
@@ -552,11 +555,11 @@
 	s := l.statement()
 	switch {
 	case l.failure != nil && s.Ends: // it was rolled back, and the engine says why
-		l.finish(core.OutcomeStatementRejected, core.Report{Detail: l.failure})
+		l.finish(core.OutcomeStatementRejected, core.Report{EngineError: l.failure})
 	case l.failure != nil && l.stale(l.failure.Code):
 		l.finish(core.OutcomeNotSent, core.Report{})
 	case l.failure != nil:
-		l.finish(l.errorEnd(s), core.Report{Detail: l.failure})
+		l.finish(l.errorEnd(s), core.Report{EngineError: l.failure})
 	case l.whole || s.Describe && l.result.Params != nil:
 		l.finish(core.OutcomeServed, core.Report{Result: l.result})
 	default:
@@ -572,7 +575,7 @@
 	}
 	rep := core.Report{Result: l.result}
 	if l.failure != nil {
-		rep = core.Report{Detail: l.failure}
+		rep = core.Report{EngineError: l.failure}
 	}
 	l.all.size -= len(l.result.Rows)
 	l.fresh()
@@ -663,7 +666,7 @@
 		}
 		var rep core.Report
 		if l.failure != nil {
-			rep.Detail = l.failure
+			rep.EngineError = l.failure
 		}
 		l.clear()
 		l.all.core.EndAttempt(a, end, rep)
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -30,6 +30,9 @@
 	late    *timerqueue.Entry // it is told then that there was none
 }
 
+// Owner is the attempt that waits.
+func (w *waiter) Owner() *core.Attempt { return w.attempt }
+
 // tellBefore is how long before its time is over an attempt that waits is told so: it has never run then, and its client hears
 // that it may try again; a moment later all that is known is that an attempt is out.
 const tellBefore = 20 * time.Millisecond
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -37,8 +37,9 @@
 	// Ready tells whether this process can serve; if not, why.
 	Ready() (bool, string)
 	Figures() core.Figures
-	// Ban takes an engine out of use, or back.
-	Ban(engine string, out bool) error
+	// DisableEngine takes an engine out of use; EnableEngine undoes it.
+	DisableEngine(id string) error
+	EnableEngine(id string) error
 }
 
 // Server answers operators.
@@ -161,7 +162,11 @@
 		if bad != nil {
 			return yes, bad
 		}
-		if err := s.gateway.Ban(id, c.Path == "/engines/disable"); err != nil {
+		change := s.gateway.EnableEngine
+		if c.Path == "/engines/disable" {
+			change = s.gateway.DisableEngine
+		}
+		if err := change(id); err != nil {
 			return yes, http1.Deny(404, "%s", err.Error())
 		}
 	}
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -8,7 +8,7 @@
 		c.final(r.query, c.turnedAway(r))
 		return
 	}
-	if c.sites != nil && c.sites.Forward(r, false) {
+	if c.sites != nil && c.sites.ForwardOnArrival(r) {
 		return
 	}
 	c.admit(r)
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -21,8 +21,8 @@
 	}
 	// Of what may have run and is not safe to repeat, the word of an attempt that never
 	// ran says nothing: it must not stand for the one in doubt.
-	if !a.neverRan || rep.Detail != nil && !c.InDoubt(r) {
-		r.detail = rep.Detail
+	if !a.neverRan || rep.EngineError != nil && !c.InDoubt(r) {
+		r.engineError = rep.EngineError
 	}
 	if c.learner != nil && r.CostContext != nil && !a.began {
 		switch elapsed := c.clock.Now() - a.SentAt; end {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -56,16 +56,16 @@
 type Request struct {
 	ID             string // the client's, passed on unchanged
 	Class          string
-	IdempotencyKey string // idempotency key; "": none
-	SerialKey      string // requests of one key that a front end takes run one at a time, in turn; "": no such key
-	Statement      any    // what the front read, for links of the same wire
-	TableGroup     int64  // group of tables
+	IdempotencyKey string    // idempotency key; "": none
+	SerialKey      string    // requests of one key that a front end takes run one at a time, in turn; "": no such key
+	Statement      Statement // passed on to the links unread
+	TableGroup     int64     // group of tables
 	Deadline       time.Duration
 	Work           time.Duration // estimate; 0: none
 	MemoryMB       float64       // estimate; 0: none
 	ClientRetry    bool
 	Client         Client
-	CostContext    any // the front's own, for the Learner
+	CostContext    CostContext // of the CostObserver; nil: its cost is not observed
 	// PriorSentAt is when another process, which has died, or another site first sent the request
 	// to an engine; 0: none did. It may have run since.
 	PriorSentAt time.Duration
@@ -78,13 +78,13 @@
 	// the module's own bound alone.
 	MaxSends, PriorSends int
 
-	query    uint64
-	tries    []*Attempt
-	out      int
-	answered bool
-	grant    float64
-	priority int
-	detail   any // of its latest error
+	query       uint64
+	tries       []*Attempt
+	out         int
+	answered    bool
+	grant       float64
+	priority    int
+	engineError error // the latest
 
 	admitted bool              // the module has it
 	base     int               // tries of an earlier life in the module
@@ -101,7 +101,7 @@
 	SentAt    time.Duration
 	MemoryMB  float64 // to grant; 0: the engine's own choice
 	Priority  int
-	LinkState any // the links' own
+	LinkState LinkState // of the links that have it; nil once it has ended
 
 	n        int
 	ended    bool
@@ -127,11 +127,11 @@
 
 // Report is what came with the end of an attempt.
 type Report struct {
-	Result   any // the whole answer, for fronts of the same wire
-	Work     time.Duration
-	MemoryMB float64
-	Load     policy.Load
-	Detail   any // of an error, for fronts of the same wire
+	Result      Result // the complete response, for frontends of the same wire protocol
+	Work        time.Duration
+	MemoryMB    float64
+	Load        policy.Load
+	EngineError error // for frontends of the same wire protocol; nil: there was none
 }
 
 // Orphan is what is known of a request that a process which has died left behind, beside its
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -58,6 +58,16 @@
 	serial   int
 }
 
+// replayText is a statement or a result.
+type replayText string
+
+func (t replayText) SQL() string { return string(t) }
+func (t replayText) Size() int   { return len(t) }
+
+type replayCost int
+
+func (c replayCost) Fingerprint() [2]uint64 { return [2]uint64{uint64(c)} }
+
 func newReplay(t *testing.T, out io.Writer, seed uint64) *replay {
 	t.Helper()
 	r := &replay{out: out, random: rand.New(rand.NewPCG(seed, 2)), now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
@@ -83,12 +93,12 @@
 func (r *replay) Now() time.Duration { return r.now }
 
 func (r *replay) Answer(q *Request, a Answer) {
-	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.Late, a.Sent, a.InDoubt, a.Result, a.Detail)
+	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.Late, a.Sent, a.InDoubt, a.Result, a.EngineError)
 	r.dropOpen(q)
 }
 
 func (r *replay) PartialAnswer(q *Request, a Answer) {
-	r.say("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.Detail)
+	r.say("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.EngineError)
 }
 
 func (r *replay) AttemptServed(q *Request, rep Report, elapsed time.Duration) {
@@ -147,7 +157,9 @@
 
 type replaySites struct{ *replay }
 
-func (s replaySites) Forward(q *Request, turned bool) bool {
+func (s replaySites) ForwardOnArrival(q *Request) bool { return s.forward(q, false) }
+func (s replaySites) ForwardRejected(q *Request) bool  { return s.forward(q, true) }
+func (s replaySites) forward(q *Request, turned bool) bool {
 	if s.random.IntN(3) > 0 {
 		return false
 	}
@@ -218,7 +230,7 @@
 	class := []string{"read", "load", "write", "unheard-of"}[min(r.random.IntN(10)/3, 3)]
 	q := &Request{
 		ID: fmt.Sprintf("r%d", r.serial), Class: class, IdempotencyKey: "key", Deadline: r.now + time.Duration(1+r.random.IntN(5000))*time.Millisecond,
-		Client: r, CostContext: r.serial, Statement: "first", Streaming: class == "write" && r.random.IntN(3) == 0,
+		Client: r, CostContext: replayCost(r.serial), Statement: replayText("first"), Streaming: class == "write" && r.random.IntN(3) == 0,
 	}
 	if r.random.IntN(4) == 0 {
 		q.SerialKey = fmt.Sprintf("key-%d", r.random.IntN(5))
@@ -250,9 +262,9 @@
 	if r.random.IntN(3) == 0 {
 		end = Outcome(r.random.IntN(int(outcomeCount)))
 	}
-	rep := Report{Result: "rows", Work: time.Duration(r.random.IntN(100)) * time.Millisecond, MemoryMB: float64(r.random.IntN(20))}
+	rep := Report{Result: replayText("rows"), Work: time.Duration(r.random.IntN(100)) * time.Millisecond, MemoryMB: float64(r.random.IntN(20))}
 	if end == OutcomeEngineError || end == OutcomeStatementRejected {
-		rep.Result, rep.Detail = nil, fmt.Sprintf("error of %s", a.Engine)
+		rep.Result, rep.EngineError = nil, fmt.Errorf("error of %s", a.Engine)
 	}
 	r.say("end %s %s %d", a.Request.ID, a.Engine, int(end))
 	r.core.EndAttempt(a, end, rep)
@@ -267,17 +279,17 @@
 		r.say("there %s %d", q.ID, how)
 		switch how {
 		case 0:
-			r.core.CompleteForwarded(q, Answer{Verdict: Served, Result: "rows from there"})
+			r.core.CompleteForwarded(q, Answer{Verdict: Served, Result: replayText("rows from there")})
 		case 1:
 			r.core.RecordRemoteSend(q, r.now)
 			r.core.CompleteForwarded(q, Answer{Verdict: Failed})
 		case 2:
-			r.core.ReturnForwarded(q, true)
+			r.core.Hedge(q)
 		case 3:
 			r.core.RecordRemoteSend(q, r.now)
-			r.core.ReturnForwarded(q, false)
+			r.core.ReturnForwarded(q)
 		default:
-			r.core.ReturnForwarded(q, false)
+			r.core.ReturnForwarded(q)
 		}
 		r.say("known %s %d %d %t %t", q.ID, q.SendCount(), int64(q.FirstSentAt()), q.MayHaveRunHere(), r.core.InDoubt(q))
 		return
@@ -289,16 +301,21 @@
 		if a.Ended() || !a.Request.Streaming {
 			continue
 		}
-		r.core.RelayPart(a, Report{Result: "part", Detail: nil})
+		r.core.RelayPart(a, Report{Result: replayText("part")})
 		if r.random.IntN(2) == 0 {
-			r.say("goes on %t", r.core.Continue(a.Request, "next", 300*time.Millisecond))
+			r.say("goes on %t", r.core.Continue(a.Request, replayText("next"), 300*time.Millisecond))
 		}
 		return
 	}
 }
 
 func (r *replay) call() {
-	err := r.core.Ban(fmt.Sprintf("e%d", r.random.IntN(8)), r.random.IntN(2) == 0)
+	id := fmt.Sprintf("e%d", r.random.IntN(8))
+	change := r.core.EnableEngine
+	if r.random.IntN(2) == 0 {
+		change = r.core.DisableEngine
+	}
+	err := change(id)
 	r.say("call %t", err != nil)
 }
 
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -10,9 +10,11 @@
 // RemoteSites takes requests to other sites, before the module hears of them or once it has turned
 // them away. It is called on the core's goroutine, and may call back from within.
 type RemoteSites interface {
-	// Forward may take a request to another site, by Away, or settle it, by Settled. It tells
-	// whether it did either. turned: the module has just turned it away.
-	Forward(r *Request, turned bool) bool
+	// ForwardOnArrival may take a request that has just come to another site, by Core.Forwarded,
+	// or give it its final answer, by Core.CompleteForwarded. It reports whether it did either.
+	ForwardOnArrival(r *Request) bool
+	// ForwardRejected is the same for a request that the policy has just rejected.
+	ForwardRejected(r *Request) bool
 	// Drop gives up what is at another site: the request is over.
 	Drop(r *Request)
 	// AttemptStarted tells of an attempt at an engine of this site before it is made, Ended of its end.
@@ -59,23 +61,33 @@
 	c.leave(r) // a copy of it may be out here
 }
 
-// ReturnForwarded has the module take a request that was at another site, or is there still (copy). Where
-// it may have run there, Crossed was called.
-func (c *Core) ReturnForwarded(r *Request, copy bool) {
-	if !copy {
-		r.away.Stop()
-		r.away = nil
-	}
+// ReturnForwarded has the policy take a request back that was at another site. Where it may
+// have run there, RecordRemoteSend was called.
+func (c *Core) ReturnForwarded(r *Request) {
+	r.away.Stop()
+	r.away = nil
 	if c.requests[r.query] != r || r.answered || r.admitted {
 		return
 	}
-	if a := r.turned; a != nil { // the module had a copy of it, and has given that up
-		if !copy {
-			c.final(r.query, *a)
-		}
+	if a := r.turned; a != nil { // the policy had a hedge of it, and has given that up
+		c.final(r.query, *a)
 		return
 	}
-	// To the module it is a new query: it has forgotten the one that it turned away.
+	c.readmit(r)
+}
+
+// Hedge has the policy take a request that is still at another site as well: the first
+// complete response ends the other.
+func (c *Core) Hedge(r *Request) {
+	if c.requests[r.query] != r || r.answered || r.admitted || r.turned != nil {
+		return
+	}
+	c.readmit(r)
+}
+
+// readmit gives a request to the policy under a new query number: the policy has forgotten
+// the one that it rejected.
+func (c *Core) readmit(r *Request) {
 	delete(c.requests, r.query)
 	c.last++
 	r.query, r.base = c.last, len(r.tries)
@@ -106,7 +118,7 @@
 		r.turned = &a
 		return
 	case c.sites == nil:
-	case a.Verdict == Rejected && r.out == 0 && c.sites.Forward(r, true):
+	case a.Verdict == Rejected && r.out == 0 && c.sites.ForwardRejected(r):
 		return
 	case a.Verdict == Rejected && c.InDoubt(r) && !c.harmless(r, a.RetryAfter):
 		// The module knows nothing of what ran elsewhere.
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -44,8 +44,11 @@
 }
 func (w *world) AttemptStarted(*Attempt)                      {}
 func (w *world) AttemptEnded(_ *Attempt, e Outcome, _ Report) { w.say("ended %s", e) }
-func (w *world) Forward(r *Request, turned bool) bool {
-	return w.cross != nil && w.cross(r, turned)
+func (w *world) ForwardOnArrival(r *Request) bool {
+	return w.cross != nil && w.cross(r, false)
+}
+func (w *world) ForwardRejected(r *Request) bool {
+	return w.cross != nil && w.cross(r, true)
 }
 
 // drops tells links and sites apart: both are asked to drop.
@@ -133,7 +136,7 @@
 		}, []string{"cross turned=true", "refused doubt=false late=false"}},
 		"never ran there, served here": {1, func(w *world) {
 			w.cross = once(w, false)
-			w.core.ReturnForwarded(w.take("write"), false)
+			w.core.ReturnForwarded(w.take("write"))
 			w.core.EndAttempt(w.sent[0], OutcomeServed, Report{})
 		}, []string{"cross turned=false", "send", "ended served", "served doubt=true late=false"}},
 		"may have run there, turned away here": {0, func(w *world) {
@@ -141,7 +144,7 @@
 			r := w.take("load")
 			w.core.RecordRemoteSend(r, w.now)
 			w.wait(11 * time.Second / 10)
-			w.core.ReturnForwarded(r, false)
+			w.core.ReturnForwarded(r)
 		}, []string{"cross turned=false", "refused doubt=true late=false"}},
 		"the same at the end of its window": {0, func(w *world) {
 			w.cross = once(w, false)
@@ -149,7 +152,7 @@
 			w.core.Accept(r)
 			w.core.RecordRemoteSend(r, w.now)
 			w.wait(11 * time.Second)
-			w.core.ReturnForwarded(r, false)
+			w.core.ReturnForwarded(r)
 		}, []string{"cross turned=false", "failed doubt=true late=false"}},
 		"its time ends there": {1, func(w *world) {
 			w.cross = once(w, false)
@@ -162,21 +165,21 @@
 		}, []string{"cross turned=false", "drop crossing"}},
 		"hedged, served here": {1, func(w *world) {
 			w.cross = once(w, false)
-			w.core.ReturnForwarded(w.take("read"), true)
+			w.core.Hedge(w.take("read"))
 			w.core.EndAttempt(w.sent[0], OutcomeServed, Report{})
 		}, []string{"cross turned=false", "send", "ended served", "drop crossing", "served doubt=false late=false"}},
 		"hedged, served there": {1, func(w *world) {
 			w.cross = once(w, false)
 			r := w.take("read")
-			w.core.ReturnForwarded(r, true)
+			w.core.Hedge(r)
 			w.core.CompleteForwarded(r, Answer{Verdict: Served})
 		}, []string{"cross turned=false", "send", "served doubt=false late=false", "drop attempt", "ended cancelled"}},
 		"hedged, turned away here, then lost there": {0, func(w *world) {
 			w.cross = once(w, false)
 			r := w.take("read")
-			w.core.ReturnForwarded(r, true)
+			w.core.Hedge(r)
 			w.core.RecordRemoteSend(r, w.now)
-			w.core.ReturnForwarded(r, false)
+			w.core.ReturnForwarded(r)
 		}, []string{"cross turned=false", "refused doubt=false late=false"}},
 		"no more sends are granted": {2, func(w *world) {
 			r := &Request{ID: "r", Class: "read", Deadline: w.now + 5*time.Second, Client: w, FromOtherSite: true, MaxSends: 1}
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -11,20 +11,32 @@
 // Operators' bans: the core merges them into what the roster says, so that the module and the
 // links hear one word on each engine.
 
-// Ban takes an engine out of use, or back, on the operators' call. Its error is the
-// decision's: no such engine, or too many are out.
-func (c *Core) Ban(id string, out bool) error {
-	changed, err := c.stand.Call(c.clock.Now(), id, out)
-	if err != nil || !changed {
-		return err
+// DisableEngine takes an engine out of use on the operators' call. Its error is
+// adminstate.ErrUnknownEngine or adminstate.ErrTooManyDisabled.
+func (c *Core) DisableEngine(id string) error {
+	changed, err := c.stand.Disable(c.clock.Now(), id)
+	if changed {
+		c.overrideChanged(id)
 	}
+	return err
+}
+
+// EnableEngine undoes DisableEngine. Its error is adminstate.ErrUnknownEngine.
+func (c *Core) EnableEngine(id string) error {
+	changed, err := c.stand.Enable(c.clock.Now(), id)
+	if changed {
+		c.overrideChanged(id)
+	}
+	return err
+}
+
+func (c *Core) overrideChanged(id string) {
 	c.stats.Add("bans.called")
-	c.log.Info("ban", "engine", id, "out", out)
+	c.log.Info("ban", "engine", id, "out", c.stand.Disabled(id))
 	c.again([]string{id})
 	if c.changed != nil {
 		c.changed()
 	}
-	return nil
 }
 
 // OnOverridesChanged names who hears of each call that changed something, before it is answered.
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -32,12 +32,12 @@
 		a.began = true
 		c.tell(policy.Began{Query: r.query, Attempt: a.n})
 	}
-	s.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, Detail: rep.Detail})
+	s.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, EngineError: rep.EngineError})
 }
 
 // Continue gives the engine of a request that goes on its next statement, to be answered within a
 // time. It tells whether there is such an engine.
-func (c *Core) Continue(r *Request, statement any, within time.Duration) bool {
+func (c *Core) Continue(r *Request, statement Statement, within time.Duration) bool {
 	links, ok := c.links.(StreamingLinks)
 	if !ok || r.answered || len(r.tries) == 0 {
 		return false
--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -52,9 +52,9 @@
 			e = s.Update(e)
 			fmt.Fprintf(out, "hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.Fresh)
 		case 3, 4, 5:
-			out1 := random.IntN(2) == 0
-			changed, err := s.Call(now, id, out1)
-			fmt.Fprintf(out, "call %s %t %t %t\n", id, out1, changed, err != nil)
+			disable := random.IntN(2) == 0
+			changed, err := call(s, now, id, disable)
+			fmt.Fprintf(out, "call %s %t %t %t\n", id, disable, changed, err != nil)
 		case 6:
 			fmt.Fprintf(out, "take %s\n", strings.Join(s.Merge(processes[1-process].Overrides()), " "))
 		default:
--- a/internal/decide/adminstate/standing.go
+++ b/internal/decide/adminstate/standing.go
@@ -95,32 +95,48 @@
 // Listed is the number of engines that the roster names and that are not gone.
 func (s *Table) Listed() int { return len(s.listed) }
 
-// Call takes an operator's call: out, or back. It tells whether anything changed. An engine
-// that the roster does not name is unknown, unless it is out. Calling out twice is calling once, and so is
-// calling back.
-func (s *Table) Call(now time.Duration, id string, out bool) (changed bool, err error) {
-	b, known := s.bans[id]
-	if !s.listed[id] && !b.Disabled {
-		return false, ErrUnknownEngine
-	}
-	if out == b.Disabled {
+// Disable takes an operator's call to take an engine out of use. It reports whether that
+// changed anything: disabling twice is disabling once.
+func (s *Table) Disable(now time.Duration, id string) (changed bool, err error) {
+	b := s.bans[id]
+	switch {
+	case b.Disabled:
 		return false, nil
+	case !s.listed[id]:
+		return false, ErrUnknownEngine
 	}
 	s.forget(now)
-	if out && s.out() >= mostBans {
+	if s.out() >= mostBans {
 		return false, ErrTooManyDisabled
 	}
-	if known {
-		now = max(now, b.At+1) // the later word, also where the clock stood still
-	}
-	next := Override{Disabled: out, At: now}
-	if !out {
-		next.DisabledSince = b.At
+	s.bans[id] = Override{Disabled: true, At: s.later(now, id)}
+	return true, nil
+}
+
+// Enable takes an operator's call to use an engine again, also one that discovery no longer
+// lists. It reports whether that changed anything.
+func (s *Table) Enable(now time.Duration, id string) (changed bool, err error) {
+	b := s.bans[id]
+	switch {
+	case !b.Disabled && !s.listed[id]:
+		return false, ErrUnknownEngine
+	case !b.Disabled:
+		return false, nil
 	}
-	s.bans[id] = next
+	s.forget(now)
+	s.bans[id] = Override{At: s.later(now, id), DisabledSince: b.At}
 	return true, nil
 }
 
+// later is the time of a new override: after the engine's last one, also where the clock
+// stood still.
+func (s *Table) later(now time.Duration, id string) time.Duration {
+	if last, known := s.bans[id]; known {
+		return max(now, last.At+1)
+	}
+	return now
+}
+
 // Overrides is a copy of the operators' words.
 func (s *Table) Overrides() Overrides { return maps.Clone(s.bans) }
 
--- a/internal/decide/adminstate/standing_test.go
+++ b/internal/decide/adminstate/standing_test.go
@@ -31,6 +31,14 @@
 	})
 }
 
+// call disables or enables an engine.
+func call(s *Table, now time.Duration, id string, disable bool) (changed bool, err error) {
+	if disable {
+		return s.Disable(now, id)
+	}
+	return s.Enable(now, id)
+}
+
 // Whatever the roster says and whoever calls, an engine is usable exactly if the roster says so
 // and no call out stands; what comes back counts as fresh from then on; two processes that
 // exchange their words end up with the same.
@@ -53,7 +61,7 @@
 			"call": func(t *rapid.T) {
 				id, out := ids.Draw(t, "id"), rapid.Bool().Draw(t, "out")
 				now++
-				changed, err := s.Call(now, id, out)
+				changed, err := call(s, now, id, out)
 				if known := roster[id].State != policy.EngineGone || banned[id]; (err == nil) != known {
 					t.Fatalf("%s is known: %v; the call said %v", id, known, err)
 				}
@@ -109,17 +117,17 @@
 	for i := range mostBans + 1 {
 		id := string(rune('\u4e00' + i))
 		s.Update(policy.Engine{ID: id, State: policy.EngineLive})
-		if _, err := s.Call(time.Duration(i+1), id, true); (err != nil) != (i == mostBans) {
+		if _, err := s.Disable(time.Duration(i+1), id); (err != nil) != (i == mostBans) {
 			t.Fatalf("call %d: %v", i, err)
 		}
 	}
 	for id := range maps.Clone(s.listed) {
-		_, _ = s.Call(time.Second, id, false)
+		_, _ = s.Enable(time.Second, id)
 	}
 	if s.out() > 0 {
 		t.Fatalf("%d are out", s.out())
 	}
-	if _, err := s.Call(time.Second+2*backFor, string(rune('\u4e00')), true); err != nil || len(s.bans) != 1 {
+	if _, err := s.Disable(time.Second+2*backFor, string(rune('\u4e00'))); err != nil || len(s.bans) != 1 {
 		t.Fatalf("%d words kept, %v", len(s.bans), err)
 	}
 }
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -423,7 +423,7 @@
 	}
 	text := string(c.Body)
 	r := &core.Request{
-		ID: id, Class: name, Statement: text, ClientRetry: c.Head["req-retry"] == "1", Client: k,
+		ID: id, Class: name, Statement: lineproto.Statement(text), ClientRetry: c.Head["req-retry"] == "1", Client: k,
 		Deadline: came + config.FromMS(wait),
 	}
 	var cost float64
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -513,7 +513,7 @@
 // answerError words a final answer that is no completion. Each kind has a code
 // of its own; an engine's word on the statement passes on unchanged.
 func answerError(a core.Answer) *pgproto.Error {
-	e, _ := a.Detail.(*pgproto.Error)
+	e := pgproto.AsError(a.EngineError)
 	switch {
 	case a.InDoubt && e == nil: // also when its time is over: a time-out would say that nothing was done
 		return inDoubt()
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -126,7 +126,7 @@
 			ending := tx.ending
 			k.close()
 			res, _ := a.Result.(*pgproto.Result)
-			switch e, _ := a.Detail.(*pgproto.Error); {
+			switch e := pgproto.AsError(a.EngineError); {
 			case a.Verdict == core.Served && res != nil:
 				said(res.Tag)
 			case e != nil: // rolled back, as its constraints want, say
@@ -272,7 +272,7 @@
 		}
 		tx.failed = true
 		k.rest()
-		e, _ := a.Detail.(*pgproto.Error)
+		e := pgproto.AsError(a.EngineError)
 		switch {
 		case e != nil:
 		case a.Verdict == core.Rejected:
@@ -319,7 +319,7 @@
 	if tx == nil || tx.request != r || tx.then == nil {
 		return
 	}
-	if a.Detail != nil {
+	if a.EngineError != nil {
 		a.Verdict = core.Failed
 	}
 	k.word(a)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -76,4 +76,6 @@
 	return f
 }
 
-func (d operations) Ban(engine string, out bool) error { return d.g.core.Ban(engine, out) }
+func (d operations) DisableEngine(id string) error { return d.g.core.DisableEngine(id) }
+
+func (d operations) EnableEngine(id string) error { return d.g.core.EnableEngine(id) }
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -25,7 +25,8 @@
 
 func (a asked) Ready() (bool, string)         { return true, "" }
 func (a asked) Figures() core.Figures         { return a.c.Figures() }
-func (a asked) Ban(id string, out bool) error { return a.c.Ban(id, out) }
+func (a asked) DisableEngine(id string) error { return a.c.DisableEngine(id) }
+func (a asked) EnableEngine(id string) error  { return a.c.EnableEngine(id) }
 
 // endpoint opens the control endpoint of a gateway.
 func (g *gateway) endpoint() string {
@@ -287,7 +288,7 @@
 	g.do(func() {
 		g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e1", State: policy.EngineLive}}})
 		before = g.core.BeginWrite(a)
-		_ = g.core.Ban("e1", true)
+		_ = g.core.DisableEngine("e1")
 		after = g.core.BeginWrite(a)
 	})
 	if !before || after {
--- a/internal/pgproto/pgproto.go
+++ b/internal/pgproto/pgproto.go
@@ -156,6 +156,15 @@
 
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
+// AsError finds the engine's error in the chain of err; nil: there is none.
+func AsError(err error) *Error {
+	var e *Error
+	if errors.As(err, &e) {
+		return e
+	}
+	return nil
+}
+
 // Body is the message's body.
 func (e *Error) Body() []byte {
 	if e.Raw != nil {
@@ -217,6 +226,12 @@
 // Setting is one setting of a client, as the SET that made it.
 type Setting struct{ Name, Text string }
 
+// SQL is the statement's text.
+func (s *Statement) SQL() string { return s.Query }
+
+// Size is the number of bytes of all rows.
+func (r *Result) Size() int { return len(r.Rows) }
+
 // Result is what an engine answered: the bodies of the messages as they came.
 type Result struct {
 	Params []byte // of ParameterDescription, where only a description was wanted
--- a/internal/queryshape/shape.go
+++ b/internal/queryshape/shape.go
@@ -93,6 +93,9 @@
 	Estimate  decide.Estimate
 }
 
+// Fingerprint identifies the shape of the query.
+func (x *Execution) Fingerprint() [2]uint64 { return x.statement.reading.Print }
+
 // Hint is what the client said of an execution; 0: nothing.
 type Hint struct{ Work, MemoryMB float64 }
 
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -23,12 +23,12 @@
 // from another gateway: it checks all that an engine or a client would rely on.
 type Codec interface {
 	Form() string
-	Statement(statement any) ([]byte, error)
-	ReadStatement(b []byte) (any, error)
-	Result(result any) ([]byte, error)
-	ReadResult(b []byte) (any, error)
-	Detail(detail any) []byte // nil: there is nothing to tell
-	ReadDetail(b []byte) (any, error)
+	Statement(statement core.Statement) ([]byte, error)
+	ReadStatement(b []byte) (core.Statement, error)
+	Result(result core.Result) ([]byte, error)
+	ReadResult(b []byte) (core.Result, error)
+	Detail(detail error) []byte // nil: there is nothing to tell
+	ReadDetail(b []byte) (detail, err error)
 }
 
 // Name is a gateway at another site.
@@ -220,24 +220,31 @@
 	return q
 }
 
-// Forward takes a request to another site where that is decided.
-func (s *Service) Forward(r *core.Request, turned bool) bool {
-	now := s.clock.Now()
-	if turned {
-		s.meter.RecordRejection(now, r.Class)
-	} else {
-		s.meter.RecordArrival(now, r.Class)
-		if r.MaxSends == 0 {
-			r.MaxSends = s.cfg.MaxAttempts
-		}
-		if s.tooLate(r) {
-			return true
-		}
+// ForwardOnArrival takes a request that has just come to another site, or settles it, where
+// that is decided.
+func (s *Service) ForwardOnArrival(r *core.Request) bool {
+	s.meter.RecordArrival(s.clock.Now(), r.Class)
+	if r.MaxSends == 0 {
+		r.MaxSends = s.cfg.MaxAttempts
+	}
+	if s.tooLate(r) {
+		return true
 	}
+	return s.forward(r, false)
+}
+
+// ForwardRejected takes a request that was rejected here to another site, where that is decided.
+func (s *Service) ForwardRejected(r *core.Request) bool {
+	s.meter.RecordRejection(s.clock.Now(), r.Class)
+	return s.forward(r, true)
+}
+
+func (s *Service) forward(r *core.Request, rejected bool) bool {
 	if r.FromOtherSite || r.Streaming || r.SerialKey != "" || len(s.peers) == 0 { // the turns of a key are this gateway's to keep
 		return false
 	}
-	q := s.query(r, turned)
+	now := s.clock.Now()
+	q := s.query(r, rejected)
 	choose := s.opts.Choose
 	if choose == nil {
 		choose = func(now time.Duration, q *decide.Query, room float64, peers []*decide.Peer) decide.Choice {
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -298,7 +298,7 @@
 	q := s.query(c.r, false)
 	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.r.Class)) {
 		s.stats.Add("site.hedged." + c.r.Class)
-		s.core.ReturnForwarded(c.r, true)
+		s.core.Hedge(c.r)
 	}
 }
 
@@ -335,12 +335,12 @@
 	switch decide.AfterFailure(s.cfg, &q, end) {
 	case decide.RunLocally:
 		s.stats.Add("site.run-here." + r.Class)
-		s.core.ReturnForwarded(r, false)
+		s.core.ReturnForwarded(r)
 	case decide.ReportRejected:
 		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Rejected, RetryAfter: a.RetryAfter})
 	default:
 		s.stats.Add("site.doubt." + r.Class)
-		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, Detail: a.Detail})
+		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, EngineError: a.EngineError})
 	}
 }
 
@@ -358,7 +358,7 @@
 	if err == nil && a.Verdict == 2 {
 		answer.Result, err = s.opts.Codec.ReadResult(body)
 	} else if err == nil && a.Detail {
-		answer.Detail, err = s.opts.Codec.ReadDetail(body)
+		answer.EngineError, err = s.opts.Codec.ReadDetail(body)
 	}
 	switch {
 	case err != nil: // it ran, and nothing spoilt is passed on
@@ -401,7 +401,7 @@
 		l.answer(stream, message.Answer{Verdict: uint8(core.Rejected)}, nil)
 	}
 	raw, err := s.packer.Unpack(statement, a.Raw)
-	var read any
+	var read core.Statement
 	if err == nil {
 		read, err = s.opts.Codec.ReadStatement(raw)
 	}
@@ -463,8 +463,8 @@
 			s.stats.Add("site.unwritable")
 			h.Verdict, body = uint8(core.Failed), nil
 		}
-	} else if a.Detail != nil {
-		body = s.opts.Codec.Detail(a.Detail)
+	} else if a.EngineError != nil {
+		body = s.opts.Codec.Detail(a.EngineError)
 		h.Detail = len(body) > 0
 	}
 	if l.packs {
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -107,7 +107,7 @@
 	large := strings.Repeat("a line of rows\n", 100_000)
 	for id, text := range map[string]string{"small": "SELECT 1", "large": large} {
 		_, got := a.ask("lookup", id, text, "", 3*time.Second)
-		if r := want(t, got, core.Served).Result.([]byte); string(r) != "rows of "+text {
+		if r := want(t, got, core.Served).Result.(sitelink.Text); string(r) != "rows of "+text {
 			t.Errorf("%s: %d bytes came back", id, len(r))
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 	})
 	a.must(a.Count("site.links", 2))
-	b.Now(func() { b.Core.EndAttempt(out, core.OutcomeServed, core.Report{Result: []byte("rows")}) })
+	b.Now(func() { b.Core.EndAttempt(out, core.OutcomeServed, core.Report{Result: sitelink.Text("rows")}) })
 	want(t, got, core.Served)
 	b.hold(false)
 	_, got = a.ask("lookup", "next", "SELECT 1", "", 3*time.Second)
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -116,6 +116,9 @@
 	}
 }
 
+// Owner is the attempt.
+func (r *running) Owner() *core.Attempt { return r.a }
+
 func (r *running) end(end core.Outcome, rep core.Report) {
 	if r.g.lives == r.life {
 		r.g.do(func() { r.g.core.EndAttempt(r.a, end, rep) })
@@ -142,7 +145,7 @@
 // Send begins an attempt.
 func (l *links) Send(a *core.Attempt) {
 	e := l.engine(a.Engine)
-	r := &running{a: a, g: l.g, life: l.life, e: e, mark: a.Request.Statement.(string)}
+	r := &running{a: a, g: l.g, life: l.life, e: e, mark: a.Request.Statement.SQL()}
 	a.LinkState = r
 	w := l.g.w
 	w.after(lan, func() {
@@ -163,7 +166,7 @@
 func (e *engine) take(r *running) {
 	w := e.w
 	if !w.ledger.begin(w, r) { // a repeat of a key
-		w.after(lan, func() { r.end(core.OutcomeServed, core.Report{Result: r.mark}) })
+		w.after(lan, func() { r.end(core.OutcomeServed, core.Report{Result: mark(r.mark)}) })
 		return
 	}
 	e.last++
@@ -202,7 +205,7 @@
 			delete(e.out, d.ID)
 			e.w.spent(r, !r.a.Ended() && !r.g.dead)
 			load := e.model.Load()
-			rep := core.Report{Result: r.mark, Load: policy.Load{Told: true, Busy: load.Util, Held: -1, Waiting: float64(load.Waiting), Memory: load.Memory, Disks: load.Disks}}
+			rep := core.Report{Result: mark(r.mark), Load: policy.Load{Told: true, Busy: load.Util, Held: -1, Waiting: float64(load.Waiting), Memory: load.Memory, Disks: load.Disks}}
 			e.w.after(lan, func() { r.end(core.OutcomeServed, rep) })
 		}
 		e.arm()
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -317,11 +317,18 @@
 	cost func(began time.Time)
 }
 
-func (t *timed) Forward(r *core.Request, turned bool) bool {
+func (t *timed) ForwardOnArrival(r *core.Request) bool {
 	if t.cost != nil {
 		defer t.cost(time.Now())
 	}
-	return t.RemoteSites.Forward(r, turned)
+	return t.RemoteSites.ForwardOnArrival(r)
+}
+
+func (t *timed) ForwardRejected(r *core.Request) bool {
+	if t.cost != nil {
+		defer t.cost(time.Now())
+	}
+	return t.RemoteSites.ForwardRejected(r)
 }
 
 // event has something happen.
--- a/internal/testbed/simulation/fleet_test.go
+++ b/internal/testbed/simulation/fleet_test.go
@@ -141,7 +141,7 @@
 				g := w.sites[site].gateways[0]
 				w.ledger.tries["k-0-1"]++
 				g.do(func() {
-					g.core.Accept(&core.Request{ID: name, Class: "load", IdempotencyKey: "k-0-1", Statement: "k-0-1", Deadline: g.Now() + 6*time.Second, Client: told{w, name, &got}})
+					g.core.Accept(&core.Request{ID: name, Class: "load", IdempotencyKey: "k-0-1", Statement: mark("k-0-1"), Deadline: g.Now() + 6*time.Second, Client: told{w, name, &got}})
 				})
 			}
 			at(3*time.Second, func() { ask("first", 0) })
--- a/internal/testbed/simulation/wan.go
+++ b/internal/testbed/simulation/wan.go
@@ -5,30 +5,40 @@
 	"fmt"
 	"time"
 
+	"gannetspur/internal/core"
 	"gannetspur/internal/site/forwarding"
 )
 
+// mark stands for a statement, and for the rows of its answer.
+type mark string
+
+// SQL is the mark.
+func (m mark) SQL() string { return string(m) }
+
+// Size is the length of the mark.
+func (m mark) Size() int { return len(m) }
+
 // codec carries marks in place of statements and rows. An answer has some bytes, as rows would.
 type codec struct{}
 
 // rowBytes is the length of an answer's rows by the kind of its request.
 var rowBytes = map[byte]int{'q': 400, 'r': 20_000, 'k': 50, 'w': 50}
 
-func (codec) Form() string                        { return "marks" }
-func (codec) Statement(s any) ([]byte, error)     { return []byte(s.(string)), nil }
-func (codec) ReadStatement(b []byte) (any, error) { return string(b), nil }
-func (codec) Detail(any) []byte                   { return nil }
-func (codec) ReadDetail([]byte) (any, error)      { return nil, errors.New("none") }
-func (codec) Result(r any) ([]byte, error) {
-	mark := r.(string)
-	b := make([]byte, max(rowBytes[mark[0]], len(mark)+1))
-	copy(b, mark)
+func (codec) Form() string                                   { return "marks" }
+func (codec) Statement(s core.Statement) ([]byte, error)     { return []byte(s.SQL()), nil }
+func (codec) ReadStatement(b []byte) (core.Statement, error) { return mark(b), nil }
+func (codec) Detail(error) []byte                            { return nil }
+func (codec) ReadDetail([]byte) (detail, err error)          { return nil, errors.New("none") }
+func (codec) Result(r core.Result) ([]byte, error) {
+	text := string(r.(mark))
+	b := make([]byte, max(rowBytes[text[0]], len(text)+1))
+	copy(b, text)
 	return b, nil
 }
-func (codec) ReadResult(b []byte) (any, error) {
+func (codec) ReadResult(b []byte) (core.Result, error) {
 	for i, c := range b {
 		if c == 0 {
-			return string(b[:i]), nil
+			return mark(b[:i]), nil
 		}
 	}
 	return nil, errors.New("no mark")
--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -74,7 +74,7 @@
 func (c *closed) ask() {
 	c.seq++
 	r := &core.Request{
-		ID: fmt.Sprint(c.seq), Class: "lookup", Statement: c.statement, Work: time.Millisecond, Client: &call{c, time.Now()},
+		ID: fmt.Sprint(c.seq), Class: "lookup", Statement: Text(c.statement), Work: time.Millisecond, Client: &call{c, time.Now()},
 		Deadline: c.node.Loop.Now() + 5*time.Second,
 	}
 	c.node.Core.Accept(r)
@@ -240,7 +240,7 @@
 		near.Now(func() {
 			for j := range min(500, n-i) {
 				near.Core.Accept(&core.Request{
-					ID: fmt.Sprint(i + j), Class: "report", Statement: bytes.Clone(statement), Work: time.Millisecond, Client: got,
+					ID: fmt.Sprint(i + j), Class: "report", Statement: Text(bytes.Clone(statement)), Work: time.Millisecond, Client: got,
 					Deadline: near.Loop.Now() + 20*time.Second,
 				})
 			}
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -21,6 +21,15 @@
 	"gannetspur/policy"
 )
 
+// Text stands for a statement, or for the rows of an answer.
+type Text []byte
+
+// SQL is the text.
+func (t Text) SQL() string { return string(t) }
+
+// Size is the length of the text.
+func (t Text) Size() int { return len(t) }
+
 // Texts carries bytes as statements and rows.
 type Texts struct{}
 
@@ -28,12 +37,12 @@
 func (Texts) Form() string { return "texts" }
 
 // The rest of crossing.Codec.
-func (Texts) Statement(s any) ([]byte, error)     { return s.([]byte), nil }
-func (Texts) Result(s any) ([]byte, error)        { return s.([]byte), nil }
-func (Texts) ReadStatement(b []byte) (any, error) { return b, nil }
-func (Texts) ReadResult(b []byte) (any, error)    { return b, nil }
-func (Texts) Detail(any) []byte                   { return nil }
-func (Texts) ReadDetail([]byte) (any, error)      { return nil, errors.New("there is none") }
+func (Texts) Statement(s core.Statement) ([]byte, error)     { return s.(Text), nil }
+func (Texts) Result(r core.Result) ([]byte, error)           { return r.(Text), nil }
+func (Texts) ReadStatement(b []byte) (core.Statement, error) { return Text(b), nil }
+func (Texts) ReadResult(b []byte) (core.Result, error)       { return Text(b), nil }
+func (Texts) Detail(error) []byte                            { return nil }
+func (Texts) ReadDetail([]byte) (detail, err error)          { return nil, errors.New("there is none") }
 
 // The two gateways. The near one dials.
 var (
@@ -88,7 +97,7 @@
 		}
 		return
 	}
-	rows := n.Answer(a.Request.Statement.([]byte))
+	rows := Text(n.Answer(a.Request.Statement.(Text)))
 	n.Loop.Post(func() { n.Core.EndAttempt(a, core.OutcomeServed, core.Report{Result: rows, Work: time.Millisecond}) })
 }
 
@@ -153,7 +162,7 @@
 // Ask puts a request to the node.
 func (n *Node) Ask(class, id string, statement []byte, key string, within time.Duration) (*core.Request, Answers) {
 	got := make(Answers, 2)
-	r := &core.Request{ID: id, Class: class, Statement: statement, IdempotencyKey: key, Client: got, Work: time.Millisecond}
+	r := &core.Request{ID: id, Class: class, Statement: Text(statement), IdempotencyKey: key, Client: got, Work: time.Millisecond}
 	n.Now(func() {
 		r.Deadline = n.Loop.Now() + within
 		n.Core.Accept(r)
