--- a/cmd/gateway/shapes.go
+++ b/cmd/gateway/shapes.go
@@ -34,7 +34,7 @@
 func (c *explainCommand) Run() error {
 	cfg := decide.Config{}
 	for i, bound := range c.Bounds {
-		cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", i), UpTo: bound})
+		cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMS: bound})
 	}
 	cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))})
 	opts := queryshape.Options{Decide: cfg, Bytes: 64 << 20}
@@ -77,7 +77,7 @@
 	x := book.Estimate(s, &binds, c.Known, queryshape.Hint{Work: c.Hint})
 	e := x.Estimate
 	if e.Known {
-		fmt.Fprintf(w, "expected\t%.4g ms, nine tenths under %.4g ms\n", e.Work, e.Work*e.Spread)
+		fmt.Fprintf(w, "expected\t%.4g ms, nine tenths under %.4g ms\n", e.Work, e.Work*e.P90Factor)
 		if e.MemoryMB > 0 {
 			fmt.Fprintf(w, "memory\t%.3g MB\n", e.MemoryMB)
 		}
@@ -85,7 +85,7 @@
 			fmt.Fprintf(w, "class\t%s\n", cfg.Classes[e.Class].Name)
 		}
 	}
-	fmt.Fprintf(w, "why\t%s\n", e.Why())
+	fmt.Fprintf(w, "why\t%s\n", e.Explain())
 	return w.Flush()
 }
 
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	all := func(s *queryshape.Saved) float64 { return float64(s.Entry.Seen) * cost(s) }
+	all := func(s *queryshape.Saved) float64 { return float64(s.Entry.Executions) * cost(s) }
 	slices.SortStableFunc(snap.Shapes, func(a, b queryshape.Saved) int { return compare(all(&b), all(&a)) })
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "seen\twork ms\tprofiles\tshape\n")
@@ -146,21 +146,21 @@
 		s := &snap.Shapes[i]
 		n := 0
 		for _, b := range s.Entry.Buckets {
-			if b.Work.N > 0 {
+			if b.Work.Samples > 0 {
 				n++
 			}
 		}
-		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", s.Entry.Seen, cost(s), n, short(s.Norm))
+		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", s.Entry.Executions, cost(s), n, short(s.Norm))
 	}
 	fmt.Fprintf(w, "\n%d shapes\t\t\t%d more were too long to keep\n", len(snap.Shapes), snap.Cut)
 	return w.Flush()
 }
 
 func cost(s *queryshape.Saved) float64 {
-	if s.Entry.All.N == 0 {
+	if s.Entry.Work.Samples == 0 {
 		return 0
 	}
-	return math.Exp2(float64(s.Entry.All.Mid))
+	return math.Exp2(float64(s.Entry.Work.Center))
 }
 
 func compare(a, b float64) int {
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -99,7 +99,7 @@
 func (s *Shapes) Decide() decide.Config {
 	cfg := decide.Config{Hysteresis: s.Hysteresis}
 	for _, c := range s.Classes {
-		cfg.Classes = append(cfg.Classes, decide.Class{Name: c.Name, UpTo: c.UpToMS})
+		cfg.Classes = append(cfg.Classes, decide.Class{Name: c.Name, MaxWorkMS: c.UpToMS})
 	}
 	return cfg
 }
--- a/internal/decide/costmodel/prior.go
+++ b/internal/decide/costmodel/prior.go
@@ -7,20 +7,20 @@
 )
 
 // dims is the number of features of the prior.
-const dims = 29
+const featureCount = 29
 
-type vector [dims]float64
+type featureVector [featureCount]float64
 
 // features turns what a statement and its values show into a vector. class is the
 // place of the class that is already known, or -1.
-func features(f *sqltext.Features, p *sqltext.Profile, class int) (x vector) {
+func newFeatureVector(f *sqltext.Features, p *sqltext.Profile, class int) (x featureVector) {
 	flag := func(b bool) float64 {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	x = vector{
+	x = featureVector{
 		1, math.Log2(1 + float64(f.Tables)), float64(min(f.Joins, 6)), math.Log2(1 + float64(f.Aggregates)),
 		flag(f.Windows > 0), flag(f.Groups > 0), flag(f.Sorts > 0), flag(f.Distincts > 0),
 		math.Log2(1 + float64(max(f.Selects-1, 0))), flag(f.Verb == 'i'), flag(f.Verb != 'i' && f.Verb != 's'), flag(f.Where), flag(f.Limited),
@@ -41,67 +41,67 @@
 // prior predicts the cost of shapes never seen from their features: recursive least
 // squares with forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with
 // errors clipped so that one voice moves little.
-type prior struct {
-	W     vector              `cbor:"W"`
-	P     [dims][dims]float64 `cbor:"P"`
-	N     int                 `cbor:"N"`
-	Track Track               `cbor:"Track"` // of its own errors
+type priorModel struct {
+	Weights    featureVector                       `cbor:"W"`
+	Covariance [featureCount][featureCount]float64 `cbor:"P"`
+	Samples    int                                 `cbor:"N"`
+	Error      LogTracker                          `cbor:"Track"` // of its own errors
 }
 
 const (
-	priorForget = 0.9995
-	priorRidge  = 0.05
-	priorClip   = 3
-	priorWarm   = 30 // values before it has a say
-	traceMost   = 1e4
+	priorForgetting    = 0.9995
+	priorRidge         = 0.05
+	maxPriorError      = 3
+	minPriorSamples    = 30 // values before it has a say
+	maxCovarianceTrace = 1e4
 )
 
-func newPrior() *prior {
-	r := &prior{}
-	for i := range dims {
-		r.P[i][i] = 1 / priorRidge
+func newPriorModel() *priorModel {
+	r := &priorModel{}
+	for i := range featureCount {
+		r.Covariance[i][i] = 1 / priorRidge
 	}
 	return r
 }
 
-func (r *prior) ready() bool { return r.N >= priorWarm }
+func (r *priorModel) ready() bool { return r.Samples >= minPriorSamples }
 
-func (r *prior) predict(x *vector) (y float64) {
+func (r *priorModel) predict(x *featureVector) (y float64) {
 	for i := range x {
-		y += r.W[i] * x[i]
+		y += r.Weights[i] * x[i]
 	}
 	return y
 }
 
-func (r *prior) learn(x *vector, y float64, forget bool) {
+func (r *priorModel) learn(x *featureVector, y float64, forget bool) {
 	e := y - r.predict(x)
-	if r.N > 0 {
-		r.Track.Add(e, forget)
+	if r.Samples > 0 {
+		r.Error.Add(e, forget)
 	}
 	if r.ready() {
-		e = max(min(e, priorClip), -priorClip)
+		e = max(min(e, maxPriorError), -maxPriorError)
 	}
-	r.N++
+	r.Samples++
 	lambda := 1.0
 	if forget {
-		lambda = priorForget
+		lambda = priorForgetting
 	}
-	var px vector
+	var px featureVector
 	s, trace := lambda, 0.0
-	for i := range dims {
-		for j := range dims {
-			px[i] += r.P[i][j] * x[j]
+	for i := range featureCount {
+		for j := range featureCount {
+			px[i] += r.Covariance[i][j] * x[j]
 		}
 		s += px[i] * x[i]
-		trace += r.P[i][i]
+		trace += r.Covariance[i][i]
 	}
-	if trace > traceMost { // Guards against wind-up: forgetting what no traffic shows any more.
+	if trace > maxCovarianceTrace { // Guards against wind-up: forgetting what no traffic shows any more.
 		lambda = 1
 	}
-	for i := range dims {
-		r.W[i] += px[i] / s * e
-		for j := range dims {
-			r.P[i][j] = (r.P[i][j] - px[i]*px[j]/s) / lambda
+	for i := range featureCount {
+		r.Weights[i] += px[i] / s * e
+		for j := range featureCount {
+			r.Covariance[i][j] = (r.Covariance[i][j] - px[i]*px[j]/s) / lambda
 		}
 	}
 }
--- a/internal/decide/costmodel/replay_test.go
+++ b/internal/decide/costmodel/replay_test.go
@@ -38,7 +38,7 @@
 	want := replayDigests(t)
 	for name, cfg := range map[string]Config{
 		"default":       {Classes: classes()},
-		"three-classes": {Classes: []Class{{Name: "a", UpTo: 50}, {Name: "b", UpTo: 500}, {Name: "c"}}, Hysteresis: 2},
+		"three-classes": {Classes: []Class{{Name: "a", MaxWorkMS: 50}, {Name: "b", MaxWorkMS: 500}, {Name: "c"}}, Hysteresis: 2},
 		"no-classes":    {},
 		"no-parameters": {Classes: classes(), NoParameters: true},
 		"no-prior":      {Classes: classes(), NoPrior: true},
@@ -60,7 +60,7 @@
 	const shapes, executions = 40, 6000
 	m := New(cfg)
 	rng := rand.New(rand.NewPCG(11, 12))
-	entries := make([]Entry, shapes)
+	entries := make([]ShapeRecord, shapes)
 	statements := make([]sqltext.Features, shapes)
 	for i := range statements {
 		statements[i] = sqltext.Features{
@@ -79,9 +79,9 @@
 		if rng.IntN(3) == 0 {
 			profile.Key = 7
 		}
-		q := Query{Features: &statements[shape], Profile: profile, Known: rng.IntN(7) - 1}
+		q := Query{Features: &statements[shape], Profile: profile, KnownClass: rng.IntN(7) - 1}
 		if rng.IntN(10) > 0 {
-			q.Entry = &entries[shape]
+			q.Record = &entries[shape]
 		}
 		work := math.Exp2(4+float64(shape)/6) * (1 + float64(profile.Alternatives)/100) * math.Exp(0.3*rng.NormFloat64())
 		if profile.Key == 7 {
@@ -91,10 +91,10 @@
 			work *= 12
 		}
 		if rng.IntN(2) == 0 {
-			q.Hint = work * (0.2 + rng.Float64()*0.2)
-			q.HintMB = 20 * rng.Float64()
+			q.WorkHint = work * (0.2 + rng.Float64()*0.2)
+			q.MemoryHint = 20 * rng.Float64()
 		}
-		truth := Truth{Work: work, MemoryMB: 30 * rng.Float64(), AtLeast: rng.IntN(15) == 0}
+		truth := Outcome{Work: work, MemoryMB: 30 * rng.Float64(), LowerBound: rng.IntN(15) == 0}
 		switch rng.IntN(200) {
 		case 0:
 			truth.Work = math.NaN()
@@ -103,7 +103,7 @@
 		case 2:
 			truth.MemoryMB = -1
 		case 3:
-			q.Hint = math.Inf(1)
+			q.WorkHint = math.Inf(1)
 		}
 		if rng.IntN(5) > 0 {
 			writeEstimate(w, m.Estimate(&q))
@@ -119,14 +119,14 @@
 		}
 	}
 	for i := range entries {
-		fmt.Fprintf(w, "entry %d: %d seen, valid %t\n", i, entries[i].Seen, entries[i].Check() == nil)
+		fmt.Fprintf(w, "entry %d: %d seen, valid %t\n", i, entries[i].Executions, entries[i].Validate() == nil)
 	}
 }
 
 func writeEstimate(w io.Writer, e Estimate) {
-	fmt.Fprintf(w, "%t %.12g %.12g %.12g %d", e.Known, e.Work, e.Spread, e.MemoryMB, e.Class)
-	for _, v := range []Voice{e.Record, e.Like, e.Prior, e.Hint, e.Key} {
-		fmt.Fprintf(w, " %.12g/%.12g/%.12g/%.12g", v.Mid, v.Dev, v.N, v.Weight)
+	fmt.Fprintf(w, "%t %.12g %.12g %.12g %d", e.Known, e.Work, e.P90Factor, e.MemoryMB, e.Class)
+	for _, v := range []Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
+		fmt.Fprintf(w, " %.12g/%.12g/%.12g/%.12g", v.Center, v.Deviation, v.Samples, v.Weight)
 	}
 	fmt.Fprintln(w)
 }
--- a/internal/decide/costmodel/shape_test.go
+++ b/internal/decide/costmodel/shape_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func classes() []Class { return []Class{{Name: "lookup", UpTo: 800}, {Name: "report"}} }
+func classes() []Class { return []Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}} }
 
 // one runs executions of one shape and profile past a model.
 type one struct {
@@ -19,13 +19,13 @@
 }
 
 func newOne(cfg Config) *one {
-	return &one{m: New(cfg), q: Query{Entry: &Entry{}, Features: &sqltext.Features{Verb: 's', Tables: 1, Where: true}, Known: -1}}
+	return &one{m: New(cfg), q: Query{Record: &ShapeRecord{}, Features: &sqltext.Features{Verb: 's', Tables: 1, Where: true}, KnownClass: -1}}
 }
 
 func (o *one) learn(n int, work float64) {
 	for range n {
 		q := o.q
-		o.m.Learn(&q, Truth{Work: work, MemoryMB: 10})
+		o.m.Learn(&q, Outcome{Work: work, MemoryMB: 10})
 	}
 }
 
@@ -42,17 +42,17 @@
 		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)}))
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			q := o.q
-			q.Hint = figure.Draw(t, "hint")
+			q.WorkHint = figure.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"), Span: rapid.Float64Range(0, 1e12).Draw(t, "span"),
 				Limit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
 			}
-			truth := Truth{Work: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), AtLeast: rapid.Bool().Draw(t, "at least")}
-			before := *o.q.Entry
+			truth := Outcome{Work: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), LowerBound: rapid.Bool().Draw(t, "at least")}
+			before := *o.q.Record
 			o.m.Learn(&q, truth)
-			if !(truth.Work >= leastWork && truth.Work <= mostWork) {
-				before.Seen++
-				if before != *o.q.Entry {
+			if !(truth.Work >= minWorkMS && truth.Work <= maxWorkMS) {
+				before.Executions++
+				if before != *o.q.Record {
 					t.Fatalf("a cost of %g was learned", truth.Work)
 				}
 			}
@@ -60,14 +60,14 @@
 			if !e.Known {
 				continue
 			}
-			if !(e.Work >= leastWork*0.99 && e.Work <= mostWork*1.01) || !(e.Spread >= 1) || math.IsInf(e.Spread, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
+			if !(e.Work >= minWorkMS*0.99 && e.Work <= maxWorkMS*1.01) || !(e.P90Factor >= 1) || math.IsInf(e.P90Factor, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
 				t.Fatalf("estimate %+v", e)
 			}
-			if e.Class < 0 || e.Class > 1 || e.Why() == "" {
-				t.Fatalf("class %d, why %q", e.Class, e.Why())
+			if e.Class < 0 || e.Class > 1 || e.Explain() == "" {
+				t.Fatalf("class %d, why %q", e.Class, e.Explain())
 			}
 		}
-		if err := o.q.Entry.Check(); err != nil {
+		if err := o.q.Record.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Restore(Config{}, o.m.State()); err != nil {
@@ -83,11 +83,11 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 500 {
 			q := o.q
-			q.Profile.Key, q.Hint = rng.Uint64N(50), 100*rng.Float64()
-			o.m.Learn(&q, Truth{Work: 100 + 900*rng.Float64(), MemoryMB: 5})
+			q.Profile.Key, q.WorkHint = rng.Uint64N(50), 100*rng.Float64()
+			o.m.Learn(&q, Outcome{Work: 100 + 900*rng.Float64(), MemoryMB: 5})
 		}
 		q := o.q
-		q.Hint = 70
+		q.WorkHint = 70
 		return o.m.Estimate(&q)
 	}
 	if a, b := run(), run(); a != b {
@@ -128,11 +128,11 @@
 	f := &sqltext.Features{Verb: 's', Tables: 1}
 	for range 300 {
 		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint knows of it
-		m.Learn(&Query{Features: f, Known: 0, Hint: work / 10}, Truth{Work: work})
+		m.Learn(&Query{Features: f, KnownClass: 0, WorkHint: work / 10}, Outcome{Work: work})
 	}
-	e := m.Estimate(&Query{Features: f, Known: 0, Hint: 50})
+	e := m.Estimate(&Query{Features: f, KnownClass: 0, WorkHint: 50})
 	if e.Work < 350 || e.Work > 700 {
-		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.Work, e.Why())
+		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.Work, e.Explain())
 	}
 }
 
@@ -166,14 +166,14 @@
 	o.learn(30, 200)
 	for range 20 {
 		q := o.q
-		o.m.Learn(&q, Truth{Work: 100, AtLeast: true})
+		o.m.Learn(&q, Outcome{Work: 100, LowerBound: true})
 	}
 	if got := o.work(); got < 150 {
 		t.Errorf("%.0f ms after bounds below the cost", got)
 	}
 	for range 30 {
 		q := o.q
-		o.m.Learn(&q, Truth{Work: 6000, AtLeast: true})
+		o.m.Learn(&q, Outcome{Work: 6000, LowerBound: true})
 	}
 	if got := o.work(); got < 2000 {
 		t.Errorf("%.0f ms after 30 executions were given up at 6000", got)
@@ -190,15 +190,15 @@
 		if i%20 == 0 {
 			q.Profile.Key, work = 42, 1500
 		}
-		o.m.Learn(&q, Truth{Work: work})
+		o.m.Learn(&q, Outcome{Work: work})
 	}
 	q := o.q
 	q.Profile.Key = 42
 	if e := o.m.Estimate(&q); e.Work < 900 {
-		t.Errorf("%.0f ms for the heavy value: %s", e.Work, e.Why())
+		t.Errorf("%.0f ms for the heavy value: %s", e.Work, e.Explain())
 	}
 	q.Profile.Key = 7
 	if e := o.m.Estimate(&q); e.Work > 300 {
-		t.Errorf("%.0f ms for another: %s", e.Work, e.Why())
+		t.Errorf("%.0f ms for another: %s", e.Work, e.Explain())
 	}
 }
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -16,7 +16,7 @@
 func withShapes(t *testing.T, g *gateway, set queryshape.Settings) *queryshape.Service {
 	t.Helper()
 	set.Bytes = 256 << 10
-	set.Decide = decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 60}, {Name: "report"}}}
+	set.Decide = decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 60}, {Name: "report"}}}
 	s, err := queryshape.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 	for g.count("shapes.snapshots") == 0 {
 	}
 	snap, err := queryshape.ReadSnapshot(path)
-	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Entry.Seen != 5 {
+	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Entry.Executions != 5 {
 		t.Errorf("%+v, %v", snap, err)
 	}
 }
--- a/internal/queryshape/cache.go
+++ b/internal/queryshape/cache.go
@@ -15,7 +15,7 @@
 
 // Kept is what the cache holds of one shape.
 type Kept struct {
-	decide.Entry
+	decide.ShapeRecord
 	Norm string // its normal form, or the first MostNorm bytes of it
 	Cut  bool   // the form is longer: it can't be found again after a restart
 }
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -34,7 +34,7 @@
 }
 
 func fixtureOptions() Options {
-	return Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 800}, {Name: "report"}}}, Bytes: 256 << 10}
+	return Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10}
 }
 
 func readFixture(t *testing.T, path string) []byte {
@@ -113,9 +113,9 @@
 		for _, hint := range []Hint{{}, {Work: 90, MemoryMB: 3}} {
 			for known := -1; known < 2; known++ {
 				e := b.Estimate(b.Read(text), nil, known, hint).Estimate
-				fmt.Fprintf(w, "%d %g %d: %t %.9g ms, spread %.9g, %.9g MB, class %d;", i, hint.Work, known, e.Known, e.Work, e.Spread, e.MemoryMB, e.Class)
-				for _, v := range []decide.Voice{e.Record, e.Like, e.Prior, e.Hint, e.Key} {
-					fmt.Fprintf(w, " %.9g/%.9g/%.9g/%.9g", v.Mid, v.Dev, v.N, v.Weight)
+				fmt.Fprintf(w, "%d %g %d: %t %.9g ms, spread %.9g, %.9g MB, class %d;", i, hint.Work, known, e.Known, e.Work, e.P90Factor, e.MemoryMB, e.Class)
+				for _, v := range []decide.Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
+					fmt.Fprintf(w, " %.9g/%.9g/%.9g/%.9g", v.Center, v.Deviation, v.Samples, v.Weight)
 				}
 				fmt.Fprintln(w)
 			}
@@ -127,57 +127,57 @@
 func writeSnapshot(w io.Writer, s *Snapshot) {
 	fmt.Fprintf(w, "1 %d\n2 %d\n5 %d\n", s.Layout, s.Keys, s.Cut)
 	prior := &s.Model.Prior
-	fmt.Fprintf(w, "Prior.N %d\n", prior.N)
-	writeTrack(w, "Prior.Track", prior.Track)
-	for i := range prior.W {
-		fmt.Fprintf(w, "Prior.W %d %x\n", i, prior.W[i])
-		for j := range prior.P[i] {
-			fmt.Fprintf(w, "Prior.P %d %d %x\n", i, j, prior.P[i][j])
+	fmt.Fprintf(w, "Prior.N %d\n", prior.Samples)
+	writeTrack(w, "Prior.Track", prior.Error)
+	for i := range prior.Weights {
+		fmt.Fprintf(w, "Prior.W %d %x\n", i, prior.Weights[i])
+		for j := range prior.Covariance[i] {
+			fmt.Fprintf(w, "Prior.P %d %d %x\n", i, j, prior.Covariance[i][j])
 		}
 	}
-	state := &s.Model.Common
-	for i := range state.All {
+	state := &s.Model.Shared
+	for i := range state.ClassErrors {
 		fmt.Fprintf(w, "Common.All %d\n", i)
-		writeTrack(w, "Hint", state.All[i].Hint)
-		writeTrack(w, "HintMB", state.All[i].HintMB)
-		writeTrack(w, "Memory", state.All[i].Memory)
+		writeTrack(w, "Hint", state.ClassErrors[i].HintError)
+		writeTrack(w, "HintMB", state.ClassErrors[i].MemoryHintError)
+		writeTrack(w, "Memory", state.ClassErrors[i].Memory)
 	}
-	for i := range state.Fresh {
+	for i := range state.NovelValueErrors {
 		fmt.Fprintf(w, "Common.Fresh %d\n", i)
-		writeTrack(w, "Prior", state.Fresh[i].Prior)
-		writeTrack(w, "Hint", state.Fresh[i].Hint)
+		writeTrack(w, "Prior", state.NovelValueErrors[i].PriorError)
+		writeTrack(w, "Hint", state.NovelValueErrors[i].HintError)
 	}
-	for i := range state.Heavy.Sets {
-		for j := range state.Heavy.Sets[i] {
-			k, l := &state.Heavy.Sets[i][j], &state.Like.Sets[i][j]
+	for i := range state.FrequentValues.Sets {
+		for j := range state.FrequentValues.Sets[i] {
+			k, l := &state.FrequentValues.Sets[i][j], &state.SimilarValues.Sets[i][j]
 			fmt.Fprintf(w, "Common.Heavy %d %d %d %d\n", i, j, k.Key, k.Count)
 			writeTrack(w, "Offset", k.Offset)
-			writeTrack(w, "Prior", k.Prior)
-			writeTrack(w, "Hint", k.Hint)
+			writeTrack(w, "Prior", k.PriorError)
+			writeTrack(w, "Hint", k.HintError)
 			fmt.Fprintf(w, "Common.Like %d %d %d %d\n", i, j, l.Key, l.Count)
 			writeTrack(w, "Offset", l.Offset)
-			writeTrack(w, "Prior", l.Prior)
-			writeTrack(w, "Hint", l.Hint)
+			writeTrack(w, "Prior", l.PriorError)
+			writeTrack(w, "Hint", l.HintError)
 		}
 	}
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
 		e := &saved.Entry
-		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.Norm, e.Seen)
-		writeTrack(w, "All", e.All)
-		writeTrack(w, "Offset", e.Offset)
-		writeTrack(w, "Usual", e.Usual)
-		writeTrack(w, "Hint", e.Hint)
-		writeTrack(w, "Memory", e.Memory)
+		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.Norm, e.Executions)
+		writeTrack(w, "All", e.Work)
+		writeTrack(w, "Offset", e.PriorError)
+		writeTrack(w, "Usual", e.PriorPrediction)
+		writeTrack(w, "Hint", e.HintError)
+		writeTrack(w, "Memory", e.MemoryHintError)
 		for j := range e.Buckets {
 			b := &e.Buckets[j]
-			fmt.Fprintf(w, "Buckets %d: Key %d Used %d Class %d\n", j, b.Key, b.Used, b.Class)
+			fmt.Fprintf(w, "Buckets %d: Key %d Used %d Class %d\n", j, b.Key, b.LastUsed, b.HeldClass)
 			writeTrack(w, "Work", b.Work)
 			writeTrack(w, "Memory", b.Memory)
 		}
 	}
 }
 
-func writeTrack(w io.Writer, name string, t decide.Track) {
-	fmt.Fprintf(w, "%s %x %x %x %d\n", name, t.Mid, t.Dev, t.N, t.Run)
+func writeTrack(w io.Writer, name string, t decide.LogTracker) {
+	fmt.Fprintf(w, "%s %x %x %x %d\n", name, t.Center, t.Deviation, t.Samples, t.SameSideRun)
 }
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -239,17 +239,17 @@
 
 // AttemptServed learns what a request has cost. It is the core's Learner.
 func (s *Service) AttemptServed(r *core.Request, rep core.Report, elapsed time.Duration) {
-	s.learn(r, decide.Truth{Work: told(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
+	s.learn(r, decide.Outcome{Work: told(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
 }
 
 // AttemptTimedOut learns that a request would have cost more than it was let have.
 func (s *Service) AttemptTimedOut(r *core.Request, elapsed time.Duration) {
 	if !s.set.WorkTold { // on a crowded engine a time says little of the work
-		s.learn(r, decide.Truth{Work: told(0, elapsed), AtLeast: true})
+		s.learn(r, decide.Outcome{Work: told(0, elapsed), LowerBound: true})
 	}
 }
 
-func (s *Service) learn(r *core.Request, t decide.Truth) {
+func (s *Service) learn(r *core.Request, t decide.Outcome) {
 	if x, ok := r.CostContext.(*Execution); ok {
 		s.book.Learn(x, t)
 	}
--- a/internal/queryshape/shape.go
+++ b/internal/queryshape/shape.go
@@ -111,11 +111,11 @@
 	x.statement = s
 	x.query = decide.Query{
 		Features: &s.reading.Features, Profile: s.reading.Profile(s.text, binds, b.keys),
-		Known: known, Hint: hint.Work, HintMB: hint.MemoryMB,
+		KnownClass: known, WorkHint: hint.Work, MemoryHint: hint.MemoryMB,
 	}
 	if x.kept = b.cache.Get(s.reading.Print); x.kept != nil {
 		b.Stats.Hits++
-		x.query.Entry = &x.kept.Entry
+		x.query.Record = &x.kept.ShapeRecord
 	} else {
 		b.Stats.Misses++
 	}
@@ -126,7 +126,7 @@
 
 // Learn takes what an execution has cost. A shape that is not held is put forward to
 // the cache, which may turn it down.
-func (b *Book) Learn(x *Execution, t decide.Truth) {
+func (b *Book) Learn(x *Execution, t decide.Outcome) {
 	b.Stats.Learned++
 	print := x.statement.reading.Print
 	k := x.kept
@@ -136,7 +136,7 @@
 			b.cache.Add(print, k)
 		}
 	}
-	x.query.Entry = &k.Entry
+	x.query.Record = &k.ShapeRecord
 	b.model.Learn(&x.query, t)
 }
 
--- a/internal/queryshape/shape_test.go
+++ b/internal/queryshape/shape_test.go
@@ -13,7 +13,7 @@
 
 func book(t *testing.T) *Book {
 	t.Helper()
-	b, err := New(Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 800}, {Name: "report"}}}, Bytes: 256 << 10})
+	b, err := New(Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 
 func run(b *Book, text string, n int, work float64) float64 {
 	for range n {
-		b.Learn(b.Estimate(b.Read(text), nil, -1, Hint{}), decide.Truth{Work: work, MemoryMB: 20})
+		b.Learn(b.Estimate(b.Read(text), nil, -1, Hint{}), decide.Outcome{Work: work, MemoryMB: 20})
 	}
 	return b.Estimate(b.Read(text), nil, -1, Hint{}).Estimate.Work
 }
@@ -99,7 +99,7 @@
 		run(b, fmt.Sprintf("SELECT a FROM stock_1.tmp_%dx t%dx WHERE part = 'p'", i, i), 1, 200)
 		if i%4 == 0 {
 			before := b.Stats.Hits
-			b.Learn(b.Estimate(b.Read(recurring(i/4%50)), nil, -1, Hint{}), decide.Truth{Work: 200})
+			b.Learn(b.Estimate(b.Read(recurring(i/4%50)), nil, -1, Hint{}), decide.Outcome{Work: 200})
 			if i > 5000 {
 				hits += b.Stats.Hits - before
 				asked++
@@ -146,12 +146,12 @@
 		texts[i] = fmt.Sprintf("SELECT part, c%d FROM stock_%d.stock WHERE part = 'p-%05d'", i%40, i%30, i)
 	}
 	for i := range 20000 {
-		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Truth{Work: 100 + float64(i%7)})
+		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Outcome{Work: 100 + float64(i%7)})
 	}
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
-		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Truth{Work: 100 + float64(i%7)})
+		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Outcome{Work: 100 + float64(i%7)})
 	}
 }
--- a/internal/queryshape/snapshot.go
+++ b/internal/queryshape/snapshot.go
@@ -46,18 +46,18 @@
 
 // Saved is one shape.
 type Saved struct {
-	Norm  string       `cbor:"1,keyasint"`
-	Entry decide.Entry `cbor:"2,keyasint"`
+	Norm  string             `cbor:"1,keyasint"`
+	Entry decide.ShapeRecord `cbor:"2,keyasint"`
 }
 
 // Snapshot copies what the book knows; the copy is the caller's, for another goroutine too.
 func (b *Book) Snapshot() *Snapshot {
-	s := &Snapshot{Layout: decide.Layout, Keys: b.keys, Model: b.model.State()}
+	s := &Snapshot{Layout: decide.StateLayout, Keys: b.keys, Model: b.model.State()}
 	b.cache.Each(func(_ Print, k *Kept) bool {
 		if k.Cut {
 			s.Cut++
 		} else {
-			s.Shapes = append(s.Shapes, Saved{k.Norm, k.Entry})
+			s.Shapes = append(s.Shapes, Saved{k.Norm, k.ShapeRecord})
 		}
 		return true
 	})
@@ -122,11 +122,11 @@
 	if err := mode.Unmarshal(item, &s); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrSnapshotDamaged, err)
 	}
-	if s.Layout != decide.Layout || s.Model == nil {
-		return nil, fmt.Errorf("%w: its layout is %d, and %d is read here", ErrSnapshotVersion, s.Layout, decide.Layout)
+	if s.Layout != decide.StateLayout || s.Model == nil {
+		return nil, fmt.Errorf("%w: its layout is %d, and %d is read here", ErrSnapshotVersion, s.Layout, decide.StateLayout)
 	}
 	for i := range s.Shapes {
-		if err := s.Shapes[i].Entry.Check(); err != nil {
+		if err := s.Shapes[i].Entry.Validate(); err != nil {
 			return nil, fmt.Errorf("%w: shape %d: %v", ErrSnapshotDamaged, i, err)
 		}
 	}
@@ -194,7 +194,7 @@
 	b.keys = s.Keys
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
-		b.cache.Add(b.reader.Print(saved.Norm), &Kept{Entry: saved.Entry, Norm: saved.Norm})
+		b.cache.Add(b.reader.Print(saved.Norm), &Kept{ShapeRecord: saved.Entry, Norm: saved.Norm})
 	}
 	return b, nil
 }
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -25,7 +25,7 @@
 
 // Classes are those that statements are judged by.
 func Classes() []decide.Class {
-	return []decide.Class{{Name: "lookup", UpTo: workload.BroadAt}, {Name: "report"}}
+	return []decide.Class{{Name: "lookup", MaxWorkMS: workload.BroadAt}, {Name: "report"}}
 }
 
 // Variants are the whole classifier, and each part switched off in turn.
@@ -170,7 +170,7 @@
 		} else {
 			mean[r.Class] = &[2]float64{r.Work, 1}
 		}
-		book.Learn(x, decide.Truth{Work: r.Work, MemoryMB: r.MemoryMB})
+		book.Learn(x, decide.Outcome{Work: r.Work, MemoryMB: r.MemoryMB})
 	}
 	res.ByCount = right / float64(res.Judged)
 	res.ByWorth = rightWorth / worth
--- a/internal/testbed/shapes/flood.go
+++ b/internal/testbed/shapes/flood.go
@@ -73,7 +73,7 @@
 				hits++
 			}
 		}
-		book.Learn(x, decide.Truth{Work: 200, MemoryMB: 10})
+		book.Learn(x, decide.Outcome{Work: 200, MemoryMB: 10})
 	}
 	res.Hits = float64(hits) / float64(max(res.Asked, 1))
 	res.Held, res.Counted = book.Len(), book.Bytes()
