--- a/cmd/gateway/shapes.go
+++ b/cmd/gateway/shapes.go
@@ -37,7 +37,7 @@
 		cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMS: bound})
 	}
 	cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))})
-	opts := queryshape.Options{Decide: cfg, Bytes: 64 << 20}
+	opts := queryshape.Options{Model: cfg, Bytes: 64 << 20}
 	book, err := queryshape.New(opts)
 	if err == nil && c.Snapshot != "" {
 		var snap *queryshape.Snapshot
@@ -138,29 +138,29 @@
 	if err != nil {
 		return err
 	}
-	all := func(s *queryshape.Saved) float64 { return float64(s.Entry.Executions) * cost(s) }
-	slices.SortStableFunc(snap.Shapes, func(a, b queryshape.Saved) int { return compare(all(&b), all(&a)) })
+	all := func(s *queryshape.SavedShape) float64 { return float64(s.Record.Executions) * cost(s) }
+	slices.SortStableFunc(snap.Shapes, func(a, b queryshape.SavedShape) int { return compare(all(&b), all(&a)) })
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "seen\twork ms\tprofiles\tshape\n")
 	for i := range snap.Shapes[:min(c.Most, len(snap.Shapes))] {
 		s := &snap.Shapes[i]
 		n := 0
-		for _, b := range s.Entry.Buckets {
+		for _, b := range s.Record.Buckets {
 			if b.Work.Samples > 0 {
 				n++
 			}
 		}
-		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", s.Entry.Executions, cost(s), n, short(s.Norm))
+		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", s.Record.Executions, cost(s), n, short(s.NormalForm))
 	}
-	fmt.Fprintf(w, "\n%d shapes\t\t\t%d more were too long to keep\n", len(snap.Shapes), snap.Cut)
+	fmt.Fprintf(w, "\n%d shapes\t\t\t%d more were too long to keep\n", len(snap.Shapes), snap.TruncatedShapes)
 	return w.Flush()
 }
 
-func cost(s *queryshape.Saved) float64 {
-	if s.Entry.Work.Samples == 0 {
+func cost(s *queryshape.SavedShape) float64 {
+	if s.Record.Work.Samples == 0 {
 		return 0
 	}
-	return math.Exp2(float64(s.Entry.Work.Center))
+	return math.Exp2(float64(s.Record.Work.Center))
 }
 
 func compare(a, b float64) int {
@@ -197,24 +197,24 @@
 	if err != nil {
 		return err
 	}
-	before := map[string]*queryshape.Saved{}
+	before := map[string]*queryshape.SavedShape{}
 	for i := range old.Shapes {
-		before[old.Shapes[i].Norm] = &old.Shapes[i]
+		before[old.Shapes[i].NormalForm] = &old.Shapes[i]
 	}
 	type change struct {
-		s        *queryshape.Saved
+		s        *queryshape.SavedShape
 		was, is_ float64
 	}
 	var changes []change
 	come := 0
 	for i := range now.Shapes {
 		s := &now.Shapes[i]
-		b := before[s.Norm]
+		b := before[s.NormalForm]
 		if b == nil {
 			come++
 			continue
 		}
-		delete(before, s.Norm)
+		delete(before, s.NormalForm)
 		if was, is := cost(b), cost(s); was > 0 && is > 0 && math.Abs(math.Log(is/was)) >= math.Log(max(c.Over, 1)) {
 			changes = append(changes, change{s, was, is})
 		}
@@ -224,7 +224,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "was ms\tis ms\tfactor\tshape\n")
 	for _, x := range changes[:min(c.Most, len(changes))] {
-		fmt.Fprintf(w, "%.4g\t%.4g\t%s\t%s\n", x.was, x.is_, strconv.FormatFloat(x.is_/x.was, 'g', 3, 64), short(x.s.Norm))
+		fmt.Fprintf(w, "%.4g\t%.4g\t%s\t%s\n", x.was, x.is_, strconv.FormatFloat(x.is_/x.was, 'g', 3, 64), short(x.s.NormalForm))
 	}
 	fmt.Fprintf(w, "\n%d changed\t%d came\t%d went\t\n", len(changes), come, len(before))
 	return w.Flush()
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -454,7 +454,7 @@
 		}
 	}
 	if s := f.opts.Shapes; s != nil {
-		s.ExpectText(r, text)
+		s.EstimateText(r, text)
 	} else {
 		r.TableGroup, _ = sqltext.Group(text)
 	}
--- a/internal/frontend/postgres/class.go
+++ b/internal/frontend/postgres/class.go
@@ -114,7 +114,7 @@
 	var word string
 	var more bool
 	if read != nil {
-		word, more = strings.ToUpper(read.First()), read.Several()
+		word, more = strings.ToUpper(read.FirstWord()), read.MultipleStatements()
 	} else {
 		word, more = sqltext.FirstWord(query)
 	}
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -434,7 +434,7 @@
 	class := s.class
 	var sorted *queryshape.Execution
 	if f.opts.Shapes != nil && s.read != nil && s.shape && !want.Describe {
-		if c, x, ok := f.opts.Shapes.Sort(s.read, binds); ok {
+		if c, x, ok := f.opts.Shapes.Classify(s.read, binds); ok {
 			class, sorted = c, x
 		}
 	}
@@ -466,11 +466,11 @@
 	case s.read == nil || f.opts.Shapes == nil:
 		r.TableGroup, _ = sqltext.Group(s.query)
 	default:
-		r.TableGroup, _ = s.read.Group()
+		r.TableGroup, _ = s.read.TableGroup()
 		if sorted != nil {
-			f.opts.Shapes.Sorted(r, sorted)
+			f.opts.Shapes.ApplyEstimate(r, sorted)
 		} else if !want.Describe {
-			f.opts.Shapes.Expect(r, s.read, binds)
+			f.opts.Shapes.EstimateRequest(r, s.read, binds)
 		}
 	}
 	k.request = r
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -167,7 +167,7 @@
 // print writes the counters.
 func (g *gateway) print() {
 	if g.shapes != nil {
-		g.shapes.Count()
+		g.shapes.UpdateMetrics()
 	}
 	g.counters.Print(os.Stderr)
 }
@@ -181,7 +181,7 @@
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, most)
 	}
 	g.shapes, err = queryshape.NewService(queryshape.Settings{
-		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.CorrectEstimates, OnlyTold: s.OnlyWithEstimate, Snapshot: s.Snapshot, Every: s.SnapshotInterval(), WorkTold: workTold,
+		Model: s.Decide(), Bytes: s.MemoryKB << 10, ReplaceHints: s.CorrectEstimates, RequireHint: s.OnlyWithEstimate, SnapshotFile: s.Snapshot, SnapshotInterval: s.SnapshotInterval(), WorkReported: workTold,
 	}, site.Policy.Classes, g.loop, g.counters, g.log)
 	if err == nil {
 		g.core.SetCostObserver(g.shapes)
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -119,7 +119,7 @@
 	if g.shapes == nil || len(k.Shapes) == 0 {
 		return
 	}
-	if err := g.shapes.Take(k.Shapes); err != nil { // it learns them anew; no reason to stay away
+	if err := g.shapes.Restore(k.Shapes); err != nil { // it learns them anew; no reason to stay away
 		g.log.Warn("upgrade.shapes", "error", err, "unusable", errors.Is(err, queryshape.ErrSnapshotVersion))
 	}
 }
@@ -248,7 +248,7 @@
 
 func (g *gateway) status() *admin.Status {
 	if g.shapes != nil {
-		g.shapes.Count()
+		g.shapes.UpdateMetrics()
 	}
 	return &admin.Status{
 		PID: os.Getpid(), Build: BuildName(), Front: g.front.Name(), Listen: g.front.Addr(), Phase: g.phase(), TookOver: g.tookOver,
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -16,7 +16,7 @@
 func withShapes(t *testing.T, g *gateway, set queryshape.Settings) *queryshape.Service {
 	t.Helper()
 	set.Bytes = 256 << 10
-	set.Decide = decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 60}, {Name: "report"}}}
+	set.Model = decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 60}, {Name: "report"}}}
 	s, err := queryshape.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	write(t, path, damaged)
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	s := withShapes(t, g, queryshape.Settings{Snapshot: path, Every: time.Hour})
+	s := withShapes(t, g, queryshape.Settings{SnapshotFile: path, SnapshotInterval: time.Hour})
 	if n := g.stats.Get("shapes.snapshot-unusable"); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
@@ -100,7 +100,7 @@
 	for g.count("shapes.snapshots") == 0 {
 	}
 	snap, err := queryshape.ReadSnapshot(path)
-	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Entry.Executions != 5 {
+	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Record.Executions != 5 {
 		t.Errorf("%+v, %v", snap, err)
 	}
 }
@@ -134,7 +134,7 @@
 	} {
 		addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
 		g := newGateway(t, nil)
-		g.options.Shapes = withShapes(t, g, queryshape.Settings{Correct: true, OnlyTold: tt.onlyTold, WorkTold: true})
+		g.options.Shapes = withShapes(t, g, queryshape.Settings{ReplaceHints: true, RequireHint: tt.onlyTold, WorkReported: true})
 		g.platform(addr)
 		head := ""
 		if tt.tells {
@@ -147,7 +147,7 @@
 		}
 		count := func() (n int64) {
 			g.do(func() {
-				g.options.Shapes.Count()
+				g.options.Shapes.UpdateMetrics()
 				n = g.stats.All()["shapes.corrected"]
 			})
 			return n
--- a/internal/queryshape/cache.go
+++ b/internal/queryshape/cache.go
@@ -11,45 +11,49 @@
 )
 
 // Print names a shape within this process.
-type Print = [2]uint64
+type Fingerprint = [2]uint64
 
 // Kept is what the cache holds of one shape.
-type Kept struct {
+type CachedShape struct {
 	decide.ShapeRecord
-	Norm string // its normal form, or the first MostNorm bytes of it
-	Cut  bool   // the form is longer: it can't be found again after a restart
+	NormalForm string // its normal form, or the first MostNorm bytes of it
+	Truncated  bool   // the form is longer: it can't be found again after a restart
 }
 
 // MostNorm bounds the normal form that is kept of one shape, in bytes.
-const MostNorm = 1 << 10
+const MaxNormalForm = 1 << 10
 
 // overhead is what a cache takes for one entry beside the entry itself: the node of
 // the policy, the map's slot with its spare room, and the allocator's rounding. It was
 // measured with a million shapes (docs/measurements/shapes.md) and is rounded up.
-const overhead = 240
+const entryOverheadBytes = 240
 
 // Size is what an entry is counted as, in bytes.
-func (k *Kept) Size() int { return int(unsafe.Sizeof(*k)) + len(k.Norm) + overhead }
+func (k *CachedShape) Size() int {
+	return int(unsafe.Sizeof(*k)) + len(k.NormalForm) + entryOverheadBytes
+}
 
 // Cache holds shapes within a number of bytes.
 type Cache interface {
-	Get(p Print) *Kept // nil: not held
-	Add(p Print, k *Kept)
+	Get(p Fingerprint) *CachedShape // nil: not held
+	Add(p Fingerprint, k *CachedShape)
 	Len() int
 	Bytes() int // as counted by Size
-	Each(yield func(Print, *Kept) bool)
+	Each(yield func(Fingerprint, *CachedShape) bool)
 }
 
 // tinyLFU admits a new shape only where it has come more often than the one that it
 // would push out (Einziger, Friedman, Manes, "TinyLFU: A Highly Efficient Cache
 // Admission Policy", 2017): a flood of one-off shapes passes by those that recur.
-type tinyLFU struct{ *otter.Cache[Print, *Kept] }
+type tinyLFU struct {
+	*otter.Cache[Fingerprint, *CachedShape]
+}
 
 // NewTinyLFU returns a cache of W-TinyLFU. Its upkeep runs in the caller's goroutine.
 func NewTinyLFU(bytes int) (Cache, error) {
-	c, err := otter.New(&otter.Options[Print, *Kept]{
+	c, err := otter.New(&otter.Options[Fingerprint, *CachedShape]{
 		MaximumWeight: uint64(bytes),
-		Weigher:       func(_ Print, k *Kept) uint32 { return uint32(k.Size()) },
+		Weigher:       func(_ Fingerprint, k *CachedShape) uint32 { return uint32(k.Size()) },
 		Executor:      func(fn func()) { fn() },
 	})
 	if err != nil {
@@ -58,20 +62,20 @@
 	return tinyLFU{c}, nil
 }
 
-func (c tinyLFU) Get(p Print) *Kept {
+func (c tinyLFU) Get(p Fingerprint) *CachedShape {
 	k, _ := c.GetIfPresent(p)
 	return k
 }
 
-func (c tinyLFU) Add(p Print, k *Kept) { c.Set(p, k) }
-func (c tinyLFU) Len() int             { return c.EstimatedSize() }
+func (c tinyLFU) Add(p Fingerprint, k *CachedShape) { c.Set(p, k) }
+func (c tinyLFU) Len() int                          { return c.EstimatedSize() }
 
 func (c tinyLFU) Bytes() int {
 	c.CleanUp()
 	return int(c.WeightedSize())
 }
 
-func (c tinyLFU) Each(yield func(Print, *Kept) bool) {
+func (c tinyLFU) Each(yield func(Fingerprint, *CachedShape) bool) {
 	c.CleanUp()
 	for p, k := range c.All() {
 		if !yield(p, k) {
@@ -81,58 +85,60 @@
 }
 
 // least is what golang-lru's caches have in common.
-type least interface {
-	Get(Print) (*Kept, bool)
-	Add(Print, *Kept)
-	Keys() []Print
-	Peek(Print) (*Kept, bool)
+type lruCache interface {
+	Get(Fingerprint) (*CachedShape, bool)
+	Add(Fingerprint, *CachedShape)
+	Keys() []Fingerprint
+	Peek(Fingerprint) (*CachedShape, bool)
 	Len() int
 }
 
-type plainLRU struct{ *lru.Cache[Print, *Kept] }
+type plainLRU struct {
+	*lru.Cache[Fingerprint, *CachedShape]
+}
 
-func (c plainLRU) Add(p Print, k *Kept) { c.Cache.Add(p, k) }
+func (c plainLRU) Add(p Fingerprint, k *CachedShape) { c.Cache.Add(p, k) }
 
 // counted is a cache that counts entries, for a number of bytes: the entries of usual
 // statements (usualNorm bytes of normal form) that these hold.
-type counted struct{ least }
+type entryBoundedCache struct{ lruCache }
 
-const usualNorm = 120
+const typicalNormalForm = 120
 
-func entriesOf(bytes int) int {
-	k := Kept{}
-	return max(bytes/(k.Size()+usualNorm), 1)
+func entriesIn(bytes int) int {
+	k := CachedShape{}
+	return max(bytes/(k.Size()+typicalNormalForm), 1)
 }
 
 // NewLRU returns a cache that drops what was used longest ago; measured beside W-TinyLFU.
 func NewLRU(bytes int) (Cache, error) {
-	c, err := lru.New[Print, *Kept](entriesOf(bytes))
+	c, err := lru.New[Fingerprint, *CachedShape](entriesIn(bytes))
 	if err != nil {
 		return nil, fmt.Errorf("cache of shapes: %w", err)
 	}
-	return counted{plainLRU{c}}, nil
+	return entryBoundedCache{plainLRU{c}}, nil
 }
 
 // New2Q returns a cache of 2Q (Johnson, Shasha, 1994); measured beside W-TinyLFU.
 func New2Q(bytes int) (Cache, error) {
-	c, err := lru.New2Q[Print, *Kept](max(entriesOf(bytes), 2))
+	c, err := lru.New2Q[Fingerprint, *CachedShape](max(entriesIn(bytes), 2))
 	if err != nil {
 		return nil, fmt.Errorf("cache of shapes: %w", err)
 	}
-	return counted{c}, nil
+	return entryBoundedCache{c}, nil
 }
 
-func (c counted) Get(p Print) *Kept {
-	k, _ := c.least.Get(p)
+func (c entryBoundedCache) Get(p Fingerprint) *CachedShape {
+	k, _ := c.lruCache.Get(p)
 	return k
 }
 
-func (c counted) Bytes() (n int) {
-	c.Each(func(_ Print, k *Kept) bool { n += k.Size(); return true })
+func (c entryBoundedCache) Bytes() (n int) {
+	c.Each(func(_ Fingerprint, k *CachedShape) bool { n += k.Size(); return true })
 	return n
 }
 
-func (c counted) Each(yield func(Print, *Kept) bool) {
+func (c entryBoundedCache) Each(yield func(Fingerprint, *CachedShape) bool) {
 	for _, p := range c.Keys() {
 		if k, ok := c.Peek(p); ok && !yield(p, k) {
 			return
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -34,7 +34,7 @@
 }
 
 func fixtureOptions() Options {
-	return Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10}
+	return Options{Model: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10}
 }
 
 func readFixture(t *testing.T, path string) []byte {
@@ -91,7 +91,7 @@
 	raw := readFixture(t, fixtureSnapshot)
 	refused := func(b []byte) bool {
 		_, err := DecodeSnapshot(b)
-		return errors.Is(err, ErrSnapshotForeign) || errors.Is(err, ErrSnapshotVersion) || errors.Is(err, ErrSnapshotTruncated) || errors.Is(err, ErrSnapshotDamaged)
+		return errors.Is(err, ErrNotSnapshot) || errors.Is(err, ErrSnapshotVersion) || errors.Is(err, ErrSnapshotTruncated) || errors.Is(err, ErrSnapshotDamaged)
 	}
 	for n := range raw {
 		if !refused(raw[:n]) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func writeEstimates(w io.Writer, b *Book) {
+func writeEstimates(w io.Writer, b *Estimator) {
 	for i, text := range fixtureStatements {
 		for _, hint := range []Hint{{}, {Work: 90, MemoryMB: 3}} {
 			for known := -1; known < 2; known++ {
@@ -125,7 +125,7 @@
 
 // writeSnapshot writes every field, each behind its stored name.
 func writeSnapshot(w io.Writer, s *Snapshot) {
-	fmt.Fprintf(w, "1 %d\n2 %d\n5 %d\n", s.Layout, s.Keys, s.Cut)
+	fmt.Fprintf(w, "1 %d\n2 %d\n5 %d\n", s.Layout, s.HashSeed, s.TruncatedShapes)
 	prior := &s.Model.Prior
 	fmt.Fprintf(w, "Prior.N %d\n", prior.Samples)
 	writeTrack(w, "Prior.Track", prior.Error)
@@ -162,8 +162,8 @@
 	}
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
-		e := &saved.Entry
-		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.Norm, e.Executions)
+		e := &saved.Record
+		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.NormalForm, e.Executions)
 		writeTrack(w, "All", e.Work)
 		writeTrack(w, "Offset", e.PriorError)
 		writeTrack(w, "Usual", e.PriorPrediction)
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -17,13 +17,13 @@
 
 // Settings are those of a deploy file.
 type Settings struct {
-	Decide   decide.Config
-	Bytes    int
-	Correct  bool          // what is expected goes to the decisions in place of the hint
-	OnlyTold bool          // and where there is no hint, nothing does
-	Snapshot string        // file; "": none
-	Every    time.Duration // between snapshots
-	WorkTold bool          // engines tell the work; else times stand for it
+	Model            decide.Config
+	Bytes            int
+	ReplaceHints     bool          // what is expected goes to the decisions in place of the hint
+	RequireHint      bool          // and where there is no hint, nothing does
+	SnapshotFile     string        // file; "": none
+	SnapshotInterval time.Duration // between snapshots
+	WorkReported     bool          // engines tell the work; else times stand for it
 }
 
 var _ core.CostObserver = (*Service)(nil)
@@ -31,29 +31,29 @@
 // Service is a book at work in a gateway: fronts ask it when a request comes, and the
 // core tells it what served ones have cost. It belongs to the loop's goroutine.
 type Service struct {
-	book    *Book
-	set     Settings
-	places  map[string]int // of the classes of the settings
-	reading []policy.Class // that shapes are sorted into
-	threads map[string]float64
-	loop    *netio.Loop
-	stats   *metrics.Counters
-	log     *slog.Logger
-	writing bool
+	estimator   *Estimator
+	settings    Settings
+	classIndex  map[string]int // of the classes of the settings
+	readClasses []policy.Class // that shapes are sorted into
+	threads     map[string]float64
+	loop        *netio.Loop
+	counters    *metrics.Counters
+	log         *slog.Logger
+	saving      bool
 
-	corrected int64
-	free      []*Execution // to be used again
+	replacedHints  int64
+	freeExecutions []*Execution // to be used again
 }
 
 // mostFree bounds the executions that are kept to be used again; as many requests are
 // seldom open at once, and the collector has the others.
-const mostFree = 512
+const maxFreeExecutions = 512
 
 // execution is one to be filled.
-func (s *Service) execution() *Execution {
-	if n := len(s.free); n > 0 {
-		x := s.free[n-1]
-		s.free = s.free[:n-1]
+func (s *Service) newExecution() *Execution {
+	if n := len(s.freeExecutions); n > 0 {
+		x := s.freeExecutions[n-1]
+		s.freeExecutions = s.freeExecutions[:n-1]
 		return x
 	}
 	return &Execution{}
@@ -66,157 +66,157 @@
 		return
 	}
 	r.CostContext = nil
-	if len(s.free) < mostFree {
+	if len(s.freeExecutions) < maxFreeExecutions {
 		*x = Execution{}
-		s.free = append(s.free, x)
+		s.freeExecutions = append(s.freeExecutions, x)
 	}
 }
 
 // NewService returns a service that goes on from the snapshot, where there is one. One
 // that can't be used is named in the log and put aside as FILE.unusable.
 func NewService(set Settings, classes []policy.Class, loop *netio.Loop, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
-	s := &Service{set: set, places: map[string]int{}, threads: map[string]float64{}, loop: loop, stats: counters, log: log}
+	s := &Service{settings: set, classIndex: map[string]int{}, threads: map[string]float64{}, loop: loop, counters: counters, log: log}
 	for i, c := range classes {
-		s.places[c.Name] = i
+		s.classIndex[c.Name] = i
 		s.threads[c.Name] = max(c.Threads, 1)
 	}
-	for _, c := range set.Decide.Classes {
-		s.reading = append(s.reading, classes[s.places[c.Name]])
+	for _, c := range set.Model.Classes {
+		s.readClasses = append(s.readClasses, classes[s.classIndex[c.Name]])
 	}
-	opts := Options{Decide: set.Decide, Bytes: set.Bytes}
-	if set.Snapshot != "" {
-		snap, err := ReadSnapshot(set.Snapshot)
+	opts := Options{Model: set.Model, Bytes: set.Bytes}
+	if set.SnapshotFile != "" {
+		snap, err := ReadSnapshot(set.SnapshotFile)
 		if err == nil {
-			s.book, err = Restore(opts, snap)
+			s.estimator, err = Restore(opts, snap)
 		}
 		switch {
 		case err == nil:
-			log.Info("shapes.restored", "file", set.Snapshot, "shapes", s.book.Len())
+			log.Info("shapes.restored", "file", set.SnapshotFile, "shapes", s.estimator.Len())
 		case errors.Is(err, fs.ErrNotExist):
 		default:
 			counters.Add("shapes.snapshot-unusable")
-			aside := set.Snapshot + ".unusable"
-			log.Warn("shapes.snapshot-unusable", "file", set.Snapshot, "error", err, "aside", aside, "rename", os.Rename(set.Snapshot, aside))
+			aside := set.SnapshotFile + ".unusable"
+			log.Warn("shapes.snapshot-unusable", "file", set.SnapshotFile, "error", err, "aside", aside, "rename", os.Rename(set.SnapshotFile, aside))
 		}
 	}
-	if s.book == nil {
+	if s.estimator == nil {
 		var err error
-		if s.book, err = New(opts); err != nil {
+		if s.estimator, err = New(opts); err != nil {
 			return nil, err
 		}
 	}
-	if set.Snapshot != "" {
-		s.later()
+	if set.SnapshotFile != "" {
+		s.scheduleSnapshot()
 	}
 	return s, nil
 }
 
-func (s *Service) later() {
-	s.loop.Timers.Add(s.loop.Now()+s.set.Every, func() {
+func (s *Service) scheduleSnapshot() {
+	s.loop.Timers.Add(s.loop.Now()+s.settings.SnapshotInterval, func() {
 		s.Save()
-		s.later()
+		s.scheduleSnapshot()
 	})
 }
 
 // Save writes a snapshot in the background, where the settings name a file. One at a
 // time: a disk that hangs costs one goroutine.
 func (s *Service) Save() {
-	if s.set.Snapshot == "" || s.writing {
+	if s.settings.SnapshotFile == "" || s.saving {
 		return
 	}
-	s.writing = true
-	snap := s.book.Snapshot()
+	s.saving = true
+	snap := s.estimator.Snapshot()
 	go func() {
-		err := snap.Write(s.set.Snapshot)
+		err := snap.Write(s.settings.SnapshotFile)
 		s.loop.Post(func() {
-			s.writing = false
+			s.saving = false
 			if err != nil {
-				s.stats.Add("shapes.snapshot-failed")
-				s.log.Warn("shapes.snapshot-failed", "file", s.set.Snapshot, "error", err)
+				s.counters.Add("shapes.snapshot-failed")
+				s.log.Warn("shapes.snapshot-failed", "file", s.settings.SnapshotFile, "error", err)
 			} else {
-				s.stats.Add("shapes.snapshots")
+				s.counters.Add("shapes.snapshots")
 			}
 		})
 	}()
 }
 
 // Encode is what is known now, as a snapshot's file would hold it.
-func (s *Service) Encode() ([]byte, error) { return s.book.Snapshot().Encode() }
+func (s *Service) Encode() ([]byte, error) { return s.estimator.Snapshot().Encode() }
 
 // Take goes on from what Encode told in another process.
-func (s *Service) Take(b []byte) error {
+func (s *Service) Restore(b []byte) error {
 	snap, err := DecodeSnapshot(b)
 	if err != nil {
 		return err
 	}
-	book, err := Restore(Options{Decide: s.set.Decide, Bytes: s.set.Bytes}, snap)
+	book, err := Restore(Options{Model: s.settings.Model, Bytes: s.settings.Bytes}, snap)
 	if err == nil {
-		s.book = book
+		s.estimator = book
 	}
 	return err
 }
 
 // Read reads a statement. more are functions that the operators know to read only.
 func (s *Service) Read(text string, more sqltext.Functions) *Statement {
-	s.book.reader.Judge, s.book.reader.Functions = true, more
-	defer func() { s.book.reader.Judge = false }()
-	return s.book.Read(text)
+	s.estimator.reader.Judge, s.estimator.reader.Functions = true, more
+	defer func() { s.estimator.reader.Judge = false }()
+	return s.estimator.Read(text)
 }
 
 // ReadOnce reads a statement of which there will be one execution, as of a Query: what is
 // read lies within that execution, so that it takes no memory of its own. It holds until
 // the core is through with the request.
 func (s *Service) ReadOnce(text string, more sqltext.Functions) *Statement {
-	s.book.reader.Judge, s.book.reader.Functions = true, more
-	defer func() { s.book.reader.Judge = false }()
-	x := s.execution()
-	s.book.readInto(&x.own, text)
-	x.own.once = x
+	s.estimator.reader.Judge, s.estimator.reader.Functions = true, more
+	defer func() { s.estimator.reader.Judge = false }()
+	x := s.newExecution()
+	s.estimator.readInto(&x.own, text)
+	x.own.execution = x
 	return &x.own
 }
 
 // executionOf is an execution to be filled for a statement: its own where it has one.
 func (s *Service) executionOf(st *Statement) *Execution {
-	if st.once != nil {
-		return st.once
+	if st.execution != nil {
+		return st.execution
 	}
-	return s.execution()
+	return s.newExecution()
 }
 
 // Expect estimates a request of a class that is already known, and puts the estimate into
 // it where the settings say so.
-func (s *Service) Expect(r *core.Request, st *Statement, binds *sqltext.Binds) {
-	s.expect(r, s.executionOf(st), st, binds)
+func (s *Service) EstimateRequest(r *core.Request, st *Statement, binds *sqltext.Binds) {
+	s.estimate(r, s.executionOf(st), st, binds)
 }
 
 // ExpectText reads a text for one request of a class that is already known.
-func (s *Service) ExpectText(r *core.Request, text string) {
-	x := s.execution()
-	s.book.readInto(&x.own, text)
-	r.TableGroup, _ = x.own.Group()
-	s.expect(r, x, &x.own, nil)
+func (s *Service) EstimateText(r *core.Request, text string) {
+	x := s.newExecution()
+	s.estimator.readInto(&x.own, text)
+	r.TableGroup, _ = x.own.TableGroup()
+	s.estimate(r, x, &x.own, nil)
 }
 
-func (s *Service) expect(r *core.Request, x *Execution, st *Statement, binds *sqltext.Binds) {
-	place, ok := s.places[r.Class]
+func (s *Service) estimate(r *core.Request, x *Execution, st *Statement, binds *sqltext.Binds) {
+	place, ok := s.classIndex[r.Class]
 	if !ok {
 		place = -1
 	}
 	hint := Hint{Work: float64(r.Work) / float64(time.Millisecond), MemoryMB: r.MemoryMB}
 	threads := 1.0
-	if !s.set.WorkTold {
+	if !s.settings.WorkReported {
 		threads = s.threads[r.Class]
 	}
-	s.book.estimate(x, st, binds, place, hint)
-	s.put(r, x, threads)
+	s.estimator.estimate(x, st, binds, place, hint)
+	s.apply(r, x, threads)
 }
 
-func (s *Service) put(r *core.Request, x *Execution, threads float64) {
+func (s *Service) apply(r *core.Request, x *Execution, threads float64) {
 	r.CostContext = x
-	if !s.set.Correct || !x.Estimate.Known || s.set.OnlyTold && r.Work == 0 {
+	if !s.settings.ReplaceHints || !x.Estimate.Known || s.settings.RequireHint && r.Work == 0 {
 		return
 	}
-	s.corrected++
+	s.replacedHints++
 	r.Work = time.Duration(x.Estimate.Work * threads * float64(time.Millisecond))
 	if x.Estimate.MemoryMB > 0 {
 		r.MemoryMB = x.Estimate.MemoryMB
@@ -224,38 +224,38 @@
 }
 
 // Sort finds the class of a reading statement that nobody has named one for.
-func (s *Service) Sort(st *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
+func (s *Service) Classify(st *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
 	x = s.executionOf(st)
-	s.book.estimate(x, st, binds, -1, Hint{})
+	s.estimator.estimate(x, st, binds, -1, Hint{})
 	if x.Estimate.Class < 0 {
 		return policy.Class{}, x, false
 	}
-	return s.reading[x.Estimate.Class], x, true
+	return s.readClasses[x.Estimate.Class], x, true
 }
 
 // Sorted puts what Sort found into the request. Where engines tell no work, times stand
 // for it, and the decisions take the work of all threads.
-func (s *Service) Sorted(r *core.Request, x *Execution) { s.put(r, x, s.threads[r.Class]) }
+func (s *Service) ApplyEstimate(r *core.Request, x *Execution) { s.apply(r, x, s.threads[r.Class]) }
 
 // AttemptServed learns what a request has cost. It is the core's Learner.
 func (s *Service) AttemptServed(r *core.Request, rep core.Report, elapsed time.Duration) {
-	s.learn(r, decide.Outcome{Work: told(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
+	s.learn(r, decide.Outcome{Work: workMS(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
 }
 
 // AttemptTimedOut learns that a request would have cost more than it was let have.
 func (s *Service) AttemptTimedOut(r *core.Request, elapsed time.Duration) {
-	if !s.set.WorkTold { // on a crowded engine a time says little of the work
-		s.learn(r, decide.Outcome{Work: told(0, elapsed), LowerBound: true})
+	if !s.settings.WorkReported { // on a crowded engine a time says little of the work
+		s.learn(r, decide.Outcome{Work: workMS(0, elapsed), LowerBound: true})
 	}
 }
 
 func (s *Service) learn(r *core.Request, t decide.Outcome) {
 	if x, ok := r.CostContext.(*Execution); ok {
-		s.book.Learn(x, t)
+		s.estimator.Learn(x, t)
 	}
 }
 
-func told(work, elapsed time.Duration) float64 {
+func workMS(work, elapsed time.Duration) float64 {
 	if work <= 0 {
 		work = elapsed
 	}
@@ -263,11 +263,11 @@
 }
 
 // Count writes the service's own figures among the counters.
-func (s *Service) Count() {
-	s.stats.Set("shapes.corrected", s.corrected)
-	s.stats.Set("shapes.held", int64(s.book.Len()))
-	s.stats.Set("shapes.bytes", int64(s.book.Bytes()))
-	s.stats.Set("shapes.hits", int64(s.book.Stats.Hits))
-	s.stats.Set("shapes.misses", int64(s.book.Stats.Misses))
-	s.stats.Set("shapes.learned", int64(s.book.Stats.Learned))
+func (s *Service) UpdateMetrics() {
+	s.counters.Set("shapes.corrected", s.replacedHints)
+	s.counters.Set("shapes.held", int64(s.estimator.Len()))
+	s.counters.Set("shapes.bytes", int64(s.estimator.Bytes()))
+	s.counters.Set("shapes.hits", int64(s.estimator.Stats.Hits))
+	s.counters.Set("shapes.misses", int64(s.estimator.Stats.Misses))
+	s.counters.Set("shapes.learned", int64(s.estimator.Stats.Learned))
 }
--- a/internal/queryshape/shape.go
+++ b/internal/queryshape/shape.go
@@ -15,22 +15,22 @@
 
 // Options say what a book may use.
 type Options struct {
-	Decide decide.Config
-	Bytes  int   // of records and their upkeep, at most; at least LeastBytes
-	Cache  Cache // in place of W-TinyLFU over Bytes
+	Model decide.Config
+	Bytes int   // of records and their upkeep, at most; at least LeastBytes
+	Cache Cache // in place of W-TinyLFU over Bytes
 }
 
 // LeastBytes is the smallest bound that holds the records of a few dozen shapes.
-const LeastBytes = 64 << 10
+const MinBytes = 64 << 10
 
 // Book belongs to one goroutine.
-type Book struct {
-	reader *sqltext.Reader
-	model  *decide.Model
-	cache  Cache
-	keys   uint64 // seed of the hashes of values
-	bytes  int
-	Stats  Stats
+type Estimator struct {
+	reader   *sqltext.Reader
+	model    *decide.Model
+	cache    Cache
+	hashSeed uint64 // seed of the hashes of values
+	bytes    int
+	Stats    Stats
 }
 
 // Stats counts.
@@ -40,11 +40,11 @@
 }
 
 // New returns a book that knows nothing.
-func New(opts Options) (*Book, error) {
-	if opts.Bytes < LeastBytes && opts.Cache == nil {
-		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.Bytes, LeastBytes)
+func New(opts Options) (*Estimator, error) {
+	if opts.Bytes < MinBytes && opts.Cache == nil {
+		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.Bytes, MinBytes)
 	}
-	b := &Book{reader: sqltext.NewReader(), model: decide.New(opts.Decide), cache: opts.Cache, keys: rand.Uint64(), bytes: opts.Bytes}
+	b := &Estimator{reader: sqltext.NewReader(), model: decide.New(opts.Model), cache: opts.Cache, hashSeed: rand.Uint64(), bytes: opts.Bytes}
 	if b.cache == nil {
 		var err error
 		if b.cache, err = NewTinyLFU(opts.Bytes); err != nil {
@@ -56,40 +56,40 @@
 
 // Statement is a reading of one text, to be used for many executions of it.
 type Statement struct {
-	text    string
-	reading sqltext.Reading // its Norm is not kept
-	slots   [4]sqltext.Slot
-	once    *Execution // whose own it is; nil: there may be many
+	text      string
+	reading   sqltext.Reading // its Norm is not kept
+	slots     [4]sqltext.Slot
+	execution *Execution // whose own it is; nil: there may be many
 }
 
 // Read reads a text. The statement holds on to it.
-func (b *Book) Read(text string) *Statement {
+func (b *Estimator) Read(text string) *Statement {
 	s := &Statement{}
 	b.readInto(s, text)
 	return s
 }
 
-func (b *Book) readInto(s *Statement, text string) {
-	s.text, s.reading, s.once = text, *b.reader.Read(text), nil
+func (b *Estimator) readInto(s *Statement, text string) {
+	s.text, s.reading, s.execution = text, *b.reader.Read(text), nil
 	s.reading.Slots = append(s.slots[:0], s.reading.Slots...)
 	s.reading.Norm = nil
 }
 
 // Effect is what the statement may do, First its first word ("(" for what is none) and
 // Several whether a second statement follows, as sqltext tells.
-func (s *Statement) Effect() sqltext.Verdict { return s.reading.Effect }
-func (s *Statement) First() string           { return s.reading.First }
-func (s *Statement) Several() bool           { return s.reading.Several }
+func (s *Statement) Effect() sqltext.Verdict  { return s.reading.Effect }
+func (s *Statement) FirstWord() string        { return s.reading.First }
+func (s *Statement) MultipleStatements() bool { return s.reading.Several }
 
 // Group is the statement's group of tables.
-func (s *Statement) Group() (int64, bool) { return s.reading.Group, s.reading.Grouped }
+func (s *Statement) TableGroup() (int64, bool) { return s.reading.Group, s.reading.Grouped }
 
 // Execution is one execution whose cost is awaited.
 type Execution struct {
 	statement *Statement
 	own       Statement // where the text is read for this execution alone
 	query     decide.Query
-	kept      *Kept
+	cached    *CachedShape
 	Estimate  decide.Estimate
 }
 
@@ -98,24 +98,24 @@
 
 // Estimate tells what to expect of an execution. known is the place of its class where
 // that is decided already, else -1. binds may be nil.
-func (b *Book) Estimate(s *Statement, binds *sqltext.Binds, known int, hint Hint) *Execution {
+func (b *Estimator) Estimate(s *Statement, binds *sqltext.Binds, known int, hint Hint) *Execution {
 	x := &Execution{}
 	b.estimate(x, s, binds, known, hint)
 	return x
 }
 
-func (b *Book) estimate(x *Execution, s *Statement, binds *sqltext.Binds, known int, hint Hint) {
+func (b *Estimator) estimate(x *Execution, s *Statement, binds *sqltext.Binds, known int, hint Hint) {
 	if binds == nil {
 		binds = &noBinds
 	}
 	x.statement = s
 	x.query = decide.Query{
-		Features: &s.reading.Features, Profile: s.reading.Profile(s.text, binds, b.keys),
+		Features: &s.reading.Features, Profile: s.reading.Profile(s.text, binds, b.hashSeed),
 		KnownClass: known, WorkHint: hint.Work, MemoryHint: hint.MemoryMB,
 	}
-	if x.kept = b.cache.Get(s.reading.Print); x.kept != nil {
+	if x.cached = b.cache.Get(s.reading.Print); x.cached != nil {
 		b.Stats.Hits++
-		x.query.Record = &x.kept.ShapeRecord
+		x.query.Record = &x.cached.ShapeRecord
 	} else {
 		b.Stats.Misses++
 	}
@@ -126,13 +126,13 @@
 
 // Learn takes what an execution has cost. A shape that is not held is put forward to
 // the cache, which may turn it down.
-func (b *Book) Learn(x *Execution, t decide.Outcome) {
+func (b *Estimator) Learn(x *Execution, t decide.Outcome) {
 	b.Stats.Learned++
 	print := x.statement.reading.Print
-	k := x.kept
+	k := x.cached
 	if k == nil {
 		if k = b.cache.Get(print); k == nil {
-			k = b.keep(x.statement)
+			k = b.newCachedShape(x.statement)
 			b.cache.Add(print, k)
 		}
 	}
@@ -140,13 +140,13 @@
 	b.model.Learn(&x.query, t)
 }
 
-func (b *Book) keep(s *Statement) *Kept {
+func (b *Estimator) newCachedShape(s *Statement) *CachedShape {
 	r := b.reader.Read(s.text)
-	k := &Kept{Cut: r.Cut || len(r.Norm) > MostNorm}
-	k.Norm = string(r.Norm[:min(len(r.Norm), MostNorm)])
+	k := &CachedShape{Truncated: r.Cut || len(r.Norm) > MaxNormalForm}
+	k.NormalForm = string(r.Norm[:min(len(r.Norm), MaxNormalForm)])
 	return k
 }
 
 // Len is the number of shapes held, and Bytes what they are counted as.
-func (b *Book) Len() int   { return b.cache.Len() }
-func (b *Book) Bytes() int { return b.cache.Bytes() }
+func (b *Estimator) Len() int   { return b.cache.Len() }
+func (b *Estimator) Bytes() int { return b.cache.Bytes() }
--- a/internal/queryshape/shape_test.go
+++ b/internal/queryshape/shape_test.go
@@ -11,16 +11,16 @@
 	decide "gannetspur/internal/decide/costmodel"
 )
 
-func book(t *testing.T) *Book {
+func book(t *testing.T) *Estimator {
 	t.Helper()
-	b, err := New(Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10})
+	b, err := New(Options{Model: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func run(b *Book, text string, n int, work float64) float64 {
+func run(b *Estimator, text string, n int, work float64) float64 {
 	for range n {
 		b.Learn(b.Estimate(b.Read(text), nil, -1, Hint{}), decide.Outcome{Work: work, MemoryMB: 20})
 	}
@@ -43,8 +43,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(snap.Shapes) != 30 || snap.Cut != 1 {
-		t.Errorf("%d shapes and %d cut, want 30 and 1", len(snap.Shapes), snap.Cut)
+	if len(snap.Shapes) != 30 || snap.TruncatedShapes != 1 {
+		t.Errorf("%d shapes and %d cut, want 30 and 1", len(snap.Shapes), snap.TruncatedShapes)
 	}
 	again, err := Restore(Options{Bytes: 256 << 10}, snap)
 	if err != nil {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	for n := range good { // each cut, and each changed byte
-		if _, err := DecodeSnapshot(good[:n]); !errors.Is(err, ErrSnapshotTruncated) && !errors.Is(err, ErrSnapshotForeign) {
+		if _, err := DecodeSnapshot(good[:n]); !errors.Is(err, ErrSnapshotTruncated) && !errors.Is(err, ErrNotSnapshot) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 		bad := append([]byte{}, good...)
--- a/internal/queryshape/snapshot.go
+++ b/internal/queryshape/snapshot.go
@@ -20,15 +20,15 @@
 // xxhash (8), all big-endian, then a zstd frame of one CBOR item. It is written aside,
 // synced and renamed, so that a file under its name is always whole.
 const (
-	snapshotMagic   = "RWSHAPES"
-	snapshotVersion = 1
-	snapshotHead    = len(snapshotMagic) + 4 + 8 + 8
-	mostSnapshot    = 256 << 20 // bytes of the item, against files that claim more
+	snapshotMagic       = "RWSHAPES"
+	snapshotVersion     = 1
+	snapshotHeaderBytes = len(snapshotMagic) + 4 + 8 + 8
+	maxSnapshotBytes    = 256 << 20 // bytes of the item, against files that claim more
 )
 
 // Errors of snapshots.
 var (
-	ErrSnapshotForeign   = errors.New("no snapshot of shapes")
+	ErrNotSnapshot       = errors.New("no snapshot of shapes")
 	ErrSnapshotVersion   = errors.New("a snapshot of another version")
 	ErrSnapshotTruncated = errors.New("the snapshot was cut off")
 	ErrSnapshotDamaged   = errors.New("the snapshot is damaged")
@@ -37,27 +37,27 @@
 // Snapshot is what a book knows, in a form that outlives the process. Fingerprints are
 // made anew when it is read: their seeds are of one process.
 type Snapshot struct {
-	Layout int           `cbor:"1,keyasint"`
-	Keys   uint64        `cbor:"2,keyasint"` // seed of the hashes of values
-	Model  *decide.State `cbor:"3,keyasint"`
-	Shapes []Saved       `cbor:"4,keyasint"`
-	Cut    int           `cbor:"5,keyasint"` // shapes left out, as their forms are too long to be found again
+	Layout          int           `cbor:"1,keyasint"`
+	HashSeed        uint64        `cbor:"2,keyasint"` // seed of the hashes of values
+	Model           *decide.State `cbor:"3,keyasint"`
+	Shapes          []SavedShape  `cbor:"4,keyasint"`
+	TruncatedShapes int           `cbor:"5,keyasint"` // shapes left out, as their forms are too long to be found again
 }
 
 // Saved is one shape.
-type Saved struct {
-	Norm  string             `cbor:"1,keyasint"`
-	Entry decide.ShapeRecord `cbor:"2,keyasint"`
+type SavedShape struct {
+	NormalForm string             `cbor:"1,keyasint"`
+	Record     decide.ShapeRecord `cbor:"2,keyasint"`
 }
 
 // Snapshot copies what the book knows; the copy is the caller's, for another goroutine too.
-func (b *Book) Snapshot() *Snapshot {
-	s := &Snapshot{Layout: decide.StateLayout, Keys: b.keys, Model: b.model.State()}
-	b.cache.Each(func(_ Print, k *Kept) bool {
-		if k.Cut {
-			s.Cut++
+func (b *Estimator) Snapshot() *Snapshot {
+	s := &Snapshot{Layout: decide.StateLayout, HashSeed: b.hashSeed, Model: b.model.State()}
+	b.cache.Each(func(_ Fingerprint, k *CachedShape) bool {
+		if k.Truncated {
+			s.TruncatedShapes++
 		} else {
-			s.Shapes = append(s.Shapes, Saved{k.Norm, k.ShapeRecord})
+			s.Shapes = append(s.Shapes, SavedShape{k.NormalForm, k.ShapeRecord})
 		}
 		return true
 	})
@@ -75,28 +75,28 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	defer enc.Close()
-	b := enc.EncodeAll(item, make([]byte, snapshotHead))
+	b := enc.EncodeAll(item, make([]byte, snapshotHeaderBytes))
 	copy(b, snapshotMagic)
 	h := b[len(snapshotMagic):]
 	binary.BigEndian.PutUint32(h, snapshotVersion)
-	binary.BigEndian.PutUint64(h[4:], uint64(len(b)-snapshotHead))
-	binary.BigEndian.PutUint64(h[12:], xxhash.Sum64(b[snapshotHead:]))
+	binary.BigEndian.PutUint64(h[4:], uint64(len(b)-snapshotHeaderBytes))
+	binary.BigEndian.PutUint64(h[12:], xxhash.Sum64(b[snapshotHeaderBytes:]))
 	return b, nil
 }
 
 // DecodeSnapshot reads what Encode made; its errors say what is wrong with the rest.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	if len(b) < len(snapshotMagic) || string(b[:len(snapshotMagic)]) != snapshotMagic {
-		return nil, ErrSnapshotForeign
+		return nil, ErrNotSnapshot
 	}
-	if len(b) < snapshotHead {
+	if len(b) < snapshotHeaderBytes {
 		return nil, ErrSnapshotTruncated
 	}
 	h := b[len(snapshotMagic):]
 	if v := binary.BigEndian.Uint32(h); v != snapshotVersion {
 		return nil, fmt.Errorf("%w: %d, and %d is read here", ErrSnapshotVersion, v, snapshotVersion)
 	}
-	body := b[snapshotHead:]
+	body := b[snapshotHeaderBytes:]
 	if length := binary.BigEndian.Uint64(h[4:]); uint64(len(body)) < length {
 		return nil, fmt.Errorf("%w: %d of %d bytes", ErrSnapshotTruncated, len(body), length)
 	} else if uint64(len(body)) > length {
@@ -105,12 +105,12 @@
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(h[12:]) {
 		return nil, fmt.Errorf("%w: its checksum is another", ErrSnapshotDamaged)
 	}
-	dec, err := zstd.NewReader(bytes.NewReader(body), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostSnapshot))
+	dec, err := zstd.NewReader(bytes.NewReader(body), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrSnapshotDamaged, err)
 	}
 	defer dec.Close()
-	item, err := io.ReadAll(io.LimitReader(dec, mostSnapshot))
+	item, err := io.ReadAll(io.LimitReader(dec, maxSnapshotBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrSnapshotDamaged, err)
 	}
@@ -126,7 +126,7 @@
 		return nil, fmt.Errorf("%w: its layout is %d, and %d is read here", ErrSnapshotVersion, s.Layout, decide.StateLayout)
 	}
 	for i := range s.Shapes {
-		if err := s.Shapes[i].Entry.Validate(); err != nil {
+		if err := s.Shapes[i].Record.Validate(); err != nil {
 			return nil, fmt.Errorf("%w: shape %d: %v", ErrSnapshotDamaged, i, err)
 		}
 	}
@@ -183,18 +183,18 @@
 }
 
 // Restore returns a book that goes on from a snapshot.
-func Restore(opts Options, s *Snapshot) (*Book, error) {
+func Restore(opts Options, s *Snapshot) (*Estimator, error) {
 	b, err := New(opts)
 	if err != nil {
 		return nil, err
 	}
-	if b.model, err = decide.Restore(opts.Decide, s.Model); err != nil {
+	if b.model, err = decide.Restore(opts.Model, s.Model); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrSnapshotDamaged, err)
 	}
-	b.keys = s.Keys
+	b.hashSeed = s.HashSeed
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
-		b.cache.Add(b.reader.Print(saved.Norm), &Kept{ShapeRecord: saved.Entry, Norm: saved.Norm})
+		b.cache.Add(b.reader.Print(saved.NormalForm), &CachedShape{ShapeRecord: saved.Record, NormalForm: saved.NormalForm})
 	}
 	return b, nil
 }
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -96,7 +96,7 @@
 // Evaluate plays records through a variant, in order and as a gateway would: estimate,
 // then learn what the execution has cost.
 func Evaluate(records []traffic.Record, v Variant, opts Options) (Result, error) {
-	book, err := queryshape.New(queryshape.Options{Decide: v.Config, Bytes: opts.Bytes})
+	book, err := queryshape.New(queryshape.Options{Model: v.Config, Bytes: opts.Bytes})
 	if err != nil {
 		return Result{}, err
 	}
--- a/internal/testbed/shapes/flood.go
+++ b/internal/testbed/shapes/flood.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	book, err := queryshape.New(queryshape.Options{Decide: decide.Config{}, Cache: cache})
+	book, err := queryshape.New(queryshape.Options{Model: decide.Config{}, Cache: cache})
 	if err != nil {
 		return FloodResult{}, err
 	}
