--- a/internal/decide/connpool/replay_test.go
+++ b/internal/decide/connpool/replay_test.go
@@ -1,10 +1,10 @@
 package connpool
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := sha256.New()
+	var decisions bytes.Buffer
 	for seed, limits := range []Limits{
 		{},
 		{MaxConnections: 1},
@@ -29,15 +29,15 @@
 		{MaxPerUser: 1},
 		{MaxConnections: 3, MaxPerUser: 5, MaxLifetime: 7 * time.Second},
 	} {
-		replay(h, uint64(seed), limits)
+		replay(&decisions, uint64(seed), limits)
 	}
-	if got := hex.EncodeToString(h.Sum(nil)); got != strings.TrimSpace(string(want)) {
+	if got := digest(decisions.Bytes()); got != strings.TrimSpace(string(want)) {
 		t.Errorf("digest of decisions = %s, want %s", got, want)
 	}
 }
 
 // replay writes each decision of one seeded stream of events.
-func replay(w io.Writer, seed uint64, limits Limits) {
+func replay(w *bytes.Buffer, seed uint64, limits Limits) {
 	rng := rand.New(rand.NewPCG(31, seed))
 	p := Pool{Limits: limits}
 	users := []string{"a", "b", "c", "d"}
@@ -113,3 +113,8 @@
 		fmt.Fprintf(w, "counts %d %d %d\n", open, idle, waiting)
 	}
 }
+
+func digest(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
--- a/internal/decide/costmodel/prior.go
+++ b/internal/decide/costmodel/prior.go
@@ -1,107 +1,71 @@
 package costmodel
 
-import (
-	"math"
-
-	"gannetspur/internal/sqltext"
-)
-
-// dims is the number of features of the prior.
-const featureCount = 29
-
-type featureVector [featureCount]float64
-
-// features turns what a statement and its values show into a vector. class is the
-// place of the class that is already known, or -1.
-func newFeatureVector(f *sqltext.Features, p *sqltext.Profile, class int) (x featureVector) {
-	flag := func(b bool) float64 {
-		if b {
-			return 1
-		}
-		return 0
-	}
-	x = featureVector{
-		1, math.Log2(1 + float64(f.Tables)), float64(min(f.Joins, 6)), math.Log2(1 + float64(f.Aggregates)),
-		flag(f.Windows > 0), flag(f.Groups > 0), flag(f.Sorts > 0), flag(f.Distincts > 0),
-		math.Log2(1 + float64(max(f.Selects-1, 0))), flag(f.Verb == 'i'), flag(f.Verb != 'i' && f.Verb != 's'), flag(f.Where), flag(f.Limited),
-		math.Log2(1+float64(p.Alternatives)) / 4, math.Log2(1+p.Span) / 4, flag(p.HalfOpen), flag(p.Wild == sqltext.Prefix),
-		flag(p.Wild == sqltext.Leading), math.Log2(1+p.Limit) / 8, flag(p.Off > 0), flag(p.Open), math.Log2(1+float64(p.Rows)) / 4,
-	}
-	// Beyond some size each doubling counts for more: short lists are found by an index,
-	// long ones are not.
-	x[22] = math.Max(0, math.Log2(1+float64(p.Alternatives))-4) / 2
-	x[23] = math.Max(0, math.Log2(1+p.Span)-4) / 2
-	x[24] = math.Max(0, math.Log2(1+p.Limit)-8) / 4
-	if class >= 0 && class < 4 {
-		x[25+class] = 1
-	}
-	return x
-}
-
-// prior predicts the cost of shapes never seen from their features: recursive least
-// squares with forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with
-// errors clipped so that one voice moves little.
+// priorModel predicts the cost of unknown shapes from their features: recursive least squares
+// with exponential forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with clipped
+// errors so that one outlier moves little.
 type priorModel struct {
 	Weights    featureVector                       `cbor:"W"`
-	Covariance [featureCount][featureCount]float64 `cbor:"P"`
+	Covariance [featureCount][featureCount]float64 `cbor:"P"` // inverse correlation of the features
 	Samples    int                                 `cbor:"N"`
-	Error      LogTracker                          `cbor:"Track"` // of its own errors
+	Error      LogTracker                          `cbor:"Track"` // of its predictions
 }
 
 const (
-	priorForgetting    = 0.9995
-	priorRidge         = 0.05
-	maxPriorError      = 3
-	minPriorSamples    = 30 // values before it has a say
-	maxCovarianceTrace = 1e4
+	priorForgetting    = 0.9995 // weight of the past at each sample
+	priorRidge         = 0.05   // initial regularization
+	maxPriorError      = 3      // log2; larger errors are clipped
+	minPriorSamples    = 30     // before it predicts
+	maxCovarianceTrace = 1e4    // above it, nothing is forgotten
 )
 
 func newPriorModel() *priorModel {
-	r := &priorModel{}
+	p := &priorModel{}
 	for i := range featureCount {
-		r.Covariance[i][i] = 1 / priorRidge
+		p.Covariance[i][i] = 1 / priorRidge
 	}
-	return r
+	return p
 }
 
-func (r *priorModel) ready() bool { return r.Samples >= minPriorSamples }
+func (p *priorModel) ready() bool { return p.Samples >= minPriorSamples }
 
-func (r *priorModel) predict(x *featureVector) (y float64) {
+// predict returns the expected work of features, log2 of ms.
+func (p *priorModel) predict(x *featureVector) (y float64) {
 	for i := range x {
-		y += r.Weights[i] * x[i]
+		y += p.Weights[i] * x[i]
 	}
 	return y
 }
 
-func (r *priorModel) learn(x *featureVector, y float64, forget bool) {
-	e := y - r.predict(x)
-	if r.Samples > 0 {
-		r.Error.Add(e, forget)
+// learn takes the work y, log2 of ms, of an execution with features x.
+func (p *priorModel) learn(x *featureVector, y float64, decay Decay) {
+	err := y - p.predict(x)
+	if p.Samples > 0 {
+		p.Error.Add(err, decay)
 	}
-	if r.ready() {
-		e = max(min(e, maxPriorError), -maxPriorError)
+	if p.ready() {
+		err = max(min(err, maxPriorError), -maxPriorError)
 	}
-	r.Samples++
-	lambda := 1.0
-	if forget {
-		lambda = priorForgetting
+	p.Samples++
+	forgetting := 1.0
+	if decay == WithDecay {
+		forgetting = priorForgetting
 	}
-	var px featureVector
-	s, trace := lambda, 0.0
+	var px featureVector // Covariance · x
+	scale, trace := forgetting, 0.0
 	for i := range featureCount {
 		for j := range featureCount {
-			px[i] += r.Covariance[i][j] * x[j]
+			px[i] += p.Covariance[i][j] * x[j]
 		}
-		s += px[i] * x[i]
-		trace += r.Covariance[i][i]
+		scale += px[i] * x[i]
+		trace += p.Covariance[i][i]
 	}
-	if trace > maxCovarianceTrace { // Guards against wind-up: forgetting what no traffic shows any more.
-		lambda = 1
+	if trace > maxCovarianceTrace { // guards against wind-up: forgetting what traffic no longer shows
+		forgetting = 1
 	}
 	for i := range featureCount {
-		r.Weights[i] += px[i] / s * e
+		p.Weights[i] += px[i] / scale * err
 		for j := range featureCount {
-			r.Covariance[i][j] = (r.Covariance[i][j] - px[i]*px[j]/s) / lambda
+			p.Covariance[i][j] = (p.Covariance[i][j] - px[i]*px[j]/scale) / forgetting
 		}
 	}
 }
--- a/internal/decide/costmodel/replay_test.go
+++ b/internal/decide/costmodel/replay_test.go
@@ -1,10 +1,10 @@
 package costmodel
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"io"
 	"math"
 	"math/rand/v2"
 	"os"
@@ -23,11 +23,11 @@
 	}
 	digests := map[string]string{}
 	for line := range strings.Lines(string(text)) {
-		digest, name, ok := strings.Cut(strings.TrimSpace(line), "  ")
+		sum, name, ok := strings.Cut(strings.TrimSpace(line), "  ")
 		if !ok {
 			t.Fatalf("testdata/replay.sha256: malformed line %q", line)
 		}
-		digests[name] = digest
+		digests[name] = sum
 	}
 	return digests
 }
@@ -46,9 +46,9 @@
 		"no-hint":       {Classes: classes(), NoHint: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := sha256.New()
-			replay(h, cfg)
-			if got := hex.EncodeToString(h.Sum(nil)); got != want[name] {
+			var estimates bytes.Buffer
+			replay(&estimates, cfg)
+			if got := digest(estimates.Bytes()); got != want[name] {
 				t.Errorf("digest of estimates = %s, want %s", got, want[name])
 			}
 		})
@@ -56,7 +56,7 @@
 }
 
 // replay writes each estimate of a seeded stream of executions.
-func replay(w io.Writer, cfg Config) {
+func replay(w *bytes.Buffer, cfg Config) {
 	const shapes, executions = 40, 6000
 	m := New(cfg)
 	rng := rand.New(rand.NewPCG(11, 12))
@@ -123,10 +123,15 @@
 	}
 }
 
-func writeEstimate(w io.Writer, e Estimate) {
+func writeEstimate(w *bytes.Buffer, e Estimate) {
 	fmt.Fprintf(w, "%t %.12g %.12g %.12g %d", e.Known, e.Work, e.P90Factor, e.MemoryMB, e.Class)
 	for _, v := range []Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
 		fmt.Fprintf(w, " %.12g/%.12g/%.12g/%.12g", v.Center, v.Deviation, v.Samples, v.Weight)
 	}
 	fmt.Fprintln(w)
 }
+
+func digest(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
--- a/internal/decide/costmodel/state.go
+++ b/internal/decide/costmodel/state.go
@@ -7,41 +7,46 @@
 	"reflect"
 )
 
-// State is what a model has learned, in a form that can be written down. Its layout goes
-// with Layout: one of another layout can't be taken.
+// State is what a model has learned, as snapshots store it. A snapshot of another StateLayout
+// can't be restored.
 type State struct {
 	Prior  priorModel  `cbor:"Prior"`
 	Shared sharedState `cbor:"Common"`
 }
 
-// Layout changes whenever what a State or an Entry holds changes its meaning.
+// StateLayout changes whenever a field of a State or a ShapeRecord changes its meaning.
 const StateLayout = 1
 
-// State is a copy of what the model has learned.
+// maxMagnitude bounds the figures of a state.
+const maxMagnitude = 1e12
+
+// State returns a copy of what the model has learned.
 func (m *Model) State() *State { return &State{Prior: *m.prior, Shared: m.sharedState} }
 
-// ErrState is a state that no model can have come to.
-var ErrInvalidState = errors.New("a state that can't be")
+// ErrInvalidState is returned for a state or record with a figure that no model can have learned.
+var ErrInvalidState = errors.New("invalid state")
 
-// Restore returns a model that goes on from a state. A state with a figure that is no
-// number is refused: it would spoil every estimate.
+// Restore returns a model that goes on from a state. A state with a NaN, an infinity or a figure
+// out of range is refused: it would corrupt every estimate.
 func Restore(cfg Config, s *State) (*Model, error) {
 	if err := checkFinite(reflect.ValueOf(s).Elem(), "state"); err != nil {
 		return nil, err
 	}
 	m := New(cfg)
-	p := s.Prior
-	m.prior, m.sharedState = &p, s.Shared
+	prior := s.Prior
+	m.prior = &prior
+	m.sharedState = s.Shared
 	return m, nil
 }
 
-// Check tells whether an entry can have come to be.
-func (e *ShapeRecord) Validate() error { return checkFinite(reflect.ValueOf(e).Elem(), "entry") }
+// Validate refuses a record with a figure that no model can have learned.
+func (r *ShapeRecord) Validate() error { return checkFinite(reflect.ValueOf(r).Elem(), "record") }
 
+// checkFinite checks all figures within a value; its errors name them by their stored names.
 func checkFinite(v reflect.Value, name string) error {
 	switch v.Kind() {
 	case reflect.Float32, reflect.Float64:
-		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > 1e12 {
+		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > maxMagnitude {
 			return fmt.Errorf("%w: %s is %g", ErrInvalidState, name, x)
 		}
 	case reflect.Struct:
--- a/internal/decide/loginlimit/replay_test.go
+++ b/internal/decide/loginlimit/replay_test.go
@@ -1,6 +1,7 @@
 package loginlimit
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
@@ -20,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := sha256.New()
+	var decisions bytes.Buffer
 	for seed, cfg := range []Config{
 		Defaults(),
 		{Burst: 3, RefillInterval: time.Second, MaxAddresses: 8},
@@ -35,10 +36,15 @@
 			if rng.IntN(3) > 0 {
 				l.RecordFailure(now, addr)
 			}
-			fmt.Fprintf(h, "%s waits %d; %d remembered\n", addr, int64(l.RetryAfter(now, addr)), l.Len())
+			fmt.Fprintf(&decisions, "%s waits %d; %d remembered\n", addr, int64(l.RetryAfter(now, addr)), l.Len())
 		}
 	}
-	if got := hex.EncodeToString(h.Sum(nil)); got != strings.TrimSpace(string(want)) {
+	if got := digest(decisions.Bytes()); got != strings.TrimSpace(string(want)) {
 		t.Errorf("digest of decisions = %s, want %s", got, want)
 	}
 }
+
+func digest(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
--- a/internal/decide/remotesite/replay_test.go
+++ b/internal/decide/remotesite/replay_test.go
@@ -1,10 +1,10 @@
 package remotesite
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"os"
 	"strconv"
@@ -21,17 +21,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := sha256.New()
+	var decisions bytes.Buffer
 	for seed := range uint64(8) {
-		replay(h, seed)
+		replay(&decisions, seed)
 	}
-	if got := hex.EncodeToString(h.Sum(nil)); got != strings.TrimSpace(string(want)) {
+	if got := digest(decisions.Bytes()); got != strings.TrimSpace(string(want)) {
 		t.Errorf("digest of decisions = %s, want %s", got, want)
 	}
 }
 
 // replay writes each decision of one seeded stream of events.
-func replay(w io.Writer, seed uint64) {
+func replay(w *bytes.Buffer, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	cfg, now := Defaults(), time.Hour
 	cfg.MinPriorityWeight = 0.2
@@ -118,7 +118,7 @@
 }
 
 // replayQuery writes what is decided of one query.
-func replayQuery(w io.Writer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedge *Hedger, meter *CapacityMeter, peers []*Peer) {
+func replayQuery(w *bytes.Buffer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedge *Hedger, meter *CapacityMeter, peers []*Peer) {
 	q := Query{
 		Class: class, Idempotency: Idempotency(rng.IntN(3)), Work: rng.Float64() * 2, PriorityWeight: rng.Float64(), TableGroup: int64(rng.IntN(6)),
 		Remaining: time.Duration(rng.IntN(4000)) * time.Millisecond, Forwarded: rng.IntN(8) == 0, RejectedLocally: rng.IntN(4) == 0, Attempts: rng.IntN(4),
@@ -137,3 +137,8 @@
 		fmt.Fprintf(w, "next %d doubt %t\n", uint8(AfterFailure(cfg, &q, end)), q.MayHaveRun)
 	}
 }
+
+func digest(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -6,7 +6,6 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"strings"
 	"testing"
@@ -54,9 +53,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := sha256.New()
-	writeSnapshot(h, snap)
-	if got, want := hex.EncodeToString(h.Sum(nil)), strings.TrimSpace(string(readFixture(t, fixtureDigest))); got != want {
+	var fields bytes.Buffer
+	writeSnapshot(&fields, snap)
+	if got, want := digest(fields.Bytes()), strings.TrimSpace(string(readFixture(t, fixtureDigest))); got != want {
 		t.Errorf("digest of the fields = %s, want %s", got, want)
 	}
 	again, err := snap.Encode()
@@ -108,7 +107,7 @@
 	}
 }
 
-func writeEstimates(w io.Writer, b *Estimator) {
+func writeEstimates(w *bytes.Buffer, b *Estimator) {
 	for i, text := range fixtureStatements {
 		for _, hint := range []Hint{{}, {Work: 90, MemoryMB: 3}} {
 			for known := -1; known < 2; known++ {
@@ -124,7 +123,7 @@
 }
 
 // writeSnapshot writes every field, each behind its stored name.
-func writeSnapshot(w io.Writer, s *Snapshot) {
+func writeSnapshot(w *bytes.Buffer, s *Snapshot) {
 	fmt.Fprintf(w, "1 %d\n2 %d\n5 %d\n", s.Layout, s.HashSeed, s.TruncatedShapes)
 	prior := &s.Model.Prior
 	fmt.Fprintf(w, "Prior.N %d\n", prior.Samples)
@@ -178,6 +177,11 @@
 	}
 }
 
-func writeTrack(w io.Writer, name string, t decide.LogTracker) {
+func writeTrack(w *bytes.Buffer, name string, t decide.LogTracker) {
 	fmt.Fprintf(w, "%s %x %x %x %d\n", name, t.Center, t.Deviation, t.Samples, t.SameSideRun)
 }
+
+func digest(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
