--- a/internal/decide/costmodel/state.go
+++ b/internal/decide/costmodel/state.go
@@ -7,52 +7,57 @@
 	"reflect"
 )
 
-// State is what a model has learned, in a form that can be written down. Its layout goes
-// with Layout: one of another layout can't be taken.
+// State is what a model has learned, as snapshots store it. A snapshot of another StateLayout
+// can't be restored.
 type State struct {
-	Prior  prior `cbor:"Prior"`
-	Common state `cbor:"Common"`
+	Prior  priorModel  `cbor:"Prior"`
+	Shared sharedState `cbor:"Common"`
 }
 
-// Layout changes whenever what a State or an Entry holds changes its meaning.
-const Layout = 1
+// StateLayout changes whenever a field of a State or a ShapeRecord changes its meaning.
+const StateLayout = 1
 
-// State is a copy of what the model has learned.
-func (m *Model) State() *State { return &State{Prior: *m.prior, Common: m.state} }
+// maxMagnitude bounds the figures of a state.
+const maxMagnitude = 1e12
 
-// ErrState is a state that no model can have come to.
-var ErrState = errors.New("a state that can't be")
+// State returns a copy of what the model has learned.
+func (m *Model) State() *State { return &State{Prior: *m.prior, Shared: m.sharedState} }
 
-// Restore returns a model that goes on from a state. A state with a figure that is no
-// number is refused: it would spoil every estimate.
+// ErrInvalidState is returned for a state or record with a figure that no model can have learned.
+var ErrInvalidState = errors.New("invalid state")
+
+// Restore returns a model that goes on from a state. A state with a NaN, an infinity or a figure
+// out of range is refused: it would corrupt every estimate.
 func Restore(cfg Config, s *State) (*Model, error) {
-	if err := finite(reflect.ValueOf(s).Elem(), "state"); err != nil {
+	if err := checkFinite(reflect.ValueOf(s).Elem(), "state"); err != nil {
 		return nil, err
 	}
 	m := New(cfg)
-	p := s.Prior
-	m.prior, m.state = &p, s.Common
+	prior := s.Prior
+	m.prior = &prior
+	m.sharedState = s.Shared
 	return m, nil
 }
 
-// Check tells whether an entry can have come to be.
-func (e *Entry) Check() error { return finite(reflect.ValueOf(e).Elem(), "entry") }
+// Validate refuses a record with a figure that no model can have learned.
+func (r *ShapeRecord) Validate() error { return checkFinite(reflect.ValueOf(r).Elem(), "record") }
 
-func finite(v reflect.Value, name string) error {
+// checkFinite checks all figures within a value; its errors name them by their stored names.
+func checkFinite(v reflect.Value, name string) error {
 	switch v.Kind() {
 	case reflect.Float32, reflect.Float64:
-		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > 1e12 {
-			return fmt.Errorf("%w: %s is %g", ErrState, name, x)
+		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > maxMagnitude {
+			return fmt.Errorf("%w: %s is %g", ErrInvalidState, name, x)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if err := finite(v.Field(i), name+"."+v.Type().Field(i).Tag.Get("cbor")); err != nil {
+			if err := checkFinite(v.Field(i), name+"."+v.Type().Field(i).Tag.Get("cbor")); err != nil {
 				return err
 			}
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			if err := finite(v.Index(i), fmt.Sprintf("%s[%d]", name, i)); err != nil {
+			if err := checkFinite(v.Index(i), fmt.Sprintf("%s[%d]", name, i)); err != nil {
 				return err
 			}
 		}
--- a/internal/queryshape/shape_test.go
+++ b/internal/queryshape/shape_test.go
@@ -11,18 +11,18 @@
 	decide "gannetspur/internal/decide/costmodel"
 )
 
-func book(t *testing.T) *Book {
+func book(t *testing.T) *Estimator {
 	t.Helper()
-	b, err := New(Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 800}, {Name: "report"}}}, Bytes: 256 << 10})
+	b, err := New(Options{Model: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func run(b *Book, text string, n int, work float64) float64 {
+func run(b *Estimator, text string, n int, work float64) float64 {
 	for range n {
-		b.Learn(b.Estimate(b.Read(text), nil, -1, Hint{}), decide.Truth{Work: work, MemoryMB: 20})
+		b.Learn(b.Estimate(b.Read(text), nil, -1, Hint{}), decide.Outcome{Work: work, MemoryMB: 20})
 	}
 	return b.Estimate(b.Read(text), nil, -1, Hint{}).Estimate.Work
 }
@@ -43,8 +43,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(snap.Shapes) != 30 || snap.Cut != 1 {
-		t.Errorf("%d shapes and %d cut, want 30 and 1", len(snap.Shapes), snap.Cut)
+	if len(snap.Shapes) != 30 || snap.TruncatedShapes != 1 {
+		t.Errorf("%d shapes and %d cut, want 30 and 1", len(snap.Shapes), snap.TruncatedShapes)
 	}
 	again, err := Restore(Options{Bytes: 256 << 10}, snap)
 	if err != nil {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	for n := range good { // each cut, and each changed byte
-		if _, err := DecodeSnapshot(good[:n]); !errors.Is(err, ErrSnapshotTruncated) && !errors.Is(err, ErrSnapshotForeign) {
+		if _, err := DecodeSnapshot(good[:n]); !errors.Is(err, ErrSnapshotTruncated) && !errors.Is(err, ErrNotSnapshot) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 		bad := append([]byte{}, good...)
@@ -99,7 +99,7 @@
 		run(b, fmt.Sprintf("SELECT a FROM stock_1.tmp_%dx t%dx WHERE part = 'p'", i, i), 1, 200)
 		if i%4 == 0 {
 			before := b.Stats.Hits
-			b.Learn(b.Estimate(b.Read(recurring(i/4%50)), nil, -1, Hint{}), decide.Truth{Work: 200})
+			b.Learn(b.Estimate(b.Read(recurring(i/4%50)), nil, -1, Hint{}), decide.Outcome{Work: 200})
 			if i > 5000 {
 				hits += b.Stats.Hits - before
 				asked++
@@ -146,12 +146,12 @@
 		texts[i] = fmt.Sprintf("SELECT part, c%d FROM stock_%d.stock WHERE part = 'p-%05d'", i%40, i%30, i)
 	}
 	for i := range 20000 {
-		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Truth{Work: 100 + float64(i%7)})
+		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Outcome{Work: 100 + float64(i%7)})
 	}
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
-		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Truth{Work: 100 + float64(i%7)})
+		book.Learn(book.Estimate(book.Read(texts[i%200]), nil, -1, Hint{Work: 50}), decide.Outcome{Work: 100 + float64(i%7)})
 	}
 }
