--- /dev/null
+++ b/internal/decide/lease/fleet_test.go
@@ -0,0 +1,190 @@
+package lease
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// fleet plays members in true time: clocks that drift, a network that loses, delays and duplicates, members that are
+// paused, crash and restart, and views that are anything. After each step the quotas of an engine must not exceed its
+// capacity.
+type fleet struct {
+	config    Config
+	now       time.Duration // true time
+	members   []*fleetMember
+	inTransit []datagram
+	lossRate  float64
+	maxDelay  time.Duration
+	random    *rand.Rand
+	settles   bool // a process that starts waits for a term; false: the defect that it does not
+}
+
+type fleetMember struct {
+	node        *Node
+	clockRate   float64
+	isAlive     bool
+	pausedUntil time.Duration
+	demands     map[EngineID]int
+}
+
+type datagram struct {
+	arrivesAt time.Duration
+	from, to  int
+	payload   []byte
+}
+
+const engineCount = 2
+
+func newFleet(size int, seed uint64, drift float64) *fleet {
+	var ids []ID
+	for i := range size {
+		ids = append(ids, ID(i+1))
+	}
+	f := &fleet{config: DefaultConfig(ids), now: time.Hour, random: rand.New(rand.NewPCG(seed, 1)), settles: true, maxDelay: 20 * time.Millisecond}
+	for range size {
+		f.members = append(f.members, &fleetMember{clockRate: 1 + drift*(2*f.random.Float64()-1), demands: map[EngineID]int{}})
+	}
+	for i := range size {
+		f.start(i)
+	}
+	return f
+}
+
+// clock is a member's own time.
+func (f *fleet) clock(i int) time.Duration {
+	return time.Duration(float64(f.now)*f.members[i].clockRate) + time.Duration(i)*time.Minute
+}
+
+func (f *fleet) start(i int) {
+	m := f.members[i]
+	m.node = New(f.config, ID(i+1), f.clock(i), f.random)
+	m.isAlive = true
+	m.pausedUntil = 0
+	if !f.settles {
+		m.node.startedAt -= f.config.Term
+	}
+	for engine, quota := range m.demands {
+		f.handle(i, Demand{engine, quota})
+	}
+}
+
+// handle gives a member an event and sends its messages, some of them twice.
+func (f *fleet) handle(i int, e Event) {
+	for _, s := range f.members[i].node.Handle(f.clock(i), e) {
+		for range 1 + f.random.IntN(20)/19 {
+			if f.random.Float64() < f.lossRate {
+				continue
+			}
+			arrivesAt := f.now + time.Duration(f.random.Int64N(int64(f.maxDelay))) + time.Millisecond
+			f.inTransit = append(f.inTransit, datagram{arrivesAt, i, int(s.To) - 1, s.Payload})
+		}
+	}
+}
+
+func (f *fleet) demand(i int, engine EngineID, quota int) {
+	f.members[i].demands[engine] = quota
+	f.handle(i, Demand{engine, quota})
+}
+
+func (f *fleet) isRunning(i int) bool {
+	return f.members[i].isAlive && f.now >= f.members[i].pausedUntil
+}
+
+// run plays a span and returns the highest sum of all quotas of an engine.
+func (f *fleet) run(span time.Duration) (highest int) {
+	for end := f.now + span; f.now < end; f.now += 50 * time.Millisecond {
+		f.deliver()
+		for i := range f.members {
+			if f.isRunning(i) {
+				f.handle(i, Tick{})
+			}
+		}
+		for engine := range EngineID(engineCount) {
+			highest = max(highest, f.usable(engine))
+		}
+	}
+	return highest
+}
+
+// deliver hands over the datagrams that are due; those of paused members wait.
+func (f *fleet) deliver() {
+	due := f.inTransit
+	f.inTransit = nil
+	for _, d := range due {
+		isAlive := f.members[d.to].isAlive
+		switch {
+		case d.arrivesAt > f.now || isAlive && !f.isRunning(d.to):
+			f.inTransit = append(f.inTransit, d)
+		case isAlive:
+			f.handle(d.to, MessageReceived{ID(d.from + 1), d.payload})
+		}
+	}
+}
+
+// usable is the sum of what all members may use now. Paused ones count, as they may go on at any moment, and so does
+// the base quota of crashed ones, as they may restart.
+func (f *fleet) usable(engine EngineID) (sum int) {
+	for i, m := range f.members {
+		if m.isAlive {
+			sum += m.node.Quota(engine, f.clock(i))
+		} else {
+			sum += m.node.BaseQuota()
+		}
+	}
+	return sum
+}
+
+// injectFault draws a fault or another event, and returns its name.
+func (f *fleet) injectFault() string {
+	i := f.random.IntN(len(f.members))
+	m := f.members[i]
+	switch f.random.IntN(8) {
+	case 0:
+		m.isAlive = false
+		return fmt.Sprint("crash ", i)
+	case 1:
+		f.start(i)
+		return fmt.Sprint("start ", i)
+	case 2:
+		m.pausedUntil = f.now + time.Duration(f.random.IntN(12000))*time.Millisecond
+		return fmt.Sprint("pause ", i)
+	case 3, 4:
+		if f.isRunning(i) {
+			f.demand(i, EngineID(f.random.IntN(engineCount)), f.random.IntN(FullCapacity+1))
+		}
+		return fmt.Sprint("need of ", i)
+	case 5:
+		f.lossRate = []float64{0, 0.3, 0.9}[f.random.IntN(3)]
+		return fmt.Sprint("loss ", f.lossRate)
+	case 6:
+		f.maxDelay = []time.Duration{20 * time.Millisecond, 500 * time.Millisecond, 6 * time.Second}[f.random.IntN(3)]
+		return fmt.Sprint("slow ", f.maxDelay)
+	}
+	var live []ID
+	for _, id := range f.config.Members {
+		if f.random.IntN(2) == 0 {
+			live = append(live, id)
+		}
+	}
+	if f.isRunning(i) {
+		f.handle(i, LiveMembers{live})
+	}
+	return fmt.Sprint(i, " sees ", live)
+}
+
+// findOvercommit plays so many faults and describes the first after which quotas exceeded an engine's capacity.
+func (f *fleet) findOvercommit(faults int) string {
+	for i := range f.members {
+		f.demand(i, 0, FullCapacity)
+		f.demand(i, 1, 300)
+	}
+	var path []string
+	for range faults {
+		path = append(path, f.injectFault())
+		if highest := f.run(time.Duration(1+f.random.IntN(2000)) * time.Millisecond); highest > FullCapacity {
+			return fmt.Sprintf("%d of %d after %v", highest, FullCapacity, path[max(0, len(path)-12):])
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/decide/lease/lease_test.go
@@ -0,0 +1,100 @@
+package lease
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever happens, the quotas of an engine never exceed its capacity.
+func TestQuotasNeverExceedCapacity(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newFleet(rapid.IntRange(1, 8).Draw(t, "members"), rapid.Uint64().Draw(t, "seed"), DefaultConfig(nil).MaxClockDrift)
+		if found := f.findOvercommit(60); found != "" {
+			t.Fatal(found)
+		}
+	})
+}
+
+// The property finds defects that are put in on purpose.
+func TestPropertyFindsDefects(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		make func(seed uint64) *fleet
+	}{
+		{"a start without a wait", func(seed uint64) *fleet {
+			f := newFleet(3, seed, 0)
+			f.settles = false
+			return f
+		}},
+		{"clocks that drift more than is allowed for", func(seed uint64) *fleet { return newFleet(4, seed, 0.4) }},
+		{"one voter suffices, and two members see another one", func(seed uint64) *fleet {
+			f := newFleet(4, seed, 0)
+			for i := range f.members {
+				f.config.VoterCount = 1
+				f.start(i)
+				node := f.members[i].node
+				node.config.Members = node.config.Members[i/2:]
+				node.membersDigest = 0
+			}
+			return f
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for seed := range uint64(300) {
+				if found := c.make(seed).findOvercommit(60); found != "" {
+					t.Logf("seed %d: %s", seed, found)
+					return
+				}
+			}
+			t.Error("nothing found")
+		})
+	}
+}
+
+// Without faults most of the capacity is leased soon, and again after the leader has crashed; what is released is
+// leased to others at once.
+func TestCapacityIsLeased(t *testing.T) {
+	f := newFleet(5, 1, 0.005)
+	leader := int(slices.MinFunc(f.config.Members, rankFor(0))) - 1
+	first, second := (leader+1)%5, (leader+2)%5
+	base := f.members[first].node.BaseQuota()
+	checkQuota := func(when string, i, want int) {
+		t.Helper()
+		if got := f.members[i].node.Quota(0, f.clock(i)); got != want {
+			t.Errorf("%s: quota of member %d = %d, want %d", when, i, got, want)
+		}
+	}
+	f.demand(first, 0, FullCapacity)
+	f.run(2 * f.config.Term)
+	checkQuota("one member with demand", first, FullCapacity-f.config.UnleasedCapacity+base)
+
+	f.demand(first, 0, 0)
+	f.demand(second, 0, 500)
+	f.run(f.config.Term / 2)
+	checkQuota("after the release", second, 500+base)
+	checkQuota("after the release", first, base)
+
+	f.members[leader].isAlive = false
+	live := slices.DeleteFunc(slices.Clone(f.config.Members), func(id ID) bool { return int(id)-1 == leader })
+	for i, m := range f.members {
+		if m.isAlive {
+			f.handle(i, LiveMembers{live})
+		}
+	}
+	f.run(3 * f.config.Term)
+	checkQuota("after the leader's crash", second, 500+base)
+}
+
+// A message is decoded as it was encoded, and no other bytes are one.
+func FuzzDecode(f *testing.F) {
+	f.Add(message{kind: kindLease, membersDigest: 1, engine: 2, process: 3, request: 4, quota: 5, span: 6 * time.Millisecond}.encode())
+	f.Fuzz(func(t *testing.T, b []byte) {
+		m, err := decode(b)
+		if err == nil && !slices.Equal(m.encode(), b) {
+			t.Errorf("%x is encoded as %x", b, m.encode())
+		}
+	})
+}
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -10,242 +10,284 @@
 	"time"
 )
 
-// model plays one engine of which the members need more than is lent, and several have parts, step by step, with each trouble for each member in each step: all schedules of so
-// many steps. Clocks run apart as far as is allowed for, every second one fast and the others slow.
+// model plays one engine of which the members demand more than is leased, step by step, with each fault for each member
+// in each step: all schedules of so many steps. Clocks drift as far as is allowed for, every second one fast and the
+// others slow.
 type model struct {
-	cfg    Config
-	now    time.Duration
-	all    []*Machine
-	alive  []bool
-	paused []time.Duration
-	way    []letter
-	runs   uint32
-	most   int
-	spoil  func(*Machine) // a defect in each process that starts; nil: none
+	config      Config
+	now         time.Duration
+	nodes       []*Node
+	isAlive     []bool
+	pausedUntil []time.Duration
+	inTransit   []datagram
+	processes   uint32
+	highest     int         // sum of all quotas so far
+	defect      func(*Node) // put into each process that starts; nil: none
 }
 
-// runs gives each process its number, the same in each play.
-type runs uint32
+// processNumbers gives each process its number, the same in each play.
+type processNumbers uint32
 
-func (r *runs) Uint32() uint32 { *r++; return uint32(*r) }
+func (p *processNumbers) Uint32() uint32 { *p++; return uint32(*p) }
 
-const modelNeed = Whole / 3
+const modelDemand = FullCapacity / 3
 
-// modelStep is a quarter of a term, so that several troubles fall within the time of a part.
+// modelStep is a quarter of a term, so that several faults fall within the time of a lease.
 const modelStep = time.Second
 
-func newModel(n int, spoil func(*Machine)) *model {
+func newModel(size int, defect func(*Node)) *model {
 	var ids []ID
-	for i := range n {
+	for i := range size {
 		ids = append(ids, ID(i+1))
 	}
-	w := &model{cfg: Defaults(ids), now: time.Hour, alive: make([]bool, n), paused: make([]time.Duration, n), all: make([]*Machine, n), spoil: spoil}
-	for i := range n {
-		w.start(i)
+	m := &model{config: DefaultConfig(ids), now: time.Hour, isAlive: make([]bool, size), pausedUntil: make([]time.Duration, size), nodes: make([]*Node, size), defect: defect}
+	for i := range size {
+		m.start(i)
 	}
-	w.run(12*time.Second, trouble{})
-	return w
+	m.run(12*time.Second, fault{})
+	return m
 }
 
-func (w *model) clock(i int) time.Duration {
-	return time.Duration(float64(w.now)*(1+0.01*float64(2*(i%2)-1))) + time.Duration(i)*time.Hour
+func (m *model) clock(i int) time.Duration {
+	return time.Duration(float64(m.now)*(1+0.01*float64(2*(i%2)-1))) + time.Duration(i)*time.Hour
 }
 
-func (w *model) start(i int) {
-	next := runs(w.runs)
-	w.all[i], w.alive[i], w.paused[i] = New(w.cfg, ID(i+1), w.clock(i), &next), true, 0
-	w.runs++
-	if w.spoil != nil {
-		w.spoil(w.all[i])
+func (m *model) start(i int) {
+	next := processNumbers(m.processes)
+	m.nodes[i] = New(m.config, ID(i+1), m.clock(i), &next)
+	m.isAlive[i] = true
+	m.pausedUntil[i] = 0
+	m.processes++
+	if m.defect != nil {
+		m.defect(m.nodes[i])
 	}
-	w.event(i, Need{1, modelNeed}, trouble{})
+	m.handle(i, Demand{1, modelDemand}, fault{})
 }
 
-func (w *model) clone() *model {
-	c := *w
-	c.alive, c.paused, c.way, c.all = slices.Clone(w.alive), slices.Clone(w.paused), slices.Clone(w.way), nil
-	for _, m := range w.all {
-		o := *m
-		o.engines = maps.Clone(m.engines)
-		for e, was := range o.engines {
-			one := *was
-			one.yes, one.loans = slices.Clone(was.yes), slices.Clone(was.loans)
-			o.engines[e] = &one
-		}
-		c.all = append(c.all, &o)
+func (m *model) clone() *model {
+	c := *m
+	c.isAlive = slices.Clone(m.isAlive)
+	c.pausedUntil = slices.Clone(m.pausedUntil)
+	c.inTransit = slices.Clone(m.inTransit)
+	c.nodes = nil
+	for _, n := range m.nodes {
+		c.nodes = append(c.nodes, n.clone())
+	}
+	return &c
+}
+
+func (n *Node) clone() *Node {
+	c := *n
+	c.engines = maps.Clone(n.engines)
+	for id, engine := range c.engines {
+		e := *engine
+		e.leader.votes = slices.Clone(engine.leader.votes)
+		e.leader.grants = slices.Clone(engine.leader.grants)
+		c.engines[id] = &e
 	}
 	return &c
 }
 
-// trouble is what happens in one step; members count from 1, 0 is none.
-type trouble struct {
-	name                                   string
-	pause, restart, crash, deaf, mute, own int // own sees itself alone
-	late                                   int // what it sends comes a step later
-	all                                    bool
+// fault is what happens in one step. Members count from 1; 0 is none.
+type fault struct {
+	name                    string
+	pause, restart, crash   int
+	receivesNone, sendsNone int
+	seesItselfAlone         int
+	sendsLate               int // by a step
+	allSeeAll               bool
 }
 
-func troubles(n int) []trouble {
-	all := []trouble{{name: "nothing"}, {name: "all see all", all: true}}
-	for x := 1; x <= n; x++ {
-		all = append(all, trouble{name: fmt.Sprint("pause ", x), pause: x}, trouble{name: fmt.Sprint("restart ", x), restart: x}, trouble{name: fmt.Sprint("crash ", x), crash: x},
-			trouble{name: fmt.Sprint("to ", x), deaf: x}, trouble{name: fmt.Sprint("from ", x), mute: x}, trouble{name: fmt.Sprint(x, " alone"), own: x}, trouble{name: fmt.Sprint("late ", x), late: x})
+func faults(size int) []fault {
+	all := []fault{{name: "nothing"}, {name: "all see all", allSeeAll: true}}
+	for i := 1; i <= size; i++ {
+		all = append(all,
+			fault{name: fmt.Sprint("pause ", i), pause: i},
+			fault{name: fmt.Sprint("restart ", i), restart: i},
+			fault{name: fmt.Sprint("crash ", i), crash: i},
+			fault{name: fmt.Sprint("to ", i), receivesNone: i},
+			fault{name: fmt.Sprint("from ", i), sendsNone: i},
+			fault{name: fmt.Sprint(i, " alone"), seesItselfAlone: i},
+			fault{name: fmt.Sprint("late ", i), sendsLate: i})
 	}
 	return all
 }
 
-func (w *model) event(i int, e any, t trouble) {
-	for _, a := range w.all[i].Handle(w.clock(i), e) {
-		s := a.(Send)
-		at := w.now + 20*time.Millisecond
-		if t.late == i+1 {
-			at += modelStep
+func (m *model) handle(i int, e Event, f fault) {
+	for _, s := range m.nodes[i].Handle(m.clock(i), e) {
+		arrivesAt := m.now + 20*time.Millisecond
+		if f.sendsLate == i+1 {
+			arrivesAt += modelStep
 		}
-		if t.deaf != int(s.To) && t.mute != i+1 {
-			w.way = append(w.way, letter{at, i, int(s.To) - 1, s.B})
+		if f.receivesNone != int(s.To) && f.sendsNone != i+1 {
+			m.inTransit = append(m.inTransit, datagram{arrivesAt, i, int(s.To) - 1, s.Payload})
 		}
 	}
 }
 
-func (w *model) run(span time.Duration, t trouble) {
-	switch {
-	case t.pause > 0:
-		w.paused[t.pause-1] = w.now + span
-	case t.crash > 0:
-		w.alive[t.crash-1] = false
-	case t.restart > 0:
-		w.start(t.restart - 1)
-	case t.own > 0 && w.alive[t.own-1]:
-		w.event(t.own-1, Live{[]ID{ID(t.own)}}, t)
-	case t.all:
-		w.see()
-	}
-	for end := w.now + span; w.now < end; w.now += 100 * time.Millisecond {
-		due := w.way
-		w.way = nil
-		for _, l := range due {
-			switch {
-			case l.at > w.now || w.alive[l.to] && w.now < w.paused[l.to]:
-				w.way = append(w.way, l)
-			case w.alive[l.to]:
-				w.event(l.to, Heard{ID(l.from + 1), l.b}, t)
-			}
-		}
-		used := 0
-		for i, m := range w.all {
-			if w.alive[i] && w.now >= w.paused[i] {
-				w.event(i, Tick{}, t)
+func (m *model) run(span time.Duration, f fault) {
+	m.begin(span, f)
+	for end := m.now + span; m.now < end; m.now += 100 * time.Millisecond {
+		m.deliver(f)
+		usable := 0
+		for i, n := range m.nodes {
+			if m.isAlive[i] && m.now >= m.pausedUntil[i] {
+				m.handle(i, Tick{}, f)
 			}
-			used += m.Alone()
-			if w.alive[i] {
-				used += m.Part(1, w.clock(i)) - m.Alone()
+			usable += n.BaseQuota()
+			if m.isAlive[i] {
+				usable += n.Quota(1, m.clock(i)) - n.BaseQuota()
 			}
 		}
-		w.most = max(w.most, used)
+		m.highest = max(m.highest, usable)
 	}
 }
 
-// see tells all who lives.
-func (w *model) see() {
+// begin does what a fault does at its beginning.
+func (m *model) begin(span time.Duration, f fault) {
+	switch {
+	case f.pause > 0:
+		m.pausedUntil[f.pause-1] = m.now + span
+	case f.crash > 0:
+		m.isAlive[f.crash-1] = false
+	case f.restart > 0:
+		m.start(f.restart - 1)
+	case f.seesItselfAlone > 0 && m.isAlive[f.seesItselfAlone-1]:
+		m.handle(f.seesItselfAlone-1, LiveMembers{[]ID{ID(f.seesItselfAlone)}}, f)
+	case f.allSeeAll:
+		m.showLiveMembers()
+	}
+}
+
+func (m *model) deliver(f fault) {
+	due := m.inTransit
+	m.inTransit = nil
+	for _, d := range due {
+		switch {
+		case d.arrivesAt > m.now || m.isAlive[d.to] && m.now < m.pausedUntil[d.to]:
+			m.inTransit = append(m.inTransit, d)
+		case m.isAlive[d.to]:
+			m.handle(d.to, MessageReceived{ID(d.from + 1), d.payload}, f)
+		}
+	}
+}
+
+// showLiveMembers tells all members who is alive.
+func (m *model) showLiveMembers() {
 	var live []ID
-	for i, is := range w.alive {
-		if is {
+	for i, isAlive := range m.isAlive {
+		if isAlive {
 			live = append(live, ID(i+1))
 		}
 	}
-	for i, is := range w.alive {
-		if is && w.now >= w.paused[i] {
-			w.event(i, Live{live}, trouble{})
+	for i, isAlive := range m.isAlive {
+		if isAlive && m.now >= m.pausedUntil[i] {
+			m.handle(i, LiveMembers{live}, fault{})
 		}
 	}
 }
 
-func (w *model) state() uint64 {
+// stateHash is the hash of all that the members hold.
+func (m *model) stateHash() uint64 {
 	h := fnv.New64a()
-	fmt.Fprintln(h, w.alive, w.paused, w.way)
-	for i, m := range w.all {
-		fmt.Fprintln(h, m.run, m.live, m.began-w.clock(i))
-		if c := m.engines[1]; c != nil {
-			fmt.Fprintln(h, *c)
+	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // a hash never fails
+	write(m.isAlive, m.pausedUntil, m.inTransit)
+	for i, n := range m.nodes {
+		write(n.process, n.liveMembers, n.startedAt-m.clock(i))
+		if engine := n.engines[1]; engine != nil {
+			write(*engine)
 		}
 	}
 	return h.Sum64()
 }
 
-// explore plays all schedules, and in the end peace. It returns the first that breaks something.
-func explore(n, steps int, spoil func(*Machine)) (states, schedules int, found string) {
-	seen := map[uint64]bool{}
-	var walk func(w *model, path string, left int)
-	walk = func(w *model, path string, left int) {
-		if w.most > Whole {
-			found = fmt.Sprintf("%s: %d of %d", path, w.most, Whole)
-		}
-		if found != "" {
-			return
+// explorer visits all schedules of a model, and remembers the states that it has seen.
+type explorer struct {
+	seen      map[uint64]bool
+	schedules int
+	found     string // the first schedule that breaks something
+}
+
+func explore(size, steps int, defect func(*Node)) *explorer {
+	e := &explorer{seen: map[uint64]bool{}}
+	e.walk(newModel(size, defect), fmt.Sprint(size, " members"), steps)
+	return e
+}
+
+func (e *explorer) walk(m *model, path string, steps int) {
+	if m.highest > FullCapacity {
+		e.found = fmt.Sprintf("%s: %d of %d", path, m.highest, FullCapacity)
+	}
+	if e.found != "" {
+		return
+	}
+	if steps == 0 {
+		e.finish(m, path)
+		return
+	}
+	for _, f := range faults(len(m.nodes)) {
+		next := m.clone()
+		next.run(modelStep, f)
+		key := next.stateHash() ^ uint64(steps)
+		if !e.seen[key] || steps == 1 {
+			e.seen[key] = true
+			e.walk(next, path+", "+f.name, steps-1)
 		}
-		if left == 0 {
-			schedules++
-			switch ok := w.lent(); {
-			case w.most > Whole:
-				found = fmt.Sprintf("%s, in the end: %d of %d", path, w.most, Whole)
-			case !ok:
-				found = path + ": not all is lent in the end"
-			}
+		if e.found != "" {
 			return
 		}
-		for _, t := range troubles(n) {
-			c := w.clone()
-			c.run(modelStep, t)
-			s := c.state()
-			if key := s ^ uint64(left); !seen[key] || left == 1 {
-				seen[key] = true
-				walk(c, path+", "+t.name, left-1)
-			}
-			if found != "" {
-				return
-			}
-		}
 	}
-	walk(newModel(n, spoil), fmt.Sprint(n, " members"), steps)
-	return len(seen), schedules, found
 }
 
-// lent lets them be, and tells whether in the end all that is needed is lent where most voters live.
-func (w *model) lent() bool {
-	w.see()
-	w.run(10*time.Second, trouble{})
-	w.see() // also those that stood still
-	w.run(10*time.Second, trouble{})
-	live, used := 0, 0
-	for i, m := range w.all {
-		if w.alive[i] {
+// finish plays on without faults.
+func (e *explorer) finish(m *model, path string) {
+	e.schedules++
+	isLeased := m.settle()
+	switch {
+	case m.highest > FullCapacity:
+		e.found = fmt.Sprintf("%s, in the end: %d of %d", path, m.highest, FullCapacity)
+	case !isLeased:
+		e.found = path + ": not all is leased in the end"
+	}
+}
+
+// settle plays on without faults, and tells whether in the end all that is demanded is leased where a majority of the
+// voters is alive.
+func (m *model) settle() bool {
+	m.showLiveMembers()
+	m.run(10*time.Second, fault{})
+	m.showLiveMembers() // also to those that were paused
+	m.run(10*time.Second, fault{})
+	live, leased := 0, 0
+	for i, n := range m.nodes {
+		if m.isAlive[i] {
 			live++
-			used += m.Part(1, w.clock(i)) - m.Alone()
+			leased += n.Quota(1, m.clock(i)) - n.BaseQuota()
 		}
 	}
-	return 2*live <= len(w.all) || used == min(Whole-w.cfg.Alone, live*modelNeed)
+	return 2*live <= len(m.nodes) || leased == min(FullCapacity-m.config.UnleasedCapacity, live*modelDemand)
 }
 
 func TestModel(t *testing.T) {
 	steps := map[int]int{3: 2, 4: 2}
-	if os.Getenv("LEND_STEPS") == "4" {
+	if os.Getenv("LEASE_STEPS") == "4" {
 		steps = map[int]int{3: 4, 4: 3}
 	}
-	for _, n := range []int{3, 4} {
-		states, schedules, found := explore(n, steps[n], nil)
-		if found != "" {
-			t.Error(found)
+	for _, size := range []int{3, 4} {
+		e := explore(size, steps[size], nil)
+		if e.found != "" {
+			t.Error(e.found)
 		}
-		t.Logf("%d members, %d steps: %d schedules, %d states", n, steps[n], schedules, states)
+		t.Logf("%d members, %d steps: %d schedules, %d states", size, steps[size], e.schedules, len(e.seen))
 	}
 }
 
-// The check finds a defect that is put in on purpose: who relies on a word counts from when it came, half a term
-// later than the question went out, and so longer than who gave it.
+// The check finds a defect that is put in on purpose: a holder counts its lease from when it arrived, half a term after
+// the request was sent, and so for longer than the leader.
 func TestModelFindsDefect(t *testing.T) {
-	if _, _, found := explore(3, 3, func(m *Machine) { m.cfg.Drift = -0.2 }); found == "" {
+	e := explore(3, 3, func(n *Node) { n.config.MaxClockDrift = -0.2 })
+	if e.found == "" {
 		t.Error("nothing found")
-	} else {
-		t.Log(found)
 	}
+	t.Log(e.found)
 }
--- a/internal/decide/lease/replay_test.go
+++ b/internal/decide/lease/replay_test.go
@@ -15,31 +15,32 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testdata/replay.txt has the digest of all messages and parts of each play, and testdata/words.txt a message of each
-// kind; both were written by the version before the names of this package changed. The digest is taken over fixed
+// testdata/replay.txt has the digest of all messages and quotas of each play, and testdata/messages.txt a message of
+// each kind; both were written by the version before the names of this package changed. The digest is taken over fixed
 // strings and numbers, so that it does not depend on any Go identifier.
 
 const replaySeeds = 16
 
 // replayFleet plays a fleet with faults and returns the count of all messages and the digest.
 func replayFleet(seed uint64) string {
-	f := newFleet(1+int(seed%8), seed, Defaults(nil).Drift)
+	f := newFleet(1+int(seed%8), seed, DefaultConfig(nil).MaxClockDrift)
 	digest, messages := sha256.New(), 0
-	write := func(parts ...string) { fmt.Fprintln(digest, strings.Join(parts, " ")) }
-	for i := range f.all {
-		f.need(i, 0, Whole)
-		f.need(i, 1, 300)
+	write := func(parts ...string) { _, _ = fmt.Fprintln(digest, strings.Join(parts, " ")) } // a hash never fails
+	for i := range f.members {
+		f.demand(i, 0, FullCapacity)
+		f.demand(i, 1, 300)
 	}
 	for range 40 {
-		write("fault", f.trouble())
-		for end := f.now + time.Duration(1+f.rng.IntN(3000))*time.Millisecond; f.now < end; {
+		write("fault", f.injectFault())
+		for end := f.now + time.Duration(1+f.random.IntN(3000))*time.Millisecond; f.now < end; {
 			f.run(50 * time.Millisecond)
-			for _, l := range f.way {
+			for _, d := range f.inTransit {
 				messages++
-				write(strconv.FormatInt(int64(l.at), 10), strconv.Itoa(l.from), strconv.Itoa(l.to), hex.EncodeToString(l.b))
+				write(strconv.FormatInt(int64(d.arrivesAt), 10), strconv.Itoa(d.from), strconv.Itoa(d.to), hex.EncodeToString(d.payload))
 			}
-			for i, n := range f.all {
-				write(strconv.Itoa(i), strconv.Itoa(n.m.Part(0, f.clock(i))), strconv.Itoa(n.m.Part(1, f.clock(i))), strconv.Itoa(n.m.Alone()), strconv.Itoa(n.m.Dropped), strconv.Itoa(n.m.Refused))
+			for i, m := range f.members {
+				write(strconv.Itoa(i), strconv.Itoa(m.node.Quota(0, f.clock(i))), strconv.Itoa(m.node.Quota(1, f.clock(i))), strconv.Itoa(m.node.BaseQuota()),
+					strconv.Itoa(m.node.DroppedMessages), strconv.Itoa(m.node.RejectedEngines))
 			}
 		}
 	}
@@ -77,51 +78,60 @@
 	}
 }
 
-type wordFixture struct {
-	name string
-	word word
+type messageFixture struct {
+	name    string
+	message message
 }
 
-func wordFixtures() []wordFixture {
-	of := func(kind byte) word {
-		return word{kind: kind, members: 0xdeadbeef, engine: 0x0123456789abcdef, run: 0xcafe0123, count: 4711, share: 1023, span: 3999 * time.Millisecond}
+func messageFixtures() []messageFixture {
+	of := func(kind kind) message {
+		return message{kind: kind, membersDigest: 0xdeadbeef, engine: 0x0123456789abcdef, process: 0xcafe0123, request: 4711, quota: 1023, span: 3999 * time.Millisecond}
+	}
+	return []messageFixture{
+		{"claim", of(kindVoteRequest)}, {"promise", of(kindVote)}, {"ask", of(kindLeaseRequest)}, {"lend", of(kindLease)}, {"back", of(kindLeaseRelease)},
 	}
-	return []wordFixture{{"claim", of(kindClaim)}, {"promise", of(kindPromise)}, {"ask", of(kindAsk)}, {"lend", of(kindLend)}, {"back", of(kindBack)}}
 }
 
-func TestWordsOfEarlierVersion(t *testing.T) {
-	stored := storedLines(t, "words.txt")
-	if len(stored) != len(wordFixtures()) {
-		t.Errorf("%d messages are stored, want %d", len(stored), len(wordFixtures()))
+func TestMessagesOfEarlierVersion(t *testing.T) {
+	stored := storedLines(t, "messages.txt")
+	if len(stored) != len(messageFixtures()) {
+		t.Errorf("%d messages are stored, want %d", len(stored), len(messageFixtures()))
 	}
-	for _, c := range wordFixtures() {
+	for _, c := range messageFixtures() {
 		t.Run(c.name, func(t *testing.T) {
 			b, err := hex.DecodeString(stored[c.name])
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := read(b)
+			got, err := decode(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(c.word, got, cmp.AllowUnexported(word{})); diff != "" {
+			if diff := cmp.Diff(c.message, got, cmp.AllowUnexported(message{})); diff != "" {
 				t.Error(diff)
 			}
-			if again := got.append(nil); !slices.Equal(again, b) {
-				t.Errorf("written anew as %x, want %x", again, b)
-			}
-			for n := range b {
-				if _, err := read(b[:n]); err == nil {
-					t.Errorf("%d of %d bytes are taken", n, len(b))
-				}
-			}
-			for i := range len(b) * 8 {
-				flipped := slices.Clone(b)
-				flipped[i/8] ^= 1 << (i % 8)
-				if got, err := read(flipped); err == nil && !slices.Equal(got.append(nil), flipped) {
-					t.Errorf("bit %d is changed: read and written otherwise", i)
-				}
+			if again := got.encode(); !slices.Equal(again, b) {
+				t.Errorf("encoded anew as %x, want %x", again, b)
 			}
+			checkDamaged(t, b)
 		})
 	}
 }
+
+// checkDamaged decodes a message that is cut short or of which a bit was changed: it is refused, or encoded again as it
+// was decoded.
+func checkDamaged(t *testing.T, b []byte) {
+	t.Helper()
+	for n := range b {
+		if _, err := decode(b[:n]); err == nil {
+			t.Errorf("%d of %d bytes are accepted", n, len(b))
+		}
+	}
+	for i := range len(b) * 8 {
+		flipped := slices.Clone(b)
+		flipped[i/8] ^= 1 << (i % 8)
+		if got, err := decode(flipped); err == nil && !slices.Equal(got.encode(), flipped) {
+			t.Errorf("bit %d is changed: decoded and encoded differently", i)
+		}
+	}
+}
