--- a/internal/decide/membership/fixture_test.go
+++ b/internal/decide/membership/fixture_test.go
@@ -27,23 +27,39 @@
 	head := func(kind kind) message {
 		return message{Kind: kind, From: self, Incarnation: 1_800_000_000, Sequence: 4711, RecordsDigest: 0xdeadbeef, KnownMembers: 300, View: View{Number: 77, Digest: 0xcafe0123}}
 	}
-	own := record{Author: self, Incarnation: 1_800_000_000, Sequence: 12, SuspectsItself: true, Statements: []statement{{other, 7, notHeard}, {third, 200, notHeardButAlive}, {third + 5, 0, heardDirectly}}}
-	beat, probe, answer, ask, have, tell, talk, more := head(kindHeartbeat), head(kindPing), head(kindAck), head(kindPingRequest), head(kindRecordsRequest), head(kindRecords), head(kindGossip), head(kindGossipRequest)
-	beat.Records = []record{own}
-	answer.Argument = 4710
-	ask.Argument = uint64(third)
-	have.Argument = 1<<8 | 3
-	have.Filter = bloomFilter{0, 1, 0x80, 0xff}
-	have.Records = []record{{Author: self, Incarnation: 1_800_000_000, Sequence: 65535}}
-	tell.Argument = 1
-	tell.Records = []record{own, {Author: other, Incarnation: 1_799_999_000, Sequence: 1, Departed: true}, {Author: 1, Incarnation: 1, Statements: []statement{{MaxID, 255, notHeard}}}}
-	talk.Gossip = []GossipMessage{
+	own := record{
+		Author: self, Incarnation: 1_800_000_000, Sequence: 12, SuspectsItself: true,
+		Statements: []statement{{other, 7, notHeard}, {third, 200, notHeardButAlive}, {third + 5, 0, heardDirectly}},
+	}
+	heartbeat := head(kindHeartbeat)
+	heartbeat.Records = []record{own}
+	ack := head(kindAck)
+	ack.Argument = 4710
+	pingRequest := head(kindPingRequest)
+	pingRequest.Argument = uint64(third)
+	recordsRequest := head(kindRecordsRequest)
+	recordsRequest.Argument = 1<<8 | 3
+	recordsRequest.Filter = bloomFilter{0, 1, 0x80, 0xff}
+	recordsRequest.Records = []record{{Author: self, Incarnation: 1_800_000_000, Sequence: 65535}}
+	records := head(kindRecords)
+	records.Argument = 1
+	records.Records = []record{
+		own,
+		{Author: other, Incarnation: 1_799_999_000, Sequence: 1, Departed: true},
+		{Author: 1, Incarnation: 1, Statements: []statement{{MaxID, 255, notHeard}}},
+	}
+	gossip := head(kindGossip)
+	gossip.Gossip = []GossipMessage{
 		{Topic: 5, Key: 4_000_000_000, Owner: self, Incarnation: 1_800_000_000, Version: 3, Body: []byte("a body")},
 		{Topic: 255, Key: 0, Owner: other, Incarnation: 9, Version: 4_000_000_000},
 	}
-	more.Argument = 1
-	more.Filter = bloomFilter{7}
-	return []datagramFixture{{"beat", beat}, {"probe", probe}, {"answer", answer}, {"ask", ask}, {"have", have}, {"tell", tell}, {"talk", talk}, {"more", more}}
+	gossipRequest := head(kindGossipRequest)
+	gossipRequest.Argument = 1
+	gossipRequest.Filter = bloomFilter{7}
+	return []datagramFixture{
+		{"beat", heartbeat}, {"probe", head(kindPing)}, {"answer", ack}, {"ask", pingRequest},
+		{"have", recordsRequest}, {"tell", records}, {"talk", gossip}, {"more", gossipRequest},
+	}
 }
 
 func TestDatagramsOfEarlierVersion(t *testing.T) {
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -11,292 +11,354 @@
 	"time"
 )
 
-// The model check plays all schedules of a few steps of 1.5 s, each with one trouble of every kind for every member and
-// pair, on 3 and on 4 members that had found each other, and then lets them be. A state is all that the members hold at the
-// end of a step. MEMBERS_STEPS=3 goes deeper than CI does.
+// The model check plays all schedules of a few steps of 1.5 s, each with one fault of every kind for every member and
+// pair, on 3 and on 4 members that had found each other, and then plays on without faults. A state is all that the
+// members hold at the end of a step. MEMBERS_STEPS=3 goes deeper than CI does.
 
-const modelStep = 1500 * time.Millisecond
+const (
+	modelStep  = 1500 * time.Millisecond
+	modelTick  = 10 * time.Millisecond
+	modelDelay = 10 * time.Millisecond // of a datagram
+	slowDelay  = 500 * time.Millisecond
+)
 
-// draws is a random source that can be copied.
-type draws struct{ n uint64 }
+// copyableRandom is a random source that can be copied.
+type copyableRandom struct{ state uint64 }
 
-func (d *draws) IntN(n int) int {
-	d.n = d.n*6364136223846793005 + 1442695040888963407
-	return int((d.n >> 33) % uint64(n))
+func (r *copyableRandom) IntN(n int) int {
+	r.state = r.state*6364136223846793005 + 1442695040888963407
+	return int((r.state >> 33) % uint64(n))
 }
 
-func (d *draws) Shuffle(n int, swap func(i, j int)) {
+func (r *copyableRandom) Shuffle(n int, swap func(i, j int)) {
 	for i := n - 1; i > 0; i-- {
-		swap(i, d.IntN(i+1))
+		swap(i, r.IntN(i+1))
 	}
 }
 
 // clone copies a member with all that it holds.
-func (m *Node) clone() *Node {
-	c := *m
-	to := map[*peer]*peer{}
+func (n *Node) clone() *Node {
+	c := *n
+	copies := map[*peer]*peer{}
 	c.members.byID = map[ID]*peer{}
-	for id, p := range m.members.byID {
+	for id, p := range n.members.byID {
 		q := *p
-		to[p], c.members.byID[id] = &q, &q
+		copies[p] = &q
+		c.members.byID[id] = &q
 	}
-	all := func(in []*peer) (out []*peer) {
-		for _, p := range in {
-			out = append(out, to[p])
+	copyAll := func(peers []*peer) (out []*peer) {
+		for _, p := range peers {
+			out = append(out, copies[p])
 		}
 		return out
 	}
-	c.members.sorted = all(m.members.sorted)
-	c.self, c.topology.inView, c.monitor.peers, c.topology.rings = to[m.self], all(m.topology.inView), all(m.monitor.peers), nil
-	for _, r := range m.topology.rings {
-		c.topology.rings = append(c.topology.rings, all(r))
+	c.self = copies[n.self]
+	c.members.sorted = copyAll(n.members.sorted)
+	c.topology.inView = copyAll(n.topology.inView)
+	c.topology.rings = nil
+	for _, ring := range n.topology.rings {
+		c.topology.rings = append(c.topology.rings, copyAll(ring))
 	}
-	c.outbox.pending = map[ID]int{}
-	for id, n := range m.outbox.pending {
-		c.outbox.pending[id] = n
-	}
-	c.gossip.messages, c.gossip.pending = maps.Clone(m.gossip.messages), maps.Clone(m.gossip.pending)
-	rng := *m.random.(*draws)
-	c.random, c.actions = &rng, nil
+	c.monitor.peers = copyAll(n.monitor.peers)
+	c.outbox.pending = maps.Clone(n.outbox.pending)
+	c.gossip.messages = maps.Clone(n.gossip.messages)
+	c.gossip.pending = maps.Clone(n.gossip.pending)
+	random := *n.random.(*copyableRandom)
+	c.random = &random
+	c.actions = nil
 	return &c
 }
 
 // model is a fleet in one state.
 type model struct {
-	cfg    Config
-	now    time.Duration
-	all    []*Node
-	alive  []bool
-	paused []time.Duration
-	woke   []time.Duration
-	unsure [][]time.Duration // [a][b]: when a datagram of a to b was last lost
-	lives  uint32
-	broken string
+	config        Config
+	now           time.Duration
+	nodes         []*Node
+	isAlive       []bool
+	pausedUntil   []time.Duration
+	lastAbsent    []time.Duration   // the last time that a member was paused or crashed
+	lastDisturbed [][]time.Duration // [a][b]: when a datagram from a to b was last lost or slow
+	incarnation   uint32
+	inTransit     []modelDatagram
+	broken        string // the first thing that went wrong
 }
 
-func newModel(n int, cfg Config) *model {
-	w := &model{cfg: cfg, now: time.Hour, paused: make([]time.Duration, n), woke: make([]time.Duration, n), alive: make([]bool, n), lives: 1}
-	for i := range n {
-		w.alive[i] = true
-		w.all = append(w.all, w.member(i))
-		w.unsure = append(w.unsure, make([]time.Duration, n))
+type modelDatagram struct {
+	arrivesAt time.Duration
+	to, from  int
+	payload   []byte
+}
+
+func newModel(size int, config Config) *model {
+	m := &model{
+		config: config, now: time.Hour, incarnation: 1,
+		isAlive: make([]bool, size), pausedUntil: make([]time.Duration, size), lastAbsent: make([]time.Duration, size),
+	}
+	for i := range size {
+		m.isAlive[i] = true
+		m.nodes = append(m.nodes, m.newNode(i))
+		m.lastDisturbed = append(m.lastDisturbed, make([]time.Duration, size))
 	}
-	w.run(16*time.Second, trouble{}) // until enough beats were counted on each way to tell what is lost there
-	return w
+	m.run(16*time.Second, fault{}) // until the loss of each path is measured
+	return m
 }
 
-func (w *model) member(i int) *Node {
+func (m *model) newNode(i int) *Node {
 	var named []ID
-	for id := range w.alive {
-		named = append(named, ID(id+1))
+	for other := range m.isAlive {
+		named = append(named, ID(other+1))
 	}
-	return New(w.cfg, ID(i+1), w.lives, named, w.now, &draws{uint64(i) + uint64(w.lives)<<32})
+	return New(m.config, ID(i+1), m.incarnation, named, m.now, &copyableRandom{uint64(i) + uint64(m.incarnation)<<32})
 }
 
-func (w *model) clone() *model {
-	c := *w
-	c.all = nil
-	for _, m := range w.all {
-		c.all = append(c.all, m.clone())
+func (m *model) clone() *model {
+	c := *m
+	c.nodes = nil
+	for _, n := range m.nodes {
+		c.nodes = append(c.nodes, n.clone())
 	}
-	c.alive, c.paused, c.woke = slices.Clone(w.alive), slices.Clone(w.paused), slices.Clone(w.woke)
-	c.unsure = nil
-	for _, row := range w.unsure {
-		c.unsure = append(c.unsure, slices.Clone(row))
+	c.isAlive = slices.Clone(m.isAlive)
+	c.pausedUntil = slices.Clone(m.pausedUntil)
+	c.lastAbsent = slices.Clone(m.lastAbsent)
+	c.lastDisturbed = nil
+	for _, row := range m.lastDisturbed {
+		c.lastDisturbed = append(c.lastDisturbed, slices.Clone(row))
 	}
 	return &c
 }
 
-// trouble is what happens in one step.
-type trouble struct {
+// pathFilter selects paths by their sender and receiver.
+type pathFilter func(from, to int) bool
+
+// fault is what happens in one step. Members count from 1; 0 is none.
+type fault struct {
 	name                  string
-	cut                   func(a, b int) bool // what a sends to b is lost
-	slow                  func(a, b int) bool // or comes half a second later
-	pause, restart, crash int                 // a member, from 1
+	loses, slows          pathFilter
+	pause, restart, crash int
 }
 
-func troubles(n int) (all []trouble) {
-	all = append(all, trouble{name: "nothing"})
-	add := func(name string, cut func(a, b int) bool) {
-		all = append(all, trouble{name: name, cut: cut}, trouble{name: "slow: " + name, slow: cut})
+func faults(size int) []fault {
+	all := []fault{{name: "nothing"}}
+	addPaths := func(name string, paths pathFilter) {
+		all = append(all, fault{name: name, loses: paths}, fault{name: "slow: " + name, slows: paths})
 	}
-	for x := range n {
-		all = append(all, trouble{name: fmt.Sprint("pause ", x), pause: x + 1}, trouble{name: fmt.Sprint("restart ", x), restart: x + 1}, trouble{name: fmt.Sprint("crash ", x), crash: x + 1})
-		add(fmt.Sprint("to ", x), func(a, b int) bool { return b == x })
-		add(fmt.Sprint("from ", x), func(a, b int) bool { return a == x })
-		add(fmt.Sprint("round ", x), func(a, b int) bool { return a == x || b == x })
-		for y := range n {
+	for x := range size {
+		all = append(all,
+			fault{name: fmt.Sprint("pause ", x), pause: x + 1},
+			fault{name: fmt.Sprint("restart ", x), restart: x + 1},
+			fault{name: fmt.Sprint("crash ", x), crash: x + 1})
+		addPaths(fmt.Sprint("to ", x), func(_, to int) bool { return to == x })
+		addPaths(fmt.Sprint("from ", x), func(from, _ int) bool { return from == x })
+		addPaths(fmt.Sprint("round ", x), func(from, to int) bool { return from == x || to == x })
+		for y := range size {
 			if x != y {
-				add(fmt.Sprint(x, " to ", y), func(a, b int) bool { return a == x && b == y })
+				addPaths(fmt.Sprint(x, " to ", y), func(from, to int) bool { return from == x && to == y })
 			}
 		}
 	}
-	for x := 1; x < n && n == 4; x++ {
-		add(fmt.Sprint("0 and ", x, " from the rest"), func(a, b int) bool { return (a == 0 || a == x) != (b == 0 || b == x) })
+	for x := 1; x < size && size == 4; x++ {
+		isFirstHalf := func(i int) bool { return i == 0 || i == x }
+		addPaths(fmt.Sprint("0 and ", x, " from the rest"), func(from, to int) bool { return isFirstHalf(from) != isFirstHalf(to) })
 	}
 	return all
 }
 
-// run plays a trouble for a span. Datagrams take 10 ms, slow ones 500 ms.
-func (w *model) run(span time.Duration, t trouble) {
-	switch {
-	case t.pause > 0 && w.alive[t.pause-1]:
-		w.paused[t.pause-1] = w.now + span
-	case t.restart > 0:
-		w.lives++
-		w.alive[t.restart-1], w.paused[t.restart-1] = true, 0
-		w.all[t.restart-1] = w.member(t.restart - 1)
-	case t.crash > 0:
-		w.alive[t.crash-1] = false
-	}
-	type on struct {
-		at       time.Duration
-		to, from int
-		b        []byte
-	}
-	var way []on
-	handle := func(i int, e Event) {
-		for _, a := range w.all[i].Handle(w.now, e) {
-			switch a := a.(type) {
-			case MemberReport:
-				w.judge(i, a)
-			case Send:
-				to, at := int(a.To)-1, w.now+10*time.Millisecond
-				switch {
-				case t.cut != nil && t.cut(i, to):
-					w.unsure[i][to] = w.now
-					continue
-				case t.slow != nil && t.slow(i, to):
-					w.unsure[i][to] = w.now
-					at += 490 * time.Millisecond
-				}
-				way = append(way, on{at, to, i, a.Payload})
+// run plays a fault for a span. Datagrams that have not arrived at its end are lost.
+func (m *model) run(span time.Duration, f fault) {
+	m.begin(span, f)
+	m.inTransit = nil
+	for end := m.now + span; m.now < end; m.now += modelTick {
+		m.deliver(f)
+		for i, n := range m.nodes {
+			switch {
+			case !m.isRunning(i):
+				m.lastAbsent[i] = m.now
+			case m.now >= n.nextTickAt:
+				m.handle(i, Tick{}, f)
 			}
 		}
 	}
-	for end := w.now + span; w.now < end; w.now += 10 * time.Millisecond {
-		due := way
-		way = nil
-		for _, d := range due {
-			switch {
-			case d.at > w.now:
-				way = append(way, d)
-			case w.alive[d.to] && w.now >= w.paused[d.to]:
-				handle(d.to, DatagramReceived{ID(d.from + 1), d.b})
-			}
+	m.inTransit = nil
+}
+
+// begin does what a fault does at its beginning.
+func (m *model) begin(span time.Duration, f fault) {
+	switch {
+	case f.pause > 0 && m.isAlive[f.pause-1]:
+		m.pausedUntil[f.pause-1] = m.now + span
+	case f.restart > 0:
+		m.incarnation++
+		m.isAlive[f.restart-1] = true
+		m.pausedUntil[f.restart-1] = 0
+		m.nodes[f.restart-1] = m.newNode(f.restart - 1)
+	case f.crash > 0:
+		m.isAlive[f.crash-1] = false
+	}
+}
+
+func (m *model) isRunning(i int) bool { return m.isAlive[i] && m.now >= m.pausedUntil[i] }
+
+// deliver hands over the datagrams that are due; members that don't run lose them.
+func (m *model) deliver(f fault) {
+	due := m.inTransit
+	m.inTransit = nil
+	for _, d := range due {
+		switch {
+		case d.arrivesAt > m.now:
+			m.inTransit = append(m.inTransit, d)
+		case m.isRunning(d.to):
+			m.handle(d.to, DatagramReceived{ID(d.from + 1), d.payload}, f)
 		}
-		for i, m := range w.all {
-			if !w.alive[i] || w.now < w.paused[i] {
-				w.woke[i] = w.now
-				continue
-			}
-			if w.now >= m.nextTickAt {
-				handle(i, Tick{})
-			}
+	}
+}
+
+func (m *model) handle(i int, e Event, f fault) {
+	for _, a := range m.nodes[i].Handle(m.now, e) {
+		switch a := a.(type) {
+		case MemberReport:
+			m.checkReport(i, a)
+		case Send:
+			m.send(i, a, f)
 		}
 	}
 }
 
-// judge holds what a member says of another against what was done: whom more than half of the fleet has heard, both
-// ways, for 5 s is not called dead, and one that has stood still calls nobody dead when it goes on.
-func (w *model) judge(by int, said MemberReport) {
-	of := int(said.Member) - 1
-	if said.State != Dead || of == by || w.broken != "" {
+func (m *model) send(from int, s Send, f fault) {
+	to := int(s.To) - 1
+	delay := modelDelay
+	switch {
+	case f.loses != nil && f.loses(from, to):
+		m.lastDisturbed[from][to] = m.now
 		return
+	case f.slows != nil && f.slows(from, to):
+		m.lastDisturbed[from][to] = m.now
+		delay = slowDelay
 	}
-	const lately = 5 * time.Second
-	if w.alive[of] && w.now-w.woke[of] > lately {
-		sound := 1
-		for i := range w.all {
-			if i != of && w.now-w.unsure[of][i] > lately && w.now-w.unsure[i][of] > lately && w.alive[i] {
-				sound++
+	m.inTransit = append(m.inTransit, modelDatagram{m.now + delay, to, from, s.Payload})
+}
+
+// checkReport holds what a member reports of another against what was done: one that more than half of the fleet has
+// heard, both ways, for 5 s is not called dead, and one that was paused calls nobody dead when it goes on.
+func (m *model) checkReport(by int, report MemberReport) {
+	of := int(report.Member) - 1
+	if report.State != Dead || of == by || m.broken != "" {
+		return
+	}
+	const recently = 5 * time.Second
+	if m.isAlive[of] && m.now-m.lastAbsent[of] > recently {
+		connected := 1
+		for i := range m.nodes {
+			isUndisturbed := m.now-m.lastDisturbed[of][i] > recently && m.now-m.lastDisturbed[i][of] > recently
+			if i != of && isUndisturbed && m.isAlive[i] {
+				connected++
 			}
 		}
-		if 2*sound > len(w.all) {
-			w.broken = fmt.Sprintf("%d calls %d dead, whom most hear: %v", by, of, said.Witnesses)
+		if 2*connected > len(m.nodes) {
+			m.broken = fmt.Sprintf("%d calls %d dead, whom most hear: %v", by, of, report.Witnesses)
 		}
 	}
-	if w.now-w.woke[by] < time.Second && w.alive[of] {
-		w.broken = fmt.Sprintf("%d has stood still and calls %d dead", by, of)
+	if m.now-m.lastAbsent[by] < time.Second && m.isAlive[of] {
+		m.broken = fmt.Sprintf("%d was paused and calls %d dead", by, of)
 	}
 }
 
-// settle lets them be, and tells what is wrong in the end: all that live have the view of just these.
-func (w *model) settle() string {
-	w.run(14*time.Second, trouble{})
+// settle plays on without faults, and tells what is wrong in the end: all living members have the view of just these.
+func (m *model) settle() string {
+	m.run(14*time.Second, fault{})
 	live := 0
-	for _, is := range w.alive {
-		if is {
+	for _, isAlive := range m.isAlive {
+		if isAlive {
 			live++
 		}
 	}
-	for i, m := range w.all {
-		if v, _ := m.View(); w.alive[i] && w.broken == "" && live > 1 && v.Size != live {
-			w.broken = fmt.Sprintf("in the end %d has a view of %d, %d live", i, v.Size, live)
+	for i, n := range m.nodes {
+		if view, _ := n.View(); m.isAlive[i] && m.broken == "" && live > 1 && view.Size != live {
+			m.broken = fmt.Sprintf("in the end %d has a view of %d, %d live", i, view.Size, live)
 		}
 	}
-	return w.broken
+	return m.broken
 }
 
-// state is a sum of all that the members hold.
-func (w *model) state() uint64 {
+// stateHash is the hash of all that the members hold.
+func (m *model) stateHash() uint64 {
 	h := fnv.New64a()
-	for i, m := range w.all {
-		fmt.Fprintln(h, w.alive[i], m.views.current, m.views.hasMajority, m.self.record, w.now-m.health.suspectUntil > 0)
-		for _, p := range m.members.sorted {
-			fmt.Fprintln(h, p.state, p.ownObservation, p.record, p.notHeardBy, p.notHeardButAliveBy, p.heardBy, p.pingsSent, (w.now-p.silentSince)/(100*time.Millisecond))
+	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // a hash never fails
+	for i, n := range m.nodes {
+		write(m.isAlive[i], n.views.current, n.views.hasMajority, n.self.record, m.now-n.health.suspectUntil > 0)
+		for _, p := range n.members.sorted {
+			write(p.state, p.ownObservation, p.record, p.notHeardBy, p.notHeardButAliveBy, p.heardBy, p.pingsSent, (m.now-p.silentSince)/(100*time.Millisecond))
 		}
 	}
 	return h.Sum64()
 }
 
-// explore plays all schedules of so many steps. It returns the first that breaks something.
-func explore(n, steps int, cfg Config) (states, schedules int, found string) {
-	all := troubles(n)
-	start := newModel(n, cfg)
-	var mu sync.Mutex
-	seen := map[uint64]bool{}
-	var walk func(w *model, path string, left int)
-	walk = func(w *model, path string, left int) {
-		if left == 0 {
-			broken := w.settle()
-			mu.Lock()
-			defer mu.Unlock()
-			schedules++
-			seen[w.state()] = true
-			if broken != "" && found == "" {
-				found = path + ": " + broken
-			}
+// explorer visits all schedules of a model. It is safe for concurrent use.
+type explorer struct {
+	faults []fault
+
+	mu        sync.Mutex
+	seen      map[uint64]bool
+	schedules int
+	found     string // the first schedule that breaks something
+}
+
+// explore plays all schedules of so many steps.
+func explore(size, steps int, config Config) *explorer {
+	e := &explorer{faults: faults(size), seen: map[uint64]bool{}}
+	start := newModel(size, config)
+	slots := make(chan struct{}, 4)
+	var wait sync.WaitGroup
+	for _, f := range e.faults {
+		slots <- struct{}{}
+		wait.Go(func() {
+			m := start.clone()
+			m.run(modelStep, f)
+			e.walk(m, f.name, steps-1)
+			<-slots
+		})
+	}
+	wait.Wait()
+	return e
+}
+
+func (e *explorer) walk(m *model, path string, steps int) {
+	if steps == 0 {
+		e.finish(m, path)
+		return
+	}
+	for _, f := range e.faults {
+		if e.hasFound() {
 			return
 		}
-		for _, t := range all {
-			mu.Lock()
-			over := found != ""
-			mu.Unlock()
-			if over {
-				return
-			}
-			c := w.clone()
-			c.run(modelStep, t)
-			mu.Lock()
-			seen[c.state()] = true
-			mu.Unlock()
-			walk(c, path+", "+t.name, left-1)
-		}
+		next := m.clone()
+		next.run(modelStep, f)
+		e.see(next)
+		e.walk(next, path+", "+f.name, steps-1)
 	}
-	room := make(chan struct{}, 4)
-	var wg sync.WaitGroup
-	for _, t := range all {
-		room <- struct{}{}
-		wg.Go(func() {
-			c := start.clone()
-			c.run(modelStep, t)
-			walk(c, t.name, steps-1)
-			<-room
-		})
+}
+
+func (e *explorer) hasFound() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.found != ""
+}
+
+func (e *explorer) see(m *model) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.seen[m.stateHash()] = true
+}
+
+// finish plays on without faults.
+func (e *explorer) finish(m *model, path string) {
+	broken := m.settle()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.schedules++
+	e.seen[m.stateHash()] = true
+	if broken != "" && e.found == "" {
+		e.found = path + ": " + broken
 	}
-	wg.Wait()
-	return len(seen), schedules, found
 }
 
 func TestModel(t *testing.T) {
@@ -304,22 +366,23 @@
 	if os.Getenv("MEMBERS_STEPS") == "3" {
 		steps[3] = 3
 	}
-	for _, n := range []int{3, 4} {
-		states, schedules, found := explore(n, steps[n], DefaultConfig())
-		if found != "" {
-			t.Errorf("%d members: %s", n, found)
+	for _, size := range []int{3, 4} {
+		e := explore(size, steps[size], DefaultConfig())
+		if e.found != "" {
+			t.Errorf("%d members: %s", size, e.found)
 		}
-		t.Logf("%d members, %d steps: %d schedules, %d states", n, steps[n], schedules, states)
+		t.Logf("%d members, %d steps: %d schedules, %d states", size, steps[size], e.schedules, len(e.seen))
 	}
 }
 
-// The check finds a defect that is put in on purpose: one that does not hear another has it called dead at once.
+// The check finds a defect that is put in on purpose: a member that does not hear another has it called dead at once.
 func TestModelFindsDefect(t *testing.T) {
-	cfg := DefaultConfig()
-	cfg.Quorum, cfg.SuspicionTimeout = 1, 0
-	if _, _, found := explore(3, 2, cfg); found == "" {
+	config := DefaultConfig()
+	config.Quorum = 1
+	config.SuspicionTimeout = 0
+	e := explore(3, 2, config)
+	if e.found == "" {
 		t.Error("nothing found")
-	} else {
-		t.Log(found)
 	}
+	t.Log(e.found)
 }
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -67,15 +67,15 @@
 // replay plays a scenario in virtual time.
 type replay struct {
 	replayScenario
-	cfg     Config
-	now     time.Duration
-	rng     *rand.Rand
-	nodes   []*replayNode
-	way     []replayDatagram
-	cut     func(from, to ID) bool
-	loss    float64
-	digest  hash.Hash
-	actions int
+	cfg           Config
+	now           time.Duration
+	rng           *rand.Rand
+	nodes         []*replayNode
+	inTransit     []replayDatagram
+	isPartitioned func(from, to ID) bool
+	loss          float64
+	digest        hash.Hash
+	actions       int
 }
 
 func newReplay(s replayScenario, seed uint64) *replay {
@@ -163,14 +163,14 @@
 			copies := 1 + r.rng.IntN(30)/29
 			for range copies {
 				late := time.Duration(r.rng.Int64N(int64(r.delay))) + time.Millisecond
-				lost := r.rng.Float64() < r.loss || r.cut != nil && r.cut(n.id, a.To)
+				lost := r.rng.Float64() < r.loss || r.isPartitioned != nil && r.isPartitioned(n.id, a.To)
 				b := a.Payload
-				if r.rng.IntN(400) == 0 { // it is changed on its way
+				if r.rng.IntN(400) == 0 { // it is corrupted in transit
 					b = append([]byte(nil), b...)
 					b[r.rng.IntN(len(b))] ^= 4
 				}
 				if !lost {
-					r.way = append(r.way, replayDatagram{r.now + late, n.id, a.To, b})
+					r.inTransit = append(r.inTransit, replayDatagram{r.now + late, n.id, a.To, b})
 				}
 			}
 		case ViewChanged:
@@ -235,15 +235,15 @@
 	case 5:
 		n.ahead += time.Duration(r.rng.IntN(3000)) * time.Millisecond
 	case 6:
-		r.cut = func(from, to ID) bool { return from == n.id && to == other.id }
+		r.isPartitioned = func(from, to ID) bool { return from == n.id && to == other.id }
 	case 7:
-		r.cut = func(from, _ ID) bool { return from == n.id }
+		r.isPartitioned = func(from, _ ID) bool { return from == n.id }
 	case 8:
-		r.cut = func(_, to ID) bool { return to == n.id }
+		r.isPartitioned = func(_, to ID) bool { return to == n.id }
 	case 9:
-		r.cut = func(from, to ID) bool { return (from < n.id) != (to < n.id) }
+		r.isPartitioned = func(from, to ID) bool { return (from < n.id) != (to < n.id) }
 	case 10, 11:
-		r.cut, r.loss = nil, r.replayScenario.loss
+		r.isPartitioned, r.loss = nil, r.replayScenario.loss
 	case 12:
 		r.loss = 0.5
 	case 13:
@@ -276,15 +276,15 @@
 			next = r.now + time.Duration(500+r.rng.IntN(6000))*time.Millisecond
 		}
 		if r.now >= calm {
-			r.cut, r.loss = nil, r.replayScenario.loss
+			r.isPartitioned, r.loss = nil, r.replayScenario.loss
 		}
-		due := r.way
-		r.way = nil
+		due := r.inTransit
+		r.inTransit = nil
 		for _, d := range due {
 			n := r.node(d.to)
 			switch {
 			case d.at > r.now || n != nil && n.alive && r.now < n.paused:
-				r.way = append(r.way, d)
+				r.inTransit = append(r.inTransit, d)
 			case n != nil && n.alive:
 				r.handle(n, DatagramReceived{d.from, d.b})
 			}
--- a/internal/decide/membership/sync_test.go
+++ b/internal/decide/membership/sync_test.go
@@ -7,37 +7,39 @@
 	"pgregory.net/rapid"
 )
 
-// What is in a filter is in it, and of what is not hardly more than the bits allow seems to be: another part in each question.
-func TestFilter(t *testing.T) {
+// Items that were added to a filter are found, and of others hardly more than its size allows seem to be: different ones
+// with each salt.
+func TestBloomFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 400).Draw(t, "things")
+		count := rapid.IntRange(1, 400).Draw(t, "items")
 		salt := rapid.Uint32().Draw(t, "salt")
-		f := make(bloomFilter, n*bitsPerItem/8+1)
-		for i := range n {
+		f := make(bloomFilter, count*bitsPerItem/8+1)
+		for i := range count {
 			f.add(mixHash(uint32(i), 1), salt)
 		}
-		for i := range n {
+		for i := range count {
 			if !f.contains(mixHash(uint32(i), 1), salt) {
-				t.Fatalf("%d of %d is not found", i, n)
+				t.Fatalf("item %d of %d is not found", i, count)
 			}
 		}
 		const others = 4000
-		seem := 0
+		falsePositives := 0
 		for i := range others {
 			if f.contains(mixHash(uint32(i), 2), salt) {
-				seem++
+				falsePositives++
 			}
 		}
-		if seem > others/3 {
-			t.Fatalf("of %d that are not there %d seem to be, among %d", others, seem, n)
+		if falsePositives > others/3 {
+			t.Fatalf("%d of %d others seem to be among %d items, want at most a third", falsePositives, others, count)
 		}
 	})
 }
 
-// Two members of which each knows what the other doesn't ask each other until neither lacks anything, whatever the filters hide.
-func TestAskUntilEqual(t *testing.T) {
+// Two members of which each knows what the other does not request records of each other until neither lacks any,
+// whatever the filters hide.
+func TestSyncConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := newMachine(1, 1), newMachine(2, 2)
+		a, b := newTestNode(1, 1), newTestNode(2, 2)
 		for i := range rapid.IntRange(0, 300).Draw(t, "a has") {
 			a.mergeAnswer(record{Author: ID(100 + i), Incarnation: 1})
 		}
@@ -46,24 +48,13 @@
 		}
 		a.mergeAnswer(b.self.record)
 		b.mergeAnswer(a.self.record)
-		for turn := range 400 {
-			now := time.Hour + time.Duration(turn)*2*time.Second
-			for _, pair := range [][2]*Node{{a, b}, {b, a}} {
-				from, to := pair[0], pair[1]
-				from.budget.refill(from.config, now)
-				to.budget.refill(to.config, now)
-				from.now, to.now, from.actions = now, now, nil
-				from.sequence++
-				from.requestRecords(from.members.byID[to.self.id])
-				for _, s := range sends(from.actions, to.self.id) {
-					for _, back := range sends(to.Handle(now, DatagramReceived{from.self.id, s.Payload}), from.self.id) {
-						from.Handle(now, DatagramReceived{to.self.id, back.Payload})
-					}
-				}
-			}
+		for round := range 400 {
+			now := time.Hour + time.Duration(round)*2*time.Second
+			syncOnce(a, b, now)
+			syncOnce(b, a, now)
 			if a.members.digest == b.members.digest {
 				if a.members.known != b.members.known {
-					t.Fatalf("the same digests, %d and %d records", a.members.known, b.members.known)
+					t.Fatalf("equal digests of %d and %d records", a.members.known, b.members.known)
 				}
 				return
 			}
@@ -72,28 +63,44 @@
 	})
 }
 
-func sends(out []Action, to ID) (all []Send) {
-	for _, o := range out {
-		if s, ok := o.(Send); ok && s.To == to {
+// syncOnce has a member request records of another one, and take the answers.
+func syncOnce(from, to *Node, now time.Duration) {
+	from.budget.refill(from.config, now)
+	to.budget.refill(to.config, now)
+	from.now = now
+	to.now = now
+	from.actions = nil
+	from.sequence++
+	from.requestRecords(from.members.byID[to.self.id])
+	for _, request := range sendsTo(to.self.id, from.actions) {
+		for _, answer := range sendsTo(from.self.id, to.Handle(now, DatagramReceived{from.self.id, request.Payload})) {
+			from.Handle(now, DatagramReceived{to.self.id, answer.Payload})
+		}
+	}
+}
+
+func sendsTo(id ID, actions []Action) (all []Send) {
+	for _, a := range actions {
+		if s, ok := a.(Send); ok && s.To == id {
 			all = append(all, s)
 		}
 	}
 	return all
 }
 
-// Questions for what differs have a part of what is saved up, and leave the rest to what else there is to say.
-func TestQuestionsHaveAPart(t *testing.T) {
-	m := newMachine(1, 1)
+// Sync requests use their part of the budget, and leave the rest to other datagrams.
+func TestSyncRequestsKeepToTheirBudget(t *testing.T) {
+	n := newTestNode(1, 1)
 	for i := range 300 {
-		m.mergeAnswer(record{Author: ID(100 + i), Incarnation: 1})
+		n.mergeAnswer(record{Author: ID(100 + i), Incarnation: 1})
 	}
 	for range 100 {
-		m.requestRecords(m.members.byID[2])
+		n.requestRecords(n.members.byID[2])
 	}
-	if left := m.config.BurstBytes - m.config.BurstBytes/syncBudgetDivisor; m.budget.available < left {
-		t.Errorf("%.0f bytes are left, %.0f at least", m.budget.available, left)
+	if want := n.config.BurstBytes - n.config.BurstBytes/syncBudgetDivisor; n.budget.available < want {
+		t.Errorf("%.0f bytes are available, want at least %.0f", n.budget.available, want)
 	}
-	if m.budget.syncAvailable >= float64(m.config.MaxDatagramBytes) {
-		t.Errorf("%.0f bytes for questions are left after a hundred", m.budget.syncAvailable)
+	if n.budget.syncAvailable >= float64(n.config.MaxDatagramBytes) {
+		t.Errorf("%.0f bytes for requests are available after a hundred, want less than a datagram", n.budget.syncAvailable)
 	}
 }
