--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -179,7 +179,7 @@
 			s.counters.Add("members.views")
 			s.log.Info("members.view", "number", action.View.Number, "digest", formatDigest(action.View), "size", action.View.Size, "majority", action.Majority)
 		case decide.MemberReport:
-			s.counters.Add("members.told." + action.State.String())
+			s.counters.Add("members.reports." + action.State.String())
 			s.log.Info("members.state", "member", uint64(action.Member), "state", action.State.String(), "why", action.Reason, "witnesses", action.Witnesses)
 		}
 	}
