--- a/internal/decide/membership/evaluation.go
+++ b/internal/decide/membership/evaluation.go
@@ -8,17 +8,6 @@
 // recentMemory is how long a failed member counts among those of whom a majority must be here.
 const recentMemory = 30 * time.Second
 
-// Reasons of member reports, for operators.
-const (
-	reasonDeparted        = "it said that it leaves"
-	reasonHeard           = "everybody hears it who should"
-	reasonPartlyReachable = "some don't hear it, others do"
-	reasonSuspect         = "some don't hear it"
-	reasonDead            = "nobody hears it who should"
-	reasonUnreachable     = "nobody hears it who should, and half of the fleet is not heard here, or by them"
-	reasonRefuted         = "was not heard, and says that it lives"
-)
-
 // statementTally is what all records state of one member.
 type statementTally struct{ notHeardBy, notHeardButAliveBy, heardBy []ID }
 
@@ -129,7 +118,7 @@
 }
 
 // assess concludes the state of a peer from all records, or that it has failed.
-func (n *Node) assess(p *peer) (state State, reason string, hasFailed bool) {
+func (n *Node) assess(p *peer) (state State, reason Reason, hasFailed bool) {
 	// Skip the quorum count for members nobody suspects: it visits all members.
 	hasQuorum := len(p.notHeardBy) > 0 && len(p.heardBy) == 0 && !n.isHeard(p) && len(p.notHeardBy) >= n.requiredWitnesses(p)
 	switch {
@@ -161,7 +150,7 @@
 		n.now >= p.graceUntil
 }
 
-func (n *Node) setState(p *peer, state State, reason string) {
+func (n *Node) setState(p *peer, state State, reason Reason) {
 	if p.state == state {
 		return
 	}
--- a/internal/decide/membership/event.go
+++ b/internal/decide/membership/event.go
@@ -41,7 +41,7 @@
 type MemberReport struct {
 	Member    ID
 	State     State
-	Reason    string
+	Reason    Reason
 	Witnesses []ID // members that don't hear it
 }
 
--- a/internal/decide/membership/health.go
+++ b/internal/decide/membership/health.go
@@ -15,7 +15,7 @@
 // don't count against anybody.
 type localHealth struct {
 	suspectUntil   time.Duration
-	reason         string        // of the last self-suspicion
+	reason         Reason        // of the last self-suspicion
 	lastHeardAny   time.Duration // a datagram of any member was received
 	nextSearchAt   time.Duration // while nobody is heard: the next pings of random members
 	lossRate       float64       // share of all heartbeats to this member that are lost
@@ -27,13 +27,13 @@
 func (h *localHealth) isSuspect(now time.Duration) bool { return now < h.suspectUntil }
 
 // SelfSuspicion tells whether this member doubts its own hearing at present, and why.
-func (n *Node) SelfSuspicion() (reason string, active bool) {
+func (n *Node) SelfSuspicion() (reason Reason, active bool) {
 	return n.health.reason, n.health.isSuspect(n.now)
 }
 
-func (n *Node) suspectSelf(reason string, span time.Duration) {
+func (n *Node) suspectSelf(reason Reason, span time.Duration) {
 	if !n.health.isSuspect(n.now) {
-		n.report(MemberReport{Member: n.self.id, State: n.self.state, Reason: "doubts itself: " + reason})
+		n.report(MemberReport{Member: n.self.id, State: n.self.state, Reason: reasonSuspectsItself(reason)})
 	}
 	n.health.suspectUntil = max(n.health.suspectUntil, n.now+span)
 	n.health.reason = reason
@@ -47,7 +47,7 @@
 		p.pingsSent = 0
 	}
 	n.health.lastHeardAny = n.now
-	n.suspectSelf("stood still for "+pause.Round(time.Millisecond).String(), n.heartbeats(pauseSuspicion))
+	n.suspectSelf(reasonPaused(pause), n.heartbeats(pauseSuspicion))
 }
 
 // checkIsolation suspects this member itself while it hears nobody. Guards against a member that is partitioned from
@@ -56,7 +56,7 @@
 	if len(n.topology.inView) < 2 || n.now-n.health.lastHeardAny <= n.heartbeats(n.config.MaxMissedHeartbeats) {
 		return
 	}
-	n.suspectSelf("hears nobody", n.heartbeats(1))
+	n.suspectSelf(reasonIsolated, n.heartbeats(1))
 	if n.now < n.health.nextSearchAt {
 		return
 	}
@@ -77,6 +77,6 @@
 	n.health.contradictedAt = n.now
 	n.health.contradictions++
 	if n.health.contradictions >= maxContradictions {
-		n.suspectSelf("others hear whom it does not", window)
+		n.suspectSelf(reasonContradicted, window)
 	}
 }
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -176,7 +176,7 @@
 		case ViewChanged:
 			r.write(at, "view", replayView(a.View), strconv.FormatBool(a.Majority))
 		case MemberReport:
-			r.write(at, "state", replayUint(uint64(a.Member)), strconv.Itoa(int(a.State)), a.State.String(), a.Reason, replayIDs(a.Witnesses))
+			r.write(at, "state", replayUint(uint64(a.Member)), strconv.Itoa(int(a.State)), a.State.String(), a.Reason.String(), replayIDs(a.Witnesses))
 		default:
 			r.write(at, "unknown action")
 		}
@@ -187,9 +187,9 @@
 func (r *replay) report(n *replayNode) {
 	m := n.machine
 	view, majority := m.View()
-	why, doubts := m.SelfSuspicion()
+	reason, doubts := m.SelfSuspicion()
 	heard, same := m.ViewAgreement()
-	r.write("report", replayUint(uint64(n.id)), replayView(view), strconv.FormatBool(majority), why, strconv.FormatBool(doubts), strconv.Itoa(heard), strconv.Itoa(same),
+	r.write("report", replayUint(uint64(n.id)), replayView(view), strconv.FormatBool(majority), reason.String(), strconv.FormatBool(doubts), strconv.Itoa(heard), strconv.Itoa(same),
 		strconv.Itoa(m.DroppedDatagrams), strconv.Itoa(m.RejectedMembers), strconv.Itoa(m.RejectedGossip))
 	for _, o := range m.Snapshot(r.clock(n)) {
 		r.write(replayUint(uint64(o.ID)), strconv.Itoa(int(o.State)), replayUint(uint64(o.Incarnation)), strconv.FormatInt(int64(o.SinceHeard), 10), strconv.FormatFloat(o.LossRate, 'g', -1, 64),
--- a/internal/membership/overview.go
+++ b/internal/membership/overview.go
@@ -29,7 +29,7 @@
 	stats.Live = stats.View.Size
 	stats.HeardMembers, stats.SameView = s.node.ViewAgreement()
 	if reason, active := s.node.SelfSuspicion(); active {
-		stats.SelfSuspicion = reason
+		stats.SelfSuspicion = reason.String()
 	}
 	for _, member := range s.node.Snapshot(s.loop.Now()) {
 		stats.Named++
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -180,7 +180,7 @@
 			s.log.Info("members.view", "number", action.View.Number, "digest", formatDigest(action.View), "size", action.View.Size, "majority", action.Majority)
 		case decide.MemberReport:
 			s.counters.Add("members.reports." + action.State.String())
-			s.log.Info("members.state", "member", uint64(action.Member), "state", action.State.String(), "why", action.Reason, "witnesses", action.Witnesses)
+			s.log.Info("members.state", "member", uint64(action.Member), "state", action.State.String(), "why", action.Reason.String(), "witnesses", action.Witnesses)
 		}
 	}
 	s.counters.Set("members.dropped.unreadable", int64(s.node.DroppedDatagrams))
