--- a/cmd/gateway/members.go
+++ b/cmd/gateway/members.go
@@ -38,15 +38,15 @@
 }
 
 func (c *membersCommand) show() error {
-	last, err := c.call(admin.Request{Do: "members"}, func(admin.Reply) {})
+	last, err := c.call(admin.Request{Command: "members"}, func(admin.Reply) {})
 	switch {
 	case err != nil:
 		return err
-	case last.Why != "":
-		return errors.New(last.Why)
+	case last.Problem != "":
+		return errors.New(last.Problem)
 	}
 	var o membership.Overview
-	if err := json.Unmarshal(last.Fleet, &o); err != nil {
+	if err := json.Unmarshal(last.Membership, &o); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -30,8 +30,8 @@
 	switch {
 	case err != nil:
 		return o, err
-	case last.Why != "":
-		return o, fmt.Errorf("%s", last.Why)
+	case last.Problem != "":
+		return o, fmt.Errorf("%s", last.Problem)
 	}
 	return o, json.Unmarshal(last.Sites, &o)
 }
@@ -48,7 +48,7 @@
 }
 
 func (c *siteStatusCommand) Run() error {
-	o, err := c.request(admin.Request{Do: "site-status"})
+	o, err := c.request(admin.Request{Command: "site-status"})
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 func (c *siteUndrainCommand) Run() error { return drain(&c.siteFlags, "site-undrain", c.Site) }
 
 func drain(f *siteFlags, do, site string) error {
-	o, err := f.request(admin.Request{Do: do, Site: site})
+	o, err := f.request(admin.Request{Command: do, Site: site})
 	if err == nil {
 		printSites(o)
 	}
--- a/cmd/gateway/upgrade.go
+++ b/cmd/gateway/upgrade.go
@@ -50,16 +50,16 @@
 		do = "check"
 	}
 	start := time.Now()
-	last, err := c.call(admin.Request{Do: do, Program: c.Program}, func(r admin.Reply) {
+	last, err := c.call(admin.Request{Command: do, Program: c.Program}, func(r admin.Reply) {
 		fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), r.Phase)
 	})
 	switch {
 	case err != nil:
 		return err
-	case last.Why != "" && c.Check:
-		return fmt.Errorf("it would not take over: %s", last.Why)
-	case last.Why != "":
-		return fmt.Errorf("the old process serves on: %s", last.Why)
+	case last.Problem != "" && c.Check:
+		return fmt.Errorf("it would not take over: %s", last.Problem)
+	case last.Problem != "":
+		return fmt.Errorf("the old process serves on: %s", last.Problem)
 	case c.Check:
 		fmt.Printf("it would take over: %s\n", last.Build)
 	default:
@@ -74,19 +74,19 @@
 }
 
 func (c *statusCommand) Run() error {
-	last, err := c.call(admin.Request{Do: "status"}, func(admin.Reply) {})
+	last, err := c.call(admin.Request{Command: "status"}, func(admin.Reply) {})
 	if err != nil {
 		return err
 	}
 	s := last.Status
 	if s == nil {
-		return fmt.Errorf("no status: %s", last.Why)
+		return fmt.Errorf("no status: %s", last.Problem)
 	}
 	if c.JSON {
 		return printJSON(s)
 	}
 	fmt.Printf("process      %d, %s\nfront        %s at %s\nup           %.0f s, took over: %v\nupgrade      %s\nconnections  %d\nunanswered   %d\n",
-		s.PID, s.Build, s.Front, s.Listen, s.Up, s.TookOver, s.Phase, s.Connections, s.Unanswered)
+		s.PID, s.Build, s.Frontend, s.Listen, s.UptimeSeconds, s.TookOver, s.Phase, s.Connections, s.Unanswered)
 	return nil
 }
 
--- a/cmd/testbed/scripted.go
+++ b/cmd/testbed/scripted.go
@@ -46,21 +46,21 @@
 	if len(args) == 0 {
 		return errors.New("forget: no program")
 	}
-	ch, theirs, err := handover.Pair()
+	ch, theirs, err := handover.NewChannelPair()
 	if err != nil {
 		return err
 	}
 	p := exec.Command(args[0], args[1:]...)
 	p.Stdout, p.Stderr = os.Stdout, os.Stderr
 	p.ExtraFiles = []*os.File{theirs, listener}
-	p.Env = append(os.Environ(), fmt.Sprintf("%s=%d", handover.Env, conns))
+	p.Env = append(os.Environ(), fmt.Sprintf("%s=%d", handover.EnvTakeOver, conns))
 	if err := p.Start(); err != nil {
 		return err
 	}
 	_ = theirs.Close()
 	pass := func(from, to *handover.Channel) {
 		_ = from.Read(func(m handover.Message, fds []int) { // its end is the end of all
-			if w, ok := m.(*handover.World); ok {
+			if w, ok := m.(*handover.State); ok {
 				dropLearned(w)
 			}
 			_ = to.Send(m, fds...) // who has ended needs none
@@ -75,7 +75,7 @@
 	return p.Wait()
 }
 
-func dropLearned(w *handover.World) {
+func dropLearned(w *handover.State) {
 	var core map[string]cbor.RawMessage
 	if cbor.Unmarshal(w.Sections["core"], &core) != nil {
 		return
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,7 +24,7 @@
 
 // Request is what an operator wants.
 type Request struct {
-	Do      string   `json:"do"` // status, upgrade, check, site-status, site-drain, site-undrain, members
+	Command string   `json:"do"` // status, upgrade, check, site-status, site-drain, site-undrain, members
 	Site    string   `json:"site,omitempty"`
 	Program string   `json:"program,omitempty"`
 	Args    []string `json:"args,omitempty"`
@@ -32,27 +32,27 @@
 
 // Reply is one line of an answer.
 type Reply struct {
-	Phase  string          `json:"phase,omitempty"`
-	Why    string          `json:"why,omitempty"` // of what did not go well
-	Build  string          `json:"build,omitempty"`
-	Status *Status         `json:"status,omitempty"`
-	Sites  json.RawMessage `json:"sites,omitempty"` // crossing.Overview
-	Fleet  json.RawMessage `json:"fleet,omitempty"` // members.Overview
-	Done   bool            `json:"done"`
+	Phase      string          `json:"phase,omitempty"`
+	Problem    string          `json:"why,omitempty"` // of what did not go well
+	Build      string          `json:"build,omitempty"`
+	Status     *Status         `json:"status,omitempty"`
+	Sites      json.RawMessage `json:"sites,omitempty"` // crossing.Overview
+	Membership json.RawMessage `json:"fleet,omitempty"` // members.Overview
+	Done       bool            `json:"done"`
 }
 
 // Status is how a gateway stands.
 type Status struct {
-	PID         int              `json:"pid"`
-	Build       string           `json:"build"`
-	Front       string           `json:"front"`
-	Listen      string           `json:"listen"`
-	Phase       string           `json:"phase"` // of an upgrade
-	TookOver    bool             `json:"took_over"`
-	Up          float64          `json:"up_s"`
-	Connections int              `json:"connections"`
-	Unanswered  int              `json:"unanswered"`
-	Counters    map[string]int64 `json:"counters"`
+	PID           int              `json:"pid"`
+	Build         string           `json:"build"`
+	Frontend      string           `json:"front"`
+	Listen        string           `json:"listen"`
+	Phase         string           `json:"phase"` // of an upgrade
+	TookOver      bool             `json:"took_over"`
+	UptimeSeconds float64          `json:"up_s"`
+	Connections   int              `json:"connections"`
+	Unanswered    int              `json:"unanswered"`
+	Counters      map[string]int64 `json:"counters"`
 }
 
 // Server answers on a socket.
@@ -124,17 +124,17 @@
 		err = json.Unmarshal(line, &r)
 	}
 	if err != nil {
-		say(Reply{Why: fmt.Sprintf("the request can't be read: %v", err), Done: true})
+		say(Reply{Problem: fmt.Sprintf("the request can't be read: %v", err), Done: true})
 		return
 	}
 	answer(r, say)
 }
 
-// StatusOf asks the gateway behind a socket how it stands.
-func StatusOf(ctx context.Context, path string) (*Status, error) {
-	last, err := Call(ctx, path, Request{Do: "status"}, func(Reply) {})
+// FetchStatus asks the gateway behind a socket how it stands.
+func FetchStatus(ctx context.Context, path string) (*Status, error) {
+	last, err := Call(ctx, path, Request{Command: "status"}, func(Reply) {})
 	if err == nil && last.Status == nil {
-		err = errors.New(last.Why)
+		err = errors.New(last.Problem)
 	}
 	return last.Status, err
 }
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -23,16 +23,16 @@
 	request Request
 	replies []Reply
 }{
-	{"status", Request{Do: "status"}, []Reply{{Status: &Status{
-		PID: 4242, Build: "ringwood 1.0", Front: "postgres", Listen: "127.0.0.1:5432", Phase: "probation", TookOver: true, Up: 12.5,
+	{"status", Request{Command: "status"}, []Reply{{Status: &Status{
+		PID: 4242, Build: "ringwood 1.0", Frontend: "postgres", Listen: "127.0.0.1:5432", Phase: "probation", TookOver: true, UptimeSeconds: 12.5,
 		Connections: 7, Unanswered: 3, Counters: map[string]int64{"answered.served.lookup": 99},
 	}, Done: true}}},
-	{"upgrade", Request{Do: "upgrade", Program: "/opt/new", Args: []string{"serve", "--upgrade", "x.toml"}}, []Reply{
-		{Phase: "greeting"}, {Phase: "warming"}, {Phase: "idle", Why: "it died", Done: true},
+	{"upgrade", Request{Command: "upgrade", Program: "/opt/new", Args: []string{"serve", "--upgrade", "x.toml"}}, []Reply{
+		{Phase: "greeting"}, {Phase: "warming"}, {Phase: "idle", Problem: "it died", Done: true},
 	}},
-	{"check", Request{Do: "check"}, []Reply{{Build: "ringwood 1.1", Why: "no port", Done: true}}},
-	{"site-drain", Request{Do: "site-drain", Site: "pokhara"}, []Reply{{Sites: json.RawMessage(`{"sites":[]}`), Done: true}}},
-	{"members", Request{Do: "members"}, []Reply{{Fleet: json.RawMessage(`{"members":1}`), Done: true}}},
+	{"check", Request{Command: "check"}, []Reply{{Build: "ringwood 1.1", Problem: "no port", Done: true}}},
+	{"site-drain", Request{Command: "site-drain", Site: "pokhara"}, []Reply{{Sites: json.RawMessage(`{"sites":[]}`), Done: true}}},
+	{"members", Request{Command: "members"}, []Reply{{Membership: json.RawMessage(`{"members":1}`), Done: true}}},
 }
 
 func storedLines(t *testing.T, name string) string {
@@ -123,7 +123,7 @@
 			}
 		})
 	}
-	if _, _, err := callWith(t, Request{Do: "status"}, ""); !errors.Is(err, io.ErrUnexpectedEOF) {
+	if _, _, err := callWith(t, Request{Command: "status"}, ""); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("no reply: error %v", err)
 	}
 }
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -34,7 +34,7 @@
 	Probation              // it serves; everything can still be taken back
 	Finishing              // it is the owner for good; what is in flight here ends here
 	Returning              // it is being ended; nothing is taken back before it is dead
-	Exited                   // nothing is left here
+	Exited                 // nothing is left here
 )
 
 var phaseNames = [...]string{"idle", "greeting", "warming", "probation", "finishing", "returning", "gone"}
@@ -43,14 +43,14 @@
 
 // Config bounds an upgrade. All times count from the start of their phase.
 type Config struct {
-	GreetTimeout time.Duration // for the new process to say what it is; too short: a slow disk ends upgrades
-	WarmTimeout  time.Duration // to take what is known and be ready
-	MinProbation    time.Duration // it serves at least so long before it is the owner for good
-	MaxProbation time.Duration // and without any work at most so long; above ProveFor
-	HeartbeatTimeout   time.Duration // it is heard of at least so often, or ended
-	MinGoodAnswers int           // it gives at least so many good answers, where there is work
-	MaxBadShare    float64       // of its answers that may be errors of its own, 0 to 1
-	MaxMemory  int64         // bytes that it may take; 0: no bound
+	GreetTimeout     time.Duration // for the new process to say what it is; too short: a slow disk ends upgrades
+	WarmTimeout      time.Duration // to take what is known and be ready
+	MinProbation     time.Duration // it serves at least so long before it is the owner for good
+	MaxProbation     time.Duration // and without any work at most so long; above ProveFor
+	HeartbeatTimeout time.Duration // it is heard of at least so often, or ended
+	MinGoodAnswers   int           // it gives at least so many good answers, where there is work
+	MaxBadShare      float64       // of its answers that may be errors of its own, 0 to 1
+	MaxMemory        int64         // bytes that it may take; 0: no bound
 }
 
 // DefaultConfig are for a machine that runs both side by side without strain.
@@ -87,14 +87,14 @@
 // does the next thing with it: before it is sent to an engine, and before its answer is
 // written.
 type Request struct {
-	InFlight      bool
-	Idempotency    Idempotency
-	Sent      bool          // it goes to an engine: it may have run
-	FirstSend time.Duration // of it anywhere, on the clock that both processes share
-	KeyWindow    time.Duration // in which engines drop a repeat, of Keyed
-	Deadline  time.Duration // when its client gives up
-	ResponseLength int           // length of the answer that is being written; 0: none yet
-	ResponseRecorded      bool          // the record holds that answer
+	InFlight         bool
+	Idempotency      Idempotency
+	Sent             bool          // it goes to an engine: it may have run
+	FirstSend        time.Duration // of it anywhere, on the clock that both processes share
+	KeyWindow        time.Duration // in which engines drop a repeat, of Keyed
+	Deadline         time.Duration // when its client gives up
+	ResponseLength   int           // length of the answer that is being written; 0: none yet
+	ResponseRecorded bool          // the record holds that answer
 }
 
 // Recovery is what becomes of a request whose process died.
@@ -102,12 +102,12 @@
 
 // Recoveries.
 const (
-	NothingToRecover   Recovery = iota // there is none, or it is answered
-	Resend                 // it goes to an engine (again), with its key and the time of its first send
-	ReportInDoubt                 // it may have run and may not be repeated: its client is told so at once
-	ReportDeadlineExceeded                  // its time is over
-	CloseConnection                     // a part of its answer was written: the connection ends, so that its client can tell
-	WriteRemainder                  // its answer is known: what was not written of it is written
+	NothingToRecover       Recovery = iota // there is none, or it is answered
+	Resend                                 // it goes to an engine (again), with its key and the time of its first send
+	ReportInDoubt                          // it may have run and may not be repeated: its client is told so at once
+	ReportDeadlineExceeded                 // its time is over
+	CloseConnection                        // a part of its answer was written: the connection ends, so that its client can tell
+	WriteRemainder                         // its answer is known: what was not written of it is written
 )
 
 // margin is kept to the end of a key's window, for the way to the engine.
--- a/internal/frontend/httpapi/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -31,21 +31,21 @@
 // Name tells this front from others.
 func (f *Front) Name() string { return "rest" }
 
-// Limit bounds what is read of a connection and not consumed, in bytes.
-func (f *Front) Limit() int { return http1.MaxCall }
+// ReadLimit bounds what is read of a connection and not consumed, in bytes.
+func (f *Front) ReadLimit() int { return http1.MaxCall }
 
 // OnAccept names who hears of each connection that is accepted, once its handler is there.
 func (f *Front) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
 
-// OnShared names who hears of what all connections share, as TakeShared takes it, before
+// OnSharedChange names who hears of what all connections share, as ApplySharedState takes it, before
 // anything is answered that relies on it; nil: nobody.
-func (f *Front) OnShared(fn func([]byte)) { f.shared = fn }
+func (f *Front) OnSharedChange(fn func([]byte)) { f.shared = fn }
 
-// OnStray is for calls that another process may have the answer to; here there are none.
-func (f *Front) OnStray(func([]byte)) {}
+// OnUnknownCall is for calls that another process may have the answer to; here there are none.
+func (f *Front) OnUnknownCall(func([]byte)) {}
 
-// TakeStray takes such a call of another process.
-func (f *Front) TakeStray([]byte) {}
+// HandleForwardedCall takes such a call of another process.
+func (f *Front) HandleForwardedCall([]byte) {}
 
 func (f *Front) hold(h heldState) {
 	if f.held[h.Path] != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// Shared is what all connections share: results that wait to be fetched.
-func (f *Front) Shared() []byte {
+// SharedState is what all connections share: results that wait to be fetched.
+func (f *Front) SharedState() []byte {
 	var all []heldState
 	for path, h := range f.held {
 		all = append(all, heldState{Path: path, Parts: h.pages, Until: f.loop.Now() + heldMoved})
@@ -84,8 +84,8 @@
 // heldMoved is how long a result that another process held is kept: no client waits longer.
 const heldMoved = time.Minute
 
-// TakeShared takes what the connections of another process share.
-func (f *Front) TakeShared(b []byte) error {
+// ApplySharedState takes what the connections of another process share.
+func (f *Front) ApplySharedState(b []byte) error {
 	var all []heldState
 	if err := cbor.Unmarshal(b, &all); err != nil {
 		return fmt.Errorf("shared state: %w", err)
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// Restore is a handler for a connection of another process, from its State.
-func (f *Front) Restore(b []byte) (func(*netio.Conn) netio.Handler, error) {
+// RestoreConnection is a handler for a connection of another process, from its EncodeState.
+func (f *Front) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
 	var s state
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("state of a connection: %w", err)
@@ -117,24 +117,24 @@
 	}, nil
 }
 
-// Settled tells whether the connection is between two calls.
-func (k *conn) Settled() bool { return k.request == nil }
+// Idle tells whether the connection is between two calls.
+func (k *conn) Idle() bool { return k.request == nil }
 
-// Ending tells whether the connection is about to end.
-func (k *conn) Ending() bool { return k.close || k.ended }
+// Closing tells whether the connection is about to end.
+func (k *conn) Closing() bool { return k.close || k.ended }
 
-// State is what another process needs to go on with a connection that is settled.
-func (k *conn) State() []byte {
+// EncodeState is what another process needs to go on with a connection that is settled.
+func (k *conn) EncodeState() []byte {
 	b, _ := cbor.Marshal(state{k.good, k.further}) // of these types it never fails
 	return b
 }
 
-// Left tells that the connection goes on in another process.
-func (k *conn) Left() {
+// Transferred tells that the connection goes on in another process.
+func (k *conn) Transferred() {
 	k.ended = true
 	k.due.Stop()
 	delete(k.front.conns, k)
 }
 
-// Recover tells that the call which comes first was another process's, which died.
-func (k *conn) Recover(left core.Orphan) { k.left = &left }
+// RecoverRequest tells that the call which comes first was another process's, which died.
+func (k *conn) RecoverRequest(left core.Orphan) { k.left = &left }
--- a/internal/frontend/httpapi/move_test.go
+++ b/internal/frontend/httpapi/move_test.go
@@ -73,18 +73,18 @@
 	}
 	var before, later []byte
 	do(one, func() {
-		one.OnShared(func(b []byte) { later = b })
+		one.OnSharedChange(func(b []byte) { later = b })
 		one.hold(held("/more/x-1"))
-		before = one.Shared()
+		before = one.SharedState()
 		one.share(held("/more/x-2"))
 	})
 	do(two, func() {
 		for _, b := range [][]byte{before, later, before} {
-			if err := two.TakeShared(b); err != nil {
+			if err := two.ApplySharedState(b); err != nil {
 				t.Error(err)
 			}
 		}
-		if err := two.TakeShared([]byte("nonsense")); err == nil {
+		if err := two.ApplySharedState([]byte("nonsense")); err == nil {
 			t.Error("nonsense was taken")
 		}
 		if want := 2 * 18; two.heldSize != want {
@@ -104,10 +104,10 @@
 // No state of another version crashes a front.
 func FuzzRestore(f *testing.F) {
 	k := &conn{good: true, further: true}
-	f.Add(k.State())
+	f.Add(k.EncodeState())
 	f.Add([]byte{0xa1, 0x01, 0xf5})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if accept, err := (&Front{}).Restore(b); (accept == nil) != (err != nil) {
+		if accept, err := (&Front{}).RestoreConnection(b); (accept == nil) != (err != nil) {
 			t.Error("neither a handler nor an error")
 		}
 	})
--- a/internal/frontend/httpapi/stored_test.go
+++ b/internal/frontend/httpapi/stored_test.go
@@ -51,14 +51,14 @@
 				t.Errorf("state = %+v, want %+v", got, want)
 			}
 			k := &conn{good: want.Good, further: want.Further}
-			if written := k.State(); !bytes.Equal(written, stored) {
+			if written := k.EncodeState(); !bytes.Equal(written, stored) {
 				t.Errorf("written as %x, want %x", written, stored)
 			}
-			if accept, err := f.Restore(stored); accept == nil || err != nil {
+			if accept, err := f.RestoreConnection(stored); accept == nil || err != nil {
 				t.Errorf("restore: error %v", err)
 			}
 			for cut := range stored {
-				if _, err := f.Restore(stored[:cut]); err == nil {
+				if _, err := f.RestoreConnection(stored[:cut]); err == nil {
 					t.Errorf("restored, cut at byte %d", cut)
 				}
 			}
@@ -66,7 +66,7 @@
 				for bit := range 8 {
 					damaged := bytes.Clone(stored)
 					damaged[i] ^= 1 << bit
-					if accept, err := f.Restore(damaged); (accept == nil) == (err == nil) {
+					if accept, err := f.RestoreConnection(damaged); (accept == nil) == (err == nil) {
 						t.Errorf("byte %d, bit %d changed: neither a handler nor an error", i, bit)
 					}
 				}
@@ -89,7 +89,7 @@
 		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
 	}
 	for cut := range stored {
-		if err := front(t).TakeShared(stored[:cut]); err == nil {
+		if err := front(t).ApplySharedState(stored[:cut]); err == nil {
 			t.Errorf("taken, cut at byte %d of %d", cut, len(stored))
 		}
 	}
--- a/internal/frontend/postgres/move.go
+++ b/internal/frontend/postgres/move.go
@@ -52,21 +52,21 @@
 // Name tells this front from others.
 func (f *Front) Name() string { return "postgres" }
 
-// Limit bounds what is read of a connection and not consumed, in bytes.
-func (f *Front) Limit() int { return maxBuffer }
+// ReadLimit bounds what is read of a connection and not consumed, in bytes.
+func (f *Front) ReadLimit() int { return maxBuffer }
 
 // OnAccept names who hears of each connection that is accepted, once its handler is there.
 func (f *Front) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
 
-// OnShared is for what connections share beside what Shared tells; here there is none.
-func (f *Front) OnShared(func([]byte)) {}
+// OnSharedChange is for what connections share beside what SharedState tells; here there is none.
+func (f *Front) OnSharedChange(func([]byte)) {}
 
-// OnStray names who hears of a CancelRequest whose connection is not here: another process
+// OnUnknownCall names who hears of a CancelRequest whose connection is not here: another process
 // may have it. nil: nobody.
-func (f *Front) OnStray(fn func([]byte)) { f.stray = fn }
+func (f *Front) OnUnknownCall(fn func([]byte)) { f.stray = fn }
 
-// TakeStray takes a CancelRequest that another process was sent.
-func (f *Front) TakeStray(body []byte) {
+// HandleForwardedCall takes a CancelRequest that another process was sent.
+func (f *Front) HandleForwardedCall(body []byte) {
 	stray := f.stray
 	f.stray = nil // it goes no further
 	f.cancel(body)
@@ -76,14 +76,14 @@
 // numbersApart is kept between the process numbers that two processes give out.
 const numbersApart = 1 << 16
 
-// Shared is what all connections share: where the process numbers of new ones begin.
-func (f *Front) Shared() []byte {
+// SharedState is what all connections share: where the process numbers of new ones begin.
+func (f *Front) SharedState() []byte {
 	b, _ := cbor.Marshal(f.last + numbersApart) // of this type it never fails
 	return b
 }
 
-// TakeShared takes what the connections of another process share.
-func (f *Front) TakeShared(b []byte) error {
+// ApplySharedState takes what the connections of another process share.
+func (f *Front) ApplySharedState(b []byte) error {
 	var from uint32
 	if err := cbor.Unmarshal(b, &from); err != nil {
 		return fmt.Errorf("shared state: %w", err)
@@ -92,17 +92,17 @@
 	return nil
 }
 
-// Settled tells whether no request and no transaction is open, no login under way and nothing encrypted:
+// Idle tells whether no request and no transaction is open, no login under way and nothing encrypted:
 // the state of TLS can't be handed on.
-func (k *conn) Settled() bool {
+func (k *conn) Idle() bool {
 	return k.request == nil && k.tx == nil && k.login == nil && !k.conn.Secured()
 }
 
-// Ending tells whether the connection is about to end.
-func (k *conn) Ending() bool { return k.ended || k.ending }
+// Closing tells whether the connection is about to end.
+func (k *conn) Closing() bool { return k.ended || k.ending }
 
-// State is what another process needs to go on with a connection that is settled.
-func (k *conn) State() []byte {
+// EncodeState is what another process needs to go on with a connection that is settled.
+func (k *conn) EncodeState() []byte {
 	s := connState{
 		Process: k.process, Secret: k.secret, Started: k.started, Timeout: k.timeout, Skip: k.skip, User: k.user, Settings: k.settings,
 		Describe: k.describe, Describing: k.describing,
@@ -127,8 +127,8 @@
 	return b
 }
 
-// Restore is a handler for a connection of another process, from its State.
-func (f *Front) Restore(b []byte) (func(*netio.Conn) netio.Handler, error) {
+// RestoreConnection is a handler for a connection of another process, from its EncodeState.
+func (f *Front) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
 	var s connState
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("state of a connection: %w", err)
@@ -177,13 +177,13 @@
 	}, nil
 }
 
-// Left tells that the connection goes on in another process.
-func (k *conn) Left() {
+// Transferred tells that the connection goes on in another process.
+func (k *conn) Transferred() {
 	k.ended = true
 	k.stall.Stop()
 	delete(k.front.conns, k.process)
 	k.dropPortals()
 }
 
-// Recover tells that the request which comes first was another process's, which died.
-func (k *conn) Recover(left core.Orphan) { k.left = &left }
+// RecoverRequest tells that the request which comes first was another process's, which died.
+func (k *conn) RecoverRequest(left core.Orphan) { k.left = &left }
--- a/internal/frontend/postgres/move_test.go
+++ b/internal/frontend/postgres/move_test.go
@@ -15,7 +15,7 @@
 	k := &conn{process: 7, secret: [4]byte{1, 2, 3, 4}, started: true, skip: true, statements: map[string]*statement{"s": kept},
 		portals: map[string]*portal{"p": {statement: closed, bind: make([]byte, 6), given: 3, rest: []byte("rows")}, "q": {statement: kept, token: "key"}}}
 	var got connState
-	if err := cbor.Unmarshal(k.State(), &got); err != nil {
+	if err := cbor.Unmarshal(k.EncodeState(), &got); err != nil {
 		t.Fatal(err)
 	}
 	if len(got.Statements) != 2 || len(got.Portals) != 2 || got.Process != 7 || !got.Started || !got.Skip || got.Secret != k.secret {
@@ -33,11 +33,11 @@
 // No state of another version crashes a front.
 func FuzzRestore(f *testing.F) {
 	k := &conn{statements: map[string]*statement{"s": {query: "SELECT 1"}}, portals: map[string]*portal{}}
-	f.Add(k.State())
+	f.Add(k.EncodeState())
 	b, _ := cbor.Marshal(connState{Portals: []portalState{{Statement: 3}}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if accept, err := (&Front{}).Restore(b); (accept == nil) != (err != nil) {
+		if accept, err := (&Front{}).RestoreConnection(b); (accept == nil) != (err != nil) {
 			t.Error("neither a handler nor an error")
 		}
 	})
--- a/internal/frontend/postgres/stored_test.go
+++ b/internal/frontend/postgres/stored_test.go
@@ -45,11 +45,11 @@
 		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
 	}
 	f := &Front{}
-	if accept, err := f.Restore(stored); accept == nil || err != nil {
+	if accept, err := f.RestoreConnection(stored); accept == nil || err != nil {
 		t.Errorf("restore: error %v", err)
 	}
 	for cut := range stored {
-		if _, err := f.Restore(stored[:cut]); err == nil {
+		if _, err := f.RestoreConnection(stored[:cut]); err == nil {
 			t.Errorf("restored, cut at byte %d of %d", cut, len(stored))
 		}
 	}
@@ -57,7 +57,7 @@
 		for bit := range 8 {
 			damaged := bytes.Clone(stored)
 			damaged[i] ^= 1 << bit
-			if accept, err := f.Restore(damaged); (accept == nil) == (err == nil) {
+			if accept, err := f.RestoreConnection(damaged); (accept == nil) == (err == nil) {
 				t.Errorf("byte %d, bit %d changed: neither a handler nor an error", i, bit)
 			}
 		}
@@ -67,10 +67,10 @@
 // What connections of version c18a9bd shared: where the process numbers of new ones begin.
 func TestStoredSharedState(t *testing.T) {
 	f := &Front{last: 7}
-	if got, want := f.Shared(), []byte{0x1a, 0, 1, 0, 7}; !bytes.Equal(got, want) {
+	if got, want := f.SharedState(), []byte{0x1a, 0, 1, 0, 7}; !bytes.Equal(got, want) {
 		t.Errorf("shared state = %x, want %x", got, want)
 	}
-	if err := f.TakeShared([]byte{0x1a, 0, 1, 0, 7}); err != nil || f.last != 65543 {
+	if err := f.ApplySharedState([]byte{0x1a, 0, 1, 0, 7}); err != nil || f.last != 65543 {
 		t.Errorf("numbers begin at %d, error %v, want 65543", f.last, err)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,16 +46,16 @@
 	reload   func() error        // reads the file again; for the loop's goroutine
 	since    time.Duration
 
-	listen      func() error              // opens the listener
-	follow      func(*handover.Knowledge) // begins to follow the roster; nil: nothing is known of it
-	event       func() uint64             // number of the event bus's last event; nil: there is no bus
+	listen      func() error                 // opens the listener
+	follow      func(*handover.ProcessState) // begins to follow the roster; nil: nothing is known of it
+	event       func() uint64                // number of the event bus's last event; nil: there is no bus
 	mostClients int
 	sockets     int    // descriptors that the process may hold; 0: not said
 	control     string // where operators call; "": nowhere
 	ready       bool   // it serves clients
 
-	socket      *netio.Listener  // the platform's, which processes follow each other at; nil: this process opens its own
-	succession  *takeover.Runner // nil: none
+	socket      *netio.Listener       // the platform's, which processes follow each other at; nil: this process opens its own
+	succession  *takeover.Coordinator // nil: none
 	memoryMB    int
 	events      uint64     // sum of what the configuration tells of the roster
 	clientLimit func(int)  // bounds the clients of the front
@@ -68,8 +68,8 @@
 	fleet    *fleet           // nil: it is no member among others
 	upgrade  *config.Upgrade  // nil: off
 	self     string           // this program's path
-	old      *handover.Old    // where upgrades are on
-	new      *handover.New    // in a process that took over
+	old      *handover.Source // where upgrades are on
+	new      *handover.Target // in a process that took over
 	tookOver bool
 	stopping bool  // a planned stop has begun
 	failed   error // ended the loop
@@ -77,7 +77,7 @@
 
 // front is what a planned stop needs of a front.
 type front interface {
-	handover.Front
+	handover.Frontend
 	ListenOn(*netio.Listener)
 	Addr() string
 	CloseListener()
@@ -145,7 +145,7 @@
 	go g.signals(told)
 	g.loop.Run()
 	if g.succession != nil {
-		g.succession.Leave()
+		g.succession.Close()
 	}
 	g.print()
 	return g.failed
@@ -234,10 +234,10 @@
 		return err
 	}
 	var follower *eventbus.Follower
-	g.follow = func(k *handover.Knowledge) {
+	g.follow = func(k *handover.ProcessState) {
 		last := cfg.Offset
 		if k != nil { // its roster is in the core already
-			last = max(last, k.Event)
+			last = max(last, k.LastEvent)
 		} else {
 			for _, ev := range cfg.Known {
 				mode := policy.ListChanges
@@ -320,7 +320,7 @@
 	}
 	follower := consul.New(g.loop.Post, g.core, g.counters, g.log)
 	following := false
-	g.follow = func(k *handover.Knowledge) {
+	g.follow = func(k *handover.ProcessState) {
 		if k != nil {
 			follower.Know(k.Core.Engines)
 		}
@@ -454,7 +454,7 @@
 	g.counters.Add("reload.done")
 	g.log.Info("reload.done")
 	if g.old != nil {
-		g.old.Reload()
+		g.old.ForwardReload()
 	}
 }
 
@@ -466,7 +466,7 @@
 	case g.new != nil && !g.new.Owner():
 		g.failed = errors.New("stopped before it was the owner")
 		g.loop.Stop()
-	case g.old != nil && g.old.Stop():
+	case g.old != nil && g.old.Shutdown():
 	case g.socket != nil && !g.ready: // it took nothing yet
 		g.loop.Stop()
 	default:
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -212,13 +212,13 @@
 	g.loop.Post(func() {
 		m := g.member()
 		if m == nil {
-			done <- admin.Reply{Why: "this gateway is no member among others", Done: true}
+			done <- admin.Reply{Problem: "this gateway is no member among others", Done: true}
 			return
 		}
 		raw, err := json.Marshal(m.Overview())
-		r := admin.Reply{Fleet: raw, Done: true}
+		r := admin.Reply{Membership: raw, Done: true}
 		if err != nil {
-			r.Why = err.Error()
+			r.Problem = err.Error()
 		}
 		done <- r
 	})
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -24,7 +24,7 @@
 	g.log.Info("stopping")
 	g.leaveSites()
 	if g.succession != nil {
-		g.succession.Stopping() // where another process serves in its place, that one goes on as the member
+		g.succession.ShuttingDown() // where another process serves in its place, that one goes on as the member
 	}
 	g.leaveFleet()
 	if g.shapes != nil {
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -101,21 +101,21 @@
 // adminSite answers an operator on other sites. It runs on a goroutine of its own.
 func (g *gateway) adminSite(r admin.Request) admin.Reply {
 	if g.sites == nil {
-		return admin.Reply{Why: "this gateway works with no other site", Done: true}
+		return admin.Reply{Problem: "this gateway works with no other site", Done: true}
 	}
 	done := make(chan admin.Reply, 1)
 	g.loop.Post(func() {
 		s := g.sites.service
 		reply := admin.Reply{Done: true}
-		if r.Do != "site-status" {
-			if !s.Drain(r.Site, r.Do == "site-undrain") {
-				reply.Why = fmt.Sprintf("there is no site or gateway %q", r.Site)
+		if r.Command != "site-status" {
+			if !s.Drain(r.Site, r.Command == "site-undrain") {
+				reply.Problem = fmt.Sprintf("there is no site or gateway %q", r.Site)
 			}
-			g.log.Info(r.Do, "site", r.Site)
+			g.log.Info(r.Command, "site", r.Site)
 		}
 		raw, err := json.Marshal(s.Overview())
 		if err != nil {
-			reply.Why = err.Error()
+			reply.Problem = err.Error()
 		}
 		reply.Sites = raw
 		done <- reply
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -16,14 +16,14 @@
 // one; else it serves from its configuration.
 func (g *gateway) beside() (err error) {
 	g.succession, err = takeover.New(g.loop, g.core, filepath.Join(os.TempDir(), stateFolder), takeover.Options{
-		Events: g.events, Take: g.succeed,
-		Know: func() *handover.Knowledge {
+		EventSourceSum: g.events, ApplyState: g.succeed,
+		State: func() *handover.ProcessState {
 			k := g.know()
-			k.Shared = g.front.Shared()
+			k.Shared = g.front.SharedState()
 			return k
 		},
-		Alone: func() { g.serveNow(nil) }, Share: g.shareLimits,
-		Replaced: func() {
+		StartAlone: func() { g.serveNow(nil) }, OnLimitShare: g.shareLimits,
+		OnReplaced: func() {
 			g.log.Info("replaced")
 			g.front.CloseListener()
 			g.part()
@@ -35,17 +35,17 @@
 		g.serveNow(nil)
 		return g.failed
 	}
-	g.loop.Post(g.succession.Begin)
+	g.loop.Post(g.succession.Start)
 	return nil
 }
 
 // succeed goes on from what another process knows.
-func (g *gateway) succeed(k *handover.Knowledge) error {
+func (g *gateway) succeed(k *handover.ProcessState) error {
 	g.learn(k)
-	if err := g.front.TakeShared(k.Shared); err != nil { // their clients ask again
+	if err := g.front.ApplySharedState(k.Shared); err != nil { // their clients ask again
 		g.log.Warn("succession.results", "error", err)
 	}
-	if k.Event == 0 {
+	if k.LastEvent == 0 {
 		k = nil
 	}
 	g.serveNow(k)
@@ -53,7 +53,7 @@
 }
 
 // serveNow follows the roster and accepts clients.
-func (g *gateway) serveNow(k *handover.Knowledge) {
+func (g *gateway) serveNow(k *handover.ProcessState) {
 	g.follow(k)
 	if err := errors.Join(g.listen(), g.linkSites(), g.admin()); err != nil {
 		g.failed = err
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -73,9 +73,9 @@
 		return err
 	}
 	g.front.ListenOn(ln)
-	g.new = handover.NewNew(g.loop, g.core, g.front, in.ch, handover.NewOptions{
-		Take: g.take, Owner: g.owner, Reload: g.readAgain,
-		Stop: func() {
+	g.new = handover.NewTarget(g.loop, g.core, g.front, in.ch, handover.TargetOptions{
+		ApplyState: g.take, OnOwner: g.owner, Reload: g.readAgain,
+		Abort: func() {
 			g.failed = errors.New("it can't take over")
 			g.loop.Stop()
 		},
@@ -85,15 +85,15 @@
 }
 
 // know is what this process knows, for the one that takes over.
-func (g *gateway) know() *handover.Knowledge {
-	k := &handover.Knowledge{Core: g.core.Snapshot(), Counters: g.counters.All()}
+func (g *gateway) know() *handover.ProcessState {
+	k := &handover.ProcessState{Core: g.core.Snapshot(), Counters: g.counters.All()}
 	if g.event != nil {
-		k.Event = g.event()
+		k.LastEvent = g.event()
 	}
-	k.Members = g.carryFleet()
+	k.Membership = g.carryFleet()
 	if g.shapes != nil {
 		var err error
-		if k.Shapes, err = g.shapes.Encode(); err != nil {
+		if k.QueryShapes, err = g.shapes.Encode(); err != nil {
 			g.log.Warn("upgrade.shapes", "error", err)
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // take takes what the old process knows.
-func (g *gateway) take(k *handover.Knowledge) error {
+func (g *gateway) take(k *handover.ProcessState) error {
 	g.learn(k)
 	for name, n := range k.Counters {
 		g.counters.Raise(name, n)
@@ -111,15 +111,15 @@
 }
 
 // learn goes on from what another process has learned.
-func (g *gateway) learn(k *handover.Knowledge) {
+func (g *gateway) learn(k *handover.ProcessState) {
 	g.core.Restore(k.Core)
 	if g.fleet != nil {
-		g.fleet.opts.SavedState = k.Members
+		g.fleet.opts.SavedState = k.Membership
 	}
-	if g.shapes == nil || len(k.Shapes) == 0 {
+	if g.shapes == nil || len(k.QueryShapes) == 0 {
 		return
 	}
-	if err := g.shapes.Take(k.Shapes); err != nil { // it learns them anew; no reason to stay away
+	if err := g.shapes.Take(k.QueryShapes); err != nil { // it learns them anew; no reason to stay away
 		g.log.Warn("upgrade.shapes", "error", err, "unusable", errors.Is(err, queryshape.ErrSnapshotVersion))
 	}
 }
@@ -159,9 +159,9 @@
 	if path == "" {
 		path = g.self
 	}
-	g.old = handover.NewOld(g.loop, g.core, g.front, handover.OldOptions{
+	g.old = handover.NewSource(g.loop, g.core, g.front, handover.SourceOptions{
 		Program: handover.Program{Path: path, Args: os.Args[1:]}, Config: u.Decide(),
-		Know: g.know, Counts: g.counters.All, Stop: g.stop, Over: g.takenOver, Back: g.joinBeside, Exit: g.exit,
+		State: g.know, Counters: g.counters.All, BeginShutdown: g.stop, OnHandedOver: g.takenOver, OnReturned: g.joinBeside, Exit: g.exit,
 	}, g.counters, g.log)
 	_, err := admin.Listen(u.Admin, g.answer)
 	return err
@@ -169,11 +169,11 @@
 
 // answer answers an operator. It runs on a goroutine of its own.
 func (g *gateway) answer(r admin.Request, say func(admin.Reply)) {
-	if g.old == nil && (r.Do == "upgrade" || r.Do == "check") {
-		say(admin.Reply{Why: "this gateway was started without a file of upgrades", Done: true})
+	if g.old == nil && (r.Command == "upgrade" || r.Command == "check") {
+		say(admin.Reply{Problem: "this gateway was started without a file of upgrades", Done: true})
 		return
 	}
-	switch r.Do {
+	switch r.Command {
 	case "members":
 		say(g.adminMembers())
 	case "site-status", "site-drain", "site-undrain":
@@ -187,15 +187,15 @@
 		g.loop.Post(func() {
 			switch {
 			case g.stopping:
-				replies <- admin.Reply{Why: "a planned stop is under way", Done: true}
+				replies <- admin.Reply{Problem: "a planned stop is under way", Done: true}
 				return
-			case g.new != nil && !g.new.Alone():
-				replies <- admin.Reply{Why: "the latest upgrade is not through: the process before this one still answers what it had taken", Done: true}
+			case g.new != nil && !g.new.SourceExited():
+				replies <- admin.Reply{Problem: "the latest upgrade is not through: the process before this one still answers what it had taken", Done: true}
 				return
 			}
 			g.old.Upgrade(g.program(r), func(phase, why string, done bool) {
 				select {
-				case replies <- admin.Reply{Phase: phase, Why: why, Done: done}:
+				case replies <- admin.Reply{Phase: phase, Problem: why, Done: done}:
 				default: // nobody takes them
 				}
 			})
@@ -219,18 +219,18 @@
 		})
 		s := <-now
 		if s.err != nil {
-			say(admin.Reply{Why: s.err.Error(), Done: true})
+			say(admin.Reply{Problem: s.err.Error(), Done: true})
 			return
 		}
 		defer s.file.Close()
-		build, err := handover.Check(s.p, s.file, s.conns, g.upgrade.Decide().GreetTimeout)
+		build, err := handover.CheckProgram(s.p, s.file, s.conns, g.upgrade.Decide().GreetTimeout)
 		reply := admin.Reply{Build: build, Done: true}
 		if err != nil {
-			reply.Why = err.Error()
+			reply.Problem = err.Error()
 		}
 		say(reply)
 	default:
-		say(admin.Reply{Why: fmt.Sprintf("there is nothing called %q; wanted is status, upgrade, check, site-status, site-drain or site-undrain", r.Do), Done: true})
+		say(admin.Reply{Problem: fmt.Sprintf("there is nothing called %q; wanted is status, upgrade, check, site-status, site-drain or site-undrain", r.Command), Done: true})
 	}
 }
 
@@ -251,8 +251,8 @@
 		g.shapes.Count()
 	}
 	return &admin.Status{
-		PID: os.Getpid(), Build: BuildName(), Front: g.front.Name(), Listen: g.front.Addr(), Phase: g.phase(), TookOver: g.tookOver,
-		Up: (g.loop.Now() - g.since).Seconds(), Connections: g.loop.Open(), Unanswered: g.core.Unanswered(), Counters: g.counters.All(),
+		PID: os.Getpid(), Build: BuildName(), Frontend: g.front.Name(), Listen: g.front.Addr(), Phase: g.phase(), TookOver: g.tookOver,
+		UptimeSeconds: (g.loop.Now() - g.since).Seconds(), Connections: g.loop.Open(), Unanswered: g.core.Unanswered(), Counters: g.counters.All(),
 	}
 }
 
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -212,7 +212,7 @@
 func (s *site) status() *admin.Status {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	last, err := admin.Call(ctx, s.admin, admin.Request{Do: "status"}, func(admin.Reply) {})
+	last, err := admin.Call(ctx, s.admin, admin.Request{Command: "status"}, func(admin.Reply) {})
 	if err != nil {
 		return nil
 	}
@@ -225,9 +225,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 		defer cancel()
-		last, err := admin.Call(ctx, s.admin, admin.Request{Do: do}, func(admin.Reply) {})
+		last, err := admin.Call(ctx, s.admin, admin.Request{Command: do}, func(admin.Reply) {})
 		if err != nil {
-			last = admin.Reply{Why: "call: " + err.Error()}
+			last = admin.Reply{Problem: "call: " + err.Error()}
 		}
 		end <- last
 	}()
@@ -312,8 +312,8 @@
 		s.runs(mark, 1)
 	}
 	_ = syscall.Kill(pid, syscall.SIGKILL)
-	if r := <-end; r.Why != "it died" {
-		t.Errorf("the operator was told %q", r.Why)
+	if r := <-end; r.Problem != "it died" {
+		t.Errorf("the operator was told %q", r.Problem)
 	}
 	s.runs("q-1-3", 2)
 	for _, c := range s.held {
@@ -339,8 +339,8 @@
 		t.Errorf("counted %v", st.Counters)
 	}
 	_, end = s.probation()
-	if r := s.prove(end); r.Why != "" {
-		t.Errorf("the next upgrade: %q", r.Why)
+	if r := s.prove(end); r.Problem != "" {
+		t.Errorf("the next upgrade: %q", r.Problem)
 	}
 	again(3)
 	s.await("upgrade.exit")
@@ -475,8 +475,8 @@
 		t.Errorf("a request cancelled from the other process: %s", got)
 	}
 	_ = canceller.Close()
-	if r := s.prove(end); r.Why != "" {
-		t.Fatalf("the upgrade: %q", r.Why)
+	if r := s.prove(end); r.Problem != "" {
+		t.Fatalf("the upgrade: %q", r.Problem)
 	}
 	close(release)
 	if got, _ := slow.until('Z'); got != "TDDCZ" {
@@ -510,8 +510,8 @@
 	c := s.client()
 	pid, end := s.probation()
 	_ = s.old.Process.Kill()
-	if r := <-end; !strings.Contains(r.Why, "without a last word") {
-		t.Errorf("the operator was told %q", r.Why)
+	if r := <-end; !strings.Contains(r.Problem, "without a last word") {
+		t.Errorf("the operator was told %q", r.Problem)
 	}
 	s.await("upgrade.owner")
 	s.await("serving")
@@ -521,8 +521,8 @@
 		t.Errorf("status: %+v", st)
 	}
 	_, end = s.probation()
-	if r := s.prove(end); r.Why != "" {
-		t.Errorf("the next upgrade: %q", r.Why)
+	if r := s.prove(end); r.Problem != "" {
+		t.Errorf("the next upgrade: %q", r.Problem)
 	}
 	s.want("after it", ask(c, "q-1-3"), load.Served)
 }
@@ -534,22 +534,22 @@
 	s := newSite(t)
 	c := s.raw()
 	c.until('Z')
-	if r := <-s.upgrade("check"); r.Why != "" || r.Build == "" {
+	if r := <-s.upgrade("check"); r.Problem != "" || r.Build == "" {
 		t.Errorf("it would not take over: %+v", r)
 	}
-	if r := <-s.upgrade("dance"); !strings.Contains(r.Why, "dance") {
+	if r := <-s.upgrade("dance"); !strings.Contains(r.Problem, "dance") {
 		t.Errorf("an odd request: %+v", r)
 	}
 	pid, end := s.probation()
-	if r := <-s.upgrade("upgrade"); r.Why != "another upgrade is under way" {
-		t.Errorf("a second upgrade: %q", r.Why)
+	if r := <-s.upgrade("upgrade"); r.Problem != "another upgrade is under way" {
+		t.Errorf("a second upgrade: %q", r.Problem)
 	}
 	_ = s.old.Process.Signal(syscall.SIGHUP)
 	s.await("reload.done")
 	s.await("reload.done")
 	_ = s.old.Process.Signal(syscall.SIGTERM)
-	if r := <-end; r.Why != "a planned stop came first" {
-		t.Errorf("the operator was told %q", r.Why)
+	if r := <-end; r.Problem != "a planned stop came first" {
+		t.Errorf("the operator was told %q", r.Problem)
 	}
 	if got, _ := c.until('E'); got != "E(57P01)" {
 		t.Errorf("a client at the stop: %s", got)
--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -24,15 +24,15 @@
 // as SCM_RIGHTS with the frame's first byte (unix(7)), so they are here when the frame is.
 const (
 	frameHead = 6
-	// MostFrame bounds a frame, in bytes: a state with all held results fits by far.
-	MostFrame = 64 << 20
-	mostFDs   = 4
+	// MaxFrameBytes bounds a frame, in bytes: a state with all held results fits by far.
+	MaxFrameBytes = 64 << 20
+	mostFDs       = 4
 )
 
 // Errors of a channel.
 var (
-	ErrFrame = errors.New("handover: a frame that can't be read")
-	ErrKind  = errors.New("handover: a message of unknown kind")
+	ErrMalformedFrame = errors.New("handover: a frame that can't be read")
+	ErrUnknownKind    = errors.New("handover: a message of unknown kind")
 )
 
 // decoder bounds what a message may hold: its sender may be of another version, or broken.
@@ -52,14 +52,14 @@
 	out  []byte
 }
 
-// Pair makes a channel: this process's end, and the file that the other one inherits.
-func Pair() (*Channel, *os.File, error) {
+// NewChannelPair makes a channel: this process's end, and the file that the other one inherits.
+func NewChannelPair() (*Channel, *os.File, error) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: socketpair: %w", err)
 	}
 	theirs := os.NewFile(uintptr(fds[1]), "handover")
-	ch, err := FromFile(os.NewFile(uintptr(fds[0]), "handover"))
+	ch, err := ChannelFromFile(os.NewFile(uintptr(fds[0]), "handover"))
 	if err != nil {
 		_ = theirs.Close()
 		return nil, nil, err
@@ -67,8 +67,8 @@
 	return ch, theirs, nil
 }
 
-// FromFile is a channel over an inherited file, which it takes.
-func FromFile(f *os.File) (*Channel, error) {
+// ChannelFromFile is a channel over an inherited file, which it takes.
+func ChannelFromFile(f *os.File) (*Channel, error) {
 	defer f.Close()
 	c, err := net.FileConn(f)
 	if err != nil {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return fmt.Errorf("handover: %T: %w", m, err)
 	}
-	if len(body) > MostFrame || len(fds) > mostFDs {
+	if len(body) > MaxFrameBytes || len(fds) > mostFDs {
 		return fmt.Errorf("handover: %T: %d bytes and %d descriptors are too many", m, len(body), len(fds))
 	}
 	c.mu.Lock()
@@ -146,7 +146,7 @@
 				break
 			}
 			if count > len(fds) {
-				return fmt.Errorf("%w: %d descriptors are missing", ErrFrame, count-len(fds))
+				return fmt.Errorf("%w: %d descriptors are missing", ErrMalformedFrame, count-len(fds))
 			}
 			mine := append([]int(nil), fds[:count]...)
 			fds = fds[count:]
@@ -158,7 +158,7 @@
 		// written was read before that is told.
 		case errors.Is(err, io.EOF) || errors.Is(err, unix.ECONNRESET) || err == nil && n == 0 && oobn == 0:
 			if len(in) > 0 {
-				return fmt.Errorf("%w: it stops in the middle", ErrFrame)
+				return fmt.Errorf("%w: it stops in the middle", ErrMalformedFrame)
 			}
 			return nil
 		case err != nil:
@@ -170,12 +170,12 @@
 func received(oob []byte) (fds []int, err error) {
 	all, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrFrame, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	for i := range all {
 		got, err := unix.ParseUnixRights(&all[i])
 		if err != nil {
-			return fds, fmt.Errorf("%w: %w", ErrFrame, err)
+			return fds, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 		}
 		for _, fd := range got {
 			unix.CloseOnExec(fd)
@@ -191,18 +191,18 @@
 		return nil, 0, 0, nil
 	}
 	length := binary.BigEndian.Uint32(b)
-	if length > MostFrame || b[4] > mostFDs {
-		return nil, 0, 0, fmt.Errorf("%w: %d bytes and %d descriptors", ErrFrame, length, b[4])
+	if length > MaxFrameBytes || b[4] > mostFDs {
+		return nil, 0, 0, fmt.Errorf("%w: %d bytes and %d descriptors", ErrMalformedFrame, length, b[4])
 	}
 	used = frameHead + int(length)
 	if len(b) < used {
 		return nil, 0, 0, nil
 	}
 	if m = blank(b[5]); m == nil {
-		return nil, 0, 0, fmt.Errorf("%w: %d", ErrKind, b[5])
+		return nil, 0, 0, fmt.Errorf("%w: %d", ErrUnknownKind, b[5])
 	}
 	if err := decoder.Unmarshal(b[frameHead:used], m); err != nil {
-		return nil, 0, 0, fmt.Errorf("%w: %T: %w", ErrFrame, m, err)
+		return nil, 0, 0, fmt.Errorf("%w: %T: %w", ErrMalformedFrame, m, err)
 	}
 	return m, int(b[4]), used, nil
 }
--- a/internal/handover/channel_test.go
+++ b/internal/handover/channel_test.go
@@ -13,11 +13,11 @@
 
 func pairs(t *testing.T) (a, b *Channel) {
 	t.Helper()
-	a, f, err := Pair()
+	a, f, err := NewChannelPair()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err = FromFile(f); err != nil {
+	if b, err = ChannelFromFile(f); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close(); b.Close() })
@@ -34,13 +34,13 @@
 	}
 	defer r.Close()
 	sent := []Message{
-		&Hello{Major: 1, Minor: 2, Problem: "no"}, &Given{Conn: 7, Front: "rest", State: []byte{1}, Unread: bytes.Repeat([]byte("x"), 200_000)},
-		&Sending{Conn: 7, Effect: 1, At: time.Second, Window: 12 * time.Second}, &Output{Conn: 7, At: 9, B: []byte("y"), Settled: true, Consumed: 3}, &Commit{},
+		&Hello{Major: 1, Minor: 2, Problem: "no"}, &ConnectionTransfer{Conn: 7, Frontend: "rest", State: []byte{1}, Unread: bytes.Repeat([]byte("x"), 200_000)},
+		&RequestRecord{Conn: 7, Idempotency: 1, FirstSend: time.Second, KeyWindow: 12 * time.Second}, &OutputRecord{Conn: 7, Offset: 9, Data: []byte("y"), Idle: true, Consumed: 3}, &OwnershipCommit{},
 	}
 	go func() {
 		for _, m := range sent {
 			var fds []int
-			if _, ok := m.(*Given); ok {
+			if _, ok := m.(*ConnectionTransfer); ok {
 				fds = append(fds, int(w.Fd()))
 			}
 			if err := a.Send(m, fds...); err != nil {
@@ -53,7 +53,7 @@
 	var got []Message
 	err = b.Read(func(m Message, fds []int) {
 		got = append(got, m)
-		if _, ok := m.(*Given); ok != (len(fds) == 1) {
+		if _, ok := m.(*ConnectionTransfer); ok != (len(fds) == 1) {
 			t.Errorf("%T came with %d descriptors", m, len(fds))
 		}
 		for _, fd := range fds {
@@ -76,7 +76,7 @@
 		a, b := pairs(t)
 		_, _ = a.conn.Write([]byte(raw))
 		_ = a.Close()
-		if err := b.Read(func(m Message, _ []int) { t.Errorf("%s: read %T", name, m) }); err == nil || !errors.Is(err, ErrFrame) && !errors.Is(err, ErrKind) {
+		if err := b.Read(func(m Message, _ []int) { t.Errorf("%s: read %T", name, m) }); err == nil || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -85,7 +85,7 @@
 // A version that knows more sections than this one is understood: those are named and passed
 // by. One that knows fewer leaves the rest empty. A section that can't be read is named.
 func TestSections(t *testing.T) {
-	k := &Knowledge{Event: 41, Counters: map[string]int64{"taken.lookup": 3}, Clock: Clock{Now: time.Hour}}
+	k := &ProcessState{LastEvent: 41, Counters: map[string]int64{"taken.lookup": 3}, Clock: Clock{Now: time.Hour}}
 	w, err := k.encode()
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 	if err != nil || len(unknown) != 1 || unknown[0] != "weather" {
 		t.Errorf("unknown sections: %v, %v", unknown, err)
 	}
-	if got.Event != 41 || got.Counters["taken.lookup"] != 3 || got.Clock.Now != time.Hour {
+	if got.LastEvent != 41 || got.Counters["taken.lookup"] != 3 || got.Clock.Now != time.Hour {
 		t.Errorf("read %+v", got)
 	}
 	w.Sections["event"] = cbor.RawMessage{0x61, 'x'}
@@ -115,7 +115,7 @@
 		if used > len(b) || (m == nil) != (used == 0) || err != nil && used > 0 {
 			t.Errorf("%T, %d of %d, %v", m, used, len(b), err)
 		}
-		if w, ok := m.(*World); ok {
+		if w, ok := m.(*State); ok {
 			_, _, _ = w.decode()
 		}
 	})
@@ -125,17 +125,17 @@
 // what was read behind it and not written comes back.
 func TestKept(t *testing.T) {
 	k := &kept{fd: -1, state: []byte("0"), in: []byte("abc"), inAt: 97}
-	k.input(&Input{At: 100, B: []byte("defgh"), Came: time.Second})
-	k.sending = &Sending{At: 2 * time.Second}
-	k.output(&Output{At: 50, B: []byte("part"), Settled: false})
+	k.input(&InputRecord{Offset: 100, Data: []byte("defgh"), ReceivedAt: time.Second})
+	k.sending = &RequestRecord{FirstSend: 2 * time.Second}
+	k.output(&OutputRecord{Offset: 50, Data: []byte("part"), Idle: false})
 	if string(k.in) != "abcdefgh" || k.sending == nil || string(k.state) != "0" {
 		t.Errorf("while a request is open: %+v", k)
 	}
-	k.output(&Output{At: 54, B: []byte("answer"), Settled: true, Consumed: 102, State: []byte("1")})
+	k.output(&OutputRecord{Offset: 54, Data: []byte("answer"), Idle: true, Consumed: 102, State: []byte("1")})
 	if string(k.in) != "fgh" || k.inAt != 102 || k.sending != nil || string(k.state) != "1" || string(k.out) != "partanswer" || k.outAt != 50 {
 		t.Errorf("behind its answer: %+v", k)
 	}
-	k.output(&Output{At: 60, B: []byte("bye"), Settled: true, Ending: true})
+	k.output(&OutputRecord{Offset: 60, Data: []byte("bye"), Idle: true, Closing: true})
 	if !k.ending || len(k.in) > 0 || string(k.state) != "1" {
 		t.Errorf("at its end: %+v", k)
 	}
--- a/internal/handover/front.go
+++ b/internal/handover/front.go
@@ -9,43 +9,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// Front is what a front tells of its connections and takes of them.
-type Front interface {
+// Frontend is what a front tells of its connections and takes of them.
+type Frontend interface {
 	Name() string
-	Limit() int // bytes that are read of a connection and not consumed, at most
+	ReadLimit() int // bytes that are read of a connection and not consumed, at most
 	Listener() *netio.Listener
 	OnAccept(func(*netio.Conn))
-	OnShared(func([]byte))
-	OnStray(func([]byte))
-	Shared() []byte
-	TakeShared([]byte) error
-	TakeStray([]byte)
-	Restore(state []byte) (func(*netio.Conn) netio.Handler, error)
+	OnSharedChange(func([]byte))
+	OnUnknownCall(func([]byte))
+	SharedState() []byte
+	ApplySharedState([]byte) error
+	HandleForwardedCall([]byte)
+	RestoreConnection(state []byte) (func(*netio.Conn) netio.Handler, error)
 }
 
-// Movable is the handler of a connection that can go on in another process.
-type Movable interface {
+// Transferable is the handler of a connection that can go on in another process.
+type Transferable interface {
 	netio.Handler
-	// Settled tells whether no request is open, and Ending whether it is about to end.
-	Settled() bool
-	Ending() bool
-	// State is what Restore needs, of one that is settled.
-	State() []byte
-	// Left tells that it goes on elsewhere.
-	Left()
-	// Recover tells of the request that comes first: a process that died had it.
-	Recover(core.Orphan)
+	// Idle tells whether no request is open, and Ending whether it is about to end.
+	Idle() bool
+	Closing() bool
+	// EncodeState is what Restore needs, of one that is settled.
+	EncodeState() []byte
+	// Transferred tells that it goes on elsewhere.
+	Transferred()
+	// RecoverRequest tells of the request that comes first: a process that died had it.
+	RecoverRequest(core.Orphan)
 }
 
 // movable is the handler of a client's connection; nil: it is somebody else's.
-func movable(c *netio.Conn) Movable {
-	m, _ := c.Handler().(Movable)
+func movable(c *netio.Conn) Transferable {
+	m, _ := c.Handler().(Transferable)
 	return m
 }
 
 // free tells whether a connection can be given away just now.
-func free(c *netio.Conn, m Movable) bool {
-	return m.Settled() && !m.Ending() && c.Pending() == 0
+func free(c *netio.Conn, m Transferable) bool {
+	return m.Idle() && !m.Closing() && c.Pending() == 0
 }
 
 // monotonic is the machine's monotonic clock, which all its processes share
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -28,104 +28,104 @@
 	}
 	// Ready says that it has taken what is known.
 	Ready struct{}
-	// Alive says that it lives, and how its answers were since the last.
-	Alive struct {
-		Good int `cbor:"1,keyasint"`
-		Bad  int `cbor:"2,keyasint"`
-		Open int `cbor:"3,keyasint"` // requests that it has taken and not answered
-	}
-	// Input are bytes that lie in a connection's socket from At on, and are consumed next.
-	Input struct {
-		Conn uint32        `cbor:"1,keyasint"`
-		At   int64         `cbor:"2,keyasint"`
-		Came time.Duration `cbor:"3,keyasint"`
-		B    []byte        `cbor:"4,keyasint"`
-	}
-	// Sending says that the request which is open on a connection goes to an engine next.
-	Sending struct {
-		Conn     uint32        `cbor:"1,keyasint"`
-		Effect   uint8         `cbor:"2,keyasint"`
-		At       time.Duration `cbor:"3,keyasint"` // of the first send
-		Window   time.Duration `cbor:"4,keyasint"`
-		Deadline time.Duration `cbor:"5,keyasint"`
-	}
-	// Output are bytes that are written to a connection next, from At on. Where Settled, no
+	// Heartbeat says that it lives, and how its answers were since the last.
+	Heartbeat struct {
+		Good     int `cbor:"1,keyasint"`
+		Bad      int `cbor:"2,keyasint"`
+		InFlight int `cbor:"3,keyasint"` // requests that it has taken and not answered
+	}
+	// InputRecord are bytes that lie in a connection's socket from At on, and are consumed next.
+	InputRecord struct {
+		Conn       uint32        `cbor:"1,keyasint"`
+		Offset     int64         `cbor:"2,keyasint"`
+		ReceivedAt time.Duration `cbor:"3,keyasint"`
+		Data       []byte        `cbor:"4,keyasint"`
+	}
+	// RequestRecord says that the request which is open on a connection goes to an engine next.
+	RequestRecord struct {
+		Conn        uint32        `cbor:"1,keyasint"`
+		Idempotency uint8         `cbor:"2,keyasint"`
+		FirstSend   time.Duration `cbor:"3,keyasint"` // of the first send
+		KeyWindow   time.Duration `cbor:"4,keyasint"`
+		Deadline    time.Duration `cbor:"5,keyasint"`
+	}
+	// OutputRecord are bytes that are written to a connection next, from At on. Where Settled, no
 	// request is open behind them: State stands for all that was read before Consumed.
-	Output struct {
+	OutputRecord struct {
 		Conn     uint32 `cbor:"1,keyasint"`
-		At       int64  `cbor:"2,keyasint"`
-		B        []byte `cbor:"3,keyasint"`
-		Settled  bool   `cbor:"4,keyasint,omitempty"`
-		Ending   bool   `cbor:"5,keyasint,omitempty"` // the connection ends behind them
+		Offset   int64  `cbor:"2,keyasint"`
+		Data     []byte `cbor:"3,keyasint"`
+		Idle     bool   `cbor:"4,keyasint,omitempty"`
+		Closing  bool   `cbor:"5,keyasint,omitempty"` // the connection ends behind them
 		Consumed int64  `cbor:"6,keyasint,omitempty"`
 		State    []byte `cbor:"7,keyasint,omitempty"`
 	}
-	// Closed says that a connection has ended.
-	Closed struct {
+	// ConnectionClosed says that a connection has ended.
+	ConnectionClosed struct {
 		Conn uint32 `cbor:"1,keyasint"`
 	}
 )
 
 // Messages of the old process.
 type (
-	// World is what it knows, by the names of its sections. One that the other does not know
+	// State is what it knows, by the names of its sections. One that the other does not know
 	// is named in its log and passed by.
-	World struct {
+	State struct {
 		Sections map[string]cbor.RawMessage `cbor:"1,keyasint"`
 	}
-	// Go tells it to serve.
-	Go struct{}
-	// Given comes with the descriptor of a connection: its front's state, and what was read
+	// Serve tells it to serve.
+	Serve struct{}
+	// ConnectionTransfer comes with the descriptor of a connection: its front's state, and what was read
 	// of it and not consumed.
-	Given struct {
-		Conn   uint32 `cbor:"1,keyasint"`
-		Front  string `cbor:"2,keyasint"`
-		State  []byte `cbor:"3,keyasint"`
-		Unread []byte `cbor:"4,keyasint,omitempty"`
-	}
-	// Commit tells it that it is the owner for good.
-	Commit struct{}
+	ConnectionTransfer struct {
+		Conn     uint32 `cbor:"1,keyasint"`
+		Frontend string `cbor:"2,keyasint"`
+		State    []byte `cbor:"3,keyasint"`
+		Unread   []byte `cbor:"4,keyasint,omitempty"`
+	}
+	// OwnershipCommit tells it that it is the owner for good.
+	OwnershipCommit struct{}
 	// Reload tells it to read its files again, as the old one was told meanwhile.
 	Reload struct{}
-	// Counts are the counters of what ended in the old process since World.
-	Counts struct {
+	// CounterIncrements are the counters of what ended in the old process since World.
+	CounterIncrements struct {
 		Counters map[string]int64 `cbor:"1,keyasint"`
 	}
 )
 
 // Messages of both.
 type (
-	// Shared is what all connections of a front share, as the front tells it.
-	Shared struct {
-		B []byte `cbor:"1,keyasint"`
+	// SharedState is what all connections of a front share, as the front tells it.
+	SharedState struct {
+		Data []byte `cbor:"1,keyasint"`
 	}
-	// Stray is a call that only the other may have the answer to.
-	Stray struct {
-		B []byte `cbor:"1,keyasint"`
+	// ForwardedCall is a call that only the other may have the answer to.
+	ForwardedCall struct {
+		Data []byte `cbor:"1,keyasint"`
 	}
 )
 
-func (*Hello) kind() byte   { return 1 }
-func (*Ready) kind() byte   { return 2 }
-func (*Alive) kind() byte   { return 3 }
-func (*Input) kind() byte   { return 4 }
-func (*Sending) kind() byte { return 5 }
-func (*Output) kind() byte  { return 6 }
-func (*Closed) kind() byte  { return 7 }
-func (*World) kind() byte   { return 8 }
-func (*Go) kind() byte      { return 9 }
-func (*Given) kind() byte   { return 10 }
-func (*Commit) kind() byte  { return 11 }
-func (*Reload) kind() byte  { return 12 }
-func (*Counts) kind() byte  { return 13 }
-func (*Shared) kind() byte  { return 14 }
-func (*Stray) kind() byte   { return 15 }
+func (*Hello) kind() byte              { return 1 }
+func (*Ready) kind() byte              { return 2 }
+func (*Heartbeat) kind() byte          { return 3 }
+func (*InputRecord) kind() byte        { return 4 }
+func (*RequestRecord) kind() byte      { return 5 }
+func (*OutputRecord) kind() byte       { return 6 }
+func (*ConnectionClosed) kind() byte   { return 7 }
+func (*State) kind() byte              { return 8 }
+func (*Serve) kind() byte              { return 9 }
+func (*ConnectionTransfer) kind() byte { return 10 }
+func (*OwnershipCommit) kind() byte    { return 11 }
+func (*Reload) kind() byte             { return 12 }
+func (*CounterIncrements) kind() byte  { return 13 }
+func (*SharedState) kind() byte        { return 14 }
+func (*ForwardedCall) kind() byte      { return 15 }
 
 // blank is an empty message of a kind; nil: there is none.
 func blank(kind byte) Message {
 	for _, m := range []Message{
-		&Hello{}, &Ready{}, &Alive{}, &Input{}, &Sending{}, &Output{}, &Closed{}, &World{}, &Go{}, &Given{}, &Commit{},
-		&Reload{}, &Counts{}, &Shared{}, &Stray{},
+		&Hello{}, &Ready{}, &Heartbeat{}, &InputRecord{}, &RequestRecord{}, &OutputRecord{}, &ConnectionClosed{}, &State{}, &Serve{}, &ConnectionTransfer{}, &OwnershipCommit{},
+		&Reload{}, &CounterIncrements{}, &SharedState{}, &ForwardedCall{},
 	} {
 		if m.kind() == kind {
 			return m
@@ -136,30 +136,30 @@
 
 // Clock is the time of both processes at one moment: Mono is the machine's monotonic clock.
 type Clock struct {
-	Now  time.Duration `cbor:"1,keyasint"`
-	Mono time.Duration `cbor:"2,keyasint"`
+	Now       time.Duration `cbor:"1,keyasint"`
+	Monotonic time.Duration `cbor:"2,keyasint"`
 }
 
-// Knowledge is what a process that serves knows.
-type Knowledge struct {
-	Clock    Clock
-	Core     core.Snapshot
-	Event    uint64 // number of the event bus's last event taken; 0: none
-	Shared   []byte // of the front
-	Shapes   []byte // a snapshot; nil: none
-	Members  []byte // of internal/membership: the fleet as this member knows it; nil: it is none
-	Counters map[string]int64
+// ProcessState is what a process that serves knows.
+type ProcessState struct {
+	Clock       Clock
+	Core        core.Snapshot
+	LastEvent   uint64 // number of the event bus's last event taken; 0: none
+	Shared      []byte // of the front
+	QueryShapes []byte // a snapshot; nil: none
+	Membership  []byte // of internal/membership: the fleet as this member knows it; nil: it is none
+	Counters    map[string]int64
 }
 
 // sections are the parts of a World by name.
-func (k *Knowledge) sections() map[string]any {
+func (k *ProcessState) sections() map[string]any {
 	return map[string]any{
-		"clock": &k.Clock, "core": &k.Core, "event": &k.Event, "shared": &k.Shared, "shapes": &k.Shapes, "members": &k.Members, "counters": &k.Counters,
+		"clock": &k.Clock, "core": &k.Core, "event": &k.LastEvent, "shared": &k.Shared, "shapes": &k.QueryShapes, "members": &k.Membership, "counters": &k.Counters,
 	}
 }
 
-func (k *Knowledge) encode() (*World, error) {
-	w := &World{Sections: map[string]cbor.RawMessage{}}
+func (k *ProcessState) encode() (*State, error) {
+	w := &State{Sections: map[string]cbor.RawMessage{}}
 	for name, part := range k.sections() {
 		b, err := cbor.Marshal(part)
 		if err != nil {
@@ -171,8 +171,8 @@
 }
 
 // decode reads a World. unknown names the sections that this version has no use for.
-func (w *World) decode() (k *Knowledge, unknown []string, err error) {
-	k = &Knowledge{}
+func (w *State) decode() (k *ProcessState, unknown []string, err error) {
+	k = &ProcessState{}
 	parts := k.sections()
 	for name, b := range w.Sections {
 		part, ok := parts[name]
@@ -188,7 +188,7 @@
 }
 
 // Encode writes what is known for another process of the same or another version.
-func (k *Knowledge) Encode() ([]byte, error) {
+func (k *ProcessState) Encode() ([]byte, error) {
 	w, err := k.encode()
 	if err != nil {
 		return nil, err
@@ -196,10 +196,10 @@
 	return cbor.Marshal(w)
 }
 
-// DecodeKnowledge reads what Encode wrote. unknown names the parts that this version has no use
+// DecodeProcessState reads what Encode wrote. unknown names the parts that this version has no use
 // for.
-func DecodeKnowledge(b []byte) (k *Knowledge, unknown []string, err error) {
-	var w World
+func DecodeProcessState(b []byte) (k *ProcessState, unknown []string, err error) {
+	var w State
 	if err := decoder.Unmarshal(b, &w); err != nil {
 		return nil, nil, fmt.Errorf("handover: what is known: %w", err)
 	}
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -16,22 +16,22 @@
 // aliveEvery is how often the new process says that it lives.
 const aliveEvery = 100 * time.Millisecond
 
-// NewOptions say what the new process does on its way.
-type NewOptions struct {
-	Take  func(*Knowledge) error // takes what is known
-	Owner func()                 // it is the owner for good
+// TargetOptions say what the new process does on its way.
+type TargetOptions struct {
+	ApplyState func(*ProcessState) error // takes what is known
+	OnOwner    func()                    // it is the owner for good
 	// Reload has the files read again; Stop ends the process, which is no owner.
 	Reload func()
-	Stop   func()
+	Abort  func()
 }
 
-// New takes an old process's work over.
-type New struct {
+// Target takes an old process's work over.
+type Target struct {
 	loop  *netio.Loop
 	core  *core.Core
-	front Front
+	front Frontend
 	ch    *Channel
-	opts  NewOptions
+	opts  TargetOptions
 	stats *metrics.Counters
 	log   *slog.Logger
 
@@ -42,19 +42,19 @@
 	journals  map[core.Client]*journal
 }
 
-// NewNew returns what takes over by way of the channel. Begin follows.
-func NewNew(loop *netio.Loop, c *core.Core, front Front, ch *Channel, opts NewOptions, counters *metrics.Counters, log *slog.Logger) *New {
-	return &New{
+// NewTarget returns what takes over by way of the channel. Begin follows.
+func NewTarget(loop *netio.Loop, c *core.Core, front Frontend, ch *Channel, opts TargetOptions, counters *metrics.Counters, log *slog.Logger) *Target {
+	return &Target{
 		loop: loop, core: c, front: front, ch: ch, opts: opts, stats: counters, log: log,
 		machine: decide.NewTarget(Version), journals: map[core.Client]*journal{},
 	}
 }
 
 // Begin says what this process is and begins to listen to the old one.
-func (n *New) Begin(build string) {
+func (n *Target) Begin(build string) {
 	n.core.OnFirstSend(n.sending)
-	n.front.OnShared(func(b []byte) { n.send(&Shared{b}) })
-	n.front.OnStray(func(b []byte) { n.send(&Stray{b}) })
+	n.front.OnSharedChange(func(b []byte) { n.send(&SharedState{b}) })
+	n.front.OnUnknownCall(func(b []byte) { n.send(&ForwardedCall{b}) })
 	go func() {
 		err := n.ch.Read(func(m Message, fds []int) { n.loop.Post(func() { n.message(m, fds) }) })
 		n.loop.Post(func() { n.ended(err) })
@@ -64,13 +64,13 @@
 	n.alive()
 }
 
-// Alone tells whether no old process is left.
-func (n *New) Alone() bool { return n.alone }
+// SourceExited tells whether no old process is left.
+func (n *Target) SourceExited() bool { return n.alone }
 
 // Owner tells whether this process is the owner for good.
-func (n *New) Owner() bool { return n.machine.Owner() }
+func (n *Target) Owner() bool { return n.machine.Owner() }
 
-func (n *New) send(m Message) {
+func (n *Target) send(m Message) {
 	if n.alone {
 		return
 	}
@@ -79,19 +79,19 @@
 	}
 }
 
-func (n *New) alive() {
+func (n *Target) alive() {
 	if n.machine.Owner() {
 		return
 	}
 	if n.machine.Serving() {
-		good, bad := GoodAndBad(n.stats)
-		n.send(&Alive{int(good - n.good), int(bad - n.bad), n.core.Unanswered()})
+		good, bad := CountAnswers(n.stats)
+		n.send(&Heartbeat{int(good - n.good), int(bad - n.bad), n.core.Unanswered()})
 		n.good, n.bad = good, bad
 	}
 	n.loop.Timers.Add(n.loop.Now()+aliveEvery, n.alive)
 }
 
-func (n *New) step(in any) {
+func (n *Target) step(in any) {
 	for _, e := range n.machine.Step(n.loop.Now(), in) {
 		switch e := e.(type) {
 		case decide.SendHello:
@@ -103,42 +103,42 @@
 		case decide.StartAccepting:
 			n.front.Listener().Resume()
 			n.log.Info("upgrade.owner")
-			n.opts.Owner()
+			n.opts.OnOwner()
 		case decide.Exit:
-			n.opts.Stop()
+			n.opts.Abort()
 		}
 	}
 }
 
-func (n *New) message(m Message, fds []int) {
-	if _, ok := m.(*Given); !ok {
+func (n *Target) message(m Message, fds []int) {
+	if _, ok := m.(*ConnectionTransfer); !ok {
 		for _, fd := range fds {
 			_ = unix.Close(fd)
 		}
 	}
 	switch m := m.(type) {
-	case *World:
+	case *State:
 		n.world(m)
-	case *Go:
-		good, bad := GoodAndBad(n.stats)
+	case *Serve:
+		good, bad := CountAnswers(n.stats)
 		n.good, n.bad = good, bad
 		n.step(decide.ServeRequested{})
-	case *Given:
+	case *ConnectionTransfer:
 		n.given(m, fds)
-	case *Commit:
+	case *OwnershipCommit:
 		n.step(decide.OwnershipCommitted{})
 	case *Reload:
 		n.opts.Reload()
-	case *Counts:
+	case *CounterIncrements:
 		for name, by := range m.Counters {
 			n.stats.Raise(name, by)
 		}
-	case *Shared:
-		if err := n.front.TakeShared(m.B); err != nil {
+	case *SharedState:
+		if err := n.front.ApplySharedState(m.Data); err != nil {
 			n.log.Warn("upgrade.shared", "error", err)
 		}
-	case *Stray:
-		n.front.TakeStray(m.B)
+	case *ForwardedCall:
+		n.front.HandleForwardedCall(m.Data)
 	default:
 		n.log.Warn("upgrade.odd-message", "kind", m.kind())
 	}
@@ -146,27 +146,27 @@
 
 // world takes what the old process knows. Where that can't be read, this process is not
 // ready: it ends, and the old one goes on.
-func (n *New) world(w *World) {
+func (n *Target) world(w *State) {
 	n.step(decide.StateReceived{})
 	k, unknown, err := w.decode()
 	for _, name := range unknown {
 		n.log.Warn("upgrade.section-passed-by", "section", name)
 	}
 	if err == nil {
-		n.loop.SetNow(k.Clock.Now + monotonic() - k.Clock.Mono)
-		if err = n.opts.Take(k); err == nil && len(k.Shared) > 0 {
-			err = n.front.TakeShared(k.Shared)
+		n.loop.SetNow(k.Clock.Now + monotonic() - k.Clock.Monotonic)
+		if err = n.opts.ApplyState(k); err == nil && len(k.Shared) > 0 {
+			err = n.front.ApplySharedState(k.Shared)
 		}
 	}
 	if err != nil {
 		n.log.Error("upgrade.state", "error", err)
-		n.opts.Stop()
+		n.opts.Abort()
 		return
 	}
 	n.step(decide.StateApplied{})
 }
 
-func (n *New) given(m *Given, fds []int) {
+func (n *Target) given(m *ConnectionTransfer, fds []int) {
 	if len(fds) != 1 {
 		n.log.Warn("upgrade.odd-message", "kind", m.kind(), "descriptors", len(fds))
 		for _, fd := range fds {
@@ -174,21 +174,21 @@
 		}
 		return
 	}
-	restore, err := n.front.Restore(m.State)
-	if err == nil && m.Front != n.front.Name() {
-		err = fmt.Errorf("it is of the front %q", m.Front)
+	restore, err := n.front.RestoreConnection(m.State)
+	if err == nil && m.Frontend != n.front.Name() {
+		err = fmt.Errorf("it is of the front %q", m.Frontend)
 	}
 	if err != nil {
 		n.log.Warn("upgrade.lost-connection", "error", err)
 		_ = unix.Close(fds[0])
-		n.send(&Closed{m.Conn})
+		n.send(&ConnectionClosed{m.Conn})
 		return
 	}
-	_, err = n.loop.Attach(fds[0], n.front.Limit(), m.Unread, func(c *netio.Conn) netio.Handler {
+	_, err = n.loop.Attach(fds[0], n.front.ReadLimit(), m.Unread, func(c *netio.Conn) netio.Handler {
 		h := restore(c)
 		if !n.machine.Owner() {
 			j := &journal{new: n, conn: m.Conn}
-			j.movable, _ = h.(Movable)
+			j.movable, _ = h.(Transferable)
 			if client, ok := h.(core.Client); ok {
 				j.client = client
 				n.journals[client] = j
@@ -199,14 +199,14 @@
 	})
 	if err != nil {
 		n.log.Warn("upgrade.lost-connection", "error", err)
-		n.send(&Closed{m.Conn})
+		n.send(&ConnectionClosed{m.Conn})
 		return
 	}
 	n.stats.Add("upgrade.adopted")
 	n.step(decide.ConnectionReceived{Conn: decide.ConnID(m.Conn)})
 }
 
-func (n *New) stopRecording() {
+func (n *Target) stopRecording() {
 	for c := range n.loop.Conns() {
 		if c.Journaled() {
 			c.SetJournal(nil)
@@ -217,45 +217,45 @@
 }
 
 // ended takes the channel's end: the old process has died, or has left in good order.
-func (n *New) ended(err error) {
+func (n *Target) ended(err error) {
 	if err != nil {
 		n.log.Warn("upgrade.channel", "error", err)
 	}
 	n.alone = true
-	n.front.OnShared(nil)
-	n.front.OnStray(nil)
+	n.front.OnSharedChange(nil)
+	n.front.OnUnknownCall(nil)
 	_ = n.ch.Close()
 	n.step(decide.SourceExited{})
 }
 
 // sending records that a request goes to an engine, before it does.
-func (n *New) sending(r *core.Request, at time.Duration) {
+func (n *Target) sending(r *core.Request, at time.Duration) {
 	j := n.journals[r.Client]
 	if j == nil {
 		return
 	}
 	class, _ := n.core.Class(r.Class)
-	n.send(&Sending{j.conn, uint8(class.Effect), at, class.Window, r.Deadline})
+	n.send(&RequestRecord{j.conn, uint8(class.Effect), at, class.Window, r.Deadline})
 }
 
 // journal records one connection.
 type journal struct {
-	new     *New
+	new     *Target
 	conn    uint32
-	movable Movable
+	movable Transferable
 	client  core.Client
 }
 
 func (j *journal) Input(_ *netio.Conn, at int64, b []byte) {
-	j.new.send(&Input{j.conn, at, j.new.loop.Now(), b})
+	j.new.send(&InputRecord{j.conn, at, j.new.loop.Now(), b})
 }
 
 func (j *journal) Output(c *netio.Conn, at int64, b []byte) {
-	m := &Output{Conn: j.conn, At: at, B: b}
-	if h := j.movable; h != nil && (h.Settled() || h.Ending()) {
-		m.Settled, m.Ending, m.Consumed = true, h.Ending(), c.Consumed()
-		if !m.Ending {
-			m.State = h.State()
+	m := &OutputRecord{Conn: j.conn, Offset: at, Data: b}
+	if h := j.movable; h != nil && (h.Idle() || h.Closing()) {
+		m.Idle, m.Closing, m.Consumed = true, h.Closing(), c.Consumed()
+		if !m.Closing {
+			m.State = h.EncodeState()
 		}
 	}
 	j.new.send(m)
@@ -263,5 +263,5 @@
 
 func (j *journal) Ended(*netio.Conn) {
 	delete(j.new.journals, j.client)
-	j.new.send(&Closed{j.conn})
+	j.new.send(&ConnectionClosed{j.conn})
 }
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -32,29 +32,29 @@
 	pruneOver = 64 << 10
 )
 
-// OldOptions say how to upgrade.
-type OldOptions struct {
-	Program Program
-	Config  decide.Config
-	Know    func() *Knowledge // what this process knows, but for the clock
-	Counts  func() map[string]int64
-	Stop    func() // begins the planned stop
-	Over    func() // the new process is the owner; nil: nobody hears
-	Back    func() // it has died since, and this process serves again; nil: nobody hears
-	Exit    func() // ends this process: nothing is left here
+// SourceOptions say how to upgrade.
+type SourceOptions struct {
+	Program       Program
+	Config        decide.Config
+	State         func() *ProcessState // what this process knows, but for the clock
+	Counters      func() map[string]int64
+	BeginShutdown func() // begins the planned stop
+	OnHandedOver  func() // the new process is the owner; nil: nobody hears
+	OnReturned    func() // it has died since, and this process serves again; nil: nobody hears
+	Exit          func() // ends this process: nothing is left here
 }
 
-// Old gives this process's work to a new one, and takes it back.
-type Old struct {
+// Source gives this process's work to a new one, and takes it back.
+type Source struct {
 	loop  *netio.Loop
 	core  *core.Core
-	front Front
-	opts  OldOptions
+	front Frontend
+	opts  SourceOptions
 	stats *metrics.Counters
 	log   *slog.Logger
 
 	machine *decide.Source // nil: there never was an upgrade
-	program Program     // of the upgrade that is under way
+	program Program        // of the upgrade that is under way
 	proc    *process
 	tell    func(phase, why string, done bool)
 	told    decide.Phase
@@ -85,22 +85,22 @@
 	in      []byte // read and not yet stood for by the state
 	inAt    int64  // its place
 	came    time.Duration
-	sending *Sending
+	sending *RequestRecord
 	out     []byte
 	outAt   int64
 	ending  bool
 }
 
-// NewOld returns what can give this process's work away.
-func NewOld(loop *netio.Loop, c *core.Core, front Front, opts OldOptions, counters *metrics.Counters, log *slog.Logger) *Old {
-	o := &Old{loop: loop, core: c, front: front, opts: opts, stats: counters, log: log}
+// NewSource returns what can give this process's work away.
+func NewSource(loop *netio.Loop, c *core.Core, front Frontend, opts SourceOptions, counters *metrics.Counters, log *slog.Logger) *Source {
+	o := &Source{loop: loop, core: c, front: front, opts: opts, stats: counters, log: log}
 	o.look()
 	return o
 }
 
 // look measures the share of answers that are no good, for the new process to be judged by.
-func (o *Old) look() {
-	good, bad := GoodAndBad(o.stats)
+func (o *Source) look() {
+	good, bad := CountAnswers(o.stats)
 	if n := good - o.good + bad - o.bad; n > 0 {
 		o.share += 0.3 * (float64(bad-o.bad)/float64(n) - o.share)
 	}
@@ -108,32 +108,32 @@
 	o.loop.Timers.Add(o.loop.Now()+time.Second, o.look)
 }
 
-// GoodAndBad tells the answers given so far that were served, and that were not: refusals,
+// CountAnswers tells the answers given so far that were served, and that were not: refusals,
 // failures, and calls that the front itself found at fault.
-func GoodAndBad(c *metrics.Counters) (good, bad int64) {
+func CountAnswers(c *metrics.Counters) (good, bad int64) {
 	bad = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
 	return c.Sum("answered.served."), max(bad, c.Sum("pgwire.errors."))
 }
 
 // Phase is where an upgrade stands.
-func (o *Old) Phase() string {
+func (o *Source) Phase() string {
 	if o.machine == nil {
 		return decide.Idle.String()
 	}
 	return o.machine.Phase().String()
 }
 
-// UnderWay tells whether an upgrade is under way.
-func (o *Old) UnderWay() bool { return o.machine != nil && o.machine.Phase() != decide.Idle }
+// InProgress tells whether an upgrade is under way.
+func (o *Source) InProgress() bool { return o.machine != nil && o.machine.Phase() != decide.Idle }
 
 // Program is what an upgrade starts unless it is told otherwise.
-func (o *Old) Program() Program { return o.opts.Program }
+func (o *Source) Program() Program { return o.opts.Program }
 
 // Upgrade begins an upgrade to a program, which has this process's own arguments where it
 // names none. tell hears of each phase and, once, with done, of the end; why is "" when all
 // is well.
-func (o *Old) Upgrade(p Program, tell func(phase, why string, done bool)) {
-	if o.UnderWay() {
+func (o *Source) Upgrade(p Program, tell func(phase, why string, done bool)) {
+	if o.InProgress() {
 		tell(o.Phase(), "another upgrade is under way", true)
 		return
 	}
@@ -142,13 +142,13 @@
 	o.program = p
 	o.mine, o.busy, o.kept = map[decide.ConnID]*netio.Conn{}, map[decide.ConnID]bool{}, map[decide.ConnID]*kept{}
 	for c := range o.loop.Conns() {
-		if m := movable(c); m != nil && !m.Ending() {
+		if m := movable(c); m != nil && !m.Closing() {
 			o.enter(c)
 		}
 	}
 	o.front.OnAccept(func(c *netio.Conn) { // its handler is there from the next turn on
 		o.loop.Post(func() {
-			if o.UnderWay() && movable(c) != nil {
+			if o.InProgress() && movable(c) != nil {
 				o.step(decide.ConnectionAccepted{Conn: o.enter(c)})
 			}
 		})
@@ -159,31 +159,31 @@
 	o.step(decide.UpgradeRequested{UsualBadShare: o.share})
 }
 
-func (o *Old) enter(c *netio.Conn) decide.ConnID {
+func (o *Source) enter(c *netio.Conn) decide.ConnID {
 	o.last++
 	id := decide.ConnID(o.last)
 	o.mine[id] = c
 	return id
 }
 
-// Stop asks for a planned stop: an upgrade that is not through is given up first. It tells
+// Shutdown asks for a planned stop: an upgrade that is not through is given up first. It tells
 // whether the upgrade sees to the stop.
-func (o *Old) Stop() bool {
-	if !o.UnderWay() {
+func (o *Source) Shutdown() bool {
+	if !o.InProgress() {
 		return false
 	}
 	o.step(decide.StopRequested{})
 	return true
 }
 
-// Reload has the new process read its files again as well.
-func (o *Old) Reload() {
-	if o.UnderWay() && o.proc != nil {
+// ForwardReload has the new process read its files again as well.
+func (o *Source) ForwardReload() {
+	if o.InProgress() && o.proc != nil {
 		_ = o.proc.ch.Send(&Reload{}) // one that has ended needs none
 	}
 }
 
-func (o *Old) step(in any) {
+func (o *Source) step(in any) {
 	if _, died := in.(decide.TargetExited); died {
 		o.recall()
 	}
@@ -192,7 +192,7 @@
 }
 
 // run carries effects out in order, as many as a turn may; the rest follow later.
-func (o *Old) run() {
+func (o *Source) run() {
 	if o.running {
 		return
 	}
@@ -238,7 +238,7 @@
 }
 
 // recall drops what was to be given and is not yet: the new process is being ended, or dead.
-func (o *Old) recall() {
+func (o *Source) recall() {
 	var kept []decide.ConnID
 	o.effects = slices.DeleteFunc(o.effects, func(e any) bool {
 		g, ok := e.(decide.TransferConnection)
@@ -253,29 +253,29 @@
 	}
 }
 
-func (o *Old) do(effect any) {
+func (o *Source) do(effect any) {
 	switch e := effect.(type) {
 	case decide.StartTarget:
 		o.spawn()
 	case decide.SendState:
 		o.sendState()
 	case decide.SendServe:
-		o.send(&Shared{o.front.Shared()})
-		o.front.OnShared(func(b []byte) { o.send(&Shared{b}) })
-		o.front.OnStray(func(b []byte) { o.send(&Stray{b}) })
-		o.send(&Go{})
+		o.send(&SharedState{o.front.SharedState()})
+		o.front.OnSharedChange(func(b []byte) { o.send(&SharedState{b}) })
+		o.front.OnUnknownCall(func(b []byte) { o.send(&ForwardedCall{b}) })
+		o.send(&Serve{})
 	case decide.StopAccepting:
 		o.front.Listener().Pause()
 	case decide.StartAccepting:
 		o.front.Listener().Resume()
-		if o.opts.Back != nil {
-			o.opts.Back()
+		if o.opts.OnReturned != nil {
+			o.opts.OnReturned()
 		}
 	case decide.SendCommit:
-		o.send(&Shared{o.front.Shared()})
-		o.send(&Commit{})
-		if o.opts.Over != nil {
-			o.opts.Over()
+		o.send(&SharedState{o.front.SharedState()})
+		o.send(&OwnershipCommit{})
+		if o.opts.OnHandedOver != nil {
+			o.opts.OnHandedOver()
 		}
 	case decide.TransferConnection:
 		o.give(e.Conn)
@@ -293,13 +293,13 @@
 	case decide.ReportOutcome:
 		o.report(e.Why)
 	case decide.BeginShutdown:
-		o.opts.Stop()
+		o.opts.BeginShutdown()
 	case decide.Exit:
 		o.exit()
 	}
 }
 
-func (o *Old) send(m Message, fds ...int) {
+func (o *Source) send(m Message, fds ...int) {
 	if o.proc == nil {
 		return
 	}
@@ -308,7 +308,7 @@
 	}
 }
 
-func (o *Old) spawn() {
+func (o *Source) spawn() {
 	o.tick()
 	f, err := o.front.Listener().File()
 	if err == nil {
@@ -357,11 +357,11 @@
 	}()
 }
 
-func (o *Old) sendState() {
-	k := o.opts.Know()
+func (o *Source) sendState() {
+	k := o.opts.State()
 	o.counted = maps.Clone(k.Counters)
-	k.Clock = Clock{Now: o.loop.Now(), Mono: monotonic()}
-	k.Shared = o.front.Shared()
+	k.Clock = Clock{Now: o.loop.Now(), Monotonic: monotonic()}
+	k.Shared = o.front.SharedState()
 	w, err := k.encode()
 	if err != nil { // then it knows nothing, and is not ready in time
 		o.log.Error("upgrade.state", "error", err)
@@ -371,7 +371,7 @@
 }
 
 // message takes a message of the new process.
-func (o *Old) message(m Message) {
+func (o *Source) message(m Message) {
 	if o.proc == nil || o.machine == nil {
 		return
 	}
@@ -382,53 +382,53 @@
 	case *Ready:
 		o.sync()
 		o.step(decide.TargetReady{})
-	case *Alive:
-		o.step(decide.TargetHeartbeat{Good: m.Good, Bad: m.Bad, InFlight: m.Open})
-	case *Input:
+	case *Heartbeat:
+		o.step(decide.TargetHeartbeat{Good: m.Good, Bad: m.Bad, InFlight: m.InFlight})
+	case *InputRecord:
 		if k := o.kept[decide.ConnID(m.Conn)]; k != nil {
 			k.input(m)
 		}
 		o.step(decide.TargetActive{})
-	case *Sending:
+	case *RequestRecord:
 		if k := o.kept[decide.ConnID(m.Conn)]; k != nil {
 			k.sending = m
 		}
 		o.step(decide.RequestRecorded{Conn: decide.ConnID(m.Conn), Request: m.request()})
-	case *Output:
+	case *OutputRecord:
 		if k := o.kept[decide.ConnID(m.Conn)]; k != nil {
 			k.output(m)
 		}
-		if m.Settled {
+		if m.Idle {
 			o.step(decide.RequestRecorded{Conn: decide.ConnID(m.Conn)})
 		}
-	case *Closed:
+	case *ConnectionClosed:
 		o.step(decide.TargetClosedConnection{Conn: decide.ConnID(m.Conn)})
-	case *Shared:
-		if err := o.front.TakeShared(m.B); err != nil {
+	case *SharedState:
+		if err := o.front.ApplySharedState(m.Data); err != nil {
 			o.log.Warn("upgrade.shared", "error", err)
 		}
-	case *Stray:
-		o.front.TakeStray(m.B)
+	case *ForwardedCall:
+		o.front.HandleForwardedCall(m.Data)
 	default:
 		o.log.Warn("upgrade.odd-message", "kind", m.kind())
 	}
 }
 
-func (m *Sending) request() decide.Request {
+func (m *RequestRecord) request() decide.Request {
 	return decide.Request{
-		InFlight: true, Idempotency: decide.Idempotency(m.Effect), Sent: true, FirstSend: m.At, KeyWindow: m.Window, Deadline: m.Deadline,
+		InFlight: true, Idempotency: decide.Idempotency(m.Idempotency), Sent: true, FirstSend: m.FirstSend, KeyWindow: m.KeyWindow, Deadline: m.Deadline,
 	}
 }
 
-func (k *kept) input(m *Input) {
+func (k *kept) input(m *InputRecord) {
 	if len(k.in) == 0 {
-		k.inAt = m.At
+		k.inAt = m.Offset
 	}
-	k.in = append(k.in, m.B...)
-	k.came = m.Came
+	k.in = append(k.in, m.Data...)
+	k.came = m.ReceivedAt
 }
 
-func (k *kept) output(m *Output) {
+func (k *kept) output(m *OutputRecord) {
 	if len(k.out) > pruneOver {
 		if p, err := netio.PlaceOf(k.fd); err == nil {
 			if done := min(p.Written-k.outAt, int64(len(k.out))); done > 0 {
@@ -437,13 +437,13 @@
 		}
 	}
 	if len(k.out) == 0 {
-		k.outAt = m.At
+		k.outAt = m.Offset
 	}
-	k.out = append(k.out, m.B...)
+	k.out = append(k.out, m.Data...)
 	switch {
-	case !m.Settled:
+	case !m.Idle:
 		return
-	case m.Ending: // nothing more is read
+	case m.Closing: // nothing more is read
 		k.ending, k.sending, k.in = true, nil, nil
 		return
 	}
@@ -457,7 +457,7 @@
 }
 
 // sync tells the machine what is busy here, as it is about to give connections away.
-func (o *Old) sync() {
+func (o *Source) sync() {
 	for id, c := range o.mine {
 		m := movable(c)
 		if c.Over() {
@@ -478,7 +478,7 @@
 	}
 }
 
-func (o *Old) give(id decide.ConnID) {
+func (o *Source) give(id decide.ConnID) {
 	c := o.mine[id]
 	if c == nil {
 		return
@@ -491,22 +491,22 @@
 	}
 	delete(o.mine, id)
 	delete(o.busy, id)
-	state := m.State()
+	state := m.EncodeState()
 	fd, unread, err := c.Detach()
 	if err != nil { // its end is told soon
 		o.effects = append(o.effects, o.machine.Step(o.loop.Now(), decide.TargetClosedConnection{Conn: id})...)
 		return
 	}
-	m.Left()
+	m.Transferred()
 	k := &kept{fd: fd, state: state, in: unread}
 	if p, err := netio.PlaceOf(fd); err == nil { // else it has ended, which the new process will find
 		k.inAt = p.Read - int64(len(unread))
 	}
 	o.kept[id] = k
-	o.send(&Given{Conn: uint32(id), Front: o.front.Name(), State: state, Unread: unread}, fd)
+	o.send(&ConnectionTransfer{Conn: uint32(id), Frontend: o.front.Name(), State: state, Unread: unread}, fd)
 }
 
-func (o *Old) forget(id decide.ConnID) {
+func (o *Source) forget(id decide.ConnID) {
 	if k := o.kept[id]; k != nil {
 		delete(o.kept, id)
 		_ = unix.Close(k.fd)
@@ -516,7 +516,7 @@
 // takeBack makes a connection this process's own again. What the new one had recorded to
 // write and did not is written first; what it had read and not answered is read anew, and
 // what it had sent to an engine goes out again only as Recover says.
-func (o *Old) takeBack(e decide.ReclaimConnection) {
+func (o *Source) takeBack(e decide.ReclaimConnection) {
 	k := o.kept[e.Conn]
 	if k == nil {
 		return
@@ -541,19 +541,19 @@
 	}
 	left := core.Orphan{ReceivedAt: k.came}
 	if k.sending != nil {
-		left.FirstSentAt = k.sending.At
+		left.FirstSentAt = k.sending.FirstSend
 		left.MustFail = decide.Recover(k.sending.request(), 0, o.loop.Now()) != decide.Resend
 	}
-	restore, err := o.front.Restore(k.state)
+	restore, err := o.front.RestoreConnection(k.state)
 	if err != nil {
 		o.log.Warn("upgrade.lost-connection", "error", err)
 		_ = unix.Close(k.fd)
 		return
 	}
-	c, err := o.loop.Attach(k.fd, o.front.Limit(), unread, func(c *netio.Conn) netio.Handler {
+	c, err := o.loop.Attach(k.fd, o.front.ReadLimit(), unread, func(c *netio.Conn) netio.Handler {
 		h := restore(c)
-		if m, ok := h.(Movable); ok && len(unread) > 0 {
-			m.Recover(left)
+		if m, ok := h.(Transferable); ok && len(unread) > 0 {
+			m.RecoverRequest(left)
 		}
 		return h
 	})
@@ -575,9 +575,9 @@
 }
 
 // tick looks at what happens without a word.
-func (o *Old) tick() {
+func (o *Source) tick() {
 	o.ticker.Stop()
-	if !o.UnderWay() {
+	if !o.InProgress() {
 		return
 	}
 	now := o.loop.Now()
@@ -594,9 +594,9 @@
 	o.step(decide.Tick{})
 }
 
-func (o *Old) report(why string) {
-	o.front.OnShared(nil)
-	o.front.OnStray(nil)
+func (o *Source) report(why string) {
+	o.front.OnSharedChange(nil)
+	o.front.OnUnknownCall(nil)
 	took := o.loop.Now() - o.began
 	if why != "" {
 		o.stats.Add("upgrade.returned")
@@ -607,19 +607,19 @@
 	o.stats.Add("upgrade.done")
 	o.log.Info("upgrade.done", "took", took, "build", o.build, "in_flight", len(o.mine))
 	if o.proc != nil { // what ends here from now on may be shared with it still
-		o.front.OnShared(func(b []byte) { o.send(&Shared{b}) })
-		o.front.OnStray(func(b []byte) { o.send(&Stray{b}) })
+		o.front.OnSharedChange(func(b []byte) { o.send(&SharedState{b}) })
+		o.front.OnUnknownCall(func(b []byte) { o.send(&ForwardedCall{b}) })
 	}
 	o.tell(o.Phase(), "", true)
 }
 
 // exit tells the other what was counted here since, and ends this process.
-func (o *Old) exit() {
-	now := o.opts.Counts()
+func (o *Source) exit() {
+	now := o.opts.Counters()
 	for name, n := range o.counted {
 		now[name] -= n
 	}
-	o.send(&Counts{now})
+	o.send(&CounterIncrements{now})
 	o.log.Info("upgrade.exit", "pid", os.Getpid())
 	o.opts.Exit()
 }
--- a/internal/handover/process_test.go
+++ b/internal/handover/process_test.go
@@ -70,7 +70,7 @@
 func TestEnvironment(t *testing.T) {
 	addr, listener := testListener(t)
 	program := Program{Path: os.Args[0], Args: []string{"serve", "--upgrade", "x"}}
-	build, err := Check(program, listener, 321, 10*time.Second)
+	build, err := CheckProgram(program, listener, 321, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,18 +106,18 @@
 	program := Program{Path: os.Args[0]}
 	t.Run("problem", func(t *testing.T) {
 		t.Setenv("TEST_PROBLEM", "x.toml:7: no port")
-		if _, err := Check(program, listener, 1, 10*time.Second); err == nil || err.Error() != "x.toml:7: no port" {
+		if _, err := CheckProgram(program, listener, 1, 10*time.Second); err == nil || err.Error() != "x.toml:7: no port" {
 			t.Errorf("error %v", err)
 		}
 	})
 	t.Run("silent", func(t *testing.T) {
 		t.Setenv("TEST_SILENT", "1")
-		if _, err := Check(program, listener, 1, 10*time.Second); err == nil || err.Error() != "it ended without a word" {
+		if _, err := CheckProgram(program, listener, 1, 10*time.Second); err == nil || err.Error() != "it ended without a word" {
 			t.Errorf("error %v", err)
 		}
 	})
 	t.Run("no program", func(t *testing.T) {
-		if _, err := Check(Program{Path: "/nonexistent"}, listener, 1, 10*time.Second); err == nil || !strings.Contains(err.Error(), "no such file") {
+		if _, err := CheckProgram(Program{Path: "/nonexistent"}, listener, 1, 10*time.Second); err == nil || !strings.Contains(err.Error(), "no such file") {
 			t.Errorf("error %v", err)
 		}
 	})
--- a/internal/handover/spawn.go
+++ b/internal/handover/spawn.go
@@ -12,31 +12,31 @@
 
 // The descriptors and variables that a process which takes over inherits.
 const (
-	// Env tells it that it is to take over: the number of connections that wait for it.
-	Env = "RINGWOOD_TAKE_OVER"
-	// EnvCheck tells it to say what it is and to end.
-	EnvCheck   = "RINGWOOD_TAKE_OVER_CHECK"
-	channelFD  = 3
-	listenerFD = 4
+	// EnvTakeOver tells it that it is to take over: the number of connections that wait for it.
+	EnvTakeOver = "RINGWOOD_TAKE_OVER"
+	// EnvCheckOnly tells it to say what it is and to end.
+	EnvCheckOnly = "RINGWOOD_TAKE_OVER_CHECK"
+	channelFD    = 3
+	listenerFD   = 4
 )
 
 // Inherited tells whether this process was started to take over, and opens what it inherits.
 // check: it is only asked whether it would. conns is how many connections wait for it.
 func Inherited() (ch *Channel, listener *os.File, conns int, check, ok bool, err error) {
-	text, ok := os.LookupEnv(Env)
+	text, ok := os.LookupEnv(EnvTakeOver)
 	if !ok {
 		return nil, nil, 0, false, false, nil
 	}
-	_, check = os.LookupEnv(EnvCheck)
+	_, check = os.LookupEnv(EnvCheckOnly)
 	// What this process starts one day must not take them for its own.
-	_ = os.Unsetenv(Env)
-	_ = os.Unsetenv(EnvCheck)
+	_ = os.Unsetenv(EnvTakeOver)
+	_ = os.Unsetenv(EnvCheckOnly)
 	if conns, err = strconv.Atoi(text); err != nil {
-		return nil, nil, 0, check, true, fmt.Errorf("handover: %s: %w", Env, err)
+		return nil, nil, 0, check, true, fmt.Errorf("handover: %s: %w", EnvTakeOver, err)
 	}
 	syscall.CloseOnExec(channelFD)
 	syscall.CloseOnExec(listenerFD)
-	if ch, err = FromFile(os.NewFile(channelFD, "handover")); err != nil {
+	if ch, err = ChannelFromFile(os.NewFile(channelFD, "handover")); err != nil {
 		return nil, nil, 0, check, true, err
 	}
 	return ch, os.NewFile(listenerFD, "listener"), conns, check, true, nil
@@ -56,7 +56,7 @@
 
 // spawn starts the program in a process group of its own, which is ended as a whole.
 func spawn(p Program, listener *os.File, conns int, env ...string) (*process, error) {
-	ch, theirs, err := Pair()
+	ch, theirs, err := NewChannelPair()
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	cmd.ExtraFiles = []*os.File{theirs, listener}
-	cmd.Env = append(append(os.Environ(), fmt.Sprintf("%s=%d", Env, conns)), env...)
+	cmd.Env = append(append(os.Environ(), fmt.Sprintf("%s=%d", EnvTakeOver, conns)), env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		_ = ch.Close()
@@ -76,10 +76,10 @@
 // kill ends the process and all that it has started.
 func (p *process) kill() { _ = syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL) } // one that has ended needs none
 
-// Check asks a program whether it would take over: it is started, says what it is after it
+// CheckProgram asks a program whether it would take over: it is started, says what it is after it
 // has read its files, and is ended. It blocks, at the most for within.
-func Check(p Program, listener *os.File, conns int, within time.Duration) (build string, err error) {
-	proc, err := spawn(p, listener, conns, EnvCheck+"=1")
+func CheckProgram(p Program, listener *os.File, conns int, within time.Duration) (build string, err error) {
+	proc, err := spawn(p, listener, conns, EnvCheckOnly+"=1")
 	if err != nil {
 		return "", err
 	}
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -27,31 +27,31 @@
 	{"hello", &Hello{Major: 1, Minor: 2, Problem: "gateway.toml:7: listen: missing", Build: "ringwood 1.0 (c18a9bd)"}, 0},
 	{"hello-without-problem", &Hello{Major: 1, Build: "x"}, 0},
 	{"ready", &Ready{}, 0},
-	{"alive", &Alive{Good: 17, Bad: 3, Open: 300}, 0},
-	{"input", &Input{Conn: 70000, At: 1 << 40, Came: 90 * time.Minute, B: []byte("GET /x\x00\xff")}, 0},
-	{"sending", &Sending{Conn: 7, Effect: 1, At: 3 * time.Second, Window: 12 * time.Second, Deadline: time.Minute}, 0},
-	{"output", &Output{Conn: 7, At: 99, B: []byte("HTTP/1.1 200 OK"), Settled: true, Ending: true, Consumed: 1 << 33, State: []byte{0xa1, 1, 0xf5}}, 0},
-	{"output-unsettled", &Output{Conn: 7, At: 99, B: []byte("part")}, 0},
-	{"closed", &Closed{Conn: 1 << 31}, 0},
-	{"world", &World{Sections: map[string]cbor.RawMessage{"event": {0x18, 0x29}}}, 0},
-	{"go", &Go{}, 0},
-	{"given", &Given{Conn: 7, Front: "rest", State: []byte{0xa0}, Unread: []byte("GET ")}, 1},
-	{"commit", &Commit{}, 0},
+	{"alive", &Heartbeat{Good: 17, Bad: 3, InFlight: 300}, 0},
+	{"input", &InputRecord{Conn: 70000, Offset: 1 << 40, ReceivedAt: 90 * time.Minute, Data: []byte("GET /x\x00\xff")}, 0},
+	{"sending", &RequestRecord{Conn: 7, Idempotency: 1, FirstSend: 3 * time.Second, KeyWindow: 12 * time.Second, Deadline: time.Minute}, 0},
+	{"output", &OutputRecord{Conn: 7, Offset: 99, Data: []byte("HTTP/1.1 200 OK"), Idle: true, Closing: true, Consumed: 1 << 33, State: []byte{0xa1, 1, 0xf5}}, 0},
+	{"output-unsettled", &OutputRecord{Conn: 7, Offset: 99, Data: []byte("part")}, 0},
+	{"closed", &ConnectionClosed{Conn: 1 << 31}, 0},
+	{"world", &State{Sections: map[string]cbor.RawMessage{"event": {0x18, 0x29}}}, 0},
+	{"go", &Serve{}, 0},
+	{"given", &ConnectionTransfer{Conn: 7, Frontend: "rest", State: []byte{0xa0}, Unread: []byte("GET ")}, 1},
+	{"commit", &OwnershipCommit{}, 0},
 	{"reload", &Reload{}, 0},
-	{"counts", &Counts{Counters: map[string]int64{"taken.lookup": 12345678901}}, 0},
-	{"shared", &Shared{B: []byte{0x1a, 0, 1, 0, 7}}, 0},
-	{"stray", &Stray{B: []byte("cancel request")}, 0},
+	{"counts", &CounterIncrements{Counters: map[string]int64{"taken.lookup": 12345678901}}, 0},
+	{"shared", &SharedState{Data: []byte{0x1a, 0, 1, 0, 7}}, 0},
+	{"stray", &ForwardedCall{Data: []byte("cancel request")}, 0},
 }
 
 // storedKnowledge is what testdata/knowledge.cbor holds, as version c18a9bd wrote it.
-func storedKnowledge() *Knowledge {
-	return &Knowledge{
-		Clock: Clock{Now: 1234567 * time.Second, Mono: 89 * time.Second},
+func storedKnowledge() *ProcessState {
+	return &ProcessState{
+		Clock: Clock{Now: 1234567 * time.Second, Monotonic: 89 * time.Second},
 		Core: core.Snapshot{
 			Engines:   []core.Engine{{Engine: policy.Engine{ID: "s-1"}}},
 			Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute, DisabledSince: time.Second}},
 		},
-		Event: 4242, Shared: []byte("shared"), Shapes: []byte("shapes"), Members: []byte("members"),
+		LastEvent: 4242, Shared: []byte("shared"), QueryShapes: []byte("shapes"), Membership: []byte("members"),
 		Counters: map[string]int64{"taken.lookup": 3, "answered.served.lookup": 2},
 	}
 }
@@ -120,7 +120,7 @@
 				if m, _, used, err := parse(stored[:cut]); m != nil || used != 0 || err != nil {
 					t.Errorf("cut at byte %d: %T, %d bytes used, error %v", cut, m, used, err)
 				}
-				if err := readBytes(t, stored[:cut]); cut > 0 && !errors.Is(err, ErrFrame) || cut == 0 && err != nil {
+				if err := readBytes(t, stored[:cut]); cut > 0 && !errors.Is(err, ErrMalformedFrame) || cut == 0 && err != nil {
 					t.Errorf("a channel that ends at byte %d: error %v", cut, err)
 				}
 			}
@@ -129,7 +129,7 @@
 					damaged := bytes.Clone(stored)
 					damaged[i] ^= 1 << bit
 					_, _, used, err := parse(damaged)
-					if used > len(damaged) || err != nil && (used > 0 || !errors.Is(err, ErrFrame) && !errors.Is(err, ErrKind)) {
+					if used > len(damaged) || err != nil && (used > 0 || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind)) {
 						t.Errorf("byte %d, bit %d changed: %d bytes used, error %v", i, bit, used, err)
 					}
 				}
@@ -141,11 +141,11 @@
 // readBytes is the error with which a channel ends after these bytes.
 func readBytes(t *testing.T, raw []byte) error {
 	t.Helper()
-	a, f, err := Pair()
+	a, f, err := NewChannelPair()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := FromFile(f)
+	b, err := ChannelFromFile(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 // read as something else, and each part goes under its old name.
 func TestKnowledgeOfStoredVersion(t *testing.T) {
 	stored := storedBytes(t, "knowledge.cbor")
-	got, unknown, err := DecodeKnowledge(stored)
+	got, unknown, err := DecodeProcessState(stored)
 	if err != nil || len(unknown) > 0 {
 		t.Fatalf("unknown sections %q, error %v", unknown, err)
 	}
@@ -183,7 +183,7 @@
 		t.Errorf("written (-stored +now):\n%s", diff)
 	}
 	for cut := range stored {
-		if _, _, err := DecodeKnowledge(stored[:cut]); err == nil {
+		if _, _, err := DecodeProcessState(stored[:cut]); err == nil {
 			t.Errorf("read, cut at byte %d of %d", cut, len(stored))
 		}
 	}
@@ -191,7 +191,7 @@
 		for bit := range 8 {
 			damaged := bytes.Clone(stored)
 			damaged[i] ^= 1 << bit
-			if k, _, err := DecodeKnowledge(damaged); (k == nil) == (err == nil) {
+			if k, _, err := DecodeProcessState(damaged); (k == nil) == (err == nil) {
 				t.Errorf("byte %d, bit %d changed: %v, error %v", i, bit, k, err)
 			}
 		}
--- a/internal/takeover/succession.go
+++ b/internal/takeover/succession.go
@@ -17,20 +17,20 @@
 
 // Options are what a process does in its place.
 type Options struct {
-	Events uint64                          // sum of what the configuration told of the roster
-	Know   func() *handover.Knowledge      // what this process knows
-	Take   func(*handover.Knowledge) error // goes on from what another one knows
-	// Alone serves from the configuration: there is nobody to take over from.
-	Alone func()
-	// Share is told the part of the limits that this process may use, when that changes.
-	Share func(part float64)
-	// Replaced is called once another process serves in this one's place, by the time that this
+	EventSourceSum uint64                             // sum of what the configuration told of the roster
+	State          func() *handover.ProcessState      // what this process knows
+	ApplyState     func(*handover.ProcessState) error // goes on from what another one knows
+	// StartAlone serves from the configuration: there is nobody to take over from.
+	StartAlone func()
+	// OnLimitShare is told the part of the limits that this process may use, when that changes.
+	OnLimitShare func(part float64)
+	// OnReplaced is called once another process serves in this one's place, by the time that this
 	// one was told to end, or later.
-	Replaced func()
+	OnReplaced func()
 }
 
-// Runner is this process among those of its front end. It belongs to the loop's goroutine.
-type Runner struct {
+// Coordinator is this process among those of its front end. It belongs to the loop's goroutine.
+type Coordinator struct {
 	loop   *netio.Loop
 	core   *core.Core
 	folder *Folder
@@ -44,26 +44,26 @@
 }
 
 // New enters the folder. Begin must follow.
-func New(loop *netio.Loop, c *core.Core, dir string, opts Options, log *slog.Logger) (*Runner, error) {
+func New(loop *netio.Loop, c *core.Core, dir string, opts Options, log *slog.Logger) (*Coordinator, error) {
 	folder, err := Open(dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &Runner{loop: loop, core: c, folder: folder, opts: opts, log: log, share: 1}
+	r := &Coordinator{loop: loop, core: c, folder: folder, opts: opts, log: log, share: 1}
 	r.self = decide.Process{ID: folder.Self(), Began: loop.Now()}
 	return r, nil
 }
 
-// Begin announces this process, and takes over where another one serves. Alone or Take is
-// called once, maybe before Begin returns.
-func (r *Runner) Begin() {
+// Start announces this process, and takes over where another one serves. Alone or Take is
+// called once, maybe before Start returns.
+func (r *Coordinator) Start() {
 	r.write()
 	r.core.OnOverridesChanged(r.write)
 	r.look()
 }
 
-// Stopping tells that this process was told to end.
-func (r *Runner) Stopping() {
+// ShuttingDown tells that this process was told to end.
+func (r *Coordinator) ShuttingDown() {
 	r.self.Stopping = true
 	r.write()
 	if r.self.Ready {
@@ -71,16 +71,16 @@
 	}
 }
 
-// Leave tells the others that this process is over.
-func (r *Runner) Leave() { r.folder.Close() }
+// Close tells the others that this process is over.
+func (r *Coordinator) Close() { r.folder.Close() }
 
 // write replaces this process's file. Where it can't, as there is no room, the
 // process goes on: another one starts from its configuration then.
-func (r *Runner) write() {
-	s := State{Process: r.self, Bans: r.core.Overrides(), Events: r.opts.Events}
+func (r *Coordinator) write() {
+	s := State{Process: r.self, Bans: r.core.Overrides(), Events: r.opts.EventSourceSum}
 	if r.self.Knows {
 		var err error
-		if s.World, err = r.opts.Know().Encode(); err != nil {
+		if s.World, err = r.opts.State().Encode(); err != nil {
 			r.log.Error("succession.state", "error", err)
 		}
 	}
@@ -90,13 +90,13 @@
 }
 
 // look looks for others again and again.
-func (r *Runner) look() {
+func (r *Coordinator) look() {
 	r.see()
 	r.loop.Timers.Add(r.loop.Now()+lookEvery, r.look)
 }
 
 // see does what there is to do since the last look.
-func (r *Runner) see() {
+func (r *Coordinator) see() {
 	states, err := r.folder.Others()
 	if err != nil {
 		r.log.Error("succession.look", "error", err)
@@ -116,7 +116,7 @@
 	}
 	if part := decide.Share(r.others); part != r.share {
 		r.share = part
-		r.opts.Share(part)
+		r.opts.OnLimitShare(part)
 	}
 	if r.self.Ready {
 		r.tell()
@@ -137,7 +137,7 @@
 
 // tell writes down what this process knows where another one has come that waits for it, and
 // frees that room again.
-func (r *Runner) tell() {
+func (r *Coordinator) tell() {
 	heard := make([]string, 0, len(r.others))
 	news := len(r.others) != len(r.self.Heard)
 	for i, o := range r.others {
@@ -153,23 +153,23 @@
 }
 
 // end tells once that another process serves in this one's place.
-func (r *Runner) end() {
+func (r *Coordinator) end() {
 	if r.self.Stopping && !r.replaced && decide.Replaced(r.self, r.others) {
 		r.replaced = true
-		r.opts.Replaced()
+		r.opts.OnReplaced()
 	}
 }
 
-func (r *Runner) take(s State) {
-	k, unknown, err := handover.DecodeKnowledge(s.World)
+func (r *Coordinator) take(s State) {
+	k, unknown, err := handover.DecodeProcessState(s.World)
 	if len(unknown) > 0 {
 		r.log.Warn("succession.unknown", "parts", unknown, "then", "they are passed by")
 	}
 	if err == nil {
-		if s.Events != r.opts.Events { // its numbers of events are others than this process's
-			k.Event = 0
+		if s.Events != r.opts.EventSourceSum { // its numbers of events are others than this process's
+			k.LastEvent = 0
 		}
-		err = r.opts.Take(k)
+		err = r.opts.ApplyState(k)
 	}
 	if err != nil {
 		r.log.Error("succession.take", "from", s.ID, "error", err)
@@ -180,15 +180,15 @@
 	r.serves()
 }
 
-func (r *Runner) alone() {
+func (r *Coordinator) alone() {
 	if len(r.others) > 0 {
 		r.log.Warn("succession.alone", "others", len(r.others), "why", "none told what it knows in time")
 	}
-	r.opts.Alone()
+	r.opts.StartAlone()
 	r.serves()
 }
 
-func (r *Runner) serves() {
+func (r *Coordinator) serves() {
 	r.self.Ready = true
 	r.write()
 }
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -226,7 +226,7 @@
 
 // Overview is how a gateway sees the sites.
 func (b *Both) Overview(ctx context.Context, site int) (o forwarding.Overview, err error) {
-	last, err := admin.Call(ctx, b.places[site].admin, admin.Request{Do: "site-status"}, func(admin.Reply) {})
+	last, err := admin.Call(ctx, b.places[site].admin, admin.Request{Command: "site-status"}, func(admin.Reply) {})
 	if err != nil {
 		return o, err
 	}
@@ -272,7 +272,7 @@
 func (b *Both) stop(p *place) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if st, err := admin.StatusOf(ctx, p.admin); err == nil && st.PID != p.gateway.Process.Pid { // a new version has taken over
+	if st, err := admin.FetchStatus(ctx, p.admin); err == nil && st.PID != p.gateway.Process.Pid { // a new version has taken over
 		_ = syscall.Kill(st.PID, syscall.SIGTERM)
 		for syscall.Kill(st.PID, 0) == nil && ctx.Err() == nil {
 			time.Sleep(20 * time.Millisecond)
@@ -348,7 +348,7 @@
 		return p.rig.Do(e.Do, e.Engine)
 	case e.Do == GatewayDies:
 		p.killed = true
-		st, err := admin.StatusOf(ctx, p.admin)
+		st, err := admin.FetchStatus(ctx, p.admin)
 		if err != nil {
 			return err
 		}
@@ -371,19 +371,19 @@
 		return nil
 	case e.Do == Upgrade:
 		for {
-			last, err := admin.Call(ctx, p.admin, admin.Request{Do: "upgrade"}, func(admin.Reply) {})
+			last, err := admin.Call(ctx, p.admin, admin.Request{Command: "upgrade"}, func(admin.Reply) {})
 			switch {
-			case err != nil || last.Why == "":
+			case err != nil || last.Problem == "":
 				return err
-			case !strings.Contains(last.Why, "is not through"): // else the one before answers what it had taken still
-				return fmt.Errorf("the upgrade ended with %q", last.Why)
+			case !strings.Contains(last.Problem, "is not through"): // else the one before answers what it had taken still
+				return fmt.Errorf("the upgrade ended with %q", last.Problem)
 			}
 			if err := harness.Pause(ctx, 200*time.Millisecond); err != nil {
 				return err
 			}
 		}
 	case e.Do == SiteDrain || e.Do == SiteBack:
-		_, err := admin.Call(ctx, p.admin, admin.Request{Do: e.Do}, func(admin.Reply) {})
+		_, err := admin.Call(ctx, p.admin, admin.Request{Command: e.Do}, func(admin.Reply) {})
 		return err
 	case e.Do == Busy:
 		if e.Factor <= 1 {
@@ -453,7 +453,7 @@
 			fleet = p.rig.Lines
 		}
 		res.Faults = append(res.Faults, load.CheckDrains(mine, fleet.History())...)
-		if st, err := admin.StatusOf(ctx, p.admin); err == nil {
+		if st, err := admin.FetchStatus(ctx, p.admin); err == nil {
 			for name, n := range st.Counters {
 				res.Counters[name] += n
 			}
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -95,10 +95,10 @@
 			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", u.Why), err)
 		}
 	case Forget:
-		r := admin.Request{Do: "upgrade", Program: opts.Lab, Args: append([]string{"scripted", "forget", opts.Program}, g.args...)}
+		r := admin.Request{Command: "upgrade", Program: opts.Lab, Args: append([]string{"scripted", "forget", opts.Program}, g.args...)}
 		last, err := admin.Call(ctx, g.admin, r, func(admin.Reply) {})
-		if err != nil || last.Why != "" {
-			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", last.Why), err)
+		if err != nil || last.Problem != "" {
+			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", last.Problem), err)
 		}
 	case Restart:
 		_ = g.first.Process.Signal(syscall.SIGTERM)
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -213,7 +213,7 @@
 	if err := harness.Pause(ctx, time.Second); err != nil {
 		return nil, err
 	}
-	if st, err := admin.StatusOf(ctx, g.admin); err == nil {
+	if st, err := admin.FetchStatus(ctx, g.admin); err == nil {
 		res.Resident = metrics.Resident(st.PID)
 	}
 	stop()
@@ -324,7 +324,7 @@
 }
 
 func (g *gate) request(kind string, chance *rand.Rand) (r admin.Request, err error) {
-	r.Do = "upgrade"
+	r.Command = "upgrade"
 	between := func(low, high time.Duration) float64 {
 		return (low + time.Duration(chance.Int64N(int64(high-low)))).Seconds()
 	}
@@ -382,7 +382,7 @@
 		if err != nil {
 			return u, err
 		}
-		u.Done, u.Why = time.Now(), strings.ReplaceAll(last.Why, g.opts.Dir+"/", "")
+		u.Done, u.Why = time.Now(), strings.ReplaceAll(last.Problem, g.opts.Dir+"/", "")
 		if strings.Contains(u.Why, "not through") {
 			if err := harness.Pause(ctx, 20*time.Millisecond); err != nil {
 				return u, err
@@ -397,7 +397,7 @@
 // sample looks at the memory of the process that serves and of its children until the
 // returned function is called, which tells the most that they took beyond the start.
 func (g *gate) sample(ctx context.Context, on bool) (end func() int64) {
-	st, err := admin.StatusOf(ctx, g.admin)
+	st, err := admin.FetchStatus(ctx, g.admin)
 	if !on || err != nil {
 		return func() int64 { return 0 }
 	}
@@ -442,7 +442,7 @@
 func (g *gate) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	if st, err := admin.StatusOf(ctx, g.admin); err == nil && st.PID != g.first.Process.Pid {
+	if st, err := admin.FetchStatus(ctx, g.admin); err == nil && st.PID != g.first.Process.Pid {
 		_ = syscall.Kill(st.PID, syscall.SIGTERM)
 		for range 400 { // it is nobody's child here: its socket tells when it has ended
 			c, err := net.Dial("unix", g.admin)
