--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -528,7 +528,7 @@
 	l.all.stats.Add("links.ended." + end.String())
 	l.engine.Remove(l)
 	if l.probe != nil {
-		l.probe.end(end, policy.Load{})
+		l.probe.end(end, policy.LoadReport{})
 	}
 	for _, s := range l.inOrder() {
 		if l.streams[s.attempt.Request.ID] != s { // given up on word of another's end
--- a/internal/backend/lineproto/parse.go
+++ b/internal/backend/lineproto/parse.go
@@ -84,8 +84,8 @@
 
 // gauges reads a load report. Engines name its values in the words of the
 // settings or in those of the wire.
-func gauges(list string) policy.Load {
-	l := policy.Load{Busy: -1, Held: -1, Waiting: -1, Memory: -1, Disks: -1}
+func gauges(list string) policy.LoadReport {
+	l := policy.LoadReport{CPUUtilization: -1, InFlight: -1, WaitingForMemory: -1, MemoryUtilization: -1, DiskUtilization: -1}
 	text, ok := field(list, "gauges")
 	for ok && text != "" {
 		var one string
@@ -97,37 +97,37 @@
 		}
 		switch name {
 		case "util", "cpu":
-			l.Busy = v
+			l.CPUUtilization = v
 		case "inflight", "active":
-			l.Held = v
+			l.InFlight = v
 		case "queue", "waiting":
-			l.Waiting = v
+			l.WaitingForMemory = v
 		case "x0":
-			l.Memory = v
+			l.MemoryUtilization = v
 		case "x1":
-			l.Disks = v
+			l.DiskUtilization = v
 		default:
 			continue
 		}
-		l.Told = true
+		l.Reported = true
 	}
 	return l
 }
 
 // note reads what a TELL says, if it says anything.
-func note(list string) (kind policy.NoteKind, value float64, ok bool) {
+func note(list string) (kind policy.ProgressKind, value float64, ok bool) {
 	what, _ := field(list, "res")
 	value, ok = number(list, "num")
 	switch {
 	case !ok:
 	case what == "p":
-		return policy.NoteProgress, value, true
+		return policy.ProgressFraction, value, true
 	case what == "s":
-		return policy.NoteSpill, value, true
+		return policy.ProgressSpilled, value, true
 	case what == "w" && value == 2:
-		return policy.NoteWaitLoad, value, true
+		return policy.ProgressWaitingForDataLoad, value, true
 	case what == "w":
-		return policy.NoteWaitMemory, value, true
+		return policy.ProgressWaitingForMemory, value, true
 	}
 	return 0, 0, false
 }
--- a/internal/backend/lineproto/probe.go
+++ b/internal/backend/lineproto/probe.go
@@ -22,13 +22,13 @@
 func (ls *Links) CheckHealth(id string) {
 	e := ls.engines.Get(id)
 	if e == nil {
-		ls.core.EndHealthCheck(id, core.OutcomeNoAddress, policy.Load{})
+		ls.core.EndHealthCheck(id, core.OutcomeNoAddress, policy.LoadReport{})
 		return
 	}
 	var on *link
 	for _, l := range e.Links {
 		if l.probe != nil {
-			ls.core.EndHealthCheck(id, core.OutcomeNotSent, policy.Load{})
+			ls.core.EndHealthCheck(id, core.OutcomeNotSent, policy.LoadReport{})
 			return
 		}
 		if !l.retired && (on == nil || on.conn == nil && l.conn != nil) {
@@ -53,14 +53,14 @@
 func (p *probe) wait() {
 	ls := p.link.all
 	p.timer.Stop()
-	p.timer = ls.loop.Timers.Add(ls.core.Now()+ls.site.ConnectTimeout, func() { p.end(core.OutcomeTimeout, policy.Load{}) })
+	p.timer = ls.loop.Timers.Add(ls.core.Now()+ls.site.ConnectTimeout, func() { p.end(core.OutcomeTimeout, policy.LoadReport{}) })
 }
 
 // write asks: for the load where the deployment's probes tell it, else whether the engine is there.
 func (p *probe) write() {
 	p.wait()
 	word := "there "
-	if p.link.all.site.Policy.LoadTold {
+	if p.link.all.site.Policy.ReportsLoad {
 		word = "busy "
 	}
 	p.link.conn.Write([]byte(word + p.tag + "\r\n"))
@@ -80,7 +80,7 @@
 }
 
 // end tells what came of the probe, once. A late answer goes by as one under an unknown id.
-func (p *probe) end(end core.Outcome, load policy.Load) {
+func (p *probe) end(end core.Outcome, load policy.LoadReport) {
 	l := p.link
 	p.timer.Stop()
 	l.probe = nil
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -40,18 +40,18 @@
 func (p *Pool[L]) Engine(e core.Engine) {
 	old := p.engines[e.ID]
 	if old == nil {
-		if e.State != policy.EngineGone {
+		if e.State != policy.EngineDeparted {
 			p.engines[e.ID] = &Engine[L]{ID: e.ID, Addr: e.Addr, started: e.Started}
 		}
 		return
 	}
-	if e.State == policy.EngineGone || e.Addr != old.Addr || e.Started != old.started {
+	if e.State == policy.EngineDeparted || e.Addr != old.Addr || e.Started != old.started {
 		for _, l := range slices.Clone(old.Links) {
 			l.Retire()
 		}
 	}
 	old.Addr, old.started = e.Addr, e.Started
-	if e.State == policy.EngineGone {
+	if e.State == policy.EngineDeparted {
 		delete(p.engines, e.ID)
 	}
 }
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -587,7 +587,7 @@
 func (l *link) errorEnd(s *pgproto.Statement) core.Outcome {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == core.OutcomeEngineFull && class.Effect == policy.Unsafe && !s.Describe {
+	if end == core.OutcomeEngineFull && class.Idempotency == policy.NotIdempotent && !s.Describe {
 		return core.OutcomeEngineError
 	}
 	return end
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -61,7 +61,7 @@
 		return
 	}
 	end := core.OutcomeNotSent
-	if e.State == policy.EngineGone {
+	if e.State == policy.EngineDeparted {
 		end = core.OutcomeNoAddress
 	}
 	for _, w := range p.inOrder() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -78,7 +78,7 @@
 }
 
 var states = map[string]policy.EngineState{
-	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineGone,
+	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineDeparted,
 }
 
 // EventSum is a checksum of the endpoint list in the configuration. Where two processes agree on it, the events that follow
@@ -241,7 +241,7 @@
 	e := core.Engine{Addr: t.Endpoint, Engine: policy.Engine{
 		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
 	}}
-	e.Started, e.Fresh = started(t.Boot)
+	e.Started, e.StartKnown = started(t.Boot)
 	return e
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := c.Known[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineLive || e.Fresh || c.Offset != 1 {
+	if e := c.Known[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineLive || e.StartKnown || c.Offset != 1 {
 		t.Errorf("read %+v", c)
 	}
 }
--- a/internal/config/postgres_check.go
+++ b/internal/config/postgres_check.go
@@ -73,7 +73,7 @@
 // chooseWriteClass sets the class of writes where the file names none: the first that runs once at most and in any order.
 func (p *Postgres) chooseWriteClass() {
 	for _, class := range p.Site.Policy.Classes {
-		if p.WriteClass == "" && class.Effect == policy.Unsafe && !class.InOrder {
+		if p.WriteClass == "" && class.Idempotency == policy.NotIdempotent && !class.Ordered {
 			p.WriteClass = class.Name
 		}
 	}
@@ -81,16 +81,16 @@
 
 func (p *Postgres) checkDefaultClasses(c *checker, classes map[string]policy.Class) {
 	for _, s := range []struct{ field, class string }{{"default_class", p.DefaultClass}, {"write_class", p.WriteClass}} {
-		c.requiref(!classes[s.class].InOrder, s.field, "class %q keeps the order of keys, and nothing names a key here", s.class)
+		c.requiref(!classes[s.class].Ordered, s.field, "class %q keeps the order of keys, and nothing names a key here", s.class)
 	}
-	c.requiref(!p.Site.Policy.Limits.Probes, "settings", "limits.may-probe: engines of the PostgreSQL wire are not probed")
+	c.requiref(!p.Site.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe: engines of the PostgreSQL wire are not probed")
 	_, known := classes[p.DefaultClass]
 	c.requiref(known, "default_class", "%q is no class of the settings", p.DefaultClass)
 	if p.WriteClass == "" {
 		return
 	}
 	class, known := classes[p.WriteClass]
-	c.requiref(known && class.Effect == policy.Unsafe, "write_class",
+	c.requiref(known && class.Idempotency == policy.NotIdempotent, "write_class",
 		"%q is no class of the settings whose effect is non_idempotent", p.WriteClass)
 }
 
@@ -101,9 +101,9 @@
 	c.requiref(s.Starts != "", prefix+"starts", "missing; wanted are the words that statements begin with")
 	c.requiref(known, prefix+"class", "%q is no class of the settings", s.Class)
 	c.requiref(s.Key >= 0 && s.Key <= maxParameterNumber, prefix+"key", "%d is no parameter's number, 1 to 65535", s.Key)
-	c.requiref(!class.InOrder || s.Key > 0, prefix+"key", "missing; class %q keeps the order of keys", s.Class)
+	c.requiref(!class.Ordered || s.Key > 0, prefix+"key", "missing; class %q keeps the order of keys", s.Class)
 	c.requiref(!writes || !s.ReadOnly, prefix+"read_only", "%q writes", s.Starts)
-	c.requiref(!known || !writes || class.Effect != policy.Safe, prefix+"class", "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
+	c.requiref(!known || !writes || class.Idempotency != policy.Idempotent, prefix+"class", "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
 }
 
 // resolvePath returns a path; a relative one counts from the folder.
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -35,7 +35,7 @@
 	*s = Site{
 		Policy: set, Reports: p.Report.Names, Zones: p.Zones, Kinds: p.Kinds,
 		MaxStreams: p.Limits.Streams, ConnectTimeout: FromMS(p.Limits.Connect),
-		IdleClose: FromMS(p.Limits.IdleClose), NoteEvery: set.NoteEvery, MayTell: p.Limits.Tells,
+		IdleClose: FromMS(p.Limits.IdleClose), NoteEvery: set.ProgressInterval, MayTell: p.Limits.Tells,
 	}
 	return nil
 }
@@ -126,14 +126,14 @@
 	}
 }
 
-var effects = map[string]policy.Effect{
-	"read_like": policy.Safe, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentWithKey, "non_idempotent": policy.NotIdempotent,
 }
 
-var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell, "": policy.GroupCell}
+var groups = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell, "": policy.DedupCell}
 
-var shorts = map[string]policy.MemoryShort{
-	"queue": policy.ShortWait, "trim": policy.ShortTrim, "swap": policy.ShortSwap, "": policy.ShortWait,
+var shorts = map[string]policy.MemoryShortage{
+	"queue": policy.ShortageQueue, "trim": policy.ShortageTrim, "swap": policy.ShortageSwap, "": policy.ShortageQueue,
 }
 
 // settings translates the wire's settings into the module's.
@@ -143,29 +143,29 @@
 		return policy.Settings{}, fmt.Errorf("extra.when-short: unknown value %q", p.Extra.Short)
 	}
 	s := policy.Settings{
-		Gateways: p.Balancers, Zone: p.Zone, OverShare: p.OverShare,
-		NoteEvery: FromMS(p.Extra.Tells), GrantsHeeded: p.Extra.Grants, PriorityHeeds: p.Extra.Priority,
-		MostGrant: p.Extra.GrantCap, Short: short, CostTold: p.Extra.TellsCost,
-		LoadTold:  len(p.Report.Names) > 0 && p.Report.How != "silent",
-		ListAsked: p.Mode == "on_request", Round: FromMS(p.Round),
+		Gateways: p.Balancers, Zone: p.Zone, OverQuotaWeight: p.OverShare,
+		ProgressInterval: FromMS(p.Extra.Tells), HonorsGrants: p.Extra.Grants, HonorsPriority: p.Extra.Priority,
+		MaxGrantFraction: p.Extra.GrantCap, MemoryShortage: short, ReportsCost: p.Extra.TellsCost,
+		ReportsLoad:     len(p.Report.Names) > 0 && p.Report.How != "silent",
+		SubscribeToList: p.Mode == "on_request", CallInterval: FromMS(p.Round),
 		Rules: policy.Rules{
 			AnswerSlack: FromMS(p.Contract.Slack), DrainGrace: FromMS(p.Contract.Stop),
-			ColdStart: p.Contract.Start, ColdFor: FromMS(p.Contract.Cold),
-			TipMultiple: p.Contract.Tip, TipFor: FromMS(p.Contract.Fall),
-			Settle: FromMS(p.Contract.Settle), ExtraFree: p.Contract.ExtraFree,
-			ExtraShare: p.Contract.ExtraShare, LookBack: FromMS(p.Contract.LookBack),
-			AskListWithin: FromMS(p.Contract.Ask),
+			WarmUpMinCapacity: p.Contract.Start, WarmUpPeriod: FromMS(p.Contract.Cold),
+			OverloadMultiple: p.Contract.Tip, OverloadWindow: FromMS(p.Contract.Fall),
+			SettleTime: FromMS(p.Contract.Settle), RetryBudgetBase: p.Contract.ExtraFree,
+			RetryBudgetRatio: p.Contract.ExtraShare, RetryBudgetWindow: FromMS(p.Contract.LookBack),
+			ResubscribeWithin: FromMS(p.Contract.Ask),
 		},
 		Limits: policy.Limits{
-			Tries: p.Limits.Tries, Copies: p.Limits.Copies, Cancel: p.Limits.Cancel,
-			Probes:   p.Limits.Probes,
-			ComeBack: p.Limits.ComeBack, MostComeBack: FromMS(p.Limits.Most),
-			ConnectWithin: FromMS(p.Limits.Connect),
+			MaxAttempts: p.Limits.Tries, AllowHedging: p.Limits.Copies, AllowCancel: p.Limits.Cancel,
+			AllowLoadRequests: p.Limits.Probes,
+			SendRetryAfter:    p.Limits.ComeBack, MaxRetryAfter: FromMS(p.Limits.Most),
+			ConnectTimeout: FromMS(p.Limits.Connect),
 		},
-		Goal: policy.Goal{Whole: p.Goal.Whole, WorstClass: p.Goal.WorstClass,
+		Objective: policy.Objective{Overall: p.Goal.Whole, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant, WorstWindow: p.Goal.WorstWindow},
-		Prices: policy.Prices{CrossZone: p.Costs.CrossZone, Waste: p.Costs.Waste, LateFail: p.Costs.LateFail,
-			Probe: p.Costs.Probe},
+		Penalties: policy.Penalties{CrossZone: p.Costs.CrossZone, WastedWork: p.Costs.Waste, LateFailure: p.Costs.LateFail,
+			LoadRequest: p.Costs.Probe},
 	}
 	if p.Rank != nil {
 		s.Rank = *p.Rank + 1 // from 0 in the settings
@@ -190,10 +190,10 @@
 			return fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
 		}
 		s.Classes = append(s.Classes, policy.Class{
-			Name: c.Name, Aim: FromMS(c.Aim), Stretch: c.Stretch, Deadline: FromMS(c.Hard), Worth: c.Worth,
-			LateShare: c.Late, Threads: at(p.Extra.Threads, i), Effect: effect, Group: group,
-			Window: FromMS(c.Window), Stream: c.Streamed, InOrder: c.InOrder, Load: at(p.Extra.IsLoad, i),
-			WaitsOnLoad: at(p.Extra.Yields, i), Zones: c.RunsIn, Kinds: c.KindsOpen,
+			Name: c.Name, LatencyObjective: FromMS(c.Aim), ObjectiveStretch: c.Stretch, Timeout: FromMS(c.Hard), PriorityWeight: c.Worth,
+			LateFraction: c.Late, Threads: at(p.Extra.Threads, i), Idempotency: effect, DedupScope: group,
+			DedupWindow: FromMS(c.Window), Streaming: c.Streamed, Ordered: c.InOrder, DataLoad: at(p.Extra.IsLoad, i),
+			WaitsForDataLoad: at(p.Extra.Yields, i), Zones: c.RunsIn, Kinds: c.KindsOpen,
 		})
 	}
 	return nil
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -67,7 +67,7 @@
 	found := slices.IndexFunc(known, func(k policy.Class) bool { return k.Name == class.Name })
 	c.requiref(found >= 0, prefix+"name", "%q is no class of the settings", class.Name)
 	if found >= 0 {
-		c.requiref(known[found].Effect == policy.Safe, prefix+"name", "class %q is not safe to repeat; statements that read are sorted here", class.Name)
+		c.requiref(known[found].Idempotency == policy.Idempotent, prefix+"name", "class %q is not safe to repeat; statements that read are sorted here", class.Name)
 	}
 	if i == len(s.Classes)-1 {
 		c.requiref(class.UpToMS == 0, prefix+"up_to_ms", "the last class has no end")
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -40,9 +40,9 @@
 	}
 	result := end.PolicyResult()
 	if a.began && end == OutcomeServed { // how long its client took tells nothing of the engine
-		result = policy.Cancelled
+		result = policy.ResultCancelled
 	}
-	c.tell(policy.Outcome{
+	c.tell(policy.AttemptEnded{
 		Query: r.query, Attempt: a.n, Result: result, Elapsed: c.clock.Now() - a.SentAt,
 		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.Load,
 	})
@@ -50,18 +50,18 @@
 }
 
 // ReportProgress tells of an attempt that is out.
-func (c *Core) ReportProgress(a *Attempt, kind policy.NoteKind, value float64) {
+func (c *Core) ReportProgress(a *Attempt, kind policy.ProgressKind, value float64) {
 	if a.ended {
 		return
 	}
 	c.stats.Add("notes")
-	c.tell(policy.Note{Query: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
+	c.tell(policy.AttemptProgress{Query: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
 }
 
 // EndHealthCheck ends a probe: the engine answered, with its load where it told that, or it did not.
-func (c *Core) EndHealthCheck(engine string, end Outcome, load policy.Load) {
+func (c *Core) EndHealthCheck(engine string, end Outcome, load policy.LoadReport) {
 	c.stats.Add("probes.ended." + end.String())
-	c.tell(policy.Probed{Engine: engine, Result: end.PolicyResult(), Load: load})
+	c.tell(policy.LoadReportReceived{Engine: engine, Result: end.PolicyResult(), Load: load})
 }
 
 // forget drops a request that is answered and has nothing out, once no event
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -130,7 +130,7 @@
 	Result   any // the whole answer, for fronts of the same wire
 	Work     time.Duration
 	MemoryMB float64
-	Load     policy.Load
+	Load     policy.LoadReport
 	Detail   any // of an error, for fronts of the same wire
 }
 
@@ -178,7 +178,7 @@
 		return nil, err
 	}
 	c := &Core{
-		gateway: g, clock: clock, timers: timers, stats: counters, log: l, round: set.Round,
+		gateway: g, clock: clock, timers: timers, stats: counters, log: l, round: set.CallInterval,
 		classes: map[string]policy.Class{}, engines: map[string]Engine{}, requests: map[uint64]*Request{},
 		stand: adminstate.New(), figures: map[string]*ClassFigures{},
 	}
@@ -203,13 +203,13 @@
 // settings.
 type Snapshot struct {
 	Engines   []Engine // as the roster told them
-	Learned   policy.Learned
+	Learned   policy.Snapshot
 	Overrides adminstate.Overrides `cbor:"Bans"`
 }
 
 // Snapshot is a copy of what the core knows.
 func (c *Core) Snapshot() Snapshot {
-	k := Snapshot{Learned: c.gateway.Learned(), Overrides: c.Overrides()}
+	k := Snapshot{Learned: c.gateway.Snapshot(), Overrides: c.Overrides()}
 	for _, e := range c.engines {
 		k.Engines = append(k.Engines, e)
 	}
@@ -221,7 +221,7 @@
 // been taken yet.
 func (c *Core) Restore(k Snapshot) {
 	c.MergeOverrides(k.Overrides)
-	c.gateway.Learn(c.clock.Now(), k.Learned)
+	c.gateway.Restore(c.clock.Now(), k.Learned)
 	c.UpdateEndpoints(policy.ListFull, k.Engines)
 }
 
@@ -234,7 +234,7 @@
 // LongestDeadline is the longest time that a client of any class waits.
 func (c *Core) LongestDeadline() (most time.Duration) {
 	for _, class := range c.classes {
-		most = max(most, class.Deadline)
+		most = max(most, class.Timeout)
 	}
 	return most
 }
@@ -248,7 +248,7 @@
 // Roster tells of the engine list, or of a change to it.
 func (c *Core) UpdateEndpoints(mode policy.ListMode, engines []Engine) {
 	c.stats.Add("roster.events")
-	ev := policy.Engines{Mode: mode}
+	ev := policy.EngineList{Mode: mode}
 	before := c.engines
 	if mode == policy.ListFull || mode == policy.ListCached {
 		c.engines = map[string]Engine{}
@@ -256,14 +256,14 @@
 	}
 	for _, e := range engines {
 		ev.Engines = append(ev.Engines, c.hear(e).Engine)
-		if c.engines[e.ID] = e; e.State == policy.EngineGone {
+		if c.engines[e.ID] = e; e.State == policy.EngineDeparted {
 			delete(c.engines, e.ID)
 		}
 	}
 	// Guards against keeping connections to engines that a whole list no longer names.
 	for id, e := range before {
-		if _, ok := c.engines[id]; !ok && e.State != policy.EngineGone {
-			e.State = policy.EngineGone
+		if _, ok := c.engines[id]; !ok && e.State != policy.EngineDeparted {
+			e.State = policy.EngineDeparted
 			c.engine(e)
 		}
 	}
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -46,25 +46,25 @@
 func (e Outcome) PolicyResult() policy.Result {
 	switch e {
 	case OutcomeServed, OutcomeResultTooLarge: // the engine did its part
-		return policy.Served
+		return policy.ResultSuccess
 	case OutcomeEngineError, OutcomePagesLost:
-		return policy.Failed
+		return policy.ResultError
 	case OutcomeEngineFull, OutcomeNoFreeConnection:
-		return policy.Full
+		return policy.ResultRejected
 	case OutcomeTimeout:
-		return policy.TimedOut
+		return policy.ResultTimeout
 	case OutcomeConnectionRefused, OutcomeNoAddress:
-		return policy.NoConnection
+		return policy.ResultConnectFailed
 	case OutcomeConnectTimeout:
-		return policy.Unreached
+		return policy.ResultConnectTimeout
 	case OutcomeConnectionReset:
-		return policy.Lost
+		return policy.ResultConnectionLost
 	case OutcomeUnreadable: // any engine's answer may be spoilt on its way; it says nothing of its health
-		return policy.Unknown
+		return policy.ResultUnknown
 	case OutcomeCancelled:
-		return policy.Cancelled
+		return policy.ResultCancelled
 	case OutcomeDeadlinePassed, OutcomeNotSent, OutcomeStatementRejected, OutcomeNoDescriptor: // the last is no fault of the engine's
-		return policy.NotSent
+		return policy.ResultNotSent
 	}
-	return policy.Unknown
+	return policy.ResultUnknown
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -57,7 +57,7 @@
 
 // InDoubt tells whether a request that is open may have run and is not safe to repeat.
 func (c *Core) InDoubt(r *Request) bool {
-	return c.classes[r.Class].Effect != policy.Safe &&
+	return c.classes[r.Class].Idempotency != policy.Idempotent &&
 		(r.PriorSentAt > 0 || r.away != nil || slices.ContainsFunc(r.tries, mayHaveRun))
 }
 
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -127,18 +127,18 @@
 }
 
 func (l replayLinks) UpdateEngine(e Engine) {
-	if e.State != policy.EngineGone { // those that a whole list lacks come in no fixed order
-		l.say("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.Fresh)
+	if e.State != policy.EngineDeparted { // those that a whole list lacks come in no fixed order
+		l.say("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.StartKnown)
 	}
 }
 
 func (l replayLinks) CheckHealth(engine string) {
 	l.say("probe %s", engine)
 	if l.random.IntN(2) == 0 {
-		l.core.EndHealthCheck(engine, OutcomeServed, policy.Load{})
+		l.core.EndHealthCheck(engine, OutcomeServed, policy.LoadReport{})
 		return
 	}
-	l.core.EndHealthCheck(engine, OutcomeConnectTimeout, policy.Load{})
+	l.core.EndHealthCheck(engine, OutcomeConnectTimeout, policy.LoadReport{})
 }
 
 func (l replayLinks) Continue(a *Attempt) {
@@ -200,7 +200,7 @@
 		}
 	case 11:
 		if a := r.anyAttempt(); a != nil {
-			r.core.ReportProgress(a, policy.NoteKind(r.random.IntN(3)), float64(r.random.IntN(50)))
+			r.core.ReportProgress(a, policy.ProgressKind(r.random.IntN(3)), float64(r.random.IntN(50)))
 		}
 	case 12:
 		r.engines(policy.ListChanges, 1+r.random.IntN(2))
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -18,15 +18,15 @@
 		if r := c.requests[a.Query]; r != nil {
 			c.cancel(r, a.Attempt)
 		}
-	case policy.Refuse:
-		c.givenUp(a.Query, Answer{Verdict: Rejected, RetryAfter: a.ComeBack})
+	case policy.Reject:
+		c.givenUp(a.Query, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		c.givenUp(a.Query, Answer{Verdict: Failed})
-	case policy.Wake:
-		c.timers.Add(c.clock.Now()+a.After, func() { c.tell(policy.Timer{Token: a.Token}) })
+	case policy.SetTimer:
+		c.timers.Add(c.clock.Now()+a.After, func() { c.tell(policy.TimerFired{Token: a.Token}) })
 	case policy.Log:
 		c.log.Info("policy", "says", a.Text)
-	case policy.Probe:
+	case policy.RequestLoadReport:
 		if p, ok := c.links.(HealthChecker); ok {
 			c.stats.Add("probes.sent")
 			p.CheckHealth(a.Engine)
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -13,7 +13,7 @@
 // send begins an attempt. Every attempt ends once, in EndAttempt, however its link fares.
 func (c *Core) send(r *Request, s policy.Send) {
 	a := &Attempt{
-		Request: r, Engine: s.Engine, Timeout: s.Within, SentAt: c.clock.Now(),
+		Request: r, Engine: s.Engine, Timeout: s.Timeout, SentAt: c.clock.Now(),
 		MemoryMB: r.grant, Priority: r.priority, n: len(r.tries) - r.base,
 	}
 	a.notAfter = c.lastRepeat(r)
@@ -35,7 +35,7 @@
 		a.told = true
 		c.sites.AttemptStarted(a)
 	}
-	a.timer = c.timers.Add(a.SentAt+max(s.Within, time.Millisecond), func() { c.drop(a, OutcomeTimeout) })
+	a.timer = c.timers.Add(a.SentAt+max(s.Timeout, time.Millisecond), func() { c.drop(a, OutcomeTimeout) })
 	if c.sending != nil && len(r.tries) == 1 {
 		c.sending(r, a.SentAt)
 	}
@@ -47,15 +47,15 @@
 // that a connection takes to come up: a repeat must not wait it out.
 func (c *Core) lastRepeat(r *Request) time.Duration {
 	class := c.classes[r.Class]
-	if class.Effect != policy.Keyed {
+	if class.Idempotency != policy.IdempotentWithKey {
 		return 0
 	}
 	if r.PriorSentAt > 0 {
-		return max(r.PriorSentAt+class.Window-windowMargin, 1)
+		return max(r.PriorSentAt+class.DedupWindow-windowMargin, 1)
 	}
 	for _, a := range r.tries {
 		if !a.neverRan {
-			return max(a.SentAt+class.Window-windowMargin, 1)
+			return max(a.SentAt+class.DedupWindow-windowMargin, 1)
 		}
 	}
 	return 0
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -122,12 +122,12 @@
 // client that heeds the hint.
 func (c *Core) harmless(r *Request, comeBack time.Duration) bool {
 	class := c.classes[r.Class]
-	switch class.Effect {
-	case policy.Safe:
+	switch class.Idempotency {
+	case policy.Idempotent:
 		return true
-	case policy.Keyed:
+	case policy.IdempotentWithKey:
 		by := c.lastRepeat(r)
-		return class.Group == policy.GroupAll && (by == 0 || c.clock.Now()+comeBack+againSoon < by)
+		return class.DedupScope == policy.DedupAll && (by == 0 || c.clock.Now()+comeBack+againSoon < by)
 	}
 	return false
 }
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -79,14 +79,14 @@
 
 func (w *world) settings() policy.Settings {
 	return policy.Settings{
-		Gateways: 1, Round: time.Millisecond, Kinds: []policy.Kind{{Name: "k", Cores: 8, MemoryMB: 1000}},
+		Gateways: 1, CallInterval: time.Millisecond, Kinds: []policy.Kind{{Name: "k", Cores: 8, MemoryMB: 1000}},
 		Classes: []policy.Class{
-			{Name: "read", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1, Effect: policy.Safe},
-			{Name: "load", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1, Effect: policy.Keyed, Group: policy.GroupAll, Window: 12 * time.Second},
-			{Name: "write", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Threads: 1},
+			{Name: "read", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: policy.Idempotent},
+			{Name: "load", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupAll, DedupWindow: 12 * time.Second},
+			{Name: "write", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 1, Threads: 1},
 		},
-		Limits: policy.Limits{Tries: 3, Cancel: true, ComeBack: true, MostComeBack: time.Second},
-		Goal:   policy.Goal{Whole: 1},
+		Limits:    policy.Limits{MaxAttempts: 3, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
+		Objective: policy.Objective{Overall: 1},
 	}
 }
 
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -45,7 +45,7 @@
 
 // again tells anew of engines on which another word holds now.
 func (c *Core) again(ids []string) {
-	ev := policy.Engines{Mode: policy.ListChanges}
+	ev := policy.EngineList{Mode: policy.ListChanges}
 	for _, id := range ids {
 		if e, ok := c.engines[id]; ok {
 			ev.Engines = append(ev.Engines, c.hear(e).Engine)
@@ -102,7 +102,7 @@
 	}
 	slices.SortFunc(f.Classes, func(a, b ClassFigures) int { return cmp.Compare(a.Class, b.Class) })
 	for id := range c.engines {
-		if c.stand.Disabled(id) || c.gateway.Avoids(id) {
+		if c.stand.Disabled(id) || c.gateway.IsEjected(id) {
 			f.EnginesDown++
 		}
 	}
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -51,9 +51,9 @@
 	return Snapshot{
 		Engines: []Engine{
 			{Engine: policy.Engine{ID: "s-00000007", Zone: "hall-a", Kind: "std-8", Cell: 3, State: policy.EngineLive}, Addr: "127.0.0.9:70"},
-			{Engine: policy.Engine{ID: "s-00000008", Zone: "hall-b", Kind: "std-16", Cell: -4, State: policy.EngineDraining, Started: 5 * time.Second, Fresh: true}, Addr: "[::1]:80"},
+			{Engine: policy.Engine{ID: "s-00000008", Zone: "hall-b", Kind: "std-16", Cell: -4, State: policy.EngineDraining, Started: 5 * time.Second, StartKnown: true}, Addr: "[::1]:80"},
 		},
-		Learned:   policy.Learned{},
+		Learned:   policy.Snapshot{},
 		Overrides: adminstate.Overrides{"s-00000007": {Disabled: false, At: 9 * time.Second, DisabledSince: 4 * time.Second}},
 	}
 }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -30,7 +30,7 @@
 	a.timer.Stop()
 	if !a.began {
 		a.began = true
-		c.tell(policy.Began{Query: r.query, Attempt: a.n})
+		c.tell(policy.StreamStarted{Query: r.query, Attempt: a.n})
 	}
 	s.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, Detail: rep.Detail})
 }
--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -47,10 +47,10 @@
 		case 0, 1, 2:
 			e := policy.Engine{ID: id, Zone: "z", Kind: "k", Cell: 7, State: policy.EngineState(random.IntN(3))}
 			if random.IntN(2) == 0 {
-				e.Fresh, e.Started = true, now-time.Duration(random.IntN(100))*time.Second
+				e.StartKnown, e.Started = true, now-time.Duration(random.IntN(100))*time.Second
 			}
 			e = s.Update(e)
-			fmt.Fprintf(out, "hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.Fresh)
+			fmt.Fprintf(out, "hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.StartKnown)
 		case 3, 4, 5:
 			out1 := random.IntN(2) == 0
 			changed, err := s.Call(now, id, out1)
--- a/internal/decide/adminstate/standing.go
+++ b/internal/decide/adminstate/standing.go
@@ -73,7 +73,7 @@
 // unless the roster knows of a start since it went out. Guards against feeding an
 // engine that was restarted while out as if it were warm: the roster need not tell.
 func (s *Table) Update(e policy.Engine) policy.Engine {
-	if e.State == policy.EngineGone {
+	if e.State == policy.EngineDeparted {
 		delete(s.listed, e.ID)
 		return e
 	}
@@ -83,8 +83,8 @@
 	case !ok:
 	case b.Disabled && e.State == policy.EngineLive:
 		e.State = policy.EngineDraining
-	case !b.Disabled && b.DisabledSince > 0 && (!e.Fresh || e.Started < b.DisabledSince):
-		e.Started, e.Fresh = b.At, true
+	case !b.Disabled && b.DisabledSince > 0 && (!e.StartKnown || e.Started < b.DisabledSince):
+		e.Started, e.StartKnown = b.At, true
 	}
 	return e
 }
--- a/internal/decide/adminstate/standing_test.go
+++ b/internal/decide/adminstate/standing_test.go
@@ -43,9 +43,9 @@
 		heard := map[string]policy.Engine{}
 		t.Repeat(map[string]func(*rapid.T){
 			"roster": func(t *rapid.T) {
-				e := policy.Engine{ID: ids.Draw(t, "id"), State: rapid.SampledFrom([]policy.EngineState{policy.EngineGone, policy.EngineDraining, policy.EngineLive}).Draw(t, "state")}
+				e := policy.Engine{ID: ids.Draw(t, "id"), State: rapid.SampledFrom([]policy.EngineState{policy.EngineDeparted, policy.EngineDraining, policy.EngineLive}).Draw(t, "state")}
 				if rapid.Bool().Draw(t, "fresh") {
-					e.Fresh, e.Started = true, now
+					e.StartKnown, e.Started = true, now
 				}
 				roster[e.ID], heard[e.ID] = e, s.Update(e)
 				other.Update(e)
@@ -54,7 +54,7 @@
 				id, out := ids.Draw(t, "id"), rapid.Bool().Draw(t, "out")
 				now++
 				changed, err := s.Call(now, id, out)
-				if known := roster[id].State != policy.EngineGone || banned[id]; (err == nil) != known {
+				if known := roster[id].State != policy.EngineDeparted || banned[id]; (err == nil) != known {
 					t.Fatalf("%s is known: %v; the call said %v", id, known, err)
 				}
 				if err != nil {
@@ -81,7 +81,7 @@
 			"": func(t *rapid.T) {
 				listed := 0
 				for id, e := range roster {
-					if e.State != policy.EngineGone {
+					if e.State != policy.EngineDeparted {
 						listed++
 					}
 					if s.Disabled(id) != banned[id] {
@@ -91,8 +91,8 @@
 					if usable := got.State == policy.EngineLive; usable != (e.State == policy.EngineLive && !banned[id]) {
 						t.Fatalf("%s stands %v; the roster says %v, banned %v", id, got.State, e.State, banned[id])
 					}
-					if at, ok := back[id]; ok && !banned[id] && e.State != policy.EngineGone && (!got.Fresh || got.Started < at && got.Started != e.Started) {
-						t.Fatalf("%s came back at %v and counts as started at %v (%v)", id, at, got.Started, got.Fresh)
+					if at, ok := back[id]; ok && !banned[id] && e.State != policy.EngineDeparted && (!got.StartKnown || got.Started < at && got.Started != e.Started) {
+						t.Fatalf("%s came back at %v and counts as started at %v (%v)", id, at, got.Started, got.StartKnown)
 					}
 				}
 				if s.Listed() != listed {
--- a/internal/discovery/consul/consul.go
+++ b/internal/discovery/consul/consul.go
@@ -207,7 +207,7 @@
 	out.Zone = first(r.ServiceMeta["zone"], r.NodeMeta["zone"], f.opts.Zone, r.Datacenter)
 	out.Kind = first(r.ServiceMeta["kind"], r.NodeMeta["kind"], f.opts.Kind)
 	if ms, err := strconv.ParseInt(r.ServiceMeta["boot_ms"], 10, 64); err == nil && ms > 0 && ms < 1<<43 {
-		out.Started, out.Fresh = time.Duration(ms)*time.Millisecond, true
+		out.Started, out.StartKnown = time.Duration(ms)*time.Millisecond, true
 	}
 	return out
 }
@@ -224,7 +224,7 @@
 		case c.CheckID == "_node_maintenance" || strings.HasPrefix(c.CheckID, "_service_maintenance"):
 			return policy.EngineDraining
 		case c.Status == "critical":
-			state = policy.EngineGone
+			state = policy.EngineDeparted
 		}
 	}
 	return state
@@ -265,8 +265,8 @@
 		}
 	}
 	for id, e := range f.known {
-		if _, ok := now[id]; !ok && e.State != policy.EngineGone {
-			e.State = policy.EngineGone
+		if _, ok := now[id]; !ok && e.State != policy.EngineDeparted {
+			e.State = policy.EngineDeparted
 			news = append(news, e)
 		}
 	}
--- a/internal/discovery/eventbus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -218,7 +218,7 @@
 	return nil
 }
 
-var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineGone}
+var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted}
 
 func (f *Follower) records(b []byte) ([]core.Engine, error) {
 	if len(b)%recordLen != 0 {
@@ -239,7 +239,7 @@
 			},
 		}
 		if boot := binary.BigEndian.Uint64(b[19:]); boot > 0 && boot < 1<<43 {
-			e.Started, e.Fresh = time.Duration(boot)*time.Millisecond, true
+			e.Started, e.StartKnown = time.Duration(boot)*time.Millisecond, true
 		}
 		list = append(list, e)
 	}
--- a/internal/discovery/eventbus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -89,7 +89,7 @@
 	}
 	one := core.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
 	two := core.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
-		State: policy.EngineDraining, Started: 5 * time.Second, Fresh: true}}
+		State: policy.EngineDraining, Started: 5 * time.Second, StartKnown: true}}
 	want := []told{{policy.ListFull, []core.Engine{one}}, {policy.ListChanges, []core.Engine{two}}}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
--- a/internal/frontend/httpapi/move_test.go
+++ b/internal/frontend/httpapi/move_test.go
@@ -24,9 +24,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := policy.Settings{Gateways: 1, Round: 5 * time.Millisecond,
-		Classes: []policy.Class{{Name: "lookup", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Threads: 1, Effect: policy.Safe}},
-		Kinds:   []policy.Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: policy.Limits{Tries: 3}}
+	set := policy.Settings{Gateways: 1, CallInterval: 5 * time.Millisecond,
+		Classes: []policy.Class{{Name: "lookup", LatencyObjective: time.Second, Timeout: 6 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: policy.Idempotent}},
+		Kinds:   []policy.Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: policy.Limits{MaxAttempts: 3}}
 	c, err := core.New(set, 1, l, l.Timers, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -441,13 +441,13 @@
 		}
 	}
 	r.Work = config.FromMS(cost)
-	if class.Effect == policy.Keyed {
+	if class.Idempotency == policy.IdempotentWithKey {
 		r.IdempotencyKey = c.Head["req-token"]
 		if !isToken(r.IdempotencyKey) { // without its key nothing would drop a repeat
 			return http1.Bad("Req-Token: missing or not of 1 to 64 letters, digits, - and _")
 		}
 	}
-	if class.InOrder {
+	if class.Ordered {
 		r.SerialKey = c.Head["req-key"]
 		if !isToken(r.SerialKey) { // without it nothing would keep its turn
 			return http1.Bad("Req-Key: missing or not of 1 to 64 letters, digits, - and _")
--- a/internal/frontend/postgres/class.go
+++ b/internal/frontend/postgres/class.go
@@ -58,7 +58,7 @@
 	if !ok {
 		return sorted{}, fail("42704", "class %q is not known here", name)
 	}
-	if class.Effect != policy.Safe {
+	if class.Idempotency != policy.Idempotent {
 		return sorted{class: class, key: key}, nil
 	}
 	var effect sqltext.Verdict
@@ -77,7 +77,7 @@
 		return sorted{}, e
 	}
 	class, ok = f.core.Class(f.opts.WriteClass)
-	if !ok || class.Effect != policy.Unsafe {
+	if !ok || class.Idempotency != policy.NotIdempotent {
 		return sorted{}, fail("0A000", "the statement may write (%v), and this gateway has no class for writes", effect)
 	}
 	return sorted{class: class}, nil
@@ -86,7 +86,7 @@
 // keyOf reads the key of a load from the bound values: what repeats are dropped by, or what
 // keeps the order. Without one it is never sent.
 func keyOf(s sorted, values [][]byte) (string, *pgproto.Error) {
-	if s.class.Effect != policy.Keyed && !s.class.InOrder {
+	if s.class.Idempotency != policy.IdempotentWithKey && !s.class.Ordered {
 		return "", nil
 	}
 	switch {
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -438,14 +438,14 @@
 			class, sorted = c, x
 		}
 	}
-	if d, ok := f.core.Class(f.opts.DefaultClass); ok && want.Describe && d.Effect == policy.Safe {
+	if d, ok := f.core.Class(f.opts.DefaultClass); ok && want.Describe && d.Idempotency == policy.Idempotent {
 		class = d // a description runs nothing, whatever its statement would do
 	}
 	if e := k.mayAsk(class.Name); e != nil {
 		k.failed(e)
 		return
 	}
-	wait := class.Deadline
+	wait := class.Timeout
 	if k.timeout > 0 {
 		wait = k.timeout
 	}
@@ -456,10 +456,10 @@
 	r := &core.Request{
 		ID: k.id(), Class: class.Name, Statement: want, Deadline: came + wait, Client: k,
 	}
-	if class.Effect == policy.Keyed {
+	if class.Idempotency == policy.IdempotentWithKey {
 		r.IdempotencyKey = token
 	}
-	if class.InOrder {
+	if class.Ordered {
 		r.SerialKey = token
 	}
 	switch {
--- a/internal/frontend/postgres/settings.go
+++ b/internal/frontend/postgres/settings.go
@@ -112,7 +112,7 @@
 		return fail("54000", "more than %d settings, or one of more than %d bytes", mostSettings, maxSetting)
 	}
 	class, ok := k.front.core.Class(k.front.opts.DefaultClass)
-	if !ok || class.Effect != policy.Safe {
+	if !ok || class.Idempotency != policy.Idempotent {
 		return fail("0A000", "SET needs a default class that is safe to repeat")
 	}
 	one := pgproto.Setting{Name: name, Text: s.query}
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -179,7 +179,7 @@
 // open begins a transaction, of which no engine hears before its first statement.
 func (k *conn) open(begin string) *pgproto.Error {
 	class, ok := k.front.core.Class(k.front.opts.WriteClass)
-	if !ok || class.Effect != policy.Unsafe {
+	if !ok || class.Idempotency != policy.NotIdempotent {
 		return fail("0A000", "this gateway has no class for writes, which transactions need")
 	}
 	if e := k.mayAsk(class.Name); e != nil {
@@ -291,7 +291,7 @@
 func (k *conn) send(want *pgproto.Statement, then func(core.Answer)) {
 	tx, f := k.tx, k.front
 	class, _ := f.core.Class(f.opts.WriteClass)
-	wait := class.Deadline
+	wait := class.Timeout
 	if k.timeout > 0 {
 		wait = k.timeout
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -274,7 +274,7 @@
 		if err != nil {
 			return err
 		}
-		if err := g.learnShapes(s, cfg.MemoryMB, &cfg.Site, cfg.Site.Policy.CostTold); err != nil {
+		if err := g.learnShapes(s, cfg.MemoryMB, &cfg.Site, cfg.Site.Policy.ReportsCost); err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -39,7 +39,7 @@
 		return config.Fault{File: path, Field: "keys", Want: err.Error()}
 	}
 	service, err := forwarding.New(g.core, g.loop.Timers, forwarding.Options{
-		Name: own, Start: rand.Uint64(), Config: s.Decide(set.Limits.Tries), Settings: set, Codec: codec, Pack: s.Pack,
+		Name: own, Start: rand.Uint64(), Config: s.Decide(set.Limits.MaxAttempts), Settings: set, Codec: codec, Pack: s.Pack,
 		Held: part(memoryMB, 8) / max(len(peers), 1),
 	}, g.counters, g.log)
 	if err != nil {
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -235,7 +235,7 @@
 		return
 	}
 	class, _ := n.core.Class(r.Class)
-	n.send(&Sending{j.conn, uint8(class.Effect), at, class.Window, r.Deadline})
+	n.send(&Sending{j.conn, uint8(class.Idempotency), at, class.DedupWindow, r.Deadline})
 }
 
 // journal records one connection.
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -234,7 +234,7 @@
 // waited for its connection; two calls out are undone by one back, and then it serves again.
 func TestBanHolds(t *testing.T) {
 	engine, seen := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
-	g := newGateway(t, func(s *policy.Settings) { s.Rules.TipFor = 0 }).platform(engine) // what comes back is fed as cold, by the second
+	g := newGateway(t, func(s *policy.Settings) { s.Rules.OverloadWindow = 0 }).platform(engine) // what comes back is fed as cold, by the second
 	addr := g.endpoint()
 	out := fmt.Sprintf(`{"target":"e%s"}`, engine)
 	ask := func() string {
@@ -250,7 +250,7 @@
 			t.Fatal(got)
 		}
 	}
-	for _, state := range []policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineGone, policy.EngineLive} {
+	for _, state := range []policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted, policy.EngineLive} {
 		g.roster(state, engine)
 		if got := ask(); !strings.HasPrefix(got, "503") {
 			t.Fatalf("the roster says %d: %s", state, got)
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -147,7 +147,7 @@
 // attempt never begins.
 func TestClientLeavesBeforeItsConnectionIsUp(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.Cancel = false }).platform(addr)
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.AllowCancel = false }).platform(addr)
 	waiting(t, g, func(k *httpClient, find func(*httpClient) *netio.Conn) {
 		c := find(k)
 		_ = k.c.Close()
--- a/internal/integration/order_test.go
+++ b/internal/integration/order_test.go
@@ -19,10 +19,10 @@
 func ordered(s *policy.Settings) {
 	for i, c := range s.Classes {
 		if c.Name == "load" {
-			s.Classes[i].Effect, s.Classes[i].InOrder = policy.Unsafe, true
+			s.Classes[i].Idempotency, s.Classes[i].Ordered = policy.NotIdempotent, true
 		}
 	}
-	s.Rules.Settle, s.Rules.TipFor = settle, 0
+	s.Rules.SettleTime, s.Rules.OverloadWindow = settle, 0
 }
 
 // keyed words a load of a key.
@@ -178,7 +178,7 @@
 			if tt.start {
 				g.do(func() {
 					g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{{Addr: e.addr, Engine: policy.Engine{
-						ID: "e" + e.addr, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive, Fresh: true, Started: g.loop.Now(),
+						ID: "e" + e.addr, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive, StartKnown: true, Started: g.loop.Now(),
 					}}})
 				})
 			} else {
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -274,11 +274,11 @@
 		got[e.String()] = e.PolicyResult()
 	}
 	want := map[string]policy.Result{
-		"unknown": policy.Unknown, "served": policy.Served, "rejected": policy.NotSent, "too-large": policy.Served, "error": policy.Failed,
-		"full": policy.Full, "past": policy.NotSent, "pages-lost": policy.Failed, "timeout": policy.TimedOut,
-		"refused": policy.NoConnection, "connect-timeout": policy.Unreached, "no-descriptor": policy.NotSent,
-		"no-engine": policy.NoConnection, "reset": policy.Lost, "garbage": policy.Unknown,
-		"cancelled": policy.Cancelled, "not-sent": policy.NotSent, "crowded": policy.Full, "idle": policy.Unknown,
+		"unknown": policy.ResultUnknown, "served": policy.ResultSuccess, "rejected": policy.ResultNotSent, "too-large": policy.ResultSuccess, "error": policy.ResultError,
+		"full": policy.ResultRejected, "past": policy.ResultNotSent, "pages-lost": policy.ResultError, "timeout": policy.ResultTimeout,
+		"refused": policy.ResultConnectFailed, "connect-timeout": policy.ResultConnectTimeout, "no-descriptor": policy.ResultNotSent,
+		"no-engine": policy.ResultConnectFailed, "reset": policy.ResultConnectionLost, "garbage": policy.ResultUnknown,
+		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "crowded": policy.ResultRejected, "idle": policy.ResultUnknown,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -300,7 +300,7 @@
 		t.Error("the new engine has the old one's links")
 	}
 	entry("old", policy.EngineDraining, 0)
-	entry("old", policy.EngineGone, 0)
+	entry("old", policy.EngineDeparted, 0)
 	if p.Get("old") != nil {
 		t.Error("the gone engine is still there")
 	}
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -138,7 +138,7 @@
 // Who waits for a connection to an engine that drains or goes is served by another, and is never sent there; who was
 // there already ends as he would.
 func TestPoolOfAnEngineThatLeaves(t *testing.T) {
-	for _, state := range []policy.EngineState{policy.EngineDraining, policy.EngineGone} {
+	for _, state := range []policy.EngineState{policy.EngineDraining, policy.EngineDeparted} {
 		p := newPooled(t, connpool.Limits{MaxConnections: 1})
 		first := p.send("office", "SELECT 1 FROM stock_1.parts")
 		await(t, p.asked)
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -205,7 +205,7 @@
 		return pgError("XX000")
 	})
 	second, seen := slowPgEngine(t, 400*time.Millisecond, func(pgCall) []byte { return pgRows() })
-	g := newGateway(t, func(s *policy.Settings) { s.Classes[2].Window = 300 * time.Millisecond }).postgres(first)
+	g := newGateway(t, func(s *policy.Settings) { s.Classes[2].DedupWindow = 300 * time.Millisecond }).postgres(first)
 	k := connect(t, g.addr)
 	k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key"), execute("", 0), sync)
 	await(t, asked)
@@ -383,7 +383,7 @@
 		}
 		return pgRows("a")
 	})
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.Copies = false }).postgres(addr)
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.AllowHedging = false }).postgres(addr)
 	k := connect(t, g.addr)
 	for range 20 {
 		k.send(query("SELECT quick"))
--- a/internal/integration/probes_test.go
+++ b/internal/integration/probes_test.go
@@ -42,7 +42,7 @@
 				}
 				return tt.answer
 			})
-			g := newGateway(t, func(s *policy.Settings) { s.LoadTold = true })
+			g := newGateway(t, func(s *policy.Settings) { s.ReportsLoad = true })
 			g.site.ConnectTimeout = 100 * time.Millisecond
 			g.platform(addr)
 			got, _ := httpConnect(t, g.addr).call(post("lookup", ""))
@@ -80,7 +80,7 @@
 	addr, seen := lineEngine(t, func(line string) string {
 		return strings.Fields(line)[1] + " FIT - 0\r\n\r\n"
 	})
-	g := newGateway(t, func(s *policy.Settings) { s.LoadTold = false }).platform(addr, "127.0.0.1:1")
+	g := newGateway(t, func(s *policy.Settings) { s.ReportsLoad = false }).platform(addr, "127.0.0.1:1")
 	g.do(func() {
 		g.lines.CheckHealth("nobody")
 		g.lines.CheckHealth("e127.0.0.1:1")
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -103,7 +103,7 @@
 		hang <- true
 		return nil
 	})
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.Tries = 3 }).postgres(addr)
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).postgres(addr)
 	k := connect(t, g.addr, "statement_timeout", "300ms")
 	run := func(text string) string {
 		k.send(query(text))
--- a/internal/simwire/codec.go
+++ b/internal/simwire/codec.go
@@ -18,8 +18,8 @@
 func toMS(d duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 var results = map[int64]policy.Result{
-	200: policy.Served, 502: policy.Failed, 429: policy.Full, 408: policy.TimedOut,
-	521: policy.NoConnection, 520: policy.Lost, 444: policy.Cancelled, 409: policy.NotSent,
+	200: policy.ResultSuccess, 502: policy.ResultError, 429: policy.ResultRejected, 408: policy.ResultTimeout,
+	521: policy.ResultConnectFailed, 520: policy.ResultConnectionLost, 444: policy.ResultCancelled, 409: policy.ResultNotSent,
 }
 
 // decode turns one message into an event; nil for one that the module has no use for.
@@ -34,13 +34,13 @@
 	case "INTERIM":
 		return decodeNote(f)
 	case "HEAD_RECEIVED":
-		return policy.Began{Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt"))}
+		return policy.StreamStarted{Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt"))}
 	case "LAPSED":
-		return policy.Gone{Query: f.id(1, "xid")}
+		return policy.ClientDisconnected{Query: f.id(1, "xid")}
 	case "TICK_DUE":
-		return policy.Timer{Token: f.id(1, "nonce")}
+		return policy.TimerFired{Token: f.id(1, "nonce")}
 	case "PROBED":
-		return policy.Probed{Engine: f.text(1, "engine"), Result: results[f.integer(2, "rc")], Load: in.load(f, 4)}
+		return policy.LoadReportReceived{Engine: f.text(1, "engine"), Result: results[f.integer(2, "rc")], Load: in.load(f, 4)}
 	case "FROM_PEER":
 		return nil
 	}
@@ -49,7 +49,7 @@
 }
 
 func (h *Host) decodeList(f *fields) policy.Event {
-	var ev policy.Engines
+	var ev policy.EngineList
 	switch mode := f.text(1, "mode"); mode {
 	case "delta":
 		ev.Mode = policy.ListChanges
@@ -74,7 +74,7 @@
 }
 
 func decodeArrive(f *fields) policy.Event {
-	ev := policy.Arrive{Query: f.id(1, "xid"), Class: f.text(6, "profile")}
+	ev := policy.QueryArrived{Query: f.id(1, "xid"), Class: f.text(6, "profile")}
 	var bits int64
 	var guess float64
 	f.get(2, "order-key", true, &ev.Key)
@@ -83,7 +83,7 @@
 	f.get(5, "guess-ms", true, &guess)
 	ev.Deadline = fromMS(f.float(7, "client-deadline-ms"))
 	f.name8(&ev.Tenant)
-	f.get(9, "schema-no", true, &ev.Set)
+	f.get(9, "schema-no", true, &ev.DataSet)
 	if bits&1 != 0 {
 		ev.Work = fromMS(guess)
 	}
@@ -99,7 +99,7 @@
 }
 
 func decodeOutcome(in *instance, f *fields) policy.Event {
-	ev := policy.Outcome{
+	ev := policy.AttemptEnded{
 		Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Result: results[f.integer(4, "rc")],
 		Elapsed: fromMS(f.float(5, "rtt-ms")), Final: f.flag(6, "last"),
 	}
@@ -112,24 +112,24 @@
 }
 
 func decodeNote(f *fields) policy.Event {
-	ev := policy.Note{Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Value: f.float(5, "value")}
+	ev := policy.AttemptProgress{Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Value: f.float(5, "value")}
 	switch sort := f.integer(4, "sort"); {
 	case sort == 1:
-		ev.Kind = policy.NoteProgress
+		ev.Kind = policy.ProgressFraction
 	case sort == 2:
-		ev.Kind = policy.NoteSpill
+		ev.Kind = policy.ProgressSpilled
 	case sort == 3 && ev.Value == 2:
-		ev.Kind = policy.NoteWaitLoad
+		ev.Kind = policy.ProgressWaitingForDataLoad
 	case sort == 3:
-		ev.Kind = policy.NoteWaitMemory
+		ev.Kind = policy.ProgressWaitingForMemory
 	default:
 		f.fault("sort", "unknown sort %d", sort)
 	}
 	return ev
 }
 
-func (in *instance) load(f *fields, i int) policy.Load {
-	l := policy.Load{Busy: -1, Held: -1, Waiting: -1, Memory: -1, Disks: -1}
+func (in *instance) load(f *fields, i int) policy.LoadReport {
+	l := policy.LoadReport{CPUUtilization: -1, InFlight: -1, WaitingForMemory: -1, MemoryUtilization: -1, DiskUtilization: -1}
 	var vals []float64
 	f.get(i, "usage", true, &vals)
 	if f.err == nil && vals != nil && len(vals) != len(in.reports) {
@@ -137,18 +137,18 @@
 		return l
 	}
 	for j, v := range vals {
-		l.Told = true
+		l.Reported = true
 		switch in.reports[j] {
 		case "cpu":
-			l.Busy = v
+			l.CPUUtilization = v
 		case "active":
-			l.Held = v
+			l.InFlight = v
 		case "waiting":
-			l.Waiting = v
+			l.WaitingForMemory = v
 		case "x0":
-			l.Memory = v
+			l.MemoryUtilization = v
 		case "x1":
-			l.Disks = v
+			l.DiskUtilization = v
 		}
 	}
 	return l
@@ -181,18 +181,18 @@
 func encode(b []byte, who int64, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Send:
-		return line(b, "FORWARD", who).id(a.Query).str(a.Engine).float(toMS(a.Within)).end()
+		return line(b, "FORWARD", who).id(a.Query).str(a.Engine).float(toMS(a.Timeout)).end()
 	case policy.Grant:
 		return line(b, "ALLOT", who).id(a.Query).float(a.MemoryMB).num(int64(a.Priority)).end()
 	case policy.Cancel:
 		return line(b, "ABORT_ATTEMPT", who).id(a.Query).num(int64(a.Attempt)).end()
-	case policy.Probe:
+	case policy.RequestLoadReport:
 		return line(b, "ASK_LOAD", who).str(a.Engine).end()
-	case policy.Refuse:
-		return line(b, "SAY_NO", who).id(a.Query).float(toMS(a.ComeBack)).end()
+	case policy.Reject:
+		return line(b, "SAY_NO", who).id(a.Query).float(toMS(a.RetryAfter)).end()
 	case policy.Fail:
 		return line(b, "DROP_REQUEST", who).id(a.Query).end()
-	case policy.Wake:
+	case policy.SetTimer:
 		return line(b, "SLEEP", who).float(toMS(a.After)).id(a.Token).end()
 	case policy.Subscribe:
 		return append(line(b, "LISTEN", who), ",true]\n"...)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -217,14 +217,14 @@
 	f.get(3, "cluster", true, &e.Cell)
 	var started float64
 	f.get(4, "last-start-ms", true, &started)
-	e.Started, e.Fresh = fromMS(started), started > 0
+	e.Started, e.StartKnown = fromMS(started), started > 0
 	switch state := f.text(6, "availability"); state {
 	case "live":
 		e.State = policy.EngineLive
 	case "quiescing":
 		e.State = policy.EngineDraining
 	case "dead":
-		e.State = policy.EngineGone
+		e.State = policy.EngineDeparted
 	default:
 		f.fault("availability", "unknown state %q", state)
 	}
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -164,8 +164,8 @@
 		cores = 1
 	}
 	st := decide.Engine{Cores: cores, Live: e.State == policy.EngineLive}
-	if rules := s.opts.Settings.Rules; e.Fresh {
-		st.WarmUpUntil, st.WarmUpPeriod, st.WarmUpMinCapacity = e.Started+rules.ColdFor, rules.ColdFor, rules.ColdStart
+	if rules := s.opts.Settings.Rules; e.StartKnown {
+		st.WarmUpUntil, st.WarmUpPeriod, st.WarmUpMinCapacity = e.Started+rules.WarmUpPeriod, rules.WarmUpPeriod, rules.WarmUpMinCapacity
 	}
 	s.meter.UpdateEngine(e.ID, st)
 }
@@ -193,8 +193,8 @@
 		}
 		s.meter.RecordLatency(r.Class, now-a.SentAt, work.Seconds())
 	}
-	if rep.Load.Told {
-		s.meter.RecordUtilization(now, rep.Load.Busy)
+	if rep.Load.Reported {
+		s.meter.RecordUtilization(now, rep.Load.CPUUtilization)
 	}
 	if a.NeverRan() && r.IdempotencyKey != "" && !r.MayHaveRunHere() {
 		s.keys.Retract(r.IdempotencyKey, a.SentAt)
@@ -205,13 +205,13 @@
 func (s *Service) query(r *core.Request, turned bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
-		Class: r.Class, Idempotency: decide.Idempotency(class.Effect), Work: r.Work.Seconds(), PriorityWeight: class.Worth, TableGroup: r.TableGroup, Remaining: r.Deadline - now,
-		Forwarded: r.FromOtherSite, RejectedLocally: turned, Attempts: r.SendCount(), DedupWindow: class.Window,
-		DedupNotShared: class.Effect == policy.Keyed && (class.Group != policy.GroupAll || !s.cfg.SharedDedup),
+		Class: r.Class, Idempotency: decide.Idempotency(class.Idempotency), Work: r.Work.Seconds(), PriorityWeight: class.PriorityWeight, TableGroup: r.TableGroup, Remaining: r.Deadline - now,
+		Forwarded: r.FromOtherSite, RejectedLocally: turned, Attempts: r.SendCount(), DedupWindow: class.DedupWindow,
+		DedupNotShared: class.Idempotency == policy.IdempotentWithKey && (class.DedupScope != policy.DedupAll || !s.cfg.SharedDedup),
 	}
 	if q.Work <= 0 {
 		if q.Work = s.meter.TypicalWork(r.Class); q.Work <= 0 {
-			q.Work = class.Aim.Seconds() / 3 * max(class.Threads, 1)
+			q.Work = class.LatencyObjective.Seconds() / 3 * max(class.Threads, 1)
 		}
 	}
 	if first := r.FirstSentAt(); first > 0 {
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -261,7 +261,7 @@
 	}
 	class := s.classes[r.Class]
 	a := message.Ask{
-		ID: r.ID, Class: r.Class, Effect: uint8(class.Effect), Key: r.IdempotencyKey, Group: r.TableGroup, Left: left.Microseconds(), Work: r.Work.Microseconds(),
+		ID: r.ID, Class: r.Class, Effect: uint8(class.Idempotency), Key: r.IdempotencyKey, Group: r.TableGroup, Left: left.Microseconds(), Work: r.Work.Microseconds(),
 		MB: r.MemoryMB, Repeat: r.ClientRetry, Sends: min(decide.AttemptGrant(s.cfg, q), message.MostSends),
 	}
 	if q.MayHaveRun {
@@ -282,8 +282,8 @@
 	}
 	s.stats.Add("site.crossed." + r.Class)
 	s.hedge.RecordForward(now)
-	s.core.Forwarded(r, r.Deadline-s.opts.Settings.Round)
-	if after, known := s.hedge.Delay(r.Class); known && class.Effect == policy.Safe && now+after < r.Deadline {
+	s.core.Forwarded(r, r.Deadline-s.opts.Settings.CallInterval)
+	if after, known := s.hedge.Delay(r.Class); known && class.Idempotency == policy.Idempotent && now+after < r.Deadline {
 		s.timers.Add(now+after, func() { s.late(c) })
 	}
 	return true
@@ -406,10 +406,10 @@
 		read, err = s.opts.Codec.ReadStatement(raw)
 	}
 	switch {
-	case !ok || uint8(class.Effect) != a.Effect: // the sites' settings differ: nothing is known of what a repeat would do
+	case !ok || uint8(class.Idempotency) != a.Effect: // the sites' settings differ: nothing is known of what a repeat would do
 		refuse("class")
 		return
-	case err != nil || class.Effect == policy.Keyed && a.Key == "":
+	case err != nil || class.Idempotency == policy.IdempotentWithKey && a.Key == "":
 		refuse("unreadable")
 		return
 	case s.draining || s.leaving:
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -125,7 +125,7 @@
 	c.life = c.g.lives
 	c.tries++
 	w.ledger.tries[c.mark] = c.tries
-	c.until = w.now + c.class.Deadline
+	c.until = w.now + c.class.Timeout
 	if c.g.dead {
 		c.told(core.Answer{Verdict: core.Failed}, "gateway away")
 		return
@@ -135,7 +135,7 @@
 	if w.opts.Estimates {
 		r.Work = time.Duration(float64(work) * c.guess)
 	}
-	if c.class.Effect == policy.Keyed {
+	if c.class.Idempotency == policy.IdempotentWithKey {
 		r.IdempotencyKey = c.mark
 	}
 	c.over = r
@@ -167,7 +167,7 @@
 	if late := w.now - c.until; late > 20*time.Millisecond {
 		w.res.fault("late answer", c.mark, late.String())
 	}
-	if a.Verdict != core.Served && c.class.Effect == policy.Keyed && c.tries < mostTries {
+	if a.Verdict != core.Served && c.class.Idempotency == policy.IdempotentWithKey && c.tries < mostTries {
 		s := c.site
 		if w.rng.Float64() < w.opts.Elsewhere {
 			s = w.sites[w.rng.IntN(len(w.sites))]
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -50,7 +50,7 @@
 		kind = k[0].Name
 	}
 	c := core.Engine{Engine: policy.Engine{ID: e.id, Zone: e.w.opts.Site.Policy.Zone, Kind: kind, State: state}}
-	if c.Fresh = e.started > 0; c.Fresh {
+	if c.StartKnown = e.started > 0; c.StartKnown {
 		c.Started = e.started + g.skew()
 	}
 	return c
@@ -60,10 +60,10 @@
 func (e *engine) tell(state policy.EngineState) {
 	started := e.started
 	e.w.after(e.w.opts.ToldAfter, func() {
-		e.listed = state != policy.EngineGone
+		e.listed = state != policy.EngineDeparted
 		for _, g := range e.site.gateways {
 			entry := e.entry(state, g)
-			if entry.Fresh {
+			if entry.StartKnown {
 				entry.Started = started + g.skew()
 			}
 			g.do(func() { g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{entry}) })
@@ -84,7 +84,7 @@
 		e.w.spent(r, false)
 		e.w.after(lan, func() { r.end(core.OutcomeConnectionReset, core.Report{}) })
 	}
-	e.tell(policy.EngineGone)
+	e.tell(policy.EngineDeparted)
 }
 
 func (e *engine) ids() []uint64 {
@@ -202,7 +202,7 @@
 			delete(e.out, d.ID)
 			e.w.spent(r, !r.a.Ended() && !r.g.dead)
 			load := e.model.Load()
-			rep := core.Report{Result: r.mark, Load: policy.Load{Told: true, Busy: load.Util, Held: -1, Waiting: float64(load.Waiting), Memory: load.Memory, Disks: load.Disks}}
+			rep := core.Report{Result: r.mark, Load: policy.LoadReport{Reported: true, CPUUtilization: load.Util, InFlight: -1, WaitingForMemory: float64(load.Waiting), MemoryUtilization: load.Memory, DiskUtilization: load.Disks}}
 			e.w.after(lan, func() { r.end(core.OutcomeServed, rep) })
 		}
 		e.arm()
@@ -286,8 +286,8 @@
 
 func (w *World) window() time.Duration {
 	for _, c := range w.opts.Site.Policy.Classes {
-		if c.Effect == policy.Keyed {
-			return c.Window
+		if c.Idempotency == policy.IdempotentWithKey {
+			return c.DedupWindow
 		}
 	}
 	return 0
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -307,7 +307,7 @@
 // cfg is what all gateways decide by.
 func (w *World) cfg() decide.Config {
 	cfg := w.opts.Config
-	cfg.MaxAttempts = max(w.opts.Site.Policy.Limits.Tries, 1)
+	cfg.MaxAttempts = max(w.opts.Site.Policy.Limits.MaxAttempts, 1)
 	return cfg
 }
 
--- a/policy/check.go
+++ b/policy/check.go
@@ -18,27 +18,27 @@
 		switch {
 		case c.Name == "":
 			return fmt.Errorf("Classes[%d].Name: empty", i)
-		case c.Aim <= 0:
-			return fmt.Errorf("Classes[%d].Aim: %v is not above 0", i, c.Aim)
-		case c.Deadline <= 0:
-			return fmt.Errorf("Classes[%d].Deadline: %v is not above 0", i, c.Deadline)
+		case c.LatencyObjective <= 0:
+			return fmt.Errorf("Classes[%d].Aim: %v is not above 0", i, c.LatencyObjective)
+		case c.Timeout <= 0:
+			return fmt.Errorf("Classes[%d].Deadline: %v is not above 0", i, c.Timeout)
 		case c.Threads < 0 || math.IsNaN(c.Threads) || math.IsInf(c.Threads, 0):
 			return fmt.Errorf("Classes[%d].Threads: %v is not a count", i, c.Threads)
-		case !(c.Worth >= 0) || math.IsInf(c.Worth, 0):
-			return fmt.Errorf("Classes[%d].Worth: %v is not a worth", i, c.Worth)
-		case c.Effect == Keyed && c.Window < 0:
-			return fmt.Errorf("Classes[%d].Window: %v is under 0", i, c.Window)
+		case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
+			return fmt.Errorf("Classes[%d].Worth: %v is not a worth", i, c.PriorityWeight)
+		case c.Idempotency == IdempotentWithKey && c.DedupWindow < 0:
+			return fmt.Errorf("Classes[%d].Window: %v is under 0", i, c.DedupWindow)
 		}
 	}
 	switch {
-	case s.NoteEvery < 0:
-		return fmt.Errorf("NoteEvery: %v is under 0", s.NoteEvery)
-	case !(s.Rules.ExtraFree >= 0):
-		return fmt.Errorf("Rules.ExtraFree: %v is under 0", s.Rules.ExtraFree)
-	case !(s.Rules.ExtraShare >= 0):
-		return fmt.Errorf("Rules.ExtraShare: %v is under 0", s.Rules.ExtraShare)
-	case s.Rules.LookBack < 0:
-		return fmt.Errorf("Rules.LookBack: %v is under 0", s.Rules.LookBack)
+	case s.ProgressInterval < 0:
+		return fmt.Errorf("NoteEvery: %v is under 0", s.ProgressInterval)
+	case !(s.Rules.RetryBudgetBase >= 0):
+		return fmt.Errorf("Rules.ExtraFree: %v is under 0", s.Rules.RetryBudgetBase)
+	case !(s.Rules.RetryBudgetRatio >= 0):
+		return fmt.Errorf("Rules.ExtraShare: %v is under 0", s.Rules.RetryBudgetRatio)
+	case s.Rules.RetryBudgetWindow < 0:
+		return fmt.Errorf("Rules.LookBack: %v is under 0", s.Rules.RetryBudgetWindow)
 	}
 	return nil
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -63,15 +63,15 @@
 	}
 	mean /= all
 	s := Settings{
-		Gateways: p.gateways, Round: 5 * time.Millisecond, NoteEvery: 500 * time.Millisecond,
-		Kinds: []Kind{{Name: "k", Cores: cores, MemoryMB: 1 << 14}}, CostTold: true, Short: ShortWait,
+		Gateways: p.gateways, CallInterval: 5 * time.Millisecond, ProgressInterval: 500 * time.Millisecond,
+		Kinds: []Kind{{Name: "k", Cores: cores, MemoryMB: 1 << 14}}, ReportsCost: true, MemoryShortage: ShortageQueue,
 		Classes: []Class{
-			{Name: "lookup", Aim: 1200 * time.Millisecond, Stretch: 1.5, Deadline: 6 * time.Second, Worth: 1, Threads: 1, Effect: Safe},
-			{Name: "report", Aim: 2 * time.Second, Stretch: 2.5, Deadline: 25 * time.Second, Worth: 4, Threads: 3, Effect: Safe},
-			{Name: "load", Aim: 4 * time.Second, Stretch: 2.5, Deadline: 20 * time.Second, Worth: 5, Threads: 2, Effect: Keyed, Group: GroupAll, Window: 12 * time.Second},
+			{Name: "lookup", LatencyObjective: 1200 * time.Millisecond, ObjectiveStretch: 1.5, Timeout: 6 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent},
+			{Name: "report", LatencyObjective: 2 * time.Second, ObjectiveStretch: 2.5, Timeout: 25 * time.Second, PriorityWeight: 4, Threads: 3, Idempotency: Idempotent},
+			{Name: "load", LatencyObjective: 4 * time.Second, ObjectiveStretch: 2.5, Timeout: 20 * time.Second, PriorityWeight: 5, Threads: 2, Idempotency: IdempotentWithKey, DedupScope: DedupAll, DedupWindow: 12 * time.Second},
 		},
-		Rules:  Rules{ColdStart: p.start, ColdFor: 15 * time.Second, TipMultiple: 2.5, TipFor: p.tipFor},
-		Limits: Limits{Tries: 3, Cancel: true}, Goal: Goal{Whole: 1},
+		Rules:  Rules{WarmUpMinCapacity: p.start, WarmUpPeriod: 15 * time.Second, OverloadMultiple: 2.5, OverloadWindow: p.tipFor},
+		Limits: Limits{MaxAttempts: 3, AllowCancel: true}, Objective: Objective{Overall: 1},
 	}
 	var events coldEvents
 	now := begin
@@ -109,23 +109,23 @@
 			work := time.Duration(out[send.Query] * float64(time.Millisecond))
 			after(took, func() {
 				if gateways[i] == g {
-					handle(i, Outcome{Query: send.Query, Result: Served, Elapsed: took, Final: true, Work: work})
+					handle(i, AttemptEnded{Query: send.Query, Result: ResultSuccess, Elapsed: took, Final: true, Work: work})
 				}
 			})
 		}
 	}
 	var tick func(i int)
 	tick = func(i int) {
-		handle(i, Timer{})
+		handle(i, TimerFired{})
 		after(period/ticks, func() { tick(i) })
 	}
 	list := func(i int, state EngineState, started time.Duration) {
-		ev := Engines{Mode: ListFull}
+		ev := EngineList{Mode: ListFull}
 		for e := range warm + cold {
 			n := entry(e)
 			if e >= warm {
 				if n.State = state; started > 0 {
-					n.Started, n.Fresh = started, true
+					n.Started, n.StartKnown = started, true
 				}
 			}
 			ev.Engines = append(ev.Engines, n)
@@ -146,10 +146,10 @@
 		after(away-now+time.Duration(rng.Int64N(int64(p.told))), func() {
 			if rng.Float64() < p.fresh {
 				gateways[i], _ = New(s, p.seed<<10+uint64(i)+1<<40)
-				list(i, EngineGone, 0)
+				list(i, EngineDeparted, 0)
 				return
 			}
-			list(i, EngineGone, 0)
+			list(i, EngineDeparted, 0)
 		})
 		after(back-now+time.Duration(rng.Int64N(int64(p.told))), func() { list(i, EngineLive, back) })
 	}
@@ -176,7 +176,7 @@
 		out[id] = works[name] * math.Exp(sd*rng.NormFloat64()-sd*sd/2)
 		for _, c := range s.Classes {
 			if c.Name == name {
-				handle(i, Arrive{Query: id, Class: name, Set: int64(id % 20), Deadline: now + c.Deadline})
+				handle(i, QueryArrived{Query: id, Class: name, DataSet: int64(id % 20), Deadline: now + c.Timeout})
 			}
 		}
 		after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
@@ -187,7 +187,7 @@
 		now = e.at
 		e.run()
 	}
-	n := s.Rules.TipMultiple * p.start * part * cores * ms(p.tipFor) / mean
+	n := s.Rules.OverloadMultiple * p.start * part * cores * ms(p.tipFor) / mean
 	bears := n + 2*math.Sqrt(n) + 2
 	for _, all := range got[warm:] {
 		sent += len(all)
--- a/policy/order_test.go
+++ b/policy/order_test.go
@@ -19,7 +19,7 @@
 
 func playOrder(t *testing.T, seed uint64) {
 	s := settings()
-	s.Classes = []Class{{Name: "load", Aim: time.Second, Deadline: 5 * time.Second, Worth: 5, Threads: 1, Effect: Unsafe, InOrder: true}}
+	s.Classes = []Class{{Name: "load", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 5, Threads: 1, Idempotency: NotIdempotent, Ordered: true}}
 	s.Gateways = 1
 	g, err := New(s, seed)
 	if err != nil {
@@ -29,7 +29,7 @@
 	m := &model{t: t, s: s, now: time.Minute, open: map[uint64]*seen{}, state: map[string]EngineState{}, info: map[string]Engine{}}
 	list := func(e Engine) {
 		m.state[e.ID], m.info[e.ID] = e.State, e
-		m.apply(g.Handle(m.now, Engines{Mode: ListChanges, Engines: []Engine{e}}, nil))
+		m.apply(g.Handle(m.now, EngineList{Mode: ListChanges, Engines: []Engine{e}}, nil))
 	}
 	for n := range 4 {
 		list(live(fmt.Sprintf("e%d", n), "a", 0))
@@ -38,8 +38,8 @@
 	for step := range 1500 {
 		m.now += time.Duration(rng.IntN(25)) * msec
 		for _, q := range m.all { // the core's timers
-			if !q.over && m.now >= q.due-s.Round {
-				m.apply(g.Handle(m.now, Timer{Token: q.id + 1}, nil))
+			if !q.over && m.now >= q.due-s.CallInterval {
+				m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
 				if !q.over {
 					m.fail("query %d is unanswered at its deadline", q.id)
 				}
@@ -48,23 +48,23 @@
 		switch k := rng.IntN(20); {
 		case k < 7:
 			c := s.Classes[0]
-			q := &seen{id: uint64(step + 1), class: c, due: m.now + time.Duration(1+rng.IntN(int(c.Deadline/msec)))*msec, key: fmt.Sprint(rng.IntN(keys))}
+			q := &seen{id: uint64(step + 1), class: c, due: m.now + time.Duration(1+rng.IntN(int(c.Timeout/msec)))*msec, key: fmt.Sprint(rng.IntN(keys))}
 			m.open[q.id], m.all = q, append(m.all, q)
-			m.apply(g.Handle(m.now, Arrive{Query: q.id, Class: c.Name, Key: q.key, Deadline: q.due}, nil))
+			m.apply(g.Handle(m.now, QueryArrived{Query: q.id, Class: c.Name, Key: q.key, Deadline: q.due}, nil))
 		case k < 15 && len(m.all) > 0:
 			m.outcome(g, rng)
 		case k < 16 && len(m.all) > 0:
 			if q := m.all[rng.IntN(len(m.all))]; !q.over {
 				q.over = true
-				m.apply(g.Handle(m.now, Gone{Query: q.id}, nil))
+				m.apply(g.Handle(m.now, ClientDisconnected{Query: q.id}, nil))
 			}
 		case k < 17:
 			e := live(fmt.Sprintf("e%d", rng.IntN(4)), "a", 0)
 			e.State = EngineState(rng.IntN(3))
-			e.Fresh, e.Started = rng.IntN(2) == 0, m.now
+			e.StartKnown, e.Started = rng.IntN(2) == 0, m.now
 			list(e)
 		default:
-			m.apply(g.Handle(m.now, Timer{}, nil))
+			m.apply(g.Handle(m.now, TimerFired{}, nil))
 			m.noneStarves()
 		}
 	}
@@ -85,7 +85,7 @@
 		}
 		holds := !q.over
 		for _, try := range q.tries {
-			holds = holds || try.out || try.doubt && m.now-try.ended <= m.s.Rules.Settle+m.s.Round
+			holds = holds || try.out || try.doubt && m.now-try.ended <= m.s.Rules.SettleTime+m.s.CallInterval
 		}
 		free[q.key] = holds
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -62,22 +62,23 @@
 	if err := check(&s); err != nil {
 		return nil, fmt.Errorf("policy: settings: %w", err)
 	}
-	s.GrantsHeeded = s.GrantsHeeded && (s.CostTold || s.Short != ShortTrim) // a trimmed one tells no need
+	// An engine that trims grants doesn't show what a query would have needed.
+	s.HonorsGrants = s.HonorsGrants && (s.ReportsCost || s.MemoryShortage != ShortageTrim)
 	g := &Gateway{set: s, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
 		tenants: map[string]*tenant{}, kinds: map[string]Kind{}, byID: map[string]*engine{},
 		queries: map[uint64]*query{}, lanes: map[string]*lane{}, width: 1,
 		sets:  map[int64]float64{},
-		quiet: time.Duration(quietNotes * float64(s.NoteEvery))}
+		quiet: time.Duration(quietNotes * float64(s.ProgressInterval))}
 	for _, c := range s.Classes {
 		if c.Threads <= 0 {
 			c.Threads = 1
 		}
-		usual := ms(c.Aim) / 3
+		usual := ms(c.LatencyObjective) / 3
 		g.widest = max(g.widest, c.Threads)
 		g.classes[c.Name] = &class{Class: c, latency: usual, quick: usual, work: usual * c.Threads,
 			grant: 1, spread: 1 / spreads}
-		if s.NoteEvery == 0 {
-			g.quiet = max(g.quiet, c.Aim)
+		if s.ProgressInterval == 0 {
+			g.quiet = max(g.quiet, c.LatencyObjective)
 		}
 	}
 	for _, t := range s.Tenants {
@@ -88,10 +89,10 @@
 		g.kinds[k.Name] = k
 	}
 	g.rate = g.quota / float64(s.Gateways)
-	switch g.full = startCores; s.Short {
-	case ShortSwap:
+	switch g.full = startCores; s.MemoryShortage {
+	case ShortageSwap:
 		g.full *= swapCaution
-	case ShortWait: // the engine's line for memory holds an excess, by priority
+	case ShortageQueue: // the engine's line for memory holds an excess, by priority
 		g.full *= waitEase
 	}
 	return g, nil
@@ -102,33 +103,33 @@
 	g.now, g.out = max(now, g.now), out
 	if !g.started {
 		g.started, g.born = true, now
-		g.act(Wake{After: period / ticks})
-		if g.set.ListAsked {
+		g.act(SetTimer{After: period / ticks})
+		if g.set.SubscribeToList {
 			g.act(Subscribe{})
 		}
 	}
 	switch ev := ev.(type) {
-	case Arrive:
+	case QueryArrived:
 		g.arrive(ev)
-	case Outcome:
+	case AttemptEnded:
 		g.outcome(ev)
-	case Probed:
+	case LoadReportReceived:
 		if e := g.byID[ev.Engine]; e != nil {
 			g.told(e, ev.Load)
 		}
-	case Note:
+	case AttemptProgress:
 		g.note(ev)
-	case Began:
+	case StreamStarted:
 		if a := g.attempt(ev.Query, ev.Attempt); a != nil {
 			a.stream, a.e.heard = true, g.now
 		}
-	case Gone:
+	case ClientDisconnected:
 		if q := g.queries[ev.Query]; q != nil {
 			g.over(q)
 		}
-	case Timer:
+	case TimerFired:
 		g.timer(ev.Token)
-	case Engines:
+	case EngineList:
 		g.list(ev)
 	}
 	out, g.out = g.out, nil
@@ -146,7 +147,7 @@
 		}
 		return
 	}
-	g.act(Wake{After: period / ticks})
+	g.act(SetTimer{After: period / ticks})
 	if g.now-g.ticking > 2*period/ticks {
 		g.awake = g.now
 	}
@@ -171,22 +172,23 @@
 
 // ---- The query's life ----
 
-func (g *Gateway) arrive(ev Arrive) {
+func (g *Gateway) arrive(ev QueryArrived) {
 	if g.queries[ev.Query] != nil {
 		return
 	}
 	if !ev.Repeat {
 		g.arrived++
 	}
-	if g.set.Rules.LookBack > 0 {
+	if g.set.Rules.RetryBudgetWindow > 0 {
 		g.taken = append(g.taken, g.now)
 	}
 	c := g.classes[ev.Class]
 	if c == nil { // nothing is known of what a repeat would do: nothing is sent
-		g.act(Refuse{Query: ev.Query, ComeBack: g.comeBack()})
+		g.act(Reject{Query: ev.Query, RetryAfter: g.comeBack()})
 		return
 	}
-	q := &query{id: ev.Query, class: c, key: ev.Key, set: ev.Set, memory: ev.MemoryMB, deadline: ev.Deadline}
+	q := &query{id: ev.Query, class: c, key: ev.Key, set: ev.DataSet,
+		memory: ev.MemoryMB, deadline: ev.Deadline}
 	q.work, q.weight = c.work, c.Threads
 	if w := ms(ev.Work); w > 0 {
 		if c.guess == 0 {
@@ -196,7 +198,7 @@
 		part := min(max(w/c.guess, 0.1), 30)
 		q.work, q.weight = c.work*part, c.Threads*min(max(part, 0.25), 2)
 	}
-	q.rank = math.Log2(max(c.Worth, 1e-9) / q.work)
+	q.rank = math.Log2(max(c.PriorityWeight, 1e-9) / q.work)
 	if g.dear == 0 {
 		g.dear = q.rank
 	}
@@ -211,7 +213,7 @@
 	g.queries[q.id] = q
 	g.popular(q.set)
 	g.probe()
-	g.act(Wake{After: max(0, q.deadline-g.now-g.set.Round), Token: q.id + 1})
+	g.act(SetTimer{After: max(0, q.deadline-g.now-g.set.CallInterval), Token: q.id + 1})
 	g.enter(q)
 	if g.turn(q) {
 		g.admit(q)
@@ -259,7 +261,7 @@
 }
 
 // outcome ends an attempt and, where the client still waits, decides on another.
-func (g *Gateway) outcome(ev Outcome) {
+func (g *Gateway) outcome(ev AttemptEnded) {
 	a := g.attempt(ev.Query, ev.Attempt)
 	if a == nil || a.ended {
 		return
@@ -271,7 +273,7 @@
 	g.learn(a, ev)
 	g.told(e, ev.Load)
 	switch ev.Result {
-	case TimedOut, Lost, Cancelled, Unknown: // it may run still
+	case ResultTimeout, ResultConnectionLost, ResultCancelled, ResultUnknown: // it may run still
 		g.rest(q)
 	}
 	switch {
@@ -286,10 +288,10 @@
 }
 
 // learn takes from an outcome what it tells of the class and the engine.
-func (g *Gateway) learn(a *attempt, ev Outcome) {
+func (g *Gateway) learn(a *attempt, ev AttemptEnded) {
 	c, e := a.q.class, a.e
 	switch ev.Result {
-	case Served:
+	case ResultSuccess:
 		took := ms(ev.Elapsed)
 		c.n++
 		slow := float64(min(10+c.n, 50)) // the first answers teach more
@@ -301,10 +303,11 @@
 		g.fleet.answered(took/g.aim(a.q), took/c.quick)
 		if ev.Work > 0 {
 			c.work += (ms(ev.Work) - c.work) / slow
-		} else if !g.set.CostTold {
+		} else if !g.set.ReportsCost {
 			c.work = c.quick * c.Threads
 		}
-		if g.set.Short == ShortSwap && a.q.memory == 0 { // more than the need is nobody's loss there
+		// Where memory is swapped, a grant beyond the need costs nobody anything.
+		if g.set.MemoryShortage == ShortageSwap && a.q.memory == 0 {
 			c.ample += (swapCover*ev.MemoryMB - c.ample) / min(float64(c.n), slow)
 		}
 		if a.q.memory > 0 && ev.MemoryMB > c.grant*a.q.memory {
@@ -320,40 +323,41 @@
 				g.fault(b.e, faultStep/2, "it answers with errors")
 			}
 		}
-	case TimedOut:
+	case ResultTimeout:
 		e.answered(ms(ev.Elapsed)/g.aim(a.q), e.slow)
 		g.fleet.answered(ms(ev.Elapsed)/g.aim(a.q), g.fleet.slow)
-	case Full:
+	case ResultRejected:
 		e.pressed = g.now + 4*period
 		e.heard = g.now
-	case NoConnection, Unreached, Lost: // it may have restarted, seconds before the list tells
-		if g.now-e.lostAt >= period/ticks || ev.Result != Lost { // what ends together is one fault
+	case ResultConnectFailed, ResultConnectTimeout, ResultConnectionLost:
+		// The engine may have restarted, and the list says so seconds later. What ends together is one fault.
+		if g.now-e.lostAt >= period/ticks || ev.Result != ResultConnectionLost {
 			g.fault(e, faultStep, "connections fail")
 		}
-		if ev.Result == Unreached && g.now-e.heard < startLeast { // the connection alone is late
+		if ev.Result == ResultConnectTimeout && g.now-e.heard < startLeast { // the connection alone is late
 			return
 		}
-		if e.lostAt = g.now; ev.Result == NoConnection {
+		if e.lostAt = g.now; ev.Result == ResultConnectFailed {
 			e.doubted = false
 		} else if !e.doubted {
 			e.doubted, e.coldWas = true, e.coldUntil
 		}
-		g.chill(e, g.now, max(e.coldUntil, g.now+g.set.Rules.ColdFor))
-	case Failed:
+		g.chill(e, g.now, max(e.coldUntil, g.now+g.set.Rules.WarmUpPeriod))
+	case ResultError:
 		e.heard, a.erred = g.now, true
 	}
 }
 
 // told takes an engine's report: the level that all engines seem to stand at, as
 // cores in use or as threads held over a bound's start, of all gateways.
-func (g *Gateway) told(e *engine, l Load) {
-	if !l.Told || !(max(l.Held, l.Busy) >= 0) {
+func (g *Gateway) told(e *engine, l LoadReport) {
+	if !l.Reported || !(max(l.InFlight, l.CPUUtilization) >= 0) {
 		return
 	}
-	e.load = g.full * l.Busy
+	e.load = g.full * l.CPUUtilization
 	e.free = 0
-	if l.Held >= 0 { // busy cores say nothing of what waits
-		held := min(l.Held, mostHeld*e.cores)
+	if l.InFlight >= 0 { // busy cores say nothing of what waits
+		held := min(l.InFlight, mostHeld*e.cores)
 		g.theirs += (held - g.theirs) / 40
 		e.load = held * g.width / e.cores
 		e.free = max(g.full-e.load, 0) * e.cores
@@ -367,11 +371,12 @@
 // idle: what one gateway sees of an engine in passing is seconds old.
 func (g *Gateway) probe() {
 	busy := max(g.fleet.level, levelSlack) / (1 - levelSlack)
-	if !g.set.Limits.Probes || !g.set.LoadTold || len(g.engines) == 0 || g.rng.Float64() > busy {
+	allowed := g.set.Limits.AllowLoadRequests && g.set.ReportsLoad
+	if !allowed || len(g.engines) == 0 || g.rng.Float64() > busy {
 		return
 	}
 	if e := g.engines[g.rng.IntN(len(g.engines))]; e.state == EngineLive {
-		g.act(Probe{Engine: e.id})
+		g.act(RequestLoadReport{Engine: e.id})
 	}
 }
 
@@ -401,37 +406,38 @@
 // aim is the class aim, stretched by the query's expected work, in ms.
 func (g *Gateway) aim(q *query) float64 {
 	c := q.class
-	return min(ms(c.Aim)+c.Stretch*q.work/c.Threads, ms(c.Deadline))
+	return min(ms(c.LatencyObjective)+c.ObjectiveStretch*q.work/c.Threads, ms(c.Timeout))
 }
 
 // note takes word of an attempt. Guards against bad plans and slow engines: one on its way to a multiple
 // of its class's usual latency, or past the deadline, is cancelled where another has time to finish.
-func (g *Gateway) note(ev Note) {
+func (g *Gateway) note(ev AttemptProgress) {
 	a := g.attempt(ev.Query, ev.Attempt)
 	if a == nil || a.ended {
 		return
 	}
 	a.heard, a.e.heard = g.now, g.now
-	a.waits = ev.Kind == NoteWaitMemory || ev.Kind == NoteWaitLoad
+	a.waits = ev.Kind == ProgressWaitingForMemory || ev.Kind == ProgressWaitingForDataLoad
 	g.spoke(a)
-	if ev.Kind == NoteWaitLoad {
-		a.e.heldSets[a.q.set] = g.now + 2*g.set.NoteEvery
+	if ev.Kind == ProgressWaitingForDataLoad {
+		a.e.heldSets[a.q.set] = g.now + 2*g.set.ProgressInterval
 	}
 	q := a.q
-	if c := q.class; ev.Kind == NoteSpill && !a.spilled && q.memory > 0 && !g.set.CostTold &&
+	if c := q.class; ev.Kind == ProgressSpilled && !a.spilled && q.memory > 0 && !g.set.ReportsCost &&
 		2*a.grant >= c.grant*q.memory { // else it got the most that one query gets
 		a.spilled = true
 		c.grant = max(c.grant*(1+grantCover/10), (c.grant+(a.grant+ev.Value)/q.memory)/2)
 	}
 	usual := q.class.latency * q.work / q.class.work
 	rest := ms(q.deadline - g.now)
-	if a.cancel || q.done || !g.set.Limits.Cancel || ev.Kind == NoteSpill {
+	if a.cancel || q.done || !g.set.Limits.AllowCancel || ev.Kind == ProgressSpilled {
 		return
 	}
-	if ev.Kind != NoteProgress { // it stands still; elsewhere it would run. A ration is for what fails,
+	if ev.Kind != ProgressFraction { // it stands still; elsewhere it would run. A ration is for what fails,
 		// and where memory is short on two engines, or all are full, it would but lose its place in line
-		once := ev.Kind == NoteWaitLoad || len(q.tries) == 1 && g.fleet.level <= 1-levelSlack
-		if once && g.set.Rules.LookBack == 0 && q.class.Effect == Safe && ms(g.now-a.sent)+usual < g.aim(q) {
+		once := ev.Kind == ProgressWaitingForDataLoad || len(q.tries) == 1 && g.fleet.level <= 1-levelSlack
+		inTime := ms(g.now-a.sent)+usual < g.aim(q)
+		if once && g.set.Rules.RetryBudgetWindow == 0 && q.class.Idempotency == Idempotent && inTime {
 			g.shift(a)
 		}
 		return
@@ -457,12 +463,12 @@
 // Guards against a refusal of what the only engine is about to answer.
 func (g *Gateway) shift(a *attempt) bool {
 	return slices.ContainsFunc(g.engines, func(e *engine) bool {
-		return (e != a.e || g.set.Limits.Copies) && g.suits(a.q, e)
+		return (e != a.e || g.set.Limits.AllowHedging) && g.suits(a.q, e)
 	}) && g.move(a)
 }
 
 func (g *Gateway) cancel(a *attempt) bool {
-	if a.cancel || a.ended || a.stream || !g.set.Limits.Cancel {
+	if a.cancel || a.ended || a.stream || !g.set.Limits.AllowCancel {
 		return false
 	}
 	a.cancel = true
@@ -472,8 +478,8 @@
 
 // comeBack spreads the return of refused clients over the time they honour.
 func (g *Gateway) comeBack() time.Duration {
-	half := g.set.Limits.MostComeBack / 2
-	if !g.set.Limits.ComeBack || half <= 0 {
+	half := g.set.Limits.MaxRetryAfter / 2
+	if !g.set.Limits.SendRetryAfter || half <= 0 {
 		return 0
 	}
 	return half + time.Duration(g.rng.Int64N(int64(half)))
@@ -499,7 +505,7 @@
 		room := bound - e.backlog + g.liking(q, e, affinity(e.hash, q.set) >= mark)
 		room += math.Log(1-g.rng.Float64()) * q.weight / e.cores // ties fall anywhere, by cores
 		room += g.relief(e) - e.faults*e.top
-		if g.now < e.begun+g.set.Rules.ColdFor { // its budget is the guard, and is lost if unused
+		if g.now < e.begun+g.set.Rules.WarmUpPeriod { // its budget is the guard, and is lost if unused
 			room += 2 * q.weight
 		}
 		if slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.e == e }) {
@@ -526,7 +532,8 @@
 
 // trial lets a suspect engine have one repeatable query now and then.
 func (g *Gateway) trial(q *query, e *engine) bool {
-	if q.class.Effect != Safe || len(e.out)+len(q.tries) > 0 || g.now < e.trialAt || !g.maySend(q, e) {
+	idle := len(e.out)+len(q.tries) == 0
+	if q.class.Idempotency != Idempotent || !idle || g.now < e.trialAt || !g.maySend(q, e) {
 		return false
 	}
 	e.trialAt = g.now + 2*g.quiet
@@ -561,13 +568,13 @@
 	like := 0.0
 	if e.zone == g.set.Zone {
 		like += q.weight
-		if near && q.class.Load {
+		if near && q.class.DataLoad {
 			like -= q.weight // it would hold the readers up
 		} else if near {
 			like += q.weight
 		}
 	}
-	if (q.class.Load || q.class.WaitsOnLoad) && g.held(e, q.set) {
+	if (q.class.DataLoad || q.class.WaitsForDataLoad) && g.held(e, q.set) {
 		like -= e.start
 	}
 	return like
@@ -609,7 +616,7 @@
 // held tells whether a load holds the data set on the engine, ours or one seen to be waited for.
 func (g *Gateway) held(e *engine, set int64) bool {
 	return g.now < e.heldSets[set] || slices.ContainsFunc(e.out, func(a *attempt) bool {
-		return a.q.class.Load && a.q.set == set
+		return a.q.class.DataLoad && a.q.set == set
 	})
 }
 
@@ -624,19 +631,20 @@
 // again tells whether the rules leave the query another attempt once those
 // that are out have ended.
 func (g *Gateway) again(q *query) bool {
-	if q.done || len(q.tries) >= max(g.set.Limits.Tries, 1) || !g.rationed(q) {
+	if q.done || len(q.tries) >= max(g.set.Limits.MaxAttempts, 1) || !g.rationed(q) {
 		return false
 	}
 	return !slices.ContainsFunc(q.tries, func(a *attempt) bool {
-		late := g.now-a.sent >= q.class.Window
-		return a.ran && (q.class.Effect == Unsafe || q.class.Effect == Keyed && late)
+		late := g.now-a.sent >= q.class.DedupWindow
+		once := q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentWithKey && late
+		return a.ran && once
 	})
 }
 
 // maySend holds rules 1 to 7 for one send.
 func (g *Gateway) maySend(q *query, e *engine) bool {
-	return g.now < q.deadline && g.again(q) && g.suits(q, e) && (g.set.Limits.Copies || !q.outstanding()) &&
-		g.turn(q) && g.coldRoom(q, e)
+	return g.now < q.deadline && g.again(q) && g.suits(q, e) &&
+		(g.set.Limits.AllowHedging || !q.outstanding()) && g.turn(q) && g.coldRoom(q, e)
 }
 
 // suits holds the rules on where a query may go: to an engine that takes work, as its class is placed, in a
@@ -644,14 +652,14 @@
 func (g *Gateway) suits(q *query, e *engine) bool {
 	return e.state == EngineLive && among(q.class.Zones, e.zone) && among(q.class.Kinds, e.kind) &&
 		!slices.ContainsFunc(q.tries, func(a *attempt) bool {
-			return a.cancel && a.e == e && !g.set.Limits.Copies ||
-				a.ran && q.class.Effect == Keyed && !sameGroup(q.class.Group, a.e, e)
+			return a.cancel && a.e == e && !g.set.Limits.AllowHedging ||
+				a.ran && q.class.Idempotency == IdempotentWithKey && !sameGroup(q.class.DedupScope, a.e, e)
 		})
 }
 
-func sameGroup(group Group, a, b *engine) bool {
-	return a == b || group == GroupAll || group == GroupZone && a.zone == b.zone ||
-		group == GroupCell && a.cell == b.cell
+func sameGroup(group DedupScope, a, b *engine) bool {
+	return a == b || group == DedupAll || group == DedupZone && a.zone == b.zone ||
+		group == DedupCell && a.cell == b.cell
 }
 
 // among is rule 6, placement.
@@ -659,17 +667,18 @@
 
 // rationed is rule 7, the budget of further attempts.
 func (g *Gateway) rationed(q *query) bool {
-	back := g.set.Rules.LookBack
+	back := g.set.Rules.RetryBudgetWindow
 	if len(q.tries) == 0 || back == 0 {
 		return true
 	}
 	g.forget()
-	return float64(len(g.extra)+1) <= g.set.Rules.ExtraFree+g.set.Rules.ExtraShare*float64(len(g.taken))
+	r := g.set.Rules
+	return float64(len(g.extra)+1) <= r.RetryBudgetBase+r.RetryBudgetRatio*float64(len(g.taken))
 }
 
 // forget drops what was taken and sent again before the time that rule 7 looks back.
 func (g *Gateway) forget() {
-	back := g.now - g.set.Rules.LookBack
+	back := g.now - g.set.Rules.RetryBudgetWindow
 	g.taken = slices.DeleteFunc(g.taken, func(at time.Duration) bool { return at <= back })
 	g.extra = slices.DeleteFunc(g.extra, func(at time.Duration) bool { return at < back })
 }
@@ -679,7 +688,7 @@
 	g.forget()
 	g.engines = slices.DeleteFunc(g.engines, func(e *engine) bool {
 		maps.DeleteFunc(e.heldSets, func(_ int64, until time.Duration) bool { return g.now >= until })
-		done := e.state == EngineGone && len(e.out) == 0 && g.now >= e.coldUntil
+		done := e.state == EngineDeparted && len(e.out) == 0 && g.now >= e.coldUntil
 		if done {
 			delete(g.byID, e.id)
 		}
@@ -692,7 +701,7 @@
 // that outweighs half of it goes once in the spans that pay for it, in this gateway's turn, which lasts
 // until the next one's, or longer for small ones: rights that pile up would be used all at once.
 func (g *Gateway) coldRoom(q *query, e *engine) bool {
-	span := g.set.Rules.TipFor
+	span := g.set.Rules.OverloadWindow
 	switch {
 	case g.now >= e.coldUntil || span <= 0:
 		return true
@@ -718,8 +727,8 @@
 // warm is the part of its capacity that an engine has at the least: a fresh one
 // that held as much as a warm one would stand still under it.
 func (g *Gateway) warm(e *engine) float64 {
-	left := float64(e.coldUntil-g.now) / float64(max(g.set.Rules.ColdFor, 1))
-	return 1 - (1-g.set.Rules.ColdStart)*min(max(left, 0), 1)
+	left := float64(e.coldUntil-g.now) / float64(max(g.set.Rules.WarmUpPeriod, 1))
+	return 1 - (1-g.set.Rules.WarmUpMinCapacity)*min(max(left, 0), 1)
 }
 
 // chill takes an engine as cold, with a turn for wide queries that no other gateway
@@ -737,7 +746,8 @@
 // coldPart is the work that this gateway may send a cold engine within a span.
 func (g *Gateway) coldPart(e *engine) float64 {
 	r := g.set.Rules
-	return coldMargin * r.TipMultiple * r.ColdStart * e.cores * ms(r.TipFor) / float64(g.set.Gateways)
+	overload := coldMargin * r.OverloadMultiple * r.WarmUpMinCapacity * e.cores * ms(r.OverloadWindow)
+	return overload / float64(g.set.Gateways)
 }
 
 // send is the one place where a query goes out.
@@ -747,7 +757,7 @@
 		return
 	}
 	a := &attempt{q: q, n: len(q.tries), e: e, sent: g.now, heard: g.now, ran: true}
-	if a.n > 0 && g.set.Rules.LookBack > 0 {
+	if a.n > 0 && g.set.Rules.RetryBudgetWindow > 0 {
 		g.extra = append(g.extra, g.now)
 	}
 	q.tries = append(q.tries, a)
@@ -756,30 +766,30 @@
 	g.width += (q.weight - g.width) / 20
 	if g.now < e.coldUntil {
 		spans := coldCost * q.work / g.coldPart(e)
-		e.coldNext = max(e.coldNext, g.now) + time.Duration(spans*float64(g.set.Rules.TipFor))
+		e.coldNext = max(e.coldNext, g.now) + time.Duration(spans*float64(g.set.Rules.OverloadWindow))
 	}
 	grant := Grant{Query: q.id, Priority: 1}
-	if g.set.GrantsHeeded {
+	if g.set.HonorsGrants {
 		grant.MemoryMB = math.Ceil(max(q.memory*q.class.grant, q.class.ample))
-		if most := math.Floor(g.set.MostGrant * g.kinds[e.kind].MemoryMB); most > 0 {
+		if most := math.Floor(g.set.MaxGrantFraction * g.kinds[e.kind].MemoryMB); most > 0 {
 			grant.MemoryMB = min(grant.MemoryMB, most)
 		}
 		a.grant = grant.MemoryMB
 	}
-	if g.set.PriorityHeeds {
+	if g.set.HonorsPriority {
 		grant.Priority = g.priority(q)
 	}
-	if grant.MemoryMB > 0 || g.set.PriorityHeeds {
+	if grant.MemoryMB > 0 || g.set.HonorsPriority {
 		g.act(grant)
 	}
-	g.act(Send{Query: q.id, Engine: e.id, Within: q.deadline - g.now})
+	g.act(Send{Query: q.id, Engine: e.id, Timeout: q.deadline - g.now})
 }
 
 // priority ranks a query by worth over expected work, against the usual: twice
 // the usual is one step. What is short and dear passes what is long, which loses
 // little by it. A load holds readers up, so it comes first.
 func (g *Gateway) priority(q *query) int {
-	if q.class.Load {
+	if q.class.DataLoad {
 		return 3
 	}
 	return int(min(max(math.Round(usualRank+q.rank), 0), 3))
@@ -791,7 +801,7 @@
 		return
 	}
 	if g.mayRefuse(q) {
-		g.act(Refuse{Query: q.id, ComeBack: g.comeBack()})
+		g.act(Reject{Query: q.id, RetryAfter: g.comeBack()})
 	} else {
 		g.act(Fail{Query: q.id})
 	}
@@ -800,7 +810,8 @@
 
 // mayRefuse is rule 2 for answers: trying again must be harmless.
 func (g *Gateway) mayRefuse(q *query) bool {
-	return q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll ||
+	return q.class.Idempotency == Idempotent ||
+		q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupAll ||
 		!slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.ran })
 }
 
@@ -817,51 +828,6 @@
 	g.leave(q)
 }
 
-func (g *Gateway) enter(q *query) {
-	if !q.class.InOrder || q.key == "" {
-		return
-	}
-	if g.lanes[q.key] == nil {
-		g.lanes[q.key] = &lane{}
-	}
-	g.lanes[q.key].line = append(g.lanes[q.key].line, q)
-}
-
-// turn tells whether all earlier queries of the key are over and, at its first attempt, its rest too.
-func (g *Gateway) turn(q *query) bool {
-	l := g.lanes[q.key]
-	return !q.class.InOrder || q.key == "" || l.line[0] == q && (g.now >= l.rest || len(q.tries) > 0)
-}
-
-func (g *Gateway) rest(q *query) {
-	if l := g.lanes[q.key]; l != nil && q.class.InOrder {
-		l.rest = max(l.rest, g.now+g.set.Rules.Settle+g.set.Round)
-	}
-}
-
-func (g *Gateway) leave(q *query) {
-	l := g.lanes[q.key]
-	if !q.class.InOrder || q.key == "" || l == nil {
-		return
-	}
-	l.line = slices.DeleteFunc(l.line, func(o *query) bool { return o == q })
-}
-
-// pump admits held queries whose turn has come, in the order they were taken.
-func (g *Gateway) pump() {
-	held := g.waiting
-	g.waiting = nil
-	for _, q := range held {
-		switch {
-		case q.done:
-		case g.turn(q):
-			g.admit(q)
-		default:
-			g.waiting = append(g.waiting, q)
-		}
-	}
-}
-
 // ---- Engine state: control loop, health, cold ramp, drain ----
 
 func (g *Gateway) drop(a *attempt) {
@@ -910,7 +876,7 @@
 	}
 	quiet := 0
 	for _, a := range slices.Clone(e.out) {
-		if g.set.NoteEvery == 0 {
+		if g.set.ProgressInterval == 0 {
 			g.overdue(a)
 		} else if !a.stream {
 			if g.now-max(a.heard, g.awake) > g.quiet {
@@ -923,7 +889,7 @@
 	if quiet >= 2 && silent > g.quiet || quiet == 1 && silent > 2*g.quiet {
 		g.suspect(e, "all attempts are silent")
 		for _, a := range e.out {
-			if a.q.class.Effect == Safe {
+			if a.q.class.Idempotency == Idempotent {
 				g.move(a)
 			}
 		}
@@ -939,14 +905,14 @@
 		notes = waitNotes
 	}
 	silent := float64(g.now - max(a.heard, g.awake))
-	if a.missed || a.cancel || silent < notes*float64(g.set.NoteEvery) || g.now-e.heard > g.quiet {
+	if a.missed || a.cancel || silent < notes*float64(g.set.ProgressInterval) || g.now-e.heard > g.quiet {
 		return
 	}
 	a.missed = true
 	if e.lost[c]++; e.lost[c] >= muteAfter {
 		e.muteTill[c] = g.now + 2*g.quiet
 	}
-	if c.Effect != Unsafe {
+	if c.Idempotency != NotIdempotent {
 		g.move(a)
 	}
 }
@@ -972,7 +938,7 @@
 func (g *Gateway) overdue(a *attempt) {
 	q, out := a.q, ms(g.now-max(a.sent, g.awake))
 	usual := q.class.latency * q.work / q.class.work
-	if out > usual*(1+spreads*q.class.spread) && q.class.Effect == Safe &&
+	if out > usual*(1+spreads*q.class.spread) && q.class.Idempotency == Idempotent &&
 		ms(g.now-q.tries[0].sent)+usual < g.aim(q) && g.shift(a) {
 		g.fault(a.e, faultStep/4, "answers stay out")
 	}
@@ -1006,13 +972,13 @@
 }
 
 // list takes the engine list or a change to it.
-func (g *Gateway) list(ev Engines) {
-	if ev.Mode == ListFailed && g.set.ListAsked {
+func (g *Gateway) list(ev EngineList) {
+	if ev.Mode == ListFailed && g.set.SubscribeToList {
 		g.act(Subscribe{})
 	}
 	if ev.Mode == ListFull || ev.Mode == ListCached {
 		for _, e := range g.engines {
-			e.state = EngineGone // unless it is named below
+			e.state = EngineDeparted // unless it is named below
 		}
 	}
 	for _, n := range ev.Engines {
@@ -1033,11 +999,11 @@
 		g.engines = append(g.engines, e)
 		g.fresh(e, n)
 	}
-	if n.Fresh && n.Started > e.begun {
+	if n.StartKnown && n.Started > e.begun {
 		g.fresh(e, n)
 		e.begun, e.doubted = n.Started, false
 		e.coldUntil = 0 // a new line: the places in an earlier one have all passed
-		g.chill(e, n.Started, n.Started+g.set.Rules.ColdFor)
+		g.chill(e, n.Started, n.Started+g.set.Rules.WarmUpPeriod)
 	}
 	e.zone, e.kind, e.cell, e.state = n.Zone, n.Kind, n.Cell, n.State
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,20 +22,20 @@
 
 func settings() Settings {
 	return Settings{
-		Gateways: 2, Zone: "a", NoteEvery: 500 * msec, Round: 5 * msec,
+		Gateways: 2, Zone: "a", ProgressInterval: 500 * msec, CallInterval: 5 * msec,
 		Kinds: []Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []Class{
-			{Name: "safe", Aim: 300 * msec, Deadline: 2 * time.Second, Worth: 1, Threads: 1, Effect: Safe},
-			{Name: "wide", Aim: 3 * time.Second, Deadline: 15 * time.Second, Worth: 9, Threads: 4, Effect: Safe},
-			{Name: "unsafe", Aim: time.Second, Deadline: 9 * time.Second, Worth: 5, Threads: 2, Effect: Unsafe},
-			{Name: "keyed", Aim: time.Second, Deadline: 9 * time.Second, Worth: 5, Threads: 2,
-				Effect: Keyed, Group: GroupCell, Window: time.Second},
-			{Name: "ordered", Aim: time.Second, Deadline: 9 * time.Second, Worth: 1, Threads: 1, Effect: Safe, InOrder: true},
-			{Name: "bound", Aim: time.Second, Deadline: 9 * time.Second, Worth: 1, Threads: 1, Effect: Safe, Zones: []string{"b"}},
+			{Name: "safe", LatencyObjective: 300 * msec, Timeout: 2 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent},
+			{Name: "wide", LatencyObjective: 3 * time.Second, Timeout: 15 * time.Second, PriorityWeight: 9, Threads: 4, Idempotency: Idempotent},
+			{Name: "unsafe", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 5, Threads: 2, Idempotency: NotIdempotent},
+			{Name: "keyed", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 5, Threads: 2,
+				Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: time.Second},
+			{Name: "ordered", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent, Ordered: true},
+			{Name: "bound", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent, Zones: []string{"b"}},
 		},
-		Rules: Rules{AnswerSlack: 20 * msec, DrainGrace: time.Second, ColdStart: 0.3, ColdFor: 10 * time.Second,
-			TipMultiple: 3, TipFor: 2 * time.Second, Settle: 700 * msec},
-		Limits: Limits{Tries: 4, Cancel: true, ComeBack: true, MostComeBack: time.Second},
+		Rules: Rules{AnswerSlack: 20 * msec, DrainGrace: time.Second, WarmUpMinCapacity: 0.3, WarmUpPeriod: 10 * time.Second,
+			OverloadMultiple: 3, OverloadWindow: 2 * time.Second, SettleTime: 700 * msec},
+		Limits: Limits{MaxAttempts: 4, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
 	}
 }
 
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, g: g, now: time.Minute}
-	r.do(Engines{Mode: ListCached, Engines: engines})
+	r.do(EngineList{Mode: ListCached, Engines: engines})
 	return r
 }
 
@@ -64,17 +64,17 @@
 // ticks lets the gateway's timer run for a while and gathers what it does.
 func (r *rig) ticks(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
-		all = append(all, r.after(100*msec).do(Timer{})...)
+		all = append(all, r.after(100*msec).do(TimerFired{})...)
 	}
 	return all
 }
 
 func (r *rig) arrive(id uint64, class string) []Action {
-	return r.do(Arrive{Query: id, Class: class, Deadline: r.now + r.g.classes["unsafe"].Deadline})
+	return r.do(QueryArrived{Query: id, Class: class, Deadline: r.now + r.g.classes["unsafe"].Timeout})
 }
 
 func (r *rig) ends(id uint64, n int, res Result) []Action {
-	return r.do(Outcome{Query: id, Attempt: n, Result: res, Elapsed: 100 * msec, Final: res == Served})
+	return r.do(AttemptEnded{Query: id, Attempt: n, Result: res, Elapsed: 100 * msec, Final: res == ResultSuccess})
 }
 
 func sends(out []Action) (list []Send) {
@@ -147,7 +147,7 @@
 			continue
 		}
 		for _, a := range out {
-			if no, ok := a.(Refuse); ok && no.ComeBack > 0 && no.ComeBack <= time.Second {
+			if no, ok := a.(Reject); ok && no.RetryAfter > 0 && no.RetryAfter <= time.Second {
 				return
 			}
 		}
@@ -157,12 +157,12 @@
 }
 
 func TestUnsafeIsSentAgainOnlyWhenItNeverRan(t *testing.T) {
-	for res, again := range map[Result]bool{Full: true, NoConnection: true, Unreached: true, NotSent: true, Failed: false,
-		TimedOut: false, Lost: false, Cancelled: false, Unknown: false} {
+	for res, again := range map[Result]bool{ResultRejected: true, ResultConnectFailed: true, ResultConnectTimeout: true, ResultNotSent: true, ResultError: false,
+		ResultTimeout: false, ResultConnectionLost: false, ResultCancelled: false, ResultUnknown: false} {
 		r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 		r.arrive(1, "unsafe")
 		out := r.ends(1, 0, res)
-		if (len(sends(out)) == 1) != again || has[Refuse](out) || has[Fail](out) == again {
+		if (len(sends(out)) == 1) != again || has[Reject](out) || has[Fail](out) == again {
 			t.Errorf("after result %d: %+v", res, out)
 		}
 	}
@@ -171,9 +171,9 @@
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 2))
 	first := sends(r.arrive(1, "keyed"))[0].Engine
-	r.wantSend(r.ends(1, 0, Failed), first)
+	r.wantSend(r.ends(1, 0, ResultError), first)
 	r.after(1100 * msec)
-	out := r.ends(1, 1, Failed)
+	out := r.ends(1, 1, ResultError)
 	if len(sends(out)) != 0 || !has[Fail](out) {
 		t.Fatalf("beyond the window: %+v", out)
 	}
@@ -183,9 +183,9 @@
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 	e := live("e", "a", 1)
 	e.State = EngineDraining
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{e}})
+	r.do(EngineList{Mode: ListChanges, Engines: []Engine{e}})
 	r.wantSend(r.arrive(1, "safe"), "f")
-	r.do(Engines{Mode: ListFull, Engines: []Engine{e}})
+	r.do(EngineList{Mode: ListFull, Engines: []Engine{e}})
 	r.wantNoSend(r.arrive(2, "safe"))
 }
 
@@ -193,16 +193,16 @@
 	s := settings()
 	r := start(t, s, live("warm", "a", 1))
 	cold := live("cold", "a", 1)
-	cold.Started, cold.Fresh = r.now+5*time.Second, true
-	r.after(5 * time.Second).do(Engines{Mode: ListFull, Engines: []Engine{cold}})
+	cold.Started, cold.StartKnown = r.now+5*time.Second, true
+	r.after(5 * time.Second).do(EngineList{Mode: ListFull, Engines: []Engine{cold}})
 	work := 0.0
 	for id := uint64(1); id < 200; id++ {
 		for range sends(r.arrive(id, "safe")) {
 			work += r.g.classes["safe"].work
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultSuccess)
 		}
 	}
-	if budget := s.Rules.TipMultiple * s.Rules.ColdStart * 8 * 2000 / 2; work == 0 || work > budget {
+	if budget := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 2; work == 0 || work > budget {
 		t.Fatalf("sent %v ms of work, want some and at most %v", work, budget)
 	}
 }
@@ -210,46 +210,46 @@
 func TestOrderHoldsUntilTheEarlierIsOverAndRested(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
 	ask := func(id uint64) []Action {
-		return r.do(Arrive{Query: id, Class: "ordered", Key: "x", Deadline: r.now + 5*time.Second})
+		return r.do(QueryArrived{Query: id, Class: "ordered", Key: "x", Deadline: r.now + 5*time.Second})
 	}
 	r.wantSend(ask(1), "e")
 	r.wantNoSend(ask(2))
-	r.do(Gone{Query: 1})
-	r.wantNoSend(r.do(Timer{})) // its attempt is still out
-	r.ends(1, 0, Cancelled)
-	r.wantNoSend(r.after(500 * msec).do(Timer{}))
-	r.wantSend(r.after(300*msec).do(Timer{}), "e")
+	r.do(ClientDisconnected{Query: 1})
+	r.wantNoSend(r.do(TimerFired{})) // its attempt is still out
+	r.ends(1, 0, ResultCancelled)
+	r.wantNoSend(r.after(500 * msec).do(TimerFired{}))
+	r.wantSend(r.after(300*msec).do(TimerFired{}), "e")
 }
 
 func TestPlacementHoldsEvenWhenAllAllowedAreGone(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
 	r.wantNoSend(r.arrive(1, "bound"))
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{live("f", "b", 1)}})
+	r.do(EngineList{Mode: ListChanges, Engines: []Engine{live("f", "b", 1)}})
 	r.wantSend(r.arrive(2, "bound"), "f")
-	r.wantSend(r.ends(2, 0, Failed), "f")
+	r.wantSend(r.ends(2, 0, ResultError), "f")
 }
 
 func TestFurtherAttemptsAreRationed(t *testing.T) {
 	s := settings()
-	s.Rules.LookBack, s.Rules.ExtraFree, s.Rules.ExtraShare = time.Second, 1, 0.1
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = time.Second, 1, 0.1
 	r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 	r.arrive(1, "safe")
 	r.arrive(2, "safe")
-	r.wantSend(r.ends(1, 0, Full), "")
-	r.wantNoSend(r.ends(2, 0, Full))
+	r.wantSend(r.ends(1, 0, ResultRejected), "")
+	r.wantNoSend(r.ends(2, 0, ResultRejected))
 }
 
 func TestSilentEngineIsSuspectAndItsQueriesMove(t *testing.T) {
 	r := start(t, settings(), live("hung", "a", 1))
 	r.arrive(1, "wide")
 	r.arrive(2, "safe")
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{live("good", "a", 1)}})
+	r.do(EngineList{Mode: ListChanges, Engines: []Engine{live("good", "a", 1)}})
 	out := r.ticks(1500 * msec)
 	if !has[Cancel](out) || !has[Log](out) {
 		t.Fatalf("want cancels and a log line, got %+v", out)
 	}
 	r.wantNoSend(out) // never two attempts at once
-	r.wantSend(r.ends(1, 0, Cancelled), "good")
+	r.wantSend(r.ends(1, 0, ResultCancelled), "good")
 }
 
 func TestOneQuietAttemptDoesNotCondemnAnEngine(t *testing.T) {
@@ -262,14 +262,14 @@
 
 func TestBadPlanIsCancelledOnceThenLeft(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
-	r.do(Arrive{Query: 1, Class: "wide", Deadline: r.now + 15*time.Second})
+	r.do(QueryArrived{Query: 1, Class: "wide", Deadline: r.now + 15*time.Second})
 	r.after(time.Second)
-	if out := r.do(Note{Query: 1, Kind: NoteProgress, Value: 0.01}); !has[Cancel](out) {
+	if out := r.do(AttemptProgress{Query: 1, Kind: ProgressFraction, Value: 0.01}); !has[Cancel](out) {
 		t.Fatalf("a hopeless attempt was left: %+v", out)
 	}
-	r.wantSend(r.ends(1, 0, Cancelled), "")
+	r.wantSend(r.ends(1, 0, ResultCancelled), "")
 	r.after(time.Second)
-	if out := r.do(Note{Query: 1, Attempt: 1, Kind: NoteProgress, Value: 0.15}); has[Cancel](out) {
+	if out := r.do(AttemptProgress{Query: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.15}); has[Cancel](out) {
 		t.Fatalf("a heavy query was cancelled twice: %+v", out)
 	}
 }
@@ -278,12 +278,12 @@
 	for want, spoil := range map[string]func(*Settings){
 		"Gateways":            func(s *Settings) { s.Gateways = 0 },
 		"Classes: none":       func(s *Settings) { s.Classes = nil },
-		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].Aim = 0 },
-		"Classes[2].Deadline": func(s *Settings) { s.Classes[2].Deadline = -1 },
-		"Rules.LookBack":      func(s *Settings) { s.Rules.LookBack = -1 },
-		"Rules.ExtraFree":     func(s *Settings) { s.Rules.ExtraFree = -1 },
-		"Rules.ExtraShare":    func(s *Settings) { s.Rules.ExtraShare = math.NaN() },
-		"Worth":               func(s *Settings) { s.Classes[0].Worth = math.NaN() },
+		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"Classes[2].Deadline": func(s *Settings) { s.Classes[2].Timeout = -1 },
+		"Rules.LookBack":      func(s *Settings) { s.Rules.RetryBudgetWindow = -1 },
+		"Rules.ExtraFree":     func(s *Settings) { s.Rules.RetryBudgetBase = -1 },
+		"Rules.ExtraShare":    func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
+		"Worth":               func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
 		"Classes[0].Threads":  func(s *Settings) { s.Classes[0].Threads = math.NaN() },
 	} {
 		s := settings()
@@ -316,17 +316,17 @@
 
 func TestGrantFollowsToldNeedOverABiasedEstimate(t *testing.T) {
 	s := settings()
-	s.GrantsHeeded, s.CostTold = true, true
+	s.HonorsGrants, s.ReportsCost = true, true
 	r := start(t, s, live("e", "a", 1))
 	var grant float64
 	for id := uint64(1); id < 60; id++ {
-		out := r.do(Arrive{Query: id, Class: "safe", MemoryMB: 100, Deadline: r.now + time.Second})
+		out := r.do(QueryArrived{Query: id, Class: "safe", MemoryMB: 100, Deadline: r.now + time.Second})
 		for _, a := range out {
 			if g, ok := a.(Grant); ok {
 				grant = g.MemoryMB
 			}
 		}
-		r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Final: true, MemoryMB: 50})
+		r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * msec, Final: true, MemoryMB: 50})
 	}
 	if grant < 45 || grant > 65 {
 		t.Fatalf("granted %v MB for an estimate of 100 that is twice the need", grant)
@@ -335,12 +335,12 @@
 
 func TestOwnPauseCondemnsNoEngine(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	r.do(Timer{})
+	r.do(TimerFired{})
 	for id := uint64(1); id < 4; id++ {
 		r.arrive(id, "wide")
 		r.arrive(id+10, "safe")
 	}
-	if out := r.after(3 * time.Second).do(Timer{}); has[Cancel](out) || has[Log](out) {
+	if out := r.after(3 * time.Second).do(TimerFired{}); has[Cancel](out) || has[Log](out) {
 		t.Fatalf("a pause of the gateway was taken for silence of an engine: %+v", out)
 	}
 }
@@ -355,9 +355,9 @@
 			if q == nil {
 				break
 			}
-			res := Served
+			res := ResultSuccess
 			if q.tries[n].e.id == "bad" {
-				res = Failed
+				res = ResultError
 				sent++
 			}
 			r.ends(id, n, res)
@@ -373,11 +373,11 @@
 	s.Tenants = []Tenant{{Name: "t", Quota: 40, Share: 1}}
 	busy, idle := start(t, s, live("e", "a", 1)), start(t, s, live("e", "a", 1))
 	for id := uint64(1); id < 800; id++ {
-		busy.after(25 * msec).do(Arrive{Query: id, Class: "safe", Tenant: "t", Deadline: busy.now + time.Second})
-		busy.ends(id, 0, Served)
+		busy.after(25 * msec).do(QueryArrived{Query: id, Class: "safe", Tenant: "t", Deadline: busy.now + time.Second})
+		busy.ends(id, 0, ResultSuccess)
 		if id%4 == 0 {
-			busy.do(Timer{})
-			idle.after(100 * msec).do(Timer{})
+			busy.do(TimerFired{})
+			idle.after(100 * msec).do(TimerFired{})
 		}
 	}
 	b, i := busy.g.byID["e"].top, idle.g.byID["e"].top
@@ -395,8 +395,8 @@
 	serve := func(from uint64, took time.Duration) {
 		for id := from; id < from+200; id++ {
 			r.arrive(id, "safe")
-			r.do(Outcome{Query: id, Result: Served, Elapsed: took, Final: true})
-			r.after(20 * msec).do(Timer{})
+			r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: took, Final: true})
+			r.after(20 * msec).do(TimerFired{})
 		}
 	}
 	serve(1, 20*msec)
@@ -409,10 +409,10 @@
 
 func TestReadersKeepAwayFromASetUnderLoad(t *testing.T) {
 	s := settings()
-	s.Classes[2].Load, s.Classes[0].WaitsOnLoad = true, true
+	s.Classes[2].DataLoad, s.Classes[0].WaitsForDataLoad = true, true
 	r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 	ask := func(id uint64, class string) string {
-		out := r.do(Arrive{Query: id, Class: class, Set: 7, Deadline: r.now + 9*time.Second})
+		out := r.do(QueryArrived{Query: id, Class: class, DataSet: 7, Deadline: r.now + 9*time.Second})
 		return sends(out)[0].Engine
 	}
 	loading := ask(1, "unsafe")
@@ -426,19 +426,19 @@
 func TestHopelessQueryIsAnsweredEarly(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 	r.arrive(1, "wide")
-	r.after(time.Second).do(Note{Query: 1, Kind: NoteProgress, Value: 0.01})
-	r.ends(1, 0, Cancelled)
-	out := r.after(time.Second).do(Note{Query: 1, Attempt: 1, Kind: NoteProgress, Value: 0.01})
-	if !has[Refuse](out) || !has[Cancel](out) {
+	r.after(time.Second).do(AttemptProgress{Query: 1, Kind: ProgressFraction, Value: 0.01})
+	r.ends(1, 0, ResultCancelled)
+	out := r.after(time.Second).do(AttemptProgress{Query: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.01})
+	if !has[Reject](out) || !has[Cancel](out) {
 		t.Fatalf("a second attempt far past the deadline was kept: %+v", out)
 	}
-	r.wantNoSend(r.ends(1, 1, Cancelled))
+	r.wantNoSend(r.ends(1, 1, ResultCancelled))
 }
 
 func TestLateQueryWhoseFreshRunIsLateTooFinishes(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 	r.arrive(1, "safe")
-	if out := r.after(500 * msec).do(Note{Query: 1, Kind: NoteProgress, Value: 0.4}); has[Cancel](out) {
+	if out := r.after(500 * msec).do(AttemptProgress{Query: 1, Kind: ProgressFraction, Value: 0.4}); has[Cancel](out) {
 		t.Fatalf("cancelled though no attempt is left: %+v", out)
 	}
 }
@@ -477,8 +477,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(0, Engines{Mode: ListFull, Engines: list}, nil)
-		out := g.Handle(0, Arrive{Query: 1, Class: "safe", Set: int64(seed), Deadline: time.Second}, nil)
+		g.Handle(0, EngineList{Mode: ListFull, Engines: list}, nil)
+		out := g.Handle(0, QueryArrived{Query: 1, Class: "safe", DataSet: int64(seed), Deadline: time.Second}, nil)
 		for _, a := range sends(out) {
 			met[a.Engine] = true
 		}
@@ -494,7 +494,7 @@
 	r := start(t, s, live("e", "a", 1))
 	over := 0
 	for id := uint64(1); id < 40; id++ { // one in two seconds, its even part
-		r.after(2 * time.Second).do(Timer{})
+		r.after(2 * time.Second).do(TimerFired{})
 		if r.g.overShare("t") {
 			over++
 		}
@@ -503,7 +503,7 @@
 		t.Fatalf("%d of 39 queries within the quota counted as beyond it", over)
 	}
 	for id := 0; id < 100; id++ {
-		if r.after(100 * msec).do(Timer{}); r.g.overShare("t") {
+		if r.after(100 * msec).do(TimerFired{}); r.g.overShare("t") {
 			over++
 		}
 	}
@@ -523,7 +523,7 @@
 		s := settings()
 		s.Gateways = n
 		cold := live("cold", "a", 1)
-		cold.Started, cold.Fresh = time.Minute, true
+		cold.Started, cold.StartKnown = time.Minute, true
 		type sent struct {
 			at   time.Duration
 			work float64
@@ -532,22 +532,22 @@
 		gateways := make([]*Gateway, n)
 		for i := range gateways {
 			gateways[i], _ = New(s, uint64(i))
-			gateways[i].Handle(30*time.Second, Timer{}, nil)
+			gateways[i].Handle(30*time.Second, TimerFired{}, nil)
 			if down {
-				gateways[i].Handle(30*time.Second, Engines{Mode: ListFull, Engines: []Engine{live("cold", "a", 1)}}, nil)
-				gateways[i].Handle(51*time.Second, Arrive{Query: 1 << 40, Class: "safe", Deadline: 55 * time.Second}, nil)
-				gateways[i].Handle(51*time.Second, Outcome{Query: 1 << 40, Result: NoConnection}, nil)
+				gateways[i].Handle(30*time.Second, EngineList{Mode: ListFull, Engines: []Engine{live("cold", "a", 1)}}, nil)
+				gateways[i].Handle(51*time.Second, QueryArrived{Query: 1 << 40, Class: "safe", Deadline: 55 * time.Second}, nil)
+				gateways[i].Handle(51*time.Second, AttemptEnded{Query: 1 << 40, Result: ResultConnectFailed}, nil)
 			}
-			gateways[i].Handle(time.Minute, Engines{Mode: ListFull, Engines: []Engine{cold}}, nil)
+			gateways[i].Handle(time.Minute, EngineList{Mode: ListFull, Engines: []Engine{cold}}, nil)
 		}
 		id := uint64(0)
-		for now := time.Minute; now < time.Minute+s.Rules.ColdFor; now += 100 * msec {
+		for now := time.Minute; now < time.Minute+s.Rules.WarmUpPeriod; now += 100 * msec {
 			for _, g := range gateways {
 				for _, class := range []string{"safe", "wide", "unsafe"} {
 					id++
-					for range sends(g.Handle(now, Arrive{Query: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
+					for range sends(g.Handle(now, QueryArrived{Query: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
 						all = append(all, sent{now, g.classes[class].work})
-						g.Handle(now, Outcome{Query: id, Result: Served, Elapsed: s.Classes[0].Aim, Final: true}, nil)
+						g.Handle(now, AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: s.Classes[0].LatencyObjective, Final: true}, nil)
 					}
 				}
 			}
@@ -556,14 +556,14 @@
 		for i, from := range all {
 			sum := 0.0
 			for _, a := range all[i:] {
-				if a.at < from.at+s.Rules.TipFor {
+				if a.at < from.at+s.Rules.OverloadWindow {
 					sum += a.work
 				}
 			}
 			most, total = max(most, sum), total+from.work
 		}
-		limit := s.Rules.TipMultiple * s.Rules.ColdStart * 8 * ms(s.Rules.TipFor)
-		if most > limit || total < 0.1*limit*float64(s.Rules.ColdFor/s.Rules.TipFor) {
+		limit := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * ms(s.Rules.OverloadWindow)
+		if most > limit || total < 0.1*limit*float64(s.Rules.WarmUpPeriod/s.Rules.OverloadWindow) {
 			t.Errorf("%d gateways: %.0f ms of work within a span, %.0f in all; the limit of a span is %.0f", n, most, total, limit)
 		}
 	}
@@ -577,12 +577,12 @@
 	}{{"wide", 500 * msec, true}, {"wide", 2500 * msec, false}, {"unsafe", 500 * msec, false}} {
 		r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 		first := sends(r.arrive(1, c.class))[0].Engine
-		out := r.after(c.after).do(Note{Query: 1, Kind: NoteWaitLoad})
+		out := r.after(c.after).do(AttemptProgress{Query: 1, Kind: ProgressWaitingForDataLoad})
 		if has[Cancel](out) != c.moves {
 			t.Fatalf("%s after %v: %+v", c.class, c.after, out)
 		}
 		if c.moves {
-			if out = r.ends(1, 0, Cancelled); len(sends(out)) != 1 || sends(out)[0].Engine == first {
+			if out = r.ends(1, 0, ResultCancelled); len(sends(out)) != 1 || sends(out)[0].Engine == first {
 				t.Fatalf("it did not move from %s: %+v", first, out)
 			}
 		}
@@ -594,26 +594,26 @@
 func TestQueryThatWaitsForMemoryMovesOnce(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1), live("g", "a", 1))
 	r.arrive(1, "wide")
-	if out := r.do(Note{Query: 1, Kind: NoteWaitMemory}); !has[Cancel](out) {
+	if out := r.do(AttemptProgress{Query: 1, Kind: ProgressWaitingForMemory}); !has[Cancel](out) {
 		t.Fatalf("it did not move: %+v", out)
 	}
-	r.ends(1, 0, Cancelled)
-	if out := r.do(Note{Query: 1, Attempt: 1, Kind: NoteWaitMemory}); has[Cancel](out) {
+	r.ends(1, 0, ResultCancelled)
+	if out := r.do(AttemptProgress{Query: 1, Attempt: 1, Kind: ProgressWaitingForMemory}); has[Cancel](out) {
 		t.Fatalf("it moved again: %+v", out)
 	}
 }
 
 func TestQueryWaitsOnWhereAllEnginesAreFull(t *testing.T) {
 	s := settings()
-	s.LoadTold = true
+	s.ReportsLoad = true
 	for busy, moves := range map[float64]bool{0.1: true, 1: false} {
 		r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 		r.arrive(1, "wide")
 		r.arrive(2, "safe")
 		for range 60 { // each report counts a fifth
-			r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: busy, Held: -1}})
+			r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: busy, InFlight: -1}})
 		}
-		if out := r.do(Note{Query: 1, Kind: NoteWaitMemory}); has[Cancel](out) != moves {
+		if out := r.do(AttemptProgress{Query: 1, Kind: ProgressWaitingForMemory}); has[Cancel](out) != moves {
 			t.Errorf("all engines at %v: %+v", busy, out)
 		}
 	}
@@ -625,7 +625,7 @@
 	free := r.g.fleet.top
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
-		r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Final: true, Load: Load{Told: true, Busy: 1, Held: -1}})
+		r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * msec, Final: true, Load: LoadReport{Reported: true, CPUUtilization: 1, InFlight: -1}})
 	}
 	r.ticks(time.Second)
 	if got := r.g.fleet.top; got > capStarts*r.g.fleet.start+0.05*free {
@@ -638,11 +638,11 @@
 	met := map[string]int{}
 	for seed := uint64(1); seed < 90; seed++ {
 		g, _ := New(s, seed)
-		g.Handle(0, Engines{Mode: ListFull, Engines: list}, nil)
+		g.Handle(0, EngineList{Mode: ListFull, Engines: list}, nil)
 		for _, e := range g.engines {
 			e.top = 3 // under the weight of four
 		}
-		for _, a := range sends(g.Handle(0, Arrive{Query: 1, Class: "wide", Set: int64(seed), Deadline: time.Second}, nil)) {
+		for _, a := range sends(g.Handle(0, QueryArrived{Query: 1, Class: "wide", DataSet: int64(seed), Deadline: time.Second}, nil)) {
 			met[a.Engine]++
 		}
 	}
@@ -662,7 +662,7 @@
 	before := r.g.fleet.top
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
-		r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Final: true, Load: Load{Told: true, Busy: 0.2, Held: -1}})
+		r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * msec, Final: true, Load: LoadReport{Reported: true, CPUUtilization: 0.2, InFlight: -1}})
 	}
 	if r.ticks(time.Second); r.g.fleet.top < 1.5*before {
 		t.Fatalf("top of all %v with every engine told idle, %v with nothing told", r.g.fleet.top, before)
@@ -672,17 +672,17 @@
 func TestFailedConnectionIsTakenForARestart(t *testing.T) {
 	s, list := many(1)
 	r := start(t, s, list...)
-	r.after(3 * time.Second).do(Timer{})
+	r.after(3 * time.Second).do(TimerFired{})
 	r.arrive(1, "safe")
-	r.ends(1, 0, Lost)
+	r.ends(1, 0, ResultConnectionLost)
 	work := 0.0
 	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may be cold
 		for range sends(r.arrive(id, "safe")) {
 			work += r.g.classes["safe"].work
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultSuccess)
 		}
 	}
-	if part := s.Rules.TipMultiple * s.Rules.ColdStart * 8 * 2000 / 200; work > part+r.g.classes["safe"].work {
+	if part := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 200; work > part+r.g.classes["safe"].work {
 		t.Fatalf("%v ms of work after a broken connection; this gateway's part of a cold budget is %v", work, part)
 	}
 }
@@ -695,9 +695,9 @@
 		result  Result
 		suspect bool
 		cold    bool
-	}{{Lost, false, false}, {NoConnection, true, true}} {
+	}{{ResultConnectionLost, false, false}, {ResultConnectFailed, true, true}} {
 		r := start(t, settings(), live("e", "a", 1))
-		r.after(3 * time.Second).do(Timer{})
+		r.after(3 * time.Second).do(TimerFired{})
 		for id := uint64(1); id <= 4; id++ {
 			r.arrive(id, "safe")
 		}
@@ -711,7 +711,7 @@
 		r.after(200 * msec)
 		for id := uint64(5); id < 9; id++ {
 			if out := r.arrive(id, "safe"); len(sends(out)) > 0 {
-				r.after(50 * msec).do(Note{Query: id, Kind: NoteProgress, Value: 0.5})
+				r.after(50 * msec).do(AttemptProgress{Query: id, Kind: ProgressFraction, Value: 0.5})
 				break
 			}
 		}
@@ -727,8 +727,8 @@
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1), live("g", "a", 1))
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
-		r.ends(id, 0, Failed)
-		if out := r.ends(id, 1, Failed); len(sends(out)) > 0 || !has[Refuse](out) {
+		r.ends(id, 0, ResultError)
+		if out := r.ends(id, 1, ResultError); len(sends(out)) > 0 || !has[Reject](out) {
 			t.Fatalf("after two errors: %+v", out)
 		}
 	}
@@ -738,8 +738,8 @@
 		}
 	}
 	first := r.g.byID[sends(r.arrive(20, "safe"))[0].Engine]
-	r.ends(20, 0, Failed)
-	if r.ends(20, 1, Served); first.faults == 0 {
+	r.ends(20, 0, ResultError)
+	if r.ends(20, 1, ResultSuccess); first.faults == 0 {
 		t.Error("no fault for an error on what another engine served")
 	}
 }
@@ -753,16 +753,16 @@
 		waits, lost bool
 	}{{"safe", false, true}, {"keyed", false, true}, {"unsafe", false, false}, {"safe", true, false}} {
 		s := settings()
-		s.Classes[3].Window = 5 * time.Second
+		s.Classes[3].DedupWindow = 5 * time.Second
 		r := start(t, s, live("e", "a", 1))
 		r.arrive(1, c.class)
 		r.arrive(2, "unsafe")
 		if c.waits {
-			r.do(Note{Query: 1, Kind: NoteWaitMemory})
+			r.do(AttemptProgress{Query: 1, Kind: ProgressWaitingForMemory})
 		}
 		moved := false
 		for range 8 {
-			r.do(Note{Query: 2, Kind: NoteWaitMemory})
+			r.do(AttemptProgress{Query: 2, Kind: ProgressWaitingForMemory})
 			moved = moved || has[Cancel](r.ticks(400*msec))
 		}
 		if moved != c.lost {
@@ -783,10 +783,10 @@
 					n++
 				}
 			}
-			r.do(Gone{Query: id})
+			r.do(ClientDisconnected{Query: id})
 			for _, q := range r.g.queries {
 				if q.id == id {
-					r.ends(id, 0, Cancelled)
+					r.ends(id, 0, ResultCancelled)
 				}
 			}
 		}
@@ -797,7 +797,7 @@
 		if sends(r.arrive(id, "safe"))[0].Engine == "e" {
 			still[id] = true
 		} else {
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultSuccess)
 		}
 	}
 	for range 4 {
@@ -812,7 +812,7 @@
 	}
 	other := live("f", "a", 1)
 	other.State = EngineDraining
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{other}})
+	r.do(EngineList{Mode: ListChanges, Engines: []Engine{other}})
 	if n := to("unsafe"); n == 0 {
 		t.Error("none of the class that runs")
 	}
@@ -824,7 +824,7 @@
 		t.Error("no query was sent to find out, or more than one")
 	}
 	trial := e.out[len(e.out)-1]
-	r.do(Note{Query: trial.q.id, Attempt: trial.n, Kind: NoteProgress, Value: 0.5})
+	r.do(AttemptProgress{Query: trial.q.id, Attempt: trial.n, Kind: ProgressFraction, Value: 0.5})
 	if r.g.mute(e, r.g.classes["safe"]) {
 		t.Error("mute after word of the class")
 	}
@@ -834,13 +834,13 @@
 	s, list := many(2)
 	for seed := uint64(1); seed < 60; seed++ {
 		g, _ := New(s, seed)
-		g.Handle(0, Engines{Mode: ListFull, Engines: list}, nil)
+		g.Handle(0, EngineList{Mode: ListFull, Engines: list}, nil)
 		near, far := g.engines[0], g.engines[1]
 		if affinity(near.hash, 7) < affinity(far.hash, 7) {
 			near, far = far, near
 		}
 		near.top, far.zone = 3.9, "b" // under the weight of four; near and in the own zone all the same
-		for _, a := range sends(g.Handle(0, Arrive{Query: 1, Class: "wide", Set: 7, Deadline: time.Second}, nil)) {
+		for _, a := range sends(g.Handle(0, QueryArrived{Query: 1, Class: "wide", DataSet: 7, Deadline: time.Second}, nil)) {
 			if a.Engine != far.id {
 				t.Fatalf("seed %d: sent by chance to %s while it fits at %s", seed, near.id, far.id)
 			}
@@ -850,23 +850,23 @@
 
 func TestNothingGrowsOverALongRun(t *testing.T) {
 	s := settings()
-	s.Classes[0].WaitsOnLoad = true
-	s.Rules.LookBack, s.Rules.ExtraFree, s.Rules.ExtraShare = time.Second, 3, 0.1
+	s.Classes[0].WaitsForDataLoad = true
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = time.Second, 3, 0.1
 	r := start(t, s)
 	for id := uint64(1); id < 5000; id++ {
 		gone, fresh := live(fmt.Sprintf("e%d", id-1), "a", 1), live(fmt.Sprintf("e%d", id), "a", 1)
-		gone.State = EngineGone
-		r.after(100 * msec).do(Engines{Mode: ListChanges, Engines: []Engine{gone, fresh}})
-		r.do(Arrive{Query: id, Class: "ordered", Key: fmt.Sprint("k", id), Set: int64(id), Deadline: r.now + time.Second})
-		r.do(Note{Query: id, Kind: NoteWaitLoad})
-		r.ends(id, 0, []Result{Served, Lost, Cancelled}[id%3])
+		gone.State = EngineDeparted
+		r.after(100 * msec).do(EngineList{Mode: ListChanges, Engines: []Engine{gone, fresh}})
+		r.do(QueryArrived{Query: id, Class: "ordered", Key: fmt.Sprint("k", id), DataSet: int64(id), Deadline: r.now + time.Second})
+		r.do(AttemptProgress{Query: id, Kind: ProgressWaitingForDataLoad})
+		r.ends(id, 0, []Result{ResultSuccess, ResultConnectionLost, ResultCancelled}[id%3])
 		if q := r.g.queries[id]; q != nil {
-			r.do(Gone{Query: id})
+			r.do(ClientDisconnected{Query: id})
 			for n := range q.tries {
-				r.ends(id, n, Cancelled)
+				r.ends(id, n, ResultCancelled)
 			}
 		}
-		r.do(Timer{})
+		r.do(TimerFired{})
 	}
 	g := r.g
 	held := 0
@@ -884,15 +884,15 @@
 
 func TestAttemptsCancelledAsSlowShrinkTheEnginesTop(t *testing.T) {
 	s := settings()
-	s.Limits.Copies = true // else the only engine is waited for
+	s.Limits.AllowHedging = true // else the only engine is waited for
 	r := start(t, s, live("e", "a", 1))
 	before := r.g.byID["e"].top
 	for id := uint64(1); id < 9; id++ { // none of them is ever answered
 		r.arrive(id, "wide")
-		r.after(500 * msec).do(Note{Query: id, Kind: NoteProgress, Value: 0.01})
-		r.ends(id, 0, Cancelled)
-		r.do(Gone{Query: id})
-		r.ends(id, 1, Cancelled)
+		r.after(500 * msec).do(AttemptProgress{Query: id, Kind: ProgressFraction, Value: 0.01})
+		r.ends(id, 0, ResultCancelled)
+		r.do(ClientDisconnected{Query: id})
+		r.ends(id, 1, ResultCancelled)
 	}
 	if r.ticks(time.Second); r.g.byID["e"].top > 0.8*before {
 		t.Fatalf("top %v after eight attempts cancelled as slow, %v before", r.g.byID["e"].top, before)
@@ -901,7 +901,7 @@
 
 func TestOverdueAttemptIsTriedElsewhereWithoutNotes(t *testing.T) {
 	s := settings()
-	s.NoteEvery, s.Limits.Tries, s.Classes[1].Stretch = 0, 2, 2.5
+	s.ProgressInterval, s.Limits.MaxAttempts, s.Classes[1].ObjectiveStretch = 0, 2, 2.5
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 	first := sends(r.arrive(1, "wide"))
 	if len(first) != 1 {
@@ -913,7 +913,7 @@
 	if out := r.ticks(700 * msec); !has[Cancel](out) { // usual 1 s, twice that is overdue; the aim is 5.5 s
 		t.Fatalf("an answer twice as late as usual was waited for: %+v", out)
 	}
-	again := sends(r.ends(1, 0, Cancelled))
+	again := sends(r.ends(1, 0, ResultCancelled))
 	if len(again) != 1 || again[0].Engine == first[0].Engine {
 		t.Fatalf("want a send to the other engine than %q, got %+v", first[0].Engine, again)
 	}
@@ -933,13 +933,13 @@
 
 func TestPriorityGoesByWorthOverWork(t *testing.T) {
 	s := settings()
-	s.PriorityHeeds = true
+	s.HonorsPriority = true
 	r := start(t, s, live("e", "a", 1))
 	id := uint64(0)
 	rank := func(work time.Duration) int {
 		id++
-		out := r.do(Arrive{Query: id, Class: "safe", Work: work, Deadline: r.now + time.Second})
-		r.ends(id, 0, Served)
+		out := r.do(QueryArrived{Query: id, Class: "safe", Work: work, Deadline: r.now + time.Second})
+		r.ends(id, 0, ResultSuccess)
 		return grantOf(out).Priority
 	}
 	for range 50 {
@@ -952,15 +952,15 @@
 
 func TestSpillNotesRaiseGrantsWhereCostIsUntold(t *testing.T) {
 	s := settings()
-	s.GrantsHeeded = true
+	s.HonorsGrants = true
 	r := start(t, s, live("e", "a", 1))
 	var grant float64
 	for id := uint64(1); id < 20; id++ { // each needs twice its estimate
-		grant = grantOf(r.do(Arrive{Query: id, Class: "safe", MemoryMB: 100, Deadline: r.now + time.Second})).MemoryMB
+		grant = grantOf(r.do(QueryArrived{Query: id, Class: "safe", MemoryMB: 100, Deadline: r.now + time.Second})).MemoryMB
 		if grant < 200 {
-			r.do(Note{Query: id, Kind: NoteSpill, Value: 200 - grant})
+			r.do(AttemptProgress{Query: id, Kind: ProgressSpilled, Value: 200 - grant})
 		}
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultSuccess)
 	}
 	if grant < 180 || grant > 260 {
 		t.Fatalf("granted %v MB of the 200 that are needed", grant)
@@ -971,7 +971,7 @@
 	s := settings()
 	s.Gateways = 100
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	r.g.set.NoteEvery = time.Hour // nothing is silent here
+	r.g.set.ProgressInterval = time.Hour // nothing is silent here
 	r.g.quiet = time.Hour
 	for id := uint64(1); id <= 8; id++ {
 		r.arrive(id, "unsafe")
@@ -981,14 +981,14 @@
 		t.Fatalf("%v queries out, too few to test with", held)
 	}
 	for range 100 { // half of all that the two engines hold is ours
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 0.5, Held: held}})
+		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.5, InFlight: held}})
 		r.ticks(500 * msec)
 	}
 	if got := r.g.share(); got < 0.4 || got > 0.6 {
 		t.Fatalf("a part of %.2f where half of what the engines hold is ours", got)
 	}
 	for range 200 {
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 0.5, Held: held * 60}})
+		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.5, InFlight: held * 60}})
 	}
 	if got := r.g.share(); got < 0.01 || got > 0.011 {
 		t.Fatalf("a part of %v, under the equal one or over it", got)
@@ -998,33 +998,33 @@
 func TestProbesTellWhomToAvoid(t *testing.T) {
 	s := settings()
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	if out := r.arrive(1, "safe"); has[Probe](out) {
+	if out := r.arrive(1, "safe"); has[RequestLoadReport](out) {
 		t.Fatalf("a probe where none is permitted: %+v", out)
 	}
-	s.Limits.Probes, s.LoadTold = true, true
+	s.Limits.AllowLoadRequests, s.ReportsLoad = true, true
 	r = start(t, s, live("e", "a", 1), live("f", "a", 2))
 	probes := 0
 	for id := uint64(1); id <= 40; id++ {
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 1, Held: 60}})
-		r.do(Probed{Engine: "f", Result: Served, Load: Load{Told: true, Busy: 0.1, Held: 2}})
-		r.do(Probed{Engine: "stranger", Result: Served, Load: Load{Told: true, Busy: 9, Held: 1e9}})
-		if has[Probe](r.arrive(id, "safe")) {
+		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 1, InFlight: 60}})
+		r.do(LoadReportReceived{Engine: "f", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.1, InFlight: 2}})
+		r.do(LoadReportReceived{Engine: "stranger", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 9, InFlight: 1e9}})
+		if has[RequestLoadReport](r.arrive(id, "safe")) {
 			probes++
 		}
 		r.wantSend(r.out, "f")
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultSuccess)
 	}
 	if probes < 28 {
 		t.Fatalf("%d probes with 40 queries taken while an engine is busy", probes)
 	}
 	probes = 0
 	for id := uint64(100); id < 200; id++ {
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Held: 0}})
-		r.do(Probed{Engine: "f", Result: Served, Load: Load{Told: true, Held: 0}})
-		if has[Probe](r.arrive(id, "safe")) {
+		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, InFlight: 0}})
+		r.do(LoadReportReceived{Engine: "f", Result: ResultSuccess, Load: LoadReport{Reported: true, InFlight: 0}})
+		if has[RequestLoadReport](r.arrive(id, "safe")) {
 			probes++
 		}
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultSuccess)
 	}
 	if probes < 20 || probes > 70 { // some must go on: else nobody learns that load is back
 		t.Fatalf("%d probes with 100 queries taken while all are idle", probes)
@@ -1035,10 +1035,10 @@
 	s := settings()
 	r := start(t, s, live("e", "a", 1))
 	for id := uint64(1); id <= 100; id++ {
-		r.do(Arrive{Query: id, Class: "wide", Work: time.Millisecond, Deadline: r.now + 9*time.Second})
-		r.ends(id, 0, Served)
+		r.do(QueryArrived{Query: id, Class: "wide", Work: time.Millisecond, Deadline: r.now + 9*time.Second})
+		r.ends(id, 0, ResultSuccess)
 	}
-	r.do(Arrive{Query: 200, Class: "wide", Work: time.Second, Deadline: r.now + 9*time.Second})
+	r.do(QueryArrived{Query: 200, Class: "wide", Work: time.Second, Deadline: r.now + 9*time.Second})
 	if got, most := r.g.queries[200], 2*4.0; got == nil || got.weight > most {
 		t.Fatalf("a query of a thousand times the usual work should weigh %v at most: %+v", most, got)
 	}
@@ -1049,13 +1049,13 @@
 	id := uint64(0)
 	limit := func(class string, work time.Duration) float64 {
 		id++
-		r.do(Arrive{Query: id, Class: class, Work: work, Deadline: r.now + time.Second})
+		r.do(QueryArrived{Query: id, Class: class, Work: work, Deadline: r.now + time.Second})
 		q := r.g.queries[id]
 		if q == nil {
 			t.Fatalf("query %d of %v refused by an idle gateway", id, work)
 		}
 		got := r.g.limit(q, &r.g.fleet)
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultSuccess)
 		return got
 	}
 	for range 50 {
@@ -1069,7 +1069,7 @@
 		t.Fatalf("limit without an estimate %.1f, of a usual query %.1f", got, usual)
 	}
 	for range 50 { // a class of no worth must not spoil the usual
-		r.g.classes["safe"].Worth = 0
+		r.g.classes["safe"].PriorityWeight = 0
 		limit("safe", 100*msec)
 	}
 	if math.IsNaN(r.g.dear) || math.IsInf(r.g.dear, 0) {
@@ -1080,10 +1080,10 @@
 func TestRationIsNotSpentOnWhatWaits(t *testing.T) {
 	for _, back := range []time.Duration{0, 10 * time.Second} {
 		s := settings()
-		s.Rules.LookBack, s.Rules.ExtraFree = back, 5
+		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase = back, 5
 		r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 		r.arrive(1, "wide")
-		out := r.after(500 * msec).do(Note{Query: 1, Kind: NoteWaitMemory, Value: 1})
+		out := r.after(500 * msec).do(AttemptProgress{Query: 1, Kind: ProgressWaitingForMemory, Value: 1})
 		if moved := has[Cancel](out); moved != (back == 0) {
 			t.Errorf("look-back %v: moved is %v", back, moved)
 		}
@@ -1092,17 +1092,17 @@
 
 func TestOddReportsSpoilNothing(t *testing.T) {
 	s := settings()
-	s.Limits.Probes, s.LoadTold = true, true
+	s.Limits.AllowLoadRequests, s.ReportsLoad = true, true
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 	for id, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
-		for _, load := range []Load{{Told: true, Busy: odd, Held: -1}, {Told: true, Busy: 0.5, Held: odd}, {Told: true, Busy: odd, Held: odd}} {
-			r.do(Probed{Engine: "e", Result: TimedOut, Load: load})
-			r.do(Probed{Engine: "e", Result: Served, Load: load})
-			r.do(Probed{Engine: "", Result: Served, Load: load})
+		for _, load := range []LoadReport{{Reported: true, CPUUtilization: odd, InFlight: -1}, {Reported: true, CPUUtilization: 0.5, InFlight: odd}, {Reported: true, CPUUtilization: odd, InFlight: odd}} {
+			r.do(LoadReportReceived{Engine: "e", Result: ResultTimeout, Load: load})
+			r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: load})
+			r.do(LoadReportReceived{Engine: "", Result: ResultSuccess, Load: load})
 		}
-		r.after(20 * time.Second).do(Timer{})
+		r.after(20 * time.Second).do(TimerFired{})
 		r.wantSend(r.arrive(uint64(id+1), "safe"), "")
-		r.ends(uint64(id+1), 0, Served)
+		r.ends(uint64(id+1), 0, ResultSuccess)
 	}
 	for name, v := range map[string]float64{"level": r.g.fleet.level, "load": r.g.load, "theirs": r.g.theirs, "part": r.g.share()} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
@@ -1115,11 +1115,11 @@
 // holds little, never more than a part of what it told, and less once the report is old.
 func TestToldRoomIsUsed(t *testing.T) {
 	s := settings()
-	s.Gateways, s.NoteEvery, s.LoadTold = 8, 0, true
+	s.Gateways, s.ProgressInterval, s.ReportsLoad = 8, 0, true
 	out := func(held float64, age time.Duration) (n int) {
 		r := start(t, s, live("e", "a", 1))
 		r.g.fleet.top, r.g.fleet.bound = 1e9, 1e9 // one engine alone is looked at
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 0.1, Held: held}})
+		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.1, InFlight: held}})
 		r.after(age)
 		for id := uint64(1); id <= 60; id++ {
 			if has[Send](r.arrive(id, "unsafe")) {
@@ -1140,17 +1140,17 @@
 // Where memory pages and clients estimate nothing, a grant follows what answers told, far past the usual need: the
 // rest is lost to nobody, and a query that gets less spills. Elsewhere the engine chooses.
 func TestAmpleGrantsWhereMemoryPages(t *testing.T) {
-	for short, want := range map[MemoryShort]float64{ShortSwap: swapCover * 100, ShortWait: 0, ShortTrim: 0} {
+	for short, want := range map[MemoryShortage]float64{ShortageSwap: swapCover * 100, ShortageQueue: 0, ShortageTrim: 0} {
 		s := settings()
-		s.Short, s.GrantsHeeded, s.CostTold = short, true, true
+		s.MemoryShortage, s.HonorsGrants, s.ReportsCost = short, true, true
 		r := start(t, s, live("e", "a", 1))
 		if got := grantOf(r.arrive(1, "safe")).MemoryMB; got != 0 {
 			t.Errorf("%v: %g MB before anything is known", short, got)
 		}
-		r.ends(1, 0, Cancelled)
+		r.ends(1, 0, ResultCancelled)
 		for id := uint64(61); id <= 90; id++ {
 			r.arrive(id, "safe")
-			r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Work: 50 * msec, MemoryMB: 50 + 100*float64(id%2), Final: true})
+			r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * msec, Work: 50 * msec, MemoryMB: 50 + 100*float64(id%2), Final: true})
 		}
 		if got := grantOf(r.arrive(91, "safe")).MemoryMB; math.Abs(got-want) > 0.2*want {
 			t.Errorf("%v: %g MB granted, want about %g", short, got, want)
@@ -1161,17 +1161,17 @@
 // Grants are never more than one query gets, however often and much queries spill; where engines trim what they
 // grant and tell no need, a spill says nothing of the need, and the choice is the engine's.
 func TestGrantsAreBounded(t *testing.T) {
-	for short, want := range map[MemoryShort]float64{ShortWait: 3276, ShortSwap: 3276, ShortTrim: 0} {
+	for short, want := range map[MemoryShortage]float64{ShortageQueue: 3276, ShortageSwap: 3276, ShortageTrim: 0} {
 		s := settings()
-		s.GrantsHeeded, s.MostGrant, s.Short = true, 0.4, short
+		s.HonorsGrants, s.MaxGrantFraction, s.MemoryShortage = true, 0.4, short
 		r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 		most := 0.0
 		for id := uint64(1); id < 400; id++ {
-			out := r.after(time.Second).do(Arrive{Query: id, Class: "safe", Deadline: r.now + 2*time.Second, MemoryMB: 100})
+			out := r.after(time.Second).do(QueryArrived{Query: id, Class: "safe", Deadline: r.now + 2*time.Second, MemoryMB: 100})
 			g := grantOf(out)
 			most = max(most, g.MemoryMB)
-			r.do(Note{Query: id, Kind: NoteSpill, Value: 500})
-			r.ends(id, 0, Served)
+			r.do(AttemptProgress{Query: id, Kind: ProgressSpilled, Value: 500})
+			r.ends(id, 0, ResultSuccess)
 		}
 		if most != want {
 			t.Errorf("short memory %d: %v MB at the most, want %v", short, most, want)
@@ -1182,7 +1182,7 @@
 // Attempts that hang at engines, and that the settings allow nobody to cancel, take no room of the others.
 func TestHungAttemptsLeaveRoom(t *testing.T) {
 	s := settings()
-	s.Limits.Cancel = false
+	s.Limits.AllowCancel = false
 	s.Gateways = 1
 	r := start(t, s, live("f", "a", 1), live("h1", "a", 1), live("h2", "a", 1), live("h3", "a", 1))
 	hung, done := 0, []uint64{}
@@ -1196,14 +1196,14 @@
 		}
 	}
 	for _, id := range done {
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultSuccess)
 	}
 	r.ticks(8 * time.Second)
 	served := 0
 	for n := range uint64(40) {
 		for range sends(r.arrive(1000+n, "safe")) {
 			served++
-			r.ends(1000+n, 0, Served)
+			r.ends(1000+n, 0, ResultSuccess)
 		}
 		r.ticks(20 * msec)
 	}
@@ -1216,7 +1216,7 @@
 // the loop measures them by, and it would see no pressure.
 func TestUntoldWorkIsNotLoad(t *testing.T) {
 	s := settings()
-	s.CostTold = false
+	s.ReportsCost = false
 	r := start(t, s, live("e", "a", 1))
 	for id := range uint64(300) {
 		took := 100 * msec
@@ -1225,7 +1225,7 @@
 		}
 		r.after(20 * msec)
 		if len(sends(r.arrive(id, "safe"))) > 0 {
-			r.do(Outcome{Query: id, Result: Served, Elapsed: took, Final: true})
+			r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: took, Final: true})
 		}
 	}
 	if w := r.g.classes["safe"].work; w > 150 {
@@ -1240,11 +1240,11 @@
 	s.Gateways = 6
 	r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 	for id := range uint64(500) {
-		out := r.after(20 * msec).do(Arrive{Query: id, Class: "wide", Deadline: r.now + 15*time.Second})
+		out := r.after(20 * msec).do(QueryArrived{Query: id, Class: "wide", Deadline: r.now + 15*time.Second})
 		if len(sends(out)) > 0 {
-			r.do(Note{Query: id, Kind: NoteProgress, Value: 0.5})
+			r.do(AttemptProgress{Query: id, Kind: ProgressFraction, Value: 0.5})
 		}
-		r.do(Timer{})
+		r.do(TimerFired{})
 	}
 	if share := r.g.share(); r.g.mine < 1 || share > 2.0/6+1e-9 {
 		t.Errorf("with %.1f attempts at each engine it takes %.2f of all", r.g.mine, share)
@@ -1256,12 +1256,12 @@
 func TestLateConnectionIsNoRestart(t *testing.T) {
 	for heard, want := range map[time.Duration]bool{500 * msec: false, 3 * time.Second: true} {
 		r := start(t, settings(), live("e", "a", 1))
-		r.after(3 * time.Second).do(Timer{})
+		r.after(3 * time.Second).do(TimerFired{})
 		r.arrive(1, "safe")
-		r.ends(1, 0, Served)
+		r.ends(1, 0, ResultSuccess)
 		r.after(heard)
 		r.arrive(2, "safe")
-		r.ends(2, 0, Unreached)
+		r.ends(2, 0, ResultConnectTimeout)
 		if e := r.g.engines[0]; r.now < e.coldUntil != want {
 			t.Errorf("heard %v ago: cold is %v", heard, !want)
 		}
@@ -1273,14 +1273,14 @@
 func TestNoRepeatWhereTheFirstMayBeOut(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		s := settings()
-		s.Limits.Copies = copies
+		s.Limits.AllowHedging = copies
 		r := start(t, s, live("e", "a", 1))
-		r.after(3 * time.Second).do(Timer{})
+		r.after(3 * time.Second).do(TimerFired{})
 		r.arrive(1, "safe")
 		if !r.g.cancel(r.g.queries[1].tries[0]) {
 			t.Fatal("no cancel")
 		}
-		if again := len(sends(r.ends(1, 0, Cancelled))) > 0; again != copies {
+		if again := len(sends(r.ends(1, 0, ResultCancelled))) > 0; again != copies {
 			t.Errorf("copies %v: sent there again is %v", copies, again)
 		}
 	}
@@ -1305,16 +1305,16 @@
 		"another where it may go, too": {false, "bound", []Engine{live("e2", "b", 1)}, true},
 	} {
 		s := settings()
-		s.NoteEvery, s.Limits.Copies = 0, c.copies
+		s.ProgressInterval, s.Limits.AllowHedging = 0, c.copies
 		for i := range s.Classes {
-			s.Classes[i].Stretch = 2 // else a fresh run would not make the aim
+			s.Classes[i].ObjectiveStretch = 2 // else a fresh run would not make the aim
 		}
 		first := live("e1", "a", 1)
 		if c.class == "bound" {
 			first.Zone = "b"
 		}
 		r := start(t, s, append([]Engine{first}, c.others...)...)
-		r.after(3 * time.Second).do(Timer{})
+		r.after(3 * time.Second).do(TimerFired{})
 		r.arrive(1, c.class)
 		if got := has[Cancel](r.ticks(900 * msec)); got != c.moved {
 			t.Errorf("%s: moved is %v", name, got)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -52,14 +52,14 @@
 			if a.Priority < 0 || a.Priority > 3 || !(a.MemoryMB >= 0) {
 				m.fail("query %d: priority %d, grant %v", a.Query, a.Priority, a.MemoryMB)
 			}
-		case Probe:
-			if !m.s.Limits.Probes || m.state[a.Engine] != EngineLive {
+		case RequestLoadReport:
+			if !m.s.Limits.AllowLoadRequests || m.state[a.Engine] != EngineLive {
 				m.fail("a probe of %s", a.Engine)
 			}
-		case Refuse:
+		case Reject:
 			q := m.end(a.Query)
 			for _, try := range q.tries {
-				if try.ran && (q.class.Effect == Unsafe || q.class.Effect == Keyed && q.class.Group != GroupAll) {
+				if try.ran && (q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope != DedupAll) {
 					m.fail("query %d refused though it may have run", q.id)
 				}
 			}
@@ -94,22 +94,22 @@
 		if try.out {
 			m.fail("query %d has two attempts", a.Query)
 		}
-		if try.ran && q.class.Effect == Unsafe {
+		if try.ran && q.class.Idempotency == NotIdempotent {
 			m.fail("unsafe query %d sent again", a.Query)
 		}
-		if try.ran && q.class.Effect == Keyed && (m.info[try.engine].Cell != e.Cell || m.now-try.at > q.class.Window) {
+		if try.ran && q.class.Idempotency == IdempotentWithKey && (m.info[try.engine].Cell != e.Cell || m.now-try.at > q.class.DedupWindow) {
 			m.fail("keyed query %d sent out of its group or window", a.Query)
 		}
 	}
 	m.order(q)
 	if len(q.tries) > 0 {
 		m.extra = append(m.extra, m.now)
-		if got, most := count(m.extra, m.now-m.s.Rules.LookBack),
-			m.s.Rules.ExtraFree+m.s.Rules.ExtraShare*float64(count(m.taken, m.now-m.s.Rules.LookBack)); float64(got) > most {
+		if got, most := count(m.extra, m.now-m.s.Rules.RetryBudgetWindow),
+			m.s.Rules.RetryBudgetBase+m.s.Rules.RetryBudgetRatio*float64(count(m.taken, m.now-m.s.Rules.RetryBudgetWindow)); float64(got) > most {
 			m.fail("%d further attempts, %v allowed", got, most)
 		}
 	}
-	if len(q.tries) >= m.s.Limits.Tries {
+	if len(q.tries) >= m.s.Limits.MaxAttempts {
 		m.fail("query %d has too many attempts", a.Query)
 	}
 	q.tries = append(q.tries, seenTry{engine: a.Engine, at: m.now, out: true, ran: true})
@@ -125,21 +125,21 @@
 }
 
 func (m *model) order(q *seen) {
-	if !q.class.InOrder {
+	if !q.class.Ordered {
 		return
 	}
 	for _, o := range m.all {
 		if o == q {
 			return
 		}
-		if !o.class.InOrder || o.key != q.key {
+		if !o.class.Ordered || o.key != q.key {
 			continue
 		}
 		if !o.over {
 			m.fail("query %d sent before query %d was over", q.id, o.id)
 		}
 		for _, try := range o.tries {
-			if try.out || try.doubt && m.now-try.ended < m.s.Rules.Settle {
+			if try.out || try.doubt && m.now-try.ended < m.s.Rules.SettleTime {
 				m.fail("query %d sent while query %d may run", q.id, o.id)
 			}
 		}
@@ -156,10 +156,10 @@
 
 func play(t *testing.T, seed uint64) {
 	s := settings()
-	s.Rules.LookBack, s.Rules.ExtraFree, s.Rules.ExtraShare = 2*time.Second, 3, 0.2
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
 	if seed%2 == 0 { // no notes, told load: moves come in bursts, at ticks and after pauses
-		s.NoteEvery, s.PriorityHeeds, s.GrantsHeeded = 0, true, true
-		s.Limits.Probes, s.LoadTold = true, true
+		s.ProgressInterval, s.HonorsPriority, s.HonorsGrants = 0, true, true
+		s.Limits.AllowLoadRequests, s.ReportsLoad = true, true
 	}
 	g, err := New(s, seed)
 	if err != nil {
@@ -174,7 +174,7 @@
 		for _, e := range engines {
 			m.state[e.ID], m.info[e.ID] = e.State, e
 		}
-		m.apply(g.Handle(m.now, Engines{Mode: mode, Engines: engines}, nil))
+		m.apply(g.Handle(m.now, EngineList{Mode: mode, Engines: engines}, nil))
 	}
 	engine := func() Engine {
 		n := rng.IntN(5)
@@ -183,7 +183,7 @@
 		if rng.IntN(3) > 0 {
 			e.State = EngineLive
 		}
-		e.Fresh, e.Started = rng.IntN(4) == 0, m.now
+		e.StartKnown, e.Started = rng.IntN(4) == 0, m.now
 		return e
 	}
 	list(ListCached, live("e0", "a", 0), live("e1", "b", 1))
@@ -196,20 +196,20 @@
 		switch k := rng.IntN(10); {
 		case k < 4:
 			c := s.Classes[rng.IntN(len(s.Classes))]
-			q := &seen{id: next, class: c, due: m.now + c.Deadline, key: string(rune('x' + rng.IntN(2)))}
+			q := &seen{id: next, class: c, due: m.now + c.Timeout, key: string(rune('x' + rng.IntN(2)))}
 			m.open[next], m.all, m.taken = q, append(m.all, q), append(m.taken, m.now)
-			m.apply(g.Handle(m.now, Arrive{Query: next, Class: c.Name, Key: q.key, Deadline: q.due,
+			m.apply(g.Handle(m.now, QueryArrived{Query: next, Class: c.Name, Key: q.key, Deadline: q.due,
 				Work: time.Duration(rng.IntN(3000)) * msec, MemoryMB: rng.Float64() * 500}, nil))
 			next++
 		case k < 7 && len(m.all) > 0:
 			m.outcome(g, rng)
 		case k < 8:
-			m.apply(g.Handle(m.now, Timer{}, nil))
-			m.apply(g.Handle(m.now, Timer{Token: rng.Uint64N(next + 2)}, nil))
+			m.apply(g.Handle(m.now, TimerFired{}, nil))
+			m.apply(g.Handle(m.now, TimerFired{Token: rng.Uint64N(next + 2)}, nil))
 		case k < 9 && len(m.all) > 0:
 			q := m.all[rng.IntN(len(m.all))]
-			m.apply(g.Handle(m.now, Note{Query: q.id, Attempt: rng.IntN(3), Kind: NoteKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
-			m.apply(g.Handle(m.now, Probed{Engine: fmt.Sprintf("e%d", rng.IntN(7)), Load: Load{Told: true, Held: rng.Float64()*900 - 9, Busy: 1}}, nil))
+			m.apply(g.Handle(m.now, AttemptProgress{Query: q.id, Attempt: rng.IntN(3), Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
+			m.apply(g.Handle(m.now, LoadReportReceived{Engine: fmt.Sprintf("e%d", rng.IntN(7)), Load: LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUUtilization: 1}}, nil))
 		case rng.IntN(3) == 0:
 			list(ListFull, engine(), engine())
 		default:
@@ -227,16 +227,16 @@
 	}
 	n := rng.IntN(len(q.tries))
 	try := &q.tries[n]
-	res := Result(rng.IntN(int(Unreached) + 1))
+	res := Result(rng.IntN(int(ResultConnectTimeout) + 1))
 	if try.out {
 		try.out, try.ended = false, m.now
-		try.ran = res != Full && res != NoConnection && res != NotSent && res != Unreached
-		try.doubt = res == TimedOut || res == Lost || res == Cancelled || res == Unknown
-		if res == Served {
+		try.ran = res != ResultRejected && res != ResultConnectFailed && res != ResultNotSent && res != ResultConnectTimeout
+		try.doubt = res == ResultTimeout || res == ResultConnectionLost || res == ResultCancelled || res == ResultUnknown
+		if res == ResultSuccess {
 			q.over = true
 		}
 	}
-	m.apply(g.Handle(m.now, Outcome{Query: q.id, Attempt: n, Result: res, Elapsed: m.now - try.at, Final: q.over}, nil))
+	m.apply(g.Handle(m.now, AttemptEnded{Query: q.id, Attempt: n, Result: res, Elapsed: m.now - try.at, Final: q.over}, nil))
 }
 
 // finish lets all clients' times run out: each query must then be over.
@@ -245,7 +245,7 @@
 		m.now = max(m.now, q.due)
 	}
 	for _, q := range m.all {
-		m.apply(g.Handle(m.now, Timer{Token: q.id + 1}, nil))
+		m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
 		if !q.over {
 			m.fail("query %d has no final answer", q.id)
 		}
--- a/policy/replay_world_test.go
+++ b/policy/replay_world_test.go
@@ -132,17 +132,17 @@
 		w.now = max(w.now, e.at)
 		e.run()
 	}
-	w.writeLearned(w.gateway.Learned())
+	w.writeLearned(w.gateway.Snapshot())
 }
 
 // succeed replaces the gateway by another that starts from what the first has learned.
 func (w *replayWorld) succeed() {
-	l := w.gateway.Learned()
+	l := w.gateway.Snapshot()
 	w.writeLearned(l)
 	w.start(w.seed + 1000)
-	w.gateway.Learn(w.now, l)
+	w.gateway.Restore(w.now, l)
 	w.list(policy.ListFull, w.engines...)
-	w.handle(policy.Timer{})
+	w.handle(policy.TimerFired{})
 }
 
 func (w *replayWorld) handle(ev policy.Event) {
@@ -159,7 +159,7 @@
 func (w *replayWorld) do(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		w.journal(fmt.Sprintf("%d send %d %s %d", w.now, a.Query, a.Engine, int64(a.Within)))
+		w.journal(fmt.Sprintf("%d send %d %s %d", w.now, a.Query, a.Engine, int64(a.Timeout)))
 		w.send(a)
 	case policy.Grant:
 		w.journal(fmt.Sprintf("%d grant %d %s %d", w.now, a.Query, number(a.MemoryMB), a.Priority))
@@ -169,21 +169,21 @@
 	case policy.Cancel:
 		w.journal(fmt.Sprintf("%d cancel %d %d", w.now, a.Query, a.Attempt))
 		w.cancel(a)
-	case policy.Probe:
+	case policy.RequestLoadReport:
 		w.journal(fmt.Sprintf("%d probe %s", w.now, a.Engine))
 		w.probe(a.Engine)
-	case policy.Refuse:
-		w.journal(fmt.Sprintf("%d refuse %d %d", w.now, a.Query, int64(a.ComeBack)))
+	case policy.Reject:
+		w.journal(fmt.Sprintf("%d refuse %d %d", w.now, a.Query, int64(a.RetryAfter)))
 		w.finish(a.Query)
 	case policy.Fail:
 		w.journal(fmt.Sprintf("%d fail %d", w.now, a.Query))
 		w.finish(a.Query)
-	case policy.Wake:
+	case policy.SetTimer:
 		w.journal(fmt.Sprintf("%d wake %d %d", w.now, int64(a.After), a.Token))
 		g := w.gateway
 		w.after(a.After, func() {
 			if w.gateway == g {
-				w.handle(policy.Timer{Token: a.Token})
+				w.handle(policy.TimerFired{Token: a.Token})
 			}
 		})
 	case policy.Subscribe:
@@ -219,15 +219,15 @@
 	id := w.nextID
 	w.nextID++
 	sigma := 0.9
-	work := float64(class.Aim/time.Millisecond) / 4 * math.Exp(sigma*w.rng.NormFloat64()) * class.Threads
+	work := float64(class.LatencyObjective/time.Millisecond) / 4 * math.Exp(sigma*w.rng.NormFloat64()) * class.Threads
 	q := &replayQuery{class: class, work: work, memory: 20 + 400*w.rng.Float64()*w.rng.Float64()}
 	w.queries[id] = q
-	ev := policy.Arrive{Query: id, Class: class.Name, Set: int64(w.rng.ExpFloat64() * 4), Deadline: w.now + class.Deadline,
+	ev := policy.QueryArrived{Query: id, Class: class.Name, DataSet: int64(w.rng.ExpFloat64() * 4), Deadline: w.now + class.Timeout,
 		Repeat: w.rng.IntN(20) == 0}
 	if len(w.settings.Tenants) > 0 {
 		ev.Tenant = []string{"t0", "t1", "t2", "", "unheard-of"}[min(int(w.rng.ExpFloat64()*1.2), 4)]
 	}
-	if class.InOrder {
+	if class.Ordered {
 		ev.Key = []string{"", "k1", "k2", "k3", "k4"}[w.rng.IntN(5)]
 	}
 	if w.rng.Float64() < w.estimate {
@@ -249,7 +249,7 @@
 	if w.rng.IntN(60) == 0 {
 		w.after(w.milliseconds(1500), func() {
 			q.done = true
-			w.handle(policy.Gone{Query: id})
+			w.handle(policy.ClientDisconnected{Query: id})
 		})
 	}
 }
@@ -275,37 +275,37 @@
 	}
 	switch p := w.rng.Float64() / max(w.faults, 1e-9); {
 	case e.down:
-		ends(w.milliseconds(30), []policy.Result{policy.NoConnection, policy.Unreached, policy.Lost}[w.rng.IntN(3)])
+		ends(w.milliseconds(30), []policy.Result{policy.ResultConnectFailed, policy.ResultConnectTimeout, policy.ResultConnectionLost}[w.rng.IntN(3)])
 	case e.hung, p < 0.002:
 		if w.rng.IntN(2) == 0 {
-			ends(s.Within, policy.TimedOut)
+			ends(s.Timeout, policy.ResultTimeout)
 		}
 		return // no note either
 	case e.failing, p < 0.008:
-		ends(w.milliseconds(20), policy.Failed)
+		ends(w.milliseconds(20), policy.ResultError)
 	case e.running > 40, p < 0.01:
-		ends(w.milliseconds(10), policy.Full)
+		ends(w.milliseconds(10), policy.ResultRejected)
 	case p < 0.012:
-		ends(w.milliseconds(5), policy.NotSent)
+		ends(w.milliseconds(5), policy.ResultNotSent)
 	case p < 0.014:
-		ends(w.milliseconds(300), policy.Lost)
+		ends(w.milliseconds(300), policy.ResultConnectionLost)
 	case p < 0.015:
-		ends(w.milliseconds(300), policy.Unknown)
+		ends(w.milliseconds(300), policy.ResultUnknown)
 	case p < 0.016:
-		ends(w.milliseconds(100), policy.Unreached)
+		ends(w.milliseconds(100), policy.ResultConnectTimeout)
 	case p < 0.03: // a bad plan: its notes tell
 		w.notes(g, id, attempt, took*40)
-		ends(min(took*40, s.Within), policy.TimedOut)
+		ends(min(took*40, s.Timeout), policy.ResultTimeout)
 		return
-	case took > s.Within:
-		ends(s.Within, policy.TimedOut)
+	case took > s.Timeout:
+		ends(s.Timeout, policy.ResultTimeout)
 	default:
-		ends(took, policy.Served)
+		ends(took, policy.ResultSuccess)
 	}
-	if q.class.Stream && w.rng.IntN(2) == 0 {
+	if q.class.Streaming && w.rng.IntN(2) == 0 {
 		w.after(took/3, func() {
 			if w.gateway == g && !q.ended[attempt] {
-				w.handle(policy.Began{Query: id, Attempt: attempt})
+				w.handle(policy.StreamStarted{Query: id, Attempt: attempt})
 			}
 		})
 	}
@@ -314,7 +314,7 @@
 
 // notes tells of a running attempt at the interval that the settings give.
 func (w *replayWorld) notes(g *policy.Gateway, id uint64, attempt int, took time.Duration) {
-	every := w.settings.NoteEvery
+	every := w.settings.ProgressInterval
 	if every == 0 {
 		return
 	}
@@ -324,15 +324,15 @@
 		if w.gateway != g || q.ended[attempt] || q.engines[attempt].hung {
 			return
 		}
-		ev := policy.Note{Query: id, Attempt: attempt, Kind: policy.NoteProgress,
+		ev := policy.AttemptProgress{Query: id, Attempt: attempt, Kind: policy.ProgressFraction,
 			Value: float64(w.now-q.sentAt[attempt]) / float64(took) * math.Exp(0.2*w.rng.NormFloat64())}
 		switch w.rng.IntN(14) {
 		case 0:
-			ev.Kind, ev.Value = policy.NoteSpill, max(q.memory-q.granted, 1)
+			ev.Kind, ev.Value = policy.ProgressSpilled, max(q.memory-q.granted, 1)
 		case 1:
-			ev.Kind, ev.Value = policy.NoteWaitMemory, 1
+			ev.Kind, ev.Value = policy.ProgressWaitingForMemory, 1
 		case 2:
-			ev.Kind, ev.Value = policy.NoteWaitLoad, 2
+			ev.Kind, ev.Value = policy.ProgressWaitingForDataLoad, 2
 		}
 		w.handle(ev)
 		w.after(every, note)
@@ -347,16 +347,16 @@
 		return
 	}
 	if q.cancelled[attempt] && w.rng.IntN(4) > 0 {
-		result = policy.Cancelled
+		result = policy.ResultCancelled
 	}
 	q.ended[attempt] = true
 	e := q.engines[attempt]
 	e.running--
-	ev := policy.Outcome{Query: id, Attempt: attempt, Result: result, Elapsed: w.now - q.sentAt[attempt], Load: w.load(e)}
-	if result == policy.Served {
+	ev := policy.AttemptEnded{Query: id, Attempt: attempt, Result: result, Elapsed: w.now - q.sentAt[attempt], Load: w.load(e)}
+	if result == policy.ResultSuccess {
 		ev.Final = !q.done
 		q.done = true
-		if w.settings.CostTold {
+		if w.settings.ReportsCost {
 			ev.Work = time.Duration(q.work * float64(time.Millisecond))
 			ev.MemoryMB = q.memory
 		}
@@ -375,27 +375,27 @@
 	}
 	w.after(w.milliseconds(25), func() {
 		if w.gateway == g {
-			w.end(c.Query, c.Attempt, policy.Cancelled)
+			w.end(c.Query, c.Attempt, policy.ResultCancelled)
 		}
 	})
 }
 
 // load is what an engine reports, sometimes odd.
-func (w *replayWorld) load(e *replayEngine) policy.Load {
-	if !w.settings.LoadTold {
-		return policy.Load{}
+func (w *replayWorld) load(e *replayEngine) policy.LoadReport {
+	if !w.settings.ReportsLoad {
+		return policy.LoadReport{}
 	}
-	l := policy.Load{Told: true, Busy: min(float64(e.running)/16, 1), Held: -1, Waiting: -1, Memory: -1, Disks: -1}
+	l := policy.LoadReport{Reported: true, CPUUtilization: min(float64(e.running)/16, 1), InFlight: -1, WaitingForMemory: -1, MemoryUtilization: -1, DiskUtilization: -1}
 	if w.held {
-		l.Held = float64(e.running) * float64(w.settings.Gateways) * (0.5 + w.rng.Float64())
+		l.InFlight = float64(e.running) * float64(w.settings.Gateways) * (0.5 + w.rng.Float64())
 	}
 	switch w.rng.IntN(300) {
 	case 0:
-		l.Busy, l.Held = math.NaN(), -1
+		l.CPUUtilization, l.InFlight = math.NaN(), -1
 	case 1:
-		l.Held = 1e12
+		l.InFlight = 1e12
 	case 2:
-		l.Told = false
+		l.Reported = false
 	}
 	return l
 }
@@ -406,16 +406,16 @@
 		if w.gateway != g {
 			return
 		}
-		ev := policy.Probed{Engine: id, Result: policy.Served, Load: w.load(e)}
+		ev := policy.LoadReportReceived{Engine: id, Result: policy.ResultSuccess, Load: w.load(e)}
 		if e.down || e.hung {
-			ev.Result, ev.Load = policy.TimedOut, policy.Load{}
+			ev.Result, ev.Load = policy.ResultTimeout, policy.LoadReport{}
 		}
 		w.handle(ev)
 	})
 }
 
 func (w *replayWorld) list(mode policy.ListMode, engines ...*replayEngine) {
-	ev := policy.Engines{Mode: mode}
+	ev := policy.EngineList{Mode: mode}
 	for _, e := range engines {
 		ev.Engines = append(ev.Engines, e.entry)
 	}
@@ -432,14 +432,14 @@
 		e.down = true
 		w.after(back, func() {
 			e.down, e.hung, e.failing = false, false, false
-			e.entry.State, e.entry.Started, e.entry.Fresh = policy.EngineLive, w.now, true
+			e.entry.State, e.entry.Started, e.entry.StartKnown = policy.EngineLive, w.now, true
 			w.list(policy.ListChanges, e)
 		})
 	case 1: // it leaves the list and comes back
-		e.entry.State = policy.EngineGone
+		e.entry.State = policy.EngineDeparted
 		w.list(policy.ListChanges, e)
 		w.after(back, func() {
-			e.entry.State, e.entry.Started, e.entry.Fresh = policy.EngineLive, w.now-time.Second, true
+			e.entry.State, e.entry.Started, e.entry.StartKnown = policy.EngineLive, w.now-time.Second, true
 			w.list(policy.ListFull, w.engines...)
 		})
 	case 2:
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -10,9 +10,9 @@
 // What one gateway has learned is taken whole by another: its copy of it is the same, and
 // it chooses as the first would. Classes that it has no settings for are passed by.
 func TestLearned(t *testing.T) {
-	set := Settings{Gateways: 1, Round: 5 * time.Millisecond, LoadTold: true,
-		Classes: []Class{{Name: "lookup", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Threads: 1, Effect: Safe}},
-		Kinds:   []Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: Limits{Tries: 3}}
+	set := Settings{Gateways: 1, CallInterval: 5 * time.Millisecond, ReportsLoad: true,
+		Classes: []Class{{Name: "lookup", LatencyObjective: time.Second, Timeout: 6 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent}},
+		Kinds:   []Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: Limits{MaxAttempts: 3}}
 	one, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -24,48 +24,48 @@
 		out = g.Handle(now, ev, out[:0])
 		return out
 	}
-	step(one, Engines{Mode: ListFull, Engines: []Engine{{ID: "a", Kind: "std", State: EngineLive}, {ID: "b", Kind: "std", State: EngineLive}, {ID: "c", Kind: "std", State: EngineGone}}})
+	step(one, EngineList{Mode: ListFull, Engines: []Engine{{ID: "a", Kind: "std", State: EngineLive}, {ID: "b", Kind: "std", State: EngineLive}, {ID: "c", Kind: "std", State: EngineDeparted}}})
 	// One engine answers at once, the other breaks every connection.
 	for id := uint64(1); id < 200; id++ {
-		actions := append([]Action{}, step(one, Arrive{Query: id, Class: "lookup", Deadline: now + 6*time.Second})...)
+		actions := append([]Action{}, step(one, QueryArrived{Query: id, Class: "lookup", Deadline: now + 6*time.Second})...)
 		for n := 0; len(actions) > 0; n++ {
 			var next []Action
 			for _, a := range actions {
 				if s, ok := a.(Send); ok {
-					res := Outcome{Query: id, Attempt: n, Result: Served, Final: true, Elapsed: 50 * time.Millisecond}
+					res := AttemptEnded{Query: id, Attempt: n, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond}
 					if s.Engine == "b" {
-						res = Outcome{Query: id, Attempt: n, Result: Lost, Elapsed: time.Millisecond}
+						res = AttemptEnded{Query: id, Attempt: n, Result: ResultConnectionLost, Elapsed: time.Millisecond}
 					}
 					next = append(next, step(one, res)...)
 				}
 			}
 			actions = next
 		}
-		step(one, Timer{})
+		step(one, TimerFired{})
 	}
-	l := one.Learned()
-	if len(l.Engines) != 2 || l.Engines[1].Faults == 0 {
+	l := one.Snapshot()
+	if len(l.Engines) != 2 || l.Engines[1].FaultRate == 0 {
 		t.Fatalf("learned: %+v", l.Engines)
 	}
-	l.Classes = append(l.Classes, LearnedClass{Name: "of another version"})
+	l.Classes = append(l.Classes, ClassSnapshot{Name: "of another version"})
 	two, err := New(set, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two.Learn(now, l)
-	if diff := cmp.Diff(one.Learned(), two.Learned()); diff != "" {
+	two.Restore(now, l)
+	if diff := cmp.Diff(one.Snapshot(), two.Snapshot()); diff != "" {
 		t.Errorf("what the second took (-first +second):\n%s", diff)
 	}
 	cold, _ := New(set, 2)
-	step(cold, Engines{Mode: ListFull, Engines: []Engine{{ID: "a", Kind: "std", State: EngineLive}, {ID: "b", Kind: "std", State: EngineLive}}})
+	step(cold, EngineList{Mode: ListFull, Engines: []Engine{{ID: "a", Kind: "std", State: EngineLive}, {ID: "b", Kind: "std", State: EngineLive}}})
 	sentTo := func(g *Gateway) (bad int) {
 		for id := uint64(1000); id < 1010; id++ {
-			for _, a := range step(g, Arrive{Query: id, Class: "lookup", Deadline: now + 6*time.Second}) {
+			for _, a := range step(g, QueryArrived{Query: id, Class: "lookup", Deadline: now + 6*time.Second}) {
 				if s, ok := a.(Send); ok && s.Engine == "b" {
 					bad++
 				}
 			}
-			step(g, Outcome{Query: id, Result: Served, Final: true, Elapsed: 50 * time.Millisecond})
+			step(g, AttemptEnded{Query: id, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond})
 		}
 		return bad
 	}
