--- a/policy/policy.go
+++ b/policy/policy.go
@@ -187,7 +187,8 @@
 		g.act(Reject{Query: ev.Query, RetryAfter: g.comeBack()})
 		return
 	}
-	q := &query{id: ev.Query, class: c, key: ev.Key, set: ev.DataSet, memory: ev.MemoryMB, deadline: ev.Deadline}
+	q := &query{id: ev.Query, class: c, key: ev.Key, set: ev.DataSet,
+		memory: ev.MemoryMB, deadline: ev.Deadline}
 	q.work, q.weight = c.work, c.Threads
 	if w := ms(ev.Work); w > 0 {
 		if c.guess == 0 {
