--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -28,54 +28,59 @@
 	return ln, nil
 }
 
-// spareFiles is what stays free of descriptors for files, and for signals and clocks of the runtime.
-const spareFiles = 6
+// spareDescriptors stay free for files, and for signals and clocks of the runtime.
+const spareDescriptors = 6
 
 // openControl opens the control endpoint, where there is an address for it.
-func (g *gateway) openControl() error {
-	if g.control == "" {
+func (p *process) openControl() error {
+	if p.control == "" {
 		return nil
 	}
-	d, err := control.Open(g.loop, g.control, operations{g}, g.counters)
+	server, err := control.Open(p.loop, p.control, operations{p}, p.counters)
 	if err != nil {
 		return err
 	}
-	g.log.Info("control", "addr", d.Addr())
+	p.log.Info("control", "addr", server.Addr())
 	return nil
 }
 
-// limitFiles keeps descriptors for the event bus, the control endpoint and files from all other connections.
-func (g *gateway) limitFiles() {
-	spare := spareFiles + netio.KeptFiles
-	if g.control != "" {
+// reserveDescriptors keeps descriptors for the event bus, the control endpoint and files from all other connections of the
+// platform's frontend.
+func (p *process) reserveDescriptors() {
+	_, isPlatform := p.protocol.(*platformProtocol)
+	if !isPlatform || p.limits.sockets <= 0 {
+		return
+	}
+	spare := spareDescriptors + netio.KeptFiles
+	if p.control != "" {
 		spare += control.Descriptors
 	}
-	if g.sockets > 0 {
-		if err := g.loop.LimitFiles(g.sockets, spare); err != nil { // it serves all the same
-			g.log.Warn("descriptors.uncounted", "error", err)
-		}
+	if err := p.loop.LimitFiles(p.limits.sockets, spare); err != nil { // it serves all the same
+		p.log.Warn("descriptors.uncounted", "error", err)
 	}
 }
 
-// operations are what operators ask for.
-type operations struct{ g *gateway }
+// operations are what operators call at the control endpoint.
+type operations struct{ process *process }
 
-func (d operations) Ready() (bool, string) {
+// Ready reports whether this process serves; if not, why.
+func (o operations) Ready() (bool, string) {
 	switch {
-	case d.g.stopping:
+	case o.process.stopping:
 		return false, "it is stopping"
-	case !d.g.ready:
+	case !o.process.ready:
 		return false, "it does not serve yet"
 	}
 	return true, ""
 }
 
-func (d operations) Figures() core.Figures {
-	f := d.g.core.Figures()
-	f.Peers = d.g.peers()
-	return f
+// Figures are what operators read.
+func (o operations) Figures() core.Figures {
+	figures := o.process.core.Figures()
+	figures.Peers = o.process.peerFigures()
+	return figures
 }
 
-func (d operations) DisableEngine(id string) error { return d.g.core.DisableEngine(id) }
+func (o operations) DisableEngine(id string) error { return o.process.core.DisableEngine(id) }
 
-func (d operations) EnableEngine(id string) error { return d.g.core.EnableEngine(id) }
+func (o operations) EnableEngine(id string) error { return o.process.core.EnableEngine(id) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,8 @@
 // Package gateway assembles the gateway from its parts and runs it as one process: frontend, core, backend, discovery, and
 // what replaces, upgrades, reloads and stops it. The commands that operators call are in cmd/gateway.
+//
+// A process starts in one of three ways: by itself, as the target of an upgrade (package handover), or beside another process
+// at a socket that the platform holds (package takeover).
 package gateway
 
 import (
@@ -7,84 +10,21 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net/netip"
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
-	"strings"
 	"syscall"
 	"time"
 
-	"gannetspur/internal/backend/lineproto"
-	pgbackend "gannetspur/internal/backend/postgres"
 	"gannetspur/internal/config"
 	"gannetspur/internal/core"
-	"gannetspur/internal/decide/connpool"
-	"gannetspur/internal/discovery/consul"
-	"gannetspur/internal/discovery/eventbus"
-	"gannetspur/internal/frontend/httpapi"
-	pgfrontend "gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/handover"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/queryshape"
-	"gannetspur/internal/scramauth"
-	"gannetspur/internal/sqltext"
 	"gannetspur/internal/takeover"
 	"gannetspur/policy"
 )
 
-// gateway is one front on a core of its own.
-type gateway struct {
-	loop     *netio.Loop
-	core     *core.Core
-	front    front
-	counters *metrics.Counters
-	log      *slog.Logger
-	shapes   *queryshape.Service // nil: off
-	reload   func() error        // reads the file again; for the loop's goroutine
-	since    time.Duration
-
-	listen      func() error                 // opens the listener
-	follow      func(*handover.ProcessState) // begins to follow the roster; nil: nothing is known of it
-	event       func() uint64                // number of the event bus's last event; nil: there is no bus
-	mostClients int
-	sockets     int    // descriptors that the process may hold; 0: not said
-	control     string // where operators call; "": nowhere
-	ready       bool   // it serves clients
-
-	socket      *netio.Listener       // the platform's, which processes follow each other at; nil: this process opens its own
-	succession  *takeover.Coordinator // nil: none
-	memoryMB    int
-	events      uint64     // sum of what the configuration tells of the roster
-	clientLimit func(int)  // bounds the clients of the front
-	whole       func(bool) // has the front give results whole, as the next call may come to another process
-	part        func()     // has the front end connections behind their answers
-
-	users    *scramauth.Users // of the PostgreSQL front; nil: everybody is let in
-	words    *config.Config   // what the platform says of words among front ends; nil: nothing
-	sites    *otherSites      // nil: there are none
-	fleet    *fleet           // nil: it is no member among others
-	upgrade  *config.Upgrade  // nil: off
-	self     string           // this program's path
-	old      *handover.Source // where upgrades are on
-	new      *handover.Target // in a process that took over
-	tookOver bool
-	stopping bool  // a planned stop has begun
-	failed   error // ended the loop
-}
-
-// front is what a planned stop needs of a front.
-type front interface {
-	handover.Frontend
-	ListenOn(*netio.Listener)
-	Addr() string
-	CloseListener()
-	Drain()
-	Idle() bool
-}
-
 // Files are the paths of the files that say what to serve. An empty path turns off what its file describes.
 type Files struct {
 	Config   string // the platform's configuration
@@ -95,381 +35,174 @@
 	Fleet    string // membership among other front ends
 }
 
+// process is the gateway in this process. All of it belongs to the loop's goroutine, once that runs.
+type process struct {
+	loop      *netio.Loop
+	core      *core.Core
+	counters  *metrics.Counters
+	log       *slog.Logger
+	startedAt time.Duration
+	limits    limits
+
+	protocol protocol            // nil: there is no address to listen at
+	shapes   *queryshape.Service // the cost model; nil: off
+	control  string              // address of the control endpoint; "": there is none
+
+	sites       *remoteSites          // nil: there are none
+	members     *membershipNode       // nil: it is no member among other front ends
+	upgrades    *upgrades             // nil: off
+	target      *handover.Target      // in a process that was started by an upgrade
+	coordinator *takeover.Coordinator // where the platform holds the clients' socket
+
+	ready    bool  // it accepts clients
+	tookOver bool  // by an upgrade
+	stopping bool  // a planned stop has begun
+	failed   error // ended the loop
+}
+
+func newProcess(log *slog.Logger) *process {
+	return &process{counters: metrics.New(), log: log}
+}
+
+// signalBacklog is how many signals may wait until the loop runs.
+const signalBacklog = 16
+
+var errNoListenAddress = errors.New("the deploy file names no address to listen at")
+
 // Run serves until the process is told to stop.
-func Run(files Files, logger *slog.Logger) error {
+func Run(files Files, log *slog.Logger) error {
 	// First of all: a signal that comes before it is listened for ends the process.
-	told := make(chan os.Signal, 16)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
+	signals := make(chan os.Signal, signalBacklog)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g := &gateway{counters: metrics.New(), log: logger}
-	in, err := takeOver()
+	p := newProcess(log)
+	in, err := inheritFromSource()
 	if err == nil {
-		err = g.build(ctx, files)
+		err = p.assemble(ctx, files)
 	}
-	switch {
-	case err != nil:
-	case g.front == nil:
-		err = errors.New("the deploy file names no address to listen at")
+	if err == nil && p.protocol == nil {
 		if in == nil {
-			logger.Info("off", "why", err.Error())
+			log.Info("off", "why", errNoListenAddress.Error())
 			return nil
 		}
-	case in != nil:
-		err = g.takeOver(in)
-	case g.socket != nil:
-		err = g.openControl()
-		g.limitFiles()
-		err = errors.Join(err, g.beside())
-	default:
-		g.follow(nil)
-		if err = g.listen(); err == nil {
-			g.ready = true
-			err = errors.Join(g.linkSites(), g.join(), g.admin(), g.openControl())
-			g.limitFiles()
-		}
+		err = errNoListenAddress
+	}
+	if err == nil {
+		err = p.start(in)
 	}
 	if err != nil {
 		if in != nil {
-			in.say(err.Error())
+			in.sendHello(err.Error())
 		}
 		return err
 	}
-	switch {
-	case in != nil && in.check:
+	if in != nil && in.checkOnly {
 		return nil
-	case in == nil && g.ready:
-		logger.Info("serving", "addr", g.front.Addr())
-		notify("READY=1\n")
 	}
-	go g.signals(told)
-	g.loop.Run()
-	if g.succession != nil {
-		g.succession.Close()
+	go p.handleSignals(signals) // ends with the process
+	p.loop.Run()
+	if p.coordinator != nil {
+		p.coordinator.Close()
 	}
-	g.print()
-	return g.failed
+	p.printCounters()
+	return p.failed
 }
 
-// build makes the gateway, which then neither listens nor follows its roster.
-func (g *gateway) build(ctx context.Context, files Files) (err error) {
+// assemble makes the gateway, which then neither listens nor watches its endpoint list.
+func (p *process) assemble(ctx context.Context, files Files) error {
+	var err error
 	switch {
 	case files.Postgres != "":
-		err = g.postgres(ctx, files.Postgres, files.Sites)
+		err = p.assemblePostgres(ctx, files.Postgres, files.Sites)
 	case files.Config != "":
-		err = g.platform(files.Config, files.Shapes, files.Sites)
+		err = p.assemblePlatform(files.Config, files.Shapes, files.Sites)
 	default:
 		err = errors.New("nothing to serve: set LB_CONFIG, --config or --postgres")
 	}
-	return errors.Join(err, g.upgradable(files.Upgrade), g.openFleet(files.Fleet))
+	return errors.Join(err, p.loadUpgrades(files.Upgrade), p.loadMembership(files.Fleet))
 }
 
-// print writes the counters.
-func (g *gateway) print() {
-	if g.shapes != nil {
-		g.shapes.UpdateMetrics()
-	}
-	g.counters.Print(os.Stderr)
-}
-
-// learnShapes has the shapes of statements learned as the settings say.
-func (g *gateway) learnShapes(s *config.Shapes, memoryMB int, site *config.Site, workTold bool) (err error) {
-	if s == nil || !s.Enabled {
-		return nil
-	}
-	if most := part(memoryMB, 4) >> 10; s.MemoryKB > most {
-		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, most)
-	}
-	g.shapes, err = queryshape.NewService(queryshape.Settings{
-		Model: s.Decide(), Bytes: s.MemoryKB << 10, ReplaceHints: s.CorrectEstimates, RequireHint: s.OnlyWithEstimate, SnapshotFile: s.Snapshot, SnapshotInterval: s.SnapshotInterval(), WorkReported: workTold,
-	}, site.Policy.Classes, g.loop, g.counters, g.log)
-	if err == nil {
-		g.core.SetCostObserver(g.shapes)
-	}
-	return err
-}
-
-// start makes the loop and the core.
-func (g *gateway) start(set policy.Settings, seed uint64, memoryMB, sockets int) (err error) {
-	limitResources(memoryMB)
-	if g.loop, err = netio.New(sockets); err != nil {
+// assembleCore makes the loop and the core.
+func (p *process) assembleCore(settings policy.Settings, seed uint64, limits limits) error {
+	p.limits = limits
+	limitRuntime(limits.memoryMB)
+	var err error
+	p.loop, err = netio.New(limits.sockets)
+	if err != nil {
 		return err
 	}
-	g.since = g.loop.Now()
-	g.loop.Budget = int64(part(memoryMB, 6))
-	g.core, err = core.New(set, seed, g.loop, g.loop.Timers, g.counters, g.log)
+	p.startedAt = p.loop.Now()
+	p.loop.Budget = int64(limits.bufferBytes())
+	p.core, err = core.New(settings, seed, p.loop, p.loop.Timers, p.counters, p.log)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
 }
 
-// platform serves the platform's protocol.
-func (g *gateway) platform(path, shapes, sites string) error {
-	cfg, err := config.Load(path)
-	if err != nil {
-		return err
-	}
-	if v := os.Getenv("LB_LISTEN"); v != "" {
-		cfg.Listen = v
-	}
-	if cfg.Listen == "" {
-		return errors.New("configuration: listen: missing")
-	}
-	if g.control = cfg.Control; os.Getenv("LB_CONTROL") != "" {
-		g.control = os.Getenv("LB_CONTROL")
-	}
-	g.sockets, g.memoryMB, g.words = cfg.Sockets, cfg.MemoryMB, cfg
-	if g.socket, err = platformSocket(); err != nil {
-		return err
-	}
-	if g.events, err = cfg.EventSum(); err != nil {
-		return err
-	}
-	if err := g.start(cfg.Site.Policy, cfg.Seed, cfg.MemoryMB, cfg.Sockets); err != nil {
-		return err
+// assembleCostModel has the costs of query shapes learned as the file says. reportsWork is whether engines report the work
+// that a query needed.
+func (p *process) assembleCostModel(s *config.Shapes, site *config.Site, reportsWork bool) error {
+	if s == nil || !s.Enabled {
+		return nil
 	}
-	g.core.SetLinks(lineproto.New(g.loop, g.core, cfg.Site, g.counters, g.log))
-	if err := g.openSites(sites, lineproto.Codec{}, cfg.Site.Policy, cfg.MemoryMB); err != nil {
+	maxKB := p.limits.memoryFraction(4) >> 10
+	if s.MemoryKB > maxKB {
+		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, maxKB)
+	}
+	shapes, err := queryshape.NewService(queryshape.Settings{
+		Model:            s.Decide(),
+		Bytes:            s.MemoryKB << 10,
+		ReplaceHints:     s.CorrectEstimates,
+		RequireHint:      s.OnlyWithEstimate,
+		SnapshotFile:     s.Snapshot,
+		SnapshotInterval: s.SnapshotInterval(),
+		WorkReported:     reportsWork,
+	}, site.Policy.Classes, p.loop, p.counters, p.log)
+	if err != nil {
 		return err
 	}
-	var follower *eventbus.Follower
-	g.follow = func(k *handover.ProcessState) {
-		last := cfg.Offset
-		if k != nil { // its roster is in the core already
-			last = max(last, k.LastEvent)
-		} else {
-			for _, ev := range cfg.Known {
-				mode := policy.ListChanges
-				if ev.Whole {
-					mode = policy.ListFull
-				}
-				g.core.UpdateEndpoints(mode, ev.Engines)
-			}
-		}
-		if cfg.Bus != "" {
-			follower = eventbus.New(g.loop, cfg.Bus, last, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
-			follower.Start()
-			g.event = follower.Last
-		}
-	}
-	if cfg.Bus != "" {
-		g.reload = func() error {
-			next, err := config.Load(path)
-			if err == nil && next.Bus == "" {
-				err = errors.New("configuration: bus: missing")
-			}
-			if err != nil {
-				return err
-			}
-			cfg.Bus = next.Bus
-			if follower != nil {
-				follower.Move(next.Bus)
-			}
-			return nil
-		}
-	}
-	if shapes != "" {
-		s, err := config.LoadShapes(shapes)
-		if err != nil {
-			return err
-		}
-		if err := g.learnShapes(s, cfg.MemoryMB, &cfg.Site, cfg.Site.Policy.ReportsCost); err != nil {
-			return err
-		}
-	}
-	g.mostClients = mostClients(cfg.Sockets)
-	f := httpapi.New(g.loop, g.core, httpapi.Options{
-		MostClients: g.mostClients, MostHeld: part(cfg.MemoryMB, 8), Shapes: g.shapes,
-	}, g.counters)
-	g.front = f
-	g.listen = func() error {
-		if g.socket != nil {
-			f.ListenOn(g.socket)
-			g.socket.Resume()
-			return nil
-		}
-		return f.Listen(cfg.Listen)
-	}
-	g.clientLimit, g.whole, g.part = f.LimitClients, f.GiveWhole, f.Part
+	p.shapes = shapes
+	p.core.SetCostObserver(shapes)
 	return nil
 }
 
-// postgres serves the PostgreSQL wire protocol.
-func (g *gateway) postgres(ctx context.Context, path, sites string) error {
-	p, err := config.LoadPostgres(path)
-	if err != nil || p.Listen == "" {
-		return err
+// start begins to serve, or to take over from the process that this one inherits from; nil: there is none.
+func (p *process) start(in *inheritance) error {
+	if in != nil {
+		return p.startTarget(in)
 	}
-	if err := g.start(p.Site.Policy, uint64(os.Getpid()), p.MemoryMB, p.Sockets); err != nil {
-		return err
+	if platform, ok := p.protocol.(*platformProtocol); ok && platform.socket != nil {
+		err := p.openControl()
+		p.reserveDescriptors()
+		return errors.Join(err, p.startBeside(platform))
 	}
-	g.core.SetLinks(pgbackend.New(g.loop, g.core, pgbackend.Options{
-		User: p.User, Database: p.Database, Password: p.Engine.Password, TLS: p.Engine.Config,
-		ConnectTimeout: config.FromMS(p.ConnectTimeoutMS), MostHeld: part(p.MemoryMB, 4),
-		Pool: connpool.Limits{
-			MaxConnections: p.Pool.PerEngine,
-			MaxPerUser:     p.Pool.PerUser,
-			MinConnections: p.Pool.MinIdle,
-			IdleTimeout:    config.FromMS(p.IdleCloseMS),
-			MaxLifetime:    config.FromSeconds(p.Pool.LifeSeconds),
-		},
-	}, g.counters, g.log))
-	if err := g.openSites(sites, pgbackend.Codec{}, p.Site.Policy, p.MemoryMB); err != nil {
+	p.protocol.watchEndpoints(nil)
+	if err := p.protocol.listen(); err != nil {
 		return err
 	}
-	follower := consul.New(g.loop.Post, g.core, g.counters, g.log)
-	following := false
-	g.follow = func(k *handover.ProcessState) {
-		if k != nil {
-			follower.Know(k.Core.Engines)
-		}
-		following = true
-		follower.Follow(ctx, consul.Options(p.Consul))
-	}
-	if err := g.learnShapes(&p.Shapes, p.MemoryMB, &p.Site, false); err != nil {
+	p.ready = true
+	err := errors.Join(p.startSites(), p.startMember(), p.openAdmin(), p.openControl())
+	p.reserveDescriptors()
+	if err != nil {
 		return err
 	}
-	opts := g.frontOptions(p)
-	g.mostClients = opts.MostClients
-	f := pgfrontend.New(g.loop, g.core, opts, g.counters)
-	g.front = f
-	g.listen = func() error { return f.Listen(p.Listen) }
-	g.reload = func() error {
-		next, err := config.LoadPostgres(path)
-		if err == nil && next.Listen == "" {
-			err = errors.New("deploy file: listen: missing")
-		}
-		if err != nil {
-			return err
-		}
-		for class := range next.Classes() {
-			if _, ok := g.core.Class(class); !ok { // settings hold from the start on
-				return fmt.Errorf("deploy file: class %q is not among the settings that this program started with", class)
-			}
-		}
-		f.SetOptions(g.frontOptions(next))
-		if following && next.Consul != p.Consul {
-			follower.Follow(ctx, consul.Options(next.Consul))
-		}
-		p = next
-		return nil
-	}
+	p.log.Info("serving", "addr", p.protocol.frontend().Addr())
+	notifyServiceManager("READY=1\n")
 	return nil
 }
 
-func (g *gateway) frontOptions(p *config.Postgres) pgfrontend.Options {
-	opts := pgfrontend.Options{
-		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MostClients: mostClients(p.Sockets), MostHeld: part(p.MemoryMB, 6),
-		Shapes: g.shapes,
-	}
-	for _, name := range p.ReadOnlyFunctions {
-		opts.ReadOnly[name] = true
-	}
-	opts.TxIdle, opts.TxMost = config.FromMS(1000*p.TransactionIdleSeconds), config.FromMS(1000*p.TransactionMaxSeconds)
-	opts.TLS, opts.RequireTLS = p.TLS.Config, p.TLS.Require
-	if len(p.Logins) > 0 {
-		if g.users == nil {
-			g.users = scramauth.NewUsers(p.Logins)
-		} else {
-			g.users = g.users.WithUsers(p.Logins)
-		}
-		opts.Users = g.users
-	} else if a, err := netip.ParseAddrPort(strings.Replace(p.Listen, "localhost:", "127.0.0.1:", 1)); err != nil || !a.Addr().IsLoopback() {
-		g.log.Warn("trust", "listen", p.Listen, "why", "no file of users: everybody who reaches this address is let in")
-	}
-	if p.MaxClients > 0 {
-		opts.MostClients = min(opts.MostClients, p.MaxClients)
-	}
-	for _, s := range p.Statements {
-		opts.Rules = append(opts.Rules, pgfrontend.Rule(s))
-	}
-	return opts
-}
-
-// usualMB and usualSockets hold where the configuration names no limits.
-const (
-	usualMB      = 192
-	usualSockets = 1024
-)
-
-// part is the n-th part of the memory, in bytes.
-func part(memoryMB, n int) int {
-	if memoryMB <= 0 {
-		memoryMB = usualMB
-	}
-	return memoryMB << 20 / n
-}
-
-// mostClients leaves a quarter of the descriptors to engines, the roster and the
-// program itself, and some for clients that are being closed.
-func mostClients(sockets int) int {
-	if sockets <= 0 {
-		sockets = usualSockets
-	}
-	return max(sockets*3/4-32, 8)
-}
-
-// limitResources keeps the garbage collector well under the memory limit. More
-// than one P, also on one core: the poller's wait holds one.
-func limitResources(memoryMB int) {
-	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryMB) << 20 * 6 / 10)
-	}
-	runtime.GOMAXPROCS(3)
-}
-
-// signals carries out what the process is told.
-func (g *gateway) signals(told <-chan os.Signal) {
-	stopping := false
-	for s := range told {
-		switch {
-		case s == syscall.SIGUSR1:
-			g.loop.Post(g.print)
-		case s == syscall.SIGHUP:
-			g.loop.Post(g.readAgain)
-		case !stopping:
-			stopping = true
-			g.loop.Post(g.planned)
-		}
-	}
+// fail ends the process with an error.
+func (p *process) fail(err error) {
+	p.failed = err
+	p.loop.Stop()
 }
 
-// readAgain takes what may change while the program runs from its file. A file that
-// can't be used changes nothing.
-func (g *gateway) readAgain() {
-	if g.reload == nil && g.sites == nil && g.fleet == nil {
-		g.log.Info("reload.nothing", "why", "the configuration names nothing that may change")
-		return
-	}
-	err := errors.Join(g.reloadSites(), g.reloadFleet())
-	if g.reload != nil {
-		err = errors.Join(err, g.reload())
-	}
-	if err != nil {
-		g.counters.Add("reload.failed")
-		g.log.Warn("reload.failed", "error", err, "then", "the old file holds")
-		return
-	}
-	g.counters.Add("reload.done")
-	g.log.Info("reload.done")
-	if g.old != nil {
-		g.old.ForwardReload()
-	}
-}
-
-// planned begins a planned stop. A process that has yet to prove itself ends at once: the
-// old one takes everything back. An upgrade that is under way is given up first.
-func (g *gateway) planned() {
-	g.stopping = true
-	switch {
-	case g.new != nil && !g.new.Owner():
-		g.failed = errors.New("stopped before it was the owner")
-		g.loop.Stop()
-	case g.old != nil && g.old.Shutdown():
-	case g.socket != nil && !g.ready: // it took nothing yet
-		g.loop.Stop()
-	default:
-		g.stop()
+// printCounters writes the counters to standard error.
+func (p *process) printCounters() {
+	if p.shapes != nil {
+		p.shapes.UpdateMetrics()
 	}
+	p.counters.Print(os.Stderr)
 }
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -16,211 +16,231 @@
 	"gannetspur/internal/membership"
 )
 
-// fleet is what a gateway has of other front ends.
-type fleet struct {
+// membershipNode is what a gateway has that is a member among other front ends.
+type membershipNode struct {
 	path    string
 	file    *config.Fleet
-	opts    membership.Options
-	service *membership.Service // nil: it has not begun, words are not allowed, or another process is the member
-	waits   bool                // for the address, which another process has
+	options membership.Options
+	service *membership.Service // nil: it has not begun, messages are not allowed, or another process is the member
+	waiting bool                // for the address, which another process has
 }
 
-// openFleet reads the file of the fleet, if there is one. The member begins later, once this process serves.
-func (g *gateway) openFleet(path string) error {
-	if path == "" || g.loop == nil {
+// loadMembership reads the file of the fleet, if there is one. The member begins once this process serves.
+func (p *process) loadMembership(path string) error {
+	if path == "" || p.loop == nil {
 		return nil
 	}
-	f, err := config.LoadFleet(path)
+	file, err := config.LoadFleet(path)
 	if err != nil {
 		return err
 	}
-	g.fleet = &fleet{path: path, file: f}
-	opts := &g.fleet.opts
-	opts.Config, opts.Random = f.Decide(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	if f.Peers == "platform" {
-		return g.platformMembers(opts)
-	}
-	own := netip.MustParseAddrPort(f.Listen) // the file was checked
-	opts.Listen, opts.Self = f.Listen, idOf(own)
-	for _, s := range f.Seeds {
-		opts.Named = append(opts.Named, idOf(netip.MustParseAddrPort(s)))
-	}
-	opts.AddressOf = func(id decide.ID) (netip.AddrPort, bool) { return addrOf(id), true }
-	opts.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { return idOf(a), a.Addr().Is4() && a.Port() > 0 }
-	opts.Keys = membership.NewKeyring(own, keysOf(f))
+	p.members = &membershipNode{path: path, file: file}
+	options := &p.members.options
+	options.Config = file.Decide()
+	options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	if file.Peers == "platform" {
+		return p.platformMembers(options)
+	}
+	own := netip.MustParseAddrPort(file.Listen) // the file was checked
+	options.Listen = file.Listen
+	options.Self = memberID(own)
+	for _, seed := range file.Seeds {
+		options.Named = append(options.Named, memberID(netip.MustParseAddrPort(seed)))
+	}
+	options.AddressOf = func(id decide.ID) (netip.AddrPort, bool) { return memberAddress(id), true }
+	options.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { return memberID(a), a.Addr().Is4() && a.Port() > 0 }
+	options.Keys = membership.NewKeyring(own, membershipKeys(file))
 	return nil
 }
 
-// idOf makes a member's name of its address, so that who tells of a member tells where it is.
-func idOf(a netip.AddrPort) decide.ID {
-	b := a.Addr().As4()
-	return decide.ID(b[0])<<40 | decide.ID(b[1])<<32 | decide.ID(b[2])<<24 | decide.ID(b[3])<<16 | decide.ID(a.Port())
+// memberID makes a member's id of its address, so that whoever names a member says where it is.
+func memberID(address netip.AddrPort) decide.ID {
+	b := address.Addr().As4()
+	return decide.ID(b[0])<<40 | decide.ID(b[1])<<32 | decide.ID(b[2])<<24 | decide.ID(b[3])<<16 | decide.ID(address.Port())
 }
 
-func addrOf(id decide.ID) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{byte(id >> 40), byte(id >> 32), byte(id >> 24), byte(id >> 16)}), uint16(id))
+func memberAddress(id decide.ID) netip.AddrPort {
+	ip := [4]byte{byte(id >> 40), byte(id >> 32), byte(id >> 24), byte(id >> 16)}
+	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(id))
 }
 
-// platformMembers are the front ends of the tier, by their places in the platform's configuration.
-func (g *gateway) platformMembers(opts *membership.Options) error {
-	c := g.words
-	switch {
-	case c == nil:
-		return config.Fault{File: g.fleet.path, Field: "peers", Want: "the platform's front alone has them from a configuration"}
-	case !c.Site.MayTell || c.PeerListen == "" || len(c.Peers) == 0:
-		return nil // off: front ends send each other nothing there
-	}
-	places := map[netip.AddrPort]decide.ID{}
-	var addrs []netip.AddrPort
-	for i, p := range c.Peers {
-		a, err := netip.ParseAddrPort(p)
+// platformMembers takes the members from the platform's configuration. An id is a member's place in its list, from 1.
+func (p *process) platformMembers(options *membership.Options) error {
+	platform, ok := p.protocol.(*platformProtocol)
+	if !ok {
+		return config.Fault{File: p.members.path, Field: "peers", Want: "the platform's front alone has them from a configuration"}
+	}
+	cfg := platform.config
+	if !cfg.Site.MayTell || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
+		return nil // front ends send each other nothing there
+	}
+	ids := map[netip.AddrPort]decide.ID{}
+	var addresses []netip.AddrPort
+	for i, peer := range cfg.Peers {
+		address, err := netip.ParseAddrPort(peer)
 		if err != nil {
 			return fmt.Errorf("configuration: peers[%d]: %w", i, err)
 		}
-		addrs = append(addrs, a)
-		places[a] = decide.ID(i + 1)
-		opts.Named = append(opts.Named, decide.ID(i+1))
-		if p == c.PeerListen {
-			opts.Self = decide.ID(i + 1)
+		id := decide.ID(i + 1)
+		addresses = append(addresses, address)
+		ids[address] = id
+		options.Named = append(options.Named, id)
+		if peer == cfg.PeerListen {
+			options.Self = id
 		}
 	}
-	if opts.Self == 0 {
+	if options.Self == 0 {
 		return errors.New("configuration: peer_listen is not among peers")
 	}
-	opts.Listen, opts.Config.Closed = c.PeerListen, true
-	opts.AddressOf = func(id decide.ID) (a netip.AddrPort, ok bool) {
-		if id < 1 || int(id) > len(addrs) {
-			return a, false
+	options.Listen = cfg.PeerListen
+	options.Config.Closed = true
+	options.AddressOf = func(id decide.ID) (netip.AddrPort, bool) {
+		if id < 1 || int(id) > len(addresses) {
+			return netip.AddrPort{}, false
 		}
-		return addrs[id-1], true
+		return addresses[id-1], true
+	}
+	options.MemberAt = func(address netip.AddrPort) (decide.ID, bool) {
+		id, known := ids[address]
+		return id, known
 	}
-	opts.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { id, ok := places[a]; return id, ok }
 	return nil
 }
 
-func keysOf(f *config.Fleet) (keys []membership.Key) {
-	for _, k := range f.Keys {
-		keys = append(keys, membership.Key{Number: uint8(k.Number), Secret: k.Secret})
+func membershipKeys(file *config.Fleet) []membership.Key {
+	var keys []membership.Key
+	for _, key := range file.Keys {
+		keys = append(keys, membership.Key{Number: uint8(key.Number), Secret: key.Secret})
 	}
 	return keys
 }
 
-// join begins to be a member.
-func (g *gateway) join() (err error) {
-	if g.fleet == nil {
+// startMember begins to be a member.
+func (p *process) startMember() error {
+	if p.members == nil {
 		return nil
 	}
-	if g.fleet.opts.Listen == "" {
-		g.log.Info("members.off", "why", "the configuration does not allow words among front ends")
+	options := p.members.options
+	if options.Listen == "" {
+		p.log.Info("members.off", "why", "the configuration does not allow messages among front ends")
 		return nil
 	}
-	g.fleet.service, err = membership.Start(g.loop, g.fleet.opts, g.counters, g.log)
-	if err == nil {
-		g.fleet.waits = false
-		g.log.Info("members", "addr", g.fleet.service.Addr(), "self", uint64(g.fleet.opts.Self), "named", len(g.fleet.opts.Named), "carried", len(g.fleet.opts.SavedState) > 0)
+	service, err := membership.Start(p.loop, options, p.counters, p.log)
+	if err != nil {
+		return err
 	}
-	return err
+	p.members.service = service
+	p.members.waiting = false
+	p.log.Info("members", "addr", service.Addr(), "self", uint64(options.Self), "named", len(options.Named), "carried", len(options.SavedState) > 0)
+	return nil
 }
 
-// joinEvery is how often a process looks whether the one before it has let go of the member's address: a beat is not missed.
-const joinEvery = 50 * time.Millisecond
+// memberAddressPoll is how often a process looks whether the one before it has released the member's address: no heartbeat is
+// missed.
+const memberAddressPoll = 50 * time.Millisecond
 
-// joinBeside goes on as the member that the process before this one was, once that one has let go of its address, or has died.
-// Whatever stands against it, this process serves.
-func (g *gateway) joinBeside() {
-	if g.fleet == nil || g.fleet.service != nil || g.stopping {
+// resumeMember goes on as the member that the process before this one was, once that one has released its address or has
+// died. Whatever fails here, this process serves.
+func (p *process) resumeMember() {
+	if p.members == nil || p.members.service != nil || p.stopping {
 		return
 	}
-	err := g.join()
-	switch {
-	case errors.Is(err, syscall.EADDRINUSE):
-		if !g.fleet.waits {
-			g.fleet.waits = true
-			g.log.Info("members.waits", "for", g.fleet.opts.Listen)
+	err := p.startMember()
+	if errors.Is(err, syscall.EADDRINUSE) {
+		if !p.members.waiting {
+			p.members.waiting = true
+			p.log.Info("members.waits", "for", p.members.options.Listen)
 		}
-		g.loop.Timers.Add(g.loop.Now()+joinEvery, g.joinBeside)
-	case err != nil:
-		g.log.Error("members.failed", "error", err, "then", "it serves, and is no member")
+		p.loop.Timers.Add(p.loop.Now()+memberAddressPoll, p.resumeMember)
+		return
+	}
+	if err != nil {
+		p.log.Error("members.failed", "error", err, "then", "it serves, and is no member")
 	}
 }
 
 // member is what this process is among others; nil: it is none, at present.
-func (g *gateway) member() *membership.Service {
-	if g.fleet == nil {
+func (p *process) member() *membership.Service {
+	if p.members == nil {
 		return nil
 	}
-	return g.fleet.service
+	return p.members.service
 }
 
-// carryFleet is what this process knows of the fleet; nil: it is no member.
-func (g *gateway) carryFleet() []byte {
-	m := g.member()
-	if m == nil {
+// memberState is what this process knows of the fleet; nil: it is no member.
+func (p *process) memberState() []byte {
+	member := p.member()
+	if member == nil {
 		return nil
 	}
-	b, err := m.SaveState()
-	if err != nil { // the next one begins as after a restart
-		g.log.Error("members.carried", "error", err)
+	state, err := member.SaveState()
+	if err != nil { // the next process begins as after a restart
+		p.log.Error("members.carried", "error", err)
 	}
-	return b
+	return state
 }
 
-// handOnFleet lets the process that serves in this one's place be the member. Where that one dies while this one lives, this
-// one goes on from what it knows now.
-func (g *gateway) handOnFleet() {
-	m := g.member()
-	if m == nil {
+// handOverMember lets the process that serves in this one's place be the member. Where that one dies while this one lives,
+// this one goes on from what it knows now.
+func (p *process) handOverMember() {
+	member := p.member()
+	if member == nil {
 		return
 	}
-	g.fleet.opts.SavedState = g.carryFleet()
-	m.HandOver()
-	g.fleet.service = nil
+	p.members.options.SavedState = p.memberState()
+	member.HandOver()
+	p.members.service = nil
 }
 
-// leaveFleet tells the others that this front end stops.
-func (g *gateway) leaveFleet() {
-	if m := g.member(); m != nil {
-		m.Leave()
+// leaveMembership tells the others that this front end stops.
+func (p *process) leaveMembership() {
+	if member := p.member(); member != nil {
+		member.Leave()
 	}
 }
 
-// peers are the figures at the control endpoint; nil: it is no member.
-func (g *gateway) peers() *core.PeerFigures {
-	m := g.member()
-	if m == nil {
+// peerFigures are the figures of other front ends at the control endpoint; nil: this process is no member.
+func (p *process) peerFigures() *core.PeerFigures {
+	member := p.member()
+	if member == nil {
 		return nil
 	}
-	f := m.Stats()
-	return &core.PeerFigures{Live: f.Live, Named: f.Named, Cut: f.PartlyReachable, Lost: f.Dead + f.Unreachable, View: int(f.View.Number), Majority: f.Majority}
+	stats := member.Stats()
+	return &core.PeerFigures{
+		Live:     stats.Live,
+		Named:    stats.Named,
+		Cut:      stats.PartlyReachable,
+		Lost:     stats.Dead + stats.Unreachable,
+		View:     int(stats.View.Number),
+		Majority: stats.Majority,
+	}
 }
 
-// reloadFleet has the keys read again. All else holds from the start on.
-func (g *gateway) reloadFleet() error {
-	if g.fleet == nil || g.fleet.opts.Keys == nil {
+// reloadMembership reads the keys again. All else holds from the start on.
+func (p *process) reloadMembership() error {
+	if p.members == nil || p.members.options.Keys == nil {
 		return nil
 	}
-	f, err := config.LoadFleet(g.fleet.path)
-	if err == nil {
-		g.fleet.opts.Keys.Replace(keysOf(f))
+	file, err := config.LoadFleet(p.members.path)
+	if err != nil {
+		return err
 	}
-	return err
+	p.members.options.Keys.Replace(membershipKeys(file))
+	return nil
 }
 
 // adminMembers answers an operator. It runs on a goroutine of its own.
-func (g *gateway) adminMembers() admin.Reply {
-	done := make(chan admin.Reply, 1)
-	g.loop.Post(func() {
-		m := g.member()
-		if m == nil {
-			done <- admin.Reply{Problem: "this gateway is no member among others", Done: true}
-			return
+func (p *process) adminMembers() admin.Reply {
+	return onLoop(p, func() admin.Reply {
+		member := p.member()
+		if member == nil {
+			return admin.Reply{Problem: "this gateway is no member among others", Done: true}
 		}
-		raw, err := json.Marshal(m.Overview())
-		r := admin.Reply{Membership: raw, Done: true}
+		overview, err := json.Marshal(member.Overview())
+		reply := admin.Reply{Membership: overview, Done: true}
 		if err != nil {
-			r.Problem = err.Error()
+			reply.Problem = err.Error()
 		}
-		done <- r
+		return reply
 	})
-	return <-done
 }
--- /dev/null
+++ b/internal/gateway/postgres.go
@@ -0,0 +1,162 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"strings"
+
+	pgbackend "gannetspur/internal/backend/postgres"
+	"gannetspur/internal/config"
+	"gannetspur/internal/decide/connpool"
+	"gannetspur/internal/discovery/consul"
+	pgfrontend "gannetspur/internal/frontend/postgres"
+	"gannetspur/internal/handover"
+	"gannetspur/internal/scramauth"
+	"gannetspur/internal/sqltext"
+)
+
+// postgresProtocol serves PostgreSQL clients and engines, and watches Consul.
+type postgresProtocol struct {
+	process  *process
+	ctx      context.Context // ends the watch of Consul with the process
+	path     string
+	deploy   *config.Postgres
+	users    *scramauth.Users // nil: everybody is admitted
+	front    *pgfrontend.Front
+	watch    *consul.Follower
+	watching bool
+}
+
+// assemblePostgres makes the gateway of a deploy file; with no address to listen at there is none.
+func (p *process) assemblePostgres(ctx context.Context, path, sitesPath string) error {
+	deploy, err := config.LoadPostgres(path)
+	if err != nil || deploy.Listen == "" {
+		return err
+	}
+	limits := limits{memoryMB: deploy.MemoryMB, sockets: deploy.Sockets}
+	if err := p.assembleCore(deploy.Site.Policy, uint64(os.Getpid()), limits); err != nil {
+		return err
+	}
+	p.core.SetLinks(pgbackend.New(p.loop, p.core, backendOptions(deploy, limits), p.counters, p.log))
+	if err := p.assembleSites(sitesPath, pgbackend.Codec{}, deploy.Site.Policy); err != nil {
+		return err
+	}
+	if err := p.assembleCostModel(&deploy.Shapes, &deploy.Site, false); err != nil {
+		return err
+	}
+	pg := &postgresProtocol{process: p, ctx: ctx, path: path, deploy: deploy}
+	pg.watch = consul.New(p.loop.Post, p.core, p.counters, p.log)
+	options := pg.frontendOptions(deploy)
+	p.limits.maxClients = options.MostClients
+	pg.front = pgfrontend.New(p.loop, p.core, options, p.counters)
+	p.protocol = pg
+	return nil
+}
+
+func backendOptions(deploy *config.Postgres, limits limits) pgbackend.Options {
+	return pgbackend.Options{
+		User:           deploy.User,
+		Database:       deploy.Database,
+		Password:       deploy.Engine.Password,
+		TLS:            deploy.Engine.Config,
+		ConnectTimeout: config.FromMS(deploy.ConnectTimeoutMS),
+		MostHeld:       limits.memoryFraction(4),
+		Pool: connpool.Limits{
+			MaxConnections: deploy.Pool.PerEngine,
+			MaxPerUser:     deploy.Pool.PerUser,
+			MinConnections: deploy.Pool.MinIdle,
+			IdleTimeout:    config.FromMS(deploy.IdleCloseMS),
+			MaxLifetime:    config.FromSeconds(deploy.Pool.LifeSeconds),
+		},
+	}
+}
+
+// frontendOptions are what the clients' side takes of a deploy file. They may change while the program runs.
+func (p *postgresProtocol) frontendOptions(deploy *config.Postgres) pgfrontend.Options {
+	options := pgfrontend.Options{
+		DefaultClass: deploy.DefaultClass,
+		WriteClass:   deploy.WriteClass,
+		ReadOnly:     sqltext.Functions{},
+		MostClients:  clientsOf(deploy.Sockets),
+		MostHeld:     limits{memoryMB: deploy.MemoryMB}.memoryFraction(6),
+		Shapes:       p.process.shapes,
+		TxIdle:       config.FromSeconds(deploy.TransactionIdleSeconds),
+		TxMost:       config.FromSeconds(deploy.TransactionMaxSeconds),
+		TLS:          deploy.TLS.Config,
+		RequireTLS:   deploy.TLS.Require,
+		Users:        p.usersOf(deploy),
+	}
+	for _, name := range deploy.ReadOnlyFunctions {
+		options.ReadOnly[name] = true
+	}
+	if deploy.MaxClients > 0 {
+		options.MostClients = min(options.MostClients, deploy.MaxClients)
+	}
+	for _, statement := range deploy.Statements {
+		options.Rules = append(options.Rules, pgfrontend.Rule(statement))
+	}
+	return options
+}
+
+// usersOf are the users who may sign in; nil: everybody is admitted.
+func (p *postgresProtocol) usersOf(deploy *config.Postgres) *scramauth.Users {
+	if len(deploy.Logins) == 0 {
+		if !isLoopback(deploy.Listen) {
+			p.process.log.Warn("trust", "listen", deploy.Listen, "why", "no file of users: everybody who reaches this address is let in")
+		}
+		return nil
+	}
+	if p.users == nil {
+		p.users = scramauth.NewUsers(deploy.Logins)
+	} else {
+		p.users = p.users.WithUsers(deploy.Logins)
+	}
+	return p.users
+}
+
+func isLoopback(address string) bool {
+	numeric := strings.Replace(address, "localhost:", "127.0.0.1:", 1)
+	parsed, err := netip.ParseAddrPort(numeric)
+	return err == nil && parsed.Addr().IsLoopback()
+}
+
+func (p *postgresProtocol) frontend() frontend { return p.front }
+
+func (p *postgresProtocol) listen() error { return p.front.Listen(p.deploy.Listen) }
+
+func (p *postgresProtocol) watchEndpoints(known *handover.ProcessState) {
+	if known != nil {
+		p.watch.Know(known.Core.Engines)
+	}
+	p.watching = true
+	p.watch.Follow(p.ctx, consul.Options(p.deploy.Consul))
+}
+
+func (p *postgresProtocol) lastEvent() uint64 { return 0 }
+
+func (p *postgresProtocol) reloadable() bool { return true }
+
+// reload takes the frontend's options and Consul's. Settings hold from the start on.
+func (p *postgresProtocol) reload() error {
+	next, err := config.LoadPostgres(p.path)
+	if err != nil {
+		return err
+	}
+	if next.Listen == "" {
+		return errors.New("deploy file: listen: missing")
+	}
+	for class := range next.Classes() {
+		if _, known := p.process.core.Class(class); !known {
+			return fmt.Errorf("deploy file: class %q is not among the settings that this program started with", class)
+		}
+	}
+	p.front.SetOptions(p.frontendOptions(next))
+	if p.watching && next.Consul != p.deploy.Consul {
+		p.watch.Follow(p.ctx, consul.Options(next.Consul))
+	}
+	p.deploy = next
+	return nil
+}
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/replacement_test.go
@@ -47,8 +47,8 @@
 	hold chan struct{}       // engines answer ids that begin with f once it is closed
 }
 
-// process is one of them.
-type process struct {
+// childProcess is one of them.
+type childProcess struct {
 	*program
 	endpoint string
 }
@@ -140,7 +140,7 @@
 }
 
 // start starts a process at the socket.
-func (p *platformOf) start() *process {
+func (p *platformOf) start() *childProcess {
 	p.t.Helper()
 	endpoint, err := harness.Free()
 	if err != nil {
@@ -159,7 +159,7 @@
 	watch := time.AfterFunc(30*time.Second, func() { _ = r.cmd.Process.Kill() })
 	p.t.Cleanup(func() { watch.Stop(); _ = r.cmd.Process.Kill() })
 	r.log = bufio.NewScanner(out)
-	return &process{r, endpoint}
+	return &childProcess{r, endpoint}
 }
 
 // askAt makes a call at an address.
@@ -180,13 +180,13 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, b)
 }
 
-func (r *process) ban(engine, call string) string {
+func (r *childProcess) ban(engine, call string) string {
 	body := fmt.Sprintf(`{"target":%q}`, engine)
 	return askAt(r.t, r.endpoint, fmt.Sprintf("POST /engines/%s HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", call, len(body), body))
 }
 
 // down reads how many engines a process avoids.
-func (r *process) down() (n int) {
+func (r *childProcess) down() (n int) {
 	text := askAt(r.t, r.endpoint, "GET /metrics HTTP/1.1\r\n\r\n")
 	_, text, _ = strings.Cut(text, "lb.hosts_down:")
 	_, _ = fmt.Sscanf(text, "%d|g", &n)
@@ -274,7 +274,7 @@
 	if got := askAt(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
 		t.Errorf("after TERM with no successor: %s", got)
 	}
-	for _, r := range []*process{b, c} {
+	for _, r := range []*childProcess{b, c} {
 		for r.log.Scan() {
 		}
 		if err := r.cmd.Wait(); err != nil {
@@ -295,10 +295,10 @@
 	b, c := p.start(), p.start()
 	b.await("msg=serving")
 	c.await("msg=serving")
-	for _, r := range []*process{a, b} {
+	for _, r := range []*childProcess{a, b} {
 		r.signal(syscall.SIGTERM)
 	}
-	for _, r := range []*process{a, b} {
+	for _, r := range []*childProcess{a, b} {
 		for r.log.Scan() {
 		}
 		if err := r.cmd.Wait(); err != nil {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -12,8 +12,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"gannetspur/internal/metrics"
 )
 
 const call = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d4%d\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
@@ -40,19 +38,22 @@
 }
 
 // serve runs a gateway in the test's own process; ended is closed once it has ended.
-func serve(t *testing.T, path string) (g *gateway, ended chan struct{}) {
+func serve(t *testing.T, path string) (p *process, ended chan struct{}) {
 	t.Helper()
-	g = &gateway{counters: metrics.New(), log: slog.New(slog.DiscardHandler)}
-	if err := g.platform(path, "", ""); err != nil {
+	p = newProcess(slog.New(slog.DiscardHandler))
+	if err := p.assemblePlatform(path, "", ""); err != nil {
 		t.Fatal(err)
 	}
-	g.follow(nil)
-	if err := g.listen(); err != nil {
+	p.protocol.watchEndpoints(nil)
+	if err := p.protocol.listen(); err != nil {
 		t.Fatal(err)
 	}
 	ended = make(chan struct{})
-	go func() { g.loop.Run(); close(ended) }()
-	return g, ended
+	go func() {
+		p.loop.Run()
+		close(ended)
+	}()
+	return p, ended
 }
 
 // A planned stop: who comes right after TERM is still served, what is open goes on,
@@ -93,12 +94,12 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g, ended := serve(t, path)
-	open := client(t, g.front.Addr(), 1)
+	p, ended := serve(t, path)
+	open := client(t, p.protocol.frontend().Addr(), 1)
 	<-wants
 	began := time.Now()
-	g.loop.Post(g.stop)
-	if got := <-client(t, g.front.Addr(), 2); got != "200 OK" {
+	p.loop.Post(p.beginStop)
+	if got := <-client(t, p.protocol.frontend().Addr(), 2); got != "200 OK" {
 		t.Errorf("a client right after TERM got %s", got)
 	}
 	if got := <-open; !strings.HasPrefix(got, "50") {
@@ -108,7 +109,7 @@
 	if took := time.Since(began); took > 3700*time.Millisecond {
 		t.Errorf("the stop took %v: the kill comes first", took)
 	}
-	if _, err := net.Dial("tcp", g.front.Addr()); err == nil {
+	if _, err := net.Dial("tcp", p.protocol.frontend().Addr()); err == nil {
 		t.Error("still listening")
 	}
 }
@@ -149,13 +150,13 @@
 		}
 	}
 	write(old)
-	g, ended := serve(t, path)
+	p, ended := serve(t, path)
 	<-heardOld
-	open := client(t, g.front.Addr(), 2)
+	open := client(t, p.protocol.frontend().Addr(), 2)
 	<-wants
 	write(next)
 	told := make(chan os.Signal, 3)
-	go g.signals(told)
+	go p.handleSignals(told)
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		told <- s
 	}
@@ -165,7 +166,7 @@
 		t.Errorf("what was open got %s", got)
 	}
 	<-ended
-	if g.failed != nil {
-		t.Error(g.failed)
+	if p.failed != nil {
+		t.Error(p.failed)
 	}
 }
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"time"
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/config"
@@ -13,8 +12,8 @@
 	"gannetspur/policy"
 )
 
-// otherSites is what a gateway has of other sites.
-type otherSites struct {
+// remoteSites is what a gateway that works with other sites has.
+type remoteSites struct {
 	path    string
 	own     forwarding.Name
 	service *forwarding.Service
@@ -23,9 +22,8 @@
 	admin   string
 }
 
-// openSites reads the file of other sites, if there is one, and has the core use them. Links
-// are made later.
-func (g *gateway) openSites(path string, codec forwarding.Codec, set policy.Settings, memoryMB int) error {
+// assembleSites reads the file of other sites, if there is one, and has the core use them. Links are made later.
+func (p *process) assembleSites(path string, codec forwarding.Codec, settings policy.Settings) error {
 	if path == "" {
 		return nil
 	}
@@ -38,115 +36,103 @@
 	if err != nil {
 		return config.Fault{File: path, Field: "keys", Want: err.Error()}
 	}
-	service, err := forwarding.New(g.core, g.loop.Timers, forwarding.Options{
-		Name: own, Start: rand.Uint64(), Config: s.Decide(set.Limits.MaxAttempts), Settings: set, Codec: codec, Pack: s.Pack,
-		Held: part(memoryMB, 8) / max(len(peers), 1),
-	}, g.counters, g.log)
+	service, err := forwarding.New(p.core, p.loop.Timers, forwarding.Options{
+		Name:     own,
+		Start:    rand.Uint64(),
+		Config:   s.Decide(settings.Limits.MaxAttempts),
+		Settings: settings,
+		Codec:    codec,
+		Pack:     s.Pack,
+		Held:     p.limits.memoryFraction(8) / max(len(peers), 1),
+	}, p.counters, p.log)
 	if err != nil {
 		return err
 	}
-	g.core.SetRemoteSites(service)
-	g.sites = &otherSites{path: path, own: own, service: service, runner: link.New(g.loop, g.loop.Timers, service, keys, own, peers, g.counters, g.log), listen: s.Listen, admin: s.Admin}
+	p.core.SetRemoteSites(service)
+	p.sites = &remoteSites{
+		path:    path,
+		own:     own,
+		service: service,
+		runner:  link.New(p.loop, p.loop.Timers, service, keys, own, peers, p.counters, p.log),
+		listen:  s.Listen,
+		admin:   s.Admin,
+	}
 	return nil
 }
 
-// linkSites accepts other sites' gateways and dials them.
-func (g *gateway) linkSites() error {
-	if g.sites == nil {
+// startSites accepts the gateways of other sites and dials them.
+func (p *process) startSites() error {
+	if p.sites == nil {
 		return nil
 	}
-	if err := g.sites.runner.Start(g.sites.listen); err != nil {
+	if err := p.sites.runner.Start(p.sites.listen); err != nil {
 		return err
 	}
-	g.log.Info("sites", "addr", g.sites.runner.Addr())
+	p.log.Info("sites", "addr", p.sites.runner.Addr())
 	return nil
 }
 
-// leaveSites says that this process takes nothing new of other sites and asks nothing new.
-func (g *gateway) leaveSites() {
-	if g.sites != nil {
-		g.sites.runner.Leave()
+// leaveSites tells other sites that this process forwards nothing and accepts nothing any more.
+func (p *process) leaveSites() {
+	if p.sites != nil {
+		p.sites.runner.Leave()
 	}
 }
 
-// sitesIdle tells whether nothing is on its way to or from other sites.
-func (g *gateway) sitesIdle() bool { return g.sites == nil || g.sites.service.Idle() }
+// sitesIdle reports whether no request is on its way to or from other sites.
+func (p *process) sitesIdle() bool { return p.sites == nil || p.sites.service.Idle() }
 
-// takenOver ends what can't be handed to the process that is the owner now.
-func (g *gateway) takenOver() {
-	g.leaveSites()
-	g.handOnFleet()
-	if f, ok := g.front.(interface{ CloseUnmovable() }); ok {
-		f.CloseUnmovable()
+// adminSites answers an operator on other sites. It runs on a goroutine of its own.
+func (p *process) adminSites(request admin.Request) admin.Reply {
+	if p.sites == nil {
+		return admin.Reply{Problem: "this gateway works with no other site", Done: true}
 	}
+	return onLoop(p, func() admin.Reply { return p.operateSites(request) })
 }
 
-// exitPoll is how often a process that was taken over from looks whether it may end.
-const exitPoll = 20 * time.Millisecond
-
-// exit ends a process that was taken over from, once other sites have their answers.
-func (g *gateway) exit() {
-	by := g.loop.Now() + g.core.LongestDeadline()
-	var poll func()
-	poll = func() {
-		if now := g.loop.Now(); !g.sitesIdle() && now < by {
-			g.loop.Timers.Add(now+exitPoll, poll)
-			return
+func (p *process) operateSites(request admin.Request) admin.Reply {
+	service := p.sites.service
+	reply := admin.Reply{Done: true}
+	if request.Command != "site-status" {
+		undrain := request.Command == "site-undrain"
+		if !service.Drain(request.Site, undrain) {
+			reply.Problem = fmt.Sprintf("there is no site or gateway %q", request.Site)
 		}
-		g.loop.Stop()
+		p.log.Info(request.Command, "site", request.Site)
 	}
-	poll()
-}
-
-// adminSite answers an operator on other sites. It runs on a goroutine of its own.
-func (g *gateway) adminSite(r admin.Request) admin.Reply {
-	if g.sites == nil {
-		return admin.Reply{Problem: "this gateway works with no other site", Done: true}
+	overview, err := json.Marshal(service.Overview())
+	if err != nil {
+		reply.Problem = err.Error()
 	}
-	done := make(chan admin.Reply, 1)
-	g.loop.Post(func() {
-		s := g.sites.service
-		reply := admin.Reply{Done: true}
-		if r.Command != "site-status" {
-			if !s.Drain(r.Site, r.Command == "site-undrain") {
-				reply.Problem = fmt.Sprintf("there is no site or gateway %q", r.Site)
-			}
-			g.log.Info(r.Command, "site", r.Site)
-		}
-		raw, err := json.Marshal(s.Overview())
-		if err != nil {
-			reply.Problem = err.Error()
-		}
-		reply.Sites = raw
-		done <- reply
-	})
-	return <-done
+	reply.Sites = overview
+	return reply
 }
 
-// reloadSites takes the peers and the keys of links anew. All else holds from the start on.
-func (g *gateway) reloadSites() error {
-	if g.sites == nil {
+// reloadSites reads the peers and the keys of links again. All else holds from the start on.
+func (p *process) reloadSites() error {
+	if p.sites == nil {
 		return nil
 	}
-	s, err := config.LoadSites(g.sites.path)
+	s, err := config.LoadSites(p.sites.path)
 	if err != nil {
 		return err
 	}
 	own, peers := namesOf(s)
-	if own != g.sites.own {
-		return fmt.Errorf("sites: this gateway was started as %s, and the file names %s", g.sites.own, own)
+	if own != p.sites.own {
+		return fmt.Errorf("sites: this gateway was started as %s, and the file names %s", p.sites.own, own)
 	}
-	if err := g.sites.runner.Reload(); err != nil {
+	if err := p.sites.runner.Reload(); err != nil {
 		return err
 	}
-	g.sites.runner.SetPeers(peers)
+	p.sites.runner.SetPeers(peers)
 	return nil
 }
 
-// namesOf are the names that a file of sites gives.
+// namesOf returns this gateway's name and its peers, as a file of sites gives them.
 func namesOf(s *config.Sites) (own forwarding.Name, peers []link.Peer) {
-	for _, p := range s.Peers {
-		peers = append(peers, link.Peer{Name: forwarding.Name{Site: p.Site, Gateway: p.Gateway}, Addr: p.Address})
+	for _, peer := range s.Peers {
+		name := forwarding.Name{Site: peer.Site, Gateway: peer.Gateway}
+		peers = append(peers, link.Peer{Name: name, Addr: peer.Address})
 	}
 	return forwarding.Name{Site: s.Site, Gateway: s.Gateway}, peers
 }
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -572,7 +572,7 @@
 	}
 	defer ln.Close()
 	t.Setenv("NOTIFY_SOCKET", path)
-	notify("MAINPID=7\nREADY=1\n")
+	notifyServiceManager("MAINPID=7\nREADY=1\n")
 	_ = ln.SetDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 100)
 	if n, err := ln.Read(b); err != nil || string(b[:n]) != "MAINPID=7\nREADY=1\n" {
