--- a/internal/decide/membership/failure_detector.go
+++ b/internal/decide/membership/failure_detector.go
@@ -34,8 +34,7 @@
 		if p == n.self {
 			continue
 		}
-		needsArbiter := len(p.notHeardBy) > 0 && n.countWitnesses(p) < n.config.Quorum && n.isArbiter(p)
-		shouldMonitor := predecessors[p] || p.ownObservation == heardDirectly || needsArbiter
+		shouldMonitor := predecessors[p] || p.ownObservation == heardDirectly || n.shouldArbitrate(p)
 		switch {
 		case shouldMonitor && !p.monitored:
 			n.startMonitoring(p)
@@ -92,6 +91,11 @@
 	p.repeatedPings = 0
 }
 
+// shouldArbitrate tells whether a peer's witnesses are too few and this member should look for itself.
+func (n *Node) shouldArbitrate(p *peer) bool {
+	return len(p.notHeardBy) > 0 && n.countWitnesses(p) < n.config.Quorum && n.isArbiter(p)
+}
+
 // isArbiter tells whether this member is one of those that look for themselves where somebody does not hear a peer.
 // They are drawn by hash, the same at all members, so there are enough witnesses even where those on the rings may
 // have failed too.
