--- a/internal/decide/membership/config.go
+++ b/internal/decide/membership/config.go
@@ -16,7 +16,7 @@
 type Config struct {
 	HeartbeatInterval   time.Duration
 	RingCount           int           // monitors of each member
-	Quorum              int           // of them must not hear a member before it is declared dead or unreachable
+	Quorum              int           // monitors that must not hear a member before it is declared dead or unreachable
 	MaxMissedHeartbeats int           // in a row on a path without loss, before the member is pinged
 	MaxUnansweredPings  int           // before a member is reported as not heard
 	SuspicionTimeout    time.Duration // for which a quorum against a member must last
