--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -44,7 +44,7 @@
 		}
 	}
 	r, err := harness.New(harness.Options{
-		Root: ".", Dir: dir, Engines: c.Engines, Work: emulator.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logging.Plain(os.Stdout),
+		Root: ".", Dir: dir, Engines: c.Engines, Work: emulator.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logging.NewPlain(os.Stdout),
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -104,7 +104,7 @@
 func (g *gateway) take(k *handover.ProcessState) error {
 	g.learn(k)
 	for name, n := range k.Counters {
-		g.counters.Raise(name, n)
+		g.counters.AddN(name, n)
 	}
 	g.follow(k)
 	return nil
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -131,7 +131,7 @@
 		n.opts.Reload()
 	case *CounterIncrements:
 		for name, by := range m.Counters {
-			n.stats.Raise(name, by)
+			n.stats.AddN(name, by)
 		}
 	case *SharedState:
 		if err := n.front.ApplySharedState(m.Data); err != nil {
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -589,7 +589,7 @@
 	}
 	if o.proc != nil && now-o.memory >= memoryEvery {
 		o.memory = now
-		o.step(decide.TargetMemory{Bytes: metrics.Resident(o.proc.cmd.Process.Pid)})
+		o.step(decide.TargetMemory{Bytes: metrics.ResidentBytes(o.proc.cmd.Process.Pid)})
 	}
 	o.step(decide.Tick{})
 }
--- a/internal/logging/logs_test.go
+++ b/internal/logging/ratelimit_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"log/slog"
 	"strings"
 	"testing"
@@ -11,13 +10,13 @@
 
 // A peer that causes the same event again and again can't fill the log, other events go
 // on, and errors are never left out.
-func TestLimit(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
-	h := Limit(slog.NewTextHandler(&out, nil), 1, 3).WithAttrs([]slog.Attr{slog.String("engine", "e1")})
+	h := RateLimit(slog.NewTextHandler(&out, nil), 1, 3).WithAttrs([]slog.Attr{slog.String("engine", "e1")})
 	at := time.Unix(1000, 0)
 	write := func(level slog.Level, name string, n int) {
 		for range n {
-			if err := h.Handle(context.Background(), slog.NewRecord(at, level, name, 0)); err != nil {
+			if err := h.Handle(t.Context(), slog.NewRecord(at, level, name, 0)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -27,9 +26,9 @@
 	write(slog.LevelError, "stopped", 5)
 	at = at.Add(time.Second)
 	write(slog.LevelWarn, "engine.unreadable", 2)
-	for words, want := range map[string]int{"engine.unreadable": 4, "serving": 1, "stopped": 5, "left_out=97": 1, "engine=e1": 10} {
-		if got := strings.Count(out.String(), words); got != want {
-			t.Errorf("%q stands %d times, want %d:\n%s", words, got, want, out.String())
+	for text, want := range map[string]int{"engine.unreadable": 4, "serving": 1, "stopped": 5, "suppressed=97": 1, "engine=e1": 10} {
+		if got := strings.Count(out.String(), text); got != want {
+			t.Errorf("count of %q in the log = %d, want %d:\n%s", text, got, want, out.String())
 		}
 	}
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -199,7 +199,7 @@
 		datagram = s.options.Keys.seal(s.loop.Now(), to, datagram)
 	}
 	s.counters.Add("members.datagrams-out")
-	s.counters.Raise("members.bytes-out", int64(len(datagram)))
+	s.counters.AddN("members.bytes-out", int64(len(datagram)))
 	if err := s.socket.Send(to, datagram); err != nil { // the same as one lost in transit
 		s.counters.Add("members.unsent")
 	}
--- /dev/null
+++ b/internal/metrics/counters_test.go
@@ -0,0 +1,40 @@
+package metrics
+
+import (
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestCounters(t *testing.T) {
+	c := New()
+	c.Add("taken.lookup")
+	c.AddN("taken.report", 3)
+	c.Set("answered", 9)
+	c.Set("answered", 2)
+	if got := c.Sum("taken."); got != 4 {
+		t.Errorf("Sum(taken.) = %d, want 4", got)
+	}
+	if got := c.Get("unheard-of"); got != 0 {
+		t.Errorf("Get(unheard-of) = %d, want 0", got)
+	}
+	c.All()["answered"] = 100 // a copy
+	var printed strings.Builder
+	c.Print(&printed)
+	want := "count answered 2\ncount taken.lookup 1\ncount taken.report 3\n"
+	if diff := cmp.Diff(want, printed.String()); diff != "" {
+		t.Errorf("printed counters (-want +got):\n%s", diff)
+	}
+}
+
+func TestResidentBytes(t *testing.T) {
+	if got := ResidentBytes(os.Getpid()); got < 1<<16 {
+		t.Errorf("resident memory of this process = %d bytes", got)
+	}
+	const noProcess = -1
+	if got := ResidentBytes(noProcess); got != 0 {
+		t.Errorf("resident memory of no process = %d, want 0", got)
+	}
+}
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -152,7 +152,7 @@
 	}
 	res.CPU = float64((after - before).Microseconds()) / float64(opts.Requests)
 	res.Rate = float64(opts.Requests) / took.Seconds()
-	res.KB = int(metrics.Resident(g.Process.Pid) >> 10)
+	res.KB = int(metrics.ResidentBytes(g.Process.Pid) >> 10)
 	return res, nil
 }
 
--- a/internal/testbed/shapes/flood.go
+++ b/internal/testbed/shapes/flood.go
@@ -79,7 +79,7 @@
 	res.Held, res.Counted = book.Len(), book.Bytes()
 	res.HeapBytes = heap() - before
 	debug.FreeOSMemory()
-	res.RSSBytes = int(metrics.Resident(os.Getpid()))
+	res.RSSBytes = int(metrics.ResidentBytes(os.Getpid()))
 	runtime.KeepAlive(book)
 	return res, nil
 }
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	if st, err := admin.FetchStatus(ctx, g.admin); err == nil {
-		res.Resident = metrics.Resident(st.PID)
+		res.Resident = metrics.ResidentBytes(st.PID)
 	}
 	stop()
 	<-ended
@@ -401,7 +401,7 @@
 	if !on || err != nil {
 		return func() int64 { return 0 }
 	}
-	start := metrics.Resident(st.PID)
+	start := metrics.ResidentBytes(st.PID)
 	stop, most := make(chan struct{}), make(chan int64, 1)
 	go func() {
 		t := time.NewTicker(20 * time.Millisecond)
@@ -410,9 +410,9 @@
 		for {
 			select {
 			case <-t.C:
-				sum := metrics.Resident(st.PID)
+				sum := metrics.ResidentBytes(st.PID)
 				for _, pid := range children(st.PID) {
-					sum += metrics.Resident(pid)
+					sum += metrics.ResidentBytes(pid)
 				}
 				extra = max(extra, sum-start)
 			case <-stop:
