--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -45,8 +45,8 @@
 type Rows [][]byte
 
 var (
-	_ core.Links         = (*Links)(nil)
-	_ core.HealthChecker = (*Links)(nil)
+	_ core.Links        = (*Links)(nil)
+	_ core.LoadReporter = (*Links)(nil)
 )
 
 // Links holds the connections to all engines.
@@ -423,7 +423,7 @@
 		if s.missing > 0 {
 			end = core.OutcomePagesLost
 		}
-		s.report.Load = gauges(a.fields)
+		s.report.LoadReport = gauges(a.fields)
 		l.finish(s, end)
 	default:
 		return fmt.Errorf("unknown word %.20q in an answer", a.word)
@@ -451,7 +451,7 @@
 	work, _ := number(a.fields, "cpu")
 	s.report.Work = config.FromMS(max(work, 0))
 	s.report.MemoryMB, _ = number(a.fields, "used")
-	s.report.Load = gauges(a.fields)
+	s.report.LoadReport = gauges(a.fields)
 	s.pages = make(Rows, pages)
 	s.size = len(a.body)
 	s.pages[0] = append([]byte{}, a.body...)
--- a/internal/backend/lineproto/probe.go
+++ b/internal/backend/lineproto/probe.go
@@ -17,18 +17,18 @@
 	timer *timerqueue.Entry
 }
 
-// CheckHealth asks an engine for its load, on a connection that is up where there is one. An engine
+// RequestLoadReport asks an engine for its load, on a connection that is up where there is one. An engine
 // that a probe is out to is not asked again: two answers would tell the same.
-func (ls *Links) CheckHealth(id string) {
+func (ls *Links) RequestLoadReport(id string) {
 	e := ls.engines.Get(id)
 	if e == nil {
-		ls.core.EndHealthCheck(id, core.OutcomeNoAddress, policy.LoadReport{})
+		ls.core.EndLoadReport(id, core.OutcomeNoAddress, policy.LoadReport{})
 		return
 	}
 	var on *link
 	for _, l := range e.Links {
 		if l.probe != nil {
-			ls.core.EndHealthCheck(id, core.OutcomeNotSent, policy.LoadReport{})
+			ls.core.EndLoadReport(id, core.OutcomeNotSent, policy.LoadReport{})
 			return
 		}
 		if !l.retired && (on == nil || on.conn == nil && l.conn != nil) {
@@ -85,6 +85,6 @@
 	p.timer.Stop()
 	l.probe = nil
 	l.used = l.all.core.Now()
-	l.all.core.EndHealthCheck(l.engine.ID, end, load)
+	l.all.core.EndLoadReport(l.engine.ID, end, load)
 	l.closeIfDone()
 }
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -6,7 +6,7 @@
 func (c *Core) admit(r *Request) {
 	r.admitted = true
 	c.tell(policy.QueryArrived{
-		Query: r.query, Class: r.Class, Key: r.SerialKey, DataSet: r.TableGroup, Deadline: r.Deadline,
+		Query: r.query, Class: r.Class, Key: r.SerialKey, DataSet: r.DataSet, Deadline: r.Deadline,
 		Work: r.Work, MemoryMB: r.MemoryMB, Repeat: r.ClientRetry,
 	})
 }
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -44,7 +44,7 @@
 	}
 	c.tell(policy.AttemptEnded{
 		Query: r.query, Attempt: a.n, Result: result, Elapsed: c.clock.Now() - a.SentAt,
-		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.Load,
+		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.LoadReport,
 	})
 	c.forget(r)
 }
@@ -58,8 +58,8 @@
 	c.tell(policy.AttemptProgress{Query: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
 }
 
-// EndHealthCheck ends a probe: the engine answered, with its load where it told that, or it did not.
-func (c *Core) EndHealthCheck(engine string, end Outcome, load policy.LoadReport) {
+// EndLoadReport ends a probe: the engine answered, with its load where it told that, or it did not.
+func (c *Core) EndLoadReport(engine string, end Outcome, load policy.LoadReport) {
 	c.stats.Add("probes.ended." + end.String())
 	c.tell(policy.LoadReportReceived{Engine: engine, Result: end.PolicyResult(), Load: load})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -40,10 +40,10 @@
 	UpdateEngine(e Engine)
 }
 
-// HealthChecker asks engines for their load. Links that can do so are one.
-type HealthChecker interface {
-	// CheckHealth asks an engine; Core.EndHealthCheck ends it, once.
-	CheckHealth(engine string)
+// LoadReporter asks engines for their load. Links that can do so are one.
+type LoadReporter interface {
+	// RequestLoadReport asks an engine; Core.EndHealthCheck ends it, once.
+	RequestLoadReport(engine string)
 }
 
 // Engine is an entry of the roster with what the decisions don't need.
@@ -59,7 +59,7 @@
 	IdempotencyKey string    // idempotency key; "": none
 	SerialKey      string    // requests of one key that a front end takes run one at a time, in turn; "": no such key
 	Statement      Statement // passed on to the links unread
-	TableGroup     int64     // group of tables
+	DataSet        int64     // group of tables
 	Deadline       time.Duration
 	Work           time.Duration // estimate; 0: none
 	MemoryMB       float64       // estimate; 0: none
@@ -130,7 +130,7 @@
 	Result      Result // the complete response, for frontends of the same wire protocol
 	Work        time.Duration
 	MemoryMB    float64
-	Load        policy.LoadReport
+	LoadReport  policy.LoadReport
 	EngineError error // for frontends of the same wire protocol; nil: there was none
 }
 
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -23,13 +23,13 @@
 
 // Answer is a final answer.
 type Answer struct {
-	Verdict     Verdict
-	RetryAfter  time.Duration // with Refused: not before this long from now; 0: unsaid
-	Late        bool          // the request's time was over
-	Sent        bool          // it went to an engine at least once
-	InDoubt     bool          // it may have run, and its class is not safe to repeat
-	Result      Result        // with Served
-	EngineError error         // the latest of an engine; nil: there was none
+	Verdict        Verdict
+	RetryAfter     time.Duration // with Refused: not before this long from now; 0: unsaid
+	DeadlinePassed bool          // the request's time was over
+	Sent           bool          // it went to an engine at least once
+	InDoubt        bool          // it may have run, and its class is not safe to repeat
+	Result         Result        // with Served
+	EngineError    error         // the latest of an engine; nil: there was none
 }
 
 // final gives the client its one answer, at once. A second one is passed by.
@@ -38,7 +38,7 @@
 	if r == nil || r.answered {
 		return
 	}
-	a.Late = a.Verdict != Served && c.clock.Now() >= r.Deadline-c.round
+	a.DeadlinePassed = a.Verdict != Served && c.clock.Now() >= r.Deadline-c.round
 	a.InDoubt = c.InDoubt(r)
 	if a.EngineError == nil {
 		a.EngineError = r.engineError
@@ -46,7 +46,7 @@
 	a.Sent = a.Sent || r.PriorSentAt > 0 || len(r.tries) > 0
 	c.stats.Add("answered." + a.Verdict.String() + "." + r.Class)
 	c.counted(r, a.Verdict)
-	if a.Late {
+	if a.DeadlinePassed {
 		c.stats.Add("answered-late." + r.Class)
 	}
 	c.close(r)
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -39,7 +39,7 @@
 var (
 	_ StreamingClient    = (*replay)(nil)
 	_ CostObserver       = (*replay)(nil)
-	_ HealthChecker      = replayLinks{}
+	_ LoadReporter       = replayLinks{}
 	_ StreamingLinks     = replayLinks{}
 	_ DisconnectDetector = (*world)(nil)
 )
@@ -93,7 +93,7 @@
 func (r *replay) Now() time.Duration { return r.now }
 
 func (r *replay) Answer(q *Request, a Answer) {
-	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.Late, a.Sent, a.InDoubt, a.Result, a.EngineError)
+	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.DeadlinePassed, a.Sent, a.InDoubt, a.Result, a.EngineError)
 	r.dropOpen(q)
 }
 
@@ -142,13 +142,13 @@
 	}
 }
 
-func (l replayLinks) CheckHealth(engine string) {
+func (l replayLinks) RequestLoadReport(engine string) {
 	l.say("probe %s", engine)
 	if l.random.IntN(2) == 0 {
-		l.core.EndHealthCheck(engine, OutcomeServed, policy.LoadReport{})
+		l.core.EndLoadReport(engine, OutcomeServed, policy.LoadReport{})
 		return
 	}
-	l.core.EndHealthCheck(engine, OutcomeConnectTimeout, policy.LoadReport{})
+	l.core.EndLoadReport(engine, OutcomeConnectTimeout, policy.LoadReport{})
 }
 
 func (l replayLinks) Continue(a *Attempt) {
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -27,9 +27,9 @@
 	case policy.Log:
 		c.log.Info("policy", "says", a.Text)
 	case policy.RequestLoadReport:
-		if p, ok := c.links.(HealthChecker); ok {
+		if p, ok := c.links.(LoadReporter); ok {
 			c.stats.Add("probes.sent")
-			p.CheckHealth(a.Engine)
+			p.RequestLoadReport(a.Engine)
 		} else { // engines of this wire have no answer to one
 			c.stats.Add("policy.ignored")
 		}
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -40,7 +40,7 @@
 func (w *world) SetPriority(*Attempt, int) {}
 func (w *world) UpdateEngine(Engine)       {}
 func (w *world) Answer(_ *Request, a Answer) {
-	w.say("%s doubt=%v late=%v", a.Verdict, a.InDoubt, a.Late)
+	w.say("%s doubt=%v late=%v", a.Verdict, a.InDoubt, a.DeadlinePassed)
 }
 func (w *world) AttemptStarted(*Attempt)                      {}
 func (w *world) AttemptEnded(_ *Attempt, e Outcome, _ Report) { w.say("ended %s", e) }
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -456,7 +456,7 @@
 	if s := f.opts.Shapes; s != nil {
 		s.EstimateText(r, text)
 	} else {
-		r.TableGroup, _ = sqltext.Group(text)
+		r.DataSet, _ = sqltext.Group(text)
 	}
 	k.request, k.good = r, true
 	f.ids[id] = k
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -464,9 +464,9 @@
 	}
 	switch {
 	case s.read == nil || f.opts.Shapes == nil:
-		r.TableGroup, _ = sqltext.Group(s.query)
+		r.DataSet, _ = sqltext.Group(s.query)
 	default:
-		r.TableGroup, _ = s.read.TableGroup()
+		r.DataSet, _ = s.read.TableGroup()
 		if sorted != nil {
 			f.opts.Shapes.ApplyEstimate(r, sorted)
 		} else if !want.Describe {
@@ -519,7 +519,7 @@
 		return inDoubt()
 	case a.InDoubt:
 		return e
-	case a.Late:
+	case a.DeadlinePassed:
 		return fail("57014", "canceling statement due to statement timeout")
 	case a.Verdict == core.Rejected:
 		e := fail("53000", "the engines are busy; the statement was refused, and trying again is harmless")
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -277,7 +277,7 @@
 		case e != nil:
 		case a.Verdict == core.Rejected:
 			e = answerError(a)
-		case a.Late:
+		case a.DeadlinePassed:
 			e = fail("57014", "canceling statement due to statement timeout")
 		default: // its commit was not sent: with the connection it is rolled back
 			e = fail("40000", "the connection to the engine was lost; the transaction is rolled back")
--- a/internal/integration/probes_test.go
+++ b/internal/integration/probes_test.go
@@ -49,8 +49,8 @@
 			same(t, "request", got, `200 {"result":[]}`)
 			await(t, seen)
 			g.do(func() {
-				g.lines.CheckHealth("e" + addr)
-				g.lines.CheckHealth("e" + addr) // one is out already
+				g.lines.RequestLoadReport("e" + addr)
+				g.lines.RequestLoadReport("e" + addr) // one is out already
 			})
 			if line := await(t, seen); !strings.HasPrefix(line, "busy p") {
 				t.Fatalf("asked: %s", line)
@@ -82,9 +82,9 @@
 	})
 	g := newGateway(t, func(s *policy.Settings) { s.ReportsLoad = false }).platform(addr, "127.0.0.1:1")
 	g.do(func() {
-		g.lines.CheckHealth("nobody")
-		g.lines.CheckHealth("e127.0.0.1:1")
-		g.lines.CheckHealth("e" + addr)
+		g.lines.RequestLoadReport("nobody")
+		g.lines.RequestLoadReport("e127.0.0.1:1")
+		g.lines.RequestLoadReport("e" + addr)
 	})
 	if line := await(t, seen); !strings.HasPrefix(line, "there p") {
 		t.Errorf("asked: %s", line)
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -193,8 +193,8 @@
 		}
 		s.meter.RecordLatency(r.Class, now-a.SentAt, work.Seconds())
 	}
-	if rep.Load.Reported {
-		s.meter.RecordUtilization(now, rep.Load.CPUUtilization)
+	if rep.LoadReport.Reported {
+		s.meter.RecordUtilization(now, rep.LoadReport.CPUUtilization)
 	}
 	if a.NeverRan() && r.IdempotencyKey != "" && !r.MayHaveRunHere() {
 		s.keys.Retract(r.IdempotencyKey, a.SentAt)
@@ -205,7 +205,7 @@
 func (s *Service) query(r *core.Request, turned bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
-		Class: r.Class, Idempotency: decide.Idempotency(class.Idempotency), Work: r.Work.Seconds(), PriorityWeight: class.PriorityWeight, TableGroup: r.TableGroup, Remaining: r.Deadline - now,
+		Class: r.Class, Idempotency: decide.Idempotency(class.Idempotency), Work: r.Work.Seconds(), PriorityWeight: class.PriorityWeight, TableGroup: r.DataSet, Remaining: r.Deadline - now,
 		Forwarded: r.FromOtherSite, RejectedLocally: turned, Attempts: r.SendCount(), DedupWindow: class.DedupWindow,
 		DedupNotShared: class.Idempotency == policy.IdempotentWithKey && (class.DedupScope != policy.DedupAll || !s.cfg.SharedDedup),
 	}
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -261,7 +261,7 @@
 	}
 	class := s.classes[r.Class]
 	a := message.Ask{
-		ID: r.ID, Class: r.Class, Effect: uint8(class.Idempotency), Key: r.IdempotencyKey, Group: r.TableGroup, Left: left.Microseconds(), Work: r.Work.Microseconds(),
+		ID: r.ID, Class: r.Class, Effect: uint8(class.Idempotency), Key: r.IdempotencyKey, Group: r.DataSet, Left: left.Microseconds(), Work: r.Work.Microseconds(),
 		MB: r.MemoryMB, Repeat: r.ClientRetry, Sends: min(decide.AttemptGrant(s.cfg, q), message.MostSends),
 	}
 	if q.MayHaveRun {
@@ -418,7 +418,7 @@
 	}
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	r := &core.Request{
-		ID: a.ID, Class: a.Class, IdempotencyKey: a.Key, Statement: read, TableGroup: a.Group, Deadline: now + us(a.Left), Work: us(a.Work), MemoryMB: a.MB,
+		ID: a.ID, Class: a.Class, IdempotencyKey: a.Key, Statement: read, DataSet: a.Group, Deadline: now + us(a.Left), Work: us(a.Work), MemoryMB: a.MB,
 		ClientRetry: a.Repeat, FromOtherSite: true, MaxSends: a.Sends,
 	}
 	if a.Before > 0 {
@@ -454,7 +454,7 @@
 	}
 	delete(l.theirs, f.stream)
 	h := message.Answer{
-		Verdict: uint8(a.Verdict), Ran: r.MayHaveRunHere(), Sends: min(r.SendCount(), message.MostSends), ComeBack: a.RetryAfter.Microseconds(), Late: a.Late,
+		Verdict: uint8(a.Verdict), Ran: r.MayHaveRunHere(), Sends: min(r.SendCount(), message.MostSends), ComeBack: a.RetryAfter.Microseconds(), Late: a.DeadlinePassed,
 	}
 	var body []byte
 	if a.Verdict == core.Served {
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -131,7 +131,7 @@
 		return
 	}
 	work, group := workcost.Work(c.mark)
-	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: mark(c.mark), TableGroup: group + 1, Deadline: c.until + c.g.skew(), Client: c, ClientRetry: c.tries > 1}
+	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: mark(c.mark), DataSet: group + 1, Deadline: c.until + c.g.skew(), Client: c, ClientRetry: c.tries > 1}
 	if w.opts.Estimates {
 		r.Work = time.Duration(float64(work) * c.guess)
 	}
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -205,7 +205,7 @@
 			delete(e.out, d.ID)
 			e.w.spent(r, !r.a.Ended() && !r.g.dead)
 			load := e.model.Load()
-			rep := core.Report{Result: mark(r.mark), Load: policy.LoadReport{Reported: true, CPUUtilization: load.Util, InFlight: -1, WaitingForMemory: float64(load.Waiting), MemoryUtilization: load.Memory, DiskUtilization: load.Disks}}
+			rep := core.Report{Result: mark(r.mark), LoadReport: policy.LoadReport{Reported: true, CPUUtilization: load.Util, InFlight: -1, WaitingForMemory: float64(load.Waiting), MemoryUtilization: load.Memory, DiskUtilization: load.Disks}}
 			e.w.after(lan, func() { r.end(core.OutcomeServed, rep) })
 		}
 		e.arm()
