--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -212,10 +212,10 @@
 	line("hosts_down", int64(f.EnginesDown), 'g')
 	if p := f.Peers; p != nil {
 		line("peers_live", int64(p.Live), 'g')
-		line("peers_named", int64(p.Named), 'g')
-		line("peers_cut", int64(p.Cut), 'g')
-		line("peers_gone", int64(p.Lost), 'g')
-		line("peers_view", int64(p.View), 'g')
+		line("peers_named", int64(p.Known), 'g')
+		line("peers_cut", int64(p.Unreachable), 'g')
+		line("peers_gone", int64(p.Dead), 'g')
+		line("peers_view", int64(p.ViewNumber), 'g')
 		if p.Majority {
 			line("peers_majority", 1, 'g')
 		} else {
--- a/internal/core/end.go
+++ b/internal/core/outcome.go
@@ -5,46 +5,48 @@
 // Outcome is how a connection or an attempt ended: every way there is.
 type Outcome uint8
 
-// Ends. The zero value is the most cautious: the attempt may have run.
+// Outcomes. The zero value is the most cautious: the attempt may have run.
 const (
 	OutcomeUnknown           Outcome = iota
-	OutcomeServed                    // the whole answer is here
+	OutcomeServed                    // the complete response is here
 	OutcomeStatementRejected         // the engine found the statement itself at fault; it had no effect
-	OutcomeResultTooLarge            // it ran, but its answer is larger than can be held here
+	OutcomeResultTooLarge            // it ran, but its result is larger than can be held here
 	OutcomeEngineError               // the engine answered with an error
-	OutcomeEngineFull                // the engine turned it away unseen
-	OutcomeDeadlinePassed            // the engine found its time over before it ran
-	OutcomePagesLost                 // it ran, but some of its pages can't be had any more
-	OutcomeTimeout                   // no answer within the attempt's time
+	OutcomeEngineFull                // the engine rejected it unseen
+	OutcomeDeadlinePassed            // the engine found its deadline passed before it ran
+	OutcomePagesLost                 // it ran, but some pages of its result can't be fetched any more
+	OutcomeTimeout                   // no answer within the attempt's time-out
 	OutcomeConnectionRefused         // the engine refused the connection
 	OutcomeConnectTimeout            // no connection in time
-	OutcomeNoDescriptor              // no descriptor was free for a connection
-	OutcomeNoAddress                 // the roster has no address for the engine
+	OutcomeNoDescriptor              // no file descriptor was free for a connection
+	OutcomeNoAddress                 // the endpoint list has no address for the engine
 	OutcomeConnectionReset           // the connection broke
-	OutcomeUnreadable                // what came on the connection can't be read
-	OutcomeCancelled                 // given up from this side
+	OutcomeUnreadable                // what came on the connection can't be parsed
+	OutcomeCancelled                 // cancelled from this side
 	OutcomeNotSent                   // ended before any of it was written
-	OutcomeNoFreeConnection          // no connection is free in its time: it was not sent
-	OutcomeIdleClosed                // a connection that nothing was open on
+	OutcomeNoFreeConnection          // no pooled connection was free in time: it was not sent
+	OutcomeIdleClosed                // a connection with nothing open on it was closed
 	outcomeCount
 )
 
+// outcomeNames are the names in counters.
 var outcomeNames = [outcomeCount]string{
 	"unknown", "served", "rejected", "too-large", "error", "full", "past", "pages-lost", "timeout", "refused", "connect-timeout",
 	"no-descriptor", "no-engine", "reset", "garbage", "cancelled", "not-sent", "crowded", "idle",
 }
 
-func (e Outcome) String() string {
-	if e < outcomeCount {
-		return outcomeNames[e]
+// String is the outcome's name in counters.
+func (o Outcome) String() string {
+	if o < outcomeCount {
+		return outcomeNames[o]
 	}
 	return outcomeNames[OutcomeUnknown]
 }
 
-// PolicyResult is what an end means to the decisions, and the only place that says so.
-// What proves that nothing ran is named; all else may have run.
-func (e Outcome) PolicyResult() policy.Result {
-	switch e {
+// PolicyResult is what an outcome means to the policy. This is the only place that decides which
+// outcomes prove that nothing ran; all others may have run.
+func (o Outcome) PolicyResult() policy.Result {
+	switch o {
 	case OutcomeServed, OutcomeResultTooLarge: // the engine did its part
 		return policy.ResultSuccess
 	case OutcomeEngineError, OutcomePagesLost:
@@ -59,7 +61,7 @@
 		return policy.ResultConnectTimeout
 	case OutcomeConnectionReset:
 		return policy.ResultConnectionLost
-	case OutcomeUnreadable: // any engine's answer may be spoilt on its way; it says nothing of its health
+	case OutcomeUnreadable: // an answer may be corrupted on its way: it says nothing of the engine's health
 		return policy.ResultUnknown
 	case OutcomeCancelled:
 		return policy.ResultCancelled
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -41,7 +41,7 @@
 	_ CostObserver       = (*replay)(nil)
 	_ LoadReporter       = replayLinks{}
 	_ StreamingLinks     = replayLinks{}
-	_ DisconnectDetector = (*world)(nil)
+	_ DisconnectDetector = (*fixture)(nil)
 )
 
 // replay is one seeded run. The wording of what it writes does not depend on identifiers.
@@ -71,7 +71,7 @@
 func newReplay(t *testing.T, out io.Writer, seed uint64) *replay {
 	t.Helper()
 	r := &replay{out: out, random: rand.New(rand.NewPCG(seed, 2)), now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
-	set := newWorld(t, 0).settings()
+	set := fixtureSettings()
 	var err error
 	if r.core, err = New(set, seed, r, r.timers, r.counters, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 }
 
 func (r *replay) say(format string, args ...any) {
-	fmt.Fprintf(r.out, format+"\n", args...)
+	_, _ = fmt.Fprintf(r.out, format+"\n", args...) // a hash never fails
 }
 
 func (r *replay) Now() time.Duration { return r.now }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -6,48 +6,42 @@
 	"gannetspur/policy"
 )
 
-// StreamingClient is a client whose request goes on: it is given each part of the answer. The final
-// Answer comes as for any other request.
+// StreamingClient is a client whose request goes on behind its first answer, as a transaction does.
 type StreamingClient interface {
 	Client
+	// PartialAnswer gives one part. The final Answer comes as for any other request.
 	PartialAnswer(r *Request, a Answer)
 }
 
-// StreamingLinks is links that carry requests that go on.
-type StreamingLinks interface {
-	// Continue puts the request's statement, a new one, on the attempt's connection.
-	Continue(a *Attempt)
-}
-
-// RelayPart passes on an answer of an attempt that goes on. The module hears once that it does: it
-// neither moves it nor ends it by the deadline from then on.
+// RelayPart passes on an answer of an attempt that goes on. The policy hears of it with the first:
+// from then on it neither moves the attempt nor ends it by the deadline.
 func (c *Core) RelayPart(a *Attempt, rep Report) {
 	r := a.Request
-	s, ok := r.Client.(StreamingClient)
+	client, ok := r.Client.(StreamingClient)
 	if a.ended || r.answered || !ok {
 		return
 	}
 	a.timer.Stop()
-	if !a.began {
-		a.began = true
-		c.tell(policy.StreamStarted{Query: r.query, Attempt: a.n})
+	if !a.streaming {
+		a.streaming = true
+		c.notifyPolicy(policy.StreamStarted{Query: r.query, Attempt: a.number})
 	}
-	s.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, EngineError: rep.EngineError})
+	client.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, EngineError: rep.EngineError})
 }
 
-// Continue gives the engine of a request that goes on its next statement, to be answered within a
-// time. It tells whether there is such an engine.
-func (c *Core) Continue(r *Request, statement Statement, within time.Duration) bool {
+// Continue gives the engine of a streaming request its next statement, to be answered within the
+// time-out. It reports whether there is such an engine.
+func (c *Core) Continue(r *Request, statement Statement, timeout time.Duration) bool {
 	links, ok := c.links.(StreamingLinks)
-	if !ok || r.answered || len(r.tries) == 0 {
+	if !ok || r.answered || len(r.attempts) == 0 {
 		return false
 	}
-	a := r.tries[len(r.tries)-1]
-	if a.ended || !a.began {
+	a := r.attempts[len(r.attempts)-1]
+	if a.ended || !a.streaming {
 		return false
 	}
 	r.Statement = statement
-	a.timer = c.timers.Add(c.clock.Now()+max(within, time.Millisecond), func() { c.drop(a, OutcomeTimeout) })
+	c.startTimeout(a, c.clock.Now(), timeout)
 	links.Continue(a)
 	return true
 }
--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -62,7 +62,7 @@
 				s.Clear()
 			}
 		}
-		fmt.Fprintf(out, "state %d %t\n", s.Listed(), s.Disabled(id))
+		fmt.Fprintf(out, "state %d %t\n", s.ListedCount(), s.Disabled(id))
 		bans := s.Overrides()
 		for _, name := range slices.Sorted(maps.Keys(bans)) {
 			fmt.Fprintf(out, "ban %s %t %d %d\n", name, bans[name].Disabled, int64(bans[name].At), int64(bans[name].DisabledSince))
--- a/internal/decide/adminstate/standing.go
+++ b/internal/decide/adminstate/standing.go
@@ -93,7 +93,7 @@
 func (s *Table) Disabled(id string) bool { return s.bans[id].Disabled }
 
 // Listed is the number of engines that the roster names and that are not gone.
-func (s *Table) Listed() int { return len(s.listed) }
+func (s *Table) ListedCount() int { return len(s.listed) }
 
 // Disable takes an operator's call to take an engine out of use. It reports whether that
 // changed anything: disabling twice is disabling once.
--- a/internal/decide/adminstate/standing_test.go
+++ b/internal/decide/adminstate/standing_test.go
@@ -103,8 +103,8 @@
 						t.Fatalf("%s came back at %v and counts as started at %v (%v)", id, at, got.Started, got.StartKnown)
 					}
 				}
-				if s.Listed() != listed {
-					t.Fatalf("%d listed, not %d", s.Listed(), listed)
+				if s.ListedCount() != listed {
+					t.Fatalf("%d listed, not %d", s.ListedCount(), listed)
 				}
 			},
 		})
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -191,7 +191,7 @@
 		return nil
 	}
 	f := m.Stats()
-	return &core.PeerFigures{Live: f.Live, Named: f.Named, Cut: f.PartlyReachable, Lost: f.Dead + f.Unreachable, View: int(f.View.Number), Majority: f.Majority}
+	return &core.PeerFigures{Live: f.Live, Known: f.Named, Unreachable: f.PartlyReachable, Dead: f.Dead + f.Unreachable, ViewNumber: int(f.View.Number), Majority: f.Majority}
 }
 
 // reloadFleet has the keys read again. All else holds from the start on.
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -223,14 +223,14 @@
 	if got := a.ban("three", "enable"); got != "200 {}" { // while both live
 		t.Fatal(got)
 	}
-	b.await("bans.taken")
+	b.await("override.merged")
 	if n := b.down(); n != 1 {
 		t.Errorf("%d engines are avoided after a call back at the other process", n)
 	}
 	if got := b.ban("three", "disable"); got != "200 {}" {
 		t.Fatal(got)
 	}
-	a.await("bans.taken")
+	a.await("override.merged")
 	a.signal(syscall.SIGTERM)
 	a.await("msg=replaced")
 	if got := askAt(t, p.addr, "GET "+part+" HTTP/1.1\r\n\r\n"); !strings.Contains(got, `["x","y","z"]`) {
