--- /dev/null
+++ b/internal/queryshape/estimator.go
@@ -0,0 +1,133 @@
+// Package queryshape keeps what is known of the shapes of statements: it reads statements for the
+// frontends, caches the cost records of recurring shapes within a number of bytes, asks
+// internal/decide/costmodel what executions cost and which class they have, and stores
+// snapshots. Its knowledge serves estimates and classes alone: whether a statement may write is
+// decided by package sqltext, and nothing here relaxes that.
+package queryshape
+
+import (
+	"fmt"
+	"math/rand/v2"
+
+	decide "gannetspur/internal/decide/costmodel"
+	"gannetspur/internal/sqltext"
+)
+
+// Options configure an Estimator.
+type Options struct {
+	Model decide.Config
+	Bytes int   // bound of the cached records with their overhead; at least MinBytes
+	Cache Cache // in place of W-TinyLFU over Bytes
+}
+
+// MinBytes is the smallest bound that holds the records of a few dozen shapes.
+const MinBytes = 64 << 10
+
+// Estimator estimates the cost of statements by their shapes. It belongs to one goroutine.
+type Estimator struct {
+	reader   *sqltext.Reader
+	model    *decide.Model
+	cache    Cache
+	hashSeed uint64 // of the hashes of values
+	Stats    Stats
+}
+
+// Stats counts the calls of an Estimator.
+type Stats struct {
+	Hits    uint64 // executions whose shape was cached
+	Misses  uint64 // executions whose shape was not
+	Learned uint64
+}
+
+// New returns an estimator that has learned nothing.
+func New(opts Options) (*Estimator, error) {
+	if opts.Bytes < MinBytes && opts.Cache == nil {
+		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.Bytes, MinBytes)
+	}
+	e := &Estimator{reader: sqltext.NewReader(), model: decide.New(opts.Model), cache: opts.Cache, hashSeed: rand.Uint64()}
+	if e.cache == nil {
+		var err error
+		if e.cache, err = NewTinyLFU(opts.Bytes); err != nil {
+			return nil, err
+		}
+	}
+	return e, nil
+}
+
+// Read reads a text. The statement holds on to it.
+func (e *Estimator) Read(text string) *Statement {
+	s := &Statement{}
+	e.readInto(s, text)
+	return s
+}
+
+func (e *Estimator) readInto(s *Statement, text string) {
+	s.text = text
+	s.reading = *e.reader.Read(text)
+	s.execution = nil
+	s.reading.Slots = append(s.slots[:0], s.reading.Slots...)
+	s.reading.Norm = nil
+}
+
+var noBinds sqltext.Binds
+
+// Estimate returns an execution of a statement with its expected cost. knownClass is the index of
+// its class where that is decided already, else -1. binds may be nil.
+func (e *Estimator) Estimate(s *Statement, binds *sqltext.Binds, knownClass int, hint Hint) *Execution {
+	x := &Execution{}
+	e.estimate(x, s, binds, knownClass, hint)
+	return x
+}
+
+func (e *Estimator) estimate(x *Execution, s *Statement, binds *sqltext.Binds, knownClass int, hint Hint) {
+	if binds == nil {
+		binds = &noBinds
+	}
+	x.statement = s
+	x.query = decide.Query{
+		Features:   &s.reading.Features,
+		Profile:    s.reading.Profile(s.text, binds, e.hashSeed),
+		KnownClass: knownClass,
+		WorkHint:   hint.Work,
+		MemoryHint: hint.MemoryMB,
+	}
+	x.cached = e.cache.Get(s.reading.Print)
+	if x.cached != nil {
+		e.Stats.Hits++
+		x.query.Record = &x.cached.ShapeRecord
+	} else {
+		e.Stats.Misses++
+	}
+	x.Estimate = e.model.Estimate(&x.query)
+}
+
+// Learn takes the reported cost of an execution. A shape that is not cached is offered to the
+// cache, which may not admit it.
+func (e *Estimator) Learn(x *Execution, outcome decide.Outcome) {
+	e.Stats.Learned++
+	fingerprint := x.statement.reading.Print
+	shape := x.cached
+	if shape == nil {
+		shape = e.cache.Get(fingerprint)
+	}
+	if shape == nil {
+		shape = e.newCachedShape(x.statement)
+		e.cache.Add(fingerprint, shape)
+	}
+	x.query.Record = &shape.ShapeRecord
+	e.model.Learn(&x.query, outcome)
+}
+
+func (e *Estimator) newCachedShape(s *Statement) *CachedShape {
+	r := e.reader.Read(s.text)
+	return &CachedShape{
+		NormalForm: string(r.Norm[:min(len(r.Norm), MaxNormalForm)]),
+		Truncated:  r.Cut || len(r.Norm) > MaxNormalForm,
+	}
+}
+
+// Len returns the number of cached shapes.
+func (e *Estimator) Len() int { return e.cache.Len() }
+
+// Bytes returns the size of the cached shapes.
+func (e *Estimator) Bytes() int { return e.cache.Bytes() }
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -90,7 +90,7 @@
 	raw := readFixture(t, fixtureSnapshot)
 	refused := func(b []byte) bool {
 		_, err := DecodeSnapshot(b)
-		return errors.Is(err, ErrNotSnapshot) || errors.Is(err, ErrSnapshotVersion) || errors.Is(err, ErrSnapshotTruncated) || errors.Is(err, ErrSnapshotDamaged)
+		return errors.Is(err, ErrNotSnapshot) || errors.Is(err, ErrSnapshotVersion) || errors.Is(err, ErrSnapshotTruncated) || errors.Is(err, ErrSnapshotCorrupt)
 	}
 	for n := range raw {
 		if !refused(raw[:n]) {
--- /dev/null
+++ b/internal/queryshape/service_requests.go
@@ -0,0 +1,153 @@
+package queryshape
+
+import (
+	"time"
+
+	"gannetspur/internal/core"
+	decide "gannetspur/internal/decide/costmodel"
+	"gannetspur/internal/sqltext"
+	"gannetspur/policy"
+)
+
+// maxFreeExecutions bounds the executions that are kept for reuse; more requests are seldom open
+// at once.
+const maxFreeExecutions = 512
+
+func (s *Service) newExecution() *Execution {
+	n := len(s.freeExecutions)
+	if n == 0 {
+		return &Execution{}
+	}
+	x := s.freeExecutions[n-1]
+	s.freeExecutions = s.freeExecutions[:n-1]
+	return x
+}
+
+// executionOf returns the execution to be used for a statement: its own, if it has one.
+func (s *Service) executionOf(st *Statement) *Execution {
+	if st.execution != nil {
+		return st.execution
+	}
+	return s.newExecution()
+}
+
+// RequestDone takes a request's execution back for reuse.
+func (s *Service) RequestDone(r *core.Request) {
+	x, ok := r.CostContext.(*Execution)
+	if !ok {
+		return
+	}
+	r.CostContext = nil
+	if len(s.freeExecutions) < maxFreeExecutions {
+		*x = Execution{}
+		s.freeExecutions = append(s.freeExecutions, x)
+	}
+}
+
+// Read reads a statement and judges its effect. readOnly are functions that operators have
+// declared to be read-only.
+func (s *Service) Read(text string, readOnly sqltext.Functions) *Statement {
+	s.enableJudgement(readOnly)
+	defer s.disableJudgement()
+	return s.estimator.Read(text)
+}
+
+// ReadOnce reads a statement that will have one execution, as that of a Query message. The
+// statement is stored in its execution, so that it allocates nothing; it is valid until RequestDone.
+func (s *Service) ReadOnce(text string, readOnly sqltext.Functions) *Statement {
+	s.enableJudgement(readOnly)
+	defer s.disableJudgement()
+	x := s.newExecution()
+	s.estimator.readInto(&x.own, text)
+	x.own.execution = x
+	return &x.own
+}
+
+func (s *Service) enableJudgement(readOnly sqltext.Functions) {
+	s.estimator.reader.Judge = true
+	s.estimator.reader.Functions = readOnly
+}
+
+func (s *Service) disableJudgement() { s.estimator.reader.Judge = false }
+
+// EstimateRequest estimates a request whose class is already known, and gives the estimate to the
+// request if the settings say so.
+func (s *Service) EstimateRequest(r *core.Request, st *Statement, binds *sqltext.Binds) {
+	s.estimate(r, s.executionOf(st), st, binds)
+}
+
+// EstimateText reads a text for one request whose class is already known, and estimates that.
+func (s *Service) EstimateText(r *core.Request, text string) {
+	x := s.newExecution()
+	s.estimator.readInto(&x.own, text)
+	r.TableGroup, _ = x.own.TableGroup()
+	s.estimate(r, x, &x.own, nil)
+}
+
+func (s *Service) estimate(r *core.Request, x *Execution, st *Statement, binds *sqltext.Binds) {
+	class, ok := s.classes.index[r.Class]
+	if !ok {
+		class = -1
+	}
+	hint := Hint{Work: milliseconds(r.Work), MemoryMB: r.MemoryMB}
+	s.estimator.estimate(x, st, binds, class, hint)
+	threads := 1.0
+	if !s.settings.WorkReported {
+		threads = s.classes.threads[r.Class]
+	}
+	s.apply(r, x, threads)
+}
+
+// Classify finds the class of a reading statement for which nobody has named one; ok is false
+// where statements are not classified.
+func (s *Service) Classify(st *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
+	x = s.executionOf(st)
+	s.estimator.estimate(x, st, binds, -1, Hint{})
+	if x.Estimate.Class < 0 {
+		return policy.Class{}, x, false
+	}
+	return s.classes.reading[x.Estimate.Class], x, true
+}
+
+// ApplyEstimate gives the estimate of a classified execution to its request. Classes are bounded by
+// elapsed time, and policies take the work of all threads.
+func (s *Service) ApplyEstimate(r *core.Request, x *Execution) {
+	s.apply(r, x, s.classes.threads[r.Class])
+}
+
+func (s *Service) apply(r *core.Request, x *Execution, threads float64) {
+	r.CostContext = x
+	if !s.settings.ReplaceHints || !x.Estimate.Known || s.settings.RequireHint && r.Work == 0 {
+		return
+	}
+	s.replacedHints++
+	r.Work = time.Duration(x.Estimate.Work * threads * float64(time.Millisecond))
+	if x.Estimate.MemoryMB > 0 {
+		r.MemoryMB = x.Estimate.MemoryMB
+	}
+}
+
+// AttemptServed learns what a request has cost.
+func (s *Service) AttemptServed(r *core.Request, report core.Report, elapsed time.Duration) {
+	work := report.Work
+	if work <= 0 {
+		work = elapsed
+	}
+	s.learn(r, decide.Outcome{Work: milliseconds(work), MemoryMB: report.MemoryMB})
+}
+
+// AttemptTimedOut learns that a request would have cost more than the time that it was given.
+func (s *Service) AttemptTimedOut(r *core.Request, elapsed time.Duration) {
+	if s.settings.WorkReported { // on a crowded engine an elapsed time says little of the work
+		return
+	}
+	s.learn(r, decide.Outcome{Work: milliseconds(elapsed), LowerBound: true})
+}
+
+func (s *Service) learn(r *core.Request, outcome decide.Outcome) {
+	if x, ok := r.CostContext.(*Execution); ok {
+		s.estimator.Learn(x, outcome)
+	}
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
