--- /dev/null
+++ b/internal/decide/remotesite/hedger_test.go
@@ -0,0 +1,41 @@
+package remotesite
+
+import (
+	"testing"
+	"time"
+)
+
+// TestHedger checks that hedged requests are of idempotent queries that are late, where there is
+// free capacity, and within the budget.
+func TestHedger(t *testing.T) {
+	cfg, now := Defaults(), time.Hour
+	var h Hedger
+	if _, ok := h.Delay("lookup"); ok {
+		t.Error("a delay is known before any latency")
+	}
+	for range 30 {
+		h.RecordLatency("lookup", 200*ms)
+		h.RecordForward(now)
+	}
+	if d, ok := h.Delay("lookup"); !ok || d < 200*ms || d > 500*ms {
+		t.Errorf("delay = %v, want 200 to 500 ms", d)
+	}
+	n := 0
+	for range 20 {
+		if h.Allow(cfg, now, &Query{Idempotency: Idempotent, Attempts: 1}, 0.5) {
+			n++
+		}
+	}
+	if n != 1 {
+		t.Errorf("hedged requests for 30 forwarded ones = %d, want 1", n)
+	}
+	now += 10 * time.Minute
+	for _, q := range []*Query{{Idempotency: IdempotentWithKey}, {Idempotency: NotIdempotent}, {Idempotency: Idempotent, Attempts: 3}} {
+		if h.Allow(cfg, now, q, 0.5) {
+			t.Errorf("%+v is hedged, want not", q)
+		}
+	}
+	if h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01) || !h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5) {
+		t.Error("a hedged request must depend on free capacity here")
+	}
+}
--- a/internal/decide/remotesite/peer.go
+++ b/internal/decide/remotesite/peer.go
@@ -1,74 +1,67 @@
 package remotesite
 
 import (
-	"fmt"
 	"math"
 	"time"
 )
 
-// State is what is believed of a peer.
-type State uint8
-
-// States. Only Up, Slow and Cold are sent to.
-const (
-	Unreachable State = iota // nothing is heard of it: what is there is in doubt
-	Up                       // it answers in time
-	Slow                     // it answers, and the way there takes long
-	RampingUp                // it is back after a silence: it is fed by a ramp
-	Draining                 // it takes nothing new, by its own word or an operator's here
-	Departed                 // it has left, by its own word
-)
+// Peer is a gateway at another site, as this one sees it. Its zero value is unreachable.
+type Peer struct {
+	lastReply    time.Duration // 0: never
+	reachedAt    time.Duration // first reply after it was unreachable
+	rtt          time.Duration // smoothed
+	rttDeviation time.Duration // mean
+	slow         bool
+	connected    bool
+	drainedHere  bool // by an operator at this site
+	departed     bool
 
-var stateNames = [...]string{"silent", "up", "slow", "cold", "draining", "gone"}
+	digest   Digest
+	digestAt time.Duration
+	credit   float64 // of the acceptable work, not used yet; below 0 after one query larger than it
 
-func (s State) String() string { return stateNames[s] }
+	distrust   float64 // 0 to 1: of its digests, by recent failures
+	distrustAt time.Duration
 
-// Digest is what a peer says of itself: the room that it has for each class, as a share of
-// its capacity, and the work that it would take from here until its next word, in seconds of
-// one core.
-type Digest struct {
-	FreeCapacity   map[string]float64
-	AcceptableWork float64
-	Draining       bool // it takes nothing new
+	reportedState State // by StateChange
+	wasReported   bool
 }
 
-// Peer is a gateway at another site, as this one sees it. Its zero value is silent.
-type Peer struct {
-	heard    time.Duration // the latest reply; 0: never
-	back     time.Duration // since then, after a silence
-	rtt      time.Duration // smoothed
-	vary     time.Duration // mean deviation from it
-	slow     bool
-	linked   bool
-	shut     bool // an operator here has drained it
-	gone     bool
-	digest   Digest
-	told     time.Duration
-	credit   float64 // of Digest.Takes, not used yet; below 0 after one query larger than it
-	distrust float64 // 0 to 1: of late, what it did not do of what it said it takes
-	judged   time.Duration
-	last     State // as Watch told it
-	watched  bool
-}
+const (
+	// Gains of the round trip as in RFC 6298, inverse.
+	rttGain          = 8
+	rttDeviationGain = 4
+	// Weights of one outcome in the distrust of a peer.
+	distrustGain = 0.15
+	trustGain    = 0.1
+	// distrustDecay is the time constant of distrust: a peer that fails is tried again now and then.
+	distrustDecay = 5 * time.Second
+)
 
-// Heard takes word of the peer that proves both ways: a reply to something from here, with its
-// round trip where one was measured (0: none). What a peer says by itself proves one way only, and
-// nothing of whether it hears. Word after a silence, the first one too, begins the ramp: its engines may have restarted.
+// RecordReply takes a reply of the peer, which proves both ways, with its round trip where one was
+// measured (0: none). What a peer sends by itself proves one way only, and not that it receives.
+// The first reply after the peer was unreachable begins the ramp: its engines may have restarted.
 func (p *Peer) RecordReply(cfg Config, now, rtt time.Duration) {
-	if p.heard == 0 || now-p.heard >= cfg.UnreachableAfter {
-		p.back, p.digest = now, Digest{}
-		p.owe() // what it said before is not known to hold
+	if p.lastReply == 0 || now-p.lastReply >= cfg.UnreachableAfter {
+		p.reachedAt = now
+		p.digest = Digest{} // the earlier one may no longer hold
+		p.dropCredit()
 	}
-	p.heard, p.gone = now, false
-	if rtt <= 0 {
-		return
+	p.lastReply = now
+	p.departed = false
+	if rtt > 0 {
+		p.recordRTT(cfg, rtt)
 	}
+}
+
+func (p *Peer) recordRTT(cfg Config, rtt time.Duration) {
 	if p.rtt == 0 {
-		p.rtt, p.vary = rtt, rtt/2
+		p.rtt = rtt
+		p.rttDeviation = rtt / 2
 	}
-	off := rtt - p.rtt
-	p.vary += (max(off, -off) - p.vary) / 4 // gains as in RFC 6298
-	p.rtt += off / 8
+	err := rtt - p.rtt
+	p.rttDeviation += (max(err, -err) - p.rttDeviation) / rttDeviationGain
+	p.rtt += err / rttGain
 	switch {
 	case p.rtt > cfg.SlowRTT:
 		p.slow = true
@@ -77,158 +70,103 @@
 	}
 }
 
-// Told takes what the peer says of itself.
+// RecordDigest takes the peer's report of itself.
 func (p *Peer) RecordDigest(cfg Config, now time.Duration, d Digest) {
-	p.digest, p.told = d, now
-	takes := d.AcceptableWork
-	if !(takes > 0) || math.IsInf(takes, 1) { // nonsense is nothing
-		takes = 0
+	p.digest = d
+	p.digestAt = now
+	work := d.AcceptableWork
+	if !(work > 0) || math.IsInf(work, 1) { // NaN, infinite or negative
+		work = 0
 	}
-	p.owe()
+	p.dropCredit()
 	if !d.Draining {
-		p.credit += takes * p.RampFraction(cfg, now)
+		p.credit += work * p.RampFraction(cfg, now)
 	}
 }
 
-// owe drops what is left of the peer's credit, and keeps what one query took beyond it. Guards against a peer
-// that drains, leaves or falls silent just behind a large query, and is sent another on its first word.
-func (p *Peer) owe() { p.credit = min(p.credit, 0) }
+// dropCredit drops what is left of the peer's credit, and keeps what one query took beyond it.
+// Guards against a peer that drains, leaves or becomes unreachable just behind a large query, and
+// is sent another on its first digest.
+func (p *Peer) dropCredit() { p.credit = min(p.credit, 0) }
 
-// Leaves takes its word that it has left: what it said holds no more.
+// RecordDeparture takes the peer's word that it has left: its digest holds no more.
 func (p *Peer) RecordDeparture() {
-	p.gone = true
-	p.owe()
+	p.departed = true
+	p.dropCredit()
 }
 
-// Shut is an operator's word here that nothing new is sent to it, or that it may be again.
-func (p *Peer) SetDrained(on bool) { p.shut = on }
-
-// Linked tells whether there is a link to it: without one it is silent at once.
-func (p *Peer) SetConnected(on bool) { p.linked = on }
-
-// IsShut tells whether an operator here has drained it.
-func (p *Peer) IsDrained() bool { return p.shut }
+// SetDrained takes whether an operator at this site has drained the peer.
+func (p *Peer) SetDrained(drained bool) { p.drainedHere = drained }
 
-// State is what is believed of the peer.
-func (p *Peer) State(cfg Config, now time.Duration) State {
-	switch {
-	case p.gone:
-		return Departed
-	case !p.linked || p.heard == 0 || now-p.heard >= cfg.UnreachableAfter:
-		return Unreachable
-	case p.shut || p.digest.Draining:
-		return Draining
-	case now-p.back < cfg.RampDuration:
-		return RampingUp
-	case p.slow:
-		return Slow
-	}
-	return Up
-}
+// SetConnected takes whether there is a link to the peer. Without one it is unreachable at once.
+func (p *Peer) SetConnected(connected bool) { p.connected = connected }
 
-// Change is a change of what is believed, with its evidence.
-type Change struct {
-	From, To State
-	Reason   string
-}
-
-// Watch tells whether what is believed has changed since it was called last. Its first call
-// tells of the state at the start, where that is not silent.
-func (p *Peer) StateChange(cfg Config, now time.Duration) (c Change, changed bool) {
-	c = Change{From: p.last, To: p.State(cfg, now)}
-	if c.From == c.To {
-		return c, false
-	}
-	switch c.To {
-	case Unreachable:
-		if c.Reason = fmt.Sprintf("no reply for %v", (now - p.heard).Round(time.Millisecond)); !p.linked {
-			c.Reason = "its link is down"
-		}
-	case Up:
-		c.Reason = fmt.Sprintf("heard for %v since its silence; round trip %v", (now - p.back).Round(time.Second), p.rtt.Round(time.Millisecond))
-	case Slow:
-		c.Reason = fmt.Sprintf("round trip %v", p.rtt.Round(time.Millisecond))
-	case RampingUp:
-		c.Reason = "heard again after a silence"
-		if !p.watched {
-			c.Reason = "heard for the first time"
-		}
-	case Draining:
-		if c.Reason = "by its own word"; p.shut {
-			c.Reason = "drained by an operator here"
-		}
-	case Departed:
-		c.Reason = "by its own word"
-	}
-	p.last, p.watched = c.To, true
-	return c, true
-}
+// IsDrained tells whether an operator at this site has drained the peer.
+func (p *Peer) IsDrained() bool { return p.drainedHere }
 
-// Ramp is the share of what it takes that it is sent.
+// RampFraction returns the fraction of its acceptable work that the peer is sent.
 func (p *Peer) RampFraction(cfg Config, now time.Duration) float64 {
-	age := now - p.back
+	age := now - p.reachedAt
 	if cfg.RampDuration <= 0 || age >= cfg.RampDuration {
 		return 1
 	}
 	return cfg.RampStart + (1-cfg.RampStart)*max(float64(age)/float64(cfg.RampDuration), 0)
 }
 
-// Way is the time that one way to the peer takes: half of a round trip, which is all that can
-// be known without trusting its clock, and its usual deviation.
-func (p *Peer) OneWayDelay() time.Duration { return p.rtt/2 + min(p.vary, p.rtt/2) }
+// OneWayDelay returns the delay of one way to the peer with its usual deviation: half of the round
+// trip, which is all that can be known without trusting the peer's clock.
+func (p *Peer) OneWayDelay() time.Duration { return p.rtt/2 + min(p.rttDeviation, p.rtt/2) }
 
-// RTT is the smoothed round trip; 0: none was measured.
+// RTT returns the smoothed round trip; 0: none was measured.
 func (p *Peer) RTT() time.Duration { return p.rtt }
 
-// Age is how long ago it was heard; below 0: never.
+// SinceReply returns how long ago the peer last replied; below 0: never.
 func (p *Peer) SinceReply(now time.Duration) time.Duration {
-	if p.heard == 0 {
+	if p.lastReply == 0 {
 		return -1
 	}
-	return now - p.heard
+	return now - p.lastReply
 }
 
-// Room is what it said last of its room for a class, and Credit what is left of the work that
-// it said it takes.
+// FreeCapacity returns the free capacity for a class in the peer's last digest.
 func (p *Peer) FreeCapacity(class string) float64 { return p.digest.FreeCapacity[class] }
 
-// Credit is the work, in seconds of one core, that may still cross until its next word.
+// Credit returns the work, in seconds of one core, that may still be forwarded until the peer's
+// next digest.
 func (p *Peer) Credit() float64 { return p.credit }
 
-// Weights of one crossing in the trust of a peer, and the time in which distrust fades to
-// a third by itself: a liar is tried again now and then.
-const (
-	trustDown  = 0.15
-	trustUp    = 0.1
-	trustFades = 5 * time.Second
-)
+// RecordSuccess takes that a forwarded query was served.
+func (p *Peer) RecordSuccess(now time.Duration) {
+	p.decayDistrust(now)
+	p.distrust -= p.distrust * trustGain
+}
 
-// Did takes how a crossing ended: whether the peer did what it said it would take.
-func (p *Peer) RecordOutcome(now time.Duration, well bool) {
+// RecordFailure takes that a forwarded query was not served, although the digest accepted it.
+func (p *Peer) RecordFailure(now time.Duration) {
+	p.decayDistrust(now)
+	p.distrust += (1 - p.distrust) * distrustGain
+}
+
+func (p *Peer) decayDistrust(now time.Duration) {
 	p.distrust = p.Distrust(now)
-	p.judged = now
-	if well {
-		p.distrust -= p.distrust * trustUp
-	} else {
-		p.distrust += (1 - p.distrust) * trustDown
-	}
+	p.distrustAt = now
 }
 
-// Distrust is the share of what it says that is not believed just now.
+// Distrust returns the fraction of the peer's digest that is not believed.
 func (p *Peer) Distrust(now time.Duration) float64 {
-	return p.distrust * math.Exp(-float64(max(now-p.judged, 0))/float64(trustFades))
+	return p.distrust * math.Exp(-float64(max(now-p.distrustAt, 0))/float64(distrustDecay))
 }
 
-// offers is the room for a class that the peer is believed to have: what it said, less for
-// its age and for what it did not do of late.
-func (p *Peer) offers(cfg Config, now time.Duration, class string) float64 {
-	age := now - p.told
+// offeredCapacity returns the free capacity for a class that the peer is believed to have: that of
+// its digest, less for the digest's age and for recent failures.
+func (p *Peer) offeredCapacity(cfg Config, now time.Duration, class string) float64 {
+	age := now - p.digestAt
 	if age >= cfg.DigestMaxAge || p.credit <= 0 {
 		return 0
 	}
-	room := min(p.digest.FreeCapacity[class], 1)
-	if !(room > 0) {
+	capacity := min(p.digest.FreeCapacity[class], 1)
+	if !(capacity > 0) {
 		return 0
 	}
-	return room * (1 - float64(age)/float64(cfg.DigestMaxAge)) * (1 - p.Distrust(now))
+	return capacity * (1 - float64(age)/float64(cfg.DigestMaxAge)) * (1 - p.Distrust(now))
 }
--- a/internal/decide/remotesite/replay_test.go
+++ b/internal/decide/remotesite/replay_test.go
@@ -71,7 +71,11 @@
 				p.SetDrained(false)
 			}
 		case 9:
-			p.RecordOutcome(now, rng.IntN(4) > 0)
+			if rng.IntN(4) > 0 {
+				p.RecordSuccess(now)
+			} else {
+				p.RecordFailure(now)
+			}
 			fmt.Fprintf(w, "distrust %.12g\n", p.Distrust(now))
 		case 10:
 			name := []string{"a", "b"}[rng.IntN(2)]
@@ -95,12 +99,12 @@
 		case 16:
 			key := strconv.Itoa(rng.IntN(40))
 			at := now - time.Duration(rng.IntN(15000))*time.Millisecond
-			fmt.Fprintf(w, "key %t\n", keys.Record(now, key, at, rng.IntN(2) == 0))
+			fmt.Fprintf(w, "key %t\n", keys.Record(now, key, at, Origin(1-rng.IntN(2))))
 			if rng.IntN(4) == 0 {
 				keys.Retract(key, at)
 			}
-			first, elsewhere, ok := keys.FirstSend(now, strconv.Itoa(rng.IntN(40)))
-			fmt.Fprintf(w, "first %d %t %t of %d\n", int64(first), elsewhere, ok, keys.Len())
+			first, origin, ok := keys.FirstSend(now, strconv.Itoa(rng.IntN(40)))
+			fmt.Fprintf(w, "first %d %t %t of %d\n", int64(first), origin == OtherSite, ok, keys.Len())
 		case 17:
 			d := meter.Digest(now, classes)
 			fmt.Fprintf(w, "digest %.12g %.12g %.12g %.12g %t\n", d.AcceptableWork, d.FreeCapacity["lookup"], d.FreeCapacity["report"], d.FreeCapacity["load"], d.Draining)
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -176,7 +176,7 @@
 func (s *Service) AttemptStarted(a *core.Attempt) {
 	r := a.Request
 	s.meter.AttemptStarted(s.threads(r.Class))
-	if r.IdempotencyKey != "" && s.keys.Record(a.SentAt, r.IdempotencyKey, a.SentAt, false) && len(s.peers) > 0 {
+	if r.IdempotencyKey != "" && s.keys.Record(a.SentAt, r.IdempotencyKey, a.SentAt, decide.ThisSite) && len(s.peers) > 0 {
 		s.fresh = append(s.fresh, message.Key{Key: r.IdempotencyKey, Ago: int64(a.SentAt / time.Microsecond)})
 	}
 }
@@ -262,7 +262,7 @@
 	if r.IdempotencyKey == "" {
 		return false
 	}
-	first, elsewhere, known := s.keys.FirstSend(s.clock.Now(), r.IdempotencyKey)
+	first, origin, known := s.keys.FirstSend(s.clock.Now(), r.IdempotencyKey)
 	if known {
 		s.core.RecordRemoteSend(r, first)
 	}
@@ -271,7 +271,7 @@
 	}
 	q := s.query(r, false)
 	q.Attempts = 0
-	q.DedupNotShared = q.DedupNotShared && elsewhere
+	q.DedupNotShared = q.DedupNotShared && origin == decide.OtherSite
 	if decide.MayAttempt(s.cfg, &q, 0) {
 		return false
 	}
@@ -366,7 +366,7 @@
 	if !changed {
 		return
 	}
-	s.event(Event{At: now, Peer: p.name, From: c.From.String(), To: c.To.String(), Why: c.Reason})
+	s.event(Event{At: now, Peer: p.name, From: c.From.String(), To: c.To.String(), Why: c.Reason.String()})
 	if c.To == decide.Unreachable {
 		for _, l := range slices.Clone(p.links) {
 			l.takeBack("silent")
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -239,7 +239,7 @@
 func (l *Link) Keys(k message.Keys) {
 	now := l.s.clock.Now()
 	for _, one := range k.Sent {
-		l.s.keys.Record(now, one.Key, now-time.Duration(one.Ago)*time.Microsecond-l.peer.OneWayDelay(), true)
+		l.s.keys.Record(now, one.Key, now-time.Duration(one.Ago)*time.Microsecond-l.peer.OneWayDelay(), decide.OtherSite)
 	}
 }
 
@@ -278,7 +278,7 @@
 	l.mine[id], s.away[r] = c, c
 	r.PriorSends += c.grant // given back where the answer says that it took fewer
 	if r.IdempotencyKey != "" {
-		s.keys.Record(now, r.IdempotencyKey, now, true)
+		s.keys.Record(now, r.IdempotencyKey, now, decide.OtherSite)
 	}
 	s.stats.Add("site.crossed." + r.Class)
 	s.hedge.RecordForward(now)
@@ -324,7 +324,7 @@
 	now, r := s.clock.Now(), c.r
 	s.over(c)
 	c.link.mux.Cancel(c.stream) // one that was answered is no more
-	c.link.peer.RecordOutcome(now, false)
+	c.link.peer.RecordFailure(now)
 	if end == decide.NeverRan {
 		r.PriorSends -= c.grant - min(sends, c.grant)
 		s.keys.Retract(r.IdempotencyKey, c.at)
@@ -386,7 +386,7 @@
 func (s *Service) served(c *crossed, now time.Duration, a message.Answer) {
 	s.over(c)
 	c.r.PriorSends -= c.grant - min(a.Sends, c.grant)
-	c.link.peer.RecordOutcome(now, true)
+	c.link.peer.RecordSuccess(now)
 	s.hedge.RecordLatency(c.r.Class, now-c.at)
 	s.stats.Add("site.served-there." + c.r.Class)
 }
