--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -83,7 +83,7 @@
 // back before has them counted.
 func (ls *Links) forget(id string) {
 	if p := ls.places[id]; p != nil && ls.engines.Get(id) == nil {
-		if open, _, _ := p.pool.Counts(); open == 0 && len(p.waits) == 0 {
+		if p.pool.Stats().Open == 0 && len(p.waits) == 0 {
 			delete(ls.places, id)
 		}
 	}
@@ -179,9 +179,11 @@
 	if p == nil || e == nil || !p.live {
 		return
 	}
-	opening := false
+	opening := 0
 	for _, l := range e.Links {
-		opening = opening || !l.ready && !l.retired
+		if !l.ready && !l.retired {
+			opening++
+		}
 	}
 	if p.pool.OpenAhead(opening) {
 		ls.dial(e)
--- a/internal/decide/connpool/pool_test.go
+++ b/internal/decide/connpool/pool_test.go
@@ -12,65 +12,76 @@
 
 const ms = time.Millisecond
 
-// What a newcomer gets, as stories of one engine: each step is a user's ask, or "-N", the end of the N-th one that works.
-func TestAsk(t *testing.T) {
+var decisionNames = [...]string{UseIdle: "use", OpenNew: "open", Queued: "wait", Rejected: "reject"}
+
+// TestAcquire runs sequences of events at one engine: each step is the user of a new statement, or
+// "-N", the end of the N-th active one.
+func TestAcquire(t *testing.T) {
 	for name, tt := range map[string]struct {
 		limits Limits
 		steps  []string
 		want   []string
 	}{
-		"no bounds":        {Limits{}, []string{"a", "a", "b"}, []string{"open", "open", "open"}},
-		"used again":       {Limits{}, []string{"a", "-0", "b"}, []string{"open", "", "use"}},
-		"full":             {Limits{MaxConnections: 2}, []string{"a", "a", "b", "-0"}, []string{"open", "open", "wait", "b: use"}},
-		"the user's bound": {Limits{MaxConnections: 3, MaxPerUser: 1}, []string{"a", "a", "b", "-0"}, []string{"open", "wait", "open", "a: use"}},
-		"fewest first": {Limits{MaxConnections: 2}, []string{"a", "a", "a", "b", "-0", "-1"},
+		"no limits":      {Limits{}, []string{"a", "a", "b"}, []string{"open", "open", "open"}},
+		"used again":     {Limits{}, []string{"a", "-0", "b"}, []string{"open", "", "use"}},
+		"full":           {Limits{MaxConnections: 2}, []string{"a", "a", "b", "-0"}, []string{"open", "open", "wait", "b: use"}},
+		"limit per user": {Limits{MaxConnections: 3, MaxPerUser: 1}, []string{"a", "a", "b", "-0"}, []string{"open", "wait", "open", "a: use"}},
+		"fewest active first": {Limits{MaxConnections: 2}, []string{"a", "a", "a", "b", "-0", "-1"},
 			[]string{"open", "open", "wait", "wait", "b: use", "a: use"}},
-		"no passing": {Limits{MaxConnections: 1}, []string{"a", "b", "-0", "c"}, []string{"open", "wait", "b: use", "wait"}},
-		"a bounded user holds nobody up": {Limits{MaxConnections: 2, MaxPerUser: 1}, []string{"a", "a", "b", "c", "-1"},
+		"no overtaking": {Limits{MaxConnections: 1}, []string{"a", "b", "-0", "c"}, []string{"open", "wait", "b: use", "wait"}},
+		"user at its limit holds nobody up": {Limits{MaxConnections: 2, MaxPerUser: 1}, []string{"a", "a", "b", "c", "-1"},
 			[]string{"open", "wait", "open", "wait", "c: use"}},
 	} {
-		p := Pool{Limits: tt.limits}
-		var works []*Ticket
-		var got []string
-		for _, step := range tt.steps {
-			var n int
-			if k, _ := fmt.Sscanf(step, "-%d", &n); k == 0 {
-				ticket, answer := p.Acquire(0, step, time.Hour)
-				if got = append(got, [...]string{"use", "open", "wait", "full"}[answer]); answer != Queued {
-					works = append(works, ticket)
-				}
-				continue
+		t.Run(name, func(t *testing.T) {
+			if diff := cmp.Diff(tt.want, runSteps(tt.limits, tt.steps)); diff != "" {
+				t.Errorf("decisions (-want +got):\n%s", diff)
 			}
-			p.Release(ms, works[n])
-			p.AddIdle()
-			said := ""
-			for ticket, answer, ok := p.Next(ms); ok; ticket, answer, ok = p.Next(ms) {
-				said = ticket.user + ": " + [...]string{"use", "open"}[answer]
-				works = append(works, ticket)
+		})
+	}
+}
+
+// runSteps returns the decision of each step; of an end, that of the statement dispatched by it.
+func runSteps(limits Limits, steps []string) (decisions []string) {
+	p := Pool{Limits: limits}
+	var active []*Ticket
+	for _, step := range steps {
+		var ended int
+		if n, _ := fmt.Sscanf(step, "-%d", &ended); n == 0 {
+			ticket, decision := p.Acquire(0, step, time.Hour)
+			decisions = append(decisions, decisionNames[decision])
+			if decision != Queued {
+				active = append(active, ticket)
 			}
-			got = append(got, said)
+			continue
 		}
-		if diff := cmp.Diff(tt.want, got); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", name, diff)
+		p.Release(ms, active[ended])
+		p.AddIdle()
+		dispatched := ""
+		for ticket, decision, ok := p.Next(ms); ok; ticket, decision, ok = p.Next(ms) {
+			dispatched = ticket.user + ": " + decisionNames[decision]
+			active = append(active, ticket)
 		}
+		decisions = append(decisions, dispatched)
 	}
+	return decisions
 }
 
-// Who can't be served in time is told at once, by how long connections were kept of late; nobody is on a guess.
-func TestFullAtOnce(t *testing.T) {
+// TestRejectedAtOnce checks that a statement that would wait past its deadline is rejected at once,
+// by how long connections were kept, and that none is on a guess.
+func TestRejectedAtOnce(t *testing.T) {
 	p := Pool{Limits: Limits{MaxConnections: 1}}
 	first, _ := p.Acquire(0, "a", time.Second)
-	if _, answer := p.Acquire(0, "a", ms); answer != Queued {
-		t.Errorf("before anything is known: %d", answer)
+	if _, decision := p.Acquire(0, "a", ms); decision != Queued {
+		t.Errorf("decision before any hold time is known = %s, want wait", decisionNames[decision])
 	}
 	p.Release(100*ms, first) // it took 100 ms
 	p.AddIdle()
 	if _, _, ok := p.Next(100 * ms); !ok {
-		t.Fatal("nobody goes on")
+		t.Fatal("no statement was dispatched")
 	}
-	for by, want := range map[time.Duration]Decision{150 * ms: Rejected, 250 * ms: Queued} {
-		if _, answer := p.Acquire(100*ms, "b", by); answer != want {
-			t.Errorf("until %v: %d, want %d", by, answer, want)
+	for deadline, want := range map[time.Duration]Decision{150 * ms: Rejected, 250 * ms: Queued} {
+		if _, decision := p.Acquire(100*ms, "b", deadline); decision != want {
+			t.Errorf("decision with deadline %v = %s, want %s", deadline, decisionNames[decision], decisionNames[want])
 		}
 	}
 	// Behind three of its own a user waits for all of them; another user behind one of them at most.
@@ -79,50 +90,52 @@
 	for range 3 {
 		p.Acquire(0, "a", time.Hour)
 	}
-	if _, answer := p.Acquire(0, "a", 300*ms); answer != Rejected {
-		t.Errorf("a fourth of a user until 300 ms: %d", answer)
+	if _, decision := p.Acquire(0, "a", 300*ms); decision != Rejected {
+		t.Errorf("decision on a user's fourth with deadline 300 ms = %s, want reject", decisionNames[decision])
 	}
-	if _, answer := p.Acquire(0, "b", 300*ms); answer != Queued {
-		t.Errorf("the first of another until 300 ms: %d", answer)
+	if _, decision := p.Acquire(0, "b", 300*ms); decision != Queued {
+		t.Errorf("decision on another user's first with deadline 300 ms = %s, want wait", decisionNames[decision])
 	}
 }
 
-// Connections are opened ahead one at a time, kept, and closed when idle or old.
-func TestLives(t *testing.T) {
+// TestLifecycle checks that connections are opened ahead one at a time, that the minimum stays open,
+// and that others are closed when idle or old.
+func TestLifecycle(t *testing.T) {
 	p := Pool{Limits: Limits{MaxConnections: 3, MinConnections: 2, IdleTimeout: time.Second, MaxLifetime: 10 * time.Second}}
-	if !p.OpenAhead(false) || p.OpenAhead(true) || !p.OpenAhead(false) || p.OpenAhead(false) {
-		t.Error("two are wanted ahead, one at a time")
+	if !p.OpenAhead(0) || p.OpenAhead(1) || !p.OpenAhead(0) || p.OpenAhead(0) {
+		t.Error("connections opened ahead: want two, one at a time")
 	}
 	p.AddIdle()
 	p.AddIdle()
 	if p.IdleExpired(time.Hour, 0) {
-		t.Error("one of those that are kept is stale")
+		t.Error("one of the minimum of connections has expired")
 	}
 	p.Acquire(0, "a", time.Hour)
 	p.Acquire(0, "a", time.Hour)
 	p.Acquire(0, "a", time.Hour) // a third is open
 	if p.IdleExpired(900*ms, 0) || !p.IdleExpired(time.Second, 0) {
-		t.Error("a third that idles for a second isn't stale then")
+		t.Error("a third connection must expire after one second of idling")
 	}
-	for draw, want := range map[float64]time.Duration{0: 10 * time.Second, 0.5: 9500 * ms, 1: 9 * time.Second} {
-		if got := p.Lifetime(draw); got != want {
-			t.Errorf("drawn %g: it lives for %v, want %v", draw, got, want)
+	for random, want := range map[float64]time.Duration{0: 10 * time.Second, 0.5: 9500 * ms, 1: 9 * time.Second} {
+		if got := p.Lifetime(random); got != want {
+			t.Errorf("Lifetime(%g) = %v, want %v", random, got, want)
 		}
 	}
-	if (&Pool{}).Lifetime(1) != 0 || (&Pool{}).IdleExpired(time.Hour, 0) || (&Pool{}).OpenAhead(false) {
-		t.Error("without limits something ends or is opened ahead")
+	if (&Pool{}).Lifetime(1) != 0 || (&Pool{}).IdleExpired(time.Hour, 0) || (&Pool{}).OpenAhead(0) {
+		t.Error("without limits a connection expires or is opened ahead")
 	}
 }
 
-// Whatever comes when: the bounds hold, nobody waits who could go, each ticket goes once, a user's own go in their
-// order, and a user with less at work goes before one with more.
-func TestAnyOrder(t *testing.T) {
+// TestInvariants checks, for any order of events, that the limits hold, that no statement waits that
+// could be dispatched, that each ticket is dispatched once, that a user's own go in their order, and
+// that a user with fewer active statements goes before one with more.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Pool{Limits: Limits{MaxConnections: rapid.IntRange(0, 5).Draw(t, "most"), MaxPerUser: rapid.IntRange(0, 3).Draw(t, "of a user"), MinConnections: rapid.IntRange(0, 2).Draw(t, "keep")}}
-		var works, waits []*Ticket
+		p := Pool{Limits: Limits{MaxConnections: rapid.IntRange(0, 5).Draw(t, "max connections"), MaxPerUser: rapid.IntRange(0, 3).Draw(t, "max per user"), MinConnections: rapid.IntRange(0, 2).Draw(t, "min connections")}}
+		var active, waiting []*Ticket
 		free, opening, conns, now := 0, 0, 0, time.Duration(0)
-		take := func(ticket *Ticket, answer Decision) {
-			if works = append(works, ticket); answer == UseIdle {
+		take := func(ticket *Ticket, decision Decision) {
+			if active = append(active, ticket); decision == UseIdle {
 				free--
 			} else {
 				conns++
@@ -140,38 +153,38 @@
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
-				ticket, answer := p.Acquire(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "user"), now+time.Duration(rapid.IntRange(0, 300).Draw(t, "for"))*ms)
-				switch answer {
+				ticket, decision := p.Acquire(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "user"), now+time.Duration(rapid.IntRange(0, 300).Draw(t, "for"))*ms)
+				switch decision {
 				case Queued:
-					waits = append(waits, ticket)
+					waiting = append(waiting, ticket)
 				case UseIdle, OpenNew:
-					take(ticket, answer)
+					take(ticket, decision)
 				case Rejected:
 					p.Release(now, ticket)
 				}
-			case 3: // one that works ends, and its connection is free, or ends too
-				if len(works) == 0 {
+			case 3: // an active one ends, and its connection is idle, or ends too
+				if len(active) == 0 {
 					break
 				}
-				i := rapid.IntRange(0, len(works)-1).Draw(t, "who")
-				p.Release(now, works[i])
-				p.Release(now, works[i]) // a second time is passed by
-				works = slices.Delete(works, i, i+1)
-				if rapid.Bool().Draw(t, "lives") {
+				i := rapid.IntRange(0, len(active)-1).Draw(t, "who")
+				p.Release(now, active[i])
+				p.Release(now, active[i]) // a second time does nothing
+				active = slices.Delete(active, i, i+1)
+				if rapid.Bool().Draw(t, "connection lives") {
 					p.AddIdle()
 					free++
 				} else {
 					p.ConnectionClosed()
 					conns--
 				}
-			case 4: // one that waits leaves
-				if len(waits) == 0 {
+			case 4: // a waiting one is cancelled
+				if len(waiting) == 0 {
 					break
 				}
-				i := rapid.IntRange(0, len(waits)-1).Draw(t, "who")
-				p.Release(now, waits[i])
-				waits = slices.Delete(waits, i, i+1)
-			case 5: // an idle one ends
+				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "who")
+				p.Release(now, waiting[i])
+				waiting = slices.Delete(waiting, i, i+1)
+			case 5: // an idle connection ends
 				if free > 0 {
 					p.RemoveIdle()
 					p.ConnectionClosed()
@@ -183,50 +196,50 @@
 					opening--
 					p.AddIdle()
 					free++
-				} else if p.OpenAhead(false) {
+				} else if p.OpenAhead(0) {
 					opening++
 					conns++
 				}
 			}
-			for ticket, answer, ok := p.Next(now); ok; ticket, answer, ok = p.Next(now) {
-				i := slices.Index(waits, ticket)
+			for ticket, decision, ok := p.Next(now); ok; ticket, decision, ok = p.Next(now) {
+				i := slices.Index(waiting, ticket)
 				if i < 0 {
-					t.Fatal("one goes that does not wait")
+					t.Fatal("a ticket was dispatched that does not wait")
 				}
-				if of(waits[:i], ticket.user) > 0 {
-					t.Fatalf("%s: a later one of a user goes first", ticket.user)
+				if of(waiting[:i], ticket.user) > 0 {
+					t.Fatalf("user %s: a later ticket is dispatched first", ticket.user)
 				}
-				for _, o := range waits {
-					if n := of(works, o.user); n < of(works, ticket.user) && (p.Limits.MaxPerUser == 0 || n < p.Limits.MaxPerUser) {
-						t.Fatalf("%s goes before %s, which has less at work", ticket.user, o.user)
+				for _, o := range waiting {
+					if n := of(active, o.user); n < of(active, ticket.user) && (p.Limits.MaxPerUser == 0 || n < p.Limits.MaxPerUser) {
+						t.Fatalf("user %s is dispatched before %s, who has fewer active statements", ticket.user, o.user)
 					}
 				}
-				waits = slices.Delete(waits, i, i+1)
-				take(ticket, answer)
+				waiting = slices.Delete(waiting, i, i+1)
+				take(ticket, decision)
 			}
 			if p.Limits.MaxConnections > 0 && conns > p.Limits.MaxConnections || free < 0 {
 				t.Fatalf("%d connections, %d free", conns, free)
 			}
-			room := free > 0 || p.Limits.MaxConnections == 0 || conns < p.Limits.MaxConnections
-			for _, o := range append(slices.Clone(works), waits...) {
-				if n := of(works, o.user); p.Limits.MaxPerUser > 0 && n > p.Limits.MaxPerUser {
-					t.Fatalf("%d of %s at work", n, o.user)
+			available := free > 0 || p.Limits.MaxConnections == 0 || conns < p.Limits.MaxConnections
+			for _, o := range append(slices.Clone(active), waiting...) {
+				if n := of(active, o.user); p.Limits.MaxPerUser > 0 && n > p.Limits.MaxPerUser {
+					t.Fatalf("%d active statements of user %s", n, o.user)
 				}
 			}
-			for _, o := range waits {
-				if room && (p.Limits.MaxPerUser == 0 || of(works, o.user) < p.Limits.MaxPerUser) {
-					t.Fatalf("%s waits, and could go", o.user)
+			for _, o := range waiting {
+				if available && (p.Limits.MaxPerUser == 0 || of(active, o.user) < p.Limits.MaxPerUser) {
+					t.Fatalf("user %s waits, and could be dispatched", o.user)
 				}
 			}
-			if open, idle, line := p.Counts(); open != conns || idle != free || line != len(waits) {
-				t.Fatalf("it counts %d, %d, %d; there are %d, %d, %d", open, idle, line, conns, free, len(waits))
+			if got, want := p.Stats(), (Stats{Open: conns, Idle: free, Waiting: len(waiting)}); got != want {
+				t.Fatalf("stats = %+v, want %+v", got, want)
 			}
 		}
-		for _, o := range append(works, waits...) {
+		for _, o := range append(active, waiting...) {
 			p.Release(now, o)
 		}
 		if len(p.active)+len(p.lastDispatch)+len(p.queue) > 0 {
-			t.Fatalf("of users that are gone %d, %d, %d are kept", len(p.active), len(p.lastDispatch), len(p.queue))
+			t.Fatalf("entries of departed users = %d, %d, %d, want none", len(p.active), len(p.lastDispatch), len(p.queue))
 		}
 	})
 }
--- a/internal/decide/connpool/replay_test.go
+++ b/internal/decide/connpool/replay_test.go
@@ -41,11 +41,11 @@
 	rng := rand.New(rand.NewPCG(31, seed))
 	p := Pool{Limits: limits}
 	users := []string{"a", "b", "c", "d"}
-	var works, waits []*Ticket
+	var active, waiting []*Ticket
 	free, opening, now := 0, 0, time.Duration(0)
-	take := func(ticket *Ticket, answer Decision) {
-		works = append(works, ticket)
-		if answer == UseIdle {
+	take := func(ticket *Ticket, decision Decision) {
+		active = append(active, ticket)
+		if decision == UseIdle {
 			free--
 		}
 	}
@@ -54,23 +54,23 @@
 		switch rng.IntN(8) {
 		case 0, 1, 2:
 			user := rng.IntN(len(users))
-			ticket, answer := p.Acquire(now, users[user], now+time.Duration(rng.IntN(400))*time.Millisecond)
-			fmt.Fprintf(w, "ask %d: %d\n", user, uint8(answer))
-			switch answer {
+			ticket, decision := p.Acquire(now, users[user], now+time.Duration(rng.IntN(400))*time.Millisecond)
+			fmt.Fprintf(w, "ask %d: %d\n", user, uint8(decision))
+			switch decision {
 			case Queued:
-				waits = append(waits, ticket)
+				waiting = append(waiting, ticket)
 			case UseIdle, OpenNew:
-				take(ticket, answer)
+				take(ticket, decision)
 			case Rejected:
 				p.Release(now, ticket)
 			}
 		case 3, 4:
-			if len(works) == 0 {
+			if len(active) == 0 {
 				break
 			}
-			i := rng.IntN(len(works))
-			p.Release(now, works[i])
-			works = slices.Delete(works, i, i+1)
+			i := rng.IntN(len(active))
+			p.Release(now, active[i])
+			active = slices.Delete(active, i, i+1)
 			if rng.IntN(4) > 0 {
 				p.AddIdle()
 				free++
@@ -78,10 +78,10 @@
 				p.ConnectionClosed()
 			}
 		case 5:
-			if len(waits) > 0 && rng.IntN(3) == 0 {
-				i := rng.IntN(len(waits))
-				p.Release(now, waits[i])
-				waits = slices.Delete(waits, i, i+1)
+			if len(waiting) > 0 && rng.IntN(3) == 0 {
+				i := rng.IntN(len(waiting))
+				p.Release(now, waiting[i])
+				waiting = slices.Delete(waiting, i, i+1)
 			}
 		case 6:
 			stale := p.IdleExpired(now, now-time.Duration(rng.IntN(2000))*time.Millisecond)
@@ -97,20 +97,20 @@
 				p.AddIdle()
 				free++
 			}
-			ahead := p.OpenAhead(opening > 0)
+			ahead := p.OpenAhead(opening)
 			fmt.Fprintf(w, "ahead %t\n", ahead)
 			if ahead {
 				opening++
 			}
 		}
-		for ticket, answer, ok := p.Next(now); ok; ticket, answer, ok = p.Next(now) {
-			i := slices.Index(waits, ticket)
-			fmt.Fprintf(w, "next %d: %d\n", i, uint8(answer))
-			waits = slices.Delete(waits, i, i+1)
-			take(ticket, answer)
+		for ticket, decision, ok := p.Next(now); ok; ticket, decision, ok = p.Next(now) {
+			i := slices.Index(waiting, ticket)
+			fmt.Fprintf(w, "next %d: %d\n", i, uint8(decision))
+			waiting = slices.Delete(waiting, i, i+1)
+			take(ticket, decision)
 		}
-		open, idle, waiting := p.Counts()
-		fmt.Fprintf(w, "counts %d %d %d\n", open, idle, waiting)
+		stats := p.Stats()
+		fmt.Fprintf(w, "counts %d %d %d\n", stats.Open, stats.Idle, stats.Waiting)
 	}
 }
 
