--- a/cmd/gateway/shapes_test.go
+++ b/cmd/gateway/shapes_test.go
@@ -35,8 +35,8 @@
 // the rework printed for the same snapshot.
 func TestShapesOfFixture(t *testing.T) {
 	for golden, run := range map[string]func() error{
-		"testdata/shapes-top.txt":  (&topCommand{Snapshot: shapesFixture, Most: 20}).Run,
-		"testdata/shapes-diff.txt": (&diffCommand{Old: shapesFixture, New: shapesFixture, Most: 5, Over: 1}).Run,
+		"testdata/shapes-top.txt":  (&topCommand{Snapshot: shapesFixture, Limit: 20}).Run,
+		"testdata/shapes-diff.txt": (&diffCommand{Old: shapesFixture, New: shapesFixture, Limit: 5, MinFactor: 1}).Run,
 	} {
 		want, err := os.ReadFile(golden)
 		if err != nil {
