--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -20,11 +20,12 @@
 
 // eventBus accepts one follower, reports the number it tells, and writes one event.
 func eventBus(t *testing.T, number uint64) (addr string, told chan uint64) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	told = make(chan uint64, 10)
 	go func() {
 		for {
@@ -32,7 +33,7 @@
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { _ = c.Close() })
 			b := make([]byte, 8)
 			if _, err := io.ReadFull(c, b); err != nil {
 				continue
--- a/internal/gateway/replacement_test.go
+++ b/internal/gateway/replacement_test.go
@@ -60,7 +60,7 @@
 	if p.socket, p.addr, err = harness.Hold("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.socket.Close() })
+	t.Cleanup(func() { _ = p.socket.Close() })
 	raw, err := os.ReadFile("../../examples/toy/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { ln.Close() })
+	p.t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -89,12 +89,12 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				for in := bufio.NewScanner(c); in.Scan(); {
 					w := strings.Fields(in.Text())
 					page := strings.Repeat("x\ty\tz\n", 1000) // 16 of these are two parts of a result
 					if len(w) == 3 && w[0] == "turn" {
-						fmt.Fprintf(c, "%s MORE batch=%s %d\r\n%s\r\n", w[1], w[2], len(page), page)
+						_, _ = fmt.Fprintf(c, "%s MORE batch=%s %d\r\n%s\r\n", w[1], w[2], len(page), page)
 					}
 					if len(w) != 4 || w[0] != "want" {
 						continue
@@ -105,15 +105,15 @@
 					if w[1][0] == 'f' {
 						go func() {
 							<-p.hold
-							fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+							_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
 						}()
 						continue
 					}
 					if w[1][0] == 'b' {
-						fmt.Fprintf(c, "%s DONE batches=16 %d\r\n%s\r\n", w[1], len(page), page)
+						_, _ = fmt.Fprintf(c, "%s DONE batches=16 %d\r\n%s\r\n", w[1], len(page), page)
 						continue
 					}
-					fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+					_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
 				}
 			}()
 		}
@@ -169,13 +169,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	_, _ = io.WriteString(c, call)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err.Error()
 	}
+	defer func() { _ = resp.Body.Close() }()
 	b, _ := io.ReadAll(resp.Body)
 	return fmt.Sprintf("%d %s", resp.StatusCode, b)
 }
@@ -357,7 +358,7 @@
 		r.cmd.Env = append(os.Environ(), besideEnv+"="+p.config, "LB_ACCEPT_FD="+fd)
 		r.cmd.ExtraFiles = []*os.File{p.socket, file}
 		out, err := r.cmd.CombinedOutput()
-		file.Close()
+		_ = file.Close()
 		if err == nil || !strings.Contains(string(out), "LB_ACCEPT_FD") {
 			t.Errorf("LB_ACCEPT_FD=%s: %v: %s", fd, err, out)
 		}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -18,20 +18,22 @@
 
 // client makes one call on a connection of its own and reports the status.
 func client(t *testing.T, addr string, n int) <-chan string {
+	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, call, n)
+	_, _ = fmt.Fprintf(c, call, n)
 	answer := make(chan string, 1)
 	go func() {
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			answer <- err.Error()
 			return
 		}
+		_ = resp.Body.Close()
 		answer <- resp.Status
 	}()
 	return answer
@@ -63,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	wants := make(chan string, 10)
 	go func() { // an engine that answers all but the call numbered 1
 		for {
@@ -78,7 +80,7 @@
 						continue
 					}
 					if !strings.HasSuffix(w[1], "1") {
-						fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+						_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
 					}
 					wants <- w[1]
 				}
@@ -122,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
@@ -132,7 +134,7 @@
 			if w := strings.Fields(in.Text()); len(w) == 4 && w[0] == "want" {
 				wants <- w[1]
 				<-answer
-				fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+				_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
 			}
 		}
 	}()
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -248,7 +248,7 @@
 func (s *site) prove(end <-chan admin.Reply) admin.Reply {
 	s.t.Helper()
 	c := s.client()
-	defer c.Close()
+	defer func() { c.Close() }()
 	for n := 0; ; n++ {
 		select {
 		case r := <-end:
@@ -378,7 +378,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.Close() })
+	s.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(60 * time.Second))
 	k := &raw{s.t, c, bufio.NewReader(c)}
 	k.send(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("t")...), 0)))
@@ -407,10 +407,10 @@
 			k.t.Error(err)
 		}
 		kinds += string(head[0])
-		switch {
-		case head[0] == 'K':
+		switch head[0] {
+		case 'K':
 			key = body
-		case head[0] == 'E':
+		case 'E':
 			if e, err := pgproto.ReadError(body); err == nil {
 				kinds += "(" + e.Code + ")"
 			}
@@ -570,7 +570,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	t.Setenv("NOTIFY_SOCKET", path)
 	notifyServiceManager("MAINPID=7\nREADY=1\n")
 	_ = ln.SetDeadline(time.Now().Add(5 * time.Second))
