--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -32,7 +32,7 @@
 		open + `["REQ",4,1]`:                  "batch 9: REQ: who: no instance 4",
 		open + `["TICK_DUE","x",1]`:           "batch 9: TICK_DUE: who",
 		open + `["INIT",1]`:                   "batch 9: INIT: prng: missing",
-		open + `["INIT",1,2,{"balancers":0}]`: "Gateways",
+		open + `["INIT",1,2,{"balancers":0}]`: "balancers: ",
 		open + `["POOL",16,[]]`:               "batch 9: POOL: table",
 		open + `["POOL",0,[["a","k","e"]]]`:   "entry 0: POOL: availability: missing",
 		open + `["CLOCK",1,2]`:                "batch 9: CLOCK: batch still open",
--- /dev/null
+++ b/policy/attempt.go
@@ -0,0 +1,137 @@
+package policy
+
+import "slices"
+
+// maxErrors is the number of errors after which a query is not retried: the fault is the query's own.
+const maxErrors = 2
+
+// send is the only place where an attempt starts.
+func (g *Gateway) send(q *query, e *engine) {
+	if !g.maySend(q, e) {
+		g.answerWithoutResult(q)
+		return
+	}
+	a := newAttempt(q, e, g.now)
+	if a.number > 0 {
+		g.retries.recordRetry(g.now)
+	}
+	q.attempts = append(q.attempts, a)
+	e.addAttempt(a)
+	g.meanThreads += (q.threads - g.meanThreads) / 20
+	g.slowStart.spend(q, e, g.now)
+	g.grantResources(a)
+	g.do(Send{Query: q.id, Engine: e.id, Timeout: q.deadline - g.now})
+}
+
+// endAttempt takes the end of an attempt and, where the client still waits, decides on a retry.
+func (g *Gateway) endAttempt(ev AttemptEnded) {
+	a := g.attempt(ev.Query, ev.Attempt)
+	if a == nil || a.ended {
+		return
+	}
+	q := a.query
+	a.ended = true
+	a.mayHaveRun = !ev.Result.NeverRan()
+	a.engine.removeAttempt(a)
+	g.recordResult(a, ev)
+	g.recordLoad(a.engine, ev.Load)
+	switch ev.Result {
+	case ResultTimeout, ResultConnectionLost, ResultCancelled, ResultUnknown: // it may still run
+		g.orderedKeys.pause(q, g.now+g.settings.Rules.SettleTime+g.settings.CallInterval)
+	default:
+	}
+	isTooLate := milliseconds(q.deadline-g.now) <= q.class.latencyMS/4
+	switch {
+	case ev.Final || q.answered:
+		g.endQuery(q)
+	case q.hasAttemptInFlight(): // its end will decide
+	case isTooLate, q.errorCount() >= maxErrors:
+		g.answerWithoutResult(q)
+	default:
+		g.admit(q)
+	}
+}
+
+// recordResult learns from the end of an attempt.
+func (g *Gateway) recordResult(a *attempt, ev AttemptEnded) {
+	e := a.engine
+	switch ev.Result {
+	case ResultSuccess:
+		g.recordSuccess(a, ev)
+	case ResultTimeout:
+		g.recordTimeout(a, milliseconds(ev.Elapsed))
+	case ResultRejected:
+		e.bindingUntil = g.now + rejectedBindingTime
+		e.health.lastHeard = g.now
+	case ResultConnectFailed, ResultConnectTimeout, ResultConnectionLost:
+		g.recordConnectionFailure(e, ev.Result)
+	case ResultError:
+		e.health.lastHeard = g.now
+		a.failed = true
+	case ResultUnknown, ResultCancelled, ResultNotSent:
+	}
+}
+
+// recordSuccess learns from a complete response.
+func (g *Gateway) recordSuccess(a *attempt, ev AttemptEnded) {
+	e := a.engine
+	latencyMS := milliseconds(ev.Elapsed)
+	a.query.class.recordLatency(latencyMS, a.query.workMS)
+	g.recordResponse(a, latencyMS)
+	g.recordCost(a, ev)
+	e.health.faultRate -= e.health.faultRate * failedConnectionWeight / 2
+	e.health.lastHeard = g.now
+	e.health.ejectedForFaults = false
+	g.recordSignOfLife(a)
+	// An error may be the query's own fault; it is the engine's where another one serves the query.
+	for _, other := range a.query.attempts {
+		if other.failed && other.engine != e {
+			g.recordFault(other.engine, errorWeight, ejectedForErrors)
+		}
+	}
+}
+
+// mayRetry tells whether the rules leave the query another attempt once those in flight have ended.
+func (g *Gateway) mayRetry(q *query) bool {
+	if q.answered || len(q.attempts) >= max(g.settings.Limits.MaxAttempts, 1) {
+		return false
+	}
+	if len(q.attempts) > 0 && !g.retries.allows(g.now) {
+		return false
+	}
+	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return g.forbidsRetry(a) })
+}
+
+// forbidsRetry tells whether the query may not be executed again after this attempt.
+func (g *Gateway) forbidsRetry(a *attempt) bool {
+	switch a.query.class.Idempotency {
+	case NotIdempotent:
+		return a.mayHaveRun
+	case IdempotentWithKey:
+		return a.mayHaveRun && g.now-a.sentAt >= a.query.class.DedupWindow
+	case Idempotent:
+	}
+	return false
+}
+
+// retryElsewhere cancels an attempt where the rules leave its query another.
+func (g *Gateway) retryElsewhere(a *attempt) bool { return g.mayRetry(a.query) && g.cancel(a) }
+
+// moveAttempt does so for an attempt that may yet succeed, where another engine may have the query, or the
+// same one again. Guards against rejecting what the only engine is about to answer.
+func (g *Gateway) moveAttempt(a *attempt) bool {
+	hasTarget := slices.ContainsFunc(g.engines, func(e *engine) bool {
+		return (e != a.engine || g.settings.Limits.AllowHedging) && g.isSuitable(a.query, e)
+	})
+	return hasTarget && g.retryElsewhere(a)
+}
+
+// cancel cancels an attempt and tells whether it did.
+func (g *Gateway) cancel(a *attempt) bool {
+	if a.cancelled || a.ended || a.streaming || !g.settings.Limits.AllowCancel {
+		return false
+	}
+	a.cancelled = true
+	g.do(Cancel{Query: a.query.id, Attempt: a.number})
+	return true
+}
--- /dev/null
+++ b/policy/class.go
@@ -0,0 +1,96 @@
+package policy
+
+import "math"
+
+const (
+	deviationsUntilOverdue = 3.0 // mean deviations of latency from which an attempt is overdue
+	maxLatencyDeviation    = 5.0 // of one response, as a multiple of the expected latency
+	maxClassSamples        = 50  // responses over which a class is averaged
+	estimateSamples        = 50
+
+	swapGrantFactor = 3.0  // times the usual need granted without an estimate, where memory is swapped
+	grantCoverage   = 0.87 // part of its queries whose need a class's grant should cover
+	grantStep       = 10   // divisor of a step of the grant's multiple
+)
+
+// class is a Class with what is learned of it, as moving averages.
+type class struct {
+	Class
+	responses        int
+	latencyMS        float64 // usual latency
+	baselineMS       float64 // its lowest latency of late
+	workMS           float64 // usual work of all threads
+	latencyDeviation float64 // mean deviation of a latency from the expected one, as a part of it
+	estimateMS       float64 // usual estimate of the work; 0: none was seen
+	defaultGrantMB   float64 // memory to grant where there is no estimate; 0: the engine chooses
+	grantMultiple    float64 // memory to grant, as a multiple of the estimate
+}
+
+func newClass(settings Class) *class {
+	if settings.Threads <= 0 {
+		settings.Threads = 1
+	}
+	usual := milliseconds(settings.LatencyObjective) / 3
+	return &class{Class: settings, latencyMS: usual, baselineMS: usual, workMS: usual * settings.Threads,
+		grantMultiple: 1, latencyDeviation: 1 / deviationsUntilOverdue}
+}
+
+// samples is the number of responses that an average is taken over: the first responses count more.
+func (c *class) samples() float64 { return float64(min(10+c.responses, maxClassSamples)) }
+
+// recordLatency counts a response to a query of the given expected work.
+func (c *class) recordLatency(latencyMS, workMS float64) {
+	c.responses++
+	samples := c.samples()
+	deviation := math.Abs(latencyMS*c.workMS/(c.latencyMS*workMS) - 1)
+	c.latencyDeviation += (min(deviation, maxLatencyDeviation) - c.latencyDeviation) / samples
+	c.latencyMS += (latencyMS - c.latencyMS) / samples
+	c.baselineMS = min(c.baselineMS*1.0005, c.latencyMS)
+}
+
+// estimateRatio takes an estimate of a query's work and returns it relative to the usual one.
+func (c *class) estimateRatio(estimateMS float64) float64 {
+	if c.estimateMS == 0 {
+		c.estimateMS = estimateMS
+	}
+	c.estimateMS += (estimateMS - c.estimateMS) / estimateSamples
+	return min(max(estimateMS/c.estimateMS, 0.1), 30)
+}
+
+// recordCost takes what a response told of the query's cost.
+func (g *Gateway) recordCost(a *attempt, ev AttemptEnded) {
+	c := a.query.class
+	if ev.Work > 0 {
+		c.workMS += (milliseconds(ev.Work) - c.workMS) / c.samples()
+	} else if !g.settings.ReportsCost {
+		c.workMS = c.baselineMS * c.Threads
+	}
+	estimateMB := a.query.memoryMB
+	// Where memory is swapped, a grant beyond the need costs nobody anything.
+	if g.settings.MemoryShortage == ShortageSwap && estimateMB == 0 {
+		samples := min(float64(c.responses), c.samples())
+		c.defaultGrantMB += (swapGrantFactor*ev.MemoryMB - c.defaultGrantMB) / samples
+	}
+	// The steps up and down balance where the grant covers the wanted part of the queries.
+	switch {
+	case estimateMB > 0 && ev.MemoryMB > c.grantMultiple*estimateMB:
+		c.grantMultiple *= 1 + grantCoverage/grantStep
+	case estimateMB > 0 && !a.spilled:
+		c.grantMultiple *= 1 - (1-grantCoverage)/grantStep
+	}
+}
+
+// recordSpill raises the class's grants after a spill, where responses don't tell the need. A spill under the
+// largest grant that a query gets says nothing.
+func (g *Gateway) recordSpill(a *attempt, missingMB float64) {
+	q := a.query
+	c := q.class
+	isUncapped := 2*a.grantMB >= c.grantMultiple*q.memoryMB
+	tellsNeed := q.memoryMB > 0 && isUncapped && !g.settings.ReportsCost
+	if a.spilled || !tellsNeed {
+		return
+	}
+	a.spilled = true
+	needed := (a.grantMB + missingMB) / q.memoryMB
+	c.grantMultiple = max(c.grantMultiple*(1+grantCoverage/grantStep), (c.grantMultiple+needed)/2)
+}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"strconv"
 	"testing"
 	"time"
 )
@@ -77,7 +78,7 @@
 	now := begin
 	after := func(d time.Duration, run func()) { heap.Push(&events, coldEvent{now + d, run}) }
 	entry := func(i int) Engine {
-		return Engine{ID: fmt.Sprint(i), Zone: "a", Kind: "k", State: EngineLive}
+		return Engine{ID: strconv.Itoa(i), Zone: "a", Kind: "k", State: EngineLive}
 	}
 	type delivery struct {
 		at     time.Duration
@@ -117,7 +118,7 @@
 	var tick func(i int)
 	tick = func(i int) {
 		handle(i, TimerFired{})
-		after(period/ticks, func() { tick(i) })
+		after(tickInterval, func() { tick(i) })
 	}
 	list := func(i int, state EngineState, started time.Duration) {
 		ev := EngineList{Mode: ListFull}
@@ -142,7 +143,7 @@
 		weights[i] = 1 + rng.ExpFloat64()*(p.skew-1)
 		sum += weights[i]
 		list(i, EngineLive, 0)
-		after(time.Duration(rng.Int64N(int64(period/ticks))), func() { tick(i) })
+		after(time.Duration(rng.Int64N(int64(tickInterval))), func() { tick(i) })
 		after(away-now+time.Duration(rng.Int64N(int64(p.told))), func() {
 			if rng.Float64() < p.fresh {
 				gateways[i], _ = New(s, p.seed<<10+uint64(i)+1<<40)
@@ -187,7 +188,7 @@
 		now = e.at
 		e.run()
 	}
-	n := s.Rules.OverloadMultiple * p.start * part * cores * ms(p.tipFor) / mean
+	n := s.Rules.OverloadMultiple * p.start * part * cores * milliseconds(p.tipFor) / mean
 	bears := n + 2*math.Sqrt(n) + 2
 	for _, all := range got[warm:] {
 		sent += len(all)
--- a/policy/order_test.go
+++ b/policy/order_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"strconv"
 	"testing"
 	"time"
 )
@@ -18,6 +19,7 @@
 }
 
 func playOrder(t *testing.T, seed uint64) {
+	t.Helper()
 	s := settings()
 	s.Classes = []Class{{Name: "load", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 5, Threads: 1, Idempotency: NotIdempotent, Ordered: true}}
 	s.Gateways = 1
@@ -48,7 +50,7 @@
 		switch k := rng.IntN(20); {
 		case k < 7:
 			c := s.Classes[0]
-			q := &seen{id: uint64(step + 1), class: c, due: m.now + time.Duration(1+rng.IntN(int(c.Timeout/msec)))*msec, key: fmt.Sprint(rng.IntN(keys))}
+			q := &seen{id: uint64(step + 1), class: c, due: m.now + time.Duration(1+rng.IntN(int(c.Timeout/msec)))*msec, key: strconv.Itoa(rng.IntN(keys))}
 			m.open[q.id], m.all = q, append(m.all, q)
 			m.apply(g.Handle(m.now, QueryArrived{Query: q.id, Class: c.Name, Key: q.key, Deadline: q.due}, nil))
 		case k < 15 && len(m.all) > 0:
--- a/policy/ordered_keys.go
+++ b/policy/ordered_keys.go
@@ -1,48 +1,81 @@
 package policy
 
-import "slices"
+import (
+	"maps"
+	"slices"
+	"time"
+)
 
-func (g *Gateway) enter(q *query) {
-	if !q.class.Ordered || q.key == "" {
+// orderedKeys makes the queries of an ordered class run one at a time for each key, in the order of arrival.
+type orderedKeys struct {
+	queues  map[string]*keyQueue
+	waiting []*query // queries whose turn has not come, of all keys, in the order of arrival
+}
+
+// keyQueue holds the queries of one key that are not over.
+type keyQueue struct {
+	queries []*query
+	// pausedUntil holds the next query back while an attempt of an earlier one may still run.
+	pausedUntil time.Duration
+}
+
+func isOrdered(q *query) bool { return q.class.Ordered && q.key != "" }
+
+func (o *orderedKeys) add(q *query) {
+	if !isOrdered(q) {
 		return
 	}
-	if g.lanes[q.key] == nil {
-		g.lanes[q.key] = &lane{}
+	if o.queues[q.key] == nil {
+		o.queues[q.key] = &keyQueue{}
 	}
-	g.lanes[q.key].line = append(g.lanes[q.key].line, q)
+	o.queues[q.key].queries = append(o.queues[q.key].queries, q)
 }
 
-// turn tells whether all earlier queries of the key are over and, at its first attempt, its rest too.
-func (g *Gateway) turn(q *query) bool {
-	l := g.lanes[q.key]
-	return !q.class.Ordered || q.key == "" || l.line[0] == q && (g.now >= l.rest || len(q.tries) > 0)
+func (o *orderedKeys) remove(q *query) {
+	queue := o.queues[q.key]
+	if !isOrdered(q) || queue == nil {
+		return
+	}
+	queue.queries = slices.DeleteFunc(queue.queries, func(other *query) bool { return other == q })
 }
 
-func (g *Gateway) rest(q *query) {
-	if l := g.lanes[q.key]; l != nil && q.class.Ordered {
-		l.rest = max(l.rest, g.now+g.set.Rules.SettleTime+g.set.CallInterval)
+// isTurn tells whether all earlier queries of the key are over and, before the first attempt, its pause too.
+func (o *orderedKeys) isTurn(q *query, now time.Duration) bool {
+	if !isOrdered(q) {
+		return true
 	}
+	queue := o.queues[q.key]
+	return queue.queries[0] == q && (now >= queue.pausedUntil || len(q.attempts) > 0)
 }
 
-func (g *Gateway) leave(q *query) {
-	l := g.lanes[q.key]
-	if !q.class.Ordered || q.key == "" || l == nil {
-		return
+// pause holds the key's next query back after an attempt of q that may still run.
+func (o *orderedKeys) pause(q *query, until time.Duration) {
+	if queue := o.queues[q.key]; queue != nil && q.class.Ordered {
+		queue.pausedUntil = max(queue.pausedUntil, until)
 	}
-	l.line = slices.DeleteFunc(l.line, func(o *query) bool { return o == q })
 }
 
-// pump admits held queries whose turn has come, in the order they were taken.
-func (g *Gateway) pump() {
-	held := g.waiting
-	g.waiting = nil
-	for _, q := range held {
+// wait keeps a query until its turn has come.
+func (o *orderedKeys) wait(q *query) { o.waiting = append(o.waiting, q) }
+
+// prune drops the queues of keys that have neither a query nor a pause.
+func (o *orderedKeys) prune(now time.Duration) {
+	maps.DeleteFunc(o.queues, func(_ string, queue *keyQueue) bool {
+		return len(queue.queries) == 0 && now >= queue.pausedUntil
+	})
+}
+
+// admitWaiting admits the queries whose turn has come, in the order of their arrival.
+func (g *Gateway) admitWaiting() {
+	waiting := g.orderedKeys.waiting
+	g.orderedKeys.waiting = nil
+	for _, q := range waiting {
 		switch {
-		case q.done:
-		case g.turn(q):
+		case q.answered:
+		case g.orderedKeys.isTurn(q, g.now):
 			g.admit(q)
 		default:
-			g.waiting = append(g.waiting, q)
+			g.orderedKeys.wait(q)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,10 +1,9 @@
 package policy
 
 import (
-	"bufio"
+	"errors"
 	"fmt"
 	"math"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -115,7 +114,7 @@
 		{10, 0.1, 2, 10 - 0.7/0.13, 0.13},     // alpha = .3*.2+.7*.1
 		{8, 0.05, 0.4, 8 + 0.7/0.05*0.6, .05}, // alpha = .3*.05+.7*.05
 	} {
-		b, a := step(c.bound, c.alpha, c.r)
+		b, a := nextLimit(c.bound, c.alpha, c.r)
 		if math.Abs(b-c.wantBound) > 1e-9 || math.Abs(a-c.wantAlpha) > 1e-9 {
 			t.Errorf("step(%v, %v, %v) = %v, %v; want %v, %v", c.bound, c.alpha, c.r, b, a, c.wantBound, c.wantAlpha)
 		}
@@ -124,18 +123,18 @@
 
 func TestIdlePeriodChangesNothingAndFloorHolds(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	e := r.g.byID["e"]
-	bound, alpha := e.bound, e.alpha
-	r.g.control(&e.loop)
-	if e.bound != bound || e.alpha != alpha {
-		t.Fatalf("an idle period moved the loop to %v, %v", e.bound, e.alpha)
+	e := r.g.enginesByID["e"]
+	bound, alpha := e.limit, e.alpha
+	e.adjust(r.now)
+	if e.limit != bound || e.alpha != alpha {
+		t.Fatalf("an idle period moved the loop to %v, %v", e.limit, e.alpha)
 	}
-	for i := 0; i < 50; i++ {
-		e.sum, e.n = 50, 1
-		r.g.control(&e.loop)
+	for range 50 {
+		e.latencySum, e.responses = 50, 1
+		e.adjust(r.now)
 	}
-	if e.bound <= 0 || e.bound >= 1 {
-		t.Fatalf("bound %v, want a floor under one query's weight", e.bound)
+	if e.limit <= 0 || e.limit >= 1 {
+		t.Fatalf("bound %v, want a floor under one query's weight", e.limit)
 	}
 }
 
@@ -198,7 +197,7 @@
 	work := 0.0
 	for id := uint64(1); id < 200; id++ {
 		for range sends(r.arrive(id, "safe")) {
-			work += r.g.classes["safe"].work
+			work += r.g.classes["safe"].workMS
 			r.ends(id, 0, ResultSuccess)
 		}
 	}
@@ -274,43 +273,29 @@
 	}
 }
 
-func TestSettingsAtFaultAreNamed(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
-		"Gateways":            func(s *Settings) { s.Gateways = 0 },
-		"Classes: none":       func(s *Settings) { s.Classes = nil },
-		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
-		"Classes[2].Deadline": func(s *Settings) { s.Classes[2].Timeout = -1 },
-		"Rules.LookBack":      func(s *Settings) { s.Rules.RetryBudgetWindow = -1 },
-		"Rules.ExtraFree":     func(s *Settings) { s.Rules.RetryBudgetBase = -1 },
-		"Rules.ExtraShare":    func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
-		"Worth":               func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
-		"Classes[0].Threads":  func(s *Settings) { s.Classes[0].Threads = math.NaN() },
+// TestValidateNamesSettingsKey checks that an error says which key of the settings file is at fault.
+func TestValidateNamesSettingsKey(t *testing.T) {
+	for want, damage := range map[string]func(*Settings){
+		"balancers":                func(s *Settings) { s.Gateways = 0 },
+		"classes":                  func(s *Settings) { s.Classes = nil },
+		"classes[1].name":          func(s *Settings) { s.Classes[1].Name = "" },
+		"classes[1].aim-ms":        func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"classes[2].hard-limit-ms": func(s *Settings) { s.Classes[2].Timeout = -1 },
+		"classes[3].window-ms":     func(s *Settings) { s.Classes[3].DedupWindow = -1 },
+		"classes[0].importance":    func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		"extra.parallelism[0]":     func(s *Settings) { s.Classes[0].Threads = math.NaN() },
+		"extra.tells-every-ms":     func(s *Settings) { s.ProgressInterval = -1 },
+		"contract.look-back-ms":    func(s *Settings) { s.Rules.RetryBudgetWindow = -1 },
+		"contract.extra-free":      func(s *Settings) { s.Rules.RetryBudgetBase = -1 },
+		"contract.resend-ratio":    func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
 	} {
 		s := settings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want an error naming %q, got %v", want, err)
-		}
-	}
-}
-
-func TestModuleStaysSmall(t *testing.T) {
-	f, err := os.Open("policy.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	lines := 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		if strings.TrimSpace(sc.Text()) != "" {
-			lines++
+		damage(&s)
+		_, err := New(s, 1)
+		var got *SettingsError
+		if !errors.As(err, &got) || got.Key != want || !strings.Contains(err.Error(), want+": ") {
+			t.Errorf("error = %v, want one that names %q", err, want)
 		}
-		if n := len(strings.ReplaceAll(sc.Text(), "\t", "    ")); n > 110 {
-			t.Errorf("a line of %d characters: %s", n, sc.Text())
-		}
-	}
-	if lines > 1000 {
-		t.Errorf("%d lines that are not blank, want 1000 at most", lines)
 	}
 }
 
@@ -350,13 +335,13 @@
 	sent := 0
 	for id := uint64(1); id < 40; id++ {
 		r.arrive(id, "safe")
-		for n := 0; n < 4; n++ {
+		for n := range 4 {
 			q := r.g.queries[id]
 			if q == nil {
 				break
 			}
 			res := ResultSuccess
-			if q.tries[n].e.id == "bad" {
+			if q.attempts[n].engine.id == "bad" {
 				res = ResultError
 				sent++
 			}
@@ -380,8 +365,8 @@
 			idle.after(100 * msec).do(TimerFired{})
 		}
 	}
-	b, i := busy.g.byID["e"].top, idle.g.byID["e"].top
-	if i < capStarts*startCores*8/2 {
+	b, i := busy.g.enginesByID["e"].ceiling, idle.g.enginesByID["e"].ceiling
+	if i < ceilingFactor*threadsPerCore*8/2 {
 		t.Fatalf("an idle gateway's top fell to %v", i)
 	}
 	if b < 1.3*i {
@@ -391,7 +376,7 @@
 
 func TestTopShrinksPastTheKnee(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	e := r.g.byID["e"]
+	e := r.g.enginesByID["e"]
 	serve := func(from uint64, took time.Duration) {
 		for id := from; id < from+200; id++ {
 			r.arrive(id, "safe")
@@ -400,10 +385,10 @@
 		}
 	}
 	serve(1, 20*msec)
-	before := e.top
+	before := e.ceiling
 	serve(1000, 200*msec) // still under the aim of 300 ms
-	if e.top > 0.7*before {
-		t.Fatalf("top %v after latencies of ten times the quick ones, %v before", e.top, before)
+	if e.ceiling > 0.7*before {
+		t.Fatalf("top %v after latencies of ten times the quick ones, %v before", e.ceiling, before)
 	}
 }
 
@@ -495,15 +480,15 @@
 	over := 0
 	for id := uint64(1); id < 40; id++ { // one in two seconds, its even part
 		r.after(2 * time.Second).do(TimerFired{})
-		if r.g.overShare("t") {
+		if r.g.tenants.isOverQuota("t", r.g.traffic.share(), r.now) {
 			over++
 		}
 	}
 	if over > 0 {
 		t.Fatalf("%d of 39 queries within the quota counted as beyond it", over)
 	}
-	for id := 0; id < 100; id++ {
-		if r.after(100 * msec).do(TimerFired{}); r.g.overShare("t") {
+	for range 100 {
+		if r.after(100 * msec).do(TimerFired{}); r.g.tenants.isOverQuota("t", r.g.traffic.share(), r.now) {
 			over++
 		}
 	}
@@ -546,7 +531,7 @@
 				for _, class := range []string{"safe", "wide", "unsafe"} {
 					id++
 					for range sends(g.Handle(now, QueryArrived{Query: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
-						all = append(all, sent{now, g.classes[class].work})
+						all = append(all, sent{now, g.classes[class].workMS})
 						g.Handle(now, AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: s.Classes[0].LatencyObjective, Final: true}, nil)
 					}
 				}
@@ -562,7 +547,7 @@
 			}
 			most, total = max(most, sum), total+from.work
 		}
-		limit := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * ms(s.Rules.OverloadWindow)
+		limit := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * milliseconds(s.Rules.OverloadWindow)
 		if most > limit || total < 0.1*limit*float64(s.Rules.WarmUpPeriod/s.Rules.OverloadWindow) {
 			t.Errorf("%d gateways: %.0f ms of work within a span, %.0f in all; the limit of a span is %.0f", n, most, total, limit)
 		}
@@ -622,13 +607,13 @@
 func TestToldLoadClosesTheRoomForChance(t *testing.T) {
 	s, list := many(40)
 	r := start(t, s, list...)
-	free := r.g.fleet.top
+	free := r.g.aggregate.ceiling
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
 		r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * msec, Final: true, Load: LoadReport{Reported: true, CPUUtilization: 1, InFlight: -1}})
 	}
 	r.ticks(time.Second)
-	if got := r.g.fleet.top; got > capStarts*r.g.fleet.start+0.05*free {
+	if got := r.g.aggregate.ceiling; got > ceilingFactor*r.g.aggregate.baseline+0.05*free {
 		t.Fatalf("top of all %v with every engine told busy, %v with nothing told", got, free)
 	}
 }
@@ -640,7 +625,7 @@
 		g, _ := New(s, seed)
 		g.Handle(0, EngineList{Mode: ListFull, Engines: list}, nil)
 		for _, e := range g.engines {
-			e.top = 3 // under the weight of four
+			e.ceiling = 3 // under the weight of four
 		}
 		for _, a := range sends(g.Handle(0, QueryArrived{Query: 1, Class: "wide", DataSet: int64(seed), Deadline: time.Second}, nil)) {
 			met[a.Engine]++
@@ -659,13 +644,13 @@
 func TestEnginesToldIdleWidenTheRoomForChance(t *testing.T) {
 	s, list := many(40)
 	r := start(t, s, list...)
-	before := r.g.fleet.top
+	before := r.g.aggregate.ceiling
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
 		r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * msec, Final: true, Load: LoadReport{Reported: true, CPUUtilization: 0.2, InFlight: -1}})
 	}
-	if r.ticks(time.Second); r.g.fleet.top < 1.5*before {
-		t.Fatalf("top of all %v with every engine told idle, %v with nothing told", r.g.fleet.top, before)
+	if r.ticks(time.Second); r.g.aggregate.ceiling < 1.5*before {
+		t.Fatalf("top of all %v with every engine told idle, %v with nothing told", r.g.aggregate.ceiling, before)
 	}
 }
 
@@ -678,11 +663,11 @@
 	work := 0.0
 	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may be cold
 		for range sends(r.arrive(id, "safe")) {
-			work += r.g.classes["safe"].work
+			work += r.g.classes["safe"].workMS
 			r.ends(id, 0, ResultSuccess)
 		}
 	}
-	if part := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 200; work > part+r.g.classes["safe"].work {
+	if part := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 200; work > part+r.g.classes["safe"].workMS {
 		t.Fatalf("%v ms of work after a broken connection; this gateway's part of a cold budget is %v", work, part)
 	}
 }
@@ -705,8 +690,8 @@
 		for id := uint64(1); id <= 2; id++ {
 			r.ends(id, 0, c.result)
 		}
-		if e.suspected != c.suspect {
-			t.Errorf("%v: suspect is %v", c.result, e.suspected)
+		if e.health.ejected != c.suspect {
+			t.Errorf("%v: suspect is %v", c.result, e.health.ejected)
 		}
 		r.after(200 * msec)
 		for id := uint64(5); id < 9; id++ {
@@ -715,7 +700,7 @@
 				break
 			}
 		}
-		if cold := r.now < e.coldUntil; cold != c.cold {
+		if cold := r.now < e.warmUp.until; cold != c.cold {
 			t.Errorf("%v: cold is %v after word of what was sent since", c.result, cold)
 		}
 	}
@@ -733,13 +718,13 @@
 		}
 	}
 	for _, e := range r.g.engines {
-		if e.faults > 0 {
-			t.Errorf("engine %s has faults %v for queries that no engine could use", e.id, e.faults)
+		if e.health.faultRate > 0 {
+			t.Errorf("engine %s has faults %v for queries that no engine could use", e.id, e.health.faultRate)
 		}
 	}
-	first := r.g.byID[sends(r.arrive(20, "safe"))[0].Engine]
+	first := r.g.enginesByID[sends(r.arrive(20, "safe"))[0].Engine]
 	r.ends(20, 0, ResultError)
-	if r.ends(20, 1, ResultSuccess); first.faults == 0 {
+	if r.ends(20, 1, ResultSuccess); first.health.faultRate == 0 {
 		t.Error("no fault for an error on what another engine served")
 	}
 }
@@ -775,7 +760,7 @@
 // first, but one at a time to find out, until there is word of that.
 func TestEngineWhereOneClassStandsStill(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
-	e := r.g.byID["e"]
+	e := r.g.enginesByID["e"]
 	to := func(class string) (n int) {
 		for id := uint64(100); id < 110; id++ {
 			for _, s := range sends(r.arrive(id, class)) {
@@ -793,7 +778,7 @@
 		return n
 	}
 	still := map[uint64]bool{}
-	for id := uint64(1); len(still) < muteAfter; id++ {
+	for id := uint64(1); len(still) < lostResponsesToBlock; id++ {
 		if sends(r.arrive(id, "safe"))[0].Engine == "e" {
 			still[id] = true
 		} else {
@@ -802,10 +787,10 @@
 	}
 	for range 4 {
 		r.ticks(300 * msec)
-		e.heard = r.now // by way of other classes
+		e.health.lastHeard = r.now // by way of other classes
 	}
-	if !r.g.mute(e, r.g.classes["safe"]) || r.g.mute(e, r.g.classes["unsafe"]) {
-		t.Fatalf("mute to %v lost answers is not the class's", e.lost)
+	if !r.g.isBlocked(e, r.g.classes["safe"]) || r.g.isBlocked(e, r.g.classes["unsafe"]) {
+		t.Fatalf("mute to %v lost answers is not the class's", e.health.lostResponses)
 	}
 	if n := to("safe"); n > 0 {
 		t.Errorf("%d more of the class that stands still", n)
@@ -816,16 +801,16 @@
 	if n := to("unsafe"); n == 0 {
 		t.Error("none of the class that runs")
 	}
-	r.after(3 * r.g.quiet)
-	for id := uint64(200); id < 220 && !r.g.mute(e, r.g.classes["safe"]); id++ {
+	r.after(3 * r.g.silenceTimeout)
+	for id := uint64(200); id < 220 && !r.g.isBlocked(e, r.g.classes["safe"]); id++ {
 		r.arrive(id, "safe")
 	}
-	if !r.g.mute(e, r.g.classes["safe"]) {
+	if !r.g.isBlocked(e, r.g.classes["safe"]) {
 		t.Error("no query was sent to find out, or more than one")
 	}
-	trial := e.out[len(e.out)-1]
-	r.do(AttemptProgress{Query: trial.q.id, Attempt: trial.n, Kind: ProgressFraction, Value: 0.5})
-	if r.g.mute(e, r.g.classes["safe"]) {
+	trial := e.inFlight[len(e.inFlight)-1]
+	r.do(AttemptProgress{Query: trial.query.id, Attempt: trial.number, Kind: ProgressFraction, Value: 0.5})
+	if r.g.isBlocked(e, r.g.classes["safe"]) {
 		t.Error("mute after word of the class")
 	}
 }
@@ -839,7 +824,7 @@
 		if affinity(near.hash, 7) < affinity(far.hash, 7) {
 			near, far = far, near
 		}
-		near.top, far.zone = 3.9, "b" // under the weight of four; near and in the own zone all the same
+		near.ceiling, far.zone = 3.9, "b" // under the weight of four; near and in the own zone all the same
 		for _, a := range sends(g.Handle(0, QueryArrived{Query: 1, Class: "wide", DataSet: 7, Deadline: time.Second}, nil)) {
 			if a.Engine != far.id {
 				t.Fatalf("seed %d: sent by chance to %s while it fits at %s", seed, near.id, far.id)
@@ -862,7 +847,7 @@
 		r.ends(id, 0, []Result{ResultSuccess, ResultConnectionLost, ResultCancelled}[id%3])
 		if q := r.g.queries[id]; q != nil {
 			r.do(ClientDisconnected{Query: id})
-			for n := range q.tries {
+			for n := range q.attempts {
 				r.ends(id, n, ResultCancelled)
 			}
 		}
@@ -871,11 +856,11 @@
 	g := r.g
 	held := 0
 	for _, e := range g.engines {
-		held += len(e.heldSets)
+		held += len(e.lockedUntil)
 	}
-	for what, n := range map[string]int{"taken": len(g.taken), "extra": len(g.extra), "engines": len(g.engines),
-		"ids": len(g.byID), "lanes": len(g.lanes), "data sets": len(g.sets),
-		"queries": len(g.queries), "held for a turn": len(g.waiting), "held sets": held} {
+	for what, n := range map[string]int{"taken": len(g.retries.arrivals), "extra": len(g.retries.retries), "engines": len(g.engines),
+		"ids": len(g.enginesByID), "lanes": len(g.orderedKeys.queues), "data sets": len(g.dataSets.counts),
+		"queries": len(g.queries), "held for a turn": len(g.orderedKeys.waiting), "held sets": held} {
 		if n > 300 {
 			t.Errorf("%s: %d kept after 5000 queries and engines", what, n)
 		}
@@ -886,7 +871,7 @@
 	s := settings()
 	s.Limits.AllowHedging = true // else the only engine is waited for
 	r := start(t, s, live("e", "a", 1))
-	before := r.g.byID["e"].top
+	before := r.g.enginesByID["e"].ceiling
 	for id := uint64(1); id < 9; id++ { // none of them is ever answered
 		r.arrive(id, "wide")
 		r.after(500 * msec).do(AttemptProgress{Query: id, Kind: ProgressFraction, Value: 0.01})
@@ -894,8 +879,8 @@
 		r.do(ClientDisconnected{Query: id})
 		r.ends(id, 1, ResultCancelled)
 	}
-	if r.ticks(time.Second); r.g.byID["e"].top > 0.8*before {
-		t.Fatalf("top %v after eight attempts cancelled as slow, %v before", r.g.byID["e"].top, before)
+	if r.ticks(time.Second); r.g.enginesByID["e"].ceiling > 0.8*before {
+		t.Fatalf("top %v after eight attempts cancelled as slow, %v before", r.g.enginesByID["e"].ceiling, before)
 	}
 }
 
@@ -971,8 +956,8 @@
 	s := settings()
 	s.Gateways = 100
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	r.g.set.ProgressInterval = time.Hour // nothing is silent here
-	r.g.quiet = time.Hour
+	r.g.settings.ProgressInterval = time.Hour // nothing is silent here
+	r.g.silenceTimeout = time.Hour
 	for id := uint64(1); id <= 8; id++ {
 		r.arrive(id, "unsafe")
 	}
@@ -984,13 +969,13 @@
 		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.5, InFlight: held}})
 		r.ticks(500 * msec)
 	}
-	if got := r.g.share(); got < 0.4 || got > 0.6 {
+	if got := r.g.traffic.share(); got < 0.4 || got > 0.6 {
 		t.Fatalf("a part of %.2f where half of what the engines hold is ours", got)
 	}
 	for range 200 {
 		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.5, InFlight: held * 60}})
 	}
-	if got := r.g.share(); got < 0.01 || got > 0.011 {
+	if got := r.g.traffic.share(); got < 0.01 || got > 0.011 {
 		t.Fatalf("a part of %v, under the equal one or over it", got)
 	}
 }
@@ -1039,7 +1024,7 @@
 		r.ends(id, 0, ResultSuccess)
 	}
 	r.do(QueryArrived{Query: 200, Class: "wide", Work: time.Second, Deadline: r.now + 9*time.Second})
-	if got, most := r.g.queries[200], 2*4.0; got == nil || got.weight > most {
+	if got, most := r.g.queries[200], 2*4.0; got == nil || got.threads > most {
 		t.Fatalf("a query of a thousand times the usual work should weigh %v at most: %+v", most, got)
 	}
 }
@@ -1054,7 +1039,7 @@
 		if q == nil {
 			t.Fatalf("query %d of %v refused by an idle gateway", id, work)
 		}
-		got := r.g.limit(q, &r.g.fleet)
+		got := r.g.queryLimit(q, &r.g.aggregate)
 		r.ends(id, 0, ResultSuccess)
 		return got
 	}
@@ -1072,8 +1057,8 @@
 		r.g.classes["safe"].PriorityWeight = 0
 		limit("safe", 100*msec)
 	}
-	if math.IsNaN(r.g.dear) || math.IsInf(r.g.dear, 0) {
-		t.Fatalf("usual worth over work is %v", r.g.dear)
+	if math.IsNaN(r.g.meanLogValue) || math.IsInf(r.g.meanLogValue, 0) {
+		t.Fatalf("usual worth over work is %v", r.g.meanLogValue)
 	}
 }
 
@@ -1104,7 +1089,7 @@
 		r.wantSend(r.arrive(uint64(id+1), "safe"), "")
 		r.ends(uint64(id+1), 0, ResultSuccess)
 	}
-	for name, v := range map[string]float64{"level": r.g.fleet.level, "load": r.g.load, "theirs": r.g.theirs, "part": r.g.share()} {
+	for name, v := range map[string]float64{"level": r.g.aggregate.loadLevel, "load": r.g.meanLoad, "theirs": r.g.traffic.reportedInFlight, "part": r.g.traffic.share()} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			t.Errorf("%s is %v", name, v)
 		}
@@ -1118,7 +1103,7 @@
 	s.Gateways, s.ProgressInterval, s.ReportsLoad = 8, 0, true
 	out := func(held float64, age time.Duration) (n int) {
 		r := start(t, s, live("e", "a", 1))
-		r.g.fleet.top, r.g.fleet.bound = 1e9, 1e9 // one engine alone is looked at
+		r.g.aggregate.ceiling, r.g.aggregate.limit = 1e9, 1e9 // one engine alone is looked at
 		r.do(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.1, InFlight: held}})
 		r.after(age)
 		for id := uint64(1); id <= 60; id++ {
@@ -1129,7 +1114,8 @@
 		return n
 	}
 	untold, empty, half, old, full := out(-1, 0), out(0, 0), out(6, 0), out(0, 5*time.Second), out(60, 0)
-	if !(empty > half && half > untold && old < half && old >= untold && full <= untold) {
+	followsReport := empty > half && half > untold && old < half && old >= untold && full <= untold
+	if !followsReport {
 		t.Errorf("sent %d untold, %d empty, %d half full, %d on an old report, %d full", untold, empty, half, old, full)
 	}
 	if empty >= 16 { // two threads a core of eight
@@ -1140,7 +1126,7 @@
 // Where memory pages and clients estimate nothing, a grant follows what answers told, far past the usual need: the
 // rest is lost to nobody, and a query that gets less spills. Elsewhere the engine chooses.
 func TestAmpleGrantsWhereMemoryPages(t *testing.T) {
-	for short, want := range map[MemoryShortage]float64{ShortageSwap: swapCover * 100, ShortageQueue: 0, ShortageTrim: 0} {
+	for short, want := range map[MemoryShortage]float64{ShortageSwap: swapGrantFactor * 100, ShortageQueue: 0, ShortageTrim: 0} {
 		s := settings()
 		s.MemoryShortage, s.HonorsGrants, s.ReportsCost = short, true, true
 		r := start(t, s, live("e", "a", 1))
@@ -1207,8 +1193,8 @@
 		}
 		r.ticks(20 * msec)
 	}
-	if !r.g.byID["h1"].suspected || served < 36 {
-		t.Errorf("with %d hung at three engines (suspect: %v), %d of 40 went to the fourth", hung, r.g.byID["h1"].suspected, served)
+	if !r.g.enginesByID["h1"].health.ejected || served < 36 {
+		t.Errorf("with %d hung at three engines (suspect: %v), %d of 40 went to the fourth", hung, r.g.enginesByID["h1"].health.ejected, served)
 	}
 }
 
@@ -1228,7 +1214,7 @@
 			r.do(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: took, Final: true})
 		}
 	}
-	if w := r.g.classes["safe"].work; w > 150 {
+	if w := r.g.classes["safe"].workMS; w > 150 {
 		t.Errorf("%.0f ms of work, of queries that take 100 ms where nothing else runs", w)
 	}
 }
@@ -1246,8 +1232,8 @@
 		}
 		r.do(TimerFired{})
 	}
-	if share := r.g.share(); r.g.mine < 1 || share > 2.0/6+1e-9 {
-		t.Errorf("with %.1f attempts at each engine it takes %.2f of all", r.g.mine, share)
+	if share := r.g.traffic.share(); r.g.traffic.ownInFlight < 1 || share > 2.0/6+1e-9 {
+		t.Errorf("with %.1f attempts at each engine it takes %.2f of all", r.g.traffic.ownInFlight, share)
 	}
 }
 
@@ -1262,7 +1248,7 @@
 		r.after(heard)
 		r.arrive(2, "safe")
 		r.ends(2, 0, ResultConnectTimeout)
-		if e := r.g.engines[0]; r.now < e.coldUntil != want {
+		if e := r.g.engines[0]; r.now < e.warmUp.until != want {
 			t.Errorf("heard %v ago: cold is %v", heard, !want)
 		}
 	}
@@ -1277,7 +1263,7 @@
 		r := start(t, s, live("e", "a", 1))
 		r.after(3 * time.Second).do(TimerFired{})
 		r.arrive(1, "safe")
-		if !r.g.cancel(r.g.queries[1].tries[0]) {
+		if !r.g.cancel(r.g.queries[1].attempts[0]) {
 			t.Fatal("no cancel")
 		}
 		if again := len(sends(r.ends(1, 0, ResultCancelled))) > 0; again != copies {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -27,15 +27,14 @@
 	due   time.Duration
 	tries []seenTry
 	over  bool
-	dead  bool
 }
 
 type seenTry struct {
-	engine         string
-	at             time.Duration
-	out, ran       bool
-	ended          time.Duration
-	doubt, counted bool
+	engine   string
+	at       time.Duration
+	out, ran bool
+	ended    time.Duration
+	doubt    bool
 }
 
 func (m *model) fail(format string, args ...any) {
@@ -87,7 +86,7 @@
 		m.fail("query %d sent to %s, which is not live", a.Query, a.Engine)
 	}
 	e := m.info[a.Engine]
-	if !among(q.class.Zones, e.Zone) {
+	if !isAllowed(q.class.Zones, e.Zone) {
 		m.fail("query %d sent out of its place", a.Query)
 	}
 	for _, try := range q.tries {
@@ -155,6 +154,7 @@
 }
 
 func play(t *testing.T, seed uint64) {
+	t.Helper()
 	s := settings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
 	if seed%2 == 0 { // no notes, told load: moves come in bursts, at ticks and after pauses
@@ -188,7 +188,7 @@
 	}
 	list(ListCached, live("e0", "a", 0), live("e1", "b", 1))
 	next := uint64(1)
-	for step := 0; step < 1500; step++ {
+	for range 1500 {
 		m.now += time.Duration(rng.IntN(40)) * msec
 		if rng.IntN(100) == 0 {
 			m.now += time.Duration(rng.IntN(3000)) * msec
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -135,11 +135,12 @@
 // TestReplay plays seeded scenarios and compares a digest of all actions with the one that commit
 // c18a9bd gave: a change of structure must not change one decision.
 func TestReplay(t *testing.T) {
+	t.Parallel()
 	file, err := os.Open("testdata/replay.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = file.Close() }()
+	t.Cleanup(func() { _ = file.Close() })
 	want := map[string]string{}
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		name, rest, _ := strings.Cut(lines.Text(), " ")
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,12 +1,17 @@
 package policy
 
-import "time"
+import (
+	"maps"
+	"time"
+)
 
-// Snapshot is what a gateway has learned of its engines and classes, to be handed to another
-// of the same settings that takes its place. It holds no query: those
-// that are open stay with the gateway that took them. Instants are on the clock of Handle,
-// which both must share. When the gateway began is not handed on: what the other still has
-// out at a cold engine is not known here, so it waits as after a restart.
+// Snapshot is what a gateway has learned of its engines and classes, for another one of the same settings
+// that takes its place. It holds no query: those in flight stay with the gateway that admitted them. Both
+// must use one clock. The time of the gateway's start is not in it: what the other still has in flight at an
+// engine that warms up is unknown here, so that the new one waits as after a restart.
+//
+// A snapshot is passed on in CBOR, by the names in the tags, or of the fields without one: these must not
+// change.
 type Snapshot struct {
 	Classes              []ClassSnapshot
 	Engines              []EngineSnapshot
@@ -22,7 +27,7 @@
 	TickCount            int                `cbor:"Ticked"`
 }
 
-// ClassSnapshot is what is known of a class.
+// ClassSnapshot is what a gateway has learned of a class.
 type ClassSnapshot struct {
 	Name              string
 	ResponseCount     int     `cbor:"N"`
@@ -35,7 +40,7 @@
 	DefaultGrantMB    float64 `cbor:"Ample"`
 }
 
-// ControllerSnapshot is the state of one control loop.
+// ControllerSnapshot is the state of one adaptive limit.
 type ControllerSnapshot struct {
 	Limit        float64 `cbor:"Bound"`
 	Alpha        float64
@@ -44,7 +49,7 @@
 	BindingUntil time.Duration `cbor:"Pressed"`
 }
 
-// EngineSnapshot is what is known of an engine that the list names.
+// EngineSnapshot is what a gateway has learned of an engine of the list.
 type EngineSnapshot struct {
 	Engine
 	Controller         ControllerSnapshot       `cbor:"Loop"`
@@ -68,97 +73,169 @@
 	LostResponses      map[string]int           `cbor:"Lost"`
 }
 
-func (l *loop) learned() ControllerSnapshot {
-	return ControllerSnapshot{Limit: l.bound, Alpha: l.alpha, LoadLevel: l.level, Slowdown: l.slow, BindingUntil: l.pressed}
-}
-
-func (l *loop) take(k ControllerSnapshot) {
-	l.bound, l.alpha, l.level, l.slow, l.pressed = k.Limit, k.Alpha, k.LoadLevel, k.Slowdown, k.BindingUntil
-}
-
-// Snapshot is a copy of what the gateway has learned.
+// Snapshot returns a copy of what the gateway has learned.
 func (g *Gateway) Snapshot() Snapshot {
-	l := Snapshot{
-		Aggregate: g.fleet.learned(), DataSetCounts: map[int64]float64{}, DataSetTotal: g.setSum, MeanLogValue: g.dear, MeanLoad: g.load,
-		MeanOwnInFlight: g.mine, MeanReportedInFlight: g.theirs, ArrivalRate: g.rate, MeanThreads: g.width, TickCount: g.ticked,
-	}
-	for set, n := range g.sets {
-		l.DataSetCounts[set] = n
+	s := Snapshot{
+		Aggregate:            g.aggregate.snapshot(),
+		DataSetCounts:        maps.Clone(g.dataSets.counts),
+		DataSetTotal:         g.dataSets.total,
+		MeanLogValue:         g.meanLogValue,
+		MeanLoad:             g.meanLoad,
+		MeanOwnInFlight:      g.traffic.ownInFlight,
+		MeanReportedInFlight: g.traffic.reportedInFlight,
+		ArrivalRate:          g.traffic.arrivalRate,
+		MeanThreads:          g.meanThreads,
+		TickCount:            g.ticker.count,
 	}
-	for _, c := range g.set.Classes {
-		k := g.classes[c.Name]
-		l.Classes = append(l.Classes, ClassSnapshot{Name: k.Name, ResponseCount: k.n, MeanLatencyMS: k.latency, BaselineLatencyMS: k.quick, MeanWorkMS: k.work, LatencyDeviation: k.spread, MeanEstimateMS: k.guess, GrantMultiple: k.grant, DefaultGrantMB: k.ample})
+	for _, settings := range g.settings.Classes {
+		s.Classes = append(s.Classes, g.classes[settings.Name].snapshot())
 	}
 	for _, e := range g.engines {
-		if e.state == EngineDeparted {
-			continue
-		}
-		k := EngineSnapshot{
-			Engine: Engine{ID: e.id, Zone: e.zone, Kind: e.kind, Cell: e.cell, State: e.state}, Controller: e.loop.learned(),
-			LastStart: e.begun, WarmUpUntil: e.coldUntil, TurnsSince: e.coldTold, BudgetSpentUntil: e.coldNext, WarmUpUntilBefore: e.coldWas,
-			LastHeard: e.heard, ReportedAt: e.toldAt, ConnectionLostAt: e.lostAt, NextTrialAt: e.trialAt, TurnOffset: e.draw, ReportedLoad: e.load, FaultRate: e.faults,
-			RestartPresumed: e.doubted, EjectedForFaults: e.erring, Ejected: e.suspected, ClassBlockedUntil: map[string]time.Duration{}, DataSetLockedUntil: map[int64]time.Duration{}, LostResponses: map[string]int{},
-		}
-		for c, until := range e.muteTill {
-			k.ClassBlockedUntil[c.Name] = until
-		}
-		for c, n := range e.lost {
-			k.LostResponses[c.Name] = n
-		}
-		for set, until := range e.heldSets {
-			k.DataSetLockedUntil[set] = until
+		if e.state != EngineDeparted {
+			s.Engines = append(s.Engines, e.snapshot())
 		}
-		l.Engines = append(l.Engines, k)
 	}
-	return l
+	return s
 }
 
-// Restore takes what another gateway has learned, before the first event. What the settings
-// here have no class or kind for is passed by.
-func (g *Gateway) Restore(now time.Duration, l Snapshot) {
+// Restore takes what another gateway has learned, before the first event. It skips what these settings have
+// no class or machine kind for.
+func (g *Gateway) Restore(now time.Duration, s Snapshot) {
 	g.now = max(g.now, now)
-	g.ticked = l.TickCount
-	for _, k := range l.Classes {
-		if c := g.classes[k.Name]; c != nil {
-			c.n, c.latency, c.quick, c.work, c.spread, c.guess, c.grant, c.ample = k.ResponseCount, k.MeanLatencyMS, k.BaselineLatencyMS, k.MeanWorkMS, k.LatencyDeviation, k.MeanEstimateMS, k.GrantMultiple, k.DefaultGrantMB
+	g.ticker.count = s.TickCount
+	for _, classSnapshot := range s.Classes {
+		if c := g.classes[classSnapshot.Name]; c != nil {
+			c.restore(classSnapshot)
 		}
 	}
-	for _, k := range l.Engines {
-		g.entry(k.Engine)
-		e := g.byID[k.ID]
-		e.begun, e.coldUntil, e.coldTold, e.coldNext, e.coldWas = k.LastStart, k.WarmUpUntil, k.TurnsSince, k.BudgetSpentUntil, k.WarmUpUntilBefore
-		e.heard, e.toldAt, e.lostAt, e.trialAt, e.draw, e.load, e.faults = k.LastHeard, k.ReportedAt, k.ConnectionLostAt, k.NextTrialAt, k.TurnOffset, k.ReportedLoad, k.FaultRate
-		e.doubted, e.erring, e.suspected = k.RestartPresumed, k.EjectedForFaults, k.Ejected
-		for name, until := range k.ClassBlockedUntil {
-			if c := g.classes[name]; c != nil {
-				e.muteTill[c] = until
-			}
-		}
-		for name, n := range k.LostResponses {
-			if c := g.classes[name]; c != nil {
-				e.lost[c] = n
-			}
-		}
-		for set, until := range k.DataSetLockedUntil {
-			e.heldSets[set] = until
-		}
+	for i := range s.Engines {
+		e := g.updateEngine(s.Engines[i].Engine)
+		e.restore(&s.Engines[i], g.classes)
 	}
-	g.scaleAll()
-	for _, k := range l.Engines {
-		e := g.byID[k.ID]
-		g.scale(e)
-		e.loop.take(k.Controller)
-		e.faults = k.FaultRate // which scale lets fade
+	// Its first call initializes the aggregate controller, so that it must come before what restores that.
+	g.resizeAggregate()
+	for i := range s.Engines {
+		e := g.enginesByID[s.Engines[i].ID]
+		g.resize(e)
+		e.controller.restore(s.Engines[i].Controller)
+		e.health.faultRate = s.Engines[i].FaultRate // which resize lets fade
 	}
-	g.fleet.take(l.Aggregate)
-	for set, n := range l.DataSetCounts {
-		g.sets[set] = n
-	}
-	g.setSum, g.dear, g.load, g.mine, g.theirs, g.rate, g.width = l.DataSetTotal, l.MeanLogValue, l.MeanLoad, l.MeanOwnInFlight, l.MeanReportedInFlight, l.ArrivalRate, l.MeanThreads
+	g.aggregate.restore(s.Aggregate)
+	maps.Copy(g.dataSets.counts, s.DataSetCounts)
+	g.dataSets.total = s.DataSetTotal
+	g.meanLogValue = s.MeanLogValue
+	g.meanLoad = s.MeanLoad
+	g.traffic.ownInFlight = s.MeanOwnInFlight
+	g.traffic.reportedInFlight = s.MeanReportedInFlight
+	g.traffic.arrivalRate = s.ArrivalRate
+	g.meanThreads = s.MeanThreads
 }
 
 // IsEjected tells whether the gateway sends an engine nothing but trials, as it seems hung or failing.
 func (g *Gateway) IsEjected(id string) bool {
-	e := g.byID[id]
-	return e != nil && e.suspected
+	e := g.enginesByID[id]
+	return e != nil && e.health.ejected
+}
+
+func (c *controller) snapshot() ControllerSnapshot {
+	return ControllerSnapshot{
+		Limit:        c.limit,
+		Alpha:        c.alpha,
+		LoadLevel:    c.loadLevel,
+		Slowdown:     c.slowdown,
+		BindingUntil: c.bindingUntil,
+	}
+}
+
+func (c *controller) restore(s ControllerSnapshot) {
+	c.limit = s.Limit
+	c.alpha = s.Alpha
+	c.loadLevel = s.LoadLevel
+	c.slowdown = s.Slowdown
+	c.bindingUntil = s.BindingUntil
+}
+
+func (c *class) snapshot() ClassSnapshot {
+	return ClassSnapshot{
+		Name:              c.Name,
+		ResponseCount:     c.responses,
+		MeanLatencyMS:     c.latencyMS,
+		BaselineLatencyMS: c.baselineMS,
+		MeanWorkMS:        c.workMS,
+		LatencyDeviation:  c.latencyDeviation,
+		MeanEstimateMS:    c.estimateMS,
+		GrantMultiple:     c.grantMultiple,
+		DefaultGrantMB:    c.defaultGrantMB,
+	}
+}
+
+func (c *class) restore(s ClassSnapshot) {
+	c.responses = s.ResponseCount
+	c.latencyMS = s.MeanLatencyMS
+	c.baselineMS = s.BaselineLatencyMS
+	c.workMS = s.MeanWorkMS
+	c.latencyDeviation = s.LatencyDeviation
+	c.estimateMS = s.MeanEstimateMS
+	c.grantMultiple = s.GrantMultiple
+	c.defaultGrantMB = s.DefaultGrantMB
+}
+
+func (e *engine) snapshot() EngineSnapshot {
+	s := EngineSnapshot{
+		Engine:             Engine{ID: e.id, Zone: e.zone, Kind: e.kind, Cell: e.cell, State: e.state},
+		Controller:         e.controller.snapshot(),
+		LastStart:          e.lastStart,
+		WarmUpUntil:        e.warmUp.until,
+		TurnsSince:         e.warmUp.turnsSince,
+		BudgetSpentUntil:   e.warmUp.budgetSpentUntil,
+		WarmUpUntilBefore:  e.warmUp.untilBefore,
+		LastHeard:          e.health.lastHeard,
+		ReportedAt:         e.report.at,
+		ConnectionLostAt:   e.health.connectionLostAt,
+		NextTrialAt:        e.health.nextTrialAt,
+		TurnOffset:         e.warmUp.turnOffset,
+		ReportedLoad:       e.report.load,
+		FaultRate:          e.health.faultRate,
+		RestartPresumed:    e.warmUp.restartPresumed,
+		EjectedForFaults:   e.health.ejectedForFaults,
+		Ejected:            e.health.ejected,
+		ClassBlockedUntil:  map[string]time.Duration{},
+		DataSetLockedUntil: maps.Clone(e.lockedUntil),
+		LostResponses:      map[string]int{},
+	}
+	for c, until := range e.health.blockedUntil {
+		s.ClassBlockedUntil[c.Name] = until
+	}
+	for c, count := range e.health.lostResponses {
+		s.LostResponses[c.Name] = count
+	}
+	return s
+}
+
+// restore takes all but the controller, which follows once all engines are known.
+func (e *engine) restore(s *EngineSnapshot, classes map[string]*class) {
+	e.lastStart = s.LastStart
+	e.warmUp = warmUp{
+		until: s.WarmUpUntil, turnsSince: s.TurnsSince, budgetSpentUntil: s.BudgetSpentUntil,
+		turnOffset: s.TurnOffset, restartPresumed: s.RestartPresumed, untilBefore: s.WarmUpUntilBefore,
+	}
+	e.report.at = s.ReportedAt
+	e.report.load = s.ReportedLoad
+	e.health.lastHeard = s.LastHeard
+	e.health.connectionLostAt = s.ConnectionLostAt
+	e.health.nextTrialAt = s.NextTrialAt
+	e.health.faultRate = s.FaultRate
+	e.health.ejected = s.Ejected
+	e.health.ejectedForFaults = s.EjectedForFaults
+	for name, until := range s.ClassBlockedUntil {
+		if c := classes[name]; c != nil {
+			e.health.blockedUntil[c] = until
+		}
+	}
+	for name, count := range s.LostResponses {
+		if c := classes[name]; c != nil {
+			e.health.lostResponses[c] = count
+		}
+	}
+	maps.Copy(e.lockedUntil, s.DataSetLockedUntil)
 }
