--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	valueSamples        = 50 // queries that the usual value over work is averaged over
-	minPriorityWeight   = 1e-9
-	minThreadsRatio     = 0.25 // of its class's threads that a query counts for
-	maxThreadsRatio     = 2
-	finalTimerTokenBase = 1 // a query's timer has its id and this as its token; 0 is the tick's
+	valueSamples      = 50   // queries that the usual value over work is averaged over
+	minPriorityWeight = 1e-9 // keeps the logarithm finite
+	minThreadsRatio   = 0.25 // of its class's threads that a query counts for
+	maxThreadsRatio   = 2
+	logValueDivisor   = 4 // doubling the value over the work opens this part of a limit more
 )
 
 // arrive admits a query or rejects it at once.
@@ -23,8 +23,8 @@
 	}
 	g.retries.recordArrival(g.now)
 	c := g.classes[ev.Class]
-	if c == nil { // whether a retry is harmless is unknown, but nothing was sent
-		g.do(Reject{Query: ev.Query, RetryAfter: g.retryAfter()})
+	if c == nil { // an unknown class: nothing was sent, so that a retry is harmless
+		g.emit(Reject{Query: ev.Query, RetryAfter: g.retryAfter()})
 		return
 	}
 	q := g.newQuery(c, ev)
@@ -32,7 +32,7 @@
 	g.dataSets.record(q.dataSet)
 	g.requestLoadReport()
 	untilDeadline := max(0, q.deadline-g.now-g.settings.CallInterval)
-	g.do(SetTimer{After: untilDeadline, Token: q.id + finalTimerTokenBase})
+	g.emit(SetTimer{After: untilDeadline, Token: queryToken(q.id)})
 	g.orderedKeys.add(q)
 	if g.orderedKeys.isTurn(q, g.now) {
 		g.admit(q)
@@ -59,7 +59,7 @@
 	g.meanLogValue += (logValue - g.meanLogValue) / valueSamples
 	q.logValue = logValue - g.meanLogValue
 	if ev.Work > 0 { // without estimates, all queries of a class would be shed together
-		q.limitFraction = min(max(1+q.logValue/4, overQuotaFraction), 2-overQuotaFraction)
+		q.limitFraction = min(max(1+q.logValue/logValueDivisor, overQuotaFraction), 2-overQuotaFraction)
 	}
 	if g.tenants.isOverQuota(ev.Tenant, g.traffic.share(), g.now) {
 		q.limitFraction *= overQuotaFraction
@@ -110,23 +110,19 @@
 		return
 	}
 	if g.mayReject(q) {
-		g.do(Reject{Query: q.id, RetryAfter: g.retryAfter()})
+		g.emit(Reject{Query: q.id, RetryAfter: g.retryAfter()})
 	} else {
-		g.do(Fail{Query: q.id})
+		g.emit(Fail{Query: q.id})
 	}
 	g.endQuery(q)
 }
 
 // mayReject tells whether a retry by the client is harmless.
 func (g *Gateway) mayReject(q *query) bool {
-	switch q.class.Idempotency {
-	case Idempotent:
-		return true
-	case IdempotentWithKey:
-		return q.class.DedupScope == DedupAll || !q.mayHaveRun()
-	default:
-		return !q.mayHaveRun()
-	}
+	c := q.class
+	isRepeatable := c.Idempotency == Idempotent ||
+		c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll
+	return isRepeatable || !q.mayHaveRun()
 }
 
 // retryAfter spreads the retries of rejected clients over the time that they honor.
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -2,8 +2,11 @@
 
 import "slices"
 
-// maxErrors is the number of errors after which a query is not retried: the fault is the query's own.
-const maxErrors = 2
+const (
+	maxErrors          = 2 // errors after which a query is not retried: the fault is its own
+	meanThreadsSamples = 20
+	minRetryTimeRatio  = 1.0 / 4 // of the usual latency that must be left for a retry
+)
 
 // send is the only place where an attempt starts.
 func (g *Gateway) send(q *query, e *engine) {
@@ -17,10 +20,10 @@
 	}
 	q.attempts = append(q.attempts, a)
 	e.addAttempt(a)
-	g.meanThreads += (q.threads - g.meanThreads) / 20
+	g.meanThreads += (q.threads - g.meanThreads) / meanThreadsSamples
 	g.slowStart.spend(q, e, g.now)
 	g.grantResources(a)
-	g.do(Send{Query: q.id, Engine: e.id, Timeout: q.deadline - g.now})
+	g.emit(Send{Query: q.id, Engine: e.id, Timeout: q.deadline - g.now})
 }
 
 // endAttempt takes the end of an attempt and, where the client still waits, decides on a retry.
@@ -40,7 +43,7 @@
 		g.orderedKeys.pause(q, g.now+g.settings.Rules.SettleTime+g.settings.CallInterval)
 	default:
 	}
-	isTooLate := milliseconds(q.deadline-g.now) <= q.class.latencyMS/4
+	isTooLate := milliseconds(q.deadline-g.now) <= q.class.latencyMS*minRetryTimeRatio
 	switch {
 	case ev.Final || q.answered:
 		g.endQuery(q)
@@ -82,7 +85,7 @@
 	e.health.faultRate -= e.health.faultRate * failedConnectionWeight / 2
 	e.health.lastHeard = g.now
 	e.health.ejectedForFaults = false
-	g.recordSignOfLife(a)
+	g.recordContact(a)
 	// An error may be the query's own fault; it is the engine's where another one serves the query.
 	for _, other := range a.query.attempts {
 		if other.failed && other.engine != e {
@@ -132,6 +135,6 @@
 		return false
 	}
 	a.cancelled = true
-	g.do(Cancel{Query: a.query.id, Attempt: a.number})
+	g.emit(Cancel{Query: a.query.id, Attempt: a.number})
 	return true
 }
--- a/policy/class.go
+++ b/policy/class.go
@@ -5,8 +5,13 @@
 const (
 	deviationsUntilOverdue = 3.0 // mean deviations of latency from which an attempt is overdue
 	maxLatencyDeviation    = 5.0 // of one response, as a multiple of the expected latency
-	maxClassSamples        = 50  // responses over which a class is averaged
+	initialLatencyDivisor  = 3   // of the objective, for the latency of a class without a response
+	initialClassSamples    = 10
+	maxClassSamples        = 50     // responses over which a class is averaged
+	baselineGrowth         = 1.0005 // of the lowest latency with each response
 	estimateSamples        = 50
+	minEstimateRatio       = 0.1 // of an estimate to the usual one
+	maxEstimateRatio       = 30
 
 	swapGrantFactor = 3.0  // times the usual need granted without an estimate, where memory is swapped
 	grantCoverage   = 0.87 // part of its queries whose need a class's grant should cover
@@ -30,13 +35,21 @@
 	if settings.Threads <= 0 {
 		settings.Threads = 1
 	}
-	usual := milliseconds(settings.LatencyObjective) / 3
-	return &class{Class: settings, latencyMS: usual, baselineMS: usual, workMS: usual * settings.Threads,
-		grantMultiple: 1, latencyDeviation: 1 / deviationsUntilOverdue}
+	usual := milliseconds(settings.LatencyObjective) / initialLatencyDivisor
+	return &class{
+		Class:            settings,
+		latencyMS:        usual,
+		baselineMS:       usual,
+		workMS:           usual * settings.Threads,
+		latencyDeviation: 1 / deviationsUntilOverdue,
+		grantMultiple:    1,
+	}
 }
 
 // samples is the number of responses that an average is taken over: the first responses count more.
-func (c *class) samples() float64 { return float64(min(10+c.responses, maxClassSamples)) }
+func (c *class) samples() float64 {
+	return float64(min(initialClassSamples+c.responses, maxClassSamples))
+}
 
 // recordLatency counts a response to a query of the given expected work.
 func (c *class) recordLatency(latencyMS, workMS float64) {
@@ -45,7 +58,7 @@
 	deviation := math.Abs(latencyMS*c.workMS/(c.latencyMS*workMS) - 1)
 	c.latencyDeviation += (min(deviation, maxLatencyDeviation) - c.latencyDeviation) / samples
 	c.latencyMS += (latencyMS - c.latencyMS) / samples
-	c.baselineMS = min(c.baselineMS*1.0005, c.latencyMS)
+	c.baselineMS = min(c.baselineMS*baselineGrowth, c.latencyMS)
 }
 
 // estimateRatio takes an estimate of a query's work and returns it relative to the usual one.
@@ -54,7 +67,7 @@
 		c.estimateMS = estimateMS
 	}
 	c.estimateMS += (estimateMS - c.estimateMS) / estimateSamples
-	return min(max(estimateMS/c.estimateMS, 0.1), 30)
+	return min(max(estimateMS/c.estimateMS, minEstimateRatio), maxEstimateRatio)
 }
 
 // recordCost takes what a response told of the query's cost.
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -18,8 +18,8 @@
 	bindingTime         = 2 * controlPeriod
 	rejectedBindingTime = 4 * controlPeriod // after an engine has rejected an attempt
 	ceilingFactor       = 1.2               // a limit stays under this many baselines
-	kneeSlowdown        = 1.6               // slowdown from which the ceiling shrinks
-	maxSlowdown         = 4 * kneeSlowdown
+	saturationSlowdown  = 1.6               // slowdown from which the ceiling shrinks
+	maxSlowdown         = 4 * saturationSlowdown
 	slowdownSamples     = 20  // responses
 	ceilingDeviations   = 2.0 // of the threads in flight by chance, within the aggregate's ceiling
 )
@@ -122,7 +122,7 @@
 	share := g.traffic.share()
 	e.health.fade()
 	e.baseline = g.threadsPerCore * e.cores * share
-	knee := min(1, kneeSlowdown/max(e.slowdown, 1))
+	knee := min(1, saturationSlowdown/max(e.slowdown, 1))
 	e.ceiling = (ceilingFactor*e.baseline + g.maxThreads*(1-share)) * knee * g.slowStart.capacity(e, g.now)
 }
 
@@ -145,6 +145,6 @@
 	}
 	room := g.maxThreads + ceilingDeviations*math.Sqrt(all.baseline*g.maxThreads)
 	room *= max((1-all.loadLevel)/loadLevelSlack, 0)
-	overload := max(all.slowdown/kneeSlowdown, all.loadLevel, 1)
+	overload := max(all.slowdown/saturationSlowdown, all.loadLevel, 1)
 	all.ceiling = (ceilingFactor*all.baseline + room/overload) / overload
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,7 +9,7 @@
 // updateEngines takes the engine list or a change to it.
 func (g *Gateway) updateEngines(ev EngineList) {
 	if ev.Mode == ListFailed && g.settings.SubscribeToList {
-		g.do(Subscribe{})
+		g.emit(Subscribe{})
 	}
 	if ev.Mode == ListFull || ev.Mode == ListCached {
 		for _, e := range g.engines {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -48,9 +48,14 @@
 	resumedAt time.Duration
 }
 
-// tickToken is the token of the timer that ticks; a query's timer has the query's id + 1.
+// tickToken is the token of the timer that ticks.
 const tickToken = 0
 
+// queryToken is the token of the timer that ends a query before its deadline.
+func queryToken(id uint64) uint64 { return id + 1 }
+
+func queryOfToken(token uint64) (id uint64) { return token - 1 }
+
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // New returns a gateway for the settings, or a *SettingsError. The seed is that of its random choices.
@@ -132,13 +137,13 @@
 	}
 	g.ticker.isRunning = true
 	g.slowStart.startedAt = now
-	g.do(SetTimer{After: tickInterval, Token: tickToken})
+	g.emit(SetTimer{After: tickInterval, Token: tickToken})
 	if g.settings.SubscribeToList {
-		g.do(Subscribe{})
+		g.emit(Subscribe{})
 	}
 }
 
-func (g *Gateway) do(a Action) { g.actions = append(g.actions, a) }
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
 // fireTimer ticks, or ends a query before its deadline.
 func (g *Gateway) fireTimer(token uint64) {
@@ -146,7 +151,7 @@
 		g.tick()
 		return
 	}
-	q := g.queries[token-1]
+	q := g.queries[queryOfToken(token)]
 	if q != nil && !q.hasStreamInFlight() {
 		g.answerWithoutResult(q)
 	}
@@ -154,7 +159,7 @@
 
 // tick checks the engines' health and, once in a control period, runs the controllers.
 func (g *Gateway) tick() {
-	g.do(SetTimer{After: tickInterval, Token: tickToken})
+	g.emit(SetTimer{After: tickInterval, Token: tickToken})
 	if g.now-g.ticker.latest > 2*tickInterval {
 		g.ticker.resumedAt = g.now
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	silenceIntervals       = 2.6  // progress intervals without word after which an engine is suspect
-	lostResponseIntervals  = 2.2  // without word of one attempt, while others are heard of
-	lostWhenWaitingFactor  = 13.0 // the same for an attempt that waits, which is heard of less often
+	silenceIntervals       = 2.6  // progress intervals without progress after which an engine is silent
+	lostResponseIntervals  = 2.2  // the same for one attempt, while others make progress
+	lostWaitingIntervals   = 13.0 // the same for an attempt that waits, of which engines report less often
 	lostResponsesToBlock   = 2    // lost responses of a class that block it on an engine
 	failedConnectionWeight = 0.4  // in the fault rate
 	errorWeight            = failedConnectionWeight / 2
@@ -17,6 +17,7 @@
 	ejectionFaultRate      = 0.6
 	faultFadeTicks         = 40 // resizes over which a fault rate fades
 	trialIntervalFactor    = 2  // silence timeouts between the trials of an ejected engine
+	readmittedLimitDivisor = 4  // of the baseline
 )
 
 // ejectionReason is why an engine was ejected, for the log.
@@ -24,8 +25,8 @@
 
 const (
 	ejectedForConnections ejectionReason = "connections fail"
-	ejectedForErrors      ejectionReason = "it responds with errors"
-	ejectedForSilence     ejectionReason = "no word of any attempt"
+	ejectedForErrors      ejectionReason = "it answers with errors"
+	ejectedForSilence     ejectionReason = "all attempts are silent"
 	ejectedForOverdue     ejectionReason = "responses are overdue"
 )
 
@@ -83,7 +84,7 @@
 	e, c := a.engine, a.query.class
 	intervals := lostResponseIntervals
 	if a.waiting {
-		intervals = lostWhenWaitingFactor
+		intervals = lostWaitingIntervals
 	}
 	silence := float64(g.now - max(a.lastHeard, g.ticker.resumedAt))
 	if silence < intervals*float64(g.settings.ProgressInterval) || a.lostResponse || a.cancelled {
@@ -130,9 +131,8 @@
 	})
 }
 
-// recordSignOfLife takes any word of an attempt: the engine is there, and the class does not stand still on
-// it.
-func (g *Gateway) recordSignOfLife(a *attempt) {
+// recordContact takes progress or a response of an attempt: the engine is up, and the class runs on it.
+func (g *Gateway) recordContact(a *attempt) {
 	delete(a.engine.health.lostResponses, a.query.class)
 	g.readmit(a.engine)
 	g.disproveRestart(a)
@@ -156,7 +156,7 @@
 	e.health.ejected = true
 	e.health.nextTrialAt = g.now + trialIntervalFactor*g.silenceTimeout
 	text := fmt.Sprintf("engine %s ejected: %s; %d attempts in flight", e.id, reason, len(e.inFlight))
-	g.do(Log{Text: text})
+	g.emit(Log{Text: text})
 }
 
 // readmit ends an ejection on word from the engine, with a small limit; one that was ejected for faults must
@@ -166,8 +166,8 @@
 		return
 	}
 	e.health.ejected = false
-	e.limit = max(minLimit, e.baseline/4)
-	g.do(Log{Text: fmt.Sprintf("engine %s readmitted", e.id)})
+	e.limit = max(minLimit, e.baseline/readmittedLimitDivisor)
+	g.emit(Log{Text: fmt.Sprintf("engine %s readmitted", e.id)})
 }
 
 // takeTrial lets an ejected engine have one idempotent query now and then, to find out whether it is back.
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -4,7 +4,7 @@
 	freeThreadsFraction  = 0.5  // of the free threads that an engine reports, for one gateway
 	maxInFlightPerCore   = 50.0 // queries that a report is believed to tell at most
 	loadLevelReports     = 5    // reports that the load level is averaged over
-	meanLoadReports      = 20
+	meanLoadReports      = 20   // the same for the mean load
 	reportedLoadFraction = 0.25 // of the difference to the mean load, in the choice of an engine
 )
 
@@ -42,7 +42,7 @@
 	}
 	e := g.engines[g.random.IntN(len(g.engines))]
 	if e.state == EngineLive {
-		g.do(RequestLoadReport{Engine: e.id})
+		g.emit(RequestLoadReport{Engine: e.id})
 	}
 }
 
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -27,7 +27,7 @@
 		grant.Priority = q.priority()
 	}
 	if grant.MemoryMB > 0 || g.settings.HonorsPriority {
-		g.do(grant)
+		g.emit(grant)
 	}
 }
 
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -1,15 +1,15 @@
 package policy
 
 const (
-	badPlanRatio       = 5.0 // over its expected latency from which an attempt counts as badly planned
-	hopelessRatio      = 0.7 // of the time left; an attempt that needs more is ended early
-	moveTimeRatio      = 1.5 // expected latencies that must be left for a move
-	slowMoveSamples    = 10
-	minProgressReading = 0.001
+	badPlanRatio          = 5.0   // over its expected latency from which an attempt counts as badly planned
+	earlyEndRatio         = 0.7   // of the time left; an attempt that needs more is ended early
+	moveTimeRatio         = 1.5   // expected latencies that must be left for a move
+	slowMoveSamples       = 10    // weight of an attempt moved as slow in its engine's slowdown
+	minProgressFraction   = 0.001 // keeps the projection finite
+	dataLoadLockIntervals = 2     // progress intervals that a data set counts as locked after each report
 )
 
-// recordProgress takes an engine's word of a running attempt, and moves the query or ends it where that
-// helps.
+// recordProgress takes progress of a running attempt, and moves the query or ends it where that helps.
 func (g *Gateway) recordProgress(ev AttemptProgress) {
 	a := g.attempt(ev.Query, ev.Attempt)
 	if a == nil || a.ended {
@@ -18,10 +18,10 @@
 	a.lastHeard = g.now
 	a.engine.health.lastHeard = g.now
 	a.waiting = ev.Kind == ProgressWaitingForMemory || ev.Kind == ProgressWaitingForDataLoad
-	g.recordSignOfLife(a)
+	g.recordContact(a)
 	switch ev.Kind {
 	case ProgressWaitingForDataLoad:
-		a.engine.lockedUntil[a.query.dataSet] = g.now + 2*g.settings.ProgressInterval
+		a.engine.lockedUntil[a.query.dataSet] = g.now + dataLoadLockIntervals*g.settings.ProgressInterval
 	case ProgressSpilled:
 		g.recordSpill(a, ev.Value)
 	default:
@@ -58,7 +58,7 @@
 	expected := q.expectedLatency()
 	elapsed := milliseconds(g.now - a.sentAt)
 	untilDeadline := milliseconds(q.deadline - g.now)
-	done := min(max(fraction, minProgressReading), 1)
+	done := min(max(fraction, minProgressFraction), 1)
 	left := elapsed * (1 - done) / done
 	isLate := left > untilDeadline
 	// A new attempt that would miss the objective too is not worth it.
@@ -70,7 +70,7 @@
 		e.slowdown += (maxSlowdown - e.slowdown) / slowMoveSamples // the engine may be the cause
 		return
 	}
-	if left > hopelessRatio*untilDeadline && g.mayReject(q) { // it would hold its place until the deadline
+	if left > earlyEndRatio*untilDeadline && g.mayReject(q) { // it would hold its place until the deadline
 		g.answerWithoutResult(q)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	warmUpBudgetMargin = 0.7 // part of an engine's budget that is used while it warms up
-	warmUpBurst        = 0.5 // part of an overload window's budget that may go at once
-	warmUpCostFactor   = 1.3 // a query counts this much over its expected work
-	minRestartTime     = 2 * time.Second
+	warmUpBudgetMargin = 0.7             // part of an engine's budget that is used while it warms up
+	warmUpBurst        = 0.5             // part of an overload window's budget that may go at once
+	warmUpCostFactor   = 1.3             // a query counts this much over its expected work
+	minRestartTime     = 2 * time.Second // in which no engine ends and serves again
 )
 
 // warmUp is what a gateway knows of an engine's slow start.
@@ -63,7 +63,8 @@
 		w.budgetSpentUntil = max(w.budgetSpentUntil, now)
 		w.turnsSince = since
 		w.turnOffset = random()
-		if gateways := uint64(s.gateways); s.rank > 0 {
+		if s.rank > 0 {
+			gateways := uint64(s.gateways)
 			place := (affinity(e.hash, 0) + uint64(s.rank)) % gateways
 			w.turnOffset = float64(place) / float64(gateways)
 		}
@@ -126,7 +127,7 @@
 	g.slowStart.begin(e, g.now, until, g.now, g.random.Float64)
 }
 
-// disproveRestart takes that back, on word of an attempt that was sent later than the connection broke and
+// disproveRestart takes that back, on contact about an attempt that was sent after the connection broke,
 // sooner than a process restarts. Guards against starving an engine that only lost a connection.
 func (g *Gateway) disproveRestart(a *attempt) {
 	e := a.engine
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -112,7 +112,7 @@
 		e := g.updateEngine(s.Engines[i].Engine)
 		e.restore(&s.Engines[i], g.classes)
 	}
-	// Its first call initializes the aggregate controller, so that it must come before what restores that.
+	// The first call of resizeAggregate initializes the aggregate controller: it must precede its restore.
 	g.resizeAggregate()
 	for i := range s.Engines {
 		e := g.enginesByID[s.Engines[i].ID]
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -9,8 +9,8 @@
 	overQuotaFraction   = 0.5 // part of a limit that is open to traffic beyond a tenant's quota
 	bucketDeviations    = 2.0 // of a second's queries that a tenant's bucket forgives
 	maxShareFactor      = 2.0 // equal shares that a gateway takes at most while it can't see the others
-	trafficSamples      = 40
-	maxArrivalPeriods   = 80 // control periods that the arrival rate is averaged over
+	trafficSamples      = 40  // reports or control periods that queries in flight are averaged over
+	maxArrivalPeriods   = 80  // control periods that the arrival rate is averaged over
 	firstArrivalPeriods = 4
 )
 
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -22,37 +22,32 @@
 		return &SettingsError{"classes", "none"}
 	}
 	for i := range s.Classes {
-		c := &s.Classes[i]
-		if !isFiniteFromZero(c.Threads) {
-			key := fmt.Sprintf("extra.parallelism[%d]", i)
-			return &SettingsError{key, fmt.Sprintf("%v is not a count", c.Threads)}
-		}
-		if err := validateClass(c); err != nil {
-			err.Key = fmt.Sprintf("classes[%d].%s", i, err.Key)
+		if err := validateClass(&s.Classes[i], i); err != nil {
 			return err
 		}
 	}
 	if s.ProgressInterval < 0 {
 		return &SettingsError{"extra.tells-every-ms", fmt.Sprintf("%v is under 0", s.ProgressInterval)}
 	}
-	if err := validateRules(&s.Rules); err != nil {
-		return err
-	}
-	return nil
+	return validateRules(&s.Rules)
 }
 
-func validateClass(c *Class) *SettingsError {
+func validateClass(c *Class, index int) error {
+	key := func(name string) string { return fmt.Sprintf("classes[%d].%s", index, name) }
 	switch {
 	case c.Name == "":
-		return &SettingsError{"name", "empty"}
+		return &SettingsError{key("name"), "empty"}
 	case c.LatencyObjective <= 0:
-		return &SettingsError{"aim-ms", fmt.Sprintf("%v is not above 0", c.LatencyObjective)}
+		return &SettingsError{key("aim-ms"), fmt.Sprintf("%v is not above 0", c.LatencyObjective)}
 	case c.Timeout <= 0:
-		return &SettingsError{"hard-limit-ms", fmt.Sprintf("%v is not above 0", c.Timeout)}
+		return &SettingsError{key("hard-limit-ms"), fmt.Sprintf("%v is not above 0", c.Timeout)}
+	case !isFiniteFromZero(c.Threads):
+		key := fmt.Sprintf("extra.parallelism[%d]", index)
+		return &SettingsError{key, fmt.Sprintf("%v is not a count", c.Threads)}
 	case !isFiniteFromZero(c.PriorityWeight):
-		return &SettingsError{"importance", fmt.Sprintf("%v is not a weight", c.PriorityWeight)}
+		return &SettingsError{key("importance"), fmt.Sprintf("%v is not a weight", c.PriorityWeight)}
 	case c.Idempotency == IdempotentWithKey && c.DedupWindow < 0:
-		return &SettingsError{"window-ms", fmt.Sprintf("%v is under 0", c.DedupWindow)}
+		return &SettingsError{key("window-ms"), fmt.Sprintf("%v is under 0", c.DedupWindow)}
 	}
 	return nil
 }
