--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestStoredKnown reads what a core of version c18a9bd passed on in a live upgrade, writes the
+// TestStoredSnapshot reads what a core of version c18a9bd passed on in a live upgrade, writes the
 // same bytes again, and is whole or refused where they are damaged.
-func TestStoredKnown(t *testing.T) {
+func TestStoredSnapshot(t *testing.T) {
 	stored, err := os.ReadFile("testdata/known.cbor")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	if err := cbor.Unmarshal(stored, &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(storedKnown(), got); diff != "" {
+	if diff := cmp.Diff(storedSnapshot(), got); diff != "" {
 		t.Errorf("stored state (-want +got):\n%s", diff)
 	}
 	written, err := cbor.Marshal(got)
@@ -39,15 +39,15 @@
 		}
 	}
 	for i := range stored {
-		spoilt := append([]byte{}, stored...)
-		spoilt[i] ^= 0xff
-		_ = cbor.Unmarshal(spoilt, new(Snapshot)) // an error or other values, never a panic
+		corrupt := append([]byte{}, stored...)
+		corrupt[i] ^= 0xff
+		_ = cbor.Unmarshal(corrupt, new(Snapshot)) // an error or other values, never a panic
 	}
 }
 
-// storedKnown has one entry at most in each map: the order of several would not be fixed.
+// storedSnapshot has one entry at most in each map: the order of several would not be fixed.
 // What the policy learned has its own fixture there.
-func storedKnown() Snapshot {
+func storedSnapshot() Snapshot {
 	return Snapshot{
 		Engines: []Engine{
 			{Engine: policy.Engine{ID: "s-00000007", Zone: "hall-a", Kind: "std-8", Cell: 3, State: policy.EngineLive}, Addr: "127.0.0.9:70"},
--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestReplay feeds seeded discovery entries and operators' calls to two processes that exchange
-// their disables now and then. Every result goes into a digest that version c18a9bd wrote.
+// their overrides now and then. Every result goes into a digest that version c18a9bd wrote.
 func TestReplay(t *testing.T) {
 	const digestFile = "testdata/replay.sha256"
 	want, err := os.ReadFile(digestFile)
@@ -35,13 +35,14 @@
 
 // replay writes the results of one seeded run. Its wording does not depend on identifiers.
 func replay(out io.Writer, seed uint64) {
+	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) } // a hash never fails
 	random := rand.New(rand.NewPCG(seed, 1))
 	processes := []*Table{New(), New()}
 	now := time.Duration(1)
 	for range 2000 {
 		now += time.Duration(random.IntN(3)) * 40 * time.Second
 		process := random.IntN(2)
-		s := processes[process]
+		table := processes[process]
 		id := fmt.Sprintf("e%d", random.IntN(12))
 		switch random.IntN(8) {
 		case 0, 1, 2:
@@ -49,23 +50,23 @@
 			if random.IntN(2) == 0 {
 				e.StartKnown, e.Started = true, now-time.Duration(random.IntN(100))*time.Second
 			}
-			e = s.Update(e)
-			fmt.Fprintf(out, "hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.StartKnown)
+			e = table.Update(e)
+			say("hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.StartKnown)
 		case 3, 4, 5:
 			disable := random.IntN(2) == 0
-			changed, err := call(s, now, id, disable)
-			fmt.Fprintf(out, "call %s %t %t %t\n", id, disable, changed, err != nil)
+			changed, err := call(table, now, id, disable)
+			say("call %s %t %t %t\n", id, disable, changed, err != nil)
 		case 6:
-			fmt.Fprintf(out, "take %s\n", strings.Join(s.Merge(processes[1-process].Overrides()), " "))
+			say("take %s\n", strings.Join(table.Merge(processes[1-process].Overrides()), " "))
 		default:
 			if random.IntN(20) == 0 {
-				s.Clear()
+				table.Clear()
 			}
 		}
-		fmt.Fprintf(out, "state %d %t\n", s.ListedCount(), s.Disabled(id))
-		bans := s.Overrides()
-		for _, name := range slices.Sorted(maps.Keys(bans)) {
-			fmt.Fprintf(out, "ban %s %t %d %d\n", name, bans[name].Disabled, int64(bans[name].At), int64(bans[name].DisabledSince))
+		say("state %d %t\n", table.ListedCount(), table.Disabled(id))
+		overrides := table.Overrides()
+		for _, name := range slices.Sorted(maps.Keys(overrides)) {
+			say("ban %s %t %d %d\n", name, overrides[name].Disabled, int64(overrides[name].At), int64(overrides[name].DisabledSince))
 		}
 	}
 }
--- a/internal/decide/adminstate/stored_test.go
+++ b/internal/decide/adminstate/stored_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestStoredBans reads the operators' disables as version c18a9bd wrote them into takeover
+// TestStoredOverrides reads the overrides as version c18a9bd wrote them into takeover
 // files and handover frames.
-func TestStoredBans(t *testing.T) {
+func TestStoredOverrides(t *testing.T) {
 	stored, err := os.ReadFile("testdata/bans.cbor")
 	if err != nil {
 		t.Fatal(err)
@@ -20,8 +20,8 @@
 	if err := cbor.Unmarshal(stored, &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(storedBans(), got); diff != "" {
-		t.Errorf("stored disables (-want +got):\n%s", diff)
+	if diff := cmp.Diff(storedOverrides(), got); diff != "" {
+		t.Errorf("stored overrides (-want +got):\n%s", diff)
 	}
 	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
@@ -40,13 +40,13 @@
 		}
 	}
 	for i := range stored {
-		spoilt := append([]byte{}, stored...)
-		spoilt[i] ^= 0xff
-		_ = cbor.Unmarshal(spoilt, new(Overrides)) // an error or other values, never a panic
+		corrupt := append([]byte{}, stored...)
+		corrupt[i] ^= 0xff
+		_ = cbor.Unmarshal(corrupt, new(Overrides)) // an error or other values, never a panic
 	}
 }
 
-func storedBans() Overrides {
+func storedOverrides() Overrides {
 	return Overrides{
 		"s-00c41f7a": {Disabled: true, At: 1_700_000_000 * time.Second},
 		"s-00000007": {Disabled: false, At: 1_700_000_100 * time.Second, DisabledSince: 1_700_000_050 * time.Second},
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -73,10 +73,10 @@
 			t.Errorf("%s %s %.40s: %s", ask.method, ask.path, ask.body, got)
 		}
 	}
-	var bans int
-	g.do(func() { bans = len(g.core.Overrides()) })
-	if bans > 0 {
-		t.Errorf("%d engines are banned", bans)
+	var overrides int
+	g.do(func() { overrides = len(g.core.Overrides()) })
+	if overrides > 0 {
+		t.Errorf("%d engines have overrides", overrides)
 	}
 }
 
@@ -231,7 +231,7 @@
 	}
 }
 
-// From the yes on a banned engine gets nothing, whatever the roster says, also not what
+// From the yes on a disabled engine gets nothing, whatever discovery says, also not what
 // waited for its connection; two calls out are undone by one back, and then it serves again.
 func TestBanHolds(t *testing.T) {
 	engine, seen := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
@@ -292,6 +292,6 @@
 		after = g.core.BeginWrite(a)
 	})
 	if !before || after {
-		t.Errorf("may be written: %v before the ban, %v after it", before, after)
+		t.Errorf("may be written: %v before the engine is disabled, %v after it", before, after)
 	}
 }
