--- a/internal/decide/loginlimit/limiter_test.go
+++ b/internal/decide/loginlimit/limiter_test.go
@@ -1,7 +1,7 @@
 package loginlimit
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 	"time"
 
@@ -35,7 +35,7 @@
 		t.Errorf("RetryAfter a minute later = %v, want 0", w)
 	}
 	for i := range 3 * cfg.MaxAddresses {
-		l.RecordFailure(now, fmt.Sprint(i))
+		l.RecordFailure(now, strconv.Itoa(i))
 	}
 	if l.Len() > cfg.MaxAddresses || l.RetryAfter(now, "a") == 0 {
 		t.Errorf("after a flood: Len = %d, RetryAfter of the guesser = %v", l.Len(), l.RetryAfter(now, "a"))
