--- a/internal/decide/remotesite/affinity.go
+++ b/internal/decide/remotesite/affinity.go
@@ -9,50 +9,50 @@
 const (
 	// affinityExpiry is how long tables stay warm after a query.
 	affinityExpiry = 30 * time.Second
-	// maxAffinityGroups bounds the groups that are remembered.
-	maxAffinityGroups = 1024
+	// maxAffinityDataSets bounds the data sets that are remembered.
+	maxAffinityDataSets = 1024
 )
 
-// tableAffinity remembers where the queries of a group of tables ran last, as their tables are in
+// dataSetAffinity remembers where the queries of a data set ran last, as its tables are in
 // memory there.
-type tableAffinity struct{ lastRuns map[int64]siteRun }
+type dataSetAffinity struct{ lastRuns map[int64]siteRun }
 
 type siteRun struct {
 	site int
 	at   time.Duration
 }
 
-// record takes that a query of a group ran at a site.
-func (a *tableAffinity) record(now time.Duration, group int64, site int) {
-	if group == 0 {
+// record takes that a query of a data set ran at a site.
+func (a *dataSetAffinity) record(now time.Duration, dataSet int64, site int) {
+	if dataSet == 0 {
 		return
 	}
 	if a.lastRuns == nil {
 		a.lastRuns = map[int64]siteRun{}
 	}
-	if _, known := a.lastRuns[group]; !known && len(a.lastRuns) >= maxAffinityGroups {
+	if _, known := a.lastRuns[dataSet]; !known && len(a.lastRuns) >= maxAffinityDataSets {
 		a.evict(now)
 	}
-	a.lastRuns[group] = siteRun{site, now}
+	a.lastRuns[dataSet] = siteRun{site, now}
 }
 
-// evict removes expired groups, and all where none has expired: there are more groups than can be
+// evict removes expired data sets, and all where none has expired: there are more than can be
 // told apart.
-func (a *tableAffinity) evict(now time.Duration) {
-	for group, run := range a.lastRuns {
+func (a *dataSetAffinity) evict(now time.Duration) {
+	for dataSet, run := range a.lastRuns {
 		if now-run.at >= affinityExpiry {
-			delete(a.lastRuns, group)
+			delete(a.lastRuns, dataSet)
 		}
 	}
-	if len(a.lastRuns) >= maxAffinityGroups {
+	if len(a.lastRuns) >= maxAffinityDataSets {
 		clear(a.lastRuns)
 	}
 }
 
-// lookup returns the site where the tables of a group are warm, if they are anywhere.
-func (a *tableAffinity) lookup(now time.Duration, group int64) (site int, warm bool) {
-	run, known := a.lastRuns[group]
-	if group == 0 || !known || now-run.at >= affinityExpiry {
+// lookup returns the site where the tables of a data set are warm, if they are anywhere.
+func (a *dataSetAffinity) lookup(now time.Duration, dataSet int64) (site int, warm bool) {
+	run, known := a.lastRuns[dataSet]
+	if dataSet == 0 || !known || now-run.at >= affinityExpiry {
 		return 0, false
 	}
 	return run.site, true
--- a/internal/decide/remotesite/choose.go
+++ b/internal/decide/remotesite/choose.go
@@ -21,7 +21,7 @@
 // Chooser chooses the destinations of one gateway's queries. Its zero value is ready for use.
 type Chooser struct {
 	spilling map[string]bool // classes that are forwarded
-	affinity tableAffinity
+	affinity dataSetAffinity
 }
 
 // Choose returns where a query goes. freeCapacity is that of this site for its class, as a
@@ -55,13 +55,13 @@
 	if best < 0 {
 		return c.runLocally(now, q)
 	}
-	c.affinity.record(now, q.TableGroup, best)
+	c.affinity.record(now, q.DataSet, best)
 	peers[best].credit -= q.Work
 	return Choice{Destination: Remote, Peer: best}
 }
 
 func (c *Chooser) runLocally(now time.Duration, q *Query) Choice {
-	c.affinity.record(now, q.TableGroup, localSite)
+	c.affinity.record(now, q.DataSet, localSite)
 	return Choice{Destination: Local}
 }
 
@@ -90,7 +90,7 @@
 	}
 	offered := p.offeredCapacity(cfg, now, q.Class)
 	wanted := cfg.MinPeerCapacity
-	switch site, warm := c.affinity.lookup(now, q.TableGroup); {
+	switch site, warm := c.affinity.lookup(now, q.DataSet); {
 	case !warm:
 	case site == index:
 		offered += cfg.AffinityBonus
--- a/internal/decide/remotesite/choose_test.go
+++ b/internal/decide/remotesite/choose_test.go
@@ -96,22 +96,22 @@
 	}
 }
 
-// TestTableAffinity checks that a group of tables stays where it is warm, and that what is
+// TestDataSetAffinity checks that a data set stays where it is warm, and that what is
 // remembered is bounded.
-func TestTableAffinity(t *testing.T) {
+func TestDataSetAffinity(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	var c Chooser
 	warm, larger := newTestPeer(cfg, now, 40*ms, 1000, 0.80), newTestPeer(cfg, now, 40*ms, 1000, 0.85)
-	q := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: time.Second, TableGroup: 7}
+	q := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: time.Second, DataSet: 7}
 	c.affinity.record(now, 7, 0)
 	if got, want := c.Choose(cfg, now, &q, 0, []*Peer{warm, larger}), (Choice{Remote, 0}); got != want {
-		t.Errorf("choice for a group that is warm at the first peer = %+v, want %+v", got, want)
+		t.Errorf("choice for a data set that is warm at the first peer = %+v, want %+v", got, want)
 	}
-	for g := range int64(3 * maxAffinityGroups) {
+	for g := range int64(3 * maxAffinityDataSets) {
 		c.affinity.record(now, g+1, localSite)
 	}
-	if n := len(c.affinity.lastRuns); n > maxAffinityGroups {
-		t.Errorf("groups remembered = %d, want at most %d", n, maxAffinityGroups)
+	if n := len(c.affinity.lastRuns); n > maxAffinityDataSets {
+		t.Errorf("data sets remembered = %d, want at most %d", n, maxAffinityDataSets)
 	}
 }
 
--- a/internal/decide/remotesite/query.go
+++ b/internal/decide/remotesite/query.go
@@ -18,7 +18,7 @@
 	Idempotency       Idempotency
 	Work              float64       // expected, in seconds of one core; 0: unknown
 	PriorityWeight    float64       // of an answer in time
-	TableGroup        int64         // 0: unknown
+	DataSet           int64         // 0: unknown
 	Remaining         time.Duration // until its client gives up
 	Forwarded         bool          // it came from another site, and is never forwarded to a third
 	RejectedLocally   bool          // this site's policy has just rejected it
--- a/internal/decide/remotesite/replay_test.go
+++ b/internal/decide/remotesite/replay_test.go
@@ -124,7 +124,7 @@
 // replayQuery writes what is decided of one query.
 func replayQuery(w *bytes.Buffer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedge *Hedger, meter *CapacityMeter, peers []*Peer) {
 	q := Query{
-		Class: class, Idempotency: Idempotency(rng.IntN(3)), Work: rng.Float64() * 2, PriorityWeight: rng.Float64(), TableGroup: int64(rng.IntN(6)),
+		Class: class, Idempotency: Idempotency(rng.IntN(3)), Work: rng.Float64() * 2, PriorityWeight: rng.Float64(), DataSet: int64(rng.IntN(6)),
 		Remaining: time.Duration(rng.IntN(4000)) * time.Millisecond, Forwarded: rng.IntN(8) == 0, RejectedLocally: rng.IntN(4) == 0, Attempts: rng.IntN(4),
 		MayHaveRun: rng.IntN(3) == 0, SinceFirstAttempt: time.Duration(rng.IntN(14000)) * time.Millisecond, DedupWindow: 12 * time.Second, DedupNotShared: rng.IntN(6) == 0,
 	}
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -466,7 +466,7 @@
 	case s.read == nil || f.opts.Shapes == nil:
 		r.DataSet, _ = sqltext.Group(s.query)
 	default:
-		r.DataSet, _ = s.read.TableGroup()
+		r.DataSet, _ = s.read.DataSet()
 		if sorted != nil {
 			f.opts.Shapes.ApplyEstimate(r, sorted)
 		} else if !want.Describe {
--- a/internal/queryshape/service_requests.go
+++ b/internal/queryshape/service_requests.go
@@ -80,7 +80,7 @@
 func (s *Service) EstimateText(r *core.Request, text string) {
 	x := s.newExecution()
 	s.estimator.readInto(&x.own, text)
-	r.DataSet, _ = x.own.TableGroup()
+	r.DataSet, _ = x.own.DataSet()
 	s.estimate(r, x, &x.own, nil)
 }
 
--- a/internal/queryshape/statement.go
+++ b/internal/queryshape/statement.go
@@ -22,8 +22,8 @@
 // MultipleStatements tells whether a second statement follows in the text.
 func (s *Statement) MultipleStatements() bool { return s.reading.Several }
 
-// TableGroup returns the statement's group of tables, if it has one.
-func (s *Statement) TableGroup() (group int64, ok bool) { return s.reading.Group, s.reading.Grouped }
+// DataSet returns the data set of the statement, if its text names one.
+func (s *Statement) DataSet() (dataSet int64, ok bool) { return s.reading.Group, s.reading.Grouped }
 
 // Execution is one execution of a statement, with its estimate. Its cost is awaited.
 type Execution struct {
--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -205,7 +205,7 @@
 func (s *Service) query(r *core.Request, turned bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
-		Class: r.Class, Idempotency: decide.Idempotency(class.Idempotency), Work: r.Work.Seconds(), PriorityWeight: class.PriorityWeight, TableGroup: r.DataSet, Remaining: r.Deadline - now,
+		Class: r.Class, Idempotency: decide.Idempotency(class.Idempotency), Work: r.Work.Seconds(), PriorityWeight: class.PriorityWeight, DataSet: r.DataSet, Remaining: r.Deadline - now,
 		Forwarded: r.FromOtherSite, RejectedLocally: turned, Attempts: r.SendCount(), DedupWindow: class.DedupWindow,
 		DedupNotShared: class.Idempotency == policy.IdempotentWithKey && (class.DedupScope != policy.DedupAll || !s.cfg.SharedDedup),
 	}
