--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"os"
 	"reflect"
 	"strings"
@@ -127,3 +128,35 @@
 		})
 	}
 }
+
+// TestSettingsTypeErrors holds what operators read of a setting of the wrong type: the fault of each key that the gateway
+// reads, as the code before the fields were renamed named it.
+func TestSettingsTypeErrors(t *testing.T) {
+	raw, err := os.ReadFile("testdata/all-settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	table, err := os.ReadFile("testdata/settings-keys.tsv")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	for line := range strings.Lines(string(table)) {
+		columns := strings.Split(line, "\t")
+		if len(columns) != 3 || columns[1] != "read" {
+			continue
+		}
+		for _, wrong := range []string{`{"a": 1}`, `"text"`, `[1]`} {
+			if err := CheckSettings("settings.json", withSetting(t, raw, columns[0], wrong)); err != nil {
+				fmt.Fprintf(&got, "%s = %s\t%v\n", columns[0], wrong, err)
+			}
+		}
+	}
+	want, err := os.ReadFile("testdata/settings-type-errors.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("faults:\n%s\nwant:\n%s", got.String(), want)
+	}
+}
