--- a/policy/order_test.go
+++ b/policy/ordered_keys_property_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// TestOrderOverManyKeys plays loads that run once, in order, over many keys, among ends of every kind, cancels whose
+// TestOrderHoldsOverManyKeys plays loads that run once, in order, over many keys, among ends of every kind, cancels whose
 // end comes late or never, clients that leave, engines that start anew, drain and go. Of a key never two are
 // out, none goes out of turn or within the rest behind one that may run still, each is answered by its deadline,
 // and whoever is next in a line that is free is sent or answered with the next tick.
-func TestOrderOverManyKeys(t *testing.T) {
+func TestOrderHoldsOverManyKeys(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		playOrder(t, seed)
 	}
@@ -34,11 +34,11 @@
 		m.apply(g.Handle(m.now, EngineList{Mode: ListChanges, Engines: []Engine{e}}, nil))
 	}
 	for n := range 4 {
-		list(live(fmt.Sprintf("e%d", n), "a", 0))
+		list(liveEngine(fmt.Sprintf("e%d", n), "a", 0))
 	}
 	keys := 1 + rng.IntN(30)
 	for step := range 1500 {
-		m.now += time.Duration(rng.IntN(25)) * msec
+		m.now += time.Duration(rng.IntN(25)) * time.Millisecond
 		for _, q := range m.all { // the core's timers
 			if !q.over && m.now >= q.due-s.CallInterval {
 				m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
@@ -50,7 +50,7 @@
 		switch k := rng.IntN(20); {
 		case k < 7:
 			c := s.Classes[0]
-			q := &seen{id: uint64(step + 1), class: c, due: m.now + time.Duration(1+rng.IntN(int(c.Timeout/msec)))*msec, key: strconv.Itoa(rng.IntN(keys))}
+			q := &seen{id: uint64(step + 1), class: c, due: m.now + time.Duration(1+rng.IntN(int(c.Timeout/time.Millisecond)))*time.Millisecond, key: strconv.Itoa(rng.IntN(keys))}
 			m.open[q.id], m.all = q, append(m.all, q)
 			m.apply(g.Handle(m.now, QueryArrived{Query: q.id, Class: c.Name, Key: q.key, Deadline: q.due}, nil))
 		case k < 15 && len(m.all) > 0:
@@ -61,7 +61,7 @@
 				m.apply(g.Handle(m.now, ClientDisconnected{Query: q.id}, nil))
 			}
 		case k < 17:
-			e := live(fmt.Sprintf("e%d", rng.IntN(4)), "a", 0)
+			e := liveEngine(fmt.Sprintf("e%d", rng.IntN(4)), "a", 0)
 			e.State = EngineState(rng.IntN(3))
 			e.StartKnown, e.Started = rng.IntN(2) == 0, m.now
 			list(e)
--- a/policy/property_test.go
+++ b/policy/rules_property_test.go
@@ -178,7 +178,7 @@
 	}
 	engine := func() Engine {
 		n := rng.IntN(5)
-		e := live(fmt.Sprintf("e%d", n), string(rune('a'+n%2)), int64(n%2))
+		e := liveEngine(fmt.Sprintf("e%d", n), string(rune('a'+n%2)), int64(n%2))
 		e.State = EngineState(rng.IntN(3))
 		if rng.IntN(3) > 0 {
 			e.State = EngineLive
@@ -186,12 +186,12 @@
 		e.StartKnown, e.Started = rng.IntN(4) == 0, m.now
 		return e
 	}
-	list(ListCached, live("e0", "a", 0), live("e1", "b", 1))
+	list(ListCached, liveEngine("e0", "a", 0), liveEngine("e1", "b", 1))
 	next := uint64(1)
 	for range 1500 {
-		m.now += time.Duration(rng.IntN(40)) * msec
+		m.now += time.Duration(rng.IntN(40)) * time.Millisecond
 		if rng.IntN(100) == 0 {
-			m.now += time.Duration(rng.IntN(3000)) * msec
+			m.now += time.Duration(rng.IntN(3000)) * time.Millisecond
 		}
 		switch k := rng.IntN(10); {
 		case k < 4:
@@ -199,7 +199,7 @@
 			q := &seen{id: next, class: c, due: m.now + c.Timeout, key: string(rune('x' + rng.IntN(2)))}
 			m.open[next], m.all, m.taken = q, append(m.all, q), append(m.taken, m.now)
 			m.apply(g.Handle(m.now, QueryArrived{Query: next, Class: c.Name, Key: q.key, Deadline: q.due,
-				Work: time.Duration(rng.IntN(3000)) * msec, MemoryMB: rng.Float64() * 500}, nil))
+				Work: time.Duration(rng.IntN(3000)) * time.Millisecond, MemoryMB: rng.Float64() * 500}, nil))
 			next++
 		case k < 7 && len(m.all) > 0:
 			m.outcome(g, rng)
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,119 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestWarmUpBudgetLimitsWork(t *testing.T) {
+	s := settings()
+	d := newDriver(t, s, liveEngine("warm", "a", 1))
+	cold := liveEngine("cold", "a", 1)
+	cold.Started, cold.StartKnown = d.now+5*time.Second, true
+	d.advance(5 * time.Second).handle(EngineList{Mode: ListFull, Engines: []Engine{cold}})
+	work := 0.0
+	for id := uint64(1); id < 200; id++ {
+		for range sendsIn(d.arrive(id, "idempotent")) {
+			work += d.g.classes["idempotent"].workMS
+			d.endAttempt(id, 0, ResultSuccess)
+		}
+	}
+	if budget := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 2; work == 0 || work > budget {
+		t.Fatalf("sent %v ms of work, want more than 0 and at most %v", work, budget)
+	}
+}
+
+// TestWarmUpBudgetOfManyGateways adds up what all gateways together send one engine that warms up within any overload
+// window, with much to send and of all sizes. Where the engine was down before, a failed connection began a warm-up at
+// each gateway, and the start that the list reports must begin another.
+func TestWarmUpBudgetOfManyGateways(t *testing.T) {
+	for _, c := range []struct {
+		gateways int
+		wasDown  bool
+	}{{2, false}, {9, false}, {40, false}, {200, false}, {9, true}, {40, true}, {200, true}} {
+		n, down := c.gateways, c.wasDown
+		s := settings()
+		s.Gateways = n
+		cold := liveEngine("cold", "a", 1)
+		cold.Started, cold.StartKnown = time.Minute, true
+		type sent struct {
+			at   time.Duration
+			work float64
+		}
+		var all []sent
+		gateways := make([]*Gateway, n)
+		for i := range gateways {
+			gateways[i], _ = New(s, uint64(i))
+			gateways[i].Handle(30*time.Second, TimerFired{}, nil)
+			if down {
+				gateways[i].Handle(30*time.Second, EngineList{Mode: ListFull, Engines: []Engine{liveEngine("cold", "a", 1)}}, nil)
+				gateways[i].Handle(51*time.Second, QueryArrived{Query: 1 << 40, Class: "idempotent", Deadline: 55 * time.Second}, nil)
+				gateways[i].Handle(51*time.Second, AttemptEnded{Query: 1 << 40, Result: ResultConnectFailed}, nil)
+			}
+			gateways[i].Handle(time.Minute, EngineList{Mode: ListFull, Engines: []Engine{cold}}, nil)
+		}
+		id := uint64(0)
+		for now := time.Minute; now < time.Minute+s.Rules.WarmUpPeriod; now += 100 * time.Millisecond {
+			for _, g := range gateways {
+				for _, class := range []string{"idempotent", "wide", "non-idempotent"} {
+					id++
+					for range sendsIn(g.Handle(now, QueryArrived{Query: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
+						all = append(all, sent{now, g.classes[class].workMS})
+						g.Handle(now, AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: s.Classes[0].LatencyObjective, Final: true}, nil)
+					}
+				}
+			}
+		}
+		largest, total := 0.0, 0.0
+		for i, from := range all {
+			sum := 0.0
+			for _, a := range all[i:] {
+				if a.at < from.at+s.Rules.OverloadWindow {
+					sum += a.work
+				}
+			}
+			largest = max(largest, sum)
+			total += from.work
+		}
+		limit := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * milliseconds(s.Rules.OverloadWindow)
+		if largest > limit || total < 0.1*limit*float64(s.Rules.WarmUpPeriod/s.Rules.OverloadWindow) {
+			t.Errorf("%d gateways: %.0f ms of work within a window, %.0f in all; the limit of a window is %.0f", n, largest, total, limit)
+		}
+	}
+}
+
+func TestFailedConnectionPresumesRestart(t *testing.T) {
+	s, list := manyGateways(1)
+	d := newDriver(t, s, list...)
+	d.advance(3 * time.Second).handle(TimerFired{})
+	d.arrive(1, "idempotent")
+	d.endAttempt(1, 0, ResultConnectionLost)
+	work := 0.0
+	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may have restarted
+		for range sendsIn(d.arrive(id, "idempotent")) {
+			work += d.g.classes["idempotent"].workMS
+			d.endAttempt(id, 0, ResultSuccess)
+		}
+	}
+	budget := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 200
+	if work > budget+d.g.classes["idempotent"].workMS {
+		t.Fatalf("%v ms of work after a broken connection, want this gateway's part of the warm-up budget, %v", work, budget)
+	}
+}
+
+// TestConnectTimeoutPresumesNoRestartAfterContact has a connection that is not up in time: its engine may have
+// restarted, unless it has just responded on another connection.
+func TestConnectTimeoutPresumesNoRestartAfterContact(t *testing.T) {
+	for silence, want := range map[time.Duration]bool{500 * time.Millisecond: false, 3 * time.Second: true} {
+		d := newDriver(t, settings(), liveEngine("e", "a", 1))
+		d.advance(3 * time.Second).handle(TimerFired{})
+		d.arrive(1, "idempotent")
+		d.endAttempt(1, 0, ResultSuccess)
+		d.advance(silence)
+		d.arrive(2, "idempotent")
+		d.endAttempt(2, 0, ResultConnectTimeout)
+		if got := d.now < d.g.engines[0].warmUp.until; got != want {
+			t.Errorf("latest contact %v ago: warming up = %v, want %v", silence, got, want)
+		}
+	}
+}
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -9,7 +9,7 @@
 
 // What one gateway has learned is taken whole by another: its copy of it is the same, and
 // it chooses as the first would. Classes that it has no settings for are passed by.
-func TestLearned(t *testing.T) {
+func TestSnapshotRestoresLearnedState(t *testing.T) {
 	set := Settings{Gateways: 1, CallInterval: 5 * time.Millisecond, ReportsLoad: true,
 		Classes: []Class{{Name: "lookup", LatencyObjective: time.Second, Timeout: 6 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent}},
 		Kinds:   []Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: Limits{MaxAttempts: 3}}
--- /dev/null
+++ b/policy/tenant_test.go
@@ -0,0 +1,76 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestQuotaToleratesLittleTraffic(t *testing.T) {
+	s := settings()
+	s.Gateways, s.Tenants = 200, []Tenant{{Name: "t", Quota: 100, Share: 1}}
+	d := newDriver(t, s, liveEngine("e", "a", 1))
+	over := 0
+	for id := uint64(1); id < 40; id++ { // one in two seconds, its equal share
+		d.advance(2 * time.Second).handle(TimerFired{})
+		if d.g.tenants.isOverQuota("t", d.g.traffic.share(), d.now) {
+			over++
+		}
+	}
+	if over > 0 {
+		t.Fatalf("%d of 39 queries within the quota counted as beyond it, want none", over)
+	}
+	for range 100 {
+		if d.advance(100 * time.Millisecond).handle(TimerFired{}); d.g.tenants.isOverQuota("t", d.g.traffic.share(), d.now) {
+			over++
+		}
+	}
+	if over < 80 {
+		t.Fatalf("%d of 100 queries at twenty times the quota counted as beyond it, want 80 at least", over)
+	}
+}
+
+func TestShareFollowsReportedLoadWithoutTenants(t *testing.T) {
+	s := settings()
+	s.Gateways = 100
+	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 2))
+	d.g.settings.ProgressInterval = time.Hour // nothing is silent here
+	d.g.silenceTimeout = time.Hour
+	for id := uint64(1); id <= 8; id++ {
+		d.arrive(id, "non-idempotent")
+	}
+	inFlight := float64(len(d.g.queries))
+	if inFlight < 2 {
+		t.Fatalf("%v queries in flight, want 2 at least", inFlight)
+	}
+	for range 100 { // half of the queries on the two engines are this gateway's
+		d.handle(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.5, InFlight: inFlight}})
+		d.runTicks(500 * time.Millisecond)
+	}
+	if got := d.g.traffic.share(); got < 0.4 || got > 0.6 {
+		t.Fatalf("share = %.2f where half of the queries are this gateway's, want 0.4 to 0.6", got)
+	}
+	for range 200 {
+		d.handle(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: 0.5, InFlight: inFlight * 60}})
+	}
+	if got := d.g.traffic.share(); got < 0.01 || got > 0.011 {
+		t.Fatalf("share = %v, want the equal one, 0.01", got)
+	}
+}
+
+// TestShareIsBoundedWithoutReports has many queries in flight at one gateway, and no reports of the others': they may
+// have as many, so that the gateway takes twice its equal share at most.
+func TestShareIsBoundedWithoutReports(t *testing.T) {
+	s := settings()
+	s.Gateways = 6
+	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+	for id := range uint64(500) {
+		actions := d.advance(20 * time.Millisecond).handle(QueryArrived{Query: id, Class: "wide", Deadline: d.now + 15*time.Second})
+		if len(sendsIn(actions)) > 0 {
+			d.handle(AttemptProgress{Query: id, Kind: ProgressFraction, Value: 0.5})
+		}
+		d.handle(TimerFired{})
+	}
+	if share := d.g.traffic.share(); d.g.traffic.ownInFlight < 1 || share > 2.0/6+1e-9 {
+		t.Errorf("share = %.2f with %.1f queries for each engine, want 2/6 at most", share, d.g.traffic.ownInFlight)
+	}
+}
--- a/policy/cold_test.go
+++ b/policy/warmup_simulation_test.go
@@ -208,7 +208,7 @@
 // No cold engine is pushed over by all gateways together, be they two or three hundred, with even traffic or a few
 // times the mean at some, with queries far larger than the mean, also where most have just started and know no cost.
 // Two gateways never have the same turn, since each knows its rank.
-func TestColdBudgetOfAllGateways(t *testing.T) {
+func TestWarmUpBudgetInSimulation(t *testing.T) {
 	for _, n := range []int{2, 3, 6, 12, 30, 100, 300} {
 		for _, fresh := range []float64{0, 0.7} {
 			worst, sent := 0.0, 0
