--- /dev/null
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -0,0 +1,125 @@
+package eventbus
+
+import (
+	"encoding/binary"
+	"io"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"gannetspur/internal/core"
+	"gannetspur/internal/metrics"
+	"gannetspur/internal/netio"
+	"gannetspur/policy"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// update is one call of an EndpointUpdater.
+type update struct {
+	mode policy.ListMode
+	list []core.Engine
+}
+
+type recorder chan update
+
+func (r recorder) UpdateEndpoints(mode policy.ListMode, list []core.Engine) { r <- update{mode, list} }
+
+// run starts the watcher on its loop, and ends both with the test.
+func run(t *testing.T, loop *netio.Loop, w *Watcher) {
+	t.Helper()
+	loop.Post(w.Start)
+	done := make(chan struct{})
+	go func() { loop.Run(); close(done) }()
+	t.Cleanup(func() {
+		loop.Post(func() { w.Stop(); loop.Stop() })
+		<-done
+	})
+}
+
+// The bus dies between two events, in the middle of a frame, and comes back: the
+// watcher resumes from the last number that it has taken. What it is told twice
+// counts once, and garbage ends the connection alone.
+func TestResumesFromLastEvent(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	starts := make(chan uint64, 10)
+	scripts := [][]byte{
+		append(appendFrame(4, 1, record(7, 70, 0, 0)...), appendFrame(5, 2, record(8, 80, 0, 5000)...)[:20]...),
+		append(appendFrame(0, 0), appendFrame(5, 9)...),
+		append(appendFrame(4, 1), appendFrame(5, 2, record(8, 80, 1, 5000)...)...),
+	}
+	go func() {
+		for _, s := range scripts {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			var b [8]byte
+			_, _ = io.ReadFull(c, b[:])
+			starts <- binary.BigEndian.Uint64(b[:])
+			_, _ = c.Write(s)
+			if len(starts) < len(scripts) {
+				_ = c.Close()
+			}
+		}
+	}()
+	loop, err := netio.New(1024)
+	if err != nil {
+		t.Fatal(err)
+	}
+	updates := make(recorder, 10)
+	opts := Options{Address: ln.Addr().String(), LastEvent: 3, Zones: []string{"a", "b"}, Kinds: []string{"std"}}
+	run(t, loop, New(loop, opts, updates, metrics.New(), slog.New(slog.DiscardHandler)))
+	var got []update
+	for len(got) < 2 {
+		select {
+		case u := <-updates:
+			got = append(got, u)
+		case <-time.After(10 * time.Second):
+			t.Fatalf("updates = %v, want 2", got)
+		}
+	}
+	one := core.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
+	two := core.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
+		State: policy.EngineDraining, Started: 5 * time.Second, StartKnown: true}}
+	want := []update{{policy.ListFull, []core.Engine{one}}, {policy.ListChanges, []core.Engine{two}}}
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(update{})); diff != "" {
+		t.Errorf("updates (-want +got):\n%s", diff)
+	}
+	if diff := cmp.Diff([]uint64{3, 4, 4}, []uint64{<-starts, <-starts, <-starts}); diff != "" {
+		t.Errorf("numbers sent on connecting (-want +got):\n%s", diff)
+	}
+}
+
+// The watcher gives a bus up that vanishes without closing, and reconnects, also where connections
+// have taken all descriptors that they may.
+func TestSilentBus(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	loop, err := netio.New(1024)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := New(loop, Options{Address: ln.Addr().String()}, make(recorder, 1), metrics.New(), slog.New(slog.DiscardHandler))
+	w.maxSilence = 50 * time.Millisecond
+	if err := loop.LimitFiles(1, 0); err != nil {
+		t.Fatal(err)
+	}
+	run(t, loop, w)
+	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
+	for range 2 { // both stay open
+		c, err := ln.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -18,10 +18,10 @@
 	process  *process
 	path     string
 	config   *config.Config
-	eventSum uint64             // checksum of the endpoint list in the configuration
-	socket   *netio.Listener    // the clients', where the platform holds it; nil: this process opens its own
-	front    *httpapi.Front     // the clients' side
-	watch    *eventbus.Follower // nil: no event bus is named, or it is not watched yet
+	eventSum uint64            // checksum of the endpoint list in the configuration
+	socket   *netio.Listener   // the clients', where the platform holds it; nil: this process opens its own
+	front    *httpapi.Front    // the clients' side
+	watch    *eventbus.Watcher // nil: no event bus is named, or it is not watched yet
 }
 
 // assemblePlatform makes the gateway of the platform's configuration.
@@ -106,7 +106,9 @@
 		return
 	}
 	g := p.process
-	p.watch = eventbus.New(g.loop, p.config.Bus, last, p.config.Site.Zones, p.config.Site.Kinds, g.core, g.counters, g.log)
+	p.watch = eventbus.New(g.loop, eventbus.Options{
+		Address: p.config.Bus, LastEvent: last, Zones: p.config.Site.Zones, Kinds: p.config.Site.Kinds,
+	}, g.core, g.counters, g.log)
 	p.watch.Start()
 }
 
@@ -125,7 +127,7 @@
 	if p.watch == nil {
 		return 0
 	}
-	return p.watch.Last()
+	return p.watch.LastEvent()
 }
 
 func (p *platformProtocol) reloadable() bool { return p.config.Bus != "" }
@@ -141,7 +143,7 @@
 	}
 	p.config.Bus = next.Bus
 	if p.watch != nil {
-		p.watch.Move(next.Bus)
+		p.watch.SwitchTo(next.Bus)
 	}
 	return nil
 }
