--- /dev/null
+++ b/internal/discovery/consul/entries.go
@@ -0,0 +1,84 @@
+package consul
+
+import (
+	"cmp"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"gannetspur/internal/core"
+	"gannetspur/policy"
+)
+
+const (
+	maxPort = 1<<16 - 1
+	// maxBootMS bounds the boot times that are believed, some 280 years from 1970 on.
+	maxBootMS = 1 << 43
+)
+
+// registration is what is read of one element of the catalogue's answer.
+type registration struct {
+	Node, Address, Datacenter string
+	NodeMeta                  map[string]string
+	ServiceID, ServiceAddress string
+	ServicePort               int
+	ServiceMeta               map[string]string
+}
+
+func (r *registration) valid() bool {
+	return r.ServiceID != "" && r.ServicePort >= 1 && r.ServicePort <= maxPort
+}
+
+// engine is the entry of the endpoint list, without its state.
+func (r *registration) engine(opts Options) core.Engine {
+	host := cmp.Or(r.ServiceAddress, r.Address)
+	e := core.Engine{
+		Addr: net.JoinHostPort(host, strconv.Itoa(r.ServicePort)),
+		Engine: policy.Engine{
+			ID:   engineID(r.Node, r.ServiceID),
+			Zone: cmp.Or(r.ServiceMeta["zone"], r.NodeMeta["zone"], opts.Zone, r.Datacenter),
+			Kind: cmp.Or(r.ServiceMeta["kind"], r.NodeMeta["kind"], opts.Kind),
+		},
+	}
+	bootMS, err := strconv.ParseInt(r.ServiceMeta["boot_ms"], 10, 64)
+	if err == nil && bootMS > 0 && bootMS < maxBootMS {
+		e.Started = time.Duration(bootMS) * time.Millisecond
+		e.StartKnown = true
+	}
+	return e
+}
+
+// engineID joins a service's id with its node's name: service ids are unique on a node only.
+func engineID(node, service string) string { return node + "/" + service }
+
+// healthEntry is what is read of one element of the health API's answer.
+type healthEntry struct {
+	Node    struct{ Node string }
+	Service struct {
+		ID   string
+		Meta map[string]string
+	}
+	Checks []struct{ CheckID, Status string }
+}
+
+func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
+
+// state maps the checks to an engine's state: in maintenance, or where its metadata say so, it
+// drains; critical means that it can't be sent to; all else is live.
+func (e *healthEntry) state() policy.EngineState {
+	state := policy.EngineLive
+	if e.Service.Meta["draining"] == "true" {
+		state = policy.EngineDraining
+	}
+	for _, check := range e.Checks {
+		inMaintenance := check.CheckID == "_node_maintenance" || strings.HasPrefix(check.CheckID, "_service_maintenance")
+		switch {
+		case inMaintenance:
+			return policy.EngineDraining
+		case check.Status == "critical":
+			state = policy.EngineDeparted
+		}
+	}
+	return state
+}
--- a/internal/discovery/consul/consul_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -1,11 +1,11 @@
 package consul
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -18,30 +18,31 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var states = [...]string{"gone", "draining", "ready"}
+var stateNames = [...]string{"departed", "draining", "live"}
 
 type recorder chan string
 
 func (r recorder) UpdateEndpoints(_ policy.ListMode, list []core.Engine) {
-	var words []string
+	var entries []string
 	for _, e := range list {
-		words = append(words, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Addr, e.Zone, e.Kind, states[e.State]))
+		entries = append(entries, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Addr, e.Zone, e.Kind, stateNames[e.State]))
 	}
-	r <- strings.Join(words, "; ")
+	r <- strings.Join(entries, "; ")
 }
 
-// agent is a stand-in for a Consul agent: it holds a query until its index passes
-// the one that was asked with, and fails as many as it is told to.
+// agent stands in for a Consul agent: it holds a query until its index passes the one that was
+// asked with, and fails as many queries as it is told to.
 type agent struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	index   uint64
 	failing int
 	engines map[string]string // checks by service id, as "passing", "critical", "maintenance"
-	asked   []string
+	asked   []string          // path and token of each query
 }
 
-func (a *agent) set(f func()) {
+// locked runs f while no query is answered, and has those that are held looked at again.
+func (a *agent) locked(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f()
@@ -51,7 +52,7 @@
 
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	for r.URL.Query().Get("index") == fmt.Sprint(a.index) && a.failing == 0 {
+	for r.URL.Query().Get("index") == strconv.FormatUint(a.index, 10) && a.failing == 0 {
 		changed := a.changed
 		a.mu.Unlock()
 		select {
@@ -81,61 +82,58 @@
 		}
 		list = append(list, fmt.Sprintf(`{"Node":{"Node":"n1"},"Service":{"ID":%q},"Checks":[{"CheckID":%q,"Status":%q}]}`, id, checkID, check))
 	}
-	w.Header().Set("X-Consul-Index", fmt.Sprint(a.index))
-	fmt.Fprintf(w, "[%s]", strings.Join(list, ","))
+	w.Header().Set("X-Consul-Index", strconv.FormatUint(a.index, 10))
+	_, _ = fmt.Fprintf(w, "[%s]", strings.Join(list, ","))
 }
 
-// An engine is ready, in maintenance, critical and deregistered in turn; queries
-// fail meanwhile, and the index goes back as after a restore. Each change is told
-// once.
-func TestFollowsHealth(t *testing.T) {
+// An engine is live, in maintenance, critical and deregistered in turn; queries fail meanwhile, and
+// the index goes back as after a restore. Each change is told once.
+func TestWatchesHealth(t *testing.T) {
 	a := &agent{index: 50, engines: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
 	srv := httptest.NewServer(a)
-	defer srv.Close()
-	news := make(recorder, 10)
-	var one sync.Mutex
-	post := func(f func()) { one.Lock(); defer one.Unlock(); f() }
+	t.Cleanup(srv.Close)
+	updates := make(recorder, 10)
+	var owner sync.Mutex // stands for the goroutine that owns the endpoint list
+	post := func(f func()) { owner.Lock(); defer owner.Unlock(); f() }
 	counters := metrics.New()
-	f := New(post, news, counters, slog.New(slog.DiscardHandler))
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	w := New(post, updates, counters, slog.New(slog.DiscardHandler))
 	opts := Options{Address: strings.TrimPrefix(srv.URL, "http://"), Service: "stock", Token: "tok", Zone: "hall-a"}
-	post(func() { f.Follow(ctx, opts) })
+	post(func() { w.Watch(t.Context(), opts) })
 	for _, step := range []struct {
 		change func()
 		want   string
 	}{
-		{func() {}, "ready"},
+		{func() {}, "live"},
 		{func() { a.index++; a.engines["e1"] = "maintenance" }, "draining"},
-		{func() { a.failing = 2; a.index++; a.engines["e1"] = "critical" }, "gone"},
-		{func() { a.index = 3; a.engines["e1"] = "warning" }, "ready"},
-		{func() { a.index++; delete(a.engines, "e1") }, "gone"},
+		{func() { a.failing = 2; a.index++; a.engines["e1"] = "critical" }, "departed"},
+		{func() { a.index = 3; a.engines["e1"] = "warning" }, "live"},
+		{func() { a.index++; delete(a.engines, "e1") }, "departed"},
 	} {
-		a.set(step.change)
+		a.locked(step.change)
 		select {
-		case got := <-news:
+		case got := <-updates:
 			if diff := cmp.Diff("n1/e1 127.0.0.1:70 hall-a/std-8 "+step.want, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("update (-want +got):\n%s", diff)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("never told that it is %s", step.want)
+			t.Fatalf("no update says that it is %s", step.want)
 		}
 	}
 	post(func() {
 		if n := counters.Get("consul.errors"); n != 2 {
-			t.Errorf("%d errors counted, want 2", n)
+			t.Errorf("consul.errors = %d, want 2", n)
 		}
 	})
-	a.set(func() {
+	a.locked(func() {
 		for _, path := range []string{"/v1/catalog/service/stock tok", "/v1/health/service/stock tok"} {
 			if !strings.Contains(strings.Join(a.asked, "\n"), path) {
-				t.Errorf("never asked %s", path)
+				t.Errorf("no query for %s", path)
 			}
 		}
 	})
 	select {
-	case extra := <-news:
-		t.Errorf("told once more: %s", extra)
+	case extra := <-updates:
+		t.Errorf("one more update: %s", extra)
 	default:
 	}
 }
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -26,7 +26,7 @@
 	deploy   *config.Postgres
 	users    *scramauth.Users // nil: everybody is admitted
 	front    *pgfrontend.Front
-	watch    *consul.Follower
+	watch    *consul.Watcher
 	watching bool
 }
 
@@ -129,10 +129,10 @@
 
 func (p *postgresProtocol) watchEndpoints(known *handover.ProcessState) {
 	if known != nil {
-		p.watch.Know(known.Core.Engines)
+		p.watch.Restore(known.Core.Engines)
 	}
 	p.watching = true
-	p.watch.Follow(p.ctx, consul.Options(p.deploy.Consul))
+	p.watch.Watch(p.ctx, consul.Options(p.deploy.Consul))
 }
 
 func (p *postgresProtocol) lastEvent() uint64 { return 0 }
@@ -155,7 +155,7 @@
 	}
 	p.front.SetOptions(p.frontendOptions(next))
 	if p.watching && next.Consul != p.deploy.Consul {
-		p.watch.Follow(p.ctx, consul.Options(next.Consul))
+		p.watch.Watch(p.ctx, consul.Options(next.Consul))
 	}
 	p.deploy = next
 	return nil
