--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -198,7 +198,7 @@
 // watchIdle closes the link once nothing was open on it for most of the time
 // after which the engine would.
 func (l *link) watchIdle() {
-	idle := time.Duration(float64(l.all.site.IdleClose) * idlePart)
+	idle := time.Duration(float64(l.all.site.IdleTimeout) * idlePart)
 	if idle <= 0 {
 		return
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,10 +36,11 @@
 	Peers      []string // an address of each front end of the tier, its own included
 }
 
-// Event is one change of the list of engines, or the whole of it.
+// Event is one change of the list of engines, or the complete list. EventSum encodes it, under the
+// names that earlier versions gave its fields.
 type Event struct {
-	Whole   bool
-	Engines []core.Engine
+	Complete bool          `json:"Whole"`
+	Engines  []core.Engine `json:"Engines"`
 }
 
 type file struct {
@@ -178,7 +179,7 @@
 
 func (c *Config) readKnownEvents(check *checker, f *file) {
 	for i, batch := range f.Known.Batch {
-		event := Event{Whole: batch.Topology.All}
+		event := Event{Complete: batch.Topology.All}
 		for j, target := range batch.Topology.Targets {
 			prefix := fmt.Sprintf("known.batch[%d].topology.targets[%d].", i, j)
 			event.Engines = append(event.Engines, target.engine(check, prefix))
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -20,21 +20,21 @@
 	Peers   []SitePeer `toml:"peer"`
 	Pack    bool       // bodies are packed by zstd where that pays
 
-	KeysShared    bool    `toml:"keys_shared"`      // engines of all sites drop each other's repeats of a key
-	SilentAfterMS float64 `toml:"silent_after_ms"`  // 300 to 60,000
-	SlowAboveMS   float64 `toml:"slow_above_ms"`    // 1 to 60,000
-	ColdForS      float64 `toml:"cold_for_s"`       // 0 to 3,600
-	ColdStart     float64 `toml:"cold_start"`       // 0.01 to 1
-	SlackMS       float64 `toml:"slack_ms"`         // 0 to 10,000
-	SpillBelow    float64 `toml:"spill_below"`      // 0 to 1
-	StopAbove     float64 `toml:"stop_above"`       // spill_below to 1
-	TakeAbove     float64 `toml:"take_above"`       // 0 to 1
-	Reserve       float64 `toml:"reserve"`          // 0 to 1
-	Threads       float64 `toml:"threads_per_core"` // 0.1 to 100
-	WordEveryMS   float64 `toml:"word_every_ms"`    // 20 to 10,000, a third of silent_after_ms at most
-	Price         float64 `toml:"price"`            // 0 or above, in the classes' worth
-	Affinity      float64 `toml:"affinity"`         // 0 to 1
-	HedgeShare    float64 `toml:"hedge_share"`      // 0 to 1
+	SharedDedup         bool    `toml:"keys_shared"`      // engines of all sites drop each other's repeats of a key
+	UnreachableAfterMS  float64 `toml:"silent_after_ms"`  // 300 to 60,000
+	SlowRTTMS           float64 `toml:"slow_above_ms"`    // 1 to 60,000
+	RampDurationSeconds float64 `toml:"cold_for_s"`       // 0 to 3,600
+	RampStart           float64 `toml:"cold_start"`       // 0.01 to 1
+	HopSlackMS          float64 `toml:"slack_ms"`         // 0 to 10,000
+	SpillBelow          float64 `toml:"spill_below"`      // 0 to 1
+	StopSpillAbove      float64 `toml:"stop_above"`       // spill_below to 1
+	MinPeerCapacity     float64 `toml:"take_above"`       // 0 to 1
+	LocalReserve        float64 `toml:"reserve"`          // 0 to 1
+	ThreadsPerCore      float64 `toml:"threads_per_core"` // 0.1 to 100
+	DigestIntervalMS    float64 `toml:"word_every_ms"`    // 20 to 10,000, a third of silent_after_ms at most
+	MinPriorityWeight   float64 `toml:"price"`            // 0 or above, in the classes' worth
+	AffinityBonus       float64 `toml:"affinity"`         // 0 to 1
+	HedgeRatio          float64 `toml:"hedge_share"`      // 0 to 1
 }
 
 // SiteKeys are files in PEM; relative names count from this file's folder.
@@ -72,20 +72,20 @@
 func defaultSites() Sites {
 	d := decide.Defaults()
 	return Sites{
-		SilentAfterMS: milliseconds(d.UnreachableAfter),
-		SlowAboveMS:   milliseconds(d.SlowRTT),
-		ColdForS:      d.RampDuration.Seconds(),
-		ColdStart:     d.RampStart,
-		SlackMS:       milliseconds(d.HopSlack),
-		SpillBelow:    d.SpillBelow,
-		StopAbove:     d.StopSpillAbove,
-		TakeAbove:     d.MinPeerCapacity,
-		Reserve:       d.LocalReserve,
-		Threads:       d.ThreadsPerCore,
-		WordEveryMS:   milliseconds(d.DigestInterval),
-		Price:         d.MinPriorityWeight,
-		Affinity:      d.AffinityBonus,
-		HedgeShare:    d.HedgeRatio,
+		UnreachableAfterMS:  milliseconds(d.UnreachableAfter),
+		SlowRTTMS:           milliseconds(d.SlowRTT),
+		RampDurationSeconds: d.RampDuration.Seconds(),
+		RampStart:           d.RampStart,
+		HopSlackMS:          milliseconds(d.HopSlack),
+		SpillBelow:          d.SpillBelow,
+		StopSpillAbove:      d.StopSpillAbove,
+		MinPeerCapacity:     d.MinPeerCapacity,
+		LocalReserve:        d.LocalReserve,
+		ThreadsPerCore:      d.ThreadsPerCore,
+		DigestIntervalMS:    milliseconds(d.DigestInterval),
+		MinPriorityWeight:   d.MinPriorityWeight,
+		AffinityBonus:       d.AffinityBonus,
+		HedgeRatio:          d.HedgeRatio,
 	}
 }
 
@@ -106,20 +106,20 @@
 	s.checkPeers(c)
 	s.Keys.resolve(c, dir)
 	c.requireRanges([]numberRange{
-		{"silent_after_ms", s.SilentAfterMS, 300, 60000},
-		{"slow_above_ms", s.SlowAboveMS, 1, 60000},
-		{"cold_for_s", s.ColdForS, 0, 3600},
-		{"cold_start", s.ColdStart, 0.01, 1},
-		{"slack_ms", s.SlackMS, 0, 10000},
+		{"silent_after_ms", s.UnreachableAfterMS, 300, 60000},
+		{"slow_above_ms", s.SlowRTTMS, 1, 60000},
+		{"cold_for_s", s.RampDurationSeconds, 0, 3600},
+		{"cold_start", s.RampStart, 0.01, 1},
+		{"slack_ms", s.HopSlackMS, 0, 10000},
 		{"spill_below", s.SpillBelow, 0, 1},
-		{"stop_above", s.StopAbove, s.SpillBelow, 1},
-		{"take_above", s.TakeAbove, 0, 1},
-		{"reserve", s.Reserve, 0, 1},
-		{"threads_per_core", s.Threads, 0.1, 100},
-		{"word_every_ms", s.WordEveryMS, 20, min(10000, s.SilentAfterMS/3)},
-		{"price", s.Price, 0, 1e9},
-		{"affinity", s.Affinity, 0, 1},
-		{"hedge_share", s.HedgeShare, 0, 1},
+		{"stop_above", s.StopSpillAbove, s.SpillBelow, 1},
+		{"take_above", s.MinPeerCapacity, 0, 1},
+		{"reserve", s.LocalReserve, 0, 1},
+		{"threads_per_core", s.ThreadsPerCore, 0.1, 100},
+		{"word_every_ms", s.DigestIntervalMS, 20, min(10000, s.UnreachableAfterMS/3)},
+		{"price", s.MinPriorityWeight, 0, 1e9},
+		{"affinity", s.AffinityBonus, 0, 1},
+		{"hedge_share", s.HedgeRatio, 0, 1},
 	})
 }
 
@@ -170,24 +170,24 @@
 
 // Decide returns the configuration of the decisions on other sites. maxAttempts bounds the attempts of one request over all sites.
 func (s *Sites) Decide(maxAttempts int) decide.Config {
-	digestInterval := FromMS(s.WordEveryMS)
+	digestInterval := FromMS(s.DigestIntervalMS)
 	return decide.Config{
-		UnreachableAfter:  FromMS(s.SilentAfterMS),
-		SlowRTT:           FromMS(s.SlowAboveMS),
-		RampDuration:      FromSeconds(s.ColdForS),
-		RampStart:         s.ColdStart,
-		HopSlack:          FromMS(s.SlackMS),
+		UnreachableAfter:  FromMS(s.UnreachableAfterMS),
+		SlowRTT:           FromMS(s.SlowRTTMS),
+		RampDuration:      FromSeconds(s.RampDurationSeconds),
+		RampStart:         s.RampStart,
+		HopSlack:          FromMS(s.HopSlackMS),
 		SpillBelow:        s.SpillBelow,
-		StopSpillAbove:    s.StopAbove,
-		MinPeerCapacity:   s.TakeAbove,
-		LocalReserve:      s.Reserve,
-		ThreadsPerCore:    s.Threads,
+		StopSpillAbove:    s.StopSpillAbove,
+		MinPeerCapacity:   s.MinPeerCapacity,
+		LocalReserve:      s.LocalReserve,
+		ThreadsPerCore:    s.ThreadsPerCore,
 		DigestMaxAge:      staleDigestIntervals * digestInterval,
 		DigestInterval:    digestInterval,
 		MaxAttempts:       max(maxAttempts, 1),
-		MinPriorityWeight: s.Price,
-		AffinityBonus:     s.Affinity,
-		HedgeRatio:        s.HedgeShare,
-		SharedDedup:       s.KeysShared,
+		MinPriorityWeight: s.MinPriorityWeight,
+		AffinityBonus:     s.AffinityBonus,
+		HedgeRatio:        s.HedgeRatio,
+		SharedDedup:       s.SharedDedup,
 	}
 }
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -71,7 +71,7 @@
 		return config.Fault{File: p.members.path, Field: "peers", Want: "the platform's front alone has them from a configuration"}
 	}
 	cfg := platform.config
-	if !cfg.Site.MayTell || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
+	if !cfg.Site.PeersAllowed || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
 		return nil // front ends send each other nothing there
 	}
 	ids := map[netip.AddrPort]decide.ID{}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -114,7 +114,7 @@
 func (p *platformProtocol) applyKnownEvents() {
 	for _, event := range p.config.Known {
 		mode := policy.ListChanges
-		if event.Whole {
+		if event.Complete {
 			mode = policy.ListFull
 		}
 		p.process.core.UpdateEndpoints(mode, event.Engines)
