--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -140,7 +140,7 @@
 // room finds a link that can take a request of this id.
 func room(e *backend.Engine[*link], id string, most int, now time.Duration) *link {
 	for _, l := range e.Links {
-		if l.retired || len(l.streams) >= most || l.streams[id] != nil || now < l.past[id] || l.conn != nil && l.conn.Gone() {
+		if l.retired || len(l.streams) >= most || l.streams[id] != nil || now < l.past[id] || l.conn != nil && l.conn.Disconnected() {
 			continue
 		}
 		return l
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -64,9 +64,9 @@
 // DialEnd tells how a failed dial ends what waited for it.
 func DialEnd(err error) core.Outcome {
 	switch {
-	case netio.Refused(err):
+	case netio.IsConnectionRefused(err):
 		return core.OutcomeConnectionRefused
-	case netio.NoDescriptor(err):
+	case netio.IsDescriptorShortage(err):
 		return core.OutcomeNoDescriptor
 	}
 	return core.OutcomeConnectTimeout
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -124,7 +124,7 @@
 // promised to one of them.
 func (ls *Links) ended(e *backend.Engine[*link]) {
 	for _, l := range e.Links {
-		if l.free && l.conn.Gone() {
+		if l.free && l.conn.Disconnected() {
 			l.retired = true
 			l.taken()
 		}
--- a/internal/backend/postgres/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -25,7 +25,7 @@
 // encrypt takes the engine's answer to an SSLRequest, one byte. Guards against an engine, or whoever is
 // in its place, that declines or says more than that in the clear.
 func (l *link) encrypt(in *netio.Buffer) {
-	if in.Len() == 0 || l.conn.Secured() {
+	if in.Len() == 0 || l.conn.UsesTLS() {
 		return
 	}
 	b := in.Bytes()
@@ -36,7 +36,7 @@
 		l.close(core.OutcomeConnectionRefused)
 		return
 	}
-	l.conn.SecureAsClient(l.all.opts.TLS, l.all.opts.ConnectTimeout, func(_ tls.ConnectionState, err error) {
+	l.conn.StartClientTLS(l.all.opts.TLS, l.all.opts.ConnectTimeout, func(_ tls.ConnectionState, err error) {
 		l.asking = false
 		if err != nil {
 			l.all.log.Warn("engine.tls-failed", "engine", l.engine.ID, "error", err)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
-	ln.Urgent = true
+	ln.HighPriority = true
 	s := &Server{loop: loop, gateway: g, stats: counters, listener: ln, waiting: map[*caller]struct{}{}}
 	loop.Serve(ln, http1.MaxCall, mostCallers, s.accept)
 	return s, nil
--- a/internal/discovery/eventbus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -69,7 +69,7 @@
 func (f *Follower) Start() {
 	f.tries++
 	try := f.tries
-	f.dialing = f.loop.DialKept(f.addr, dialWithin, maxFrame+headerLen, f, func(c *netio.Conn, err error) {
+	f.dialing = f.loop.DialReserved(f.addr, dialWithin, maxFrame+headerLen, f, func(c *netio.Conn, err error) {
 		switch {
 		case f.stopped || try != f.tries: // another dial is under way, or none is wanted
 			if err == nil {
--- a/internal/discovery/eventbus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -113,7 +113,7 @@
 	}
 	f := New(loop, ln.Addr().String(), 0, nil, nil, make(recorder, 1), metrics.New(), slog.New(slog.DiscardHandler))
 	f.quiet = 50 * time.Millisecond
-	if err := loop.LimitFiles(1, 0); err != nil {
+	if err := loop.LimitDescriptors(1, 0); err != nil {
 		t.Fatal(err)
 	}
 	loop.Post(f.Start)
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -272,7 +272,7 @@
 	k.came.note(in.Taken()+int64(in.Len()), k.front.core.Now())
 	for k.request == nil && !k.ended {
 		if k.conn.Pending() > slowReader {
-			k.conn.WhenWritten(k.conn.Again)
+			k.conn.WhenWritten(k.conn.ScheduleData)
 			return
 		}
 		c, n, bad := http1.Parse(in.Bytes())
@@ -309,7 +309,7 @@
 	case k.request == nil && k.due == nil && (in.Len() > 0 || !k.good):
 		k.await()
 	}
-	k.conn.Hold(k.request != nil)
+	k.conn.LimitReadAhead(k.request != nil)
 }
 
 // await has the connection closed unless a call is whole in time. Guards against
@@ -344,7 +344,7 @@
 }
 
 // Disconnected tells whether the client has left, as Closed tells in its turn.
-func (k *conn) Disconnected() bool { return k.conn.Gone() }
+func (k *conn) Disconnected() bool { return k.conn.Disconnected() }
 
 // leave gives an open request up.
 func (k *conn) leave() {
@@ -490,9 +490,9 @@
 	default:
 		k.write(500, 0, []byte(`{"fault":"Failed"}`))
 	}
-	k.conn.Hold(false)
+	k.conn.LimitReadAhead(false)
 	if !k.ended {
-		k.conn.Again() // a further call may be in the buffer
+		k.conn.ScheduleData() // a further call may be in the buffer
 	}
 }
 
--- a/internal/frontend/postgres/encrypt.go
+++ b/internal/frontend/postgres/encrypt.go
@@ -11,7 +11,7 @@
 // encrypt begins TLS: behind an SSLRequest, or directly.
 func (k *conn) encrypt(direct bool) {
 	f := k.front
-	k.conn.Secure(f.opts.TLS, startupMost, func(s tls.ConnectionState, err error) {
+	k.conn.StartServerTLS(f.opts.TLS, startupMost, func(s tls.ConnectionState, err error) {
 		switch {
 		case err != nil:
 			f.stats.Add("pgwire.tls-failed")
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -157,7 +157,7 @@
 // open on it.
 func (f *Front) CloseUnmovable() {
 	for _, k := range f.conns {
-		if !k.conn.Secured() {
+		if !k.conn.UsesTLS() {
 			continue
 		}
 		if k.leaving = true; k.request == nil && k.tx == nil && k.started {
@@ -229,7 +229,7 @@
 func (k *conn) Data(_ *netio.Conn, in *netio.Buffer) {
 	for k.request == nil && !k.ended {
 		if k.conn.Pending() > slowReader {
-			k.conn.WhenWritten(k.conn.Again)
+			k.conn.WhenWritten(k.conn.ScheduleData)
 			break
 		}
 		more, err := false, error(nil)
@@ -258,7 +258,7 @@
 			k.fatal(fail("08P01", "a message stopped in the middle"))
 		})
 	}
-	k.conn.Hold(k.request != nil)
+	k.conn.LimitReadAhead(k.request != nil)
 	k.left = nil
 	k.flush()
 }
@@ -306,7 +306,7 @@
 	if k.login != nil {
 		return k.proof(in)
 	}
-	if b := in.Bytes(); len(b) > 0 && b[0] == tlsHandshake && k.front.opts.TLS != nil && !k.conn.Secured() {
+	if b := in.Bytes(); len(b) > 0 && b[0] == tlsHandshake && k.front.opts.TLS != nil && !k.conn.UsesTLS() {
 		k.encrypt(true)
 		return false, nil
 	}
@@ -316,7 +316,7 @@
 	}
 	in.Consume(n)
 	switch {
-	case code == pgproto.SSLReq && k.front.opts.TLS != nil && !k.conn.Secured():
+	case code == pgproto.SSLReq && k.front.opts.TLS != nil && !k.conn.UsesTLS():
 		if in.Len() > 0 { // what came before the handshake could be another's than what comes in it (CVE-2021-23222)
 			return false, fail("08P01", "received unencrypted data after SSL request")
 		}
@@ -374,7 +374,7 @@
 		k.fatal(fail("53300", "too many clients already"))
 		return nil
 	}
-	if k.front.opts.RequireTLS && !k.conn.Secured() {
+	if k.front.opts.RequireTLS && !k.conn.UsesTLS() {
 		k.fatal(fail("28000", "this gateway takes encrypted connections only"))
 		return nil
 	}
@@ -502,9 +502,9 @@
 // resume goes on with what the client sent ahead.
 func (k *conn) resume() {
 	k.flush()
-	k.conn.Hold(false)
+	k.conn.LimitReadAhead(false)
 	if !k.ended {
-		k.conn.Again()
+		k.conn.ScheduleData()
 	}
 }
 
@@ -551,7 +551,7 @@
 	if err != nil || n == 0 {
 		return false, err
 	}
-	if k.conn.Journaled() {
+	if k.conn.HasJournal() {
 		k.flush() // before this message is consumed: what is written stands for those before it alone
 	}
 	if k.describe {
--- a/internal/frontend/postgres/move.go
+++ b/internal/frontend/postgres/move.go
@@ -95,7 +95,7 @@
 // Idle tells whether no request and no transaction is open, no login under way and nothing encrypted:
 // the state of TLS can't be handed on.
 func (k *conn) Idle() bool {
-	return k.request == nil && k.tx == nil && k.login == nil && !k.conn.Secured()
+	return k.request == nil && k.tx == nil && k.login == nil && !k.conn.UsesTLS()
 }
 
 // Closing tells whether the connection is about to end.
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -83,7 +83,7 @@
 		Phase:         phase,
 		TookOver:      p.tookOver,
 		UptimeSeconds: (p.loop.Now() - p.startedAt).Seconds(),
-		Connections:   p.loop.Open(),
+		Connections:   p.loop.ConnCount(),
 		Unanswered:    p.core.Unanswered(),
 		Counters:      p.counters.All(),
 	}
@@ -131,7 +131,7 @@
 	}
 	now := onLoop(p, func() snapshot {
 		listener, err := p.protocol.frontend().Listener().File()
-		return snapshot{p.requestedProgram(request), listener, p.loop.Open(), err}
+		return snapshot{p.requestedProgram(request), listener, p.loop.ConnCount(), err}
 	})
 	if now.err != nil {
 		return admin.Reply{Problem: now.err.Error(), Done: true}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -21,7 +21,7 @@
 	if err != nil || fd < 3 {
 		return nil, fmt.Errorf("LB_ACCEPT_FD: %q is no descriptor of an inherited socket", text)
 	}
-	ln, err := netio.Inherited(os.NewFile(uintptr(fd), "LB_ACCEPT_FD"))
+	ln, err := netio.InheritListener(os.NewFile(uintptr(fd), "LB_ACCEPT_FD"))
 	if err != nil {
 		return nil, fmt.Errorf("LB_ACCEPT_FD: descriptor %d: %w", fd, err)
 	}
@@ -51,11 +51,11 @@
 	if !isPlatform || p.limits.sockets <= 0 {
 		return
 	}
-	spare := spareDescriptors + netio.KeptFiles
+	spare := spareDescriptors + netio.ReservedDescriptors
 	if p.control != "" {
 		spare += control.Descriptors
 	}
-	if err := p.loop.LimitFiles(p.limits.sockets, spare); err != nil { // it serves all the same
+	if err := p.loop.LimitDescriptors(p.limits.sockets, spare); err != nil { // it serves all the same
 		p.log.Warn("descriptors.uncounted", "error", err)
 	}
 }
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -80,7 +80,7 @@
 	p.log.Info("limits.shared", "part", share)
 	platform.front.LimitClients(int(share * float64(p.limits.maxClients)))
 	platform.front.GiveWhole(share < 1) // the next call of a client may come to another process
-	p.loop.ShareFiles(share)
-	p.loop.Budget = int64(share * float64(p.limits.bufferBytes()))
+	p.loop.SetDescriptorShare(share)
+	p.loop.BufferBudget = int64(share * float64(p.limits.bufferBytes()))
 	limitRuntime(int(share * float64(p.limits.memoryMB)))
 }
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -69,7 +69,7 @@
 		in.sendHello("")
 		return nil
 	}
-	listener, err := netio.Inherited(in.listener)
+	listener, err := netio.InheritListener(in.listener)
 	if err != nil {
 		return err
 	}
--- a/internal/handover/new.go
+++ b/internal/handover/new.go
@@ -153,7 +153,7 @@
 		n.log.Warn("upgrade.section-passed-by", "section", name)
 	}
 	if err == nil {
-		n.loop.SetNow(k.Clock.Now + monotonic() - k.Clock.Monotonic)
+		n.loop.AdvanceClock(k.Clock.Now + monotonic() - k.Clock.Monotonic)
 		if err = n.opts.ApplyState(k); err == nil && len(k.Shared) > 0 {
 			err = n.front.ApplySharedState(k.Shared)
 		}
@@ -208,7 +208,7 @@
 
 func (n *Target) stopRecording() {
 	for c := range n.loop.Conns() {
-		if c.Journaled() {
+		if c.HasJournal() {
 			c.SetJournal(nil)
 		}
 	}
@@ -253,7 +253,7 @@
 func (j *journal) Output(c *netio.Conn, at int64, b []byte) {
 	m := &OutputRecord{Conn: j.conn, Offset: at, Data: b}
 	if h := j.movable; h != nil && (h.Idle() || h.Closing()) {
-		m.Idle, m.Closing, m.Consumed = true, h.Closing(), c.Consumed()
+		m.Idle, m.Closing, m.Consumed = true, h.Closing(), c.ConsumedPosition()
 		if !m.Closing {
 			m.State = h.EncodeState()
 		}
--- a/internal/handover/old.go
+++ b/internal/handover/old.go
@@ -430,7 +430,7 @@
 
 func (k *kept) output(m *OutputRecord) {
 	if len(k.out) > pruneOver {
-		if p, err := netio.PlaceOf(k.fd); err == nil {
+		if p, err := netio.StreamPositionOf(k.fd); err == nil {
 			if done := min(p.Written-k.outAt, int64(len(k.out))); done > 0 {
 				k.out, k.outAt = append([]byte(nil), k.out[done:]...), k.outAt+done
 			}
@@ -460,7 +460,7 @@
 func (o *Source) sync() {
 	for id, c := range o.mine {
 		m := movable(c)
-		if c.Over() {
+		if c.Ended() {
 			delete(o.mine, id)
 			delete(o.busy, id)
 			o.step(decide.ConnectionClosed{Conn: id})
@@ -484,7 +484,7 @@
 		return
 	}
 	m := movable(c)
-	if !c.Over() && !free(c, m) {
+	if !c.Ended() && !free(c, m) {
 		o.busy[id] = true
 		o.effects = append(o.effects, o.machine.Step(o.loop.Now(), decide.TransferCancelled{Conn: id})...)
 		return
@@ -499,7 +499,7 @@
 	}
 	m.Transferred()
 	k := &kept{fd: fd, state: state, in: unread}
-	if p, err := netio.PlaceOf(fd); err == nil { // else it has ended, which the new process will find
+	if p, err := netio.StreamPositionOf(fd); err == nil { // else it has ended, which the new process will find
 		k.inAt = p.Read - int64(len(unread))
 	}
 	o.kept[id] = k
@@ -522,7 +522,7 @@
 		return
 	}
 	delete(o.kept, e.Conn)
-	place, err := netio.PlaceOf(k.fd)
+	place, err := netio.StreamPositionOf(k.fd)
 	if err != nil {
 		o.log.Warn("upgrade.lost-connection", "error", err)
 		_ = unix.Close(k.fd)
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -114,7 +114,7 @@
 	}
 	room := len(open) + 30
 	g.do(func() {
-		if err := g.loop.LimitFiles(room, 0); err != nil {
+		if err := g.loop.LimitDescriptors(room, 0); err != nil {
 			t.Error(err)
 		}
 	})
@@ -128,7 +128,7 @@
 	}
 	var refused int
 	for range wanted {
-		if err := await(t, ends); netio.NoDescriptor(err) {
+		if err := await(t, ends); netio.IsDescriptorShortage(err) {
 			refused++
 		} else if err != nil {
 			t.Fatal(err)
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -151,7 +151,7 @@
 	waiting(t, g, func(k *httpClient, find func(*httpClient) *netio.Conn) {
 		c := find(k)
 		_ = k.c.Close()
-		until(c.Gone)
+		until(c.Disconnected)
 	})
 	until(func() bool { return g.count("ended.") == 1 })
 	if n := g.count("ended.not-sent"); n != 1 {
@@ -245,7 +245,7 @@
 		until(func() bool { return find(k).Unread() > 0 })
 		link := g.conn(addr)
 		_ = c.Close()
-		until(link.Gone)
+		until(link.Disconnected)
 	})
 	got, _ := k.answer()
 	same(t, "answer", got, `200 {"result":[["a","b","c"]]}`)
@@ -268,7 +268,7 @@
 		until(func() bool { return g.conn(k.c.LocalAddr().String()).Unread() > 0 })
 		link := g.conn(addr)
 		first.end()
-		until(link.Gone)
+		until(link.Disconnected)
 	})
 	same(t, "second", k.until('Z'), "T D(a) C(SELECT 1) Z")
 	if sent, failed := g.count("sent."), g.count("ended.reset"); sent != 2 || failed != 0 {
@@ -374,7 +374,7 @@
 		_, _ = io.WriteString(again.c, post("lookup", ""))
 		until(func() bool { return find(again).Unread() > 0 })
 		_ = k.c.Close()
-		until(broken.Gone)
+		until(broken.Disconnected)
 	})
 	got, _ := again.answer()
 	same(t, "answer", got, `200 {"result":[["a","b","c"]]}`)
@@ -400,7 +400,7 @@
 			_, _ = io.WriteString(k.c, numbered(i+1, post("lookup", "")))
 			until(func() bool { return c.Unread() > 0 })
 			_ = k.c.Close()
-			until(c.Gone)
+			until(c.Disconnected)
 		}
 	})
 	until(func() bool { return g.count("gone.")+g.count("answered.") == 201 })
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -288,12 +288,12 @@
 func TestBufferBudget(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	g.loop.Budget = 400 << 10
+	g.loop.BufferBudget = 400 << 10
 	g.postgres(addr)
 	long := query("SELECT '" + strings.Repeat("x", 300<<10) + "'")
 	first := connect(t, g.addr)
 	first.send(long[:250<<10])
-	for g.loop.Buffered() < 250<<10 {
+	for g.loop.BufferedBytes() < 250<<10 {
 		runtime.Gosched()
 	}
 	second := connect(t, g.addr)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -36,7 +36,7 @@
 	loop     *netio.Loop
 	options  Options
 	node     *decide.Node
-	socket   *netio.Datagrams
+	socket   *netio.DatagramSocket
 	counters *metrics.Counters
 	log      *slog.Logger
 	ticker   *timerqueue.Entry
@@ -50,7 +50,7 @@
 	}
 	s := &Service{loop: loop, options: options, counters: counters, log: log}
 	var err error
-	if s.socket, err = loop.Datagrams(options.Listen, s.receive); err != nil {
+	if s.socket, err = loop.ListenDatagrams(options.Listen, s.receive); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	now := loop.Now()
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -95,7 +95,7 @@
 	l.Post(func() {
 		_ = client.(*net.TCPConn).SetLinger(0)
 		_ = client.Close()
-		for !c.Gone() {
+		for !c.Disconnected() {
 		}
 		c.Close()
 	})
@@ -137,7 +137,7 @@
 			}
 			_, _ = peer.Write(make([]byte, size))
 			_ = peer.Close()
-			for !c.Gone() {
+			for !c.Disconnected() {
 			}
 		})
 	})
@@ -154,14 +154,14 @@
 	await(t, "a connection", h.c)
 	ends := make(chan error, 2)
 	l.Post(func() {
-		if err := l.LimitFiles(1, 0); err != nil {
+		if err := l.LimitDescriptors(1, 0); err != nil {
 			t.Error(err)
 		}
 		tell := func(_ *Conn, err error) { ends <- err }
 		l.Dial(ln.Addr().String(), lingerMost, 1024, newTaker(), tell)
-		l.DialKept(ln.Addr().String(), lingerMost, 1024, newTaker(), tell)
+		l.DialReserved(ln.Addr().String(), lingerMost, 1024, newTaker(), tell)
 	})
-	if err := await(t, "an end", ends); !NoDescriptor(err) {
+	if err := await(t, "an end", ends); !IsDescriptorShortage(err) {
 		t.Errorf("a dial: %v", err)
 	}
 	if err := await(t, "an end", ends); err != nil {
--- a/internal/netio/datagrams.go
+++ b/internal/netio/datagrams.go
@@ -19,8 +19,8 @@
 	mostWaiting = 512
 )
 
-// Datagrams is a UDP socket of a loop. One goroutine reads it and posts what came.
-type Datagrams struct {
+// DatagramSocket is a UDP socket of a loop. One goroutine reads it and posts what came.
+type DatagramSocket struct {
 	loop    *Loop
 	conn    *net.UDPConn
 	raw     func(func(uintptr) bool) error
@@ -29,8 +29,8 @@
 	four    bool // of IPv4
 }
 
-// Datagrams opens a UDP socket. take is called on the loop's goroutine; the bytes are its own.
-func (l *Loop) Datagrams(addr string, take func(from netip.AddrPort, b []byte)) (*Datagrams, error) {
+// ListenDatagrams opens a UDP socket. take is called on the loop's goroutine; the bytes are its own.
+func (l *Loop) ListenDatagrams(addr string, take func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
 	at, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("datagrams: %w", err)
@@ -44,21 +44,21 @@
 		_ = conn.Close()
 		return nil, fmt.Errorf("datagrams: %w", err)
 	}
-	d := &Datagrams{loop: l, conn: conn, raw: rc.Write, four: at.IP.To4() != nil}
+	d := &DatagramSocket{loop: l, conn: conn, raw: rc.Write, four: at.IP.To4() != nil}
 	go d.read(take)
 	return d, nil
 }
 
 // Addr is where it is open.
-func (d *Datagrams) Addr() netip.AddrPort { return conn4(d.conn.LocalAddr().(*net.UDPAddr).AddrPort()) }
+func (d *DatagramSocket) Addr() netip.AddrPort { return conn4(d.conn.LocalAddr().(*net.UDPAddr).AddrPort()) }
 
 // Dropped is how many were not told, as too many waited.
-func (d *Datagrams) Dropped() int64 { return d.dropped.Load() }
+func (d *DatagramSocket) Dropped() int64 { return d.dropped.Load() }
 
 // Close ends it.
-func (d *Datagrams) Close() { _ = d.conn.Close() }
+func (d *DatagramSocket) Close() { _ = d.conn.Close() }
 
-func (d *Datagrams) read(take func(netip.AddrPort, []byte)) {
+func (d *DatagramSocket) read(take func(netip.AddrPort, []byte)) {
 	buf := make([]byte, mostDatagram)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
@@ -86,7 +86,7 @@
 func conn4(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
 // Send sends one, or drops it where the socket has no room: the loop waits for nothing.
-func (d *Datagrams) Send(to netip.AddrPort, b []byte) (err error) {
+func (d *DatagramSocket) Send(to netip.AddrPort, b []byte) (err error) {
 	var sa unix.Sockaddr = &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
 	if d.four {
 		if !to.Addr().Unmap().Is4() {
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -23,11 +23,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxWrite bounds what waits for a slow reader; past it the connection is closed.
-const MaxWrite = 8 << 20
+// MaxPendingWrite bounds what waits for a slow reader; past it the connection is closed.
+const MaxPendingWrite = 8 << 20
 
-// DefaultBudget is the Budget of a new loop.
-const DefaultBudget = 48 << 20
+// DefaultBufferBudget is the BufferBudget of a new loop.
+const DefaultBufferBudget = 48 << 20
 
 // errBudget ends a connection that would take more than is left for all buffers.
 var errBudget = errors.New("the buffers of all connections are full")
@@ -69,9 +69,9 @@
 // Loop owns the sockets, the timers and the goroutine that all handlers run on.
 type Loop struct {
 	Timers *timerqueue.Queue
-	// Budget bounds what the buffers of all connections hold together, in bytes. Past
+	// BufferBudget bounds what the buffers of all connections hold together, in bytes. Past
 	// it the next connection to take more than one read ends. Set it before Run.
-	Budget int64
+	BufferBudget int64
 
 	origin time.Time
 	unix   time.Duration
@@ -103,12 +103,12 @@
 	}
 	now := time.Now()
 	l := &Loop{
-		Timers: timerqueue.New(), Budget: DefaultBudget, origin: now, unix: time.Duration(now.UnixNano()),
+		Timers: timerqueue.New(), BufferBudget: DefaultBufferBudget, origin: now, unix: time.Duration(now.UnixNano()),
 		wake: make(chan struct{}, 1), open: map[*Conn]struct{}{}, buf: make([]byte, readSize),
 	}
 	l.engine = nbio.NewEngine(nbio.Config{
 		Name: "ringwood", NPoller: 1, ReadBufferSize: readSize,
-		MaxWriteBufferSize: MaxWrite, EpollMod: nbio.EPOLLET,
+		MaxWriteBufferSize: MaxPendingWrite, EpollMod: nbio.EPOLLET,
 	})
 	l.engine.OnOpen(func(*nbio.Conn) {})
 	// Where the system gives no pair of sockets, the program serves without the fence.
@@ -152,9 +152,9 @@
 // system's at the start, and monotonic from there.
 func (l *Loop) Now() time.Duration { return l.unix + time.Since(l.origin) }
 
-// SetNow has the clock tell a moment, which must not lie before the present one: two
+// AdvanceClock has the clock tell a moment, which must not lie before the present one: two
 // processes of one machine then share theirs.
-func (l *Loop) SetNow(now time.Duration) { l.origin, l.unix = time.Now(), max(now, l.Now()) }
+func (l *Loop) AdvanceClock(now time.Duration) { l.origin, l.unix = time.Now(), max(now, l.Now()) }
 
 // Post has f called on the loop's goroutine. It may be called from anywhere.
 func (l *Loop) Post(f func()) {
@@ -194,22 +194,22 @@
 	}
 }
 
-// LimitFiles bounds the descriptors that connections and dials take together: of the sockets
+// LimitDescriptors bounds the descriptors that connections and dials take together: of the sockets
 // that the process may hold, what it has open by now and spare are left out. Past it dials fail as
-// they do when the table is full, but for DialKept. Guards against a control endpoint, a roster or a disk that
+// they do when the table is full, but for DialReserved. Guards against a control endpoint, a roster or a disk that
 // finds no descriptor. It is called once, before there are connections.
-func (l *Loop) LimitFiles(sockets, spare int) error {
+func (l *Loop) LimitDescriptors(sockets, spare int) error {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return fmt.Errorf("count the open descriptors: %w", err)
 	}
 	l.sockets, l.kept = sockets, len(entries)+spare
-	l.ShareFiles(1)
+	l.SetDescriptorShare(1)
 	return nil
 }
 
-// ShareFiles leaves a part of the process's descriptors to another process of the same limit.
-func (l *Loop) ShareFiles(part float64) {
+// SetDescriptorShare leaves a part of the process's descriptors to another process of the same limit.
+func (l *Loop) SetDescriptorShare(part float64) {
 	if l.sockets > 0 {
 		l.files = max(int(part*float64(l.sockets))-l.kept, 1)
 	}
@@ -218,8 +218,8 @@
 // dialFiles is what a dial may take at once: the socket, and its copy for the poller.
 const dialFiles = 2
 
-// KeptFiles is what DialKept takes of the spare descriptors, where one connection follows another.
-const KeptFiles = dialFiles + 2
+// ReservedDescriptors is what DialReserved takes of the spare descriptors, where one connection follows another.
+const ReservedDescriptors = dialFiles + 2
 
 // Run turns until Stop: what came in, then what is due.
 func (l *Loop) Run() {
@@ -263,20 +263,20 @@
 // Stop ends Run after the present turn.
 func (l *Loop) Stop() { l.stop = true }
 
-// Buffered is what the buffers of all connections hold. It may be called from anywhere.
-func (l *Loop) Buffered() int64 { return l.filled.Load() }
+// BufferedBytes is what the buffers of all connections hold. It may be called from anywhere.
+func (l *Loop) BufferedBytes() int64 { return l.filled.Load() }
 
 // Conns are the open connections, in no order.
 func (l *Loop) Conns() iter.Seq[*Conn] { return maps.Keys(l.open) }
 
-// Open is the number of open connections.
-func (l *Loop) Open() int { return len(l.open) }
+// ConnCount is the number of open connections.
+func (l *Loop) ConnCount() int { return len(l.open) }
 
 // Listener accepts connections for a loop. It can pause, with its socket open: who connects
 // meanwhile waits unaccepted.
 type Listener struct {
-	// Urgent is that its connections go before all others in each turn. Set it before Serve.
-	Urgent bool
+	// HighPriority is that its connections go before all others in each turn. Set it before Serve.
+	HighPriority bool
 
 	tcp    *net.TCPListener
 	mu     sync.Mutex
@@ -351,9 +351,9 @@
 	return &Listener{tcp: ln.(*net.TCPListener)}, nil // of "tcp"
 }
 
-// Inherited is a listener over a socket that another process opened; it accepts nothing
+// InheritListener is a listener over a socket that another process opened; it accepts nothing
 // before Resume. It takes the file.
-func Inherited(f *os.File) (*Listener, error) {
+func InheritListener(f *os.File) (*Listener, error) {
 	defer f.Close()
 	// Not by f.Fd: that makes the socket a blocking one for a moment, and for the process that still accepts there as well.
 	raw, err := f.SyscallConn()
@@ -410,10 +410,10 @@
 					continue
 				}
 				post := l.Post
-				if ln.Urgent {
+				if ln.HighPriority {
 					post = l.urgent
 				}
-				post(func() { _, _ = l.adopt(nc, limit, nil, ln.Urgent, false, accept, done) })
+				post(func() { _, _ = l.adopt(nc, limit, nil, ln.HighPriority, false, accept, done) })
 			}
 		}
 	}()
@@ -429,7 +429,7 @@
 		if err == nil {
 			return nc
 		}
-		if !NoDescriptor(err) {
+		if !IsDescriptorShortage(err) {
 			break
 		}
 		time.Sleep(acceptPause)
@@ -488,11 +488,11 @@
 		l.Post(func() { done(nil, fmt.Errorf("dial %s: %w", addr, syscall.EMFILE)) })
 		return func() {}
 	}
-	return l.DialKept(addr, timeout, limit, h, done)
+	return l.DialReserved(addr, timeout, limit, h, done)
 }
 
-// DialKept is Dial for the one connection that descriptors are kept back for.
-func (l *Loop) DialKept(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, error)) (cancel func()) {
+// DialReserved is Dial for the one connection that descriptors are kept back for.
+func (l *Loop) DialReserved(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, error)) (cancel func()) {
 	l.dials++
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	go func() {
@@ -517,12 +517,12 @@
 	return cancel
 }
 
-// Refused tells whether a dial failed with word from the other side, or for want
+// IsConnectionRefused tells whether a dial failed with word from the other side, or for want
 // of descriptors here, rather than in silence.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// NoDescriptor tells whether a dial failed because this process has none left.
-func NoDescriptor(err error) bool {
+// IsDescriptorShortage tells whether a dial failed because this process has none left.
+func IsDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
@@ -592,7 +592,7 @@
 			c.in.append(buf[:n])
 			got = true
 			// Guards against many peers that each stop in the middle of a long message.
-			if c.loop.filled.Add(int64(n)) > c.loop.Budget && c.in.Len() > readSize {
+			if c.loop.filled.Add(int64(n)) > c.loop.BufferBudget && c.in.Len() > readSize {
 				c.shut.Store(true)
 				c.loop.filled.Add(-int64(c.in.Len())) // at once: others need the room
 				c.in = Buffer{}
@@ -626,9 +626,9 @@
 	return c.limit
 }
 
-// Hold keeps what is read ahead small while the handler takes nothing, as a client's
-// open request is awaited. Again must be called after it is lifted.
-func (c *Conn) Hold(on bool) { c.held.Store(on) }
+// LimitReadAhead keeps what is read ahead small while the handler takes nothing, as a client's
+// open request is awaited. ScheduleData must be called after it is lifted.
+func (c *Conn) LimitReadAhead(on bool) { c.held.Store(on) }
 
 func (c *Conn) data() {
 	c.mu.Lock()
@@ -655,8 +655,8 @@
 	}
 }
 
-// Again has Data called once more, for what an earlier call left in the buffer.
-func (c *Conn) Again() { c.loop.Post(c.data) }
+// ScheduleData has Data called once more, for what an earlier call left in the buffer.
+func (c *Conn) ScheduleData() { c.loop.Post(c.data) }
 
 func (c *Conn) ended(err error) {
 	if c.over {
@@ -750,7 +750,7 @@
 		_ = s.conn.CloseWrite() // tells the peer that nothing was cut off
 	}
 	c.closing.Store(true)
-	c.Again() // what is in the buffer goes, and a pause for want of room ends
+	c.ScheduleData() // what is in the buffer goes, and a pause for want of room ends
 	if c.pending.Load() == 0 {
 		c.halfClose()
 		return
@@ -771,8 +771,8 @@
 	c.linger = c.loop.Timers.Add(c.loop.Now()+lingerRead, func() { c.end(nil) })
 }
 
-// Gone tells whether the connection has ended, as Closed tells once its turn has come.
-func (c *Conn) Gone() bool { return c.gone.Load() }
+// Disconnected tells whether the connection has ended, as Closed tells once its turn has come.
+func (c *Conn) Disconnected() bool { return c.gone.Load() }
 
 // tellEnd tells the journal that the connection is over.
 func (c *Conn) tellEnd() {
@@ -784,8 +784,8 @@
 	}
 }
 
-// Over tells whether the connection has ended.
-func (c *Conn) Over() bool { return c.over }
+// Ended tells whether the connection has ended.
+func (c *Conn) Ended() bool { return c.over }
 
 // Handler is who is told of the connection.
 func (c *Conn) Handler() Handler { return c.handler }
--- a/internal/netio/place.go
+++ b/internal/netio/place.go
@@ -13,45 +13,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Place is how far a TCP stream has got at this end, in bytes since its start, as the kernel
+// StreamPosition is how far a TCP stream has got at this end, in bytes since its start, as the kernel
 // tells of a socket whoever used it (tcp(7), TCP_INFO; SIOCINQ, SIOCOUTQ). The origins of
 // both are arbitrary: places of one socket are compared, nothing else.
-type Place struct {
+type StreamPosition struct {
 	Read    int64 // consumed by a process
 	Written int64 // given to the kernel by a process
 }
 
-// PlaceOf reads the place of a TCP socket. A way in that the peer has closed counts one more
+// StreamPositionOf reads the place of a TCP socket. A way in that the peer has closed counts one more
 // received byte, which is taken off here.
-func PlaceOf(fd int) (Place, error) {
+func StreamPositionOf(fd int) (StreamPosition, error) {
 	for range 8 {
 		before, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
-			return Place{}, fmt.Errorf("TCP_INFO: %w", err)
+			return StreamPosition{}, fmt.Errorf("TCP_INFO: %w", err)
 		}
 		in, err := unix.IoctlGetInt(fd, unix.SIOCINQ)
 		if err != nil {
-			return Place{}, fmt.Errorf("SIOCINQ: %w", err)
+			return StreamPosition{}, fmt.Errorf("SIOCINQ: %w", err)
 		}
 		out, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 		if err != nil {
-			return Place{}, fmt.Errorf("SIOCOUTQ: %w", err)
+			return StreamPosition{}, fmt.Errorf("SIOCOUTQ: %w", err)
 		}
 		after, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
-			return Place{}, fmt.Errorf("TCP_INFO: %w", err)
+			return StreamPosition{}, fmt.Errorf("TCP_INFO: %w", err)
 		}
 		if before.Bytes_acked != after.Bytes_acked || before.Bytes_received != after.Bytes_received || before.State != after.State {
 			continue // something came in between
 		}
-		p := Place{Read: int64(after.Bytes_received) - int64(in), Written: int64(after.Bytes_acked) + int64(out)}
+		p := StreamPosition{Read: int64(after.Bytes_received) - int64(in), Written: int64(after.Bytes_acked) + int64(out)}
 		switch after.State {
 		case tcpCloseWait, tcpLastAck, tcpClosing, tcpTimeWait:
 			p.Read--
 		}
 		return p, nil
 	}
-	return Place{}, errors.New("the socket's place did not hold still")
+	return StreamPosition{}, errors.New("the socket's place did not hold still")
 }
 
 // States of a TCP socket whose peer has closed its side, as the kernel numbers them.
@@ -82,18 +82,18 @@
 	if j == nil {
 		return
 	}
-	if p, err := PlaceOf(c.nc.Hash()); err == nil { // else it is closed, and says so soon
+	if p, err := StreamPositionOf(c.nc.Hash()); err == nil { // else it is closed, and says so soon
 		c.readAt, c.wroteAt = p.Read, p.Written+c.pending.Load()
 	}
 	c.base = c.readAt - int64(c.in.Len()) - c.in.taken
 }
 
-// Consumed is the place up to which the handler has consumed what was read, while there is
+// ConsumedPosition is the place up to which the handler has consumed what was read, while there is
 // a journal.
-func (c *Conn) Consumed() int64 { return c.base + c.in.taken }
+func (c *Conn) ConsumedPosition() int64 { return c.base + c.in.taken }
 
-// Journaled tells whether there is a journal.
-func (c *Conn) Journaled() bool { return c.journal != nil }
+// HasJournal tells whether there is a journal.
+func (c *Conn) HasJournal() bool { return c.journal != nil }
 
 // peek reads what the socket has, tells the journal of it, and takes it then: a process that
 // dies at any point in between leaves every byte either in the socket or in the journal.
@@ -111,31 +111,31 @@
 	return n, err
 }
 
-// ErrLeft is that a connection can't be handed on any more.
-var ErrLeft = errors.New("the connection has ended")
+// ErrConnEnded is that a connection can't be handed on any more.
+var ErrConnEnded = errors.New("the connection has ended")
 
 // Detach takes a connection out of the loop without ending it: its descriptor, which the
 // caller owns then, and what was read of it and not consumed. Neither side of the connection
 // notices; Closed is not told. Nothing may wait to be written.
 func (c *Conn) Detach() (fd int, unread []byte, err error) {
 	if c.over || c.closing.Load() || c.secure != nil || c.pending.Load() > 0 {
-		return -1, nil, ErrLeft
+		return -1, nil, ErrConnEnded
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.shut.Load() {
-		return -1, nil, ErrLeft
+		return -1, nil, ErrConnEnded
 	}
 	own := c.nc.Hash()
 	c.loop.forget(own)
 	fd, err = unix.FcntlInt(uintptr(own), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return -1, nil, fmt.Errorf("%w: %w", ErrLeft, err)
+		return -1, nil, fmt.Errorf("%w: %w", ErrConnEnded, err)
 	}
 	// Guards against a poller that has closed it meanwhile: the number may be another's.
 	if !sameSocket(fd, c.nc.RemoteAddr()) {
 		_ = unix.Close(fd)
-		return -1, nil, ErrLeft
+		return -1, nil, ErrConnEnded
 	}
 	c.shut.Store(true)
 	unread = append([]byte(nil), c.in.Bytes()...)
--- a/internal/netio/place_test.go
+++ b/internal/netio/place_test.go
@@ -38,14 +38,14 @@
 // what the peer has not taken. A peer that has closed its side counts nothing.
 func TestPlace(t *testing.T) {
 	client, server, fd := pair(t)
-	start, err := PlaceOf(fd)
+	start, err := StreamPositionOf(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
 	expect := func(what string, read, written int64) {
 		t.Helper()
 		for range 200 { // what crosses the loopback is counted a moment later
-			p, err := PlaceOf(fd)
+			p, err := StreamPositionOf(fd)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -54,7 +54,7 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		p, _ := PlaceOf(fd)
+		p, _ := StreamPositionOf(fd)
 		t.Errorf("%s: read %d, written %d, want %d, %d", what, p.Read-start.Read, p.Written-start.Written, read, written)
 	}
 	buf := make([]byte, 64)
@@ -207,7 +207,7 @@
 func TestJournal(t *testing.T) {
 	l := running(t)
 	client, server, fd := pair(t)
-	start, err := PlaceOf(fd)
+	start, err := StreamPositionOf(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,7 +229,7 @@
 	}
 	await(t, "data", h.got)
 	done := make(chan int64, 2)
-	l.Post(func() { done <- c.Consumed() - start.Read; c.Write([]byte("xyz")) })
+	l.Post(func() { done <- c.ConsumedPosition() - start.Read; c.Write([]byte("xyz")) })
 	if n := await(t, "place", done); n != 2 {
 		t.Errorf("consumed to %d, want 2", n)
 	}
--- a/internal/netio/secure.go
+++ b/internal/netio/secure.go
@@ -97,16 +97,16 @@
 func (p *pipe) SetReadDeadline(time.Time) error  { return nil }
 func (p *pipe) SetWriteDeadline(time.Time) error { return nil }
 
-// Secure begins TLS on a connection, as its server. What lies in its buffer is taken as the
+// StartServerTLS begins TLS on a connection, as its server. What lies in its buffer is taken as the
 // handshake's beginning. done hears of the handshake's end, on the loop's goroutine; on an error the
 // connection is closed behind it. From then on the handler is told of plain bytes, and Write
 // encrypts; nothing may be written before. Such a connection can't be detached.
-func (c *Conn) Secure(cfg *tls.Config, within time.Duration, done func(tls.ConnectionState, error)) {
+func (c *Conn) StartServerTLS(cfg *tls.Config, within time.Duration, done func(tls.ConnectionState, error)) {
 	c.secured(func(p net.Conn) *tls.Conn { return tls.Server(p, cfg) }, within, done)
 }
 
-// SecureAsClient begins TLS as the side that has dialled.
-func (c *Conn) SecureAsClient(cfg *tls.Config, within time.Duration, done func(tls.ConnectionState, error)) {
+// StartClientTLS begins TLS as the side that has dialled.
+func (c *Conn) StartClientTLS(cfg *tls.Config, within time.Duration, done func(tls.ConnectionState, error)) {
 	c.secured(func(p net.Conn) *tls.Conn { return tls.Client(p, cfg) }, within, done)
 }
 
@@ -127,7 +127,7 @@
 		stop()
 		c.loop.Post(func() { s.done(err, done) })
 	}()
-	c.Again()
+	c.ScheduleData()
 }
 
 // done makes the connection the loop's once its handshake is over.
@@ -196,5 +196,5 @@
 	}
 }
 
-// Secured tells whether the connection has, or begins, TLS.
-func (c *Conn) Secured() bool { return c.secure != nil }
+// UsesTLS tells whether the connection has, or begins, TLS.
+func (c *Conn) UsesTLS() bool { return c.secure != nil }
