--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -77,7 +77,7 @@
 func (w *Watcher) Start() {
 	w.dials++
 	dial := w.dials
-	w.cancelDial = w.loop.DialKept(w.address, dialTimeout, maxFrame+lengthSize, w, func(c *netio.Conn, err error) {
+	w.cancelDial = w.loop.DialReserved(w.address, dialTimeout, maxFrame+lengthSize, w, func(c *netio.Conn, err error) {
 		w.dialed(dial, c, err)
 	})
 }
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -110,7 +110,7 @@
 	}
 	w := New(loop, Options{Address: ln.Addr().String()}, make(recorder, 1), metrics.New(), slog.New(slog.DiscardHandler))
 	w.maxSilence = 50 * time.Millisecond
-	if err := loop.LimitFiles(1, 0); err != nil {
+	if err := loop.LimitDescriptors(1, 0); err != nil {
 		t.Fatal(err)
 	}
 	run(t, loop, w)
