--- a/policy/rules_property_test.go
+++ b/policy/rules_property_test.go
@@ -3,115 +3,138 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
 
-// model follows what the rules say of the actions that a gateway gives.
-type model struct {
-	t     *testing.T
-	s     Settings
-	now   time.Duration
-	open  map[uint64]*seen
-	all   []*seen
-	state map[string]EngineState
-	info  map[string]Engine
-	taken []time.Duration
-	extra []time.Duration
-}
-
-type seen struct {
-	id    uint64
-	class Class
-	key   string
-	due   time.Duration
-	tries []seenTry
-	over  bool
-}
-
-type seenTry struct {
-	engine   string
-	at       time.Duration
-	out, ran bool
-	ended    time.Duration
-	doubt    bool
-}
-
-func (m *model) fail(format string, args ...any) {
+// rulesModel checks the actions of a gateway against the rules, with a record of its own.
+type rulesModel struct {
+	t        *testing.T
+	settings Settings
+	now      time.Duration
+	byID     map[uint64]*modelQuery
+	queries  []*modelQuery // in the order of arrival
+	state    map[string]EngineState
+	entries  map[string]Engine
+	arrivals []time.Duration
+	retries  []time.Duration
+}
+
+type modelQuery struct {
+	id       uint64
+	class    Class
+	key      string
+	deadline time.Duration
+	attempts []modelAttempt
+	answered bool
+}
+
+type modelAttempt struct {
+	engine      string
+	sentAt      time.Duration
+	endedAt     time.Duration
+	inFlight    bool
+	mayHaveRun  bool
+	mayStillRun bool // ended without word of the engine
+}
+
+func newRulesModel(t *testing.T, s Settings) *rulesModel {
+	t.Helper()
+	return &rulesModel{t: t, settings: s, now: time.Minute, byID: map[uint64]*modelQuery{},
+		state: map[string]EngineState{}, entries: map[string]Engine{}}
+}
+
+func (m *rulesModel) add(q *modelQuery) {
+	m.byID[q.id] = q
+	m.queries = append(m.queries, q)
+}
+
+func (m *rulesModel) failf(format string, args ...any) {
 	m.t.Helper()
 	m.t.Fatalf("at %v: %s", m.now, fmt.Sprintf(format, args...))
 }
 
-func (m *model) apply(out []Action) {
-	for _, a := range out {
+func (m *rulesModel) apply(actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			m.send(a)
 		case Grant:
 			if a.Priority < 0 || a.Priority > 3 || !(a.MemoryMB >= 0) {
-				m.fail("query %d: priority %d, grant %v", a.Query, a.Priority, a.MemoryMB)
+				m.failf("query %d: priority %d, grant %v", a.Query, a.Priority, a.MemoryMB)
 			}
 		case RequestLoadReport:
-			if !m.s.Limits.AllowLoadRequests || m.state[a.Engine] != EngineLive {
-				m.fail("a probe of %s", a.Engine)
+			if !m.settings.Limits.AllowLoadRequests || m.state[a.Engine] != EngineLive {
+				m.failf("request for a load report of %s, want none", a.Engine)
 			}
 		case Reject:
-			q := m.end(a.Query)
-			for _, try := range q.tries {
-				if try.ran && (q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope != DedupAll) {
-					m.fail("query %d refused though it may have run", q.id)
+			q := m.endQuery(a.Query)
+			isRepeatable := q.class.Idempotency == Idempotent ||
+				q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupAll
+			for _, attempt := range q.attempts {
+				if attempt.mayHaveRun && !isRepeatable {
+					m.failf("query %d rejected though it may have run", q.id)
 				}
 			}
 		case Fail:
-			m.end(a.Query)
+			m.endQuery(a.Query)
 		}
 	}
 }
 
-func (m *model) end(id uint64) *seen {
-	q := m.open[id]
-	if q == nil || q.over {
-		m.fail("query %d: a second final answer", id)
+func (m *rulesModel) endQuery(id uint64) *modelQuery {
+	q := m.byID[id]
+	if q == nil || q.answered {
+		m.failf("query %d has a second final answer", id)
 	}
-	q.over = true
+	q.answered = true
 	return q
 }
 
-func (m *model) send(a Send) {
-	q := m.open[a.Query]
-	if q == nil || q.over {
-		m.fail("query %d sent after its end", a.Query)
+func (m *rulesModel) send(a Send) {
+	q := m.byID[a.Query]
+	if q == nil || q.answered {
+		m.failf("query %d sent after its end", a.Query)
 	}
 	if m.state[a.Engine] != EngineLive {
-		m.fail("query %d sent to %s, which is not live", a.Query, a.Engine)
+		m.failf("query %d sent to %s, which is not live", a.Query, a.Engine)
 	}
-	e := m.info[a.Engine]
+	e := m.entries[a.Engine]
 	if !isAllowed(q.class.Zones, e.Zone) {
-		m.fail("query %d sent out of its place", a.Query)
+		m.failf("query %d sent outside its zones", a.Query)
 	}
-	for _, try := range q.tries {
-		if try.out {
-			m.fail("query %d has two attempts", a.Query)
+	for _, attempt := range q.attempts {
+		if attempt.inFlight {
+			m.failf("query %d has two attempts in flight", a.Query)
 		}
-		if try.ran && q.class.Idempotency == NotIdempotent {
-			m.fail("unsafe query %d sent again", a.Query)
+		if attempt.mayHaveRun && q.class.Idempotency == NotIdempotent {
+			m.failf("query %d sent again, though not idempotent", a.Query)
 		}
-		if try.ran && q.class.Idempotency == IdempotentWithKey && (m.info[try.engine].Cell != e.Cell || m.now-try.at > q.class.DedupWindow) {
-			m.fail("keyed query %d sent out of its group or window", a.Query)
+		isDeduped := m.entries[attempt.engine].Cell == e.Cell && m.now-attempt.sentAt <= q.class.DedupWindow
+		if attempt.mayHaveRun && q.class.Idempotency == IdempotentWithKey && !isDeduped {
+			m.failf("query %d with a key sent again outside its deduplication scope or window", a.Query)
 		}
 	}
-	m.order(q)
-	if len(q.tries) > 0 {
-		m.extra = append(m.extra, m.now)
-		if got, most := count(m.extra, m.now-m.s.Rules.RetryBudgetWindow),
-			m.s.Rules.RetryBudgetBase+m.s.Rules.RetryBudgetRatio*float64(count(m.taken, m.now-m.s.Rules.RetryBudgetWindow)); float64(got) > most {
-			m.fail("%d further attempts, %v allowed", got, most)
-		}
+	m.checkOrder(q)
+	if len(q.attempts) > 0 {
+		m.retries = append(m.retries, m.now)
+		m.checkRetryBudget()
 	}
-	if len(q.tries) >= m.s.Limits.MaxAttempts {
-		m.fail("query %d has too many attempts", a.Query)
+	if len(q.attempts) >= m.settings.Limits.MaxAttempts {
+		m.failf("query %d has too many attempts", a.Query)
+	}
+	q.attempts = append(q.attempts, modelAttempt{engine: a.Engine, sentAt: m.now, inFlight: true, mayHaveRun: true})
+}
+
+func (m *rulesModel) checkRetryBudget() {
+	rules := m.settings.Rules
+	since := m.now - rules.RetryBudgetWindow
+	retries := count(m.retries, since)
+	allowed := rules.RetryBudgetBase + rules.RetryBudgetRatio*float64(count(m.arrivals, since))
+	if float64(retries) > allowed {
+		m.failf("%d retries within the window, want %v at most", retries, allowed)
 	}
-	q.tries = append(q.tries, seenTry{engine: a.Engine, at: m.now, out: true, ran: true})
 }
 
 func count(list []time.Duration, since time.Duration) (n int) {
@@ -123,41 +146,41 @@
 	return n
 }
 
-func (m *model) order(q *seen) {
+func (m *rulesModel) checkOrder(q *modelQuery) {
 	if !q.class.Ordered {
 		return
 	}
-	for _, o := range m.all {
-		if o == q {
+	for _, other := range m.queries {
+		if other == q {
 			return
 		}
-		if !o.class.Ordered || o.key != q.key {
+		if !other.class.Ordered || other.key != q.key {
 			continue
 		}
-		if !o.over {
-			m.fail("query %d sent before query %d was over", q.id, o.id)
+		if !other.answered {
+			m.failf("query %d sent before query %d was over", q.id, other.id)
 		}
-		for _, try := range o.tries {
-			if try.out || try.doubt && m.now-try.ended < m.s.Rules.SettleTime {
-				m.fail("query %d sent while query %d may run", q.id, o.id)
+		for _, attempt := range other.attempts {
+			if attempt.inFlight || attempt.mayStillRun && m.now-attempt.endedAt < m.settings.Rules.SettleTime {
+				m.failf("query %d sent while query %d may run", q.id, other.id)
 			}
 		}
 	}
 }
 
-// TestRulesHoldOnRandomEvents gives legal events in random order, with stale
-// and repeated ones among them, and checks each rule on the actions.
+// TestRulesHoldOnRandomEvents gives valid events in random order, with stale and repeated ones among them, and checks
+// the actions against each rule.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		play(t, seed)
+		checkRules(t, seed)
 	}
 }
 
-func play(t *testing.T, seed uint64) {
+func checkRules(t *testing.T, seed uint64) {
 	t.Helper()
 	s := settings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
-	if seed%2 == 0 { // no notes, told load: moves come in bursts, at ticks and after pauses
+	if seed%2 == 0 { // no progress and reported load: retries come in bursts, at ticks and after pauses
 		s.ProgressInterval, s.HonorsPriority, s.HonorsGrants = 0, true, true
 		s.Limits.AllowLoadRequests, s.ReportsLoad = true, true
 	}
@@ -166,13 +189,13 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	m := &model{t: t, s: s, now: time.Minute, open: map[uint64]*seen{}, state: map[string]EngineState{}, info: map[string]Engine{}}
+	m := newRulesModel(t, s)
 	list := func(mode ListMode, engines ...Engine) {
 		if mode != ListChanges {
 			clear(m.state)
 		}
 		for _, e := range engines {
-			m.state[e.ID], m.info[e.ID] = e.State, e
+			m.state[e.ID], m.entries[e.ID] = e.State, e
 		}
 		m.apply(g.Handle(m.now, EngineList{Mode: mode, Engines: engines}, nil))
 	}
@@ -196,20 +219,23 @@
 		switch k := rng.IntN(10); {
 		case k < 4:
 			c := s.Classes[rng.IntN(len(s.Classes))]
-			q := &seen{id: next, class: c, due: m.now + c.Timeout, key: string(rune('x' + rng.IntN(2)))}
-			m.open[next], m.all, m.taken = q, append(m.all, q), append(m.taken, m.now)
-			m.apply(g.Handle(m.now, QueryArrived{Query: next, Class: c.Name, Key: q.key, Deadline: q.due,
+			q := &modelQuery{id: next, class: c, deadline: m.now + c.Timeout, key: string(rune('x' + rng.IntN(2)))}
+			m.add(q)
+			m.arrivals = append(m.arrivals, m.now)
+			m.apply(g.Handle(m.now, QueryArrived{Query: next, Class: c.Name, Key: q.key, Deadline: q.deadline,
 				Work: time.Duration(rng.IntN(3000)) * time.Millisecond, MemoryMB: rng.Float64() * 500}, nil))
 			next++
-		case k < 7 && len(m.all) > 0:
-			m.outcome(g, rng)
+		case k < 7 && len(m.queries) > 0:
+			m.endAttempt(g, rng)
 		case k < 8:
 			m.apply(g.Handle(m.now, TimerFired{}, nil))
 			m.apply(g.Handle(m.now, TimerFired{Token: rng.Uint64N(next + 2)}, nil))
-		case k < 9 && len(m.all) > 0:
-			q := m.all[rng.IntN(len(m.all))]
-			m.apply(g.Handle(m.now, AttemptProgress{Query: q.id, Attempt: rng.IntN(3), Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
-			m.apply(g.Handle(m.now, LoadReportReceived{Engine: fmt.Sprintf("e%d", rng.IntN(7)), Load: LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUUtilization: 1}}, nil))
+		case k < 9 && len(m.queries) > 0:
+			q := m.queries[rng.IntN(len(m.queries))]
+			m.apply(g.Handle(m.now, AttemptProgress{Query: q.id, Attempt: rng.IntN(3),
+				Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
+			m.apply(g.Handle(m.now, LoadReportReceived{Engine: fmt.Sprintf("e%d", rng.IntN(7)),
+				Load: LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUUtilization: 1}}, nil))
 		case rng.IntN(3) == 0:
 			list(ListFull, engine(), engine())
 		default:
@@ -219,35 +245,38 @@
 	m.finish(g)
 }
 
-// outcome ends one attempt that is out, or repeats one that has ended.
-func (m *model) outcome(g *Gateway, rng *rand.Rand) {
-	q := m.all[rng.IntN(len(m.all))]
-	if len(q.tries) == 0 {
+// endAttempt ends one attempt that is in flight, or repeats the end of another.
+func (m *rulesModel) endAttempt(g *Gateway, rng *rand.Rand) {
+	q := m.queries[rng.IntN(len(m.queries))]
+	if len(q.attempts) == 0 {
 		return
 	}
-	n := rng.IntN(len(q.tries))
-	try := &q.tries[n]
-	res := Result(rng.IntN(int(ResultConnectTimeout) + 1))
-	if try.out {
-		try.out, try.ended = false, m.now
-		try.ran = res != ResultRejected && res != ResultConnectFailed && res != ResultNotSent && res != ResultConnectTimeout
-		try.doubt = res == ResultTimeout || res == ResultConnectionLost || res == ResultCancelled || res == ResultUnknown
-		if res == ResultSuccess {
-			q.over = true
+	n := rng.IntN(len(q.attempts))
+	attempt := &q.attempts[n]
+	result := Result(rng.IntN(int(ResultConnectTimeout) + 1))
+	if attempt.inFlight {
+		attempt.inFlight = false
+		attempt.endedAt = m.now
+		attempt.mayHaveRun = !slices.Contains(
+			[]Result{ResultRejected, ResultConnectFailed, ResultNotSent, ResultConnectTimeout}, result)
+		attempt.mayStillRun = slices.Contains(
+			[]Result{ResultTimeout, ResultConnectionLost, ResultCancelled, ResultUnknown}, result)
+		if result == ResultSuccess {
+			q.answered = true
 		}
 	}
-	m.apply(g.Handle(m.now, AttemptEnded{Query: q.id, Attempt: n, Result: res, Elapsed: m.now - try.at, Final: q.over}, nil))
+	m.apply(g.Handle(m.now, AttemptEnded{Query: q.id, Attempt: n, Result: result, Elapsed: m.now - attempt.sentAt, Final: q.answered}, nil))
 }
 
-// finish lets all clients' times run out: each query must then be over.
-func (m *model) finish(g *Gateway) {
-	for _, q := range m.all {
-		m.now = max(m.now, q.due)
+// finish lets all deadlines pass: each query must then have its final answer.
+func (m *rulesModel) finish(g *Gateway) {
+	for _, q := range m.queries {
+		m.now = max(m.now, q.deadline)
 	}
-	for _, q := range m.all {
+	for _, q := range m.queries {
 		m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
-		if !q.over {
-			m.fail("query %d has no final answer", q.id)
+		if !q.answered {
+			m.failf("query %d has no final answer", q.id)
 		}
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,69 +7,98 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What one gateway has learned is taken whole by another: its copy of it is the same, and
-// it chooses as the first would. Classes that it has no settings for are passed by.
-func TestSnapshotRestoresLearnedState(t *testing.T) {
-	set := Settings{Gateways: 1, CallInterval: 5 * time.Millisecond, ReportsLoad: true,
-		Classes: []Class{{Name: "lookup", LatencyObjective: time.Second, Timeout: 6 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent}},
-		Kinds:   []Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: Limits{MaxAttempts: 3}}
-	one, err := New(set, 1)
+// snapshotFleet drives several gateways of the same settings on one clock. Engine good serves at once, and engine bad
+// breaks every connection.
+type snapshotFleet struct {
+	settings Settings
+	now      time.Duration
+}
+
+func newSnapshotFleet() *snapshotFleet {
+	return &snapshotFleet{now: time.Hour, settings: Settings{
+		Gateways: 1, CallInterval: 5 * time.Millisecond, ReportsLoad: true,
+		Classes: []Class{{Name: "lookup", LatencyObjective: time.Second, Timeout: 6 * time.Second,
+			PriorityWeight: 1, Threads: 1, Idempotency: Idempotent}},
+		Kinds:  []Kind{{Name: "std", Cores: 8, MemoryMB: 1024}},
+		Limits: Limits{MaxAttempts: 3},
+	}}
+}
+
+func (f *snapshotFleet) newGateway(t *testing.T, seed uint64) *Gateway {
+	t.Helper()
+	g, err := New(f.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := time.Hour
-	var out []Action
-	step := func(g *Gateway, ev Event) []Action {
-		now += 5 * time.Millisecond
-		out = g.Handle(now, ev, out[:0])
-		return out
+	return g
+}
+
+func (f *snapshotFleet) list(g *Gateway) {
+	f.handle(g, EngineList{Mode: ListFull, Engines: []Engine{
+		{ID: "good", Kind: "std", State: EngineLive},
+		{ID: "bad", Kind: "std", State: EngineLive},
+		{ID: "departed", Kind: "std", State: EngineDeparted},
+	}})
+}
+
+func (f *snapshotFleet) handle(g *Gateway, ev Event) []Action {
+	f.now += 5 * time.Millisecond
+	return g.Handle(f.now, ev, nil)
+}
+
+func (f *snapshotFleet) arrive(g *Gateway, id uint64) []Action {
+	return f.handle(g, QueryArrived{Query: id, Class: "lookup", Deadline: f.now + 6*time.Second})
+}
+
+// serve has a query arrive and ends its attempts until it is answered.
+func (f *snapshotFleet) serve(g *Gateway, id uint64) {
+	sends := sendsIn(f.arrive(g, id))
+	for attempt := 0; len(sends) > 0; attempt++ {
+		ev := AttemptEnded{Query: id, Attempt: attempt, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond}
+		if sends[0].Engine == "bad" {
+			ev = AttemptEnded{Query: id, Attempt: attempt, Result: ResultConnectionLost, Elapsed: time.Millisecond}
+		}
+		sends = sendsIn(f.handle(g, ev))
 	}
-	step(one, EngineList{Mode: ListFull, Engines: []Engine{{ID: "a", Kind: "std", State: EngineLive}, {ID: "b", Kind: "std", State: EngineLive}, {ID: "c", Kind: "std", State: EngineDeparted}}})
-	// One engine answers at once, the other breaks every connection.
-	for id := uint64(1); id < 200; id++ {
-		actions := append([]Action{}, step(one, QueryArrived{Query: id, Class: "lookup", Deadline: now + 6*time.Second})...)
-		for n := 0; len(actions) > 0; n++ {
-			var next []Action
-			for _, a := range actions {
-				if s, ok := a.(Send); ok {
-					res := AttemptEnded{Query: id, Attempt: n, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond}
-					if s.Engine == "b" {
-						res = AttemptEnded{Query: id, Attempt: n, Result: ResultConnectionLost, Elapsed: time.Millisecond}
-					}
-					next = append(next, step(one, res)...)
-				}
+}
+
+// sendsToBad counts how many of ten queries go to the engine that breaks connections.
+func (f *snapshotFleet) sendsToBad(g *Gateway) (count int) {
+	for id := uint64(1000); id < 1010; id++ {
+		for _, send := range sendsIn(f.arrive(g, id)) {
+			if send.Engine == "bad" {
+				count++
 			}
-			actions = next
 		}
-		step(one, TimerFired{})
+		f.handle(g, AttemptEnded{Query: id, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond})
 	}
-	l := one.Snapshot()
-	if len(l.Engines) != 2 || l.Engines[1].FaultRate == 0 {
-		t.Fatalf("learned: %+v", l.Engines)
-	}
-	l.Classes = append(l.Classes, ClassSnapshot{Name: "of another version"})
-	two, err := New(set, 2)
-	if err != nil {
-		t.Fatal(err)
+	return count
+}
+
+// TestSnapshotRestoresLearnedState restores the snapshot of one gateway in another: its own snapshot must be the same,
+// and it must choose engines as the first would. Classes that it has no settings for are skipped.
+func TestSnapshotRestoresLearnedState(t *testing.T) {
+	f := newSnapshotFleet()
+	first := f.newGateway(t, 1)
+	f.list(first)
+	for id := uint64(1); id < 200; id++ {
+		f.serve(first, id)
+		f.handle(first, TimerFired{})
 	}
-	two.Restore(now, l)
-	if diff := cmp.Diff(one.Snapshot(), two.Snapshot()); diff != "" {
-		t.Errorf("what the second took (-first +second):\n%s", diff)
+	snapshot := first.Snapshot()
+	if len(snapshot.Engines) != 2 || snapshot.Engines[1].FaultRate == 0 {
+		t.Fatalf("engines of the snapshot = %+v, want two, the second with faults", snapshot.Engines)
 	}
-	cold, _ := New(set, 2)
-	step(cold, EngineList{Mode: ListFull, Engines: []Engine{{ID: "a", Kind: "std", State: EngineLive}, {ID: "b", Kind: "std", State: EngineLive}}})
-	sentTo := func(g *Gateway) (bad int) {
-		for id := uint64(1000); id < 1010; id++ {
-			for _, a := range step(g, QueryArrived{Query: id, Class: "lookup", Deadline: now + 6*time.Second}) {
-				if s, ok := a.(Send); ok && s.Engine == "b" {
-					bad++
-				}
-			}
-			step(g, AttemptEnded{Query: id, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond})
-		}
-		return bad
+	snapshot.Classes = append(snapshot.Classes, ClassSnapshot{Name: "of another version"})
+	restored := f.newGateway(t, 2)
+	restored.Restore(f.now, snapshot)
+	if diff := cmp.Diff(first.Snapshot(), restored.Snapshot()); diff != "" {
+		t.Errorf("restored snapshot (-want +got):\n%s", diff)
 	}
-	if with, without := sentTo(two), sentTo(cold); with >= without || without == 0 {
-		t.Errorf("of ten, %d went to the faulty engine with what was learned, %d without", with, without)
+	fresh := f.newGateway(t, 2)
+	f.list(fresh)
+	with, without := f.sendsToBad(restored), f.sendsToBad(fresh)
+	if with >= without || without == 0 {
+		t.Errorf("of ten queries, %d went to the bad engine with a snapshot, want fewer than the %d without", with, without)
 	}
 }
--- a/policy/warmup_simulation_test.go
+++ b/policy/warmup_simulation_test.go
@@ -10,216 +10,282 @@
 	"time"
 )
 
-// coldPlay is a fleet of gateways in virtual time, some engines of which go and come back cold together while
-// traffic goes on. Each gateway knows what it is told and what its own queries come to.
-type coldPlay struct {
-	seed     uint64
-	gateways int
-	fresh    float64 // part of the gateways that start anew while the engines are away, and have learned nothing
-	skew     float64 // the busiest gateways' traffic over the mean
-	tipFor   time.Duration
-	start    float64       // share of its capacity that a cold engine has
-	ranked   bool          // the settings tell each gateway its place
-	told     time.Duration // how long the list takes at the most to tell a gateway
-}
-
-type coldEvent struct {
+const (
+	simWarmEngines    = 8
+	simWarmingEngines = 4
+	simCores          = 8
+	simCapacityPart   = 0.85 // of its cores that an engine's capacity counts
+	simBegin          = time.Hour
+	simDeparture      = simBegin + 10*time.Second
+	simReturn         = simDeparture + 8*time.Second
+	simEnd            = simReturn + 12*time.Second
+	simListDelay      = 1500 * time.Millisecond // until a gateway knows of a change, at most
+	simMinCapacity    = 0.33
+	simTraffic        = 1.1 // of what all engines bear, so that all that may go to a warming engine does
+	simWorkVariation  = 1.2 // coefficient of variation of a query's work
+	simDataSets       = 20
+)
+
+// simClass is a class's part of the traffic and its mean work.
+type simClass struct {
+	name   string
+	share  float64
+	workMS float64
+}
+
+func simClasses() []simClass {
+	return []simClass{{"lookup", 14, 220}, {"report", 2.4, 3000}, {"load", 0.9, 3000}}
+}
+
+// warmUpSimulation is a fleet of gateways in virtual time. Some engines depart and return together while traffic goes
+// on, and warm up. Each gateway knows what the list tells it, and what becomes of its own queries.
+type warmUpSimulation struct {
+	seed           uint64
+	gatewayCount   int
+	restartedPart  float64 // of the gateways, which restart with nothing learned while the engines are away
+	skew           float64 // the busiest gateways' traffic over the mean
+	overloadWindow time.Duration
+
+	settings   Settings
+	random     *rand.Rand
+	now        time.Duration
+	events     simEvents
+	gateways   []*Gateway
+	weights    []float64 // of the gateways in the traffic
+	weightSum  float64
+	shareSum   float64
+	meanWorkMS float64
+	queries    []simQuery
+	deliveries [][]simDelivery // to each engine, since the return
+}
+
+type simQuery struct {
+	class  simClass
+	workMS float64
+}
+
+// simDelivery is a query that was sent to an engine, in queries of mean work.
+type simDelivery struct {
+	at     time.Duration
+	weight float64
+}
+
+type simEvent struct {
 	at  time.Duration
 	run func()
 }
 
-type coldEvents []coldEvent
+type simEvents []simEvent
 
-func (e coldEvents) Len() int           { return len(e) }
-func (e coldEvents) Less(a, b int) bool { return e[a].at < e[b].at }
-func (e coldEvents) Swap(a, b int)      { e[a], e[b] = e[b], e[a] }
-func (e *coldEvents) Push(x any)        { *e = append(*e, x.(coldEvent)) }
-func (e *coldEvents) Pop() (x any) {
+func (e simEvents) Len() int           { return len(e) }
+func (e simEvents) Less(a, b int) bool { return e[a].at < e[b].at }
+func (e simEvents) Swap(a, b int)      { e[a], e[b] = e[b], e[a] }
+func (e *simEvents) Push(x any)        { *e = append(*e, x.(simEvent)) }
+func (e *simEvents) Pop() any {
 	last := len(*e) - 1
-	x = (*e)[last]
+	x := (*e)[last]
 	*e = (*e)[:last]
 	return x
 }
 
-// worst plays it, and tells the most that a cold engine was sent within a span, over what it bears: N + 2 x root of
-// N + 2 queries of mean work, N being what the settings allow at its start. It tells too how many queries all cold
-// engines were sent.
-func (p coldPlay) worst() (over float64, sent int) {
-	const (
-		warm, cold = 8, 4
-		cores      = 8
-		begin      = time.Hour
-		away       = begin + 10*time.Second
-		back       = away + 8*time.Second
-		end        = back + 12*time.Second
-		part       = 0.85 // of its cores that a capacity counts
-	)
-	rng := rand.New(rand.NewPCG(p.seed, 7))
-	shares := map[string]float64{"lookup": 14, "report": 2.4, "load": 0.9} // of the queries
-	works := map[string]float64{"lookup": 220, "report": 3000, "load": 3000}
-	var all, mean float64
-	for name, share := range shares {
-		all += share
-		mean += share * works[name]
+func (s *warmUpSimulation) after(d time.Duration, run func()) {
+	heap.Push(&s.events, simEvent{s.now + d, run})
+}
+
+// run plays the simulation to its end.
+func (s *warmUpSimulation) run() {
+	s.random = rand.New(rand.NewPCG(s.seed, 7))
+	s.now = simBegin
+	s.deliveries = make([][]simDelivery, simWarmEngines+simWarmingEngines)
+	for _, c := range simClasses() {
+		s.shareSum += c.share
+		s.meanWorkMS += c.share * c.workMS
 	}
-	mean /= all
-	s := Settings{
-		Gateways: p.gateways, CallInterval: 5 * time.Millisecond, ProgressInterval: 500 * time.Millisecond,
-		Kinds: []Kind{{Name: "k", Cores: cores, MemoryMB: 1 << 14}}, ReportsCost: true, MemoryShortage: ShortageQueue,
+	s.meanWorkMS /= s.shareSum
+	s.settings = s.newSettings()
+	s.gateways = make([]*Gateway, s.gatewayCount)
+	s.weights = make([]float64, s.gatewayCount)
+	for i := range s.gateways {
+		s.startGateway(i)
+	}
+	s.after(0, s.arrive)
+	for s.now < simEnd {
+		e := heap.Pop(&s.events).(simEvent)
+		s.now = e.at
+		e.run()
+	}
+}
+
+func (s *warmUpSimulation) newSettings() Settings {
+	return Settings{
+		Gateways: s.gatewayCount, CallInterval: 5 * time.Millisecond, ProgressInterval: 500 * time.Millisecond,
+		Kinds: []Kind{{Name: "k", Cores: simCores, MemoryMB: 1 << 14}}, ReportsCost: true, MemoryShortage: ShortageQueue,
 		Classes: []Class{
-			{Name: "lookup", LatencyObjective: 1200 * time.Millisecond, ObjectiveStretch: 1.5, Timeout: 6 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: Idempotent},
-			{Name: "report", LatencyObjective: 2 * time.Second, ObjectiveStretch: 2.5, Timeout: 25 * time.Second, PriorityWeight: 4, Threads: 3, Idempotency: Idempotent},
-			{Name: "load", LatencyObjective: 4 * time.Second, ObjectiveStretch: 2.5, Timeout: 20 * time.Second, PriorityWeight: 5, Threads: 2, Idempotency: IdempotentWithKey, DedupScope: DedupAll, DedupWindow: 12 * time.Second},
+			{Name: "lookup", LatencyObjective: 1200 * time.Millisecond, ObjectiveStretch: 1.5, Timeout: 6 * time.Second,
+				PriorityWeight: 1, Threads: 1, Idempotency: Idempotent},
+			{Name: "report", LatencyObjective: 2 * time.Second, ObjectiveStretch: 2.5, Timeout: 25 * time.Second,
+				PriorityWeight: 4, Threads: 3, Idempotency: Idempotent},
+			{Name: "load", LatencyObjective: 4 * time.Second, ObjectiveStretch: 2.5, Timeout: 20 * time.Second,
+				PriorityWeight: 5, Threads: 2, Idempotency: IdempotentWithKey, DedupScope: DedupAll, DedupWindow: 12 * time.Second},
 		},
-		Rules:  Rules{WarmUpMinCapacity: p.start, WarmUpPeriod: 15 * time.Second, OverloadMultiple: 2.5, OverloadWindow: p.tipFor},
-		Limits: Limits{MaxAttempts: 3, AllowCancel: true}, Objective: Objective{Overall: 1},
-	}
-	var events coldEvents
-	now := begin
-	after := func(d time.Duration, run func()) { heap.Push(&events, coldEvent{now + d, run}) }
-	entry := func(i int) Engine {
-		return Engine{ID: strconv.Itoa(i), Zone: "a", Kind: "k", State: EngineLive}
+		Rules: Rules{WarmUpMinCapacity: simMinCapacity, WarmUpPeriod: 15 * time.Second, OverloadMultiple: 2.5,
+			OverloadWindow: s.overloadWindow},
+		Limits:    Limits{MaxAttempts: 3, AllowCancel: true},
+		Objective: Objective{Overall: 1},
 	}
-	type delivery struct {
-		at     time.Duration
-		weight float64
+}
+
+// startGateway starts a gateway, and plans what it will be told of the engines.
+func (s *warmUpSimulation) startGateway(i int) {
+	settings := s.settings
+	settings.Rank = i + 1
+	s.gateways[i], _ = New(settings, s.seed<<10+uint64(i))
+	s.weights[i] = 1 + s.random.ExpFloat64()*(s.skew-1)
+	s.weightSum += s.weights[i]
+	s.list(i, EngineLive, 0)
+	s.after(time.Duration(s.random.Int64N(int64(tickInterval))), func() { s.tick(i) })
+	s.after(simDeparture-s.now+s.listDelay(), func() {
+		if s.random.Float64() < s.restartedPart {
+			s.gateways[i], _ = New(settings, s.seed<<10+uint64(i)+1<<40)
+		}
+		s.list(i, EngineDeparted, 0)
+	})
+	s.after(simReturn-s.now+s.listDelay(), func() { s.list(i, EngineLive, simReturn) })
+}
+
+func (s *warmUpSimulation) listDelay() time.Duration {
+	return time.Duration(s.random.Int64N(int64(simListDelay)))
+}
+
+// list tells a gateway of all engines, with the state and the start of those that warm up.
+func (s *warmUpSimulation) list(i int, state EngineState, started time.Duration) {
+	ev := EngineList{Mode: ListFull}
+	for e := range simWarmEngines + simWarmingEngines {
+		entry := Engine{ID: strconv.Itoa(e), Zone: "a", Kind: "k", State: EngineLive}
+		if e >= simWarmEngines {
+			entry.State = state
+			entry.Started = started
+			entry.StartKnown = started > 0
+		}
+		ev.Engines = append(ev.Engines, entry)
 	}
-	got := make([][]delivery, warm+cold)
-	gateways := make([]*Gateway, p.gateways)
-	var id uint64
-	var handle func(i int, ev Event)
-	out := map[uint64]float64{} // work of the query
-	class := map[uint64]string{}
-	handle = func(i int, ev Event) {
-		g := gateways[i]
-		for _, a := range g.Handle(now, ev, nil) {
-			send, ok := a.(Send)
-			if !ok {
-				continue
-			}
-			var e int
-			_, _ = fmt.Sscan(send.Engine, &e)
-			name := class[send.Query]
-			if now >= back {
-				got[e] = append(got[e], delivery{now, works[name] / mean})
-			}
-			took := time.Duration(out[send.Query] / g.classes[name].Threads * float64(time.Millisecond))
-			if e >= warm && now >= back { // it runs at a part of its speed
-				took = time.Duration(float64(took) / p.start)
-			}
-			work := time.Duration(out[send.Query] * float64(time.Millisecond))
-			after(took, func() {
-				if gateways[i] == g {
-					handle(i, AttemptEnded{Query: send.Query, Result: ResultSuccess, Elapsed: took, Final: true, Work: work})
-				}
-			})
+	s.handle(i, ev)
+}
+
+func (s *warmUpSimulation) tick(i int) {
+	s.handle(i, TimerFired{})
+	s.after(tickInterval, func() { s.tick(i) })
+}
+
+// arrive gives a query to one of the gateways, and draws the time of the next.
+func (s *warmUpSimulation) arrive() {
+	gateway := s.drawGateway()
+	class := s.drawClass()
+	id := uint64(len(s.queries))
+	sigma := math.Sqrt(math.Log(1 + simWorkVariation*simWorkVariation))
+	workMS := class.workMS * math.Exp(sigma*s.random.NormFloat64()-sigma*sigma/2) // lognormal
+	s.queries = append(s.queries, simQuery{class, workMS})
+	for _, c := range s.settings.Classes {
+		if c.Name == class.name {
+			s.handle(gateway, QueryArrived{Query: id, Class: c.Name, DataSet: int64((id + 1) % simDataSets), Deadline: s.now + c.Timeout})
 		}
 	}
-	var tick func(i int)
-	tick = func(i int) {
-		handle(i, TimerFired{})
-		after(tickInterval, func() { tick(i) })
+	perSecond := simTraffic * simCapacityPart * simCores * (simWarmEngines + simWarmingEngines) * 1000 / s.meanWorkMS
+	s.after(time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second)), s.arrive)
+}
+
+func (s *warmUpSimulation) drawGateway() (i int) {
+	at := s.random.Float64() * s.weightSum
+	for at -= s.weights[i]; at > 0 && i < s.gatewayCount-1; at -= s.weights[i] {
+		i++
 	}
-	list := func(i int, state EngineState, started time.Duration) {
-		ev := EngineList{Mode: ListFull}
-		for e := range warm + cold {
-			n := entry(e)
-			if e >= warm {
-				if n.State = state; started > 0 {
-					n.Started, n.StartKnown = started, true
-				}
-			}
-			ev.Engines = append(ev.Engines, n)
+	return i
+}
+
+func (s *warmUpSimulation) drawClass() (class simClass) {
+	at := s.random.Float64() * s.shareSum
+	for _, class = range simClasses() {
+		if at < class.share {
+			break
 		}
-		handle(i, ev)
+		at -= class.share
 	}
-	weights, sum := make([]float64, p.gateways), 0.0
-	for i := range gateways {
-		s := s
-		if p.ranked {
-			s.Rank = i + 1
+	return class
+}
+
+// handle gives an event to a gateway, and plans the end of each attempt.
+func (s *warmUpSimulation) handle(i int, ev Event) {
+	g := s.gateways[i]
+	for _, a := range g.Handle(s.now, ev, nil) {
+		if send, ok := a.(Send); ok {
+			s.send(i, send)
 		}
-		gateways[i], _ = New(s, p.seed<<10+uint64(i))
-		weights[i] = 1 + rng.ExpFloat64()*(p.skew-1)
-		sum += weights[i]
-		list(i, EngineLive, 0)
-		after(time.Duration(rng.Int64N(int64(tickInterval))), func() { tick(i) })
-		after(away-now+time.Duration(rng.Int64N(int64(p.told))), func() {
-			if rng.Float64() < p.fresh {
-				gateways[i], _ = New(s, p.seed<<10+uint64(i)+1<<40)
-				list(i, EngineDeparted, 0)
-				return
-			}
-			list(i, EngineDeparted, 0)
-		})
-		after(back-now+time.Duration(rng.Int64N(int64(p.told))), func() { list(i, EngineLive, back) })
 	}
-	// More than all engines bear, so that whatever may go to a cold one does.
-	rate := 1.1 * part * cores * (warm + cold) * 1000 / mean // a second, of all gateways
-	var arrive func()
-	arrive = func() {
-		at, i := rng.Float64()*sum, 0
-		for at -= weights[i]; at > 0 && i < p.gateways-1; at -= weights[i] {
-			i++
-		}
-		pick, name := rng.Float64()*all, ""
-		for _, c := range s.Classes {
-			if name = c.Name; pick < shares[name] {
-				break
-			}
-			pick -= shares[name]
-		}
-		id++
-		class[id] = name
-		// Lognormal, so that some are far larger than the mean.
-		const cv = 1.2
-		sd := math.Sqrt(math.Log(1 + cv*cv))
-		out[id] = works[name] * math.Exp(sd*rng.NormFloat64()-sd*sd/2)
-		for _, c := range s.Classes {
-			if c.Name == name {
-				handle(i, QueryArrived{Query: id, Class: name, DataSet: int64(id % 20), Deadline: now + c.Timeout})
-			}
-		}
-		after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
+}
+
+func (s *warmUpSimulation) send(i int, send Send) {
+	g := s.gateways[i]
+	q := s.queries[send.Query]
+	engine, err := strconv.Atoi(send.Engine)
+	if err != nil {
+		panic(fmt.Sprintf("send to unknown engine %q", send.Engine))
 	}
-	after(0, arrive)
-	for now < end {
-		e := heap.Pop(&events).(coldEvent)
-		now = e.at
-		e.run()
+	if s.now >= simReturn {
+		s.deliveries[engine] = append(s.deliveries[engine], simDelivery{s.now, q.class.workMS / s.meanWorkMS})
 	}
-	n := s.Rules.OverloadMultiple * p.start * part * cores * milliseconds(p.tipFor) / mean
-	bears := n + 2*math.Sqrt(n) + 2
-	for _, all := range got[warm:] {
+	elapsed := time.Duration(q.workMS / g.classes[q.class.name].Threads * float64(time.Millisecond))
+	if engine >= simWarmEngines && s.now >= simReturn { // it runs at a part of its speed
+		elapsed = time.Duration(float64(elapsed) / simMinCapacity)
+	}
+	work := time.Duration(q.workMS * float64(time.Millisecond))
+	s.after(elapsed, func() {
+		if s.gateways[i] == g {
+			s.handle(i, AttemptEnded{Query: send.Query, Result: ResultSuccess, Elapsed: elapsed, Final: true, Work: work})
+		}
+	})
+}
+
+// worstOverload is the most that an engine that warms up was sent within an overload window, over what it bears:
+// N + 2 sqrt(N) + 2 queries of mean work, N being what the settings allow at its start. It returns too how many
+// queries all these engines were sent.
+func (s *warmUpSimulation) worstOverload() (overload float64, sent int) {
+	allowed := s.settings.Rules.OverloadMultiple * simMinCapacity * simCapacityPart * simCores * milliseconds(s.overloadWindow) / s.meanWorkMS
+	bearable := allowed + 2*math.Sqrt(allowed) + 2
+	for _, all := range s.deliveries[simWarmEngines:] {
 		sent += len(all)
-		for i, from := range all {
+		for i, first := range all {
 			within := 0.0
 			for _, d := range all[i:] {
-				if d.at < from.at+p.tipFor {
+				if d.at < first.at+s.overloadWindow {
 					within += d.weight
 				}
 			}
-			over = max(over, within/bears)
+			overload = max(overload, within/bearable)
 		}
 	}
-	return over, sent
+	return overload, sent
 }
 
-// No cold engine is pushed over by all gateways together, be they two or three hundred, with even traffic or a few
-// times the mean at some, with queries far larger than the mean, also where most have just started and know no cost.
-// Two gateways never have the same turn, since each knows its rank.
+// TestWarmUpBudgetInSimulation checks that all gateways together, two or three hundred, overload no engine that warms
+// up: with even traffic and with a few times the mean at some, with queries far larger than the mean, and where most
+// gateways have just started and know no cost.
 func TestWarmUpBudgetInSimulation(t *testing.T) {
-	for _, n := range []int{2, 3, 6, 12, 30, 100, 300} {
-		for _, fresh := range []float64{0, 0.7} {
+	for _, gateways := range []int{2, 3, 6, 12, 30, 100, 300} {
+		for _, restartedPart := range []float64{0, 0.7} {
 			worst, sent := 0.0, 0
-			for seed := range uint64(4 - min(n/100, 1)*2) {
-				p := coldPlay{seed: seed, gateways: n, fresh: fresh, skew: []float64{1, 4}[seed%2],
-					tipFor: []time.Duration{time.Second, 3 * time.Second}[seed/2%2], start: 0.33, ranked: true, told: 1500 * time.Millisecond}
-				over, some := p.worst()
-				worst, sent = max(worst, over), sent+some
+			for seed := range uint64(4 - min(gateways/100, 1)*2) {
+				s := warmUpSimulation{
+					seed: seed, gatewayCount: gateways, restartedPart: restartedPart, skew: []float64{1, 4}[seed%2],
+					overloadWindow: []time.Duration{time.Second, 3 * time.Second}[seed/2%2],
+				}
+				s.run()
+				overload, count := s.worstOverload()
+				worst = max(worst, overload)
+				sent += count
 			}
 			if worst > 1 || sent == 0 {
-				t.Errorf("%d gateways, %.1f new: %.2f of what a cold engine bears, %d sent", n, fresh, worst, sent)
+				t.Errorf("%d gateways, %.1f of them restarted: worst overload = %.2f after %d queries, want 1 at most after some",
+					gateways, restartedPart, worst, sent)
 			}
 		}
 	}
