--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -63,15 +64,20 @@
 // operations are what operators call at the control endpoint.
 type operations struct{ process *process }
 
-// Ready reports whether this process serves; if not, why.
-func (o operations) Ready() (bool, string) {
+var (
+	errStopping   = errors.New("it is stopping")
+	errNotServing = errors.New("it does not serve yet")
+)
+
+// Ready returns nil if this process serves, or why it does not.
+func (o operations) Ready() error {
 	switch {
 	case o.process.stopping:
-		return false, "it is stopping"
+		return errStopping
 	case !o.process.ready:
-		return false, "it does not serve yet"
+		return errNotServing
 	}
-	return true, ""
+	return nil
 }
 
 // Figures are what operators read.
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -23,7 +23,7 @@
 // asked is the gateway as operators see it.
 type asked struct{ c *core.Core }
 
-func (a asked) Ready() (bool, string)         { return true, "" }
+func (a asked) Ready() error                  { return nil }
 func (a asked) Figures() core.Figures         { return a.c.Figures() }
 func (a asked) DisableEngine(id string) error { return a.c.DisableEngine(id) }
 func (a asked) EnableEngine(id string) error  { return a.c.EnableEngine(id) }
