--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -46,7 +46,7 @@
 }
 
 // FailOrphan takes a request that a process left behind when it died and that may not be sent any
-// more. Its client is told so at once.
+// more. Its client gets that answer at once.
 func (c *Core) FailOrphan(r *Request) {
 	c.register(r)
 	c.answer(r.query, Answer{Verdict: Failed})
@@ -78,7 +78,7 @@
 	c.withdraw(r)
 }
 
-// withdraw has the policy give up what is out of a request that is owed no answer any more.
+// withdraw has the policy give up what is in flight of a request that is owed no answer any more.
 func (c *Core) withdraw(r *Request) {
 	c.notifyPolicy(policy.ClientDisconnected{Query: r.query})
 	for _, a := range r.attempts {
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -20,7 +20,7 @@
 // Answer is a final answer, or a part of a streaming request's.
 type Answer struct {
 	Verdict        Verdict
-	RetryAfter     time.Duration // with Rejected: not before this long from now; 0: not told
+	RetryAfter     time.Duration // with Rejected: not before this long from now; 0: no hint
 	DeadlinePassed bool          // the request's time was over
 	Sent           bool          // it went to an engine at least once
 	InDoubt        bool          // it may have run, and its class is not safe to repeat
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -23,7 +23,7 @@
 	number        int // the policy's, counted from 0
 	ended         bool
 	neverRan      bool          // its outcome proves it
-	written       bool          // its link was about to write it whole
+	written       bool          // its link was about to write it completely
 	sitesNotified bool          // the remote sites have heard of it
 	streaming     bool          // a part of its answer has come, and it goes on
 	notAfter      time.Duration // it may not be written later; 0: no such limit
@@ -126,7 +126,7 @@
 	c.notifyPolicy(policy.AttemptProgress{Query: a.Request.query, Attempt: a.number, Kind: kind, Value: value})
 }
 
-// BeginWrite is asked by links right before they write an attempt whole, and counts it: an attempt
+// BeginWrite is asked by links right before they write an attempt completely, and counts it: an attempt
 // that was not written has never run. It ends as not sent where BeginWrite returns false: its
 // client has disconnected or has its answer, the window of its idempotency key is about to close
 // behind an earlier attempt that may have run, or its engine drains or was disabled while it
--- a/internal/core/end_attempt.go
+++ b/internal/core/end_attempt.go
@@ -9,8 +9,8 @@
 // Report is what came with the end of an attempt.
 type Report struct {
 	Result      Result        // the complete response, for frontends of the same wire protocol
-	Work        time.Duration // that the engine spent; 0: not told
-	MemoryMB    float64       // that the engine used; 0: not told
+	Work        time.Duration // that the engine spent; 0: not reported
+	MemoryMB    float64       // that the engine used; 0: not reported
 	LoadReport  policy.LoadReport
 	EngineError error // for frontends of the same wire protocol; nil: there was none
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -5,7 +5,7 @@
 	"gannetspur/policy"
 )
 
-// endpointList holds the engines as discovery told them, and what operators said of them.
+// endpointList holds the engines as discovery reported them, and what operators said of them.
 type endpointList struct {
 	engines map[string]Engine // that discovery lists and that have not departed
 	admin   *adminstate.Table
@@ -15,7 +15,7 @@
 	return endpointList{engines: map[string]Engine{}, admin: adminstate.New()}
 }
 
-// set keeps an entry as discovery told it.
+// set keeps an entry as discovery reported it.
 func (l *endpointList) set(e Engine) {
 	if e.State == policy.EngineDeparted {
 		delete(l.engines, e.ID)
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -7,10 +7,10 @@
 	"gannetspur/policy"
 )
 
-// Figures are what operators are told, counted since the process began.
+// Figures are what operators read, counted since the process began.
 type Figures struct {
 	Classes         []ClassFigures // in order of name
-	AttemptsWritten int64          // attempts written whole to engines
+	AttemptsWritten int64          // attempts written completely to engines
 	InFlight        int            // requests accepted and not ended
 	EnginesListed   int            // engines that discovery lists
 	EnginesDown     int            // of these, how many are avoided: by operators, or by the policy
@@ -33,7 +33,7 @@
 	Majority    bool // the view holds one
 }
 
-// figures counts what only operators are told.
+// figures counts what only operators read.
 type figures struct {
 	byClass         map[string]*ClassFigures
 	attemptsWritten int64
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -21,7 +21,7 @@
 	calls        []string
 	forward      func(r *Request, rejected bool) bool // of the remote sites; nil: they take nothing
 	sent         []*Attempt
-	disconnected bool // the client has, and nobody has told the core yet
+	disconnected bool // the client has, and the core does not know yet
 }
 
 // newFixture returns a core with so many live engines.
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -28,7 +28,7 @@
 	Continue(a *Attempt)
 }
 
-// Engine is an entry of the endpoint list: what the policy is told, and the address.
+// Engine is an entry of the endpoint list: the policy's part of it, and the address.
 type Engine struct {
 	policy.Engine
 	Addr string // where it listens
--- a/internal/core/overrides.go
+++ b/internal/core/overrides.go
@@ -36,8 +36,8 @@
 // Overrides are what operators said of engines.
 func (c *Core) Overrides() adminstate.Overrides { return c.endpoints.admin.Overrides() }
 
-// MergeOverrides merges in what operators have told another process, and reports whether that was
-// news.
+// MergeOverrides merges in what operators said to another process, and reports whether that changed
+// anything.
 func (c *Core) MergeOverrides(other adminstate.Overrides) bool {
 	changed := c.endpoints.admin.Merge(other)
 	if len(changed) == 0 {
--- a/internal/core/policy_loop.go
+++ b/internal/core/policy_loop.go
@@ -58,7 +58,7 @@
 		c.log.Info("policy", "text", a.Text)
 	case policy.RequestLoadReport:
 		c.requestLoadReport(a.Engine)
-	case policy.Subscribe: // the endpoint list is told unasked
+	case policy.Subscribe: // the core is always subscribed
 		c.counters.Add("policy.ignored")
 	}
 }
@@ -73,8 +73,8 @@
 	reporter.RequestLoadReport(engine)
 }
 
-// EndLoadReport ends a request for a load report: the engine answered, with its load where it told
-// that, or it did not.
+// EndLoadReport ends a request for a load report: the engine answered, with its load where it reported
+// one, or it did not.
 func (c *Core) EndLoadReport(engine string, outcome Outcome, load policy.LoadReport) {
 	c.counters.Add("probes.ended." + outcome.String())
 	c.notifyPolicy(policy.LoadReportReceived{Engine: engine, Result: outcome.PolicyResult(), Load: load})
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -12,7 +12,7 @@
 // Snapshot is what a core knows beside its requests. A live upgrade hands it to the core of the
 // next process, encoded as CBOR by the names of its fields.
 type Snapshot struct {
-	Engines   []Engine // as discovery told them, in order of id
+	Engines   []Engine // as discovery reported them, in order of id
 	Learned   policy.Snapshot
 	Overrides adminstate.Overrides `cbor:"Bans"`
 }
--- a/internal/discovery/consul/entries.go
+++ b/internal/discovery/consul/entries.go
@@ -5,17 +5,13 @@
 	"net"
 	"strconv"
 	"strings"
-	"time"
 
 	"gannetspur/internal/core"
+	"gannetspur/internal/discovery/endpoint"
 	"gannetspur/policy"
 )
 
-const (
-	maxPort = 1<<16 - 1
-	// maxBootMS bounds the boot times that are believed, some 280 years from 1970 on.
-	maxBootMS = 1 << 43
-)
+const maxPort = 1<<16 - 1
 
 // registration is what is read of one element of the catalogue's answer.
 type registration struct {
@@ -42,9 +38,8 @@
 		},
 	}
 	bootMS, err := strconv.ParseInt(r.ServiceMeta["boot_ms"], 10, 64)
-	if err == nil && bootMS > 0 && bootMS < maxBootMS {
-		e.Started = time.Duration(bootMS) * time.Millisecond
-		e.StartKnown = true
+	if err == nil && bootMS > 0 {
+		endpoint.SetBootTime(&e, uint64(bootMS))
 	}
 	return e
 }
--- a/internal/discovery/consul/query.go
+++ b/internal/discovery/consul/query.go
@@ -16,7 +16,7 @@
 
 const (
 	maxAnswer    = 8 << 20          // bytes
-	queryWait    = 30 * time.Second // after which a blocking query returns without news
+	queryWait    = 30 * time.Second // after which a blocking query returns without a change
 	queryGrace   = 5 * time.Second  // that a server may add to it
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 5 * time.Second
@@ -53,7 +53,7 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		var list []T
-		next, err := q.ask(ctx, index, &list)
+		next, err := q.fetch(ctx, index, &list)
 		if ctx.Err() != nil {
 			return
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// ask makes one blocking query and reads the answer into list. next is the index of the answer.
-func (q *query) ask(ctx context.Context, index uint64, list any) (next uint64, err error) {
+// fetch makes one blocking query and reads the answer into list. next is the index of the answer.
+func (q *query) fetch(ctx context.Context, index uint64, list any) (next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryWait+queryGrace)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, q.url(index), nil)
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -10,15 +10,11 @@
 	"strings"
 
 	"gannetspur/internal/core"
+	"gannetspur/internal/discovery/endpoint"
 	"gannetspur/internal/metrics"
 	"gannetspur/policy"
 )
 
-// EndpointUpdater is told of the engines.
-type EndpointUpdater interface {
-	UpdateEndpoints(mode policy.ListMode, engines []core.Engine)
-}
-
 // Options come from the deploy file.
 type Options struct {
 	Address string // host:port of the HTTP API
@@ -35,20 +31,20 @@
 // their context has ended is dropped.
 type Watcher struct {
 	post      func(func()) // to the goroutine that owns the endpoint list
-	endpoints EndpointUpdater
+	endpoints endpoint.Updater
 	counters  *metrics.Counters
 	log       *slog.Logger
 	client    *http.Client
 
 	opts       Options
 	stopWatch  context.CancelFunc            // ends the present watch
-	registered []registration                // nil: not told yet
-	health     map[string]policy.EngineState // by engine id; nil: not told yet
-	published  map[string]core.Engine        // what was told last, by id
+	registered []registration                // nil: not known yet
+	health     map[string]policy.EngineState // by engine id; nil: not known yet
+	published  map[string]core.Engine        // the entries published last, by id
 }
 
 // New returns a watcher whose updates are made by way of post.
-func New(post func(func()), endpoints EndpointUpdater, counters *metrics.Counters, log *slog.Logger) *Watcher {
+func New(post func(func()), endpoints endpoint.Updater, counters *metrics.Counters, log *slog.Logger) *Watcher {
 	return &Watcher{
 		post: post, endpoints: endpoints, counters: counters, log: log,
 		client:    &http.Client{Transport: &http.Transport{Proxy: nil}},
@@ -92,8 +88,8 @@
 	w.publish()
 }
 
-// publish tells what has changed once both lists are here. An engine that is no longer registered
-// has departed; one that the health API has not told of yet is not listed.
+// publish updates what has changed once both lists are here. An engine that is no longer registered
+// has departed; one that the health API does not name yet is not listed.
 func (w *Watcher) publish() {
 	if w.registered == nil || w.health == nil {
 		return
@@ -130,8 +126,8 @@
 			continue
 		}
 		e := r.engine(w.opts)
-		state, told := w.health[e.ID]
-		if !told {
+		state, known := w.health[e.ID]
+		if !known {
 			continue
 		}
 		e.State = state
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -31,14 +31,14 @@
 }
 
 // agent stands in for a Consul agent: it holds a query until its index passes the one that was
-// asked with, and fails as many queries as it is told to.
+// asked with, and fails as many queries as a test says.
 type agent struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	index   uint64
 	failing int
 	engines map[string]string // checks by service id, as "passing", "critical", "maintenance"
-	asked   []string          // path and token of each query
+	queries []string          // path and token of each query
 }
 
 // locked runs f while no query is answered, and has those that are held looked at again.
@@ -63,7 +63,7 @@
 		a.mu.Lock()
 	}
 	defer a.mu.Unlock()
-	a.asked = append(a.asked, r.URL.Path+" "+r.Header.Get("X-Consul-Token"))
+	a.queries = append(a.queries, r.URL.Path+" "+r.Header.Get("X-Consul-Token"))
 	if a.failing > 0 {
 		a.failing--
 		http.Error(w, "no leader", http.StatusInternalServerError)
@@ -87,7 +87,7 @@
 }
 
 // An engine is live, in maintenance, critical and deregistered in turn; queries fail meanwhile, and
-// the index goes back as after a restore. Each change is told once.
+// the index goes back as after a restore. Each change is published once.
 func TestWatchesHealth(t *testing.T) {
 	a := &agent{index: 50, engines: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
 	srv := httptest.NewServer(a)
@@ -126,7 +126,7 @@
 	})
 	a.locked(func() {
 		for _, path := range []string{"/v1/catalog/service/stock tok", "/v1/health/service/stock tok"} {
-			if !strings.Contains(strings.Join(a.asked, "\n"), path) {
+			if !strings.Contains(strings.Join(a.queries, "\n"), path) {
 				t.Errorf("no query for %s", path)
 			}
 		}
--- a/internal/discovery/eventbus/record.go
+++ b/internal/discovery/eventbus/record.go
@@ -4,9 +4,9 @@
 	"encoding/binary"
 	"fmt"
 	"net/netip"
-	"time"
 
 	"gannetspur/internal/core"
+	"gannetspur/internal/discovery/endpoint"
 	"gannetspur/policy"
 )
 
@@ -24,9 +24,6 @@
 	recordLength = 27
 )
 
-// maxBootMS bounds the boot times that are believed, some 280 years from 1970 on.
-const maxBootMS = 1 << 43
-
 // recordStates are the engine states by their number in a record.
 var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted}
 
@@ -62,11 +59,7 @@
 			Cell: int64(binary.BigEndian.Uint16(b[cellOffset:])), State: recordStates[state],
 		},
 	}
-	bootMS := binary.BigEndian.Uint64(b[bootOffset:])
-	if bootMS > 0 && bootMS < maxBootMS {
-		e.Started = time.Duration(bootMS) * time.Millisecond
-		e.StartKnown = true
-	}
+	endpoint.SetBootTime(&e, binary.BigEndian.Uint64(b[bootOffset:]))
 	return e, nil
 }
 
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -8,11 +8,10 @@
 	"log/slog"
 	"time"
 
-	"gannetspur/internal/core"
+	"gannetspur/internal/discovery/endpoint"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
 	"gannetspur/internal/timerqueue"
-	"gannetspur/policy"
 )
 
 const (
@@ -27,11 +26,6 @@
 	errClosed = errors.New("connection closed")
 )
 
-// EndpointUpdater is told of the engines.
-type EndpointUpdater interface {
-	UpdateEndpoints(mode policy.ListMode, engines []core.Engine)
-}
-
 // Options say which bus is watched.
 type Options struct {
 	Address   string
@@ -46,7 +40,7 @@
 	loop      *netio.Loop
 	address   string
 	decoder   recordDecoder
-	endpoints EndpointUpdater
+	endpoints endpoint.Updater
 	counters  *metrics.Counters
 	log       *slog.Logger
 
@@ -62,7 +56,7 @@
 }
 
 // New returns a watcher that goes on after the last event of the options, once it is started.
-func New(loop *netio.Loop, opts Options, endpoints EndpointUpdater, counters *metrics.Counters, log *slog.Logger) *Watcher {
+func New(loop *netio.Loop, opts Options, endpoints endpoint.Updater, counters *metrics.Counters, log *slog.Logger) *Watcher {
 	return &Watcher{
 		loop: loop, address: opts.Address, decoder: recordDecoder{zones: opts.Zones, kinds: opts.Kinds},
 		endpoints: endpoints, counters: counters, log: log,
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -16,7 +16,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// update is one call of an EndpointUpdater.
+// update is one call of an endpoint.Updater.
 type update struct {
 	mode policy.ListMode
 	list []core.Engine
@@ -39,8 +39,8 @@
 }
 
 // The bus dies between two events, in the middle of a frame, and comes back: the
-// watcher resumes from the last number that it has taken. What it is told twice
-// counts once, and garbage ends the connection alone.
+// watcher resumes from the last number that it has taken. What comes twice counts once, and
+// garbage ends the connection alone.
 func TestResumesFromLastEvent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -42,7 +42,7 @@
 }
 
 // Print writes a line for each counter, in order of name. Errors of the writer are dropped:
-// the counts go to the end of a log, after which nothing can be told any more.
+// the counts are the end of a log, after which nothing can be reported any more.
 func (c *Counters) Print(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
 		_, _ = fmt.Fprintf(w, "count %s %d\n", name, c.counts[name])
--- a/internal/metrics/memory.go
+++ b/internal/metrics/memory.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// ResidentBytes is the resident memory of a process as /proc/PID/statm tells it (proc(5)); 0
-// where there is no such process, or its memory can't be told.
+// ResidentBytes is the resident memory of a process as /proc/PID/statm reports it (proc(5)); 0
+// where there is no such process, or its memory is not known.
 func ResidentBytes(pid int) int64 {
 	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
