--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -20,20 +20,20 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// asked is the gateway as operators see it.
-type asked struct{ c *core.Core }
+// controlled is the gateway as operators see it.
+type controlled struct{ core *core.Core }
 
-func (a asked) Ready() error                  { return nil }
-func (a asked) Figures() core.Figures         { return a.c.Figures() }
-func (a asked) DisableEngine(id string) error { return a.c.DisableEngine(id) }
-func (a asked) EnableEngine(id string) error  { return a.c.EnableEngine(id) }
+func (c controlled) Ready() error                  { return nil }
+func (c controlled) Figures() core.Figures         { return c.core.Figures() }
+func (c controlled) DisableEngine(id string) error { return c.core.DisableEngine(id) }
+func (c controlled) EnableEngine(id string) error  { return c.core.EnableEngine(id) }
 
 // endpoint opens the control endpoint of a gateway.
 func (g *gateway) endpoint() string {
 	g.t.Helper()
 	var d *control.Server
 	var err error
-	g.do(func() { d, err = control.Open(g.loop, "127.0.0.1:0", asked{g.core}, g.stats) })
+	g.do(func() { d, err = control.Open(g.loop, "127.0.0.1:0", controlled{g.core}, g.stats) })
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -47,13 +47,13 @@
 	return answer
 }
 
-// Whatever is asked of the control endpoint wrongly gets a plain no, and nothing changes.
-func TestDoorSaysNo(t *testing.T) {
+// A call of the control endpoint that is wrong is answered with its fault, and nothing changes.
+func TestControlRejectsBadCalls(t *testing.T) {
 	engine := listen(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 	g := platform(t, engine)
 	addr := g.endpoint()
 	known := fmt.Sprintf(`{"target":"e%s"}`, engine)
-	for _, ask := range []struct{ method, path, body, want string }{
+	for _, call := range []struct{ method, path, body, want string }{
 		{"GET", "/ready", "", "200"},
 		{"GET", "/", "", "404"},
 		{"GET", "/ready/", "", "404"},
@@ -69,8 +69,8 @@
 		{"POST", "/engines/enable", `{"target":"nobody"}`, "404"},
 		{"POST", "/engines/enable", known, "200"}, // it is in use
 	} {
-		if got := operate(t, addr, ask.method, ask.path, ask.body); !strings.HasPrefix(got, ask.want+" ") {
-			t.Errorf("%s %s %.40s: %s", ask.method, ask.path, ask.body, got)
+		if got := operate(t, addr, call.method, call.path, call.body); !strings.HasPrefix(got, call.want+" ") {
+			t.Errorf("%s %s %.40s: %s", call.method, call.path, call.body, got)
 		}
 	}
 	var overrides int
@@ -80,9 +80,9 @@
 	}
 }
 
-// Callers that say nothing, or stop half way, are closed within the second that others wait,
+// Callers that send nothing, or stop half way, are closed within the second that others wait,
 // and keep nobody out.
-func TestDoorWithSilentCallers(t *testing.T) {
+func TestControlWithSilentCallers(t *testing.T) {
 	g := platform(t)
 	addr := g.endpoint()
 	var silent []net.Conn
@@ -227,22 +227,22 @@
 		t.Errorf("%+v; the engine read %d", f, wants)
 	}
 	if want[200] == 0 || want[503]+want[500] == 0 {
-		t.Errorf("the story is too plain: %v", want)
+		t.Errorf("too few kinds of answers: %v", want)
 	}
 }
 
 // From the yes on a disabled engine gets nothing, whatever discovery says, also not what
-// waited for its connection; two calls out are undone by one back, and then it serves again.
-func TestBanHolds(t *testing.T) {
+// waited for its connection; two calls that disable it are undone by one, and then it serves again.
+func TestDisabledEngineGetsNothing(t *testing.T) {
 	engine, seen := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
-	g := newGateway(t, func(s *policy.Settings) { s.Rules.OverloadWindow = 0 }).platform(engine) // what comes back is fed as cold, by the second
+	g := newGateway(t, func(s *policy.Settings) { s.Rules.OverloadWindow = 0 }).platform(engine) // an engine that is enabled again gets a slow start, by the second
 	addr := g.endpoint()
 	out := fmt.Sprintf(`{"target":"e%s"}`, engine)
-	ask := func() string {
+	request := func() string {
 		answer, _ := httpConnect(t, g.addr).call(post("lookup", ""))
 		return answer
 	}
-	if got := ask(); !strings.HasPrefix(got, "200") {
+	if got := request(); !strings.HasPrefix(got, "200") {
 		t.Fatal(got)
 	}
 	await(t, seen)
@@ -253,8 +253,8 @@
 	}
 	for _, state := range []policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted, policy.EngineLive} {
 		g.roster(state, engine)
-		if got := ask(); !strings.HasPrefix(got, "503") {
-			t.Fatalf("the roster says %d: %s", state, got)
+		if got := request(); !strings.HasPrefix(got, "503") {
+			t.Fatalf("discovery says %d: %s", state, got)
 		}
 	}
 	var f core.Figures
@@ -269,19 +269,19 @@
 	if f.EnginesDown != 0 {
 		t.Errorf("%+v", f)
 	}
-	if got := ask(); !strings.HasPrefix(got, "200") { // it serves again
+	if got := request(); !strings.HasPrefix(got, "200") { // it serves again
 		t.Error(got)
 	}
 	await(t, seen)
 	select {
 	case line := <-seen:
-		t.Fatalf("%s reached the engine while it was out", line)
+		t.Fatalf("%s reached the engine while it was disabled", line)
 	default:
 	}
 }
 
-// What waits for its connection when its engine is taken out is never written there.
-func TestBanWhileConnecting(t *testing.T) {
+// What waits for its connection when its engine is disabled is never written there.
+func TestDisableWhileConnecting(t *testing.T) {
 	g := platform(t)
 	a := &core.Attempt{Request: &core.Request{}, Engine: "e1"}
 	var before, after bool
