--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -59,7 +59,7 @@
 	}
 	ln.HighPriority = true
 	s := &Server{loop: loop, gateway: g, stats: counters, listener: ln, waiting: map[*caller]struct{}{}}
-	loop.Serve(ln, http1.MaxCall, mostCallers, s.accept)
+	loop.Serve(ln, http1.MaxRequestSize, mostCallers, s.accept)
 	return s, nil
 }
 
@@ -113,18 +113,18 @@
 		in.Consume(in.Len())
 		return
 	}
-	call, n, bad := http1.Parse(in.Bytes())
+	call, n, bad := http1.ParseRequest(in.Bytes())
 	if bad == nil && n == 0 {
 		return
 	}
-	a := http1.Answer{Status: 200, Type: "application/json", Close: true}
+	a := http1.Response{Status: 200, ContentType: "application/json", Close: true}
 	if bad == nil {
 		a, bad = k.server.answer(call)
 	}
 	if bad != nil {
 		k.server.stats.Add("control.refused")
-		a.Status, a.Type = bad.Status, "application/json"
-		a.Body, _ = json.Marshal(map[string]string{"error": bad.Text}) // of this type it never fails
+		a.Status, a.ContentType = bad.Status, "application/json"
+		a.Body, _ = json.Marshal(map[string]string{"error": bad.Message}) // of this type it never fails
 	} else {
 		k.server.stats.Add("control.answered")
 	}
@@ -139,24 +139,24 @@
 func (k *caller) Closed(*netio.Conn, error) { k.done() }
 
 // answer carries out one call.
-func (s *Server) answer(c http1.Call) (http1.Answer, *http1.Fault) {
-	yes := http1.Answer{Status: 200, Type: "application/json", Body: []byte("{}")}
+func (s *Server) answer(c http1.Request) (http1.Response, *http1.StatusError) {
+	yes := http1.Response{Status: 200, ContentType: "application/json", Body: []byte("{}")}
 	method := "GET"
 	if c.Path == "/engines/disable" || c.Path == "/engines/enable" {
 		method = "POST"
 	} else if c.Path != "/ready" && c.Path != "/metrics" {
-		return yes, http1.Deny(404, "there are /ready, /metrics, /engines/disable and /engines/enable")
+		return yes, http1.NewStatusError(404, "there are /ready, /metrics, /engines/disable and /engines/enable")
 	}
 	if c.Method != method {
-		return yes, http1.Deny(405, "%s is called by %s", c.Path, method)
+		return yes, http1.NewStatusError(405, "%s is called by %s", c.Path, method)
 	}
 	switch c.Path {
 	case "/ready":
 		if ok, why := s.gateway.Ready(); !ok {
-			return yes, http1.Deny(503, "%s", why)
+			return yes, http1.NewStatusError(503, "%s", why)
 		}
 	case "/metrics":
-		yes.Type, yes.Body = "text/plain", Text(s.gateway.Figures())
+		yes.ContentType, yes.Body = "text/plain", Text(s.gateway.Figures())
 	default:
 		id, bad := target(c.Body)
 		if bad != nil {
@@ -167,29 +167,29 @@
 			change = s.gateway.DisableEngine
 		}
 		if err := change(id); err != nil {
-			return yes, http1.Deny(404, "%s", err.Error())
+			return yes, http1.NewStatusError(404, "%s", err.Error())
 		}
 	}
 	return yes, nil
 }
 
 // target reads the engine's id out of the body of a call: {"target":"ID"}.
-func target(body []byte) (string, *http1.Fault) {
+func target(body []byte) (string, *http1.StatusError) {
 	if len(body) > maxBody {
-		return "", http1.Deny(413, "the body is over %d bytes", maxBody)
+		return "", http1.NewStatusError(413, "the body is over %d bytes", maxBody)
 	}
 	var call struct {
 		Target *string `json:"target"`
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(&call); err != nil {
-		return "", http1.Bad("the body is not {\"target\":\"ID\"}: %v", err)
+		return "", http1.BadRequest("the body is not {\"target\":\"ID\"}: %v", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return "", http1.Bad("something follows the body's object")
+		return "", http1.BadRequest("something follows the body's object")
 	}
 	if call.Target == nil || *call.Target == "" {
-		return "", http1.Bad("target: missing")
+		return "", http1.BadRequest("target: missing")
 	}
 	return *call.Target, nil
 }
--- a/internal/frontend/httpapi/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -32,7 +32,7 @@
 func (f *Front) Name() string { return "rest" }
 
 // ReadLimit bounds what is read of a connection and not consumed, in bytes.
-func (f *Front) ReadLimit() int { return http1.MaxCall }
+func (f *Front) ReadLimit() int { return http1.MaxRequestSize }
 
 // OnAccept names who hears of each connection that is accepted, once its handler is there.
 func (f *Front) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -118,7 +118,7 @@
 // ListenOn accepts from a listener, which another process may have opened.
 func (f *Front) ListenOn(ln *netio.Listener) {
 	f.listener = ln
-	f.loop.Serve(ln, http1.MaxCall, f.opts.MostClients+spareClients, f.accept)
+	f.loop.Serve(ln, http1.MaxRequestSize, f.opts.MostClients+spareClients, f.accept)
 	f.sweepIdle()
 }
 
@@ -275,8 +275,8 @@
 			k.conn.WhenWritten(k.conn.ScheduleData)
 			return
 		}
-		c, n, bad := http1.Parse(in.Bytes())
-		if bad == nil && n > 0 && n < in.Len() && !http1.Begins(in.Bytes()[n:]) {
+		c, n, bad := http1.ParseRequest(in.Bytes())
+		if bad == nil && n > 0 && n < in.Len() && !http1.StartsRequest(in.Bytes()[n:]) {
 			bad = wrongLength()
 		}
 		if bad != nil {
@@ -303,7 +303,7 @@
 	switch {
 	case k.ended:
 		in.Consume(in.Len())
-	case k.request != nil && in.Len() > 0 && !http1.Begins(in.Bytes()):
+	case k.request != nil && in.Len() > 0 && !http1.StartsRequest(in.Bytes()):
 		k.leave()
 		k.refuse(wrongLength())
 	case k.request == nil && k.due == nil && (in.Len() > 0 || !k.good):
@@ -323,7 +323,7 @@
 		if k.conn.Unread() == 0 {
 			k.end()
 		} else {
-			k.refuse(http1.Deny(408, "the call was not whole in time"))
+			k.refuse(http1.NewStatusError(408, "the call was not whole in time"))
 		}
 	})
 }
@@ -355,9 +355,9 @@
 	}
 }
 
-func (k *conn) call(c http1.Call, came time.Duration) {
+func (k *conn) call(c http1.Request, came time.Duration) {
 	class, isClass := strings.CutPrefix(c.Path, "/rpc/")
-	var bad *http1.Fault
+	var bad *http1.StatusError
 	switch {
 	case c.Method == "GET" && c.Path == "/health":
 		k.good = true
@@ -365,7 +365,7 @@
 	case isClass && c.Method == "POST":
 		bad = k.take(class[strings.LastIndexByte(class, '/')+1:], c, came)
 	case isClass:
-		bad = http1.Deny(405, "statements come by POST")
+		bad = http1.NewStatusError(405, "statements come by POST")
 	case strings.HasPrefix(c.Path, "/more/") && c.Method == "GET":
 		k.good = true
 		k.more(c.Path)
@@ -376,7 +376,7 @@
 			k.gone()
 		}
 	default:
-		bad = http1.Deny(404, "no such path")
+		bad = http1.NewStatusError(404, "no such path")
 	}
 	if bad != nil {
 		k.refuse(bad)
@@ -386,44 +386,44 @@
 // gone answers a call for a path that nothing is held under, as after a restart.
 func (k *conn) gone() { k.write(404, 0, encodeFault("nothing is held under this path")) }
 
-func wrongLength() *http1.Fault {
-	return http1.Bad("what follows the call is no other: Content-Length is wrong")
+func wrongLength() *http1.StatusError {
+	return http1.BadRequest("what follows the call is no other: Content-Length is wrong")
 }
 
 // take puts a statement to the core, or tells what is wrong with the call. came is when its last byte
 // did: what a client writes ahead waits here, and its time runs.
-func (k *conn) take(name string, c http1.Call, came time.Duration) *http1.Fault {
+func (k *conn) take(name string, c http1.Request, came time.Duration) *http1.StatusError {
 	f := k.front
 	if k.left != nil && k.left.ReceivedAt > 0 {
 		came = k.left.ReceivedAt
 	}
 	class, ok := f.core.Class(name)
 	if !ok {
-		return http1.Deny(404, "no such class")
+		return http1.NewStatusError(404, "no such class")
 	}
-	id := c.Head["req-id"]
+	id := c.Header["req-id"]
 	if len(id) != 16 || strings.Trim(id, "0123456789abcdefABCDEF") != "" {
-		return http1.Bad("Req-Id: not 16 hex digits")
+		return http1.BadRequest("Req-Id: not 16 hex digits")
 	}
 	if open := f.ids[id]; open != nil { // two under one id could not be told apart at an engine
 		if !open.Disconnected() {
-			return http1.Deny(409, "Req-Id: a request of this id is open")
+			return http1.NewStatusError(409, "Req-Id: a request of this id is open")
 		}
 		open.leave() // its connection broke, as it will hear in its turn, and this is its client with the same again
 	}
-	wait, err := strconv.ParseFloat(c.Head["req-wait-ms"], 64)
+	wait, err := strconv.ParseFloat(c.Header["req-wait-ms"], 64)
 	if err != nil || !(wait > 0) || wait > ms(mostWait) {
-		return http1.Bad("Req-Wait-Ms: not a number of milliseconds up to %.0f", ms(mostWait))
+		return http1.BadRequest("Req-Wait-Ms: not a number of milliseconds up to %.0f", ms(mostWait))
 	}
-	if retry, ok := c.Head["req-retry"]; ok && strings.Trim(retry, "0123456789") != "" {
-		return http1.Bad("Req-Retry: not a number")
+	if retry, ok := c.Header["req-retry"]; ok && strings.Trim(retry, "0123456789") != "" {
+		return http1.BadRequest("Req-Retry: not a number")
 	}
 	if !utf8.Valid(c.Body) || bytes.IndexByte(c.Body, 0) >= 0 {
-		return http1.Bad("the statement is no text in UTF-8")
+		return http1.BadRequest("the statement is no text in UTF-8")
 	}
 	text := string(c.Body)
 	r := &core.Request{
-		ID: id, Class: name, Statement: lineproto.Statement(text), ClientRetry: c.Head["req-retry"] == "1", Client: k,
+		ID: id, Class: name, Statement: lineproto.Statement(text), ClientRetry: c.Header["req-retry"] == "1", Client: k,
 		Deadline: came + config.FromMS(wait),
 	}
 	var cost float64
@@ -432,25 +432,25 @@
 		to   *float64
 		most float64
 	}{{"Req-Cost", &cost, ms(mostWork)}, {"Req-Kb", &r.MemoryMB, mostMB}} {
-		text, ok := c.Head[strings.ToLower(v.name)]
+		text, ok := c.Header[strings.ToLower(v.name)]
 		if !ok {
 			continue
 		}
 		if *v.to, err = strconv.ParseFloat(text, 64); err != nil || !(*v.to > 0) || *v.to > v.most {
-			return http1.Bad("%s: not a number above 0, up to %.0f", v.name, v.most)
+			return http1.BadRequest("%s: not a number above 0, up to %.0f", v.name, v.most)
 		}
 	}
 	r.Work = config.FromMS(cost)
 	if class.Idempotency == policy.IdempotentWithKey {
-		r.IdempotencyKey = c.Head["req-token"]
+		r.IdempotencyKey = c.Header["req-token"]
 		if !isToken(r.IdempotencyKey) { // without its key nothing would drop a repeat
-			return http1.Bad("Req-Token: missing or not of 1 to 64 letters, digits, - and _")
+			return http1.BadRequest("Req-Token: missing or not of 1 to 64 letters, digits, - and _")
 		}
 	}
 	if class.Ordered {
-		r.SerialKey = c.Head["req-key"]
+		r.SerialKey = c.Header["req-key"]
 		if !isToken(r.SerialKey) { // without it nothing would keep its turn
-			return http1.Bad("Req-Key: missing or not of 1 to 64 letters, digits, - and _")
+			return http1.BadRequest("Req-Key: missing or not of 1 to 64 letters, digits, - and _")
 		}
 	}
 	if s := f.opts.Shapes; s != nil {
@@ -565,10 +565,10 @@
 // refuse answers a bad call and ends the connection: what follows a call that can't
 // be read can't be trusted, and who sends bad calls without pause has to connect
 // for each.
-func (k *conn) refuse(bad *http1.Fault) {
+func (k *conn) refuse(bad *http1.StatusError) {
 	k.front.stats.Add("rest.bad-calls")
 	k.close = true
-	k.write(bad.Status, 0, encodeFault(bad.Text))
+	k.write(bad.Status, 0, encodeFault(bad.Message))
 }
 
 // write sends one whole response in one piece.
@@ -577,7 +577,7 @@
 		return
 	}
 	k.close = k.close || (k.front.draining || k.front.parting) && !k.further && !k.ahead
-	k.conn.Write(http1.Answer{Status: status, Type: "application/json", Wait: comeBack, Close: k.close, Body: body}.Append(nil))
+	k.conn.Write(http1.Response{Status: status, ContentType: "application/json", RetryAfter: comeBack, Close: k.close, Body: body}.Append(nil))
 	if k.close {
 		k.end()
 	}
