--- a/cmd/testbed/try_test.go
+++ b/cmd/testbed/try_test.go
@@ -104,10 +104,10 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	start := append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0)
+	start := append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0)
 	b := pgproto.AppendStartup(nil, pgproto.Version, start)
-	b = pgproto.Append(b, 'Q', pgproto.Str("SELECT day FROM stock_17.orders"))
-	b = pgproto.Append(b, 'X')
+	b = pgproto.AppendMessage(b, 'Q', pgproto.CString("SELECT day FROM stock_17.orders"))
+	b = pgproto.AppendMessage(b, 'X')
 	if _, err := c.Write(b); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/postgres/codec.go
+++ b/internal/backend/postgres/codec.go
@@ -62,28 +62,28 @@
 	if s.Query == "" || !utf8.ValidString(s.Query) || strings.IndexByte(s.Query, 0) >= 0 {
 		return nil, fmt.Errorf("%w: a statement that is no text", errCodec)
 	}
-	types := pgproto.Reader{B: s.Types}
+	types := pgproto.Reader{Rest: s.Types}
 	types.Bytes(4 * types.Count())
-	if !types.End() {
+	if !types.Complete() {
 		return nil, fmt.Errorf("%w: the types of parameters", errCodec)
 	}
 	if s.Describe {
 		return &s, nil
 	}
-	bind := pgproto.Reader{B: s.Bind}
+	bind := pgproto.Reader{Rest: s.Bind}
 	bind.Bytes(2 * bind.Count())
 	for range bind.Count() {
 		if n := bind.Int32(); n >= 0 {
 			bind.Bytes(n)
 		} else if n < -1 {
-			bind.Bad = true
+			bind.Invalid = true
 		}
-		if bind.Bad {
+		if bind.Invalid {
 			break
 		}
 	}
 	bind.Bytes(2 * bind.Count())
-	if !bind.End() {
+	if !bind.Complete() {
 		return nil, fmt.Errorf("%w: the values of parameters", errCodec)
 	}
 	return &s, nil
@@ -117,7 +117,7 @@
 	}
 	rest, n := r.Rows, 0
 	for len(rest) > 0 {
-		kind, _, size, err := pgproto.Next(rest, maxMessage)
+		kind, _, size, err := pgproto.ReadMessage(rest, maxMessage)
 		if err != nil || size == 0 || kind != 'D' {
 			return nil, fmt.Errorf("%w: what are no whole rows", errCodec)
 		}
--- a/internal/backend/postgres/codec_test.go
+++ b/internal/backend/postgres/codec_test.go
@@ -27,7 +27,7 @@
 			t.Error(err, diff)
 		}
 	}
-	row := pgproto.Append(nil, 'D', []byte{0, 0})
+	row := pgproto.AppendMessage(nil, 'D', []byte{0, 0})
 	result := &pgproto.Result{Fields: []byte{0, 0}, Rows: append(row, row...), Count: 2, Tag: "SELECT 2"}
 	enc, err := c.Result(result)
 	if err != nil {
@@ -70,7 +70,7 @@
 	for name, r := range map[string]*pgproto.Result{
 		"more rows than said":   {Rows: append(row, row...), Count: 1},
 		"rows cut short":        {Rows: row[:len(row)-1], Count: 1},
-		"another message":       {Rows: pgproto.Append(nil, 'E', []byte{0}), Count: 1},
+		"another message":       {Rows: pgproto.AppendMessage(nil, 'E', []byte{0}), Count: 1},
 		"a tag that goes on":    {Tag: "SELECT 1\x00Z"},
 		"more than may be held": {Rows: make([]byte, MaxResult+1)},
 	} {
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -134,7 +134,7 @@
 		l.conn = c
 		if ls.opts.TLS != nil {
 			l.asking = true
-			c.Write(pgproto.AppendStartup(nil, pgproto.SSLReq, nil))
+			c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
 		} else {
 			l.greet()
 		}
@@ -165,13 +165,13 @@
 		b = append(l.settle(s.Settings), b...)
 	}
 	if s.Describe {
-		b = pgproto.Append(b, 'D', []byte("S"), name)
+		b = pgproto.AppendMessage(b, 'D', []byte("S"), name)
 	} else {
-		b = pgproto.Append(b, 'B', []byte{0}, name, s.Bind)
-		b = pgproto.Append(b, 'D', []byte("P\x00"))
-		b = pgproto.Append(b, 'E', []byte("\x00"), pgproto.Int32(0))
+		b = pgproto.AppendMessage(b, 'B', []byte{0}, name, s.Bind)
+		b = pgproto.AppendMessage(b, 'D', []byte("P\x00"))
+		b = pgproto.AppendMessage(b, 'E', []byte("\x00"), pgproto.Int32(0))
 	}
-	if l.conn.Write(pgproto.Append(b, 'S')) || l.goes {
+	if l.conn.Write(pgproto.AppendMessage(b, 'S')) || l.goes {
 		return
 	}
 	l.written, l.retired = false, true // the connection has ended: it has never run
@@ -186,9 +186,9 @@
 // ahead adds the messages of what runs ahead of a statement. No Sync follows: what is behind them runs
 // only if they do.
 func ahead(b []byte, text string) []byte {
-	b = pgproto.Append(b, 'P', []byte{0}, pgproto.Str(text), []byte{0, 0})
-	b = pgproto.Append(b, 'B', []byte{0, 0}, make([]byte, 6))
-	return pgproto.Append(b, 'E', []byte{0}, pgproto.Int32(0))
+	b = pgproto.AppendMessage(b, 'P', []byte{0}, pgproto.CString(text), []byte{0, 0})
+	b = pgproto.AppendMessage(b, 'B', []byte{0, 0}, make([]byte, 6))
+	return pgproto.AppendMessage(b, 'E', []byte{0}, pgproto.Int32(0))
 }
 
 // settle is the messages that give the session the settings that a statement runs under, and take
@@ -234,7 +234,7 @@
 	clear(l.named)
 	clear(l.applied)
 	l.clean = true
-	l.conn.Write(pgproto.Append(nil, 'Q', pgproto.Str("DISCARD ALL")))
+	l.conn.Write(pgproto.AppendMessage(nil, 'Q', pgproto.CString("DISCARD ALL")))
 	l.all.loop.Timers.Add(l.all.core.Now()+l.all.opts.ConnectTimeout, func() {
 		if l.clean {
 			l.close(core.OutcomeIdleClosed)
@@ -248,19 +248,19 @@
 func (l *link) prepare(s *pgproto.Statement) (name, out []byte) {
 	if l.attempt.Request.Streaming {
 		l.using, l.parsing = "", ""
-		return []byte{0}, pgproto.Append(nil, 'P', []byte{0}, pgproto.Str(s.Query), s.Types)
+		return []byte{0}, pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString(s.Query), s.Types)
 	}
 	key := s.Query + "\x00" + string(s.Types)
 	l.using, l.parsing = key, ""
 	if known, ok := l.named[key]; ok {
-		return pgproto.Str(known), nil
+		return pgproto.CString(known), nil
 	}
 	if len(l.named) < maxNamed && len(key) <= maxKept {
 		l.last++
 		l.parsing = "s" + strconv.Itoa(l.last)
 	}
-	name = pgproto.Str(l.parsing)
-	return name, pgproto.Append(nil, 'P', name, pgproto.Str(s.Query), s.Types)
+	name = pgproto.CString(l.parsing)
+	return name, pgproto.AppendMessage(nil, 'P', name, pgproto.CString(s.Query), s.Types)
 }
 
 // stale tells that an error concerns a name from an earlier attempt: the engine has
@@ -314,7 +314,7 @@
 	key := l.key
 	ls.loop.Dial(l.engine.Addr, min(ls.opts.ConnectTimeout, cancelTime), maxBuffer, silent{}, func(c *netio.Conn, err error) {
 		if err == nil {
-			c.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, key))
+			c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, key))
 			c.Close()
 		}
 	})
@@ -355,7 +355,7 @@
 		return
 	}
 	for l.end == core.OutcomeUnknown {
-		kind, body, n, err := pgproto.Next(in.Bytes(), maxMessage)
+		kind, body, n, err := pgproto.ReadMessage(in.Bytes(), maxMessage)
 		if err == nil && n > 0 {
 			err = l.message(kind, body, in.Bytes()[:n])
 			in.Consume(n)
@@ -469,10 +469,10 @@
 			l.bound = false
 			return nil
 		}
-		tag := pgproto.Reader{B: body}
-		r.Tag, l.whole = tag.Str(), true
-		if !tag.End() {
-			return fmt.Errorf("%w: CommandComplete", pgproto.Malformed)
+		tag := pgproto.Reader{Rest: body}
+		r.Tag, l.whole = tag.CString(), true
+		if !tag.Complete() {
+			return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
 		}
 	case 'I':
 		r.Empty, l.whole = true, true
--- a/internal/backend/postgres/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -17,7 +17,7 @@
 	opts := l.all.opts
 	var body []byte
 	for _, s := range []string{"user", opts.User, "database", opts.Database, "application_name", "ringwood"} {
-		body = append(body, pgproto.Str(s)...)
+		body = append(body, pgproto.CString(s)...)
 	}
 	l.conn.Write(pgproto.AppendStartup(nil, pgproto.Version, append(body, 0)))
 }
@@ -50,29 +50,29 @@
 // authenticate takes one step of the engine's authentication: none, or SCRAM (RFC 5802), by which
 // both sides prove that they know the password.
 func (l *link) authenticate(body []byte) error {
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Rest: body}
 	switch code := r.Int32(); {
-	case r.Bad:
-		return pgproto.Malformed
+	case r.Invalid:
+		return pgproto.ErrMalformed
 	case code == pgproto.AuthOK && l.proving != nil && !l.proving.Valid():
 		return errors.New("it has not proved that it knows the password")
 	case code == pgproto.AuthOK:
 		return nil
-	case code == pgproto.AuthSASL && l.all.prover != nil && l.proving == nil && strings.Contains("\x00"+string(r.B), "\x00"+scramauth.Mechanism+"\x00"):
+	case code == pgproto.AuthSASL && l.all.prover != nil && l.proving == nil && strings.Contains("\x00"+string(r.Rest), "\x00"+scramauth.Mechanism+"\x00"):
 		l.proving = l.all.prover.NewConversation()
 		first, err := l.proving.Step("")
 		if err != nil {
 			return fmt.Errorf("scram: %w", err)
 		}
-		l.conn.Write(pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(first)))
+		l.conn.Write(pgproto.AppendMessage(nil, 'p', pgproto.CString(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(first)))
 	case code == pgproto.AuthSASLContinue && l.proving != nil:
-		final, err := l.proving.Step(string(r.B))
+		final, err := l.proving.Step(string(r.Rest))
 		if err != nil {
 			return fmt.Errorf("scram: %w", err)
 		}
-		l.conn.Write(pgproto.Append(nil, 'p', []byte(final)))
+		l.conn.Write(pgproto.AppendMessage(nil, 'p', []byte(final)))
 	case code == pgproto.AuthSASLFinal && l.proving != nil:
-		if _, err := l.proving.Step(string(r.B)); err != nil {
+		if _, err := l.proving.Step(string(r.Rest)); err != nil {
 			return fmt.Errorf("scram: %w", err)
 		}
 	default:
--- a/internal/frontend/postgres/bind_test.go
+++ b/internal/frontend/postgres/bind_test.go
@@ -14,7 +14,7 @@
 	f.Add([]byte{255, 255})
 	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		binds, ok := bound(&pgproto.Reader{B: b})
+		binds, ok := bound(&pgproto.Reader{Rest: b})
 		if !ok {
 			return
 		}
@@ -25,7 +25,7 @@
 		if size > len(b) {
 			t.Fatalf("%d bytes of values in %d", size, len(b))
 		}
-		out, err := pgproto.Formats(fields, b)
+		out, err := pgproto.WithResultFormats(fields, b)
 		if err != nil || len(out) != len(fields) || binary.BigEndian.Uint16(out[20:]) > 1 {
 			t.Fatalf("formats %v, %v", out, err)
 		}
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -17,10 +17,10 @@
 func malformed(what string) *pgproto.Error { return fail("08P01", "malformed %s message", what) }
 
 func (k *conn) parse(body []byte) *pgproto.Error {
-	r := pgproto.Reader{B: body}
-	name, query := r.Str(), r.Str()
-	types := bytes.Clone(r.B) // the statement keeps them
-	if r.Bytes(4 * r.Count()); !r.End() {
+	r := pgproto.Reader{Rest: body}
+	name, query := r.CString(), r.CString()
+	types := bytes.Clone(r.Rest) // the statement keeps them
+	if r.Bytes(4 * r.Count()); !r.Complete() {
 		return malformed("Parse")
 	}
 	if name != "" && k.statements[name] != nil {
@@ -34,7 +34,7 @@
 		return e
 	}
 	k.statements[name] = s
-	k.out = pgproto.Append(k.out, '1')
+	k.out = pgproto.AppendMessage(k.out, '1')
 	return nil
 }
 
@@ -68,10 +68,10 @@
 }
 
 func (k *conn) bind(body []byte) *pgproto.Error {
-	r := pgproto.Reader{B: body}
-	name, from := r.Str(), r.Str()
-	r.B = bytes.Clone(r.B) // the portal keeps it, and the values lie within
-	tail := r.B
+	r := pgproto.Reader{Rest: body}
+	name, from := r.CString(), r.CString()
+	r.Rest = bytes.Clone(r.Rest) // the portal keeps it, and the values lie within
+	tail := r.Rest
 	binds, ok := bound(&r)
 	if !ok {
 		return malformed("Bind")
@@ -87,7 +87,7 @@
 		return fail("54000", "more than %d portals", maxNamed)
 	}
 	if s.known != nil && len(s.known.Params) >= 2 {
-		p := pgproto.Reader{B: s.known.Params}
+		p := pgproto.Reader{Rest: s.known.Params}
 		if want := p.Count(); want != len(values) {
 			return fail("08P01", "bind message supplies %d parameters, but the prepared statement requires %d", len(values), want)
 		}
@@ -106,21 +106,21 @@
 		k.front.held -= len(old.rest)
 	}
 	k.portals[name] = p
-	k.out = pgproto.Append(k.out, '2')
+	k.out = pgproto.AppendMessage(k.out, '2')
 	return nil
 }
 
 // bound reads a Bind past its names: formats, values and result formats.
 func bound(r *pgproto.Reader) (b sqltext.Binds, ok bool) {
 	formats := r.Count()
-	b.Formats = r.B[:min(2*formats, len(r.B))]
+	b.Formats = r.Rest[:min(2*formats, len(r.Rest))]
 	for range formats {
 		if f := r.Int16(); f != 0 && f != 1 {
 			return b, false
 		}
 	}
 	n := r.Count()
-	if formats > 1 && formats != n || r.Bad {
+	if formats > 1 && formats != n || r.Invalid {
 		return b, false
 	}
 	for range n {
@@ -130,7 +130,7 @@
 		} else if size != -1 {
 			return b, false
 		}
-		if r.Bad {
+		if r.Invalid {
 			return b, false
 		}
 		b.Values = append(b.Values, v)
@@ -140,14 +140,14 @@
 			return b, false
 		}
 	}
-	return b, r.End()
+	return b, r.Complete()
 }
 
 // target reads the message that names a statement or a portal.
 func (k *conn) target(body []byte, what string) (kind byte, name string, e *pgproto.Error) {
-	r := pgproto.Reader{B: body}
-	kind, name = r.Byte(), r.Str()
-	if !r.End() || kind != 'S' && kind != 'P' {
+	r := pgproto.Reader{Rest: body}
+	kind, name = r.Byte(), r.CString()
+	if !r.Complete() || kind != 'S' && kind != 'P' {
 		return 0, "", malformed(what)
 	}
 	return kind, name, nil
@@ -175,20 +175,20 @@
 
 func (k *conn) describeStatement(s *statement) {
 	if s.known == nil { // an empty one, or one that the gateway carries out
-		k.out = pgproto.Append(k.out, 't', s.types)
-		k.out = pgproto.Append(k.out, 'n')
+		k.out = pgproto.AppendMessage(k.out, 't', s.types)
+		k.out = pgproto.AppendMessage(k.out, 'n')
 		return
 	}
-	k.out = pgproto.Append(k.out, 't', s.known.Params)
+	k.out = pgproto.AppendMessage(k.out, 't', s.known.Params)
 	k.rowDescription(s.known.Fields)
 }
 
 func (k *conn) rowDescription(fields []byte) {
 	if fields == nil {
-		k.out = pgproto.Append(k.out, 'n')
+		k.out = pgproto.AppendMessage(k.out, 'n')
 		return
 	}
-	k.out = pgproto.Append(k.out, 'T', fields)
+	k.out = pgproto.AppendMessage(k.out, 'T', fields)
 }
 
 // known has an engine describe a statement, unless one has, and goes on then.
@@ -209,8 +209,8 @@
 func (k *conn) described(kind byte, body []byte) (again bool) {
 	k.describe = false
 	p := k.portals[k.describing]
-	r := pgproto.Reader{B: body}
-	if kind == 'E' && r.Str() == k.describing && p.result == nil && !p.statement.empty {
+	r := pgproto.Reader{Rest: body}
+	if kind == 'E' && r.CString() == k.describing && p.result == nil && !p.statement.empty {
 		k.describe = true // execute sees to it
 		return false
 	}
@@ -222,7 +222,7 @@
 		case s.known == nil || s.known.Fields == nil:
 			k.rowDescription(nil)
 		default:
-			fields, err := pgproto.Formats(s.known.Fields, p.bind)
+			fields, err := pgproto.WithResultFormats(s.known.Fields, p.bind)
 			if err != nil {
 				k.failed(malformed("RowDescription"))
 				return
@@ -237,9 +237,9 @@
 func (k *conn) execute(body []byte) *pgproto.Error {
 	describe := k.describe
 	k.describe = false
-	r := pgproto.Reader{B: body}
-	name, most := r.Str(), r.Int32()
-	if !r.End() {
+	r := pgproto.Reader{Rest: body}
+	name, most := r.CString(), r.Int32()
+	if !r.Complete() {
 		return malformed("Execute")
 	}
 	p := k.portals[name]
@@ -247,12 +247,12 @@
 	case p == nil:
 		return fail("34000", "portal %q does not exist", name)
 	case p.statement.empty:
-		k.out = pgproto.Append(k.out, 'I')
+		k.out = pgproto.AppendMessage(k.out, 'I')
 	case p.statement.control != "":
 		if describe {
 			k.rowDescription(nil)
 		}
-		return k.control(p.statement, func(tag string) { k.out = pgproto.Append(k.out, 'C', pgproto.Str(tag)) })
+		return k.control(p.statement, func(tag string) { k.out = pgproto.AppendMessage(k.out, 'C', pgproto.CString(tag)) })
 	case p.result != nil:
 		k.front.held -= len(p.rest)
 		e := k.rows(p, most)
@@ -285,7 +285,7 @@
 	}
 	n, size := 0, 0
 	for size < len(p.rest) && (most <= 0 || n < most) {
-		_, _, one, _ := pgproto.Next(p.rest[size:], len(p.rest))
+		_, _, one, _ := pgproto.ReadMessage(p.rest[size:], len(p.rest))
 		size += one
 		n++
 	}
@@ -293,16 +293,16 @@
 	p.rest, p.given = p.rest[size:], p.given+n
 	switch {
 	case most > 0 && n == most:
-		k.out = pgproto.Append(k.out, 's')
+		k.out = pgproto.AppendMessage(k.out, 's')
 	case res.Empty:
-		k.out = pgproto.Append(k.out, 'I')
+		k.out = pgproto.AppendMessage(k.out, 'I')
 		p.over = true
 	default:
 		tag := res.Tag
 		if verb, _, ok := strings.Cut(tag, " "); ok && n != res.Count {
 			tag = verb + " " + strconv.Itoa(n)
 		}
-		k.out = pgproto.Append(k.out, 'C', pgproto.Str(tag))
+		k.out = pgproto.AppendMessage(k.out, 'C', pgproto.CString(tag))
 		p.over = true
 	}
 	return nil
@@ -331,7 +331,7 @@
 		k.front.held -= len(p.rest)
 		delete(k.portals, name)
 	}
-	k.out = pgproto.Append(k.out, '3')
+	k.out = pgproto.AppendMessage(k.out, '3')
 	return nil
 }
 
@@ -342,9 +342,9 @@
 // query answers a Query.
 func (k *conn) query(body []byte) *pgproto.Error {
 	k.simple = true
-	r := pgproto.Reader{B: body}
-	query := r.Str()
-	if !r.End() {
+	r := pgproto.Reader{Rest: body}
+	query := r.CString()
+	if !r.Complete() {
 		return malformed("Query")
 	}
 	if done, e := k.setting(query); done || e != nil {
@@ -360,14 +360,14 @@
 		return e
 	}
 	if s.empty {
-		k.out = pgproto.Append(k.out, 'I')
+		k.out = pgproto.AppendMessage(k.out, 'I')
 		k.simple = false
 		k.ready()
 		return nil
 	}
 	if s.control != "" {
 		return k.control(s, func(tag string) {
-			k.out = pgproto.Append(k.out, 'C', pgproto.Str(tag))
+			k.out = pgproto.AppendMessage(k.out, 'C', pgproto.CString(tag))
 			k.simple = false
 			k.ready()
 		})
@@ -404,7 +404,7 @@
 	if e := k.setTimeout(strings.Join(words[3:], " ")); e != nil {
 		return false, e
 	}
-	k.out = pgproto.Append(k.out, 'C', pgproto.Str("SET"))
+	k.out = pgproto.AppendMessage(k.out, 'C', pgproto.CString("SET"))
 	k.simple = false
 	k.ready()
 	return true, nil
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -294,7 +294,7 @@
 	}
 	e.Severity = "FATAL"
 	k.ending = true
-	k.out = pgproto.Append(k.out, 'E', e.Body())
+	k.out = pgproto.AppendMessage(k.out, 'E', e.Body())
 	k.flush()
 	k.ended = true
 	k.conn.Close()
@@ -310,13 +310,13 @@
 		k.encrypt(true)
 		return false, nil
 	}
-	code, body, n, err := pgproto.Startup(in.Bytes())
+	code, body, n, err := pgproto.ReadStartup(in.Bytes())
 	if err != nil || n == 0 {
 		return false, err
 	}
 	in.Consume(n)
 	switch {
-	case code == pgproto.SSLReq && k.front.opts.TLS != nil && !k.conn.UsesTLS():
+	case code == pgproto.SSLRequest && k.front.opts.TLS != nil && !k.conn.UsesTLS():
 		if in.Len() > 0 { // what came before the handshake could be another's than what comes in it (CVE-2021-23222)
 			return false, fail("08P01", "received unencrypted data after SSL request")
 		}
@@ -324,9 +324,9 @@
 		k.flush()
 		k.encrypt(false)
 		return false, nil
-	case code == pgproto.SSLReq || code == pgproto.GSSReq:
+	case code == pgproto.SSLRequest || code == pgproto.GSSENCRequest:
 		k.out = append(k.out, 'N')
-	case code == pgproto.CancelReq:
+	case code == pgproto.CancelRequest:
 		k.front.cancel(body)
 		k.ended = true
 		k.conn.Close()
@@ -339,18 +339,18 @@
 }
 
 func (k *conn) begin(code uint32, body []byte) error {
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Rest: body}
 	var unknown [][]byte
 	user := ""
 	for {
-		name := r.Str()
+		name := r.CString()
 		if name == "" {
 			break
 		}
-		value := r.Str()
+		value := r.CString()
 		switch {
 		case strings.HasPrefix(name, "_pq_."):
-			unknown = append(unknown, pgproto.Str(name))
+			unknown = append(unknown, pgproto.CString(name))
 		case name == "user":
 			user = value
 		case name == "statement_timeout":
@@ -363,8 +363,8 @@
 			}
 		}
 	}
-	if !r.End() {
-		return fmt.Errorf("%w: the startup packet", pgproto.Malformed)
+	if !r.Complete() {
+		return fmt.Errorf("%w: the startup packet", pgproto.ErrMalformed)
 	}
 	if user == "" {
 		k.fatal(fail("28000", "no user name in the startup packet"))
@@ -381,7 +381,7 @@
 	k.user = user
 	if code > pgproto.Version || len(unknown) > 0 {
 		parts := append([][]byte{pgproto.Int32(0), pgproto.Int32(len(unknown))}, unknown...)
-		k.out = pgproto.Append(k.out, 'v', parts...)
+		k.out = pgproto.AppendMessage(k.out, 'v', parts...)
 	}
 	if k.front.opts.Users != nil {
 		return k.askPassword()
@@ -393,15 +393,15 @@
 // welcome ends a startup well.
 func (k *conn) welcome() {
 	k.started = true
-	k.out = pgproto.Append(k.out, 'R', pgproto.Int32(0))
+	k.out = pgproto.AppendMessage(k.out, 'R', pgproto.Int32(0))
 	for _, p := range [][2]string{
 		{"server_version", "16.0 (ringwood)"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"DateStyle", "ISO, MDY"}, {"TimeZone", "UTC"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"},
 	} {
-		k.out = pgproto.Append(k.out, 'S', pgproto.Str(p[0]), pgproto.Str(p[1]))
+		k.out = pgproto.AppendMessage(k.out, 'S', pgproto.CString(p[0]), pgproto.CString(p[1]))
 	}
 	_, _ = rand.Read(k.secret[:]) // it never fails
-	k.out = pgproto.Append(k.out, 'K', binary.BigEndian.AppendUint32(nil, k.process), k.secret[:])
+	k.out = pgproto.AppendMessage(k.out, 'K', binary.BigEndian.AppendUint32(nil, k.process), k.secret[:])
 	k.ready()
 }
 
@@ -509,7 +509,7 @@
 }
 
 func (k *conn) ready() {
-	k.out = pgproto.Append(k.out, 'Z', []byte{k.status()})
+	k.out = pgproto.AppendMessage(k.out, 'Z', []byte{k.status()})
 	if k.tx == nil && (k.front.draining || k.leaving) {
 		k.fatal(stopping())
 	}
@@ -519,7 +519,7 @@
 // skipped to the next Sync, or, after a Query, nothing is.
 func (k *conn) failed(e *pgproto.Error) {
 	k.front.stats.Add("pgwire.errors." + e.Code)
-	k.out = pgproto.Append(k.out, 'E', e.Body())
+	k.out = pgproto.AppendMessage(k.out, 'E', e.Body())
 	switch {
 	case k.tx == nil:
 	case k.tx.implicit: // nothing of its message stays
@@ -547,7 +547,7 @@
 	if len(b) > 0 && !slices.Contains(kinds, b[0]) {
 		return false, errKind
 	}
-	kind, body, n, err := pgproto.Next(b, maxMessage)
+	kind, body, n, err := pgproto.ReadMessage(b, maxMessage)
 	if err != nil || n == 0 {
 		return false, err
 	}
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	k.login = l
-	k.out = pgproto.Append(k.out, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.Str(scramauth.Mechanism), []byte{0})
+	k.out = pgproto.AppendMessage(k.out, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.CString(scramauth.Mechanism), []byte{0})
 	return nil
 }
 
@@ -44,17 +44,17 @@
 	if b := in.Bytes(); len(b) > 0 && b[0] != 'p' {
 		return false, errKind
 	}
-	_, body, n, err := pgproto.Next(in.Bytes(), maxLogin)
+	_, body, n, err := pgproto.ReadMessage(in.Bytes(), maxLogin)
 	if err != nil || n == 0 {
 		return false, err
 	}
 	in.Consume(n)
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Rest: body}
 	if !k.proving {
 		k.proving = true
-		mechanism := r.Str()
+		mechanism := r.CString()
 		body = r.Bytes(r.Int32())
-		if !r.End() || mechanism != scramauth.Mechanism {
+		if !r.Complete() || mechanism != scramauth.Mechanism {
 			return true, k.denied(scramauth.ErrMalformedMessage)
 		}
 	}
@@ -63,10 +63,10 @@
 		return true, k.denied(err)
 	}
 	if !done {
-		k.out = pgproto.Append(k.out, 'R', pgproto.Int32(pgproto.AuthSASLContinue), []byte(answer))
+		k.out = pgproto.AppendMessage(k.out, 'R', pgproto.Int32(pgproto.AuthSASLContinue), []byte(answer))
 		return true, nil
 	}
-	k.out = pgproto.Append(k.out, 'R', pgproto.Int32(pgproto.AuthSASLFinal), []byte(answer))
+	k.out = pgproto.AppendMessage(k.out, 'R', pgproto.Int32(pgproto.AuthSASLFinal), []byte(answer))
 	k.login = nil
 	if u := k.front.opts.Users.Get(k.user); u == nil || u.MaxClients > 0 && k.front.connected(k.user) >= u.MaxClients {
 		k.fatal(fail("53300", "too many connections for role %q", k.user))
--- a/internal/frontend/postgres/move.go
+++ b/internal/frontend/postgres/move.go
@@ -157,7 +157,7 @@
 		}
 		for _, p := range s.Portals {
 			st := all[p.Statement]
-			r := pgproto.Reader{B: slices.Clone(p.Bind)}
+			r := pgproto.Reader{Rest: slices.Clone(p.Bind)}
 			binds, ok := bound(&r)
 			if st == nil || !ok {
 				f.stats.Add("pgwire.portals-dropped")
--- a/internal/frontend/postgres/several.go
+++ b/internal/frontend/postgres/several.go
@@ -64,7 +64,7 @@
 	s := left[0]
 	if s.control != "" {
 		e := k.control(s, func(tag string) {
-			k.out = pgproto.Append(k.out, 'C', pgproto.Str(tag))
+			k.out = pgproto.AppendMessage(k.out, 'C', pgproto.CString(tag))
 			k.step(left[1:])
 		})
 		if e != nil {
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -173,7 +173,7 @@
 func (k *conn) notice(code, text string) {
 	e := fail(code, "%s", text)
 	e.Severity = "WARNING"
-	k.out = pgproto.Append(k.out, 'N', e.Body())
+	k.out = pgproto.AppendMessage(k.out, 'N', e.Body())
 }
 
 // open begins a transaction, of which no engine hears before its first statement.
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -381,7 +381,7 @@
 	s.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(60 * time.Second))
 	k := &raw{s.t, c, bufio.NewReader(c)}
-	k.send(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("t")...), 0)))
+	k.send(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("t")...), 0)))
 	return k
 }
 
@@ -429,14 +429,14 @@
 	// where that comes to both engines refuses for some seconds, which is no matter of upgrades.
 	s := newSite(t, `"most-tries": 3`, `"most-tries": 1`)
 	text := func(mark string) []byte {
-		return pgproto.Append(nil, 'Q', pgproto.Str("SELECT part FROM stock_3.parts WHERE tag = '"+mark+"'"))
+		return pgproto.AppendMessage(nil, 'Q', pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = '"+mark+"'"))
 	}
 	cancelled, slow, portal, half, lazy := s.raw(), s.raw(), s.raw(), s.raw(), s.raw()
 	// A client that asks for much and reads nothing for a while.
 	lazy.until('Z')
 	const many = 8
 	for range many {
-		lazy.send(pgproto.Append(nil, 'Q', pgproto.Str("SELECT '"+strings.Repeat("x", 900_000)+"'")))
+		lazy.send(pgproto.AppendMessage(nil, 'Q', pgproto.CString("SELECT '"+strings.Repeat("x", 900_000)+"'")))
 	}
 	_, key := cancelled.until('Z')
 	s.hold("q-1-1")
@@ -444,13 +444,13 @@
 	s.runs("q-1-1", 1)
 	slow.until('Z')
 	release := s.hold("q-1-2")
-	slow.send(pgproto.Append(nil, 'P', pgproto.Str("s"), pgproto.Str("SELECT part FROM stock_3.parts WHERE tag = $1"), []byte{0, 0}), pgproto.Append(nil, 'S'))
+	slow.send(pgproto.AppendMessage(nil, 'P', pgproto.CString("s"), pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = $1"), []byte{0, 0}), pgproto.AppendMessage(nil, 'S'))
 	slow.until('Z')
 	slow.send(text("q-1-2"))
 	s.runs("q-1-2", 1)
 	portal.until('Z')
-	portal.send(pgproto.Append(nil, 'P', []byte{0}, pgproto.Str("SELECT part FROM stock_3.parts WHERE tag = 'q-1-4'"), []byte{0, 0}),
-		pgproto.Append(nil, 'B', pgproto.Str("p"), []byte{0}, make([]byte, 6)), pgproto.Append(nil, 'E', pgproto.Str("p"), pgproto.Int32(1)), pgproto.Append(nil, 'H'))
+	portal.send(pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = 'q-1-4'"), []byte{0, 0}),
+		pgproto.AppendMessage(nil, 'B', pgproto.CString("p"), []byte{0}, make([]byte, 6)), pgproto.AppendMessage(nil, 'E', pgproto.CString("p"), pgproto.Int32(1)), pgproto.AppendMessage(nil, 'H'))
 	portal.until('s')
 	half.until('Z')
 	message := text("q-1-5")
@@ -461,7 +461,7 @@
 	if got, _ := half.until('Z'); got != "TDDCZ" {
 		t.Errorf("a message sent in two halves: %s", got)
 	}
-	portal.send(pgproto.Append(nil, 'E', pgproto.Str("p"), pgproto.Int32(0)), pgproto.Append(nil, 'S'))
+	portal.send(pgproto.AppendMessage(nil, 'E', pgproto.CString("p"), pgproto.Int32(0)), pgproto.AppendMessage(nil, 'S'))
 	if got, _ := portal.until('Z'); got != "DCZ" {
 		t.Errorf("a portal's further rows: %s", got)
 	}
@@ -470,7 +470,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = canceller.Write(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), pgproto.CancelReq), key...))
+	_, _ = canceller.Write(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), pgproto.CancelRequest), key...))
 	if got, _ := cancelled.until('Z'); got != "E(57014)Z" {
 		t.Errorf("a request cancelled from the other process: %s", got)
 	}
@@ -482,8 +482,8 @@
 	if got, _ := slow.until('Z'); got != "TDDCZ" {
 		t.Errorf("what was in flight: %s", got)
 	}
-	slow.send(pgproto.Append(nil, 'B', []byte{0}, pgproto.Str("s"), []byte{0, 0, 0, 1}, pgproto.Int32(5), []byte("q-1-6"), []byte{0, 0}),
-		pgproto.Append(nil, 'E', []byte{0}, pgproto.Int32(0)), pgproto.Append(nil, 'S'))
+	slow.send(pgproto.AppendMessage(nil, 'B', []byte{0}, pgproto.CString("s"), []byte{0, 0, 0, 1}, pgproto.Int32(5), []byte("q-1-6"), []byte{0, 0}),
+		pgproto.AppendMessage(nil, 'E', []byte{0}, pgproto.Int32(0)), pgproto.AppendMessage(nil, 'S'))
 	if got, _ := slow.until('Z'); got != "2DDCZ" {
 		t.Errorf("a statement prepared at the process that has left: %s", got)
 	}
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -75,13 +75,13 @@
 
 func (s slow) Read(b []byte) (int, error) { return s.Conn.Read(b[:min(len(b), 7)]) }
 
-var startupOfDesk = pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0))
+var startupOfDesk = pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0))
 
 // negotiate asks for encryption and begins it, over a connection that may be changed.
 func negotiate(t *testing.T, addr string, cfg *tls.Config, wrap func(net.Conn) net.Conn) *pgClient {
 	t.Helper()
 	c := wrap(dial(t, addr))
-	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLReq, nil))
+	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
 	yes := make([]byte, 1)
 	if _, err := io.ReadFull(c, yes); err != nil || yes[0] != 'S' {
 		t.Fatalf("answered %q, %v", yes, err)
@@ -125,7 +125,7 @@
 		if w := k.until('Z'); strings.Count(w, "D(") != 3000 || !strings.HasSuffix(w, "C(SELECT 3000) Z") {
 			t.Errorf("%s: of a large result %d rows came", name, strings.Count(w, "D("))
 		}
-		k.send(pgproto.Append(nil, 'X'))
+		k.send(pgproto.AppendMessage(nil, 'X'))
 		if _, err := io.Copy(io.Discard, k.c); err != nil { // a close that was told, not a cut
 			t.Errorf("%s: the end: %v", name, err)
 		}
@@ -145,12 +145,12 @@
 		t.Errorf("without encryption: %s", w)
 	}
 	c := dial(t, g.addr)
-	_, _ = c.Write(append(pgproto.AppendStartup(nil, pgproto.SSLReq, nil), startupOfDesk...))
+	_, _ = c.Write(append(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil), startupOfDesk...))
 	if got := end(c); !strings.Contains(got, "unencrypted data after SSL request") || strings.HasPrefix(got, "S") {
 		t.Errorf("smuggled: %q", got)
 	}
 	c = dial(t, g.addr)
-	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLReq, nil))
+	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
 	yes := make([]byte, 1)
 	_, _ = io.ReadFull(c, yes)
 	_, _ = c.Write(append(startupOfDesk, make([]byte, 100)...))
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -43,7 +43,7 @@
 func logIn(t *testing.T, addr, user, password string, p proofs) (*pgClient, string) {
 	t.Helper()
 	k := &pgClient{t: t, c: dial(t, addr)}
-	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str(user)...), 0)))
+	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString(user)...), 0)))
 	if w := k.until('R'); w != "R" || !strings.Contains(string(k.last), scramauth.Mechanism) {
 		return k, w + " " + k.until('Z')
 	}
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	first = p.first(first)
-	k.send(pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(first)))
+	k.send(pgproto.AppendMessage(nil, 'p', pgproto.CString(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(first)))
 	if w := k.until('R'); w != "R" {
 		return k, w
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.send(pgproto.Append(nil, 'p', []byte(p.final(final))))
+	k.send(pgproto.AppendMessage(nil, 'p', []byte(p.final(final))))
 	w := k.until('R')
 	if w == "R" {
 		if _, err := conv.Step(string(k.last[4:])); err != nil || !conv.Valid() {
@@ -120,21 +120,21 @@
 	}
 	again := func(s string) func(string) string { return func(string) string { return s } }
 	k := &pgClient{t: t, c: dial(t, g.addr)}
-	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0)))
+	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0)))
 	k.until('R')
-	k.send(pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(again(first)(""))))
+	k.send(pgproto.AppendMessage(nil, 'p', pgproto.CString(scramauth.Mechanism), pgproto.Int32(len(first)), []byte(again(first)(""))))
 	k.until('R')
-	k.send(pgproto.Append(nil, 'p', []byte(final)))
+	k.send(pgproto.AppendMessage(nil, 'p', []byte(final)))
 	if w := k.until('Z'); w != "E(28P01) end" {
 		t.Errorf("replayed: %s", w)
 	}
 	for name, m := range map[string][]byte{
 		"a statement first": query("SELECT 1"), "a long one": append([]byte{'p'}, pgproto.Int32(1<<20)...),
-		"another mechanism": pgproto.Append(nil, 'p', pgproto.Str("PLAIN"), pgproto.Int32(1), []byte("x")),
-		"a wrong length":    pgproto.Append(nil, 'p', pgproto.Str(scramauth.Mechanism), pgproto.Int32(99), []byte("x")),
+		"another mechanism": pgproto.AppendMessage(nil, 'p', pgproto.CString("PLAIN"), pgproto.Int32(1), []byte("x")),
+		"a wrong length":    pgproto.AppendMessage(nil, 'p', pgproto.CString(scramauth.Mechanism), pgproto.Int32(99), []byte("x")),
 	} {
 		k := &pgClient{t: t, c: dial(t, g.addr)}
-		_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0)))
+		_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0)))
 		k.until('R')
 		k.send(m)
 		if w := k.until('Z'); w != "E(08P01) end" {
--- a/internal/integration/order_test.go
+++ b/internal/integration/order_test.go
@@ -245,7 +245,7 @@
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
 		asked <- c.bind
 		<-release
-		return pgproto.Append(pgproto.Append(pgproto.Append(pgproto.Append(nil, '1'), '2'), 'n'), 'C', pgproto.Str("INSERT 0 1"))
+		return pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2'), 'n'), 'C', pgproto.CString("INSERT 0 1"))
 	})
 	g := newGateway(t, ordered).postgres(addr)
 	send := func(text, key string, n int) *pgClient {
@@ -284,7 +284,7 @@
 // after the cancel.
 func TestOrderWaitsForACancelledLoad(t *testing.T) {
 	asked, release := make(chan string, 10), make(chan []byte, 1)
-	done := pgproto.Append(pgproto.Append(pgproto.Append(pgproto.Append(nil, '1'), '2'), 'n'), 'C', pgproto.Str("INSERT 0 1"))
+	done := pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2'), 'n'), 'C', pgproto.CString("INSERT 0 1"))
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		asked <- c.bind
 		return <-release
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -253,7 +253,7 @@
 	end      func() // ends the connection
 }
 
-var parseComplete = pgproto.Append(nil, '1')
+var parseComplete = pgproto.AppendMessage(nil, '1')
 
 // pgEngine is a PostgreSQL engine: the script answers each batch; nil leaves the
 // batch open until a CancelRequest, which is reported as a call of its own.
@@ -276,8 +276,8 @@
 			return err == nil
 		}
 		for {
-			code, _, n, _ := pgproto.Startup(in)
-			if n > 0 && code == pgproto.CancelReq {
+			code, _, n, _ := pgproto.ReadStartup(in)
+			if n > 0 && code == pgproto.CancelRequest {
 				seen <- pgCall{query: "cancel"}
 				return
 			}
@@ -289,33 +289,33 @@
 			}
 		}
 		time.Sleep(startup)
-		out := pgproto.Append(nil, 'R', pgproto.Int32(0))
-		out = pgproto.Append(out, 'K', pgproto.Int32(7), pgproto.Int32(9))
-		_, _ = c.Write(pgproto.Append(out, 'Z', []byte("I")))
+		out := pgproto.AppendMessage(nil, 'R', pgproto.Int32(0))
+		out = pgproto.AppendMessage(out, 'K', pgproto.Int32(7), pgproto.Int32(9))
+		_, _ = c.Write(pgproto.AppendMessage(out, 'Z', []byte("I")))
 		var call pgCall
 		named := map[string]string{}
 		for {
-			kind, body, n, _ := pgproto.Next(in, 1<<20)
+			kind, body, n, _ := pgproto.ReadMessage(in, 1<<20)
 			if n == 0 {
 				if !more() {
 					return
 				}
 				continue
 			}
-			r := pgproto.Reader{B: body}
+			r := pgproto.Reader{Rest: body}
 			switch kind {
 			case 'P':
-				name := r.Str()
-				named[name] = r.Str()
+				name := r.CString()
+				named[name] = r.CString()
 				call.parsed = true
 			case 'D':
 				if r.Byte() == 'S' {
-					call.query, call.describe = named[r.Str()], true
+					call.query, call.describe = named[r.CString()], true
 				}
 			case 'B':
-				r.Str()
-				call.query = named[r.Str()]
-				call.bind = string(r.B)
+				r.CString()
+				call.query = named[r.CString()]
+				call.bind = string(r.Rest)
 			case 'S':
 				call.end = func() { _ = c.Close() }
 				answer := script(call)
@@ -328,7 +328,7 @@
 				}
 				call = pgCall{}
 				if answer != nil {
-					_, _ = c.Write(pgproto.Append(answer, 'Z', []byte("I")))
+					_, _ = c.Write(pgproto.AppendMessage(answer, 'Z', []byte("I")))
 				}
 			}
 			in = in[n:]
@@ -340,16 +340,16 @@
 
 // pgRows answers a batch with text rows of one column.
 func pgRows(rows ...string) []byte {
-	b := pgproto.Append(pgproto.Append(nil, '1'), '2')
-	b = pgproto.Append(b, 'T', oneColumn)
+	b := pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2')
+	b = pgproto.AppendMessage(b, 'T', oneColumn)
 	for _, r := range rows {
-		b = pgproto.Append(b, 'D', []byte{0, 1}, pgproto.Int32(len(r)), []byte(r))
+		b = pgproto.AppendMessage(b, 'D', []byte{0, 1}, pgproto.Int32(len(r)), []byte(r))
 	}
-	return pgproto.Append(b, 'C', pgproto.Str(fmt.Sprintf("SELECT %d", len(rows))))
+	return pgproto.AppendMessage(b, 'C', pgproto.CString(fmt.Sprintf("SELECT %d", len(rows))))
 }
 
 func pgError(code string) []byte {
-	return pgproto.Append(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
+	return pgproto.AppendMessage(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
 }
 
 // pgClient is a PostgreSQL client that writes messages as it is told.
@@ -366,7 +366,7 @@
 	k := &pgClient{t: t, c: dial(t, addr)}
 	var body []byte
 	for _, p := range append([]string{"user", "desk"}, params...) {
-		body = append(body, pgproto.Str(p)...)
+		body = append(body, pgproto.CString(p)...)
 	}
 	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(body, 0)))
 	k.until('Z')
@@ -374,7 +374,7 @@
 }
 
 func parse(name, query string) []byte {
-	return pgproto.Append(nil, 'P', pgproto.Str(name), pgproto.Str(query), []byte{0, 0})
+	return pgproto.AppendMessage(nil, 'P', pgproto.CString(name), pgproto.CString(query), []byte{0, 0})
 }
 
 func bind(portal, name string, values ...string) []byte {
@@ -382,22 +382,22 @@
 	for _, v := range values {
 		b = append(append(b, pgproto.Int32(len(v))...), v...)
 	}
-	return pgproto.Append(nil, 'B', pgproto.Str(portal), pgproto.Str(name), b, []byte{0, 0})
+	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(name), b, []byte{0, 0})
 }
 
 func execute(portal string, most int) []byte {
-	return pgproto.Append(nil, 'E', pgproto.Str(portal), pgproto.Int32(most))
+	return pgproto.AppendMessage(nil, 'E', pgproto.CString(portal), pgproto.Int32(most))
 }
 
 func describe(kind, name string) []byte {
-	return pgproto.Append(nil, 'D', []byte(kind), pgproto.Str(name))
+	return pgproto.AppendMessage(nil, 'D', []byte(kind), pgproto.CString(name))
 }
 
-func query(text string) []byte { return pgproto.Append(nil, 'Q', pgproto.Str(text)) }
+func query(text string) []byte { return pgproto.AppendMessage(nil, 'Q', pgproto.CString(text)) }
 
 var (
-	sync  = pgproto.Append(nil, 'S')
-	flush = pgproto.Append(nil, 'H')
+	sync  = pgproto.AppendMessage(nil, 'S')
+	flush = pgproto.AppendMessage(nil, 'H')
 )
 
 func (k *pgClient) send(messages ...[]byte) {
@@ -414,7 +414,7 @@
 	k.t.Helper()
 	var words []string
 	for {
-		kind, body, n, _ := pgproto.Next(k.in, 1<<24)
+		kind, body, n, _ := pgproto.ReadMessage(k.in, 1<<24)
 		if n == 0 {
 			p := make([]byte, 4096)
 			m, err := k.c.Read(p)
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -25,7 +25,7 @@
 func TestPrepareOnceBindMany(t *testing.T) {
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		if c.describe {
-			return pgproto.Append(pgproto.Append(pgproto.Append(nil, '1'), 't', []byte{0, 1, 0, 0, 0, 25}), 'T', oneColumn)
+			return pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), 't', []byte{0, 1, 0, 0, 0, 25}), 'T', oneColumn)
 		}
 		return pgRows("chain " + c.bind[8:9])
 	})
@@ -141,7 +141,7 @@
 		"copy":              {[]string{addr}, nil, [][]byte{query("COPY x FROM STDIN")}, "E(0A000) Z", 0},
 		"two in a Parse":    {[]string{addr}, nil, run("SELECT 1; SELECT 2"), "E(0A000) Z", 0},
 		"empty":             {[]string{addr}, nil, [][]byte{query(" -- nothing\n;")}, "I Z", 0},
-		"malformed Bind":    {[]string{addr}, nil, [][]byte{parse("", "SELECT 1"), pgproto.Append(nil, 'B', []byte("\x00\x00\x00\x07")), sync}, "1 E(08P01) Z", 0},
+		"malformed Bind":    {[]string{addr}, nil, [][]byte{parse("", "SELECT 1"), pgproto.AppendMessage(nil, 'B', []byte("\x00\x00\x00\x07")), sync}, "1 E(08P01) Z", 0},
 		"malformed message": {[]string{addr}, nil, [][]byte{{'E', 0, 0, 0, 1}}, "E(08P01) end", 0},
 		"unknown message":   {[]string{addr}, nil, [][]byte{{'#', 0, 0, 0, 4}}, "E(08P01) end", 0},
 	} {
@@ -171,7 +171,7 @@
 		case <-hang:
 			return pgError("XX000")
 		default:
-			return pgproto.Append(pgproto.Append(pgproto.Append(pgproto.Append(nil, '1'), '2'), 'n'), 'C', pgproto.Str("INSERT 0 1"))
+			return pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2'), 'n'), 'C', pgproto.CString("INSERT 0 1"))
 		}
 	}
 	first, seen1 := pgEngine(t, script)
@@ -237,7 +237,7 @@
 	_ = k.c.(*net.TCPConn).SetReadBuffer(64 << 10) // else the kernel might take all at once
 	k.send(query("SELECT more"))
 	same(t, "too much", k.until('Z'), "E(54000) Z")
-	terminate := pgproto.Append(nil, 'X')
+	terminate := pgproto.AppendMessage(nil, 'X')
 	k.send(query("SELECT x"), terminate)
 	for g.count("answered.served") == 0 { // by then all of it waits to be sent
 		runtime.Gosched()
@@ -319,7 +319,7 @@
 	wrong := append(append([]byte{}, k.key[:4]...), 0, 0, 0, 0)
 	for _, key := range [][]byte{wrong, k.key} {
 		c := dial(t, g.addr)
-		_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, key))
+		_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, key))
 		_, _ = c.Read(make([]byte, 1)) // the front closes it
 	}
 	same(t, "answer", k.until('Z'), "1 2 E(57014) Z")
@@ -333,14 +333,14 @@
 func TestEncryptionIsDeclined(t *testing.T) {
 	g := postgresGateway(t)
 	k := &pgClient{t: t, c: dial(t, g.addr)}
-	for _, code := range []uint32{pgproto.SSLReq, pgproto.GSSReq} {
+	for _, code := range []uint32{pgproto.SSLRequest, pgproto.GSSENCRequest} {
 		k.send(pgproto.AppendStartup(nil, code, nil))
 		b := make([]byte, 1)
 		if _, err := k.c.Read(b); err != nil || b[0] != 'N' {
 			t.Fatalf("got %q, %v", b, err)
 		}
 	}
-	k.send(pgproto.AppendStartup(nil, pgproto.Version+2, append(append(pgproto.Str("user"), pgproto.Str("x")...), 0)))
+	k.send(pgproto.AppendStartup(nil, pgproto.Version+2, append(append(pgproto.CString("user"), pgproto.CString("x")...), 0)))
 	same(t, "startup", k.until('Z'), "v R S S S S S S S K Z")
 }
 
@@ -355,7 +355,7 @@
 		case <-stopped:
 			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // the script's Z follows within that message
 		default:
-			return append([]byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 4, 'n', 0, 0, 0, 4}, pgproto.Append(nil, 'C', pgproto.Str("INSERT 0 1"))...)
+			return append([]byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 4, 'n', 0, 0, 0, 4}, pgproto.AppendMessage(nil, 'C', pgproto.CString("INSERT 0 1"))...)
 		}
 	}
 	one, _ := pgEngine(t, script)
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -294,7 +294,7 @@
 		}
 	}
 	c := dial(t, g.addr)
-	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, k.key))
+	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, k.key))
 	if w := k.until('Z') + string(k.last); w != "E(57014) ZE" {
 		t.Error(w)
 	}
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -126,6 +126,6 @@
 	k.send(query("UPDATE x SET a = 2"))
 	await(t, hang)
 	c := dial(t, g.addr)
-	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, k.key))
+	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, k.key))
 	same(t, "cancelled", k.until('Z'), "E(40003) Z")
 }
--- a/internal/pgproto/pgproto.go
+++ b/internal/pgproto/pgproto.go
@@ -11,10 +11,10 @@
 
 // Codes in place of a version in the first message of a connection.
 const (
-	Version   = 3 << 16
-	CancelReq = 80877102
-	SSLReq    = 80877103
-	GSSReq    = 80877104
+	Version       = 3 << 16
+	CancelRequest = 80877102
+	SSLRequest    = 80877103
+	GSSENCRequest = 80877104
 )
 
 // Codes of Authentication messages ('R').
@@ -28,18 +28,18 @@
 // MaxStartup bounds the first message of a connection.
 const MaxStartup = 10000
 
-// Malformed is a message that can't be read.
-var Malformed = errors.New("malformed message")
+// ErrMalformed is a message that can't be read.
+var ErrMalformed = errors.New("malformed message")
 
-// Startup reads a connection's first message: its code and what follows. n is 0
+// ReadStartup reads a connection's first message: its code and what follows. n is 0
 // while it is not whole.
-func Startup(b []byte) (code uint32, body []byte, n int, err error) {
+func ReadStartup(b []byte) (code uint32, body []byte, n int, err error) {
 	if len(b) < 4 {
 		return 0, nil, 0, nil
 	}
 	length := int(binary.BigEndian.Uint32(b))
 	if length < 8 || length > MaxStartup {
-		return 0, nil, 0, fmt.Errorf("%w: a first message of %d bytes", Malformed, length)
+		return 0, nil, 0, fmt.Errorf("%w: a first message of %d bytes", ErrMalformed, length)
 	}
 	if len(b) < length {
 		return 0, nil, 0, nil
@@ -47,14 +47,14 @@
 	return binary.BigEndian.Uint32(b[4:]), b[8:length], length, nil
 }
 
-// Next reads one message of a kind and a body; n is 0 while it is not whole.
-func Next(b []byte, most int) (kind byte, body []byte, n int, err error) {
+// ReadMessage reads one message of a kind and a body; n is 0 while it is not whole.
+func ReadMessage(b []byte, most int) (kind byte, body []byte, n int, err error) {
 	if len(b) < 5 {
 		return 0, nil, 0, nil
 	}
 	length := int(binary.BigEndian.Uint32(b[1:]))
 	if length < 4 || length > most {
-		return 0, nil, 0, fmt.Errorf("%w: %d bytes", Malformed, length)
+		return 0, nil, 0, fmt.Errorf("%w: %d bytes", ErrMalformed, length)
 	}
 	if len(b) < length+1 {
 		return 0, nil, 0, nil
@@ -62,8 +62,8 @@
 	return b[0], b[5 : length+1], length + 1, nil
 }
 
-// Append adds one message.
-func Append(b []byte, kind byte, body ...[]byte) []byte {
+// AppendMessage adds one message.
+func AppendMessage(b []byte, kind byte, body ...[]byte) []byte {
 	length := 4
 	for _, p := range body {
 		length += len(p)
@@ -81,8 +81,8 @@
 	return append(binary.BigEndian.AppendUint32(b, code), body...)
 }
 
-// Str is a string as messages hold it.
-func Str(s string) []byte { return append([]byte(s), 0) }
+// CString is a string as messages hold it.
+func CString(s string) []byte { return append([]byte(s), 0) }
 
 // Int32 is a number as messages hold it.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
@@ -90,30 +90,30 @@
 // Reader reads the fields of a body in turn. Past the end it gives zeros and
 // sets Bad.
 type Reader struct {
-	B   []byte
-	Bad bool
+	Rest    []byte
+	Invalid bool
 }
 
 // Bytes reads n bytes.
 func (r *Reader) Bytes(n int) []byte {
-	if n < 0 || n > len(r.B) {
-		r.Bad, r.B = true, nil
+	if n < 0 || n > len(r.Rest) {
+		r.Invalid, r.Rest = true, nil
 		return nil
 	}
-	p := r.B[:n]
-	r.B = r.B[n:]
+	p := r.Rest[:n]
+	r.Rest = r.Rest[n:]
 	return p
 }
 
-// Str reads a string up to its zero.
-func (r *Reader) Str() string {
-	i := bytes.IndexByte(r.B, 0)
+// CString reads a string up to its zero.
+func (r *Reader) CString() string {
+	i := bytes.IndexByte(r.Rest, 0)
 	if i < 0 {
-		r.Bad, r.B = true, nil
+		r.Invalid, r.Rest = true, nil
 		return ""
 	}
-	s := string(r.B[:i])
-	r.B = r.B[i+1:]
+	s := string(r.Rest[:i])
+	r.Rest = r.Rest[i+1:]
 	return s
 }
 
@@ -144,8 +144,8 @@
 	return 0
 }
 
-// End tells whether all was read and nothing was missing.
-func (r *Reader) End() bool { return !r.Bad && len(r.B) == 0 }
+// Complete tells whether all was read and nothing was missing.
+func (r *Reader) Complete() bool { return !r.Invalid && len(r.Rest) == 0 }
 
 // Error is an ErrorResponse.
 type Error struct {
@@ -176,7 +176,7 @@
 		value string
 	}{{'S', e.Severity}, {'V', e.Severity}, {'C', e.Code}, {'M', e.Message}, {'H', e.Hint}} {
 		if f.value != "" {
-			b = append(append(b, f.kind), Str(f.value)...)
+			b = append(append(b, f.kind), CString(f.value)...)
 		}
 	}
 	return append(b, 0)
@@ -185,13 +185,13 @@
 // ReadError reads an ErrorResponse or a NoticeResponse.
 func ReadError(body []byte) (*Error, error) {
 	e := &Error{Raw: append([]byte{}, body...)}
-	r := Reader{B: body}
+	r := Reader{Rest: body}
 	for {
 		kind := r.Byte()
 		if kind == 0 {
 			break
 		}
-		value := r.Str()
+		value := r.CString()
 		switch kind {
 		case 'S':
 			e.Severity = value
@@ -203,8 +203,8 @@
 			e.Hint = value
 		}
 	}
-	if !r.End() || len(e.Code) != 5 {
-		return nil, fmt.Errorf("%w: an error response", Malformed)
+	if !r.Complete() || len(e.Code) != 5 {
+		return nil, fmt.Errorf("%w: an error response", ErrMalformed)
 	}
 	return e, nil
 }
@@ -243,35 +243,35 @@
 	Status []byte // ParameterStatus messages, of a SET
 }
 
-// Formats gives a copy of the body of a RowDescription that has the result
+// WithResultFormats gives a copy of the body of a RowDescription that has the result
 // formats of a Bind's tail. A statement's own description has none yet.
-func Formats(fields, bind []byte) ([]byte, error) {
-	r := Reader{B: bind}
+func WithResultFormats(fields, bind []byte) ([]byte, error) {
+	r := Reader{Rest: bind}
 	r.Bytes(2 * r.Count())
 	for range r.Count() {
 		if n := r.Int32(); n > 0 {
 			r.Bytes(n)
 		}
-		if r.Bad {
-			return nil, Malformed
+		if r.Invalid {
+			return nil, ErrMalformed
 		}
 	}
 	formats := make([]int, r.Count())
 	for i := range formats {
-		if formats[i] = r.Int16(); r.Bad {
-			return nil, Malformed
+		if formats[i] = r.Int16(); r.Invalid {
+			return nil, ErrMalformed
 		}
 	}
 	out := append([]byte{}, fields...)
-	d := Reader{B: out}
+	d := Reader{Rest: out}
 	columns := d.Count()
 	for i := range columns {
-		d.Str()
+		d.CString()
 		d.Bytes(16)
 		p := d.Bytes(2)
 		switch {
-		case d.Bad:
-			return nil, Malformed
+		case d.Invalid:
+			return nil, ErrMalformed
 		case len(formats) == 1:
 			binary.BigEndian.PutUint16(p, uint16(formats[0]))
 		case i < len(formats):
--- a/internal/testbed/conformance/cases.go
+++ b/internal/testbed/conformance/cases.go
@@ -13,14 +13,14 @@
 
 // Messages of a client.
 
-func query(text string) []byte { return pgproto.Append(nil, 'Q', pgproto.Str(text)) }
+func query(text string) []byte { return pgproto.AppendMessage(nil, 'Q', pgproto.CString(text)) }
 
 func parse(name, text string, types ...int) []byte {
 	b := binary.BigEndian.AppendUint16(nil, uint16(len(types)))
 	for _, t := range types {
 		b = append(b, pgproto.Int32(t)...)
 	}
-	return pgproto.Append(nil, 'P', pgproto.Str(name), pgproto.Str(text), b)
+	return pgproto.AppendMessage(nil, 'P', pgproto.CString(name), pgproto.CString(text), b)
 }
 
 // null as a value of bind stands for NULL.
@@ -36,25 +36,25 @@
 		}
 		b = append(append(b, pgproto.Int32(len(v))...), v...)
 	}
-	return pgproto.Append(nil, 'B', pgproto.Str(portal), pgproto.Str(name), b, []byte{0, 0})
+	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(name), b, []byte{0, 0})
 }
 
 func describe(what byte, name string) []byte {
-	return pgproto.Append(nil, 'D', []byte{what}, pgproto.Str(name))
+	return pgproto.AppendMessage(nil, 'D', []byte{what}, pgproto.CString(name))
 }
 
 func execute(portal string, most int) []byte {
-	return pgproto.Append(nil, 'E', pgproto.Str(portal), pgproto.Int32(most))
+	return pgproto.AppendMessage(nil, 'E', pgproto.CString(portal), pgproto.Int32(most))
 }
 
 func closing(what byte, name string) []byte {
-	return pgproto.Append(nil, 'C', []byte{what}, pgproto.Str(name))
+	return pgproto.AppendMessage(nil, 'C', []byte{what}, pgproto.CString(name))
 }
 
 var (
-	sync  = pgproto.Append(nil, 'S')
-	flush = pgproto.Append(nil, 'H')
-	leave = pgproto.Append(nil, 'X')
+	sync  = pgproto.AppendMessage(nil, 'S')
+	flush = pgproto.AppendMessage(nil, 'H')
+	leave = pgproto.AppendMessage(nil, 'X')
 )
 
 func script(messages ...[]byte) []byte { return bytes.Join(messages, nil) }
@@ -104,11 +104,11 @@
 		Case{Name: "a length of 3", Open: []byte{0, 0, 0, 3, 0, 3, 0, 0}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient},
 		Case{Name: "a length of 2 GB", Open: []byte{127, 255, 255, 255, 0, 3, 0, 0}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient})
 	add(Supported, "SSLRequest, GSSENCRequest without encryption",
-		Case{Name: "SSLRequest, declined", Open: pgproto.AppendStartup(nil, pgproto.SSLReq, nil), Send: usual(), Ready: 1, Want: "no R(0) Z(I)"},
-		Case{Name: "GSSENCRequest, declined", Open: pgproto.AppendStartup(nil, pgproto.GSSReq, nil), Send: usual(), Ready: 1, Want: "no R(0) Z(I)",
+		Case{Name: "SSLRequest, declined", Open: pgproto.AppendStartup(nil, pgproto.SSLRequest, nil), Send: usual(), Ready: 1, Want: "no R(0) Z(I)"},
+		Case{Name: "GSSENCRequest, declined", Open: pgproto.AppendStartup(nil, pgproto.GSSENCRequest, nil), Send: usual(), Ready: 1, Want: "no R(0) Z(I)",
 			Alone: "R(0) Z(I)", Why: lenient})
 	add(Ended, "CancelRequest",
-		Case{Name: "with a key that nobody has", Open: pgproto.AppendStartup(nil, pgproto.CancelReq, script(pgproto.Int32(1), pgproto.Int32(99))), Want: "end"})
+		Case{Name: "with a key that nobody has", Open: pgproto.AppendStartup(nil, pgproto.CancelRequest, script(pgproto.Int32(1), pgproto.Int32(99))), Want: "end"})
 	add(Supported, "Query, RowDescription, DataRow, CommandComplete, EmptyQueryResponse",
 		Case{Name: "one statement", Send: query(ask), Ready: 1, Want: "T(1) " + one + " Z(I)", Alone: "C(" + ask + ") Z(I)", Why: simple},
 		Case{Name: "nothing", Send: query(""), Ready: 1, Want: "I Z(I)", Alone: "C() Z(I)", Why: simple},
@@ -164,24 +164,24 @@
 		Case{Name: "COMMIT of a failed one", Send: script(query("BEGIN"), query("SELECT 1/0"), query("COMMIT")), Ready: 3, Want: "C(BEGIN) Z(T) E(22012) Z(E) C(ROLLBACK) Z(I)",
 			Alone: "C(BEGIN) Z(I) C(SELECT 1/0) Z(I) C(COMMIT) Z(I)", Why: simple})
 	add(Refused, "what is not supported, with 0A000",
-		Case{Name: "FunctionCall", Send: script(pgproto.Append(nil, 'F', pgproto.Int32(1), []byte{0, 0, 0, 0, 0, 0}), query(ask)), Ready: 2,
+		Case{Name: "FunctionCall", Send: script(pgproto.AppendMessage(nil, 'F', pgproto.Int32(1), []byte{0, 0, 0, 0, 0, 0}), query(ask)), Ready: 2,
 			Want: "E(0A000) Z(I) T(1) " + one + " Z(I)", Alone: notAsked, Why: lenient},
 		Case{Name: "COPY", Send: query("COPY stock_1.parts FROM STDIN"), Ready: 1, Want: "E(0A000) Z(I)", Alone: "C(COPY stock_1.parts FROM STDIN) Z(I)", Why: mayWrite},
 		Case{Name: "LISTEN", Send: query("LISTEN stock"), Ready: 1, Want: "E(0A000) Z(I)", Alone: "C(LISTEN stock) Z(I)", Why: mayWrite},
 		Case{Name: "PREPARE outside of a transaction", Send: query("PREPARE p AS SELECT 1"), Ready: 1, Want: "E(0A000) Z(I)", Alone: "C(PREPARE p AS SELECT 1) Z(I)", Why: mayWrite})
 	add(Supported, "CopyData, CopyDone, CopyFail outside of a COPY: passed by",
-		Case{Name: "left over", Send: script(pgproto.Append(nil, 'd', []byte("x\n")), pgproto.Append(nil, 'c'), pgproto.Append(nil, 'f', pgproto.Str("no")), sync), Ready: 1, Want: "Z(I)"})
+		Case{Name: "left over", Send: script(pgproto.AppendMessage(nil, 'd', []byte("x\n")), pgproto.AppendMessage(nil, 'c'), pgproto.AppendMessage(nil, 'f', pgproto.CString("no")), sync), Ready: 1, Want: "Z(I)"})
 	add(Ended, "Terminate",
 		Case{Name: "at rest", Send: leave, Want: "end"},
 		Case{Name: "behind a batch", Send: script(parse("", ask), bind("", ""), execute("", 0), sync, leave), Want: "1 2 " + one + " Z(I) end"})
 	add(Ended, "what can't be read",
-		Case{Name: "an unknown message", Send: pgproto.Append(nil, 'y', []byte("odd")), Want: "E(FATAL 08P01) end", Alone: notAsked, Why: lenient},
+		Case{Name: "an unknown message", Send: pgproto.AppendMessage(nil, 'y', []byte("odd")), Want: "E(FATAL 08P01) end", Alone: notAsked, Why: lenient},
 		Case{Name: "a length of 3", Send: []byte{'Q', 0, 0, 0, 3}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient},
 		Case{Name: "a length of 2 GB", Send: []byte{'Q', 127, 255, 255, 255}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient})
 	add(Refused, "what is whole and can't be read",
-		Case{Name: "a Query without its zero", Send: pgproto.Append(nil, 'Q', []byte("SELECT 1")), Ready: 1, Want: "E(08P01) Z(I)", Alone: "C() Z(I)", Why: lenient},
-		Case{Name: "a Parse that is cut off", Send: script(pgproto.Append(nil, 'P', []byte("s")), sync), Ready: 1, Want: "E(08P01) Z(I)", Alone: "1 Z(I)", Why: lenient},
-		Case{Name: "a Bind that counts more values than it has", Send: script(parse("s", askOne), pgproto.Append(nil, 'B', []byte("\x00s\x00\x00\x00\x00\x05")), sync), Ready: 1,
+		Case{Name: "a Query without its zero", Send: pgproto.AppendMessage(nil, 'Q', []byte("SELECT 1")), Ready: 1, Want: "E(08P01) Z(I)", Alone: "C() Z(I)", Why: lenient},
+		Case{Name: "a Parse that is cut off", Send: script(pgproto.AppendMessage(nil, 'P', []byte("s")), sync), Ready: 1, Want: "E(08P01) Z(I)", Alone: "1 Z(I)", Why: lenient},
+		Case{Name: "a Bind that counts more values than it has", Send: script(parse("s", askOne), pgproto.AppendMessage(nil, 'B', []byte("\x00s\x00\x00\x00\x00\x05")), sync), Ready: 1,
 			Want: "1 E(08P01) Z(I)", Alone: "1 2 Z(I)", Why: lenient})
 	return slices.Clip(list)
 }
--- a/internal/testbed/conformance/run.go
+++ b/internal/testbed/conformance/run.go
@@ -71,7 +71,7 @@
 	}
 	p := &peer{conn: conn}
 	usual := c.Open == nil
-	if code, _, _, _ := pgproto.Startup(c.Open); code == pgproto.SSLReq || code == pgproto.GSSReq {
+	if code, _, _, _ := pgproto.ReadStartup(c.Open); code == pgproto.SSLRequest || code == pgproto.GSSENCRequest {
 		p.letter = true
 	}
 	if usual {
@@ -124,7 +124,7 @@
 			p.letter = false
 			continue
 		}
-		kind, body, n, err := pgproto.Next(p.in, 1<<24)
+		kind, body, n, err := pgproto.ReadMessage(p.in, 1<<24)
 		if err != nil {
 			return strings.Join(append(words, "unreadable"), " ")
 		}
@@ -156,12 +156,12 @@
 
 // word is a message in short.
 func word(kind byte, body []byte) string {
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Rest: body}
 	switch kind {
 	case 'Z':
 		return "Z(" + string(body) + ")"
 	case 'C':
-		return "C(" + r.Str() + ")"
+		return "C(" + r.CString() + ")"
 	case 'R':
 		return fmt.Sprintf("R(%d)", r.Int32())
 	case 'v':
@@ -195,7 +195,7 @@
 func Startup(version uint32, params ...string) []byte {
 	var body []byte
 	for _, p := range params {
-		body = append(body, pgproto.Str(p)...)
+		body = append(body, pgproto.CString(p)...)
 	}
 	return pgproto.AppendStartup(nil, version, append(body, 0))
 }
--- a/internal/testbed/emulator/pg.go
+++ b/internal/testbed/emulator/pg.go
@@ -90,12 +90,12 @@
 		n = min(n, most)
 	}
 	for _, row := range p.rows[:n] {
-		out = pgproto.Append(out, 'D', []byte{0, 1}, pgproto.Int32(len(row)), []byte(row))
+		out = pgproto.AppendMessage(out, 'D', []byte{0, 1}, pgproto.Int32(len(row)), []byte(row))
 	}
 	if p.rows = p.rows[n:]; most > 0 && n == most { // PostgreSQL looks no further
-		return pgproto.Append(out, 's')
+		return pgproto.AppendMessage(out, 's')
 	}
-	return pgproto.Append(out, 'C', pgproto.Str("SELECT "+strconv.Itoa(n)))
+	return pgproto.AppendMessage(out, 'C', pgproto.CString("SELECT "+strconv.Itoa(n)))
 }
 
 // failed has the transaction fail, and what follows skipped.
@@ -115,16 +115,16 @@
 		return err
 	}
 	for {
-		code, body, n, err := pgproto.Startup(in)
+		code, body, n, err := pgproto.ReadStartup(in)
 		if err != nil {
 			return err
 		}
 		if in = in[n:]; n > 0 {
 			switch code {
-			case pgproto.CancelReq:
+			case pgproto.CancelRequest:
 				log.Info("given up")
 				return nil
-			case pgproto.SSLReq:
+			case pgproto.SSLRequest:
 				if opts.TLS == nil {
 					_, _ = c.Write([]byte("N"))
 					continue
@@ -141,7 +141,7 @@
 			}
 			if opts.User != "" && !strings.Contains(string(body), "user\x00"+opts.User+"\x00") {
 				e := pgproto.Error{Severity: "FATAL", Code: "28000", Message: "this user is not trusted here"}
-				_, err := c.Write(pgproto.Append(nil, 'E', e.Body()))
+				_, err := c.Write(pgproto.AppendMessage(nil, 'E', e.Body()))
 				return err
 			}
 			break
@@ -150,14 +150,14 @@
 			return err
 		}
 	}
-	out := pgproto.Append(nil, 'R', pgproto.Int32(0))
-	out = pgproto.Append(out, 'K', pgproto.Int32(1), pgproto.Int32(1))
-	out = pgproto.Append(out, 'Z', []byte("I"))
+	out := pgproto.AppendMessage(nil, 'R', pgproto.Int32(0))
+	out = pgproto.AppendMessage(out, 'K', pgproto.Int32(1), pgproto.Int32(1))
+	out = pgproto.AppendMessage(out, 'Z', []byte("I"))
 	named, portals := map[string]string{}, map[string]*portal{}
 	s := &pgSession{status: 'I'}
 	fail := func(code, text string) {
 		e := pgproto.Error{Severity: "ERROR", Code: code, Message: text}
-		out = pgproto.Append(out, 'E', e.Body())
+		out = pgproto.AppendMessage(out, 'E', e.Body())
 		s.failed()
 	}
 	id := c.RemoteAddr().String()
@@ -168,7 +168,7 @@
 			}
 			out = out[:0]
 		}
-		kind, body, n, err := pgproto.Next(in, 1<<20)
+		kind, body, n, err := pgproto.ReadMessage(in, 1<<20)
 		if err != nil {
 			return err
 		}
@@ -178,32 +178,32 @@
 			}
 			continue
 		}
-		r := pgproto.Reader{B: body}
+		r := pgproto.Reader{Rest: body}
 		if s.skip && kind != 'S' && kind != 'X' {
 			in = in[n:]
 			continue
 		}
 		switch kind {
 		case 'Q': // what a gateway does by itself
-			text := r.Str()
+			text := r.CString()
 			if opts.Heard != nil {
 				opts.Heard(id, text)
 			}
 			clear(named)
-			out = pgproto.Append(out, 'C', pgproto.Str(text))
-			out = pgproto.Append(out, 'Z', []byte{s.status})
+			out = pgproto.AppendMessage(out, 'C', pgproto.CString(text))
+			out = pgproto.AppendMessage(out, 'Z', []byte{s.status})
 		case 'P':
-			name := r.Str()
+			name := r.CString()
 			if _, there := named[name]; there && name != "" {
 				fail("42P05", "prepared statement already exists")
 				break
 			}
-			named[name] = r.Str()
+			named[name] = r.CString()
 			log.Info("asked", "statement", short(named[name]))
-			out = pgproto.Append(out, '1')
+			out = pgproto.AppendMessage(out, '1')
 		case 'B':
-			name := r.Str()
-			text, there := named[r.Str()]
+			name := r.CString()
+			text, there := named[r.CString()]
 			if !there {
 				fail("26000", "prepared statement does not exist")
 				break
@@ -222,21 +222,21 @@
 				}
 			}
 			portals[name] = p
-			out = pgproto.Append(out, '2')
+			out = pgproto.AppendMessage(out, '2')
 		case 'C':
-			if what, name := r.Byte(), r.Str(); what == 'S' {
+			if what, name := r.Byte(), r.CString(); what == 'S' {
 				delete(named, name)
 			} else {
 				delete(portals, name)
 			}
-			out = pgproto.Append(out, '3')
+			out = pgproto.AppendMessage(out, '3')
 		case 'D':
 			if r.Byte() == 'S' {
-				out = pgproto.Append(out, 't', parameters(named[r.Str()]))
+				out = pgproto.AppendMessage(out, 't', parameters(named[r.CString()]))
 			}
-			out = pgproto.Append(out, 'T', columns)
+			out = pgproto.AppendMessage(out, 'T', columns)
 		case 'E':
-			p := portals[r.Str()]
+			p := portals[r.CString()]
 			if p == nil {
 				fail("34000", "portal does not exist")
 				break
@@ -255,9 +255,9 @@
 				break
 			} else if tag != "" {
 				if words := strings.Fields(query); tag == "SET" && len(words) > 3 {
-					out = pgproto.Append(out, 'S', pgproto.Str(words[1]), pgproto.Str(strings.Trim(words[3], "'")))
+					out = pgproto.AppendMessage(out, 'S', pgproto.CString(words[1]), pgproto.CString(strings.Trim(words[3], "'")))
 				}
-				out = pgproto.Append(out, 'C', pgproto.Str(tag))
+				out = pgproto.AppendMessage(out, 'C', pgproto.CString(tag))
 				break
 			}
 			if opts.Ledger.Begin(opts.Name, query, key) {
@@ -281,7 +281,7 @@
 			if s.status == 'I' {
 				clear(portals)
 			}
-			out = pgproto.Append(out, 'Z', []byte{s.status})
+			out = pgproto.AppendMessage(out, 'Z', []byte{s.status})
 		}
 		in = in[n:]
 	}
@@ -295,7 +295,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := pgproto.Append(nil, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.Str(scramauth.Mechanism), []byte{0})
+	out := pgproto.AppendMessage(nil, 'R', pgproto.Int32(pgproto.AuthSASL), pgproto.CString(scramauth.Mechanism), []byte{0})
 	p := make([]byte, 4096)
 	for step := 0; ; step++ {
 		if _, err := c.Write(out); err != nil {
@@ -303,7 +303,7 @@
 		}
 		var body []byte
 		for n := 0; n == 0; {
-			if _, body, n, err = pgproto.Next(in, 1<<16); err != nil {
+			if _, body, n, err = pgproto.ReadMessage(in, 1<<16); err != nil {
 				return nil, err
 			} else if n > 0 {
 				in = in[n:]
@@ -316,21 +316,21 @@
 			in = append(in, p[:m]...)
 		}
 		if step == 0 {
-			r := pgproto.Reader{B: body}
-			r.Str()
+			r := pgproto.Reader{Rest: body}
+			r.CString()
 			body = r.Bytes(r.Int32())
 		}
 		answer, done, err := l.Step(string(body))
 		if err != nil {
 			e := pgproto.Error{Severity: "FATAL", Code: "28P01", Message: "password authentication failed"}
-			_, _ = c.Write(pgproto.Append(nil, 'E', e.Body()))
+			_, _ = c.Write(pgproto.AppendMessage(nil, 'E', e.Body()))
 			return nil, err
 		}
 		if done {
-			_, err = c.Write(pgproto.Append(nil, 'R', pgproto.Int32(pgproto.AuthSASLFinal), []byte(answer)))
+			_, err = c.Write(pgproto.AppendMessage(nil, 'R', pgproto.Int32(pgproto.AuthSASLFinal), []byte(answer)))
 			return in, err
 		}
-		out = pgproto.Append(nil, 'R', pgproto.Int32(pgproto.AuthSASLContinue), []byte(answer))
+		out = pgproto.AppendMessage(nil, 'R', pgproto.Int32(pgproto.AuthSASLContinue), []byte(answer))
 	}
 }
 
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -219,16 +219,16 @@
 		return nil, err
 	}
 	c := &Postgres{wire: w}
-	out := pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("lab")...), 0))
+	out := pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("lab")...), 0))
 	for _, s := range [][2]string{
 		{"q", "SELECT part, note FROM stock_3.parts WHERE tag = $1"},
 		{"r", "/* class=report */ SELECT day, count(*) FROM stock_3.orders WHERE tag = $1 GROUP BY day"},
 		{"k", "INSERT INTO stock_3.batches VALUES ($1)"},
 		{"w", "UPDATE stock_3.parts SET seen = seen + 1 WHERE tag = $1"},
 	} {
-		out = pgproto.Append(out, 'P', pgproto.Str(s[0]), pgproto.Str(s[1]), []byte{0, 0})
+		out = pgproto.AppendMessage(out, 'P', pgproto.CString(s[0]), pgproto.CString(s[1]), []byte{0, 0})
 	}
-	out = pgproto.Append(out, 'S')
+	out = pgproto.AppendMessage(out, 'S')
 	_ = c.conn.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err = c.conn.Write(out); err == nil {
 		for ready := 0; ready < 2 && err == nil; {
@@ -267,10 +267,10 @@
 func (s *Statement) messages(mark string) []byte {
 	text := s.Text + " /* " + mark + " */"
 	if len(s.Values) == 0 {
-		return pgproto.Append(nil, 'Q', pgproto.Str(text))
+		return pgproto.AppendMessage(nil, 'Q', pgproto.CString(text))
 	}
 	count := func(n int) []byte { return binary.BigEndian.AppendUint16(nil, uint16(n)) }
-	out := pgproto.Append(nil, 'P', []byte{0}, pgproto.Str(text), append(count(len(s.Types)/4), s.Types...))
+	out := pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString(text), append(count(len(s.Types)/4), s.Types...))
 	body := append(append(count(len(s.Formats)/2), s.Formats...), count(len(s.Values))...)
 	for _, v := range s.Values {
 		if v == nil {
@@ -279,8 +279,8 @@
 		}
 		body = append(append(body, pgproto.Int32(len(v))...), v...)
 	}
-	out = pgproto.Append(out, 'B', []byte{0, 0}, append(body, 0, 0))
-	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+	out = pgproto.AppendMessage(out, 'B', []byte{0, 0}, append(body, 0, 0))
+	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
 // Ask sends one request: a recorded statement as it was recorded; of its own, every third lookup has its value in the text of a Query, every fifth
@@ -294,13 +294,13 @@
 	case statement != nil:
 		out = statement.messages(mark)
 	case kind == Lookup && c.n%3 == 0:
-		out = pgproto.Append(nil, 'Q', pgproto.Str(fmt.Sprintf("SELECT part, note FROM stock_3.parts WHERE tag = '%s'", mark)))
+		out = pgproto.AppendMessage(nil, 'Q', pgproto.CString(fmt.Sprintf("SELECT part, note FROM stock_3.parts WHERE tag = '%s'", mark)))
 	default:
-		out = pgproto.Append(nil, 'B', []byte{0}, pgproto.Str(string(rune(kind))), []byte{0, 0, 0, 1}, pgproto.Int32(len(mark)), []byte(mark), []byte{0, 0})
+		out = pgproto.AppendMessage(nil, 'B', []byte{0}, pgproto.CString(string(rune(kind))), []byte{0, 0, 0, 1}, pgproto.Int32(len(mark)), []byte(mark), []byte{0, 0})
 		if paged = kind == Lookup && c.n%5 == 0; paged {
-			out = pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(1)), 'H')
+			out = pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(1)), 'H')
 		} else {
-			out = pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+			out = pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 		}
 	}
 	if _, err := c.conn.Write(out); err != nil {
@@ -316,7 +316,7 @@
 		case 'D':
 			seen = seen || strings.Contains(string(body), mark)
 		case 's':
-			if _, err := c.conn.Write(pgproto.Append(pgproto.Append(nil, 'E', []byte{0}, pgproto.Int32(0)), 'S')); err != nil {
+			if _, err := c.conn.Write(pgproto.AppendMessage(pgproto.AppendMessage(nil, 'E', []byte{0}, pgproto.Int32(0)), 'S')); err != nil {
 				return broken(err)
 			}
 		case 'C':
@@ -333,7 +333,7 @@
 				return Reset, detail
 			}
 			if paged { // the Sync that follows the pages was not sent yet
-				if _, err := c.conn.Write(pgproto.Append(nil, 'S')); err != nil {
+				if _, err := c.conn.Write(pgproto.AppendMessage(nil, 'S')); err != nil {
 					return broken(err)
 				}
 			}
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -81,14 +81,14 @@
 // that it prepares where it has not yet.
 func messages(out []byte, a *workload.Asked, named map[string]string) []byte {
 	if len(a.Values) == 0 {
-		return pgproto.Append(out, 'Q', pgproto.Str(a.Statement))
+		return pgproto.AppendMessage(out, 'Q', pgproto.CString(a.Statement))
 	}
 	name, ok := named[a.Statement]
 	if !ok {
 		name = fmt.Sprintf("s%d", len(named))
 		named[a.Statement] = name
 		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(a.Types)/4)), a.Types...)
-		out = pgproto.Append(out, 'P', pgproto.Str(name), pgproto.Str(a.Statement), types)
+		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(a.Statement), types)
 	}
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(a.Formats)/2))
 	body = binary.BigEndian.AppendUint16(append(body, a.Formats...), uint16(len(a.Values)))
@@ -99,8 +99,8 @@
 		}
 		body = append(append(body, pgproto.Int32(len(v))...), v...)
 	}
-	out = pgproto.Append(out, 'B', []byte{0}, pgproto.Str(name), append(body, 0, 0))
-	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+	out = pgproto.AppendMessage(out, 'B', []byte{0}, pgproto.CString(name), append(body, 0, 0))
+	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
 func costRound(ctx context.Context, opts CostOptions, texts []workload.Asked, on bool) (res CostRound, err error) {
@@ -187,7 +187,7 @@
 		_ = c.SetDeadline(d)
 	}
 	in := bufio.NewReader(c)
-	if _, err := c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("lab")...), 0))); err != nil {
+	if _, err := c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("lab")...), 0))); err != nil {
 		return err
 	}
 	if _, err := untilReady(in); err != nil {
