--- a/internal/backend/postgres/codec.go
+++ b/internal/backend/postgres/codec.go
@@ -48,7 +48,7 @@
 	if err := reader.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("%w: %w", errCodec, err)
 	}
-	if s.Begin != "" || s.Ends {
+	if s.BeginQuery != "" || s.EndsTransaction {
 		return nil, fmt.Errorf("%w: a part of a transaction", errCodec)
 	}
 	if len(s.Settings) > mostSettings {
@@ -62,12 +62,12 @@
 	if s.Query == "" || !utf8.ValidString(s.Query) || strings.IndexByte(s.Query, 0) >= 0 {
 		return nil, fmt.Errorf("%w: a statement that is no text", errCodec)
 	}
-	types := pgproto.Reader{Rest: s.Types}
+	types := pgproto.Reader{Rest: s.ParameterTypes}
 	types.Bytes(4 * types.Count())
 	if !types.Complete() {
 		return nil, fmt.Errorf("%w: the types of parameters", errCodec)
 	}
-	if s.Describe {
+	if s.DescribeOnly {
 		return &s, nil
 	}
 	bind := pgproto.Reader{Rest: s.Bind}
@@ -124,8 +124,8 @@
 		rest = rest[size:]
 		n++
 	}
-	if n != r.Count {
-		return nil, fmt.Errorf("%w: %d rows in place of %d", errCodec, n, r.Count)
+	if n != r.RowCount {
+		return nil, fmt.Errorf("%w: %d rows in place of %d", errCodec, n, r.RowCount)
 	}
 	return &r, nil
 }
--- a/internal/backend/postgres/codec_test.go
+++ b/internal/backend/postgres/codec_test.go
@@ -15,8 +15,8 @@
 	var c Codec
 	bind := append([]byte{0, 0, 0, 2}, append(append(pgproto.Int32(3), "abc"...), append(pgproto.Int32(-1), 0, 0)...)...)
 	for _, want := range []*pgproto.Statement{
-		{Query: "SELECT $1, $2", Types: []byte{0, 1, 0, 0, 0, 23}, Bind: bind},
-		{Query: "SELECT 1", Types: []byte{0, 0}, Describe: true},
+		{Query: "SELECT $1, $2", ParameterTypes: []byte{0, 1, 0, 0, 0, 23}, Bind: bind},
+		{Query: "SELECT 1", ParameterTypes: []byte{0, 0}, DescribeOnly: true},
 	} {
 		enc, err := c.Statement(want)
 		if err != nil {
@@ -28,7 +28,7 @@
 		}
 	}
 	row := pgproto.AppendMessage(nil, 'D', []byte{0, 0})
-	result := &pgproto.Result{Fields: []byte{0, 0}, Rows: append(row, row...), Count: 2, Tag: "SELECT 2"}
+	result := &pgproto.Result{RowDescription: []byte{0, 0}, Rows: append(row, row...), RowCount: 2, Tag: "SELECT 2"}
 	enc, err := c.Result(result)
 	if err != nil {
 		t.Fatal(err)
@@ -44,14 +44,14 @@
 	if c.Detail(errors.New("other")) != nil {
 		t.Error("what is no error was written")
 	}
-	good := pgproto.Statement{Query: "SELECT 1", Types: []byte{0, 0}, Bind: []byte{0, 0, 0, 0, 0, 0}}
+	good := pgproto.Statement{Query: "SELECT 1", ParameterTypes: []byte{0, 0}, Bind: []byte{0, 0, 0, 0, 0, 0}}
 	for name, change := range map[string]func(*pgproto.Statement){
-		"a transaction":      func(s *pgproto.Statement) { s.Begin = "BEGIN" },
+		"a transaction":      func(s *pgproto.Statement) { s.BeginQuery = "BEGIN" },
 		"no text":            func(s *pgproto.Statement) { s.Query = "" },
 		"a zero":             func(s *pgproto.Statement) { s.Query = "SELECT\x00" },
 		"not UTF-8":          func(s *pgproto.Statement) { s.Query = "\xff" },
-		"types cut short":    func(s *pgproto.Statement) { s.Types = []byte{0, 1} },
-		"no types":           func(s *pgproto.Statement) { s.Types = nil },
+		"types cut short":    func(s *pgproto.Statement) { s.ParameterTypes = []byte{0, 1} },
+		"no types":           func(s *pgproto.Statement) { s.ParameterTypes = nil },
 		"values cut short":   func(s *pgproto.Statement) { s.Bind = []byte{0, 0, 0, 1, 0, 0, 0, 9} },
 		"more behind values": func(s *pgproto.Statement) { s.Bind = append(s.Bind, 'Q') },
 		"a length below -1":  func(s *pgproto.Statement) { s.Bind = []byte{0, 0, 0, 1, 0xff, 0xff, 0xff, 0xfe, 0, 0} },
@@ -68,9 +68,9 @@
 		}
 	}
 	for name, r := range map[string]*pgproto.Result{
-		"more rows than said":   {Rows: append(row, row...), Count: 1},
-		"rows cut short":        {Rows: row[:len(row)-1], Count: 1},
-		"another message":       {Rows: pgproto.AppendMessage(nil, 'E', []byte{0}), Count: 1},
+		"more rows than said":   {Rows: append(row, row...), RowCount: 1},
+		"rows cut short":        {Rows: row[:len(row)-1], RowCount: 1},
+		"another message":       {Rows: pgproto.AppendMessage(nil, 'E', []byte{0}), RowCount: 1},
 		"a tag that goes on":    {Tag: "SELECT 1\x00Z"},
 		"more than may be held": {Rows: make([]byte, MaxResult+1)},
 	} {
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -157,14 +157,14 @@
 	}
 	l.written = true
 	name, b := l.prepare(s)
-	if s.Begin != "" {
+	if s.BeginQuery != "" {
 		l.begins = 1
-		b = append(ahead(nil, s.Begin), b...)
+		b = append(ahead(nil, s.BeginQuery), b...)
 	}
 	if !l.goes {
 		b = append(l.settle(s.Settings), b...)
 	}
-	if s.Describe {
+	if s.DescribeOnly {
 		b = pgproto.AppendMessage(b, 'D', []byte("S"), name)
 	} else {
 		b = pgproto.AppendMessage(b, 'B', []byte{0}, name, s.Bind)
@@ -248,9 +248,9 @@
 func (l *link) prepare(s *pgproto.Statement) (name, out []byte) {
 	if l.attempt.Request.Streaming {
 		l.using, l.parsing = "", ""
-		return []byte{0}, pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString(s.Query), s.Types)
+		return []byte{0}, pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString(s.Query), s.ParameterTypes)
 	}
-	key := s.Query + "\x00" + string(s.Types)
+	key := s.Query + "\x00" + string(s.ParameterTypes)
 	l.using, l.parsing = key, ""
 	if known, ok := l.named[key]; ok {
 		return pgproto.CString(known), nil
@@ -260,7 +260,7 @@
 		l.parsing = "s" + strconv.Itoa(l.last)
 	}
 	name = pgproto.CString(l.parsing)
-	return name, pgproto.AppendMessage(nil, 'P', name, pgproto.CString(s.Query), s.Types)
+	return name, pgproto.AppendMessage(nil, 'P', name, pgproto.CString(s.Query), s.ParameterTypes)
 }
 
 // stale tells that an error concerns a name from an earlier attempt: the engine has
@@ -388,8 +388,8 @@
 func (l *link) message(kind byte, body, whole []byte) error {
 	switch kind {
 	case 'S':
-		if s := l.statement(); s != nil && s.Sets != "" && l.begins == 0 { // else it is of the session, which no client owns
-			l.result.Status = append(l.result.Status, whole...)
+		if s := l.statement(); s != nil && s.ChangedSetting != "" && l.begins == 0 { // else it is of the session, which no client owns
+			l.result.ParameterStatus = append(l.result.ParameterStatus, whole...)
 		}
 		return nil
 	case 'N', 'A': // notices are, too
@@ -446,11 +446,11 @@
 		l.bound = true
 	case '3':
 	case 't':
-		r.Params = append([]byte{}, body...)
+		r.ParameterDescription = append([]byte{}, body...)
 	case 'T':
-		r.Fields = append([]byte{}, body...)
+		r.RowDescription = append([]byte{}, body...)
 	case 'n':
-		r.Fields = nil
+		r.RowDescription = nil
 	case 'D':
 		switch {
 		case len(r.Rows)+len(whole) > MaxResult:
@@ -462,7 +462,7 @@
 		}
 		r.Rows = append(r.Rows, whole...)
 		l.all.size += len(whole)
-		r.Count++
+		r.RowCount++
 	case 'C':
 		if l.begins > 0 { // of the transaction, not of its statement
 			l.begins--
@@ -475,7 +475,7 @@
 			return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
 		}
 	case 'I':
-		r.Empty, l.whole = true, true
+		r.EmptyQuery, l.whole = true, true
 	default:
 		return fmt.Errorf("message %q in an answer", kind)
 	}
@@ -554,13 +554,13 @@
 	}
 	s := l.statement()
 	switch {
-	case l.failure != nil && s.Ends: // it was rolled back, and the engine says why
+	case l.failure != nil && s.EndsTransaction: // it was rolled back, and the engine says why
 		l.finish(core.OutcomeStatementRejected, core.Report{EngineError: l.failure})
 	case l.failure != nil && l.stale(l.failure.Code):
 		l.finish(core.OutcomeNotSent, core.Report{})
 	case l.failure != nil:
 		l.finish(l.errorEnd(s), core.Report{EngineError: l.failure})
-	case l.whole || s.Describe && l.result.Params != nil:
+	case l.whole || s.DescribeOnly && l.result.ParameterDescription != nil:
 		l.finish(core.OutcomeServed, core.Report{Result: l.result})
 	default:
 		return errors.New("an answer without an end")
@@ -590,7 +590,7 @@
 func (l *link) errorEnd(s *pgproto.Statement) core.Outcome {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == core.OutcomeEngineFull && class.Idempotency == policy.NotIdempotent && !s.Describe {
+	if end == core.OutcomeEngineFull && class.Idempotency == policy.NotIdempotent && !s.DescribeOnly {
 		return core.OutcomeEngineError
 	}
 	return end
@@ -622,15 +622,15 @@
 	if l.dropped && end != core.OutcomeServed {
 		end = core.OutcomeCancelled
 	}
-	if s != nil && s.Sets != "" && end == core.OutcomeServed {
-		l.applied[s.Sets] = s.Query
+	if s != nil && s.ChangedSetting != "" && end == core.OutcomeServed {
+		l.applied[s.ChangedSetting] = s.Query
 	}
 	l.clear()
 	l.used = l.all.core.Now()
 	switch {
 	case l.retired:
 		l.close(core.OutcomeIdleClosed)
-	case a.Request.Streaming || s != nil && s.Taints:
+	case a.Request.Streaming || s != nil && s.TaintsSession:
 		l.tidy()
 	default:
 		l.rest()
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -86,8 +86,8 @@
 	case len(k.portals) >= maxNamed:
 		return fail("54000", "more than %d portals", maxNamed)
 	}
-	if s.known != nil && len(s.known.Params) >= 2 {
-		p := pgproto.Reader{Rest: s.known.Params}
+	if s.known != nil && len(s.known.ParameterDescription) >= 2 {
+		p := pgproto.Reader{Rest: s.known.ParameterDescription}
 		if want := p.Count(); want != len(values) {
 			return fail("08P01", "bind message supplies %d parameters, but the prepared statement requires %d", len(values), want)
 		}
@@ -179,8 +179,8 @@
 		k.out = pgproto.AppendMessage(k.out, 'n')
 		return
 	}
-	k.out = pgproto.AppendMessage(k.out, 't', s.known.Params)
-	k.rowDescription(s.known.Fields)
+	k.out = pgproto.AppendMessage(k.out, 't', s.known.ParameterDescription)
+	k.rowDescription(s.known.RowDescription)
 }
 
 func (k *conn) rowDescription(fields []byte) {
@@ -197,7 +197,7 @@
 		then()
 		return
 	}
-	want := &pgproto.Statement{Query: s.query, Types: s.types, Describe: true}
+	want := &pgproto.Statement{Query: s.query, ParameterTypes: s.types, DescribeOnly: true}
 	k.ask(s, want, "", nil, func(res *pgproto.Result) {
 		s.known = res
 		then()
@@ -218,11 +218,11 @@
 		s := p.statement
 		switch {
 		case p.result != nil:
-			k.rowDescription(p.result.Fields)
-		case s.known == nil || s.known.Fields == nil:
+			k.rowDescription(p.result.RowDescription)
+		case s.known == nil || s.known.RowDescription == nil:
 			k.rowDescription(nil)
 		default:
-			fields, err := pgproto.WithResultFormats(s.known.Fields, p.bind)
+			fields, err := pgproto.WithResultFormats(s.known.RowDescription, p.bind)
 			if err != nil {
 				k.failed(malformed("RowDescription"))
 				return
@@ -260,13 +260,13 @@
 		return e
 	default:
 		s := p.statement
-		want := &pgproto.Statement{Query: s.query, Types: s.types, Bind: p.bind}
+		want := &pgproto.Statement{Query: s.query, ParameterTypes: s.types, Bind: p.bind}
 		p.binds.Types = s.oids()
 		k.ask(s, want, p.token, &p.binds, func(res *pgproto.Result) {
 			p.result, p.rest = res, res.Rows
 			res.Rows = nil
 			if describe {
-				k.rowDescription(res.Fields)
+				k.rowDescription(res.RowDescription)
 			}
 			_ = k.rows(p, most)
 			k.hold(p)
@@ -280,7 +280,7 @@
 // has drained meanwhile.
 func (k *conn) rows(p *portal, most int) *pgproto.Error {
 	res := p.result
-	if p.over && res.Fields == nil {
+	if p.over && res.RowDescription == nil {
 		return fail("55000", "the portal has run and cannot be run again")
 	}
 	n, size := 0, 0
@@ -294,12 +294,12 @@
 	switch {
 	case most > 0 && n == most:
 		k.out = pgproto.AppendMessage(k.out, 's')
-	case res.Empty:
+	case res.EmptyQuery:
 		k.out = pgproto.AppendMessage(k.out, 'I')
 		p.over = true
 	default:
 		tag := res.Tag
-		if verb, _, ok := strings.Cut(tag, " "); ok && n != res.Count {
+		if verb, _, ok := strings.Cut(tag, " "); ok && n != res.RowCount {
 			tag = verb + " " + strconv.Itoa(n)
 		}
 		k.out = pgproto.AppendMessage(k.out, 'C', pgproto.CString(tag))
@@ -375,10 +375,10 @@
 	if _, e = keyOf(s.sorted, nil); e != nil && k.tx == nil {
 		return e
 	}
-	want := &pgproto.Statement{Query: query, Types: noTypes, Bind: noValues}
+	want := &pgproto.Statement{Query: query, ParameterTypes: noTypes, Bind: noValues}
 	k.ask(s, want, "", nil, func(res *pgproto.Result) {
-		if res.Fields != nil {
-			k.rowDescription(res.Fields)
+		if res.RowDescription != nil {
+			k.rowDescription(res.RowDescription)
 		}
 		_ = k.rows(&portal{statement: s, result: res, rest: res.Rows}, 0)
 		k.simple = false
@@ -413,8 +413,8 @@
 // oids are the types of the statement's parameters: those that an engine told of, else
 // those that the client gave.
 func (s *statement) oids() []byte {
-	if s.known != nil && len(s.known.Params) > 2 {
-		return s.known.Params[2:]
+	if s.known != nil && len(s.known.ParameterDescription) > 2 {
+		return s.known.ParameterDescription[2:]
 	}
 	if len(s.types) > 2 {
 		return s.types[2:]
@@ -424,21 +424,21 @@
 
 // ask puts one request to the core. The answer may come before it returns.
 func (k *conn) ask(s *statement, want *pgproto.Statement, token string, binds *sqltext.Binds, served func(*pgproto.Result)) {
-	if k.tx != nil && !want.Describe {
+	if k.tx != nil && !want.DescribeOnly {
 		k.inTransaction(want, served)
 		return
 	}
 	want.Settings, want.User = k.settings, k.user
-	want.Taints = s.taints
+	want.TaintsSession = s.taints
 	f := k.front
 	class := s.class
 	var sorted *queryshape.Execution
-	if f.opts.Shapes != nil && s.read != nil && s.shape && !want.Describe {
+	if f.opts.Shapes != nil && s.read != nil && s.shape && !want.DescribeOnly {
 		if c, x, ok := f.opts.Shapes.Classify(s.read, binds); ok {
 			class, sorted = c, x
 		}
 	}
-	if d, ok := f.core.Class(f.opts.DefaultClass); ok && want.Describe && d.Idempotency == policy.Idempotent {
+	if d, ok := f.core.Class(f.opts.DefaultClass); ok && want.DescribeOnly && d.Idempotency == policy.Idempotent {
 		class = d // a description runs nothing, whatever its statement would do
 	}
 	if e := k.mayAsk(class.Name); e != nil {
@@ -469,7 +469,7 @@
 		r.DataSet, _ = s.read.DataSet()
 		if sorted != nil {
 			f.opts.Shapes.ApplyEstimate(r, sorted)
-		} else if !want.Describe {
+		} else if !want.DescribeOnly {
 			f.opts.Shapes.EstimateRequest(r, s.read, binds)
 		}
 	}
--- a/internal/frontend/postgres/move_test.go
+++ b/internal/frontend/postgres/move_test.go
@@ -11,7 +11,7 @@
 
 // The state holds each statement once, also one that only a portal has still.
 func TestState(t *testing.T) {
-	kept, closed := &statement{query: "SELECT 1", types: []byte{0, 0}}, &statement{query: "SELECT 2", known: &pgproto.Result{Params: []byte{0, 0}}}
+	kept, closed := &statement{query: "SELECT 1", types: []byte{0, 0}}, &statement{query: "SELECT 2", known: &pgproto.Result{ParameterDescription: []byte{0, 0}}}
 	k := &conn{process: 7, secret: [4]byte{1, 2, 3, 4}, started: true, skip: true, statements: map[string]*statement{"s": kept},
 		portals: map[string]*portal{"p": {statement: closed, bind: make([]byte, 6), given: 3, rest: []byte("rows")}, "q": {statement: kept, token: "key"}}}
 	var got connState
--- a/internal/frontend/postgres/settings.go
+++ b/internal/frontend/postgres/settings.go
@@ -116,12 +116,12 @@
 		return fail("0A000", "SET needs a default class that is safe to repeat")
 	}
 	one := pgproto.Setting{Name: name, Text: s.query}
-	want := &pgproto.Statement{Query: s.query, Types: noTypes, Bind: noValues, Sets: name}
+	want := &pgproto.Statement{Query: s.query, ParameterTypes: noTypes, Bind: noValues, ChangedSetting: name}
 	k.ask(&statement{query: s.query, types: noTypes, sorted: sorted{class: class}}, want, "", nil, func(res *pgproto.Result) {
 		k.unset(name)
 		k.settings = append(slices.Clone(k.settings), one) // statements that are out keep theirs
 		slices.SortFunc(k.settings, func(a, b pgproto.Setting) int { return strings.Compare(a.Name, b.Name) })
-		k.out = append(k.out, res.Status...)
+		k.out = append(k.out, res.ParameterStatus...)
 		said(res.Tag)
 	})
 	return nil
--- a/internal/frontend/postgres/several.go
+++ b/internal/frontend/postgres/several.go
@@ -72,9 +72,9 @@
 		}
 		return
 	}
-	k.inTransaction(&pgproto.Statement{Query: s.query, Types: noTypes, Bind: noValues}, func(res *pgproto.Result) {
-		if res.Fields != nil {
-			k.rowDescription(res.Fields)
+	k.inTransaction(&pgproto.Statement{Query: s.query, ParameterTypes: noTypes, Bind: noValues}, func(res *pgproto.Result) {
+		if res.RowDescription != nil {
+			k.rowDescription(res.RowDescription)
 		}
 		_ = k.rows(&portal{statement: s, result: res, rest: res.Rows}, 0)
 		k.step(left[1:])
--- a/internal/frontend/postgres/stored_test.go
+++ b/internal/frontend/postgres/stored_test.go
@@ -18,11 +18,11 @@
 	Process: 70000, Secret: [4]byte{1, 2, 3, 4}, Started: true, Timeout: 7 * time.Second, Skip: true, Describe: true, Describing: "p",
 	Statements: []statementState{
 		{Named: true, Name: "s", Query: "SELECT 1", Types: []byte{0, 0}},
-		{Query: "SELECT $1", Known: &pgproto.Result{Params: []byte{0, 1, 0, 0, 0, 23}, Fields: []byte{0, 0}}},
+		{Query: "SELECT $1", Known: &pgproto.Result{ParameterDescription: []byte{0, 1, 0, 0, 0, 23}, RowDescription: []byte{0, 0}}},
 	},
 	Portals: []portalState{{
 		Name: "p", Statement: 1, Bind: []byte{0, 0, 0, 1, 0, 0, 0, 1, '7', 0, 0}, Token: "key",
-		Result: &pgproto.Result{Rows: []byte("rows"), Count: 2, Tag: "SELECT 2", Empty: true, Status: []byte("status")}, Given: 3, Rest: []byte("rest"), Over: true,
+		Result: &pgproto.Result{Rows: []byte("rows"), RowCount: 2, Tag: "SELECT 2", EmptyQuery: true, ParameterStatus: []byte("status")}, Given: 3, Rest: []byte("rest"), Over: true,
 	}, {Name: "", Statement: 0, Bind: make([]byte, 6)}},
 	User: "app", Settings: []pgproto.Setting{{Name: "application_name", Text: "billing"}},
 }
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -122,7 +122,7 @@
 		if tx.failed { // the engine may not know: what failed may never have come to it
 			query = "ROLLBACK"
 		}
-		k.send(&pgproto.Statement{Query: query, Types: noTypes, Bind: noValues, Ends: true}, func(a core.Answer) {
+		k.send(&pgproto.Statement{Query: query, ParameterTypes: noTypes, Bind: noValues, EndsTransaction: true}, func(a core.Answer) {
 			ending := tx.ending
 			k.close()
 			res, _ := a.Result.(*pgproto.Result)
@@ -157,7 +157,7 @@
 	if k.tx.failed && k.tx.request == nil || k.tx.failed && s.control != "ROLLBACK" {
 		return aborted()
 	}
-	want := &pgproto.Statement{Query: s.query, Types: noTypes, Bind: noValues}
+	want := &pgproto.Statement{Query: s.query, ParameterTypes: noTypes, Bind: noValues}
 	k.run(want, func(res *pgproto.Result) {
 		k.tx.failed = false
 		said(res.Tag)
@@ -305,7 +305,7 @@
 		}
 		return
 	}
-	want.Begin, want.Settings, want.User = tx.begin, k.settings, k.user
+	want.BeginQuery, want.Settings, want.User = tx.begin, k.settings, k.user
 	r := &core.Request{
 		ID: k.id(), Class: class.Name, Statement: want, Deadline: f.core.Now() + wait, Client: k, Streaming: true,
 	}
--- a/internal/pgproto/pgproto.go
+++ b/internal/pgproto/pgproto.go
@@ -209,18 +209,28 @@
 	return e, nil
 }
 
-// Statement is one bound execution, or the wish to have a statement described.
+// Statement is one bound execution, or a request to describe a statement. Other sites receive it
+// in CBOR under the names in the tags.
 type Statement struct {
-	Query    string
-	Types    []byte    // the count and the types of the parameters, as in Parse
-	Bind     []byte    // a Bind's body past its two names; formats and values as they came
-	Describe bool      // describe only: nothing runs
-	Begin    string    // of a transaction: what begins it, ahead of its first statement
-	Ends     bool      // it ends its transaction
-	Settings []Setting // that it runs under, by name; others are as the engine has them
-	Sets     string    // the setting that it changes itself
-	Taints   bool      // it may leave something in the engine's session
-	User     string    `cbor:"-"` // whom it runs for, of those who share the connections; other sites know their own
+	Query string
+	// ParameterTypes is the count and the types of the parameters, as in Parse.
+	ParameterTypes []byte `cbor:"Types"`
+	// Bind is the body of a Bind past its two names: formats and values as they came.
+	Bind []byte
+	// DescribeOnly is set where nothing runs.
+	DescribeOnly bool `cbor:"Describe"`
+	// BeginQuery begins the transaction, ahead of its first statement.
+	BeginQuery string `cbor:"Begin"`
+	// EndsTransaction is set where the statement ends its transaction.
+	EndsTransaction bool `cbor:"Ends"`
+	// Settings are those that the statement runs under, by name; others are as the engine has them.
+	Settings []Setting
+	// ChangedSetting is the setting that the statement itself changes.
+	ChangedSetting string `cbor:"Sets"`
+	// TaintsSession is set where the statement may leave something in the engine's session.
+	TaintsSession bool `cbor:"Taints"`
+	// User is whom it runs for, of those who share the connections. Other sites know their own.
+	User string `cbor:"-"`
 }
 
 // Setting is one setting of a client, as the SET that made it.
@@ -232,15 +242,23 @@
 // Size is the number of bytes of all rows.
 func (r *Result) Size() int { return len(r.Rows) }
 
-// Result is what an engine answered: the bodies of the messages as they came.
+// Result is what an engine answered: the bodies of the messages as they came. Other sites
+// receive it in CBOR under the names in the tags.
 type Result struct {
-	Params []byte // of ParameterDescription, where only a description was wanted
-	Fields []byte // of RowDescription; nil: NoData
-	Rows   []byte // whole DataRow messages in order
-	Count  int    // of rows
-	Tag    string // of CommandComplete
-	Empty  bool   // EmptyQueryResponse in place of CommandComplete
-	Status []byte // ParameterStatus messages, of a SET
+	// ParameterDescription is set where only a description was requested.
+	ParameterDescription []byte `cbor:"Params"`
+	// RowDescription is nil where the engine answered NoData.
+	RowDescription []byte `cbor:"Fields"`
+	// Rows are complete DataRow messages in order.
+	Rows []byte
+	// RowCount is the number of rows.
+	RowCount int `cbor:"Count"`
+	// Tag is that of CommandComplete.
+	Tag string
+	// EmptyQuery is set where EmptyQueryResponse came in place of CommandComplete.
+	EmptyQuery bool `cbor:"Empty"`
+	// ParameterStatus holds complete ParameterStatus messages, of a SET.
+	ParameterStatus []byte `cbor:"Status"`
 }
 
 // WithResultFormats gives a copy of the body of a RowDescription that has the result
--- a/internal/pgproto/stored_test.go
+++ b/internal/pgproto/stored_test.go
@@ -12,14 +12,14 @@
 // storedStatement is the statement whose bytes version c18a9bd wrote to testdata/statement.cbor:
 // a gateway of that version passes its statements to other sites so.
 var storedStatement = Statement{
-	Query: "SELECT $1", Types: []byte{0, 1, 0, 0, 0, 23}, Bind: []byte{0, 0, 0, 1, 0, 0, 0, 1, '7', 0, 0}, Describe: true,
-	Begin: "BEGIN READ ONLY", Ends: true, Settings: []Setting{{Name: "application_name", Text: "SET application_name = 'billing'"}},
-	Sets: "timezone", Taints: true,
+	Query: "SELECT $1", ParameterTypes: []byte{0, 1, 0, 0, 0, 23}, Bind: []byte{0, 0, 0, 1, 0, 0, 0, 1, '7', 0, 0}, DescribeOnly: true,
+	BeginQuery: "BEGIN READ ONLY", EndsTransaction: true, Settings: []Setting{{Name: "application_name", Text: "SET application_name = 'billing'"}},
+	ChangedSetting: "timezone", TaintsSession: true,
 }
 
 // storedResult is the result whose bytes version c18a9bd wrote to testdata/result.cbor.
 var storedResult = Result{
-	Params: []byte{0, 1, 0, 0, 0, 23}, Fields: []byte{0, 0}, Rows: []byte("rows"), Count: 2, Tag: "SELECT 2", Empty: true, Status: []byte("status"),
+	ParameterDescription: []byte{0, 1, 0, 0, 0, 23}, RowDescription: []byte{0, 0}, Rows: []byte("rows"), RowCount: 2, Tag: "SELECT 2", EmptyQuery: true, ParameterStatus: []byte("status"),
 }
 
 // Statements and results of version c18a9bd are read whole and written anew byte for byte.
