--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -134,7 +134,7 @@
 		l.conn = c
 		if ls.opts.TLS != nil {
 			l.asking = true
-			c.Write(pgproto.AppendStartup(nil, pgproto.SSLReq, nil))
+			c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
 		} else {
 			l.greet()
 		}
@@ -157,21 +157,21 @@
 	}
 	l.written = true
 	name, b := l.prepare(s)
-	if s.Begin != "" {
+	if s.BeginQuery != "" {
 		l.begins = 1
-		b = append(ahead(nil, s.Begin), b...)
+		b = append(ahead(nil, s.BeginQuery), b...)
 	}
 	if !l.goes {
 		b = append(l.settle(s.Settings), b...)
 	}
-	if s.Describe {
-		b = pgproto.Append(b, 'D', []byte("S"), name)
+	if s.DescribeOnly {
+		b = pgproto.AppendMessage(b, 'D', []byte("S"), name)
 	} else {
-		b = pgproto.Append(b, 'B', []byte{0}, name, s.Bind)
-		b = pgproto.Append(b, 'D', []byte("P\x00"))
-		b = pgproto.Append(b, 'E', []byte("\x00"), pgproto.Int32(0))
+		b = pgproto.AppendMessage(b, 'B', []byte{0}, name, s.Bind)
+		b = pgproto.AppendMessage(b, 'D', []byte("P\x00"))
+		b = pgproto.AppendMessage(b, 'E', []byte("\x00"), pgproto.Int32(0))
 	}
-	if l.conn.Write(pgproto.Append(b, 'S')) || l.goes {
+	if l.conn.Write(pgproto.AppendMessage(b, 'S')) || l.goes {
 		return
 	}
 	l.written, l.retired = false, true // the connection has ended: it has never run
@@ -186,9 +186,9 @@
 // ahead adds the messages of what runs ahead of a statement. No Sync follows: what is behind them runs
 // only if they do.
 func ahead(b []byte, text string) []byte {
-	b = pgproto.Append(b, 'P', []byte{0}, pgproto.Str(text), []byte{0, 0})
-	b = pgproto.Append(b, 'B', []byte{0, 0}, make([]byte, 6))
-	return pgproto.Append(b, 'E', []byte{0}, pgproto.Int32(0))
+	b = pgproto.AppendMessage(b, 'P', []byte{0}, pgproto.CString(text), []byte{0, 0})
+	b = pgproto.AppendMessage(b, 'B', []byte{0, 0}, make([]byte, 6))
+	return pgproto.AppendMessage(b, 'E', []byte{0}, pgproto.Int32(0))
 }
 
 // settle is the messages that give the session the settings that a statement runs under, and take
@@ -234,7 +234,7 @@
 	clear(l.named)
 	clear(l.applied)
 	l.clean = true
-	l.conn.Write(pgproto.Append(nil, 'Q', pgproto.Str("DISCARD ALL")))
+	l.conn.Write(pgproto.AppendMessage(nil, 'Q', pgproto.CString("DISCARD ALL")))
 	l.all.loop.Timers.Add(l.all.core.Now()+l.all.opts.ConnectTimeout, func() {
 		if l.clean {
 			l.close(core.OutcomeIdleClosed)
@@ -248,19 +248,19 @@
 func (l *link) prepare(s *pgproto.Statement) (name, out []byte) {
 	if l.attempt.Request.Streaming {
 		l.using, l.parsing = "", ""
-		return []byte{0}, pgproto.Append(nil, 'P', []byte{0}, pgproto.Str(s.Query), s.Types)
+		return []byte{0}, pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString(s.Query), s.ParameterTypes)
 	}
-	key := s.Query + "\x00" + string(s.Types)
+	key := s.Query + "\x00" + string(s.ParameterTypes)
 	l.using, l.parsing = key, ""
 	if known, ok := l.named[key]; ok {
-		return pgproto.Str(known), nil
+		return pgproto.CString(known), nil
 	}
 	if len(l.named) < maxNamed && len(key) <= maxKept {
 		l.last++
 		l.parsing = "s" + strconv.Itoa(l.last)
 	}
-	name = pgproto.Str(l.parsing)
-	return name, pgproto.Append(nil, 'P', name, pgproto.Str(s.Query), s.Types)
+	name = pgproto.CString(l.parsing)
+	return name, pgproto.AppendMessage(nil, 'P', name, pgproto.CString(s.Query), s.ParameterTypes)
 }
 
 // stale tells that an error concerns a name from an earlier attempt: the engine has
@@ -314,7 +314,7 @@
 	key := l.key
 	ls.loop.Dial(l.engine.Addr, min(ls.opts.ConnectTimeout, cancelTime), maxBuffer, silent{}, func(c *netio.Conn, err error) {
 		if err == nil {
-			c.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, key))
+			c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, key))
 			c.Close()
 		}
 	})
@@ -355,7 +355,7 @@
 		return
 	}
 	for l.end == core.OutcomeUnknown {
-		kind, body, n, err := pgproto.Next(in.Bytes(), maxMessage)
+		kind, body, n, err := pgproto.ReadMessage(in.Bytes(), maxMessage)
 		if err == nil && n > 0 {
 			err = l.message(kind, body, in.Bytes()[:n])
 			in.Consume(n)
@@ -388,8 +388,8 @@
 func (l *link) message(kind byte, body, whole []byte) error {
 	switch kind {
 	case 'S':
-		if s := l.statement(); s != nil && s.Sets != "" && l.begins == 0 { // else it is of the session, which no client owns
-			l.result.Status = append(l.result.Status, whole...)
+		if s := l.statement(); s != nil && s.ChangedSetting != "" && l.begins == 0 { // else it is of the session, which no client owns
+			l.result.ParameterStatus = append(l.result.ParameterStatus, whole...)
 		}
 		return nil
 	case 'N', 'A': // notices are, too
@@ -446,11 +446,11 @@
 		l.bound = true
 	case '3':
 	case 't':
-		r.Params = append([]byte{}, body...)
+		r.ParameterDescription = append([]byte{}, body...)
 	case 'T':
-		r.Fields = append([]byte{}, body...)
+		r.RowDescription = append([]byte{}, body...)
 	case 'n':
-		r.Fields = nil
+		r.RowDescription = nil
 	case 'D':
 		switch {
 		case len(r.Rows)+len(whole) > MaxResult:
@@ -462,20 +462,20 @@
 		}
 		r.Rows = append(r.Rows, whole...)
 		l.all.size += len(whole)
-		r.Count++
+		r.RowCount++
 	case 'C':
 		if l.begins > 0 { // of the transaction, not of its statement
 			l.begins--
 			l.bound = false
 			return nil
 		}
-		tag := pgproto.Reader{B: body}
-		r.Tag, l.whole = tag.Str(), true
-		if !tag.End() {
-			return fmt.Errorf("%w: CommandComplete", pgproto.Malformed)
+		tag := pgproto.Reader{Rest: body}
+		r.Tag, l.whole = tag.CString(), true
+		if !tag.Complete() {
+			return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
 		}
 	case 'I':
-		r.Empty, l.whole = true, true
+		r.EmptyQuery, l.whole = true, true
 	default:
 		return fmt.Errorf("message %q in an answer", kind)
 	}
@@ -554,13 +554,13 @@
 	}
 	s := l.statement()
 	switch {
-	case l.failure != nil && s.Ends: // it was rolled back, and the engine says why
+	case l.failure != nil && s.EndsTransaction: // it was rolled back, and the engine says why
 		l.finish(core.OutcomeStatementRejected, core.Report{EngineError: l.failure})
 	case l.failure != nil && l.stale(l.failure.Code):
 		l.finish(core.OutcomeNotSent, core.Report{})
 	case l.failure != nil:
 		l.finish(l.errorEnd(s), core.Report{EngineError: l.failure})
-	case l.whole || s.Describe && l.result.Params != nil:
+	case l.whole || s.DescribeOnly && l.result.ParameterDescription != nil:
 		l.finish(core.OutcomeServed, core.Report{Result: l.result})
 	default:
 		return errors.New("an answer without an end")
@@ -590,7 +590,7 @@
 func (l *link) errorEnd(s *pgproto.Statement) core.Outcome {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == core.OutcomeEngineFull && class.Idempotency == policy.NotIdempotent && !s.Describe {
+	if end == core.OutcomeEngineFull && class.Idempotency == policy.NotIdempotent && !s.DescribeOnly {
 		return core.OutcomeEngineError
 	}
 	return end
@@ -622,15 +622,15 @@
 	if l.dropped && end != core.OutcomeServed {
 		end = core.OutcomeCancelled
 	}
-	if s != nil && s.Sets != "" && end == core.OutcomeServed {
-		l.applied[s.Sets] = s.Query
+	if s != nil && s.ChangedSetting != "" && end == core.OutcomeServed {
+		l.applied[s.ChangedSetting] = s.Query
 	}
 	l.clear()
 	l.used = l.all.core.Now()
 	switch {
 	case l.retired:
 		l.close(core.OutcomeIdleClosed)
-	case a.Request.Streaming || s != nil && s.Taints:
+	case a.Request.Streaming || s != nil && s.TaintsSession:
 		l.tidy()
 	default:
 		l.rest()
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -35,21 +35,21 @@
 }
 
 // answer carries out one call.
-func (s *Server) answer(c http1.Call) (http1.Answer, *http1.Fault) {
+func (s *Server) answer(c http1.Request) (http1.Response, *http1.StatusError) {
 	method, ok := methods[c.Path]
 	if !ok {
-		return http1.Answer{}, http1.Deny(http.StatusNotFound, "there are /ready, /metrics, /engines/disable and /engines/enable")
+		return http1.Response{}, http1.NewStatusError(http.StatusNotFound, "there are /ready, /metrics, /engines/disable and /engines/enable")
 	}
 	if c.Method != method {
-		return http1.Answer{}, http1.Deny(http.StatusMethodNotAllowed, "%s is called by %s", c.Path, method)
+		return http1.Response{}, http1.NewStatusError(http.StatusMethodNotAllowed, "%s is called by %s", c.Path, method)
 	}
 	switch c.Path {
 	case pathReady:
 		if err := s.gateway.Ready(); err != nil {
-			return http1.Answer{}, http1.Deny(http.StatusServiceUnavailable, "%s", err)
+			return http1.Response{}, http1.NewStatusError(http.StatusServiceUnavailable, "%s", err)
 		}
 	case pathMetrics:
-		return http1.Answer{Status: http.StatusOK, Type: typeText, Body: FormatFigures(s.gateway.Figures())}, nil
+		return http1.Response{Status: http.StatusOK, ContentType: typeText, Body: FormatFigures(s.gateway.Figures())}, nil
 	case pathDisable:
 		return changeEngine(c.Body, s.gateway.DisableEngine)
 	case pathEnable:
@@ -59,44 +59,44 @@
 }
 
 // changeEngine calls change with the engine that a body names.
-func changeEngine(body []byte, change func(id string) error) (http1.Answer, *http1.Fault) {
+func changeEngine(body []byte, change func(id string) error) (http1.Response, *http1.StatusError) {
 	id, fault := parseTarget(body)
 	if fault != nil {
-		return http1.Answer{}, fault
+		return http1.Response{}, fault
 	}
 	if err := change(id); err != nil {
-		return http1.Answer{}, http1.Deny(http.StatusNotFound, "%s", err)
+		return http1.Response{}, http1.NewStatusError(http.StatusNotFound, "%s", err)
 	}
 	return okAnswer(), nil
 }
 
-func okAnswer() http1.Answer {
-	return http1.Answer{Status: http.StatusOK, Type: typeJSON, Body: []byte("{}")}
+func okAnswer() http1.Response {
+	return http1.Response{Status: http.StatusOK, ContentType: typeJSON, Body: []byte("{}")}
 }
 
 // faultAnswer tells a caller what is wrong: {"error":"TEXT"}.
-func faultAnswer(fault *http1.Fault) http1.Answer {
-	body, _ := json.Marshal(map[string]string{"error": fault.Text}) // a map of strings never fails
-	return http1.Answer{Status: fault.Status, Type: typeJSON, Body: body}
+func faultAnswer(fault *http1.StatusError) http1.Response {
+	body, _ := json.Marshal(map[string]string{"error": fault.Message}) // a map of strings never fails
+	return http1.Response{Status: fault.Status, ContentType: typeJSON, Body: body}
 }
 
 // parseTarget reads the engine's id out of the body of a call: {"target":"ID"}.
-func parseTarget(body []byte) (string, *http1.Fault) {
+func parseTarget(body []byte) (string, *http1.StatusError) {
 	if len(body) > maxTargetBody {
-		return "", http1.Deny(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxTargetBody)
+		return "", http1.NewStatusError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxTargetBody)
 	}
 	var call struct {
 		Target *string `json:"target"`
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(&call); err != nil {
-		return "", http1.Bad("the body is not {\"target\":\"ID\"}: %v", err)
+		return "", http1.BadRequest("the body is not {\"target\":\"ID\"}: %v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return "", http1.Bad("something follows the body's object")
+		return "", http1.BadRequest("something follows the body's object")
 	}
 	if call.Target == nil || *call.Target == "" {
-		return "", http1.Bad("target: missing")
+		return "", http1.BadRequest("target: missing")
 	}
 	return *call.Target, nil
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -57,7 +57,7 @@
 	}
 	ln.HighPriority = true
 	s := &Server{loop: loop, gateway: g, counters: counters, listener: ln, silent: map[*caller]struct{}{}}
-	loop.Serve(ln, http1.MaxCall, maxCallers, s.accept)
+	loop.Serve(ln, http1.MaxRequestSize, maxCallers, s.accept)
 	return s, nil
 }
 
@@ -118,11 +118,11 @@
 		in.Consume(in.Len())
 		return
 	}
-	call, size, fault := http1.Parse(in.Bytes())
+	call, size, fault := http1.ParseRequest(in.Bytes())
 	if fault == nil && size == 0 { // not complete yet
 		return
 	}
-	var answer http1.Answer
+	var answer http1.Response
 	if fault == nil {
 		answer, fault = k.server.answer(call)
 	}
