--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -60,7 +60,7 @@
 
 func TestPanicBecomesBroken(t *testing.T) {
 	h := NewHost()
-	h.gateways[3] = &instance{} // no gateway: the call panics
+	h.instances[3] = &instance{} // no gateway: the call panics
 	var out bytes.Buffer
 	err := h.Run(strings.NewReader("[\"CLOCK\",1,3]\n[\"TICK_DUE\",3,0]\n[\"OVER_TO_YOU\"]\n"), &out)
 	if err != nil || !strings.HasPrefix(out.String(), `["BROKEN",3,"`) {
@@ -96,11 +96,13 @@
 	}
 	in := strings.NewReplacer(`"cancel": true`, `"cancel": true, "may-probe": true`,
 		`"how": "silent", "names": []`, `"how": "pull", "names": ["active", "cpu"]`).Replace(string(batch))
-	in += `["CLOCK",9000,900]` + "\n"
-	for _, answer := range []string{`"e1:1",200,1.5,[12,0.7]`, `"e1:1",408,250,null`, `"nobody:1",200,1,[1e300,-4]`} {
-		in += `["PROBED",1,` + answer + "]\n"
-	}
-	in += `["FROM_PEER",1,0,"any bytes"]` + "\n" + `["OVER_TO_YOU"]` + "\n"
+	in += `["CLOCK",9000,900]
+["PROBED",1,"e1:1",200,1.5,[12,0.7]]
+["PROBED",1,"e1:1",408,250,null]
+["PROBED",1,"nobody:1",200,1,[1e300,-4]]
+["FROM_PEER",1,0,"any bytes"]
+["OVER_TO_YOU"]
+`
 	var out bytes.Buffer
 	if err := NewHost().Run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
