--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,16 +1,13 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "math"
 
 const (
 	valueSamples      = 50   // queries that the usual value over work is averaged over
 	minPriorityWeight = 1e-9 // keeps the logarithm finite
 	minThreadsRatio   = 0.25 // of its class's threads that a query counts for
 	maxThreadsRatio   = 2
-	logValueDivisor   = 4 // doubling the value over the work opens this part of a limit more
+	logValueDivisor   = 4 // a doubled value over work opens 1/4 more of a limit
 )
 
 // arrive admits a query or rejects it at once.
@@ -77,7 +74,7 @@
 	g.send(q, e)
 }
 
-// queryLimit is the part of a limit that is open to the query.
+// queryLimit is the fraction of a limit that the query may use, in threads.
 func (g *Gateway) queryLimit(q *query, c *controller) float64 {
 	return c.currentLimit(g.now) * q.limitFraction
 }
@@ -102,34 +99,3 @@
 	}
 	return g.fits(q, &g.aggregate, g.queryLimit(q, &g.aggregate))
 }
-
-// answerWithoutResult is the only place where a query gets its final answer from the gateway: a rejection
-// where a retry is harmless, else a failure.
-func (g *Gateway) answerWithoutResult(q *query) {
-	if q.answered {
-		return
-	}
-	if g.mayReject(q) {
-		g.emit(Reject{Query: q.id, RetryAfter: g.retryAfter()})
-	} else {
-		g.emit(Fail{Query: q.id})
-	}
-	g.endQuery(q)
-}
-
-// mayReject tells whether a retry by the client is harmless.
-func (g *Gateway) mayReject(q *query) bool {
-	c := q.class
-	isRepeatable := c.Idempotency == Idempotent ||
-		c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll
-	return isRepeatable || !q.mayHaveRun()
-}
-
-// retryAfter spreads the retries of rejected clients over the time that they honor.
-func (g *Gateway) retryAfter() time.Duration {
-	half := g.settings.Limits.MaxRetryAfter / 2
-	if !g.settings.Limits.SendRetryAfter || half <= 0 {
-		return 0
-	}
-	return half + time.Duration(g.random.Int64N(int64(half)))
-}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -76,8 +76,8 @@
 }
 
 // minNearAffinity is the least affinity to the data set with which an engine of the zone counts as near: one
-// engine does, and more as the data set's part of the traffic grows. Guards against a hot data set crowding
-// the same few engines.
+// engine does, and more as the data set's fraction of the traffic grows. Guards against a hot data set
+// crowding the same few engines.
 func (g *Gateway) minNearAffinity(dataSet int64) uint64 {
 	g.affinities = g.affinities[:0]
 	for _, e := range g.engines {
@@ -116,6 +116,18 @@
 	})
 }
 
+// sharesDedup tells whether two engines drop each other's repeats.
+func sharesDedup(scope DedupScope, a, b *engine) bool {
+	switch {
+	case a == b || scope == DedupAll:
+		return true
+	case scope == DedupZone:
+		return a.zone == b.zone
+	default:
+		return scope == DedupCell && a.cell == b.cell
+	}
+}
+
 // isAllowed tells whether a place is in the list; an empty list allows all.
 func isAllowed(list []string, place string) bool {
 	return len(list) == 0 || slices.Contains(list, place)
--- a/policy/class.go
+++ b/policy/class.go
@@ -12,10 +12,6 @@
 	estimateSamples        = 50
 	minEstimateRatio       = 0.1 // of an estimate to the usual one
 	maxEstimateRatio       = 30
-
-	swapGrantFactor = 3.0  // times the usual need granted without an estimate, where memory is swapped
-	grantCoverage   = 0.87 // part of its queries whose need a class's grant should cover
-	grantStep       = 10   // divisor of a step of the grant's multiple
 )
 
 // class is a Class with what is learned of it, as moving averages.
@@ -25,7 +21,7 @@
 	latencyMS        float64 // usual latency
 	baselineMS       float64 // its lowest latency of late
 	workMS           float64 // usual work of all threads
-	latencyDeviation float64 // mean deviation of a latency from the expected one, as a part of it
+	latencyDeviation float64 // mean deviation of a latency from the expected one, as a fraction of that
 	estimateMS       float64 // usual estimate of the work; 0: none was seen
 	defaultGrantMB   float64 // memory to grant where there is no estimate; 0: the engine chooses
 	grantMultiple    float64 // memory to grant, as a multiple of the estimate
@@ -69,41 +65,3 @@
 	c.estimateMS += (estimateMS - c.estimateMS) / estimateSamples
 	return min(max(estimateMS/c.estimateMS, minEstimateRatio), maxEstimateRatio)
 }
-
-// recordCost takes what a response told of the query's cost.
-func (g *Gateway) recordCost(a *attempt, ev AttemptEnded) {
-	c := a.query.class
-	if ev.Work > 0 {
-		c.workMS += (milliseconds(ev.Work) - c.workMS) / c.samples()
-	} else if !g.settings.ReportsCost {
-		c.workMS = c.baselineMS * c.Threads
-	}
-	estimateMB := a.query.memoryMB
-	// Where memory is swapped, a grant beyond the need costs nobody anything.
-	if g.settings.MemoryShortage == ShortageSwap && estimateMB == 0 {
-		samples := min(float64(c.responses), c.samples())
-		c.defaultGrantMB += (swapGrantFactor*ev.MemoryMB - c.defaultGrantMB) / samples
-	}
-	// The steps up and down balance where the grant covers the wanted part of the queries.
-	switch {
-	case estimateMB > 0 && ev.MemoryMB > c.grantMultiple*estimateMB:
-		c.grantMultiple *= 1 + grantCoverage/grantStep
-	case estimateMB > 0 && !a.spilled:
-		c.grantMultiple *= 1 - (1-grantCoverage)/grantStep
-	}
-}
-
-// recordSpill raises the class's grants after a spill, where responses don't tell the need. A spill under the
-// largest grant that a query gets says nothing.
-func (g *Gateway) recordSpill(a *attempt, missingMB float64) {
-	q := a.query
-	c := q.class
-	isUncapped := 2*a.grantMB >= c.grantMultiple*q.memoryMB
-	tellsNeed := q.memoryMB > 0 && isUncapped && !g.settings.ReportsCost
-	if a.spilled || !tellsNeed {
-		return
-	}
-	a.spilled = true
-	needed := (a.grantMB + missingMB) / q.memoryMB
-	c.grantMultiple = max(c.grantMultiple*(1+grantCoverage/grantStep), (c.grantMultiple+needed)/2)
-}
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -117,6 +117,17 @@
 	return threads
 }
 
+// runControllers ends a control period for all controllers.
+func (g *Gateway) runControllers() {
+	for _, e := range g.engines {
+		g.resize(e)
+		e.adjust(g.now)
+	}
+	g.prune()
+	g.resizeAggregate()
+	g.aggregate.adjust(g.now)
+}
+
 // resize sets an engine's baseline and ceiling by this gateway's share of the traffic.
 func (g *Gateway) resize(e *engine) {
 	share := g.traffic.share()
@@ -148,3 +159,14 @@
 	overload := max(all.slowdown/saturationSlowdown, all.loadLevel, 1)
 	all.ceiling = (ceilingFactor*all.baseline + room/overload) / overload
 }
+
+// restartController gives an engine the values that a controller begins with.
+func (g *Gateway) restartController(e *engine, kind string) {
+	e.cores = max(g.kinds[kind].Cores, 1) // an unknown kind is taken as the smallest
+	g.resize(e)
+	e.limit = e.baseline
+	e.alpha = 1 / e.baseline
+	e.slowdown = initialSlowdown
+	e.latencySum = 0
+	e.responses = 0
+}
--- a/policy/data_sets.go
+++ b/policy/data_sets.go
@@ -31,7 +31,7 @@
 	d.total /= 2
 }
 
-// fraction is the data set's part of the traffic.
+// fraction is the data set's fraction of the traffic.
 func (d *dataSetCounts) fraction(dataSet int64) float64 {
 	return (d.counts[dataSet] + unseenDataSet) / (d.total + dataSetsAssumed*unseenDataSet)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -66,14 +66,3 @@
 		return isOver
 	})
 }
-
-// restartController gives an engine the values that a controller begins with.
-func (g *Gateway) restartController(e *engine, kind string) {
-	e.cores = max(g.kinds[kind].Cores, 1) // an unknown kind is taken as the smallest
-	g.resize(e)
-	e.limit = e.baseline
-	e.alpha = 1 / e.baseline
-	e.slowdown = initialSlowdown
-	e.latencySum = 0
-	e.responses = 0
-}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -53,30 +53,3 @@
 		return a.query.class.DataLoad && a.query.dataSet == dataSet
 	})
 }
-
-// sharesDedup tells whether two engines drop each other's repeats.
-func sharesDedup(scope DedupScope, a, b *engine) bool {
-	switch {
-	case a == b || scope == DedupAll:
-		return true
-	case scope == DedupZone:
-		return a.zone == b.zone
-	default:
-		return scope == DedupCell && a.cell == b.cell
-	}
-}
-
-// reportFadeTime is the age at which a load report counts for a third.
-const reportFadeTime = 2 * controlPeriod
-
-// engineReport is the latest load report of an engine.
-type engineReport struct {
-	load        float64 // threads per core
-	freeThreads float64 // 0 where the queries in flight are not reported
-	at          time.Duration
-}
-
-// fading is the weight of the report: the older, the less.
-func (r *engineReport) fading(now time.Duration) float64 {
-	return math.Exp(-float64(now-r.at) / float64(reportFadeTime))
-}
--- a/policy/event.go
+++ b/policy/event.go
@@ -63,11 +63,11 @@
 // field that the deployment does not report is -1.
 type LoadReport struct {
 	Reported          bool
-	CPUUtilization    float64 // part of its cores in use
+	CPUUtilization    float64 // fraction of its cores in use
 	InFlight          float64 // queries on the engine, of all gateways
 	WaitingForMemory  float64 // queries that wait for memory
-	MemoryUtilization float64 // part of its memory granted
-	DiskUtilization   float64 // part of its disks' time in use
+	MemoryUtilization float64 // fraction of its memory granted
+	DiskUtilization   float64 // fraction of its disks' time in use
 }
 
 // LoadReportReceived ends a RequestLoadReport, with a report or without.
@@ -88,7 +88,7 @@
 	ProgressWaitingForDataLoad                         // Value is not used
 )
 
-// AttemptProgress is an engine's word of a running attempt.
+// AttemptProgress is an engine's report on a running attempt.
 type AttemptProgress struct {
 	Query   uint64
 	Attempt int
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -174,14 +174,3 @@
 		g.runControllers()
 	}
 }
-
-// runControllers ends a control period for all controllers.
-func (g *Gateway) runControllers() {
-	for _, e := range g.engines {
-		g.resize(e)
-		e.adjust(g.now)
-	}
-	g.prune()
-	g.resizeAggregate()
-	g.aggregate.adjust(g.now)
-}
--- a/policy/health.go
+++ b/policy/health.go
@@ -32,13 +32,13 @@
 
 // health is the outlier detection of one engine. An ejected engine gets trials alone.
 type health struct {
-	lastHeard        time.Duration // latest word from it
+	lastHeard        time.Duration // latest message from it
 	connectionLostAt time.Duration // 0: never
-	faultRate        float64       // part of its latest attempts that failed
+	faultRate        float64       // fraction of its latest attempts that failed
 	ejected          bool
 	ejectedForFaults bool // not for silence: it must serve before it is readmitted
 	nextTrialAt      time.Duration
-	lostResponses    map[*class]int           // since the latest word of the class
+	lostResponses    map[*class]int           // since the latest progress or response of the class
 	blockedUntil     map[*class]time.Duration // for classes that are blocked, the time of the next trial
 }
 
@@ -77,9 +77,9 @@
 	}
 }
 
-// checkLostResponse retries a query whose engine reports others and has long said nothing of it. Guards
-// against responses that never arrive, and against an engine where one class stands still while all else
-// runs.
+// checkLostResponse retries a query whose engine reports progress of others and has long reported none of it.
+// Guards against responses that never arrive, and against an engine where one class is stuck while others
+// run.
 func (g *Gateway) checkLostResponse(a *attempt) {
 	e, c := a.engine, a.query.class
 	intervals := lostResponseIntervals
@@ -120,7 +120,7 @@
 	}
 }
 
-// isBlocked tells whether a class stands still on the engine. After a while one query at a time may find out.
+// isBlocked tells whether a class is stuck on the engine. After a while one query at a time is a trial.
 func (g *Gateway) isBlocked(e *engine, c *class) bool {
 	h := &e.health
 	if h.lostResponses[c] < lostResponsesToBlock {
@@ -131,7 +131,7 @@
 	})
 }
 
-// recordContact takes progress or a response of an attempt: the engine is up, and the class runs on it.
+// recordContact notes progress or a response of an attempt: the engine is up, and the class runs on it.
 func (g *Gateway) recordContact(a *attempt) {
 	delete(a.engine.health.lostResponses, a.query.class)
 	g.readmit(a.engine)
@@ -159,8 +159,8 @@
 	g.emit(Log{Text: text})
 }
 
-// readmit ends an ejection on word from the engine, with a small limit; one that was ejected for faults must
-// serve first.
+// readmit ends an ejection on a message from the engine, with a small limit. An engine that was ejected for
+// faults must serve a query first.
 func (g *Gateway) readmit(e *engine) {
 	if !e.health.ejected || e.health.ejectedForFaults {
 		return
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -1,13 +1,31 @@
 package policy
 
+import (
+	"math"
+	"time"
+)
+
 const (
-	freeThreadsFraction  = 0.5  // of the free threads that an engine reports, for one gateway
-	maxInFlightPerCore   = 50.0 // queries that a report is believed to tell at most
-	loadLevelReports     = 5    // reports that the load level is averaged over
-	meanLoadReports      = 20   // the same for the mean load
-	reportedLoadFraction = 0.25 // of the difference to the mean load, in the choice of an engine
+	reportFadeTime       = 2 * controlPeriod // age at which a report counts for a third
+	freeThreadsFraction  = 0.5               // of the free threads that an engine reports, for one gateway
+	maxInFlightPerCore   = 50.0              // queries that a report is believed to tell at most
+	loadLevelReports     = 5                 // reports that the load level is averaged over
+	meanLoadReports      = 20                // the same for the mean load
+	reportedLoadFraction = 0.25              // of the difference to the mean load, in the choice of an engine
 )
 
+// engineReport is the latest load report of an engine.
+type engineReport struct {
+	load        float64 // threads per core
+	freeThreads float64 // 0 where the queries in flight are not reported
+	at          time.Duration
+}
+
+// fading is the weight of the report: the older, the less.
+func (r *engineReport) fading(now time.Duration) float64 {
+	return math.Exp(-float64(now-r.at) / float64(reportFadeTime))
+}
+
 // recordLoad takes an engine's report. The level at which all engines seem to stand follows from the threads
 // that they hold for all gateways, or from their cores in use.
 func (g *Gateway) recordLoad(e *engine, report LoadReport) {
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -2,6 +2,12 @@
 
 import "math"
 
+const (
+	swapGrantFactor = 3.0  // times the usual need granted without an estimate, where memory is swapped
+	grantCoverage   = 0.87 // fraction of its queries whose need a class's grant should cover
+	grantStep       = 10   // divisor of a step of the grant's multiple
+)
+
 // Priorities, from 0. Twice the value over the work is one step.
 const (
 	unrankedPriority = 1   // where engines don't honor priorities
@@ -48,3 +54,41 @@
 	}
 	return int(min(max(math.Round(meanPriority+q.logValue), 0), maxPriority))
 }
+
+// recordCost learns from the cost that a response reports.
+func (g *Gateway) recordCost(a *attempt, ev AttemptEnded) {
+	c := a.query.class
+	if ev.Work > 0 {
+		c.workMS += (milliseconds(ev.Work) - c.workMS) / c.samples()
+	} else if !g.settings.ReportsCost {
+		c.workMS = c.baselineMS * c.Threads
+	}
+	estimateMB := a.query.memoryMB
+	// Where memory is swapped, a grant beyond the need takes nothing from other queries.
+	if g.settings.MemoryShortage == ShortageSwap && estimateMB == 0 {
+		samples := min(float64(c.responses), c.samples())
+		c.defaultGrantMB += (swapGrantFactor*ev.MemoryMB - c.defaultGrantMB) / samples
+	}
+	// The steps up and down balance where the grant covers grantCoverage of the queries.
+	switch {
+	case estimateMB > 0 && ev.MemoryMB > c.grantMultiple*estimateMB:
+		c.grantMultiple *= 1 + grantCoverage/grantStep
+	case estimateMB > 0 && !a.spilled:
+		c.grantMultiple *= 1 - (1-grantCoverage)/grantStep
+	}
+}
+
+// recordSpill raises the class's grants after a spill, where responses don't report the need. A spill of an
+// attempt whose grant was capped says nothing of the class.
+func (g *Gateway) recordSpill(a *attempt, missingMB float64) {
+	q := a.query
+	c := q.class
+	isUncapped := 2*a.grantMB >= c.grantMultiple*q.memoryMB
+	tellsNeed := q.memoryMB > 0 && isUncapped && !g.settings.ReportsCost
+	if a.spilled || !tellsNeed {
+		return
+	}
+	a.spilled = true
+	needed := (a.grantMB + missingMB) / q.memoryMB
+	c.grantMultiple = max(c.grantMultiple*(1+grantCoverage/grantStep), (c.grantMultiple+needed)/2)
+}
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// moveWaiting moves an attempt that stands still: elsewhere it would run. A retry budget is for failures.
+// moveWaiting moves an attempt that is stalled: elsewhere it would run. A retry budget is kept for failures.
 // Where memory is short on two engines, or all are full, the query would only lose its place in the queue.
 func (g *Gateway) moveWaiting(a *attempt, kind ProgressKind) {
 	q := a.query
--- a/policy/query.go
+++ b/policy/query.go
@@ -17,7 +17,7 @@
 	threads  float64 // what it counts for in a backlog
 	// logValue is the binary logarithm of its priority weight over its expected work, less the usual one.
 	logValue      float64
-	limitFraction float64 // part of each limit that is open to it
+	limitFraction float64 // of each limit, that the query may use
 	attempts      []*attempt
 	answered      bool // it has its final answer, or its client has left
 }
@@ -92,17 +92,3 @@
 	}
 	return q.attempts[number]
 }
-
-// endQuery ends a query for its client. It is kept while attempts are in flight, for the backlog and the
-// order.
-func (g *Gateway) endQuery(q *query) {
-	q.answered = true
-	for _, a := range q.attempts {
-		g.cancel(a)
-	}
-	if q.hasAttemptInFlight() {
-		return
-	}
-	delete(g.queries, q.id)
-	g.orderedKeys.remove(q)
-}
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retryBudget limits the retries within a sliding window: a base plus a part of the arrivals.
+// retryBudget limits the retries within a sliding window: a base plus a fraction of the arrivals.
 type retryBudget struct {
 	base     float64
 	ratio    float64
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -14,9 +14,9 @@
 	ProgressInterval time.Duration  // interval of AttemptProgress; 0: engines report no progress
 	HonorsGrants     bool           // engines honor the memory in Grant
 	HonorsPriority   bool           // engines honor the priority in Grant
-	MaxGrantFraction float64        // largest part of an engine's memory that one query gets
+	MaxGrantFraction float64        // largest fraction of an engine's memory that one query gets
 	MemoryShortage   MemoryShortage // what an engine does when the grants exceed its memory
-	ReportsCost      bool           // responses tell the work and memory that the query needed
+	ReportsCost      bool           // responses report the work and memory that the query needed
 	ReportsLoad      bool           // engines report their load, in responses or on request
 	SubscribeToList  bool           // the engine list must be subscribed to (Subscribe)
 	CallInterval     time.Duration  // usual interval between calls of Handle
@@ -63,15 +63,15 @@
 	ObjectiveStretch float64       // the objective grows by this, times the query's work over its threads
 	Timeout          time.Duration // how long a client waits at most; above 0
 	PriorityWeight   float64       // value of one response in time
-	LateFraction     float64       // part of the value that a late response has
+	LateFraction     float64       // fraction of the value that a late response has
 	Threads          float64       // threads that a query runs on; 0 is taken as 1
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentWithKey
 	DedupWindow      time.Duration // for IdempotentWithKey: how long engines drop repeats
-	Streaming        bool          // responses are streamed: StreamStarted tells their start
+	Streaming        bool          // responses are streamed, and StreamStarted reports their start
 	Ordered          bool          // queries of one key run one at a time, in the order of arrival
 	DataLoad         bool          // locks its data set on its engine while it runs
-	WaitsForDataLoad bool          // stands still while a data load locks its data set
+	WaitsForDataLoad bool          // waits while a data load locks its data set
 	Zones            []string      // zones where it may run; empty: any
 	Kinds            []string      // machine kinds where it may run; empty: any
 }
@@ -87,14 +87,14 @@
 type Tenant struct {
 	Name  string
 	Quota float64 // queries per second, over all gateways
-	Share float64 // its part of the service
+	Share float64 // its fraction of the service
 }
 
 // Rules are the figures of the rules that every attempt and every final answer must keep.
 type Rules struct {
 	AnswerSlack       time.Duration // how late a final answer may be
 	DrainGrace        time.Duration // attempts at a draining engine must stop within this
-	WarmUpMinCapacity float64       // smallest part of its capacity that an engine has after a start
+	WarmUpMinCapacity float64       // smallest fraction of its capacity that an engine has after a start
 	WarmUpPeriod      time.Duration // an engine is warm no later than this after a start
 	OverloadMultiple  float64       // an engine that warms up fails when sent this multiple of its capacity
 	OverloadWindow    time.Duration // for this long; 0: it does not fail
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	warmUpBudgetMargin = 0.7             // part of an engine's budget that is used while it warms up
-	warmUpBurst        = 0.5             // part of an overload window's budget that may go at once
+	warmUpBudgetMargin = 0.7             // fraction of an engine's budget that is used while it warms up
+	warmUpBurst        = 0.5             // fraction of an overload window's budget that may go at once
 	warmUpCostFactor   = 1.3             // a query counts this much over its expected work
 	minRestartTime     = 2 * time.Second // in which no engine ends and serves again
 )
@@ -18,13 +18,14 @@
 	turnsSince       time.Duration // instant from which turns to send it wide queries are counted
 	budgetSpentUntil time.Duration
 	turnOffset       float64 // this gateway's place among the turns, 0 to 1
-	// restartPresumed says that only a broken connection speaks for a restart; untilBefore is what until was.
+	// restartPresumed is set while only a broken connection speaks for a restart; untilBefore is the value of
+	// until before it.
 	restartPresumed bool
 	untilBefore     time.Duration
 }
 
 // slowStart holds the rule on engines that warm up: all gateways together must not overload one, so that each
-// sends an equal part of what one bears.
+// may send an equal share of what the engine bears.
 type slowStart struct {
 	minCapacity      float64
 	period           time.Duration
@@ -43,8 +44,8 @@
 	}
 }
 
-// capacity is the smallest part of its capacity that an engine has: one that warms up would stand still under
-// what a warm one holds.
+// capacity is the smallest fraction of its full capacity that an engine has now: one that warms up would
+// stall under the load of a warm one.
 func (s *slowStart) capacity(e *engine, now time.Duration) float64 {
 	left := float64(e.warmUp.until-now) / float64(max(s.period, 1))
 	return 1 - (1-s.minCapacity)*min(max(left, 0), 1)
@@ -104,7 +105,7 @@
 	return w.budgetSpentUntil <= now && isTurn
 }
 
-// spend takes the query's part of the budget.
+// spend takes the query's cost from the budget.
 func (s *slowStart) spend(q *query, e *engine, now time.Duration) {
 	w := &e.warmUp
 	if now >= w.until {
@@ -113,7 +114,8 @@
 	w.budgetSpentUntil = max(w.budgetSpentUntil, now) + time.Duration(s.windows(q, e)*float64(s.window))
 }
 
-// presumeRestart takes an engine as restarted after a failed connection: the list says so seconds later.
+// presumeRestart takes an engine as restarted after a failed connection: the list reports a restart only
+// seconds later.
 func (g *Gateway) presumeRestart(e *engine, result Result) {
 	w := &e.warmUp
 	e.health.connectionLostAt = g.now
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	overQuotaFraction   = 0.5 // part of a limit that is open to traffic beyond a tenant's quota
+	overQuotaFraction   = 0.5 // of a limit, for queries beyond their tenant's quota
 	bucketDeviations    = 2.0 // of a second's queries that a tenant's bucket forgives
 	maxShareFactor      = 2.0 // equal shares that a gateway takes at most while it can't see the others
 	trafficSamples      = 40  // reports or control periods that queries in flight are averaged over
