--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"gannetspur/policy"
 )
 
-// A front embeds one Gateway, hands it what happens and does what it says.
+// A gateway process embeds one Gateway, hands it each event and carries out the actions that it returns.
 func Example() {
 	gateway, err := policy.New(policy.Settings{
 		Gateways: 1,
@@ -23,21 +23,21 @@
 		return
 	}
 	clock := time.Hour
-	tell := func(ev policy.Event) {
+	handle := func(ev policy.Event) {
 		for _, a := range gateway.Handle(clock, ev, nil) {
-			if _, timer := a.(policy.SetTimer); !timer {
+			if _, isTimer := a.(policy.SetTimer); !isTimer {
 				fmt.Printf("%T %+v\n", a, a)
 			}
 		}
 	}
-	tell(policy.EngineList{Mode: policy.ListFull, Engines: []policy.Engine{
+	handle(policy.EngineList{Mode: policy.ListFull, Engines: []policy.Engine{
 		{ID: "engine-1", Zone: "a", Kind: "small", State: policy.EngineLive},
 	}})
-	tell(policy.QueryArrived{Query: 1, Class: "lookup", Deadline: clock + time.Second})
-	tell(policy.QueryArrived{Query: 2, Class: "lookup", Deadline: clock + time.Second})
+	handle(policy.QueryArrived{Query: 1, Class: "lookup", Deadline: clock + time.Second})
+	handle(policy.QueryArrived{Query: 2, Class: "lookup", Deadline: clock + time.Second})
 	clock += 50 * time.Millisecond
-	tell(policy.AttemptEnded{Query: 1, Result: policy.ResultSuccess, Elapsed: 50 * time.Millisecond, Final: true})
-	tell(policy.QueryArrived{Query: 3, Class: "lookup", Deadline: clock + time.Second})
+	handle(policy.AttemptEnded{Query: 1, Result: policy.ResultSuccess, Elapsed: 50 * time.Millisecond, Final: true})
+	handle(policy.QueryArrived{Query: 3, Class: "lookup", Deadline: clock + time.Second})
 	// Output:
 	// policy.Send {Query:1 Engine:engine-1 Timeout:1s}
 	// policy.Reject {Query:2 RetryAfter:0s}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -16,8 +16,6 @@
 	"gannetspur/policy"
 )
 
-const replaySecond = time.Second
-
 // analytics resembles a deployment of fast lookups, reports and loads whose engines tell much.
 func analytics() policy.Settings {
 	return policy.Settings{
@@ -26,20 +24,20 @@
 		CallInterval: 5 * time.Millisecond,
 		Kinds:        []policy.Kind{{Name: "std-8", Cores: 8, MemoryMB: 16384}, {Name: "big-16", Cores: 16, MemoryMB: 65536}},
 		Classes: []policy.Class{
-			{Name: "lookup", LatencyObjective: 1200 * time.Millisecond, ObjectiveStretch: 1.5, Timeout: 6 * replaySecond, PriorityWeight: 1, LateFraction: 0.1,
+			{Name: "lookup", LatencyObjective: 1200 * time.Millisecond, ObjectiveStretch: 1.5, Timeout: 6 * time.Second, PriorityWeight: 1, LateFraction: 0.1,
 				Threads: 1, Idempotency: policy.Idempotent, DedupScope: policy.DedupAll, WaitsForDataLoad: true},
-			{Name: "report", LatencyObjective: 2 * replaySecond, ObjectiveStretch: 2.5, Timeout: 25 * replaySecond, PriorityWeight: 4, LateFraction: 0.3,
+			{Name: "report", LatencyObjective: 2 * time.Second, ObjectiveStretch: 2.5, Timeout: 25 * time.Second, PriorityWeight: 4, LateFraction: 0.3,
 				Threads: 3, Idempotency: policy.Idempotent, DedupScope: policy.DedupAll, Streaming: true},
-			{Name: "load", LatencyObjective: 4 * replaySecond, ObjectiveStretch: 2.5, Timeout: 20 * replaySecond, PriorityWeight: 5, LateFraction: 0.5,
-				Threads: 2, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupAll, DedupWindow: 12 * replaySecond, DataLoad: true},
-			{Name: "write", LatencyObjective: 2 * replaySecond, ObjectiveStretch: 2.5, Timeout: 20 * replaySecond, PriorityWeight: 4, LateFraction: 0.5,
+			{Name: "load", LatencyObjective: 4 * time.Second, ObjectiveStretch: 2.5, Timeout: 20 * time.Second, PriorityWeight: 5, LateFraction: 0.5,
+				Threads: 2, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupAll, DedupWindow: 12 * time.Second, DataLoad: true},
+			{Name: "write", LatencyObjective: 2 * time.Second, ObjectiveStretch: 2.5, Timeout: 20 * time.Second, PriorityWeight: 4, LateFraction: 0.5,
 				Threads: 2, Idempotency: policy.NotIdempotent, WaitsForDataLoad: true},
 		},
 		Tenants: []policy.Tenant{{Name: "t0", Quota: 20, Share: 0.5}, {Name: "t1", Quota: 10, Share: 0.3}, {Name: "t2", Quota: 5, Share: 0.2}},
-		Rules: policy.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: 2 * replaySecond, WarmUpMinCapacity: 0.33, WarmUpPeriod: 15 * replaySecond,
-			OverloadMultiple: 2.5, OverloadWindow: replaySecond, SettleTime: 700 * time.Millisecond, RetryBudgetBase: 5, RetryBudgetRatio: 0.2, RetryBudgetWindow: 10 * replaySecond},
-		Limits: policy.Limits{MaxAttempts: 3, AllowHedging: true, AllowCancel: true, AllowLoadRequests: true, SendRetryAfter: true, MaxRetryAfter: 2 * replaySecond,
-			ConnectTimeout: replaySecond},
+		Rules: policy.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: 2 * time.Second, WarmUpMinCapacity: 0.33, WarmUpPeriod: 15 * time.Second,
+			OverloadMultiple: 2.5, OverloadWindow: time.Second, SettleTime: 700 * time.Millisecond, RetryBudgetBase: 5, RetryBudgetRatio: 0.2, RetryBudgetWindow: 10 * time.Second},
+		Limits: policy.Limits{MaxAttempts: 3, AllowHedging: true, AllowCancel: true, AllowLoadRequests: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			ConnectTimeout: time.Second},
 		Objective: policy.Objective{Overall: 0.6, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.1},
 		Penalties: policy.Penalties{CrossZone: 0.01, WastedWork: 0.02, LateFailure: 0.1, LoadRequest: 0.001},
 	}
@@ -51,15 +49,15 @@
 		Gateways: 6, Zone: "b", CallInterval: 10 * time.Millisecond, MemoryShortage: policy.ShortageTrim, SubscribeToList: true,
 		Kinds: []policy.Kind{{Name: "k", Cores: 4, MemoryMB: 4096}},
 		Classes: []policy.Class{
-			{Name: "read", LatencyObjective: 300 * time.Millisecond, Timeout: 2 * replaySecond, PriorityWeight: 1, Threads: 1, Idempotency: policy.Idempotent},
-			{Name: "keyed-cell", LatencyObjective: replaySecond, Timeout: 9 * replaySecond, PriorityWeight: 5, Threads: 2, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell, DedupWindow: 3 * replaySecond},
-			{Name: "keyed-zone", LatencyObjective: replaySecond, Timeout: 9 * replaySecond, PriorityWeight: 2, Threads: 1, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: 3 * replaySecond, Ordered: true},
-			{Name: "append", LatencyObjective: replaySecond, Timeout: 9 * replaySecond, PriorityWeight: 3, Threads: 1, Idempotency: policy.NotIdempotent, Ordered: true},
-			{Name: "placed", LatencyObjective: replaySecond, ObjectiveStretch: 2, Timeout: 9 * replaySecond, PriorityWeight: 1, Threads: 0, Idempotency: policy.Idempotent, Zones: []string{"b", "c"}, Kinds: []string{"k"}},
+			{Name: "read", LatencyObjective: 300 * time.Millisecond, Timeout: 2 * time.Second, PriorityWeight: 1, Threads: 1, Idempotency: policy.Idempotent},
+			{Name: "keyed-cell", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 5, Threads: 2, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell, DedupWindow: 3 * time.Second},
+			{Name: "keyed-zone", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 2, Threads: 1, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: 3 * time.Second, Ordered: true},
+			{Name: "append", LatencyObjective: time.Second, Timeout: 9 * time.Second, PriorityWeight: 3, Threads: 1, Idempotency: policy.NotIdempotent, Ordered: true},
+			{Name: "placed", LatencyObjective: time.Second, ObjectiveStretch: 2, Timeout: 9 * time.Second, PriorityWeight: 1, Threads: 0, Idempotency: policy.Idempotent, Zones: []string{"b", "c"}, Kinds: []string{"k"}},
 		},
-		Rules: policy.Rules{WarmUpMinCapacity: 0.3, WarmUpPeriod: 10 * replaySecond, OverloadMultiple: 3, OverloadWindow: 2 * replaySecond, SettleTime: 700 * time.Millisecond,
-			RetryBudgetBase: 3, RetryBudgetRatio: 0.1, RetryBudgetWindow: 5 * replaySecond, ResubscribeWithin: replaySecond},
-		Limits: policy.Limits{MaxAttempts: 4, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: replaySecond},
+		Rules: policy.Rules{WarmUpMinCapacity: 0.3, WarmUpPeriod: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, SettleTime: 700 * time.Millisecond,
+			RetryBudgetBase: 3, RetryBudgetRatio: 0.1, RetryBudgetWindow: 5 * time.Second, ResubscribeWithin: time.Second},
+		Limits: policy.Limits{MaxAttempts: 4, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
 	}
 }
 
@@ -71,37 +69,37 @@
 func scenarios() []scenario {
 	fourWays, fiveWays := []float64{0.7, 0.15, 0.1, 0.05}, []float64{0.45, 0.15, 0.15, 0.15, 0.1}
 	return []scenario{
-		{name: "analytics", seed: 1, settings: analytics(), engines: 9, duration: 150 * replaySecond, rate: 50, classMix: fourWays, estimate: 0.9, held: true, faults: 1},
-		{name: "analytics-no-notes", seed: 2, engines: 9, duration: 120 * replaySecond, rate: 50, classMix: fourWays, estimate: 0.9, held: true, faults: 1,
+		{name: "analytics", seed: 1, settings: analytics(), engines: 9, duration: 150 * time.Second, rate: 50, classMix: fourWays, estimate: 0.9, held: true, faults: 1},
+		{name: "analytics-no-notes", seed: 2, engines: 9, duration: 120 * time.Second, rate: 50, classMix: fourWays, estimate: 0.9, held: true, faults: 1,
 			settings: changed(analytics(), func(s *policy.Settings) { s.ProgressInterval, s.Rules.RetryBudgetWindow = 0, 0 })},
-		{name: "analytics-trim", seed: 3, engines: 9, duration: 100 * replaySecond, rate: 60, classMix: fourWays, estimate: 0.7, faults: 2,
+		{name: "analytics-trim", seed: 3, engines: 9, duration: 100 * time.Second, rate: 60, classMix: fourWays, estimate: 0.7, faults: 2,
 			settings: changed(analytics(), func(s *policy.Settings) {
 				s.MemoryShortage, s.Limits.AllowLoadRequests, s.Limits.AllowHedging, s.Rules.RetryBudgetWindow = policy.ShortageTrim, false, false, 0
 			})},
-		{name: "analytics-swap", seed: 4, engines: 5, duration: 100 * replaySecond, rate: 40, classMix: fourWays, estimate: 0.4, held: true, faults: 1,
+		{name: "analytics-swap", seed: 4, engines: 5, duration: 100 * time.Second, rate: 40, classMix: fourWays, estimate: 0.4, held: true, faults: 1,
 			settings: changed(analytics(), func(s *policy.Settings) { s.MemoryShortage, s.Rank, s.Tenants = policy.ShortageSwap, 0, nil })},
-		{name: "analytics-untold", seed: 5, engines: 12, duration: 100 * replaySecond, rate: 70, classMix: fourWays, estimate: 0.5, faults: 1,
+		{name: "analytics-untold", seed: 5, engines: 12, duration: 100 * time.Second, rate: 70, classMix: fourWays, estimate: 0.5, faults: 1,
 			settings: changed(analytics(), func(s *policy.Settings) {
 				s.ReportsCost, s.ReportsLoad, s.HonorsGrants, s.Limits.AllowCancel = false, false, true, false
 			})},
-		{name: "analytics-alone", seed: 6, engines: 4, duration: 100 * replaySecond, rate: 90, classMix: fourWays, held: true, faults: 0.2,
+		{name: "analytics-alone", seed: 6, engines: 4, duration: 100 * time.Second, rate: 90, classMix: fourWays, held: true, faults: 0.2,
 			settings: changed(analytics(), func(s *policy.Settings) { s.Gateways, s.Rank, s.HonorsPriority = 1, 1, false })},
-		{name: "analytics-many-gateways", seed: 7, engines: 30, duration: 100 * replaySecond, rate: 20, classMix: fourWays, estimate: 1, held: true, faults: 1,
+		{name: "analytics-many-gateways", seed: 7, engines: 30, duration: 100 * time.Second, rate: 20, classMix: fourWays, estimate: 1, held: true, faults: 1,
 			settings: changed(analytics(), func(s *policy.Settings) { s.Gateways, s.Rank, s.Limits.AllowHedging = 100, 37, false })},
-		{name: "orders", seed: 8, settings: orders(), engines: 12, duration: 150 * replaySecond, rate: 60, classMix: fiveWays, faults: 1},
-		{name: "orders-notes", seed: 9, engines: 12, duration: 120 * replaySecond, rate: 50, classMix: fiveWays, faults: 2, held: true,
+		{name: "orders", seed: 8, settings: orders(), engines: 12, duration: 150 * time.Second, rate: 60, classMix: fiveWays, faults: 1},
+		{name: "orders-notes", seed: 9, engines: 12, duration: 120 * time.Second, rate: 50, classMix: fiveWays, faults: 2, held: true,
 			settings: changed(orders(), func(s *policy.Settings) {
 				s.ProgressInterval, s.MemoryShortage, s.ReportsLoad, s.Rules.RetryBudgetWindow = 250*time.Millisecond, policy.ShortageQueue, true, 0
 			})},
-		{name: "orders-never-cold", seed: 10, engines: 6, duration: 100 * replaySecond, rate: 50, classMix: fiveWays, faults: 3,
+		{name: "orders-never-cold", seed: 10, engines: 6, duration: 100 * time.Second, rate: 50, classMix: fiveWays, faults: 3,
 			settings: changed(orders(), func(s *policy.Settings) {
 				s.Rules.OverloadWindow, s.Limits.AllowHedging, s.Limits.MaxAttempts, s.Limits.SendRetryAfter = 0, true, 0, false
 			})},
 	}
 }
 
-// writeLearned journals a snapshot under names of its own, with its maps in the order of their keys.
-func (w *replayWorld) writeLearned(l policy.Snapshot) {
+// writeSnapshot writes a snapshot to the journal, with its maps in the order of their keys.
+func (w *replayWorld) writeSnapshot(l policy.Snapshot) {
 	loop := func(k policy.ControllerSnapshot) string {
 		return fmt.Sprintf("%s %s %s %s %d", number(k.Limit), number(k.Alpha), number(k.LoadLevel), number(k.Slowdown), int64(k.BindingUntil))
 	}
--- a/policy/replay_world_test.go
+++ b/policy/replay_world_test.go
@@ -68,7 +68,7 @@
 	return x
 }
 
-// replayWorld drives one gateway in a closed loop and writes all of its actions to a journal.
+// replayWorld drives one gateway in a closed loop with crude engines, and writes all of its actions to a journal.
 type replayWorld struct {
 	scenario
 	rng     *rand.Rand
@@ -107,8 +107,8 @@
 	heap.Push(&w.queue, replayEvent{w.now + max(d, 0), w.order, run})
 }
 
-func (w *replayWorld) milliseconds(most int) time.Duration {
-	return time.Duration(w.rng.IntN(most*1000)) * time.Microsecond
+func (w *replayWorld) randomDelay(maxMilliseconds int) time.Duration {
+	return time.Duration(w.rng.IntN(maxMilliseconds*1000)) * time.Microsecond
 }
 
 func (w *replayWorld) start(seed uint64) {
@@ -119,26 +119,25 @@
 	w.gateway = g
 }
 
-// run plays the scenario; halfway a second gateway takes over what the first has learned.
+// run plays the scenario. Halfway a second gateway replaces the first, and starts from what that has learned.
 func (w *replayWorld) run() {
 	w.start(w.seed)
 	end := w.now + w.duration
 	w.list(policy.ListCached, w.engines...)
 	w.after(0, w.arrive)
 	w.after(time.Second, w.disturb)
-	w.after(w.duration/2, w.succeed)
+	w.after(w.duration/2, w.replaceGateway)
 	for w.queue.Len() > 0 && w.now < end {
 		e := heap.Pop(&w.queue).(replayEvent)
 		w.now = max(w.now, e.at)
 		e.run()
 	}
-	w.writeLearned(w.gateway.Snapshot())
+	w.writeSnapshot(w.gateway.Snapshot())
 }
 
-// succeed replaces the gateway by another that starts from what the first has learned.
-func (w *replayWorld) succeed() {
+func (w *replayWorld) replaceGateway() {
 	l := w.gateway.Snapshot()
-	w.writeLearned(l)
+	w.writeSnapshot(l)
 	w.start(w.seed + 1000)
 	w.gateway.Restore(w.now, l)
 	w.list(policy.ListFull, w.engines...)
@@ -149,14 +148,14 @@
 	w.events++
 	for _, a := range w.gateway.Handle(w.now, ev, nil) {
 		w.actions++
-		w.do(a)
+		w.apply(a)
 	}
 }
 
 func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// do journals one action and plays the caller's part in it.
-func (w *replayWorld) do(a policy.Action) {
+// apply writes one action to the journal and carries it out.
+func (w *replayWorld) apply(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
 		w.journal(fmt.Sprintf("%d send %d %s %d", w.now, a.Query, a.Engine, int64(a.Timeout)))
@@ -247,7 +246,7 @@
 		w.handle(ev) // the same again
 	}
 	if w.rng.IntN(60) == 0 {
-		w.after(w.milliseconds(1500), func() {
+		w.after(w.randomDelay(1500), func() {
 			q.done = true
 			w.handle(policy.ClientDisconnected{Query: id})
 		})
@@ -265,67 +264,67 @@
 
 	g, id := w.gateway, s.Query
 	latency := q.work / q.class.Threads * e.slow * (1 + 0.02*float64(e.running)*float64(e.running)/4) * math.Exp(0.3*w.rng.NormFloat64())
-	took := time.Duration(latency * float64(time.Millisecond))
-	ends := func(after time.Duration, result policy.Result) {
+	duration := time.Duration(latency * float64(time.Millisecond))
+	endAfter := func(after time.Duration, result policy.Result) {
 		w.after(after, func() {
 			if w.gateway == g {
-				w.end(id, attempt, result)
+				w.endAttempt(id, attempt, result)
 			}
 		})
 	}
 	switch p := w.rng.Float64() / max(w.faults, 1e-9); {
 	case e.down:
-		ends(w.milliseconds(30), []policy.Result{policy.ResultConnectFailed, policy.ResultConnectTimeout, policy.ResultConnectionLost}[w.rng.IntN(3)])
+		endAfter(w.randomDelay(30), []policy.Result{policy.ResultConnectFailed, policy.ResultConnectTimeout, policy.ResultConnectionLost}[w.rng.IntN(3)])
 	case e.hung, p < 0.002:
 		if w.rng.IntN(2) == 0 {
-			ends(s.Timeout, policy.ResultTimeout)
+			endAfter(s.Timeout, policy.ResultTimeout)
 		}
-		return // no note either
+		return // nor is there any progress
 	case e.failing, p < 0.008:
-		ends(w.milliseconds(20), policy.ResultError)
+		endAfter(w.randomDelay(20), policy.ResultError)
 	case e.running > 40, p < 0.01:
-		ends(w.milliseconds(10), policy.ResultRejected)
+		endAfter(w.randomDelay(10), policy.ResultRejected)
 	case p < 0.012:
-		ends(w.milliseconds(5), policy.ResultNotSent)
+		endAfter(w.randomDelay(5), policy.ResultNotSent)
 	case p < 0.014:
-		ends(w.milliseconds(300), policy.ResultConnectionLost)
+		endAfter(w.randomDelay(300), policy.ResultConnectionLost)
 	case p < 0.015:
-		ends(w.milliseconds(300), policy.ResultUnknown)
+		endAfter(w.randomDelay(300), policy.ResultUnknown)
 	case p < 0.016:
-		ends(w.milliseconds(100), policy.ResultConnectTimeout)
-	case p < 0.03: // a bad plan: its notes tell
-		w.notes(g, id, attempt, took*40)
-		ends(min(took*40, s.Timeout), policy.ResultTimeout)
+		endAfter(w.randomDelay(100), policy.ResultConnectTimeout)
+	case p < 0.03: // a bad plan, as its progress shows
+		w.reportProgress(g, id, attempt, duration*40)
+		endAfter(min(duration*40, s.Timeout), policy.ResultTimeout)
 		return
-	case took > s.Timeout:
-		ends(s.Timeout, policy.ResultTimeout)
+	case duration > s.Timeout:
+		endAfter(s.Timeout, policy.ResultTimeout)
 	default:
-		ends(took, policy.ResultSuccess)
+		endAfter(duration, policy.ResultSuccess)
 	}
 	if q.class.Streaming && w.rng.IntN(2) == 0 {
-		w.after(took/3, func() {
+		w.after(duration/3, func() {
 			if w.gateway == g && !q.ended[attempt] {
 				w.handle(policy.StreamStarted{Query: id, Attempt: attempt})
 			}
 		})
 	}
-	w.notes(g, id, attempt, took)
+	w.reportProgress(g, id, attempt, duration)
 }
 
-// notes tells of a running attempt at the interval that the settings give.
-func (w *replayWorld) notes(g *policy.Gateway, id uint64, attempt int, took time.Duration) {
+// reportProgress reports on a running attempt at the interval that the settings give.
+func (w *replayWorld) reportProgress(g *policy.Gateway, id uint64, attempt int, duration time.Duration) {
 	every := w.settings.ProgressInterval
 	if every == 0 {
 		return
 	}
-	var note func()
-	note = func() {
+	var report func()
+	report = func() {
 		q := w.queries[id]
 		if w.gateway != g || q.ended[attempt] || q.engines[attempt].hung {
 			return
 		}
 		ev := policy.AttemptProgress{Query: id, Attempt: attempt, Kind: policy.ProgressFraction,
-			Value: float64(w.now-q.sentAt[attempt]) / float64(took) * math.Exp(0.2*w.rng.NormFloat64())}
+			Value: float64(w.now-q.sentAt[attempt]) / float64(duration) * math.Exp(0.2*w.rng.NormFloat64())}
 		switch w.rng.IntN(14) {
 		case 0:
 			ev.Kind, ev.Value = policy.ProgressSpilled, max(q.memory-q.granted, 1)
@@ -335,13 +334,13 @@
 			ev.Kind, ev.Value = policy.ProgressWaitingForDataLoad, 2
 		}
 		w.handle(ev)
-		w.after(every, note)
+		w.after(every, report)
 	}
-	w.after(every, note)
+	w.after(every, report)
 }
 
-// end tells the outcome of an attempt, once, and seldom twice.
-func (w *replayWorld) end(id uint64, attempt int, result policy.Result) {
+// endAttempt ends an attempt, and sometimes repeats the event.
+func (w *replayWorld) endAttempt(id uint64, attempt int, result policy.Result) {
 	q := w.queries[id]
 	if q.ended[attempt] {
 		return
@@ -373,9 +372,9 @@
 	if w.rng.IntN(50) == 0 {
 		return // the cancel itself is lost
 	}
-	w.after(w.milliseconds(25), func() {
+	w.after(w.randomDelay(25), func() {
 		if w.gateway == g {
-			w.end(c.Query, c.Attempt, policy.ResultCancelled)
+			w.endAttempt(c.Query, c.Attempt, policy.ResultCancelled)
 		}
 	})
 }
@@ -402,7 +401,7 @@
 
 func (w *replayWorld) probe(id string) {
 	e, g := w.byID[id], w.gateway
-	w.after(w.milliseconds(20), func() {
+	w.after(w.randomDelay(20), func() {
 		if w.gateway != g {
 			return
 		}
@@ -424,9 +423,9 @@
 
 // disturb changes something about the engines every second or so.
 func (w *replayWorld) disturb() {
-	w.after(500*time.Millisecond+w.milliseconds(1000), w.disturb)
+	w.after(500*time.Millisecond+w.randomDelay(1000), w.disturb)
 	e := w.engines[w.rng.IntN(len(w.engines))]
-	back := 500*time.Millisecond + w.milliseconds(5000)
+	back := 500*time.Millisecond + w.randomDelay(5000)
 	switch w.rng.IntN(14) {
 	case 0: // it crashes and comes back with nothing in its caches
 		e.down = true
@@ -466,6 +465,6 @@
 		w.list(policy.ListFull, w.engines[:len(w.engines)/2]...)
 		w.after(200*time.Millisecond, func() { w.list(policy.ListFull, w.engines...) })
 	case 9: // the gateway itself stands still
-		w.now += 300*time.Millisecond + w.milliseconds(1500)
+		w.now += 300*time.Millisecond + w.randomDelay(1500)
 	}
 }
--- a/policy/snapshot_encoding_test.go
+++ b/policy/snapshot_encoding_test.go
@@ -13,9 +13,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// encodedLearned is what testdata/learned-c18a9bd.hex holds: every field has a value of its own, and
+// encodedSnapshot is what testdata/snapshot-c18a9bd.hex holds: every field has a value of its own, and
 // each map one entry, as maps are encoded in no fixed order.
-func encodedLearned() policy.Snapshot {
+func encodedSnapshot() policy.Snapshot {
 	return policy.Snapshot{
 		Classes: []policy.ClassSnapshot{{Name: "lookup", ResponseCount: 101, MeanLatencyMS: 102.5, BaselineLatencyMS: 103.5, MeanWorkMS: 104.5, LatencyDeviation: 0.105, MeanEstimateMS: 106.5,
 			GrantMultiple: 1.075, DefaultGrantMB: 108.5}},
@@ -39,7 +39,7 @@
 
 func encodedFixture(t *testing.T) []byte {
 	t.Helper()
-	text, err := os.ReadFile("testdata/learned-c18a9bd.hex")
+	text, err := os.ReadFile("testdata/snapshot-c18a9bd.hex")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	if err := cbor.Unmarshal(b, &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(encodedLearned(), got); diff != "" {
+	if diff := cmp.Diff(encodedSnapshot(), got); diff != "" {
 		t.Errorf("decoded snapshot (-want +got):\n%s", diff)
 	}
 	again, err := cbor.Marshal(got)
--- a/policy/tenant_test.go
+++ b/policy/tenant_test.go
@@ -74,3 +74,30 @@
 		t.Errorf("share = %.2f with %.1f queries for each engine, want 2/6 at most", share, d.g.traffic.ownInFlight)
 	}
 }
+
+func TestTokenBucketRefillsAtQuota(t *testing.T) {
+	quotas := newTenantQuotas([]Tenant{{Name: "t", Quota: 10}})
+	now := time.Minute
+	admitted := 0
+	for range 100 { // all at once
+		if !quotas.isOverQuota("t", 1, now) {
+			admitted++
+		}
+	}
+	// A second's queries, twice the square root of these, and one.
+	if want := 17; admitted != want {
+		t.Errorf("%d of 100 queries at once were within the quota, want %d", admitted, want)
+	}
+	if !quotas.isOverQuota("t", 1, now+50*time.Millisecond) {
+		t.Error("query within the quota after half of a token's time, want it beyond")
+	}
+	if quotas.isOverQuota("t", 1, now+150*time.Millisecond) {
+		t.Error("query beyond the quota after a token's time, want it within")
+	}
+	if !quotas.isOverQuota("unknown", 1, now) {
+		t.Error("query of an unknown tenant within the quota, want it beyond")
+	}
+	if newTenantQuotas(nil).isOverQuota("", 1, now) {
+		t.Error("query beyond the quota where there are no tenants")
+	}
+}
