--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// IsForwarded tells whether a request is at another site.
-func (c *Core) IsForwarded(r *Request) bool { return r.remote.timer != nil }
+// isForwarded tells whether a request is at another site.
+func (c *Core) isForwarded(r *Request) bool { return r.remote.timer != nil }
 
 // RecordRemoteSend marks that a request may have run at another site, where it was first sent at
 // the given time.
@@ -61,8 +61,8 @@
 	if !c.requests.open(r) || r.admitted {
 		return
 	}
-	if rejection := r.remote.rejection; rejection != nil {
-		c.answer(r.query, *rejection)
+	if r.remote.policyAnswer != nil {
+		c.answer(r.query, *r.remote.policyAnswer)
 		return
 	}
 	c.readmit(r)
@@ -71,7 +71,7 @@
 // Hedge has the policy take a request that is still at another site as well: the first complete
 // response ends the other.
 func (c *Core) Hedge(r *Request) {
-	if !c.requests.open(r) || r.admitted || r.remote.rejection != nil {
+	if !c.requests.open(r) || r.admitted || r.remote.policyAnswer != nil {
 		return
 	}
 	c.readmit(r)
@@ -86,24 +86,24 @@
 
 // abandonForwarded gives up what another site has of a request that is over.
 func (c *Core) abandonForwarded(r *Request) {
-	if !c.IsForwarded(r) {
+	if !c.isForwarded(r) {
 		return
 	}
 	r.remote.clear()
 	c.sites.Drop(r)
 }
 
-// rejectedByPolicy takes the policy's decision that a request is not to be served here. Another
-// site may have it, or be given it; otherwise it is the final answer.
-func (c *Core) rejectedByPolicy(query uint64, a Answer) {
+// takePolicyAnswer takes the policy's answer to a request that is not to be served here. Another
+// site may have the request, or be given it; otherwise it is the final answer.
+func (c *Core) takePolicyAnswer(query uint64, a Answer) {
 	r := c.requests.byQuery[query]
 	if r == nil || r.answered {
 		return
 	}
 	r.admitted = false
 	switch {
-	case c.IsForwarded(r): // the other site's answer decides
-		r.remote.rejection = &a
+	case c.isForwarded(r): // the other site's answer decides
+		r.remote.policyAnswer = &a
 		return
 	case c.sites == nil:
 	case a.Verdict == Rejected && r.outstanding == 0 && c.sites.ForwardRejected(r):
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -19,7 +19,7 @@
 	if c.classes[r.Class].Idempotency == policy.Idempotent {
 		return false
 	}
-	return r.PriorSentAt > 0 || c.IsForwarded(r) || r.MayHaveRunHere()
+	return r.PriorSentAt > 0 || c.isForwarded(r) || r.MayHaveRunHere()
 }
 
 // lastKeyedWrite is the latest time at which a request with an idempotency key may be written
--- a/internal/core/accept.go
+++ b/internal/core/lifecycle.go
@@ -39,15 +39,15 @@
 	}
 	r.PriorSentAt = orphan.FirstSentAt
 	if orphan.MustFail {
-		c.FailOrphan(r)
+		c.failOrphan(r)
 		return
 	}
 	c.Accept(r)
 }
 
-// FailOrphan takes a request that a process left behind when it died and that may not be sent any
+// failOrphan takes a request that a process left behind when it died and that may not be sent any
 // more. Its client gets that answer at once.
-func (c *Core) FailOrphan(r *Request) {
+func (c *Core) failOrphan(r *Request) {
 	c.register(r)
 	c.answer(r.query, Answer{Verdict: Failed})
 }
--- a/internal/core/policy_loop.go
+++ b/internal/core/policy_loop.go
@@ -49,9 +49,9 @@
 			c.cancelByNumber(r, a.Attempt)
 		}
 	case policy.Reject:
-		c.rejectedByPolicy(a.Query, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
+		c.takePolicyAnswer(a.Query, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
-		c.rejectedByPolicy(a.Query, Answer{Verdict: Failed})
+		c.takePolicyAnswer(a.Query, Answer{Verdict: Failed})
 	case policy.SetTimer:
 		c.timers.Add(c.clock.Now()+a.After, func() { c.notifyPolicy(policy.TimerFired{Token: a.Token}) })
 	case policy.Log:
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -78,44 +78,44 @@
 	}
 	r.core.SetLinks(replayLinks{r})
 	r.core.SetCostObserver(r)
-	r.core.OnFirstSend(func(q *Request, at time.Duration) { r.say("first send %s %d", q.ID, at) })
-	r.core.OnOverridesChanged(func() { r.say("bans changed") })
+	r.core.OnFirstSend(func(q *Request, at time.Duration) { r.record("first send %s %d", q.ID, at) })
+	r.core.OnOverridesChanged(func() { r.record("bans changed") })
 	if seed%2 == 0 {
 		r.core.SetRemoteSites(replaySites{r})
 	}
 	return r
 }
 
-func (r *replay) say(format string, args ...any) {
+func (r *replay) record(format string, args ...any) {
 	_, _ = fmt.Fprintf(r.out, format+"\n", args...) // a hash never fails
 }
 
 func (r *replay) Now() time.Duration { return r.now }
 
 func (r *replay) Answer(q *Request, a Answer) {
-	r.say("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.DeadlinePassed, a.Sent, a.InDoubt, a.Result, a.EngineError)
+	r.record("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.DeadlinePassed, a.Sent, a.InDoubt, a.Result, a.EngineError)
 	r.dropOpen(q)
 }
 
 func (r *replay) PartialAnswer(q *Request, a Answer) {
-	r.say("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.EngineError)
+	r.record("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.EngineError)
 }
 
 func (r *replay) AttemptServed(q *Request, rep Report, elapsed time.Duration) {
-	r.say("served %s %d %d", q.ID, int64(rep.Work), int64(elapsed))
+	r.record("served %s %d %d", q.ID, int64(rep.Work), int64(elapsed))
 }
 
 func (r *replay) AttemptTimedOut(q *Request, elapsed time.Duration) {
-	r.say("given up %s %d", q.ID, int64(elapsed))
+	r.record("given up %s %d", q.ID, int64(elapsed))
 }
 
-func (r *replay) RequestDone(q *Request) { r.say("over %s", q.ID) }
+func (r *replay) RequestDone(q *Request) { r.record("over %s", q.ID) }
 
 type replayLinks struct{ *replay }
 
 func (l replayLinks) Send(a *Attempt) {
 	ok := l.core.BeginWrite(a)
-	l.say("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Timeout), a.MemoryMB, a.Priority, ok)
+	l.record("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Timeout), a.MemoryMB, a.Priority, ok)
 	if !ok {
 		l.core.EndAttempt(a, OutcomeNotSent, Report{})
 		return
@@ -125,7 +125,7 @@
 
 func (l replayLinks) Cancel(a *Attempt) bool {
 	must := a.MustAwaitEngine()
-	l.say("drop %s %s %t", a.Request.ID, a.Engine, must)
+	l.record("drop %s %s %t", a.Request.ID, a.Engine, must)
 	if must {
 		l.settling = append(l.settling, a)
 	}
@@ -133,17 +133,17 @@
 }
 
 func (l replayLinks) SetPriority(a *Attempt, priority int) {
-	l.say("hurry %s %s %d", a.Request.ID, a.Engine, priority)
+	l.record("hurry %s %s %d", a.Request.ID, a.Engine, priority)
 }
 
 func (l replayLinks) UpdateEngine(e Engine) {
 	if e.State != policy.EngineDeparted { // those that a whole list lacks come in no fixed order
-		l.say("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.StartKnown)
+		l.record("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.StartKnown)
 	}
 }
 
 func (l replayLinks) RequestLoadReport(engine string) {
-	l.say("probe %s", engine)
+	l.record("probe %s", engine)
 	if l.random.IntN(2) == 0 {
 		l.core.EndLoadReport(engine, OutcomeServed, policy.LoadReport{})
 		return
@@ -152,27 +152,27 @@
 }
 
 func (l replayLinks) Continue(a *Attempt) {
-	l.say("continue %s %s %v", a.Request.ID, a.Engine, a.Request.Statement)
+	l.record("continue %s %s %v", a.Request.ID, a.Engine, a.Request.Statement)
 }
 
 type replaySites struct{ *replay }
 
 func (s replaySites) ForwardOnArrival(q *Request) bool { return s.forward(q, false) }
 func (s replaySites) ForwardRejected(q *Request) bool  { return s.forward(q, true) }
-func (s replaySites) forward(q *Request, turned bool) bool {
+func (s replaySites) forward(q *Request, rejected bool) bool {
 	if s.random.IntN(3) > 0 {
 		return false
 	}
-	s.say("cross %s %t", q.ID, turned)
+	s.record("cross %s %t", q.ID, rejected)
 	s.core.Forwarded(q, q.Deadline-time.Millisecond)
 	return true
 }
 
-func (s replaySites) Drop(q *Request)           { s.say("drop there %s", q.ID) }
-func (s replaySites) AttemptStarted(a *Attempt) { s.say("sending %s %s", a.Request.ID, a.Engine) }
+func (s replaySites) Drop(q *Request)           { s.record("drop there %s", q.ID) }
+func (s replaySites) AttemptStarted(a *Attempt) { s.record("sending %s %s", a.Request.ID, a.Engine) }
 func (s replaySites) UpdateEngine(Engine)       {}
 func (s replaySites) AttemptEnded(a *Attempt, end Outcome, _ Report) {
-	s.say("ended %s %s %d", a.Request.ID, a.Engine, int(end))
+	s.record("ended %s %s %d", a.Request.ID, a.Engine, int(end))
 }
 
 func (r *replay) run() {
@@ -182,33 +182,33 @@
 		r.now += time.Duration(r.random.IntN(20)) * time.Millisecond
 		r.timers.Sweep(r.now)
 	}
-	for len(r.open) > 1 { // EndAll answers several in no fixed order
-		r.leaves(r.open[0])
+	for len(r.open) > 1 { // Shutdown answers several in no fixed order
+		r.disconnect(r.open[0])
 	}
 	r.core.Shutdown()
-	r.arrive()
+	r.accept()
 	for _, a := range append(r.attempts, r.settling...) {
 		r.core.EndAttempt(a, OutcomeConnectionReset, Report{})
 	}
 	figures := r.core.Figures()
-	r.say("figures %d %d %d %d", figures.AttemptsWritten, figures.InFlight, figures.EnginesListed, figures.EnginesDown)
+	r.record("figures %d %d %d %d", figures.AttemptsWritten, figures.InFlight, figures.EnginesListed, figures.EnginesDown)
 	for _, c := range figures.Classes {
-		r.say("class %s %d %d %d", c.Class, c.Served, c.Rejected, c.Failed)
+		r.record("class %s %d %d %d", c.Class, c.Served, c.Rejected, c.Failed)
 	}
 	var all strings.Builder
 	r.counters.Print(&all)
-	r.say("%s", all.String())
+	r.record("%s", all.String())
 }
 
 func (r *replay) step() {
 	switch r.random.IntN(16) {
 	case 0, 1, 2, 3, 4:
-		r.arrive()
+		r.accept()
 	case 5, 6, 7, 8, 9:
 		r.end()
 	case 10:
 		if q := r.anyOpen(); q != nil {
-			r.leaves(q)
+			r.disconnect(q)
 		}
 	case 11:
 		if a := r.anyAttempt(); a != nil {
@@ -217,15 +217,15 @@
 	case 12:
 		r.engines(policy.ListChanges, 1+r.random.IntN(2))
 	case 13:
-		r.call()
+		r.operate()
 	case 14:
-		r.there()
+		r.remoteSite()
 	default:
-		r.goOn()
+		r.continueStream()
 	}
 }
 
-func (r *replay) arrive() {
+func (r *replay) accept() {
 	r.serial++
 	class := []string{"read", "load", "write", "unheard-of"}[min(r.random.IntN(10)/3, 3)]
 	q := &Request{
@@ -238,13 +238,13 @@
 	if r.random.IntN(10) == 0 {
 		q.MaxSends, q.PriorSends = 3, r.random.IntN(3)
 	}
-	var left *Orphan
+	var orphan *Orphan
 	if r.random.IntN(15) == 0 {
-		left = &Orphan{ReceivedAt: r.now, FirstSentAt: r.now - time.Duration(r.random.IntN(2))*time.Second, MustFail: r.random.IntN(3) == 0}
+		orphan = &Orphan{ReceivedAt: r.now, FirstSentAt: r.now - time.Duration(r.random.IntN(2))*time.Second, MustFail: r.random.IntN(3) == 0}
 	}
-	r.say("arrive %s %s", q.ID, class)
+	r.record("arrive %s %s", q.ID, class)
 	r.open = append(r.open, q)
-	r.core.AcceptOrphan(q, left)
+	r.core.AcceptOrphan(q, orphan)
 }
 
 func (r *replay) end() {
@@ -266,17 +266,17 @@
 	if end == OutcomeEngineError || end == OutcomeStatementRejected {
 		rep.Result, rep.EngineError = nil, fmt.Errorf("error of %s", a.Engine)
 	}
-	r.say("end %s %s %d", a.Request.ID, a.Engine, int(end))
+	r.record("end %s %s %d", a.Request.ID, a.Engine, int(end))
 	r.core.EndAttempt(a, end, rep)
 }
 
-func (r *replay) there() {
+func (r *replay) remoteSite() {
 	for _, q := range r.open {
-		if !r.core.IsForwarded(q) {
+		if !r.core.isForwarded(q) {
 			continue
 		}
 		how := r.random.IntN(5)
-		r.say("there %s %d", q.ID, how)
+		r.record("there %s %d", q.ID, how)
 		switch how {
 		case 0:
 			r.core.CompleteForwarded(q, Answer{Verdict: Served, Result: replayText("rows from there")})
@@ -291,32 +291,32 @@
 		default:
 			r.core.ReturnForwarded(q)
 		}
-		r.say("known %s %d %d %t %t", q.ID, q.SendCount(), int64(q.FirstSentAt()), q.MayHaveRunHere(), r.core.InDoubt(q))
+		r.record("known %s %d %d %t %t", q.ID, q.SendCount(), int64(q.FirstSentAt()), q.MayHaveRunHere(), r.core.InDoubt(q))
 		return
 	}
 }
 
-func (r *replay) goOn() {
+func (r *replay) continueStream() {
 	for _, a := range r.attempts {
 		if a.Ended() || !a.Request.Streaming {
 			continue
 		}
 		r.core.RelayPart(a, Report{Result: replayText("part")})
 		if r.random.IntN(2) == 0 {
-			r.say("goes on %t", r.core.Continue(a.Request, replayText("next"), 300*time.Millisecond))
+			r.record("goes on %t", r.core.Continue(a.Request, replayText("next"), 300*time.Millisecond))
 		}
 		return
 	}
 }
 
-func (r *replay) call() {
+func (r *replay) operate() {
 	id := fmt.Sprintf("e%d", r.random.IntN(8))
 	change := r.core.EnableEngine
 	if r.random.IntN(2) == 0 {
 		change = r.core.DisableEngine
 	}
 	err := change(id)
-	r.say("call %t", err != nil)
+	r.record("call %t", err != nil)
 }
 
 func (r *replay) engines(mode policy.ListMode, n int) {
@@ -342,8 +342,8 @@
 	return r.open[r.random.IntN(len(r.open))]
 }
 
-func (r *replay) leaves(q *Request) {
-	r.say("leaves %s", q.ID)
+func (r *replay) disconnect(q *Request) {
+	r.record("leaves %s", q.ID)
 	r.core.ClientDisconnected(q)
 	r.dropOpen(q)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -63,8 +63,8 @@
 type remoteState struct {
 	timer *timerqueue.Entry // ends the wait for the other site; nil: the request is not there
 	since time.Duration
-	// rejection is the policy's answer to the hedge that ran here as well; nil: there is none.
-	rejection *Answer
+	// policyAnswer is what the policy answered to the hedge here; nil: nothing.
+	policyAnswer *Answer
 }
 
 // clear marks that the request is no longer at the other site.
