--- a/internal/core/end_attempt.go
+++ b/internal/core/end_attempt.go
@@ -33,11 +33,10 @@
 		c.sites.AttemptEnded(a, outcome, rep)
 	}
 	c.keepEngineError(a, rep.EngineError)
-	elapsed := c.clock.Now() - a.SentAt
-	c.observeCost(a, outcome, rep, elapsed)
+	c.observeCost(a, outcome, rep)
 	c.answerByOutcome(r, outcome, rep)
 	c.notifyPolicy(policy.AttemptEnded{
-		Query: r.query, Attempt: a.number, Result: policyResult(a, outcome), Elapsed: elapsed,
+		Query: r.query, Attempt: a.number, Result: policyResult(a, outcome), Elapsed: c.clock.Now() - a.SentAt,
 		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.LoadReport,
 	})
 	c.forgetIfDone(r)
@@ -54,10 +53,11 @@
 }
 
 // observeCost tells the cost observer of an attempt. How long a stream took depends on its client.
-func (c *Core) observeCost(a *Attempt, outcome Outcome, rep Report, elapsed time.Duration) {
+func (c *Core) observeCost(a *Attempt, outcome Outcome, rep Report) {
 	if c.observers.cost == nil || a.Request.CostContext == nil || a.streaming {
 		return
 	}
+	elapsed := c.clock.Now() - a.SentAt
 	switch outcome {
 	case OutcomeServed:
 		c.observers.cost.AttemptServed(a.Request, rep, elapsed)
