--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -133,7 +133,7 @@
 		return err
 	}
 	p.startedAt = p.loop.Now()
-	p.loop.BufferBudget = int64(limits.bufferBytes())
+	p.loop.SetBufferBudget(int64(limits.bufferBytes()))
 	p.core, err = core.New(settings, seed, p.loop, p.loop.Timers, p.counters, p.log)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -81,6 +81,6 @@
 	platform.front.LimitClients(int(share * float64(p.limits.maxClients)))
 	platform.front.GiveWhole(share < 1) // the next call of a client may come to another process
 	p.loop.SetDescriptorShare(share)
-	p.loop.BufferBudget = int64(share * float64(p.limits.bufferBytes()))
+	p.loop.SetBufferBudget(int64(share * float64(p.limits.bufferBytes())))
 	limitRuntime(int(share * float64(p.limits.memoryMB)))
 }
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -288,7 +288,7 @@
 func TestBufferBudget(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	g.loop.BufferBudget = 400 << 10
+	g.loop.SetBufferBudget(400 << 10)
 	g.postgres(addr)
 	long := query("SELECT '" + strings.Repeat("x", 300<<10) + "'")
 	first := connect(t, g.addr)
--- a/internal/netio/listen_test.go
+++ b/internal/netio/listener_test.go
@@ -10,17 +10,17 @@
 
 // A listener is closed at once though its accept hangs in the kernel, as another process that holds the socket has made it a
 // blocking one: the loop that closes it stood still until the next client came.
-func TestCloseOfBlocking(t *testing.T) {
-	l := running(t)
-	h := &taker{c: make(chan *Conn, 2), closed: make(chan error, 2)}
-	ln, client := served(t, l, h)
-	defer client.Close()
-	<-h.c
+func TestCloseOfBlockingListener(t *testing.T) {
+	l := startLoop(t)
+	h := &recorder{accepted: make(chan *Conn, 2), closed: make(chan error, 2)}
+	ln, client := serve(t, l, h)
+	defer func() { _ = client.Close() }()
+	<-h.accepted
 	other, err := ln.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
+	defer func() { _ = other.Close() }()
 	if err := unix.SetNonblock(int(other.Fd()), false); err != nil {
 		t.Fatal(err)
 	}
@@ -29,10 +29,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 	}
 	dial() // whether the accept waits in the poller or in the kernel: after this one it is in the kernel
-	<-h.c
+	<-h.accepted
 	closed := make(chan struct{})
 	l.Post(func() {
 		_ = ln.Close()
--- a/internal/netio/fence_test.go
+++ b/internal/netio/poller_barrier_test.go
@@ -8,39 +8,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// gate holds the poller's goroutine where it reads.
-type gate struct{ in, on chan struct{} }
+// gate is a journal that holds the poller's goroutine where it reads.
+type gate struct {
+	entered chan struct{}
+	proceed chan struct{}
+}
 
 func (g gate) Input(*Conn, int64, []byte) {
-	g.in <- struct{}{}
-	<-g.on
+	g.entered <- struct{}{}
+	<-g.proceed
 }
+
 func (gate) Output(*Conn, int64, []byte) {}
-func (gate) Ended(*Conn)                 {}
 
-// A connection is not ended by the end of another that had its number before: the poller has fetched that end and
-// not come to it when the loop closes the one and takes the other in.
-func TestStaleEnd(t *testing.T) {
+func (gate) Ended(*Conn) {}
+
+// A connection is not ended by the end of another that had its number before: the poller has fetched that event and
+// not handled it when the loop closes the one and attaches the other.
+func TestStaleCloseEvent(t *testing.T) {
 	for range 20 {
-		if staleEnd(t) {
+		if staleCloseEvent(t) {
 			return
 		}
 	}
-	t.Error("the number was never taken: nothing is shown")
+	t.Error("the number was never taken again: the case did not occur")
 }
 
-// staleEnd tells whether the number was taken: what an earlier test leaves may give others free at any time.
-func staleEnd(t *testing.T) (shown bool) {
-	l := running(t)
+// staleCloseEvent reports whether the number was taken: what an earlier test leaves may give others free at any time.
+func staleCloseEvent(t *testing.T) (shown bool) {
+	t.Helper()
+	l := startLoop(t)
 	do := func(f func()) {
 		done := make(chan struct{})
 		l.Post(func() { f(); close(done) })
 		await(t, "the loop", done)
 	}
 	enter := func() (net.Conn, *Conn) {
-		h := newTaker()
-		_, peer := served(t, l, h)
-		return peer, await(t, "a connection", h.c)
+		h := newRecorder()
+		_, peer := serve(t, l, h)
+		return peer, await(t, "a connection", h.accepted)
 	}
 	gates, peers := [2]gate{}, [2]net.Conn{}
 	for i := range gates {
@@ -49,49 +55,49 @@
 		do(func() { c.SetJournal(gates[i]) })
 	}
 	ends, old := enter()
-	peer, _, fd := pair(t)
-	// The poller stands; the second to wake it and the end then come in one turn, in this order.
+	peer, _, fd := tcpPair(t)
+	// The poller is held; the second to wake it and the end then come in one iteration, in this order.
 	_, _ = peers[0].Write([]byte("a"))
-	await(t, "the poller", gates[0].in)
+	await(t, "the poller", gates[0].entered)
 	_, _ = peers[1].Write([]byte("b"))
 	_ = ends.Close()
 	for info := (&unix.TCPInfo{}); info.State != tcpCloseWait; {
 		var err error
-		if info, err = unix.GetsockoptTCPInfo(old.nc.Hash(), unix.IPPROTO_TCP, unix.TCP_INFO); err != nil {
+		if info, err = unix.GetsockoptTCPInfo(old.socket.Hash(), unix.IPPROTO_TCP, unix.TCP_INFO); err != nil {
 			t.Fatal(err)
 		}
 	}
-	gates[0].on <- struct{}{}
-	await(t, "the poller's next turn", gates[1].in)
+	gates[0].proceed <- struct{}{}
+	await(t, "the poller's next iteration", gates[1].entered)
 
-	number := old.nc.Hash()
+	number := old.socket.Hash()
 	given := spare(t, fd, number)
 	do(old.Abort)
-	fresh, taken := newTaker(), make(chan int, 1)
+	fresh, taken := newRecorder(), make(chan int, 1)
 	l.Post(func() {
-		c, err := l.Attach(given, 1024, nil, func(c *Conn) Handler { return fresh })
+		c, err := l.Attach(given, 1024, nil, func(*Conn) Handler { return fresh })
 		if err != nil {
 			t.Error(err)
 		}
-		taken <- c.nc.Hash()
+		taken <- c.socket.Hash()
 	})
 	select {
 	case got := <-taken: // nothing has waited
 		taken <- got
 	case <-time.After(200 * time.Millisecond):
 	}
-	gates[1].on <- struct{}{}
+	gates[1].proceed <- struct{}{}
 	got := await(t, "the connection", taken)
-	_, _ = peers[0].Write([]byte("a")) // in a later turn
-	await(t, "the poller", gates[0].in)
-	gates[0].on <- struct{}{}
+	_, _ = peers[0].Write([]byte("a")) // in a later iteration
+	await(t, "the poller", gates[0].entered)
+	gates[0].proceed <- struct{}{}
 	_, _ = peer.Write([]byte("x"))
 	select {
-	case <-fresh.got:
+	case <-fresh.received:
 	case err := <-fresh.closed:
-		t.Errorf("another's end has closed it: %v", err)
+		t.Errorf("the end of another has closed it: %v", err)
 	case <-time.After(5 * time.Second):
-		t.Error("it hears nothing")
+		t.Error("it receives nothing")
 	}
 	return got == number
 }
@@ -117,20 +123,21 @@
 	return given
 }
 
-// Nor is one ended by the end of another that is closed here and that another process holds still, as the old one
-// does in an upgrade: the kernel goes on telling of it.
-func TestEndElsewhere(t *testing.T) {
+// A connection is not ended by the end of another that had its number, was closed here and is still open in another
+// process, as in an upgrade: the kernel goes on reporting events for it.
+func TestCloseEventOfSharedSocket(t *testing.T) {
 	for range 20 {
-		if endElsewhere(t) {
+		if closeEventOfSharedSocket(t) {
 			return
 		}
 	}
-	t.Error("the number was never taken: nothing is shown")
+	t.Error("the number was never taken again: the case did not occur")
 }
 
-func endElsewhere(t *testing.T) (shown bool) {
-	l := running(t)
-	attach := func(fd int, h *taker) *Conn {
+func closeEventOfSharedSocket(t *testing.T) (shown bool) {
+	t.Helper()
+	l := startLoop(t)
+	attach := func(fd int, h *recorder) *Conn {
 		c := make(chan *Conn, 1)
 		l.Post(func() {
 			got, err := l.Attach(fd, 1024, nil, func(*Conn) Handler { return h })
@@ -148,18 +155,18 @@
 		}
 		return n
 	}
-	ends, _, kept := pair(t)
-	peer, _, next := pair(t)
-	old := newTaker()
+	ends, _, kept := tcpPair(t)
+	peer, _, next := tcpPair(t)
+	old := newRecorder()
 	hole := own(kept)
 	c := attach(own(kept), old)
-	number := c.nc.Hash()
+	number := c.socket.Hash()
 	_ = unix.Close(hole)
 	given := spare(t, next, number)
 	l.Post(c.Abort)
-	await(t, "the end", old.closed)
-	fresh := newTaker()
-	got := attach(given, fresh).nc.Hash()
+	_ = await(t, "the end", old.closed)
+	fresh := newRecorder()
+	got := attach(given, fresh).socket.Hash()
 	_ = ends.Close()
 	for info := (&unix.TCPInfo{}); info.State != tcpCloseWait; {
 		var err error
@@ -167,15 +174,15 @@
 			t.Fatal(err)
 		}
 	}
-	for range 2 { // the second in a turn behind all that was told before
+	for range 2 { // the second in an iteration after all events of before
 		_, _ = peer.Write([]byte("x"))
 		select {
-		case <-fresh.got:
+		case <-fresh.received:
 		case err := <-fresh.closed:
-			t.Errorf("another's end has closed it: %v", err)
+			t.Errorf("the end of another has closed it: %v", err)
 			return true
 		case <-time.After(5 * time.Second):
-			t.Error("it hears nothing")
+			t.Error("it receives nothing")
 			return true
 		}
 	}
