--- a/internal/netio/descriptor_budget_test.go
+++ b/internal/netio/descriptor_budget_test.go
@@ -1,10 +1,8 @@
 package netio
 
-import (
-	"testing"
-)
+import "testing"
 
-// Where connections have taken all descriptors that they may, the roster's finds those that are kept back for it.
+// Where connections have taken all descriptors that they may, a dial fails and one by DialReserved succeeds.
 func TestReservedDescriptors(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
@@ -15,14 +13,14 @@
 		if err := l.LimitDescriptors(1, 0); err != nil {
 			t.Error(err)
 		}
-		tell := func(_ *Conn, err error) { ends <- err }
-		l.Dial(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), tell)
-		l.DialReserved(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), tell)
+		report := func(_ *Conn, err error) { ends <- err }
+		l.Dial(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), report)
+		l.DialReserved(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), report)
 	})
 	if err := await(t, "an end", ends); !IsDescriptorShortage(err) {
 		t.Errorf("a dial: %v", err)
 	}
 	if err := await(t, "an end", ends); err != nil {
-		t.Errorf("the kept dial: %v", err)
+		t.Errorf("the reserved dial: %v", err)
 	}
 }
--- a/internal/netio/journal_test.go
+++ b/internal/netio/journal_test.go
@@ -29,7 +29,10 @@
 	h, r := newRecorder(), journalRecorder{make(chan string, 10)}
 	conns := make(chan *Conn, 1)
 	l.Post(func() {
-		c, err := l.Attach(dup, 1<<16, nil, func(c *Conn) Handler { c.SetJournal(r); return h })
+		c, err := l.Attach(dup, 1<<16, nil, func(c *Conn) Handler {
+			c.SetJournal(r)
+			return h
+		})
 		if err != nil {
 			t.Error(err)
 		}
@@ -42,7 +45,10 @@
 	}
 	await(t, "data", h.received)
 	done := make(chan int64, 2)
-	l.Post(func() { done <- c.ConsumedPosition() - start.Read; c.Write([]byte("xyz")) })
+	l.Post(func() {
+		done <- c.ConsumedPosition() - start.Read
+		c.Write([]byte("xyz"))
+	})
 	if n := await(t, "position", done); n != 2 {
 		t.Errorf("consumed to %d, want 2", n)
 	}
--- a/internal/netio/listener_test.go
+++ b/internal/netio/listener_test.go
@@ -9,13 +9,13 @@
 )
 
 // A listener is closed at once though its accept hangs in the kernel, as another process that holds the socket has made it a
-// blocking one: the loop that closes it stood still until the next client came.
+// blocking one. Guards against a loop that blocks in Close until the next client comes.
 func TestCloseOfBlockingListener(t *testing.T) {
 	l := startLoop(t)
-	h := &recorder{accepted: make(chan *Conn, 2), closed: make(chan error, 2)}
-	ln, client := serve(t, l, h)
+	r := &recorder{accepted: make(chan *Conn, 2), closed: make(chan error, 2)}
+	ln, client := serve(t, l, r)
 	defer func() { _ = client.Close() }()
-	<-h.accepted
+	<-r.accepted
 	other, err := ln.File()
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 		t.Cleanup(func() { _ = c.Close() })
 	}
 	dial() // whether the accept waits in the poller or in the kernel: after this one it is in the kernel
-	<-h.accepted
+	<-r.accepted
 	closed := make(chan struct{})
 	l.Post(func() {
 		_ = ln.Close()
@@ -40,7 +40,7 @@
 	})
 	select {
 	case <-closed:
-	case <-time.After(5 * time.Second):
+	case <-time.After(awaitLimit):
 		t.Error("the loop waits for the next client")
 		dial()
 		<-closed
--- a/internal/netio/loop_test.go
+++ b/internal/netio/loop_test.go
@@ -20,11 +20,14 @@
 		}
 		stop(l)
 		done := make(chan struct{})
-		go func() { l.Run(); close(done) }()
+		go func() {
+			l.Run()
+			close(done)
+		}()
 		select {
 		case <-done:
-		case <-time.After(5 * time.Second):
-			t.Errorf("%s: it goes on", name)
+		case <-time.After(awaitLimit):
+			t.Errorf("%s: it continues", name)
 			l.Post(func() {})
 			<-done
 		}
--- a/internal/netio/poller_barrier_test.go
+++ b/internal/netio/poller_barrier_test.go
@@ -96,7 +96,7 @@
 	case <-fresh.received:
 	case err := <-fresh.closed:
 		t.Errorf("the end of another has closed it: %v", err)
-	case <-time.After(5 * time.Second):
+	case <-time.After(awaitLimit):
 		t.Error("it receives nothing")
 	}
 	return got == number
@@ -181,7 +181,7 @@
 		case err := <-fresh.closed:
 			t.Errorf("the end of another has closed it: %v", err)
 			return true
-		case <-time.After(5 * time.Second):
+		case <-time.After(awaitLimit):
 			t.Error("it receives nothing")
 			return true
 		}
--- a/internal/netio/transfer_test.go
+++ b/internal/netio/transfer_test.go
@@ -8,7 +8,7 @@
 )
 
 // A connection goes from one loop to another with what was read of it, while a duplicate of
-// it stays open: its peer notices nothing, the first loop hears nothing more of it (also not
+// it stays open: its peer notices nothing, the first loop is told nothing more of it (also not
 // under the number of its descriptor, which another has next), and its listener can pause.
 func TestDetachAttach(t *testing.T) {
 	loops := [2]*Loop{}
@@ -48,7 +48,7 @@
 	}
 	defer func() { _ = other.Close() }()
 	_, _ = client.Write([]byte("gh"))
-	if got := await(t, "news", second.received); got != "efgh" {
+	if got := await(t, "new data", second.received); got != "efgh" {
 		t.Errorf("the second loop read %q", got)
 	}
 	select {
