--- a/internal/netio/listen_test.go
+++ b/internal/netio/listener_test.go
@@ -9,18 +9,18 @@
 )
 
 // A listener is closed at once though its accept hangs in the kernel, as another process that holds the socket has made it a
-// blocking one: the loop that closes it stood still until the next client came.
-func TestCloseOfBlocking(t *testing.T) {
-	l := running(t)
-	h := &taker{c: make(chan *Conn, 2), closed: make(chan error, 2)}
-	ln, client := served(t, l, h)
-	defer client.Close()
-	<-h.c
+// blocking one. Guards against a loop that blocks in Close until the next client comes.
+func TestCloseOfBlockingListener(t *testing.T) {
+	l := startLoop(t)
+	r := &recorder{accepted: make(chan *Conn, 2), closed: make(chan error, 2)}
+	ln, client := serve(t, l, r)
+	defer func() { _ = client.Close() }()
+	<-r.accepted
 	other, err := ln.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
+	defer func() { _ = other.Close() }()
 	if err := unix.SetNonblock(int(other.Fd()), false); err != nil {
 		t.Fatal(err)
 	}
@@ -29,10 +29,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 	}
 	dial() // whether the accept waits in the poller or in the kernel: after this one it is in the kernel
-	<-h.c
+	<-r.accepted
 	closed := make(chan struct{})
 	l.Post(func() {
 		_ = ln.Close()
@@ -40,7 +40,7 @@
 	})
 	select {
 	case <-closed:
-	case <-time.After(5 * time.Second):
+	case <-time.After(awaitLimit):
 		t.Error("the loop waits for the next client")
 		dial()
 		<-closed
