--- a/internal/frontend/postgres/class.go
+++ b/internal/frontend/postgres/class.go
@@ -31,7 +31,7 @@
 // these before the default. What the statement may do goes before all three: one that
 // may write is never given a class that is safe to repeat. Unless it is a keyed load it
 // has the class for writes, of which one attempt is made.
-func (f *Front) sort(query string, read *queryshape.Statement) (sorted, *pgproto.Error) {
+func (f *Frontend) sort(query string, read *queryshape.Statement) (sorted, *pgproto.Error) {
 	name, key, readOnly, named := f.opts.DefaultClass, 0, false, false
 	for _, r := range f.opts.Rules {
 		if sqltext.Begins(query, r.Starts) {
@@ -65,7 +65,7 @@
 	if read != nil {
 		effect = read.Effect()
 	} else {
-		effect = sqltext.EffectOf(query, f.opts.ReadOnly)
+		effect = sqltext.EffectOf(query, f.opts.ReadOnlyFunctions)
 	}
 	if effect.Effect == sqltext.Reads || effect.Effect == sqltext.Untold && readOnly {
 		return sorted{class: class, key: key, shape: !named}, nil
--- a/internal/frontend/postgres/extended.go
+++ b/internal/frontend/postgres/extended.go
@@ -49,9 +49,9 @@
 	switch shapes := k.front.opts.Shapes; {
 	case shapes == nil:
 	case once:
-		read = shapes.ReadOnce(query, k.front.opts.ReadOnly)
+		read = shapes.ReadOnce(query, k.front.opts.ReadOnlyFunctions)
 	default:
-		read = shapes.Read(query, k.front.opts.ReadOnly)
+		read = shapes.Read(query, k.front.opts.ReadOnlyFunctions)
 	}
 	empty, control, e := check(query, read, open)
 	if e != nil {
@@ -312,7 +312,7 @@
 // nothing, and the batch fails.
 func (k *conn) hold(p *portal) {
 	f := k.front
-	if f.held+len(p.rest) > f.opts.MostHeld {
+	if f.held+len(p.rest) > f.opts.MaxHeldBytes {
 		p.rest = nil
 		k.failed(fail("53200", "open portals hold too many rows; fetch them, or ask for all at once"))
 		return
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -46,22 +46,22 @@
 
 // Options come from the deploy file.
 type Options struct {
-	DefaultClass string
-	WriteClass   string            // of what may write and has no class of its own; "": refused
-	ReadOnly     sqltext.Functions // that the operators know to read only
-	Rules        []Rule
-	Shapes       *queryshape.Service // classes and estimates by the shapes of statements; nil: off
-	MostClients  int                 // connections at once; 0: no limit of its own
-	MostHeld     int                 // bytes of rows in all open portals together
-	Users        *scramauth.Users    // who may log in, by password; nil: everybody, unasked
-	TLS          *tls.Config         // nil: encryption is declined
-	RequireTLS   bool                // nobody is let in without
-	TxIdle       time.Duration       // a transaction's client may say nothing for so long; 0: 10 s
-	TxMost       time.Duration       // and the whole may take so long; 0: 60 s
+	DefaultClass           string
+	WriteClass             string            // of what may write and has no class of its own; "": refused
+	ReadOnlyFunctions      sqltext.Functions // that the operators know to read only
+	Rules                  []Rule
+	Shapes                 *queryshape.Service // classes and estimates by the shapes of statements; nil: off
+	MaxClients             int                 // connections at once; 0: no limit of its own
+	MaxHeldBytes           int                 // bytes of rows in all open portals together
+	Users                  *scramauth.Users    // who may log in, by password; nil: everybody, unasked
+	TLS                    *tls.Config         // nil: encryption is declined
+	RequireTLS             bool                // nobody is let in without
+	IdleTransactionTimeout time.Duration       // a transaction's client may say nothing for so long; 0: 10 s
+	TransactionTimeout     time.Duration       // and the whole may take so long; 0: 60 s
 }
 
-// Front accepts clients.
-type Front struct {
+// Frontend accepts clients.
+type Frontend struct {
 	loop     *netio.Loop
 	core     *core.Core
 	opts     Options
@@ -77,14 +77,14 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Front {
-	f := &Front{loop: loop, core: c, stats: counters, throttle: loginlimit.New(loginlimit.Defaults()), conns: map[uint32]*conn{}}
+func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Frontend {
+	f := &Frontend{loop: loop, core: c, stats: counters, throttle: loginlimit.New(loginlimit.Defaults()), conns: map[uint32]*conn{}}
 	f.SetOptions(opts)
 	return f
 }
 
 // Listen accepts at the address.
-func (f *Front) Listen(addr string) error {
+func (f *Frontend) Listen(addr string) error {
 	ln, err := netio.Listen(addr)
 	if err != nil {
 		return fmt.Errorf("listen for PostgreSQL clients: %w", err)
@@ -94,8 +94,8 @@
 }
 
 // ListenOn accepts from a listener, which another process may have opened.
-func (f *Front) ListenOn(ln *netio.Listener) {
-	most := f.opts.MostClients
+func (f *Frontend) ListenOn(ln *netio.Listener) {
+	most := f.opts.MaxClients
 	if most > 0 {
 		most += spareClients
 	}
@@ -104,9 +104,9 @@
 }
 
 // Listener is where it accepts.
-func (f *Front) Listener() *netio.Listener { return f.listener }
+func (f *Frontend) Listener() *netio.Listener { return f.listener }
 
-func (f *Front) accept(c *netio.Conn) netio.Handler {
+func (f *Frontend) accept(c *netio.Conn) netio.Handler {
 	f.stats.Add("pgwire.connections")
 	f.last++
 	k := f.enter(c, f.last)
@@ -117,7 +117,7 @@
 }
 
 // enter makes a connection that has not started.
-func (f *Front) enter(c *netio.Conn, process uint32) *conn {
+func (f *Frontend) enter(c *netio.Conn, process uint32) *conn {
 	k := &conn{front: f, conn: c, process: process, statements: map[string]*statement{}, portals: map[string]*portal{}}
 	f.conns[k.process] = k
 	f.loop.Timers.Add(f.loop.Now()+startupMost, func() {
@@ -130,21 +130,21 @@
 
 // SetOptions changes the options, for statements prepared and clients that connect
 // from now on.
-func (f *Front) SetOptions(opts Options) {
-	if opts.MostHeld <= 0 {
-		opts.MostHeld = usualHeld
+func (f *Frontend) SetOptions(opts Options) {
+	if opts.MaxHeldBytes <= 0 {
+		opts.MaxHeldBytes = usualHeld
 	}
 	f.opts = opts
 }
 
 // Addr is where clients connect.
-func (f *Front) Addr() string { return f.listener.Addr().String() }
+func (f *Frontend) Addr() string { return f.listener.Addr().String() }
 
 // CloseListener takes no new connections; those that are open go on.
-func (f *Front) CloseListener() { _ = f.listener.Close() }
+func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
 // Drain closes each connection as soon as nothing is open on it.
-func (f *Front) Drain() {
+func (f *Frontend) Drain() {
 	f.draining = true
 	for _, k := range f.conns {
 		if k.request == nil && k.tx == nil { // a transaction has until the process ends
@@ -155,7 +155,7 @@
 
 // CloseUnmovable closes each connection that can't be given to another process, as soon as nothing is
 // open on it.
-func (f *Front) CloseUnmovable() {
+func (f *Frontend) CloseUnmovable() {
 	for _, k := range f.conns {
 		if !k.conn.UsesTLS() {
 			continue
@@ -167,7 +167,7 @@
 }
 
 // Idle tells whether no client is left.
-func (f *Front) Idle() bool { return len(f.conns) == 0 }
+func (f *Frontend) Idle() bool { return len(f.conns) == 0 }
 
 func stopping() *pgproto.Error { return fail("57P01", "the gateway is stopping") }
 
@@ -197,7 +197,7 @@
 
 // conn is one client connection.
 type conn struct {
-	front    *Front
+	front    *Frontend
 	conn     *netio.Conn
 	process  uint32
 	secret   [4]byte
@@ -370,7 +370,7 @@
 		k.fatal(fail("28000", "no user name in the startup packet"))
 		return nil
 	}
-	if f := k.front; f.opts.MostClients > 0 && len(f.conns) > f.opts.MostClients {
+	if f := k.front; f.opts.MaxClients > 0 && len(f.conns) > f.opts.MaxClients {
 		k.fatal(fail("53300", "too many clients already"))
 		return nil
 	}
@@ -456,7 +456,7 @@
 }
 
 // cancel ends what is open on the connection that a CancelRequest names.
-func (f *Front) cancel(body []byte) {
+func (f *Frontend) cancel(body []byte) {
 	if len(body) != 8 {
 		return
 	}
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -90,7 +90,7 @@
 }
 
 // connected is how many connections a user has that are through with their startup.
-func (f *Front) connected(user string) (n int) {
+func (f *Frontend) connected(user string) (n int) {
 	for _, k := range f.conns {
 		if k.started && !k.ended && k.user == user {
 			n++
--- a/internal/frontend/postgres/move.go
+++ b/internal/frontend/postgres/move.go
@@ -50,23 +50,23 @@
 }
 
 // Name tells this front from others.
-func (f *Front) Name() string { return "postgres" }
+func (f *Frontend) Name() string { return "postgres" }
 
 // ReadLimit bounds what is read of a connection and not consumed, in bytes.
-func (f *Front) ReadLimit() int { return maxBuffer }
+func (f *Frontend) ReadLimit() int { return maxBuffer }
 
 // OnAccept names who hears of each connection that is accepted, once its handler is there.
-func (f *Front) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
+func (f *Frontend) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
 
 // OnSharedChange is for what connections share beside what SharedState tells; here there is none.
-func (f *Front) OnSharedChange(func([]byte)) {}
+func (f *Frontend) OnSharedChange(func([]byte)) {}
 
 // OnUnknownCall names who hears of a CancelRequest whose connection is not here: another process
 // may have it. nil: nobody.
-func (f *Front) OnUnknownCall(fn func([]byte)) { f.stray = fn }
+func (f *Frontend) OnUnknownCall(fn func([]byte)) { f.stray = fn }
 
 // HandleForwardedCall takes a CancelRequest that another process was sent.
-func (f *Front) HandleForwardedCall(body []byte) {
+func (f *Frontend) HandleForwardedCall(body []byte) {
 	stray := f.stray
 	f.stray = nil // it goes no further
 	f.cancel(body)
@@ -77,13 +77,13 @@
 const numbersApart = 1 << 16
 
 // SharedState is what all connections share: where the process numbers of new ones begin.
-func (f *Front) SharedState() []byte {
+func (f *Frontend) SharedState() []byte {
 	b, _ := cbor.Marshal(f.last + numbersApart) // of this type it never fails
 	return b
 }
 
 // ApplySharedState takes what the connections of another process share.
-func (f *Front) ApplySharedState(b []byte) error {
+func (f *Frontend) ApplySharedState(b []byte) error {
 	var from uint32
 	if err := cbor.Unmarshal(b, &from); err != nil {
 		return fmt.Errorf("shared state: %w", err)
@@ -128,7 +128,7 @@
 }
 
 // RestoreConnection is a handler for a connection of another process, from its EncodeState.
-func (f *Front) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
+func (f *Frontend) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
 	var s connState
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("state of a connection: %w", err)
--- a/internal/frontend/postgres/move_test.go
+++ b/internal/frontend/postgres/move_test.go
@@ -37,7 +37,7 @@
 	b, _ := cbor.Marshal(connState{Portals: []portalState{{Statement: 3}}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if accept, err := (&Front{}).RestoreConnection(b); (accept == nil) != (err != nil) {
+		if accept, err := (&Frontend{}).RestoreConnection(b); (accept == nil) != (err != nil) {
 			t.Error("neither a handler nor an error")
 		}
 	})
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -105,7 +105,7 @@
 	case 1:
 		o.WriteClass = ""
 	case 2:
-		o.MostHeld = 20 // bytes: some portals keep too much
+		o.MaxHeldBytes = 20 // bytes: some portals keep too much
 	case 3:
 		o.Rules = nil
 	}
@@ -212,7 +212,7 @@
 type replayClient struct {
 	t       *testing.T
 	loop    *netio.Loop
-	front   *Front
+	front   *Frontend
 	random  *rand.Rand
 	hanging chan bool
 	conn    net.Conn
--- a/internal/frontend/postgres/stored_test.go
+++ b/internal/frontend/postgres/stored_test.go
@@ -44,7 +44,7 @@
 	if written, err := cbor.Marshal(storedState); err != nil || !bytes.Equal(written, stored) {
 		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
 	}
-	f := &Front{}
+	f := &Frontend{}
 	if accept, err := f.RestoreConnection(stored); accept == nil || err != nil {
 		t.Errorf("restore: error %v", err)
 	}
@@ -66,7 +66,7 @@
 
 // What connections of version c18a9bd shared: where the process numbers of new ones begin.
 func TestStoredSharedState(t *testing.T) {
-	f := &Front{last: 7}
+	f := &Frontend{last: 7}
 	if got, want := f.SharedState(), []byte{0x1a, 0, 1, 0, 7}; !bytes.Equal(got, want) {
 		t.Errorf("shared state = %x, want %x", got, want)
 	}
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -186,7 +186,7 @@
 		return e
 	}
 	k.tx = &transaction{begin: begin}
-	k.tx.limit = k.front.loop.Timers.Add(k.front.loop.Now()+or(k.front.opts.TxMost, usualTx), func() {
+	k.tx.limit = k.front.loop.Timers.Add(k.front.loop.Now()+or(k.front.opts.TransactionTimeout, usualTx), func() {
 		k.expire("25P04", "terminating connection due to transaction timeout")
 	})
 	k.rest()
@@ -204,7 +204,7 @@
 func (k *conn) rest() {
 	tx := k.tx
 	tx.idle.Stop()
-	tx.idle = k.front.loop.Timers.Add(k.front.loop.Now()+or(k.front.opts.TxIdle, usualIdleInTx), func() {
+	tx.idle = k.front.loop.Timers.Add(k.front.loop.Now()+or(k.front.opts.IdleTransactionTimeout, usualIdleInTx), func() {
 		if k.tx == tx && k.request == nil {
 			k.expire("25P03", "terminating connection due to idle-in-transaction timeout")
 		}
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -25,7 +25,7 @@
 	path     string
 	deploy   *config.Postgres
 	users    *scramauth.Users // nil: everybody is admitted
-	front    *pgfrontend.Front
+	front    *pgfrontend.Frontend
 	watch    *consul.Watcher
 	watching bool
 }
@@ -50,7 +50,7 @@
 	pg := &postgresProtocol{process: p, ctx: ctx, path: path, deploy: deploy}
 	pg.watch = consul.New(p.loop.Post, p.core, p.counters, p.log)
 	options := pg.frontendOptions(deploy)
-	p.limits.maxClients = options.MostClients
+	p.limits.maxClients = options.MaxClients
 	pg.front = pgfrontend.New(p.loop, p.core, options, p.counters)
 	p.protocol = pg
 	return nil
@@ -77,23 +77,23 @@
 // frontendOptions are what the clients' side takes of a deploy file. They may change while the program runs.
 func (p *postgresProtocol) frontendOptions(deploy *config.Postgres) pgfrontend.Options {
 	options := pgfrontend.Options{
-		DefaultClass: deploy.DefaultClass,
-		WriteClass:   deploy.WriteClass,
-		ReadOnly:     sqltext.Functions{},
-		MostClients:  clientsOf(deploy.Sockets),
-		MostHeld:     limits{memoryMB: deploy.MemoryMB}.memoryFraction(6),
-		Shapes:       p.process.shapes,
-		TxIdle:       config.FromSeconds(deploy.TransactionIdleSeconds),
-		TxMost:       config.FromSeconds(deploy.TransactionMaxSeconds),
-		TLS:          deploy.TLS.Config,
-		RequireTLS:   deploy.TLS.Require,
-		Users:        p.usersOf(deploy),
+		DefaultClass:           deploy.DefaultClass,
+		WriteClass:             deploy.WriteClass,
+		ReadOnlyFunctions:      sqltext.Functions{},
+		MaxClients:             clientsOf(deploy.Sockets),
+		MaxHeldBytes:           limits{memoryMB: deploy.MemoryMB}.memoryFraction(6),
+		Shapes:                 p.process.shapes,
+		IdleTransactionTimeout: config.FromSeconds(deploy.TransactionIdleSeconds),
+		TransactionTimeout:     config.FromSeconds(deploy.TransactionMaxSeconds),
+		TLS:                    deploy.TLS.Config,
+		RequireTLS:             deploy.TLS.Require,
+		Users:                  p.usersOf(deploy),
 	}
 	for _, name := range deploy.ReadOnlyFunctions {
-		options.ReadOnly[name] = true
+		options.ReadOnlyFunctions[name] = true
 	}
 	if deploy.MaxClients > 0 {
-		options.MostClients = min(options.MostClients, deploy.MaxClients)
+		options.MaxClients = min(options.MaxClients, deploy.MaxClients)
 	}
 	for _, statement := range deploy.Statements {
 		options.Rules = append(options.Rules, pgfrontend.Rule(statement))
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -42,7 +42,7 @@
 	rest    *httpapi.Front
 	options httpapi.Options
 	pgwire  pgfrontend.Options
-	front   *pgfrontend.Front
+	front   *pgfrontend.Frontend
 	engine  pgbackend.Options // how engines are spoken to, beside user and database
 }
 
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -216,7 +216,7 @@
 // A client that leaves, cancels or says nothing for long has its transaction rolled back with its
 // session, and nobody waits for it.
 func TestTransactionsLeft(t *testing.T) {
-	g, h := transacting(t, func(g *gateway) { g.pgwire.TxIdle = 300 * time.Millisecond })
+	g, h := transacting(t, func(g *gateway) { g.pgwire.IdleTransactionTimeout = 300 * time.Millisecond })
 	k := connect(t, g.addr)
 	k.says("BEGIN")
 	k.says("UPDATE a SET b = 1")
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -56,7 +56,7 @@
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
 	g.pgwire = postgres.Options{
-		DefaultClass: "lookup", WriteClass: "write", ReadOnly: map[string]bool{"stock.price_of": true},
+		DefaultClass: "lookup", WriteClass: "write", ReadOnlyFunctions: map[string]bool{"stock.price_of": true},
 		Rules: []postgres.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
 	}
 	g.postgres(addr)
