--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -104,7 +104,7 @@
 	return header, nil
 }
 
-// bodyLength is how many bytes of a body follow the head.
+// bodyLength returns how many bytes of a body follow the head.
 func (r *Request) bodyLength() (int, *StatusError) {
 	// Also an empty one: next to a Content-Length its body might hide another request.
 	if _, ok := r.Header["transfer-encoding"]; ok {
--- a/internal/http1/status_error.go
+++ b/internal/http1/status_error.go
@@ -13,12 +13,12 @@
 
 func (e *StatusError) Error() string { return e.Message }
 
-// BadRequest is an error of status 400.
+// BadRequest returns an error of status 400.
 func BadRequest(format string, args ...any) *StatusError {
 	return NewStatusError(http.StatusBadRequest, format, args...)
 }
 
-// NewStatusError is an error of any status.
+// NewStatusError returns an error of any status.
 func NewStatusError(status int, format string, args ...any) *StatusError {
 	return &StatusError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/netio/buffer.go
+++ b/internal/netio/buffer.go
@@ -12,13 +12,13 @@
 	taken int64 // bytes consumed in all
 }
 
-// Bytes is what has not been consumed. It is valid until the next call.
+// Bytes returns what has not been consumed. It is valid until the next call.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
-// Len is the number of bytes not consumed.
+// Len returns the number of bytes not consumed.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// Taken is the number of bytes consumed since the start.
+// Taken returns the number of bytes consumed since the start.
 func (b *Buffer) Taken() int64 { return b.taken }
 
 // Consume drops the first n bytes.
--- a/internal/netio/connection.go
+++ b/internal/netio/connection.go
@@ -14,15 +14,15 @@
 const (
 	// maxFlushTime is how long a closed connection may take to send what waits.
 	maxFlushTime = 3 * time.Second
-	// maxDrainTime is how long a connection is read on, once its peer was told that nothing more
-	// comes, for the peer to close its side too.
+	// maxDrainTime is how long reading continues after this side has shut its writes, for the peer to
+	// close its side too.
 	maxDrainTime = 500 * time.Millisecond
-	// maxDrainBytes is how much of that is read; the rest waits in the socket. Guards against paying
-	// for all that a peer goes on sending.
+	// maxDrainBytes is how much is read in that time; the rest stays in the socket. Guards against
+	// the cost of a peer that goes on sending.
 	maxDrainBytes = 256 << 10
 )
 
-// Handler is told of one connection, on the loop's goroutine.
+// Handler receives the input and the end of one connection, on the loop's goroutine.
 type Handler interface {
 	// Data is called when the buffer has grown. What it does not consume stays in the buffer. The connection's
 	// lock is held: Conn.Unread, Conn.SetJournal and Conn.Detach must not be called from here.
@@ -55,7 +55,7 @@
 
 	// For any goroutine.
 	closing          atomic.Bool  // from here: what is read is dropped, and nothing more is written
-	disconnected     atomic.Bool  // the socket is closed, as Closed will tell
+	disconnected     atomic.Bool  // the socket is closed; Closed follows
 	readStopped      atomic.Bool  // nothing more is read
 	readAheadLimited atomic.Bool  // the handler takes nothing at present
 	pendingBytes     atomic.Int64 // not yet written
@@ -70,10 +70,10 @@
 	discardedBytes int  // since closing
 }
 
-// connOptions is how a connection begins.
+// connOptions says how a connection begins.
 type connOptions struct {
 	readLimit    int
-	unread       []byte // what was read of it before
+	unread       []byte // read before, by another owner of the socket
 	highPriority bool
 	shared       bool // another process may hold the same socket
 	dialed       bool
@@ -87,7 +87,7 @@
 	c.initialize(l, socket, o)
 	c.handler = o.accept(c)
 	socket.SetSession(c)
-	l.poller.barrier.wait(socket.Hash()) // as late as this: the closes that it waits for are the loop's
+	l.poller.barrier.wait(socket.Hash()) // not earlier: no close by the loop may come between
 	l.conns[c] = struct{}{}
 	if err := l.poller.add(socket); err != nil {
 		_ = socket.Close()
@@ -97,8 +97,8 @@
 	return c, nil
 }
 
-// initialize sets what the poller reads, under the lock that it takes before it reads a field. The lock itself
-// is not part of any assignment, as it would be of a composite literal.
+// initialize sets what the poller reads, under the lock that the poller takes before it reads a field. A
+// composite literal would write the lock itself without holding it.
 func (c *Conn) initialize(l *Loop, socket *nbio.Conn, o connOptions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,29 +120,29 @@
 	}
 }
 
-// Handler is who is told of the connection.
+// Handler returns the handler that the connection was opened with.
 func (c *Conn) Handler() Handler { return c.handler }
 
-// RemoteAddr names the peer.
+// RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() string { return c.socket.RemoteAddr().String() }
 
-// Disconnected reports whether the socket has ended, as Closed tells once its turn has come.
+// Disconnected reports whether the socket is closed. Closed is called in a later iteration.
 func (c *Conn) Disconnected() bool { return c.disconnected.Load() }
 
 // Ended reports whether the connection has ended and Closed was called, or it was detached.
 func (c *Conn) Ended() bool { return c.ended }
 
-// Close ends the connection in good order: what was written is sent, the peer is told that
-// nothing more comes, and what it still sends is read and dropped until it closes its side, for a
-// while. The handler is told of no more bytes, and of Closed later. Guards against a reset, by
-// which a close over unread bytes destroys answers that the peer has not read, and against accepting
-// what came in the moment of the close.
+// Close ends the connection gracefully: pending writes are sent, the write side is shut, and what the
+// peer still sends is read and dropped until it closes its side, for maxDrainTime at most. Data is not
+// called again; Closed is, later. Guards against a reset, by which a close over unread bytes destroys
+// responses that the peer has not read, and against accepting a request that came in the moment of the
+// close.
 func (c *Conn) Close() {
 	if c.closing.Load() || c.ended {
 		return
 	}
 	if c.tls != nil && c.tls.established {
-		_ = c.tls.conn.CloseWrite() // tells the peer that nothing was cut off
+		_ = c.tls.conn.CloseWrite() // lets the peer know that nothing was cut off
 	}
 	c.closing.Store(true)
 	c.ScheduleData() // drops what is in the buffer, and resumes reading
@@ -154,7 +154,7 @@
 	c.WhenWritten(nil)
 }
 
-// closeWrite tells the peer that nothing more comes.
+// closeWrite shuts the write side, and waits for the peer to close its own.
 func (c *Conn) closeWrite() {
 	c.socket.Lock() // the poller closes under it, and the number may be another's then
 	closed, _ := c.socket.IsClosed()
@@ -174,8 +174,8 @@
 // Abort ends the connection at once.
 func (c *Conn) Abort() { c.closeSocket(nil) }
 
-// closeSocket closes the socket at once; what waits to be written is dropped. It is called on the loop's goroutine, and on
-// the poller's while that handles an event of the connection.
+// closeSocket closes the socket at once; pending writes are dropped. It is called on the loop's
+// goroutine, and on the poller's while that handles an event of the connection.
 func (c *Conn) closeSocket(err error) {
 	fd := c.socket.Hash()
 	if c.shared && isConnectedTo(fd, c.socket.RemoteAddr()) { // else it is closed, and its number another's
@@ -185,7 +185,7 @@
 	c.loop.poller.barrier.closed(fd)
 }
 
-// end drops the state of a connection whose socket is closed, and tells its handler.
+// end drops the state of a connection whose socket is closed, and notifies its handler.
 func (c *Conn) end(err error) {
 	if c.ended {
 		return
--- a/internal/netio/connection_read.go
+++ b/internal/netio/connection_read.go
@@ -11,8 +11,8 @@
 var errBufferBudget = errors.New("the buffers of all connections are full")
 
 // read takes what the socket has until the buffer is full. It runs on the poller's goroutine when
-// there is new data, and on the loop's when the buffer has room again. It reports whether another
-// process may hold the socket and its peer has closed it.
+// there is new data, and on the loop's when the buffer is below its limit again. It reports whether
+// another process may hold the socket and its peer has closed it.
 func (c *Conn) read(buffer []byte) (sharedEnd bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +42,8 @@
 	return sharedEnd
 }
 
-// mustPause reports whether the buffer is full. What came before a dialed peer's end can't wait: the poller closes.
+// mustPause reports whether the buffer is full. What a dialed peer sent before its end can't stay in the
+// socket: the poller closes it.
 func (c *Conn) mustPause() bool {
 	return c.in.Len() >= c.bufferLimit() && (!c.dialed || !hungUp(c.socket.Hash()))
 }
@@ -70,14 +71,14 @@
 	return 0, false
 }
 
-// chargeBudget closes a connection that takes more than is left of the buffer budget. Guards against many peers that each
-// stop in the middle of a long message.
+// chargeBudget closes a connection that takes more than is left of the buffer budget. Guards against
+// many peers that each stop in the middle of a long message.
 func (c *Conn) chargeBudget(n int) {
 	if c.loop.bufferedBytes.Add(int64(n)) <= c.loop.bufferBudget.Load() || c.in.Len() <= readSize {
 		return
 	}
 	c.readStopped.Store(true)
-	c.loop.bufferedBytes.Add(-int64(c.in.Len())) // at once: others need it
+	c.loop.bufferedBytes.Add(-int64(c.in.Len())) // now, as others need it
 	c.in = Buffer{}
 	c.closeSocket(errBufferBudget)
 }
@@ -101,14 +102,14 @@
 	return c.readLimit
 }
 
-// LimitReadAhead keeps what is read ahead small while the handler takes nothing, as long as a client's
-// open request is awaited. ScheduleData must be called after it is lifted.
+// LimitReadAhead keeps what is read ahead small while the handler consumes nothing, because a request
+// of the client is in flight. ScheduleData must be called after it is lifted.
 func (c *Conn) LimitReadAhead(limited bool) { c.readAheadLimited.Store(limited) }
 
 // ScheduleData has Data called once more, for what an earlier call left in the buffer.
 func (c *Conn) ScheduleData() { c.loop.Post(c.deliver) }
 
-// deliver tells the handler of what is in the buffer, and resumes reading once there is room.
+// deliver passes the buffer to the handler, and resumes reading once the buffer is below its limit.
 func (c *Conn) deliver() {
 	c.mu.Lock()
 	c.dataScheduled = false
@@ -139,7 +140,7 @@
 	c.loop.bufferedBytes.Add(int64(c.in.Len() - before))
 }
 
-// Unread is the number of bytes received that the handler has not consumed.
+// Unread returns the number of bytes received that the handler has not consumed.
 func (c *Conn) Unread() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/netio/connection_test.go
+++ b/internal/netio/connection_test.go
@@ -54,13 +54,14 @@
 	l.Post(c.Close)
 	written := make(chan int, 1)
 	go func() {
-		n, err := 0, error(nil)
+		total := 0
+		var err error
 		for err == nil {
-			var one int
-			one, err = client.Write(make([]byte, 32<<10))
-			n += one
+			var n int
+			n, err = client.Write(make([]byte, 32<<10))
+			total += n
 		}
-		written <- n
+		written <- total
 	}()
 	_ = await(t, "the end", h.closed)
 	await(t, "the end at the peer", written)
--- a/internal/netio/connection_write.go
+++ b/internal/netio/connection_write.go
@@ -1,10 +1,10 @@
 package netio
 
-// MaxPendingWrite bounds what waits for a slow reader, in bytes; past it the connection is closed.
+// MaxPendingWrite bounds what a slow reader may leave unsent, in bytes; past it the connection is closed.
 const MaxPendingWrite = 8 << 20
 
-// Write sends, or queues what the socket does not take at once. It reports whether it did either: else no
-// byte has left, and never will, and Closed is called.
+// Write sends, or queues what the socket does not take at once. It reports whether it did either. If not,
+// no byte was or will be sent, and Closed is called.
 func (c *Conn) Write(p []byte) bool {
 	if c.ended || c.closing.Load() || len(p) == 0 {
 		return false
@@ -32,10 +32,10 @@
 	return true
 }
 
-// Pending is the number of bytes that wait to be sent.
+// Pending returns the number of bytes that are not sent yet.
 func (c *Conn) Pending() int { return int(c.pendingBytes.Load()) }
 
-// WhenWritten has f called in a later iteration, once nothing waits to be sent.
+// WhenWritten has f called in a later iteration, once nothing is pending.
 func (c *Conn) WhenWritten(f func()) {
 	c.onWritten = f
 	c.notifyWritten.Store(true)
@@ -44,7 +44,8 @@
 	}
 }
 
-// sent notes bytes that the socket took. It is called on the goroutine that wrote them, the loop's or the poller's.
+// sent records bytes that the socket took. It is called on the goroutine that wrote them, the loop's or
+// the poller's.
 func (c *Conn) sent(n int) {
 	if c.pendingBytes.Add(-int64(n)) == 0 && c.notifyWritten.Load() {
 		c.loop.Post(c.written)
--- a/internal/netio/datagram_socket.go
+++ b/internal/netio/datagram_socket.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxDatagramSize is more than any user takes, in bytes: what is longer is cut to this length.
+	// maxDatagramSize is more than any user accepts, in bytes: what is longer is cut to this length.
 	maxDatagramSize = 512
 	// maxWaitingDatagrams bounds the datagrams that wait for the loop. Guards against a flood: what is beyond is
 	// dropped, as it would be in a full socket.
@@ -21,8 +21,8 @@
 	datagramErrorPause = time.Millisecond
 )
 
-// DatagramSocket is a UDP socket of a loop. One goroutine reads it and posts what came; Close ends that. Its methods
-// may be called from any goroutine.
+// DatagramSocket is a UDP socket of a loop. ListenDatagrams starts a goroutine that reads it and posts what
+// came; Close ends that goroutine. Its methods may be called from any goroutine.
 type DatagramSocket struct {
 	loop     *Loop
 	conn     *net.UDPConn
@@ -32,7 +32,7 @@
 	dropped  atomic.Int64
 }
 
-// ListenDatagrams opens a UDP socket. receive is called on the loop's goroutine; the bytes are its own.
+// ListenDatagrams opens a UDP socket. receive is called on the loop's goroutine and owns the bytes.
 func (l *Loop) ListenDatagrams(addr string, receive func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
 	local, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -52,15 +52,15 @@
 	return d, nil
 }
 
-// Addr is where it is open.
+// Addr returns the address that the socket is bound to.
 func (d *DatagramSocket) Addr() netip.AddrPort {
 	return unmapped(d.conn.LocalAddr().(*net.UDPAddr).AddrPort())
 }
 
-// Dropped is how many were dropped, as too many waited.
+// Dropped returns how many datagrams were dropped because too many waited for the loop.
 func (d *DatagramSocket) Dropped() int64 { return d.dropped.Load() }
 
-// Close ends it.
+// Close closes the socket and ends the goroutine that reads it.
 func (d *DatagramSocket) Close() { _ = d.conn.Close() }
 
 func (d *DatagramSocket) read(receive func(netip.AddrPort, []byte)) {
@@ -87,10 +87,10 @@
 	}
 }
 
-// unmapped is an address as it is written in settings, whichever socket it came through.
+// unmapped returns an address in the form of the settings, whichever socket it came through.
 func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// Send sends one, or drops it where the socket has no room: it never waits.
+// Send sends one datagram, or drops it where the socket's buffer is full: it never blocks.
 func (d *DatagramSocket) Send(to netip.AddrPort, b []byte) error {
 	sockaddr, err := d.sockaddr(to)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return sendErr
 }
 
-// sockaddr is an address in the form of the socket's family.
+// sockaddr returns an address in the form of the socket's family.
 func (d *DatagramSocket) sockaddr(to netip.AddrPort) (unix.Sockaddr, error) {
 	if !d.isIPv4 {
 		return &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}, nil
--- a/internal/netio/descriptor_budget.go
+++ b/internal/netio/descriptor_budget.go
@@ -10,8 +10,8 @@
 const (
 	// descriptorsPerDial is what a dial may take at once: the socket, and its copy for the poller.
 	descriptorsPerDial = 2
-	// ReservedDescriptors is what DialReserved takes of the spare descriptors, where one connection
-	// follows another.
+	// ReservedDescriptors is what DialReserved takes of the spare descriptors: a connection may be open
+	// while its successor is dialed.
 	ReservedDescriptors = descriptorsPerDial + 2
 )
 
@@ -22,7 +22,7 @@
 	limit    int // of connections and dials; 0: no limit
 }
 
-// newDescriptorBudget leaves out what is open now and spare more.
+// newDescriptorBudget returns a budget that leaves out what is open now and spare more.
 func newDescriptorBudget(process, spare int) (descriptorBudget, error) {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/netio/descriptor_budget_test.go
+++ b/internal/netio/descriptor_budget_test.go
@@ -24,3 +24,31 @@
 		t.Errorf("the reserved dial: %v", err)
 	}
 }
+
+// Each dial counts two descriptors, each connection one; without a limit all dials begin.
+func TestDescriptorBudget(t *testing.T) {
+	budget := descriptorBudget{process: 100, reserved: 40}
+	for _, c := range []struct {
+		name         string
+		share        float64
+		conns, dials int
+		want         bool
+	}{
+		{"one dial fits", 1, 58, 0, true},
+		{"one connection too many", 1, 59, 0, false},
+		{"another dial is in progress", 1, 57, 1, false},
+		{"half of the descriptors", 0.5, 8, 0, true},
+		{"more than half of them", 0.5, 9, 0, false},
+		{"a share below what is reserved", 0.1, 0, 0, false},
+	} {
+		budget.setShare(c.share)
+		if got := budget.allowsDial(c.conns, c.dials); got != c.want {
+			t.Errorf("%s: dial allowed = %v, want %v", c.name, got, c.want)
+		}
+	}
+	var unlimited descriptorBudget
+	unlimited.setShare(0.5)
+	if !unlimited.allowsDial(1<<20, 1<<20) {
+		t.Error("a dial was rejected without a limit")
+	}
+}
--- a/internal/netio/journal.go
+++ b/internal/netio/journal.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// Journal is told what a connection is about to read and to write, before it does. A process
-// that has yet to prove itself keeps one, so that another can continue where it died.
+// Journal records what a connection is about to read and to write, before it does. A process
+// on trial after an upgrade keeps one, so that another can continue where it died.
 type Journal interface {
 	// Input is given bytes that lie in the socket from a position on. They are consumed once it
 	// returns. It is called on the poller's goroutine or the loop's.
@@ -23,21 +23,21 @@
 	if j == nil {
 		return
 	}
-	if p, err := StreamPositionOf(c.socket.Hash()); err == nil { // else it is closed, which Closed will tell
+	if p, err := StreamPositionOf(c.socket.Hash()); err == nil { // else it is closed, and Closed follows
 		c.readPosition = p.Read
 		c.writtenPosition = p.Written + c.pendingBytes.Load()
 	}
 	c.basePosition = c.readPosition - int64(c.in.Len()) - c.in.taken
 }
 
-// ConsumedPosition is the position up to which the handler has consumed what was read, while there
-// is a journal.
+// ConsumedPosition returns the position up to which the handler has consumed what was read, while
+// there is a journal.
 func (c *Conn) ConsumedPosition() int64 { return c.basePosition + c.in.taken }
 
 // HasJournal reports whether there is a journal.
 func (c *Conn) HasJournal() bool { return c.journal != nil }
 
-// endJournal tells the journal that the connection has ended.
+// endJournal ends the journal with the connection.
 func (c *Conn) endJournal() {
 	j := c.journal
 	if j == nil {
@@ -49,7 +49,7 @@
 	j.Ended(c)
 }
 
-// readJournaled looks at what the socket has, gives it to the journal, and consumes it then: a process that
+// readJournaled peeks at what the socket has, gives it to the journal, and reads it then: a process that
 // dies at any point in between leaves every byte either in the socket or in the journal. The lock is held.
 func (c *Conn) readJournaled(buffer []byte) (int, error) {
 	n, _, err := syscall.Recvfrom(c.socket.Hash(), buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -22,10 +22,10 @@
 	maxCloseWait = 10 * time.Millisecond
 )
 
-// Listener accepts connections for a loop. It can pause, with its socket open: who connects
-// meanwhile waits unaccepted. Its methods may be called from any goroutine.
+// Listener accepts connections for a loop. It can pause, with its socket open: clients that connect
+// meanwhile wait in the backlog. Its methods may be called from any goroutine.
 type Listener struct {
-	// HighPriority is set where its connections go before all others in each iteration. Set it before Serve.
+	// HighPriority has its connections handled before all other work that is posted. Set it before Serve.
 	HighPriority bool
 
 	tcp    *net.TCPListener
@@ -48,8 +48,8 @@
 	return &Listener{tcp: listener.(*net.TCPListener)}, nil // of "tcp"
 }
 
-// InheritListener is a listener over a socket that another process opened. It accepts nothing before Resume. It
-// takes the file.
+// InheritListener returns a listener over a socket that another process opened. It is paused until Resume,
+// and owns the file.
 func InheritListener(file *os.File) (*Listener, error) {
 	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
 	if err := checkListens(file); err != nil {
@@ -69,8 +69,8 @@
 	return l, nil
 }
 
-// checkListens returns an error where a descriptor is no socket that listens. It does not use File.Fd, which makes
-// the socket a blocking one for a moment, for the process that still accepts on it as well.
+// checkListens returns an error where a descriptor is no socket that listens. It does not use File.Fd, which
+// makes the socket a blocking one for a moment, for the process that still accepts on it as well.
 func checkListens(file *os.File) error {
 	raw, err := file.SyscallConn()
 	if err != nil {
@@ -87,15 +87,15 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (l *Listener) Addr() net.Addr { return l.tcp.Addr() }
 
-// File is a duplicate of its socket.
+// File returns a duplicate of its socket.
 func (l *Listener) File() (*os.File, error) { return l.tcp.File() }
 
-// Close ends it, and with it the goroutine that Serve started. It waits no longer than maxCloseWait: where another process that
-// has the socket made it a blocking one, an accept hangs in the kernel until the next connection comes, and closing
-// waits for that, on a goroutine that ends with it. That connection is still served.
+// Close closes the socket, which ends the goroutine that Serve started. It blocks no longer than maxCloseWait:
+// where another process that has the socket made it a blocking one, an accept hangs in the kernel until the next
+// connection comes, and closing waits for that, on a goroutine that ends with it. That connection is still served.
 func (l *Listener) Close() error {
 	l.Resume()
 	done := make(chan error, 1)
@@ -144,8 +144,8 @@
 }
 
 // Serve accepts connections on a goroutine of its own, which ends once the listener is closed. While maxConns
-// of them are open (0: no such limit) the next ones wait unaccepted, and so does the end of that goroutine.
-// Guards against clients that leave no descriptor for the engines.
+// of them are open (0: no such limit) the next ones stay in the backlog, and that goroutine waits, also for its
+// end. Guards against clients that leave no descriptor for the engines.
 func (l *Loop) Serve(ln *Listener, readLimit, maxConns int, accept func(*Conn) Handler) {
 	a := &acceptor{loop: l, listener: ln, readLimit: readLimit, post: l.work.post, accept: accept}
 	if ln.HighPriority {
@@ -175,7 +175,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // told to pause
+		case errors.Is(err, os.ErrDeadlineExceeded): // paused
 			a.freeSlot()
 		case err != nil:
 			a.freeSlot()
@@ -194,7 +194,7 @@
 		return
 	}
 	a.post(func() {
-		// An error closes the connection, of which its handler is told.
+		// Where it fails, the handler is notified by Closed.
 		_, _ = a.loop.open(socket, connOptions{
 			readLimit: a.readLimit, highPriority: a.listener.HighPriority, accept: a.accept, onEnd: a.freeSlot,
 		})
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -61,7 +61,7 @@
 }
 
 // Run runs iterations until Stop: everything that was posted, then every timer that is due. It
-// returns once all connections are closed and the poller has been told to end.
+// returns once all connections are closed and the poller has ended, or maxStopWait has passed.
 func (l *Loop) Run() {
 	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
@@ -84,7 +84,7 @@
 	l.poller.stop()
 }
 
-// untilNextTimer is how long the loop may sleep if nothing is posted.
+// untilNextTimer returns how long the loop may sleep if nothing is posted.
 func (l *Loop) untilNextTimer() time.Duration {
 	at, ok := l.Timers.Next()
 	if !ok {
@@ -99,35 +99,35 @@
 // Post has f called on the loop's goroutine. It may be called from any goroutine.
 func (l *Loop) Post(f func()) { l.work.post(f) }
 
-// Now is the time since the Unix epoch by a clock that never goes back: the system's at the
+// Now returns the time since the Unix epoch by a clock that never goes back: the system's at the
 // start, and monotonic from there.
 func (l *Loop) Now() time.Duration { return l.clock.now() }
 
-// AdvanceClock sets the clock, which never goes back: two processes of one machine then share
-// theirs.
+// AdvanceClock sets the clock to now, unless that is in its past. Two processes of one machine share a
+// clock by it.
 func (l *Loop) AdvanceClock(now time.Duration) { l.clock.advance(now) }
 
 // SetBufferBudget bounds what the buffers of all connections hold together, in bytes. Past it the
 // next connection to take more than one read ends. It may be called from any goroutine.
 func (l *Loop) SetBufferBudget(bytes int64) { l.bufferBudget.Store(bytes) }
 
-// BufferedBytes is what the buffers of all connections hold. It may be called from any goroutine.
+// BufferedBytes returns what the buffers of all connections hold. It may be called from any goroutine.
 func (l *Loop) BufferedBytes() int64 { return l.bufferedBytes.Load() }
 
-// Conns are the open connections, in no order.
+// Conns returns the open connections, in no order.
 func (l *Loop) Conns() iter.Seq[*Conn] { return maps.Keys(l.conns) }
 
-// ConnCount is the number of open connections.
+// ConnCount returns the number of open connections.
 func (l *Loop) ConnCount() int { return len(l.conns) }
 
 // workQueue holds the functions that wait for the loop. post and postFirst may be called from any
 // goroutine, run from the loop's alone.
 type workQueue struct {
-	wake chan struct{} // has room for one
+	wake chan struct{} // of capacity one
 
 	mu     sync.Mutex
 	queue  []func()
-	urgent []func() // each waits for no more than one piece of other work
+	urgent []func() // each waits for one other function at most
 
 	hasUrgent atomic.Bool
 	spare     []func() // memory of the last iteration's queue, for the loop's goroutine
@@ -140,7 +140,7 @@
 	w.signal()
 }
 
-// postFirst has f run before any other work that waits.
+// postFirst has f run before all that post has queued.
 func (w *workQueue) postFirst(f func()) {
 	w.mu.Lock()
 	w.urgent = append(w.urgent, f)
--- a/internal/netio/poller_barrier_test.go
+++ b/internal/netio/poller_barrier_test.go
@@ -106,8 +106,8 @@
 // lower ones are taken but one, which that way goes through.
 func spare(t *testing.T, fd, number int) int {
 	t.Helper()
-	dup := func(least int) int {
-		n, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, least)
+	dup := func(minimum int) int {
+		n, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, minimum)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/netio/stream_position.go
+++ b/internal/netio/stream_position.go
@@ -10,7 +10,7 @@
 // maxPositionAttempts bounds how often a position is read while the socket changes.
 const maxPositionAttempts = 8
 
-// errPositionUnstable is that a socket changed each time its position was read.
+// errPositionUnstable is returned where the socket changed during each attempt to read its position.
 var errPositionUnstable = errors.New("the socket's position did not hold still")
 
 // StreamPosition is how far a TCP stream has got at this end, in bytes since its start, as the kernel
@@ -21,8 +21,8 @@
 	Written int64 // given to the kernel by a process
 }
 
-// StreamPositionOf reads the position of a TCP socket. Once the peer has closed its side, the kernel counts one more
-// received byte, which is taken off here.
+// StreamPositionOf returns the position of a TCP socket. Once the peer has closed its side, the kernel counts
+// one more received byte, which is subtracted here.
 func StreamPositionOf(fd int) (StreamPosition, error) {
 	for range maxPositionAttempts {
 		before, err := tcpInfo(fd)
--- a/internal/netio/tls.go
+++ b/internal/netio/tls.go
@@ -12,10 +12,10 @@
 // tlsReadSize is how much is decrypted at once, in bytes: one record of TLS.
 const tlsReadSize = 16 << 10
 
-// tlsSession is the TLS of a connection. Its handshake runs on a goroutine of its own, as crypto/tls can't be
-// suspended in the middle of one; the goroutine ends with the handshake, by its time-out at the latest. From then on the
-// session is for the loop's goroutine, and reads what there is: a Read that finds nothing fails with errPipeEmpty, after
-// which crypto/tls continues where it was.
+// tlsSession is the TLS of a connection. startTLS runs the handshake on a goroutine of its own, as crypto/tls
+// can't be suspended in the middle of one; that goroutine ends with the handshake, by its time-out at the latest.
+// From then on the session is for the loop's goroutine, and reads what there is: a Read that finds nothing fails
+// with errPipeEmpty, after which crypto/tls continues where it was.
 type tlsSession struct {
 	c           *Conn
 	conn        *tls.Conn
@@ -92,8 +92,8 @@
 	return err == nil
 }
 
-// feed gives the pipe what the socket had, unless what came before is to be read first. It reports
-// whether there was something.
+// feed moves what was read of the socket to the pipe, unless the pipe holds a record's worth already. It
+// reports whether it moved anything.
 func (s *tlsSession) feed() bool {
 	in := &s.c.in
 	if in.Len() == 0 || s.pipe.len() >= tlsReadSize {
@@ -104,7 +104,7 @@
 	return true
 }
 
-// deliver decrypts what has come and gives it to the handler, as much as there is room for. The connection's
+// deliver decrypts what has come and passes it to the handler, up to the buffer's limit. The connection's
 // lock is held.
 func (s *tlsSession) deliver() {
 	s.feed()
@@ -121,13 +121,13 @@
 		case err != nil: // the end of the stream, or what is no TLS
 			s.c.closeSocket(err)
 			return
-		case s.plain.Len() >= s.c.bufferLimit(): // the handler asks again
+		case s.plain.Len() >= s.c.bufferLimit(): // the handler calls ScheduleData
 			return
 		}
 	}
 }
 
-// decrypt reads until the plain buffer is full or an error, and tells the handler.
+// decrypt reads until the plain buffer is full or an error, and calls the handler.
 func (s *tlsSession) decrypt() (err error) {
 	c := s.c
 	before := s.plain.Len()
--- a/internal/netio/tls_pipe.go
+++ b/internal/netio/tls_pipe.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// errPipeEmpty is that there is nothing to read yet. crypto/tls keeps no temporary error.
+// errPipeEmpty is returned where there is nothing to read yet. It is temporary: crypto/tls would return any
+// other error from all later reads as well.
 var errPipeEmpty error = pipeEmptyError{}
 
 type pipeEmptyError struct{}
@@ -16,8 +17,9 @@
 func (pipeEmptyError) Timeout() bool   { return true }
 func (pipeEmptyError) Temporary() bool { return true }
 
-// tlsPipe is what crypto/tls takes for its socket. Read and Write are called on the handshake's goroutine
-// until it has ended, and on the loop's from then on; all else on the loop's, but for close, which any goroutine may call.
+// tlsPipe is the net.Conn that crypto/tls reads and writes. Read and Write are called on the handshake's
+// goroutine until it has ended, and on the loop's from then on; the other methods on the loop's, but for close,
+// which any goroutine may call.
 type tlsPipe struct {
 	mu       sync.Mutex
 	ready    *sync.Cond
@@ -50,7 +52,7 @@
 	return len(b), nil
 }
 
-// feed gives the pipe what was read of the socket.
+// feed adds bytes for Read.
 func (p *tlsPipe) feed(b []byte) {
 	p.mu.Lock()
 	p.in.append(b)
@@ -74,7 +76,7 @@
 	p.mu.Unlock()
 }
 
-// len is how much waits to be read.
+// len returns how many bytes wait to be read.
 func (p *tlsPipe) len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/netio/transfer.go
+++ b/internal/netio/transfer.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrConnEnded is that a connection has ended and can't be detached any more.
+// ErrConnEnded is returned for a connection that has ended and can't be detached any more.
 var ErrConnEnded = errors.New("the connection has ended")
 
 var errNoDescriptorFree = errors.New("no descriptor is free")
@@ -76,8 +76,8 @@
 	return false
 }
 
-// Attach makes a connected TCP socket one of the loop's, with bytes that were read of it
-// before. It takes the descriptor. The handler is given the bytes in a later iteration.
+// Attach adds a connected TCP socket to the loop, with bytes that were read of it before. It owns the
+// descriptor. The handler receives the bytes in a later iteration.
 func (l *Loop) Attach(fd, readLimit int, unread []byte, accept func(*Conn) Handler) (*Conn, error) {
 	file := os.NewFile(uintptr(fd), "connection")
 	std, err := net.FileConn(file)
--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Body is the message's body.
+// Body returns the body of the message.
 func (e *Error) Body() []byte {
 	if e.Raw != nil {
 		return e.Raw
--- a/internal/pgproto/message.go
+++ b/internal/pgproto/message.go
@@ -34,7 +34,7 @@
 	codeSize   = 4
 )
 
-// ErrMalformed is that a message can't be read.
+// ErrMalformed is returned for a message that can't be read.
 var ErrMalformed = errors.New("malformed message")
 
 // ReadStartup reads a connection's first message: its code and what follows. size is that of the
@@ -92,8 +92,8 @@
 	return append(b, body...)
 }
 
-// CString is a string as messages hold it, with a zero byte at its end.
+// CString returns a string as messages hold it, with a zero byte at its end.
 func CString(s string) []byte { return append([]byte(s), 0) }
 
-// Int32 is a number as messages hold it.
+// Int32 returns a number as messages hold it.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
--- a/internal/pgproto/statement.go
+++ b/internal/pgproto/statement.go
@@ -24,7 +24,7 @@
 	User string `cbor:"-"`
 }
 
-// SQL is the statement's text.
+// SQL returns the statement's text.
 func (s *Statement) SQL() string { return s.Query }
 
 // Setting is one setting of a client.
@@ -52,5 +52,5 @@
 	ParameterStatus []byte `cbor:"Status"`
 }
 
-// Size is the number of bytes of all rows.
+// Size returns the number of bytes of all rows.
 func (r *Result) Size() int { return len(r.Rows) }
