--- a/cmd/testbed/scripted.go
+++ b/cmd/testbed/scripted.go
@@ -26,14 +26,14 @@
 		time.Sleep(10 * time.Second)
 		return err
 	}
-	ch, listener, conns, _, ok, err := handover.Inherited()
-	if err != nil || !ok {
+	in, err := handover.Inherit()
+	if err != nil || in == nil {
 		return errors.Join(errors.New("this is for upgrades to start"), err)
 	}
 	if c.How == "forget" {
-		return forget(ch, listener, conns, c.Args)
+		return forget(in, c.Args)
 	}
-	if err := ch.Send(&handover.Hello{Major: handover.Version.Major + 1}); err != nil {
+	if err := in.Channel.Send(&handover.Hello{Major: handover.Version.Major + 1}); err != nil {
 		return err
 	}
 	time.Sleep(10 * time.Second)
@@ -42,7 +42,7 @@
 
 // forget stands between the old process and a new one, and passes everything on but what
 // the decision module has learned: what an upgrade would be worth without it.
-func forget(old *handover.Channel, listener *os.File, conns int, args []string) error {
+func forget(in *handover.Inheritance, args []string) error {
 	if len(args) == 0 {
 		return errors.New("forget: no program")
 	}
@@ -52,8 +52,8 @@
 	}
 	p := exec.Command(args[0], args[1:]...)
 	p.Stdout, p.Stderr = os.Stdout, os.Stderr
-	p.ExtraFiles = []*os.File{theirs, listener}
-	p.Env = append(os.Environ(), fmt.Sprintf("%s=%d", handover.EnvTakeOver, conns))
+	p.ExtraFiles = []*os.File{theirs, in.Listener}
+	p.Env = append(os.Environ(), fmt.Sprintf("%s=%d", handover.EnvTakeOver, in.Connections))
 	if err := p.Start(); err != nil {
 		return err
 	}
@@ -70,8 +70,8 @@
 		})
 		_ = to.Close()
 	}
-	go pass(ch, old)
-	go pass(old, ch)
+	go pass(ch, in.Channel)
+	go pass(in.Channel, ch)
 	return p.Wait()
 }
 
--- /dev/null
+++ b/internal/decide/handover/failure_test.go
@@ -0,0 +1,27 @@
+package handover
+
+import "testing"
+
+// Operators, their scripts and the log read these texts.
+func TestFailureTexts(t *testing.T) {
+	for want, failure := range map[string]Failure{
+		"":                                       {},
+		"another upgrade or a stop is under way": {Reason: AnotherUpgradeInProgress},
+		"x.toml:7: no port":                      {Reason: TargetProblem, Detail: "x.toml:7: no port"},
+		"its version and this one don't understand each other": {Reason: IncompatibleVersion},
+		"it did not say what it is in time":                    {Reason: GreetTimedOut},
+		"it was not ready in time":                             {Reason: WarmTimedOut},
+		"it went silent":                                       {Reason: HeartbeatTimedOut},
+		"it takes too much memory":                             {Reason: TooMuchMemory},
+		"too many of its answers are errors of its own":        {Reason: TooManyBadAnswers},
+		"none of its answers was good":                         {Reason: NoGoodAnswer},
+		"it takes requests and answers none":                   {Reason: NoAnswer},
+		"a planned stop came first":                            {Reason: ShutdownRequested},
+		"it died":                                              {Reason: TargetDied},
+		"it died after it was the owner; what it had was lost": {Reason: OwnerDied},
+	} {
+		if got := failure.String(); got != want || failure.Failed() != (want != "") {
+			t.Errorf("%+v: %q, failed %v, want %q", failure, got, failure.Failed(), want)
+		}
+	}
+}
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -1,39 +1,39 @@
-// Package handover decides how one process of ringwood gives its listener, its client
-// connections and its work to a newer one, and how it takes them back where that fails.
-// It is two state machines without I/O: Old and New take inputs (messages of the other,
-// news of connections, ticks) and return effects for their caller to carry out in order.
+// Package handover decides how a running process hands its listener, its client connections and
+// its state over to a newer one (a live upgrade), and how it takes them back if that fails. It
+// consists of two state machines without I/O: Source runs in the process that serves and hands
+// over, Target in the one that takes over. Both take events (messages of the other process,
+// changes of connections, ticks) and return effects for their caller to carry out in order.
 //
 // Three facts of the system carry the protocol:
 //
-//   - The old process is the parent of the new one. It can end it and be told by the
-//     kernel that it has ended, so silence is never mistaken for death: what was given away
-//     is taken back only after the new process is known to be dead and all that it had
-//     written to the channel has been read.
-//   - The old process never closes the channel while it lives and the new one does too.
-//     So the end of the channel proves to the new process that the old one is dead.
-//   - A descriptor sent over a unix socket is in the kernel once it is sent, and is
-//     received also if its sender dies at once (unix(7), SCM_RIGHTS).
+//   - The source is the parent of the target. It can kill it and the kernel reports its exit, so
+//     silence is never mistaken for death: connections that were transferred are reclaimed only
+//     after the target is known to be dead and all that it wrote to the channel has been read.
+//   - The source never closes the channel while both processes live. So the end of the channel
+//     proves to the target that the source is dead.
+//   - A descriptor sent over a unix socket is in the kernel once sendmsg returns, and is received
+//     even if its sender dies at once (unix(7), SCM_RIGHTS).
 //
-// So no acknowledgement is needed: a connection belongs to the new process from the moment
-// the old one has sent it, and never to both. Requests in flight stay where they are until
-// they are answered; their connection is moved then. Until the new process is the owner for
-// good the old one goes on accepting and hands each connection over at once, so that there
-// is none that it does not hold a duplicate of.
+// So no acknowledgement is needed: a connection belongs to the target from the moment the source
+// has sent it, and never to both. Requests in flight stay where they are until they are
+// answered; their connection is transferred then. Until the target is the owner for good the
+// source goes on accepting and transfers each new connection at once, so that it holds a
+// duplicate of every connection that the target has.
 package handover
 
 import "time"
 
-// Phase is where an upgrade stands, as the old process sees it.
+// Phase is the state of an upgrade as the source sees it.
 type Phase uint8
 
-// Phases of the old process.
+// Phases of the source.
 const (
-	Idle      Phase = iota // no upgrade
-	Greeting               // the new process was started, and has not said what it is
-	Warming                // it takes what is known, and has not said that it is ready
-	Probation              // it serves; everything can still be taken back
-	Finishing              // it is the owner for good; what is in flight here ends here
-	Returning              // it is being ended; nothing is taken back before it is dead
+	Idle      Phase = iota // no upgrade is in progress
+	Greeting               // the target was started and has not sent its hello
+	Warming                // the target applies the state and has not said that it is ready
+	Probation              // the target serves; everything can still be reclaimed
+	Finishing              // the target is the owner for good; requests in flight here are completed
+	Returning              // the target is being killed; nothing is reclaimed before it is dead
 	Exited                 // nothing is left here
 )
 
@@ -43,17 +43,17 @@
 
 // Config bounds an upgrade. All times count from the start of their phase.
 type Config struct {
-	GreetTimeout     time.Duration // for the new process to say what it is; too short: a slow disk ends upgrades
-	WarmTimeout      time.Duration // to take what is known and be ready
-	MinProbation     time.Duration // it serves at least so long before it is the owner for good
-	MaxProbation     time.Duration // and without any work at most so long; above ProveFor
-	HeartbeatTimeout time.Duration // it is heard of at least so often, or ended
-	MinGoodAnswers   int           // it gives at least so many good answers, where there is work
-	MaxBadShare      float64       // of its answers that may be errors of its own, 0 to 1
-	MaxMemory        int64         // bytes that it may take; 0: no bound
+	GreetTimeout     time.Duration // until the target's hello; if too short, a slow disk ends upgrades
+	WarmTimeout      time.Duration // until the target has applied the state and is ready
+	MinProbation     time.Duration // the target serves at least so long before it is the owner for good
+	MaxProbation     time.Duration // upper bound of the probation when there is little work; above MinProbation
+	HeartbeatTimeout time.Duration // a target that is silent for so long is killed
+	MinGoodAnswers   int           // good answers that the target must give, where there is work
+	MaxBadShare      float64       // share of its answers that may be errors, 0 to 1
+	MaxMemory        int64         // resident memory of the target in bytes; 0: no bound
 }
 
-// DefaultConfig are for a machine that runs both side by side without strain.
+// DefaultConfig is for a machine that runs both processes side by side without strain.
 func DefaultConfig() Config {
 	return Config{
 		GreetTimeout: 5 * time.Second, WarmTimeout: 10 * time.Second, MinProbation: 3 * time.Second, MaxProbation: 15 * time.Second,
@@ -61,77 +61,14 @@
 	}
 }
 
-// Version is what two processes must agree on: how state and messages are written.
+// Version is the version of the protocol: how state and messages are encoded.
 type Version struct{ Major, Minor int }
 
-// CompatibleWith tells whether two versions understand each other: the same major one, and minor
-// ones at most one apart.
-func (v Version) CompatibleWith(o Version) bool {
-	return v.Major == o.Major && v.Minor-o.Minor <= 1 && o.Minor-v.Minor <= 1
+// CompatibleWith reports whether two versions understand each other: they have the same major
+// version, and minor versions at most one apart.
+func (v Version) CompatibleWith(other Version) bool {
+	return v.Major == other.Major && v.Minor-other.Minor <= 1 && other.Minor-v.Minor <= 1
 }
 
-// ConnID names a connection for both processes.
+// ConnID identifies a connection in both processes.
 type ConnID uint32
-
-// Idempotency says how far a request may be repeated, as in policy.
-type Idempotency uint8
-
-// The effects; the zero value is the most cautious.
-const (
-	NotIdempotent Idempotency = iota
-	IdempotentWithKey
-	Idempotent
-)
-
-// Request is the new process's record of a request that it took, which it sends before it
-// does the next thing with it: before it is sent to an engine, and before its answer is
-// written.
-type Request struct {
-	InFlight         bool
-	Idempotency      Idempotency
-	Sent             bool          // it goes to an engine: it may have run
-	FirstSend        time.Duration // of it anywhere, on the clock that both processes share
-	KeyWindow        time.Duration // in which engines drop a repeat, of Keyed
-	Deadline         time.Duration // when its client gives up
-	ResponseLength   int           // length of the answer that is being written; 0: none yet
-	ResponseRecorded bool          // the record holds that answer
-}
-
-// Recovery is what becomes of a request whose process died.
-type Recovery uint8
-
-// Recoveries.
-const (
-	NothingToRecover       Recovery = iota // there is none, or it is answered
-	Resend                                 // it goes to an engine (again), with its key and the time of its first send
-	ReportInDoubt                          // it may have run and may not be repeated: its client is told so at once
-	ReportDeadlineExceeded                 // its time is over
-	CloseConnection                        // a part of its answer was written: the connection ends, so that its client can tell
-	WriteRemainder                         // its answer is known: what was not written of it is written
-)
-
-// margin is kept to the end of a key's window, for the way to the engine.
-const margin = 50 * time.Millisecond
-
-// Recover decides over a request of a process that died. written is how much of the answer
-// the kernel was given on this connection since the record of Answering, which the kernel
-// tells of a socket whoever wrote to it (tcp(7), TCP_INFO).
-func Recover(r Request, written int, now time.Duration) Recovery {
-	switch {
-	case !r.InFlight:
-		return NothingToRecover
-	case r.ResponseLength > 0 && written >= r.ResponseLength:
-		return NothingToRecover
-	case r.ResponseLength > 0 && r.ResponseRecorded:
-		return WriteRemainder
-	case written > 0:
-		return CloseConnection
-	case now >= r.Deadline:
-		return ReportDeadlineExceeded
-	case !r.Sent || r.Idempotency == Idempotent:
-		return Resend
-	case r.Idempotency == IdempotentWithKey && now < r.FirstSend+r.KeyWindow-margin:
-		return Resend
-	}
-	return ReportInDoubt
-}
--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -10,34 +10,34 @@
 // world is two processes, the channel between them, clients and engines, as small as shows
 // every interleaving: each client has one connection and one request.
 type world struct {
-	old                                      Source
-	new                                      Target
-	oldAlive                                 bool
-	newAlive                                 bool // started and not dead
-	spawned                                  bool
-	toNew                                    []any
-	toOld                                    []any
-	conns                                    [2]client
-	window                                   bool // the windows of all keys are over
-	crashes                                  int
-	upgrades                                 int
-	oldListens, newListens, oldOpen, newOpen bool
-	warming, started                         bool
+	source                                               Source
+	target                                               Target
+	sourceAlive                                          bool
+	targetAlive                                          bool // started and not dead
+	spawned                                              bool
+	toTarget                                             []TargetEvent
+	toSource                                             []SourceEvent
+	conns                                                [2]client
+	window                                               bool // the windows of all keys are over
+	crashes                                              int
+	upgrades                                             int
+	sourceListens, targetListens, sourceOpen, targetOpen bool
+	warming, started                                     bool
 }
 
 // client is one connection and what is true of its request.
 type client struct {
-	effect  Idempotency
-	oldHas  bool
-	newHas  bool
-	asked   bool // its request is in the socket, or further
-	at      byte // 'o': the old process has it, 'n': the new one, 0: nobody yet
-	stage   byte // 1 taken, 2 recorded as sent, 3 at an engine, 4 answer recorded; of the new process
-	runs    int
-	lateRun bool // it ran again past its window
-	answers int
-	broken  bool
-	written bool
+	effect    Idempotency
+	sourceHas bool
+	targetHas bool
+	asked     bool // its request is in the socket, or further
+	at        byte // 'o': the old process has it, 'n': the new one, 0: nobody yet
+	stage     byte // 1 taken, 2 recorded as sent, 3 at an engine, 4 answer recorded; of the new process
+	runs      int
+	lateRun   bool // it ran again past its window
+	answers   int
+	broken    bool
+	written   bool
 }
 
 const limit = time.Second
@@ -47,23 +47,25 @@
 	return Config{GreetTimeout: limit, WarmTimeout: limit, MinProbation: limit, MaxProbation: limit, HeartbeatTimeout: limit, MinGoodAnswers: 1, MaxBadShare: 0.5}
 }
 
-func newWorld() world {
-	w := world{old: *NewSource(modelConfig(), Version{1, 0}), new: *NewTarget(Version{1, 1}), oldAlive: true, oldListens: true, oldOpen: true}
+func initialWorld() world {
+	w := world{source: *NewSource(modelConfig(), Version{1, 0}), target: *NewTarget(Version{1, 1}), sourceAlive: true, sourceListens: true, sourceOpen: true}
 	for i := range w.conns {
-		w.conns[i] = client{effect: []Idempotency{NotIdempotent, IdempotentWithKey}[i], oldHas: true}
-		w.old.Step(0, ConnectionAccepted{ConnID(i)})
+		w.conns[i] = client{effect: []Idempotency{NotIdempotent, IdempotentWithKey}[i], sourceHas: true}
+		w.source.Step(0, ConnectionAccepted{ConnID(i)})
 	}
 	return w
 }
 
 func (w world) clone() world {
-	w.old.conns = slices.Clone(w.old.conns)
-	w.toNew, w.toOld = slices.Clone(w.toNew), slices.Clone(w.toOld)
+	w.source.connections.entries = slices.Clone(w.source.connections.entries)
+	w.toTarget, w.toSource = slices.Clone(w.toTarget), slices.Clone(w.toSource)
 	return w
 }
 
 func (w *world) key() string {
-	w.old.since, w.old.heard, w.old.why = 0, 0, ""
+	w.source.phaseSince = 0
+	w.source.probation.lastMessage = 0
+	w.source.failure = Failure{}
 	return fmt.Sprintf("%+v", *w)
 }
 
@@ -80,47 +82,47 @@
 	next world
 }
 
-func (w *world) oldStep(f faults, now time.Duration, in any) {
-	for _, e := range w.old.Step(now, in) {
+func (w *world) sourceStep(f faults, now time.Duration, event SourceEvent) {
+	for _, e := range w.source.Step(now, event) {
 		switch e := e.(type) {
 		case StartTarget:
-			w.spawned, w.newAlive, w.newOpen = true, true, true
-			w.new, w.toNew, w.toOld, w.started, w.warming = *NewTarget(Version{1, 1}), nil, nil, false, false
+			w.spawned, w.targetAlive, w.targetOpen = true, true, true
+			w.target, w.toTarget, w.toSource, w.started, w.warming = *NewTarget(Version{1, 1}), nil, nil, false, false
 		case SendState:
-			w.toNew = append(w.toNew, StateReceived{})
+			w.toTarget = append(w.toTarget, StateReceived{})
 		case SendServe:
-			w.toNew = append(w.toNew, ServeRequested{})
+			w.toTarget = append(w.toTarget, ServeRequested{})
 		case SendCommit:
-			w.toNew = append(w.toNew, OwnershipCommitted{})
+			w.toTarget = append(w.toTarget, OwnershipCommitted{})
 		case TransferConnection:
-			w.conns[e.Conn].oldHas = false
-			w.toNew = append(w.toNew, ConnectionReceived(e))
+			w.conns[e.Conn].sourceHas = false
+			w.toTarget = append(w.toTarget, ConnectionReceived(e))
 		case StopAccepting:
-			w.oldListens = false
+			w.sourceListens = false
 		case StartAccepting:
-			w.oldListens = true
+			w.sourceListens = true
 		case KillTarget:
 			if f.backEarly {
-				w.oldStep(f, now, TargetExited{})
+				w.sourceStep(f, now, TargetExited{})
 			}
-			w.killNew()
+			w.killTarget()
 		case ReclaimConnection:
-			w.takeBack(f, e)
+			w.reclaim(f, e)
 		case Exit, BeginShutdown:
-			w.oldAlive, w.oldListens, w.oldOpen = false, false, false
+			w.sourceAlive, w.sourceListens, w.sourceOpen = false, false, false
 		}
 	}
 }
 
-func (w *world) killNew() {
-	if w.newAlive {
-		w.newAlive, w.newListens, w.newOpen = false, false, false
+func (w *world) killTarget() {
+	if w.targetAlive {
+		w.targetAlive, w.targetListens, w.targetOpen = false, false, false
 	}
 }
 
-func (w *world) takeBack(f faults, e ReclaimConnection) {
+func (w *world) reclaim(f faults, e ReclaimConnection) {
 	c := &w.conns[e.Conn]
-	c.oldHas = true
+	c.sourceHas = true
 	if c.at != 'n' {
 		return // its request, if there is one, is still in the socket
 	}
@@ -158,8 +160,8 @@
 		c.answers++
 		c.at = 'd'
 	}
-	if w.old.find(e.Conn) != nil {
-		w.old.Step(0, ConnectionIdle{e.Conn})
+	if w.source.connections.find(e.Conn) != nil {
+		w.source.Step(0, ConnectionIdle{e.Conn})
 	}
 }
 
@@ -170,35 +172,35 @@
 	c.runs++
 }
 
-func (w *world) newStep(in any) {
-	for _, e := range w.new.Step(0, in) {
+func (w *world) targetStep(event TargetEvent) {
+	for _, e := range w.target.Step(event) {
 		switch e := e.(type) {
 		case SendHello:
-			w.toOld = append(w.toOld, TargetHello(e))
+			w.toSource = append(w.toSource, TargetHello(e))
 		case SendReady:
-			w.toOld = append(w.toOld, TargetReady{})
+			w.toSource = append(w.toSource, TargetReady{})
 		case ApplyState:
 			w.warming = true
 		case StartAccepting:
-			w.newListens = true
+			w.targetListens = true
 		case AdoptConnection:
-			w.conns[e.Conn].newHas = true
+			w.conns[e.Conn].targetHas = true
 		case Exit:
-			w.killNew()
+			w.killTarget()
 		}
 	}
 }
 
 // record is what the new process tells of a request, in stages: before each next thing.
 func (w *world) record(i int, stage byte) {
-	if w.new.Owner() {
+	if w.target.Owner() {
 		return
 	}
 	r := Request{InFlight: true, Idempotency: w.conns[i].effect, KeyWindow: 5 * limit, Deadline: 100 * limit, Sent: stage >= 2}
 	if stage >= 4 {
 		r.ResponseLength, r.ResponseRecorded = 1, true
 	}
-	w.toOld = append(w.toOld, RequestRecorded{ConnID(i), r})
+	w.toSource = append(w.toSource, RequestRecorded{ConnID(i), r})
 }
 
 // steps are all that can happen next. Faults come last, and only so many.
@@ -208,33 +210,33 @@
 		change(&n)
 		all = append(all, step{name, n})
 	}
-	if w.oldAlive && w.upgrades < 1 && w.old.phase == Idle {
-		do("upgrade", func(n *world) { n.upgrades++; n.oldStep(f, 0, UpgradeRequested{}) })
+	if w.sourceAlive && w.upgrades < 1 && w.source.phase == Idle {
+		do("upgrade", func(n *world) { n.upgrades++; n.sourceStep(f, 0, UpgradeRequested{}) })
 	}
-	if w.newAlive && !w.started {
-		do("new starts", func(n *world) { n.started = true; n.newStep(TargetStarted{}) })
-		do("new can't serve", func(n *world) { n.started = true; n.newStep(TargetStarted{"port"}) })
+	if w.targetAlive && !w.started {
+		do("new starts", func(n *world) { n.started = true; n.targetStep(TargetStarted{}) })
+		do("new can't serve", func(n *world) { n.started = true; n.targetStep(TargetStarted{"port"}) })
 	}
-	if w.newAlive && w.warming {
-		do("new is warm", func(n *world) { n.warming = false; n.newStep(StateApplied{}) })
+	if w.targetAlive && w.warming {
+		do("new is warm", func(n *world) { n.warming = false; n.targetStep(StateApplied{}) })
 	}
-	if w.newAlive && w.started && len(w.toNew) > 0 {
-		do("to new", func(n *world) { m := n.toNew[0]; n.toNew = n.toNew[1:]; n.newStep(m) })
+	if w.targetAlive && w.started && len(w.toTarget) > 0 {
+		do("to new", func(n *world) { m := n.toTarget[0]; n.toTarget = n.toTarget[1:]; n.targetStep(m) })
 	}
-	if w.newAlive && w.started && !w.oldAlive && len(w.toNew) == 0 && !w.new.orphan {
-		do("new sees the end", func(n *world) { n.newStep(SourceExited{}) })
+	if w.targetAlive && w.started && !w.sourceAlive && len(w.toTarget) == 0 && !w.target.sourceExited {
+		do("new sees the end", func(n *world) { n.targetStep(SourceExited{}) })
 	}
-	if w.oldAlive && len(w.toOld) > 0 {
-		do("to old", func(n *world) { m := n.toOld[0]; n.toOld = n.toOld[1:]; n.oldStep(f, 0, m) })
+	if w.sourceAlive && len(w.toSource) > 0 {
+		do("to old", func(n *world) { m := n.toSource[0]; n.toSource = n.toSource[1:]; n.sourceStep(f, 0, m) })
 	}
-	if w.oldAlive && w.spawned && !w.newAlive && (len(w.toOld) == 0 || f.unread) {
-		do("new is reaped", func(n *world) { n.spawned = false; n.toOld = nil; n.oldStep(f, 0, TargetExited{}) })
+	if w.sourceAlive && w.spawned && !w.targetAlive && (len(w.toSource) == 0 || f.unread) {
+		do("new is reaped", func(n *world) { n.spawned = false; n.toSource = nil; n.sourceStep(f, 0, TargetExited{}) })
 	}
-	if w.oldAlive && w.old.unproven() {
-		do("time passes", func(n *world) { n.oldStep(f, limit, Tick{}) })
+	if w.sourceAlive && w.source.revocable() {
+		do("time passes", func(n *world) { n.sourceStep(f, limit, Tick{}) })
 	}
-	if w.oldAlive && w.newAlive && w.old.phase == Probation && w.new.Serving() {
-		do("proof", func(n *world) { n.oldStep(f, limit, TargetHeartbeat{Good: 1}) })
+	if w.sourceAlive && w.targetAlive && w.source.phase == Probation && w.target.Serving() {
+		do("proof", func(n *world) { n.sourceStep(f, limit, TargetHeartbeat{Good: 1}) })
 	}
 	if !w.window {
 		do("windows end", func(n *world) { n.window = true })
@@ -243,11 +245,11 @@
 		w.client(i, f, do)
 	}
 	if w.crashes < 2 {
-		if w.newAlive {
-			do("new crashes", func(n *world) { n.crashes++; n.killNew() })
+		if w.targetAlive {
+			do("new crashes", func(n *world) { n.crashes++; n.killTarget() })
 		}
-		if w.oldAlive {
-			do("old crashes", func(n *world) { n.crashes++; n.oldAlive, n.oldListens, n.oldOpen = false, false, false })
+		if w.sourceAlive {
+			do("old crashes", func(n *world) { n.crashes++; n.sourceAlive, n.sourceListens, n.sourceOpen = false, false, false })
 		}
 	}
 	return all
@@ -259,19 +261,19 @@
 	if !c.asked {
 		do(name("client asks"), func(n *world) { n.conns[i].asked = true })
 	}
-	if c.asked && c.at == 0 && c.oldHas && w.oldAlive {
-		do(name("old takes"), func(n *world) { n.conns[i].at = 'o'; n.oldStep(f, 0, ConnectionBusy{ConnID(i)}) })
+	if c.asked && c.at == 0 && c.sourceHas && w.sourceAlive {
+		do(name("old takes"), func(n *world) { n.conns[i].at = 'o'; n.sourceStep(f, 0, ConnectionBusy{ConnID(i)}) })
 	}
-	if c.at == 'o' && w.oldAlive {
+	if c.at == 'o' && w.sourceAlive {
 		do(name("old answers"), func(n *world) {
 			k := &n.conns[i]
 			n.run(k)
 			k.answers++
 			k.at = 'd'
-			n.oldStep(f, 0, ConnectionIdle{ConnID(i)})
+			n.sourceStep(f, 0, ConnectionIdle{ConnID(i)})
 		})
 	}
-	if !c.newHas || !w.newAlive {
+	if !c.targetHas || !w.targetAlive {
 		return
 	}
 	switch {
@@ -298,7 +300,7 @@
 func (w *world) broken() string {
 	for i, c := range w.conns {
 		switch {
-		case c.oldHas && c.newHas && w.oldAlive && w.newAlive:
+		case c.sourceHas && c.targetHas && w.sourceAlive && w.targetAlive:
 			return fmt.Sprintf("connection %d has two owners", i)
 		case c.answers > 1:
 			return fmt.Sprintf("request %d has two answers", i)
@@ -308,7 +310,7 @@
 			return fmt.Sprintf("request %d ran again past its window", i)
 		}
 	}
-	if (w.oldAlive || w.newAlive) && !w.oldOpen && !w.newOpen {
+	if (w.sourceAlive || w.targetAlive) && !w.sourceOpen && !w.targetOpen {
 		return "the listener is closed"
 	}
 	return ""
@@ -316,14 +318,18 @@
 
 // stuck is what never comes to an end in a state from which only faults lead on.
 func (w *world) stuck() string {
-	if !w.oldAlive && !w.newAlive {
+	if !w.sourceAlive && !w.targetAlive {
 		return "" // nobody is left to answer
 	}
-	if !(w.oldAlive && w.oldListens) && !(w.newAlive && w.newListens) {
+	sourceAccepts := w.sourceAlive && w.sourceListens
+	targetAccepts := w.targetAlive && w.targetListens
+	if !sourceAccepts && !targetAccepts {
 		return "nobody accepts"
 	}
 	for i, c := range w.conns {
-		lost := !(c.oldHas && w.oldAlive) && !(c.newHas && w.newAlive) // its process died, and the kernel has closed it
+		atSource := c.sourceHas && w.sourceAlive
+		atTarget := c.targetHas && w.targetAlive
+		lost := !atSource && !atTarget // its process died, and the kernel has closed it
 		if c.asked && c.answers == 0 && !c.broken && !lost {
 			return fmt.Sprintf("request %d is never answered", i)
 		}
@@ -338,7 +344,7 @@
 		name   string
 		depth  int
 	}
-	start := newWorld()
+	start := initialWorld()
 	seen := map[string]bool{start.key(): true}
 	nodes := []node{{parent: -1}}
 	queue := []world{start}
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/sha256"
+	"encoding/hex"
 	"fmt"
 	"hash"
 	"math/rand/v2"
@@ -35,8 +36,8 @@
 func replayAll() string {
 	var b strings.Builder
 	for seed := range uint64(20) {
-		fmt.Fprintf(&b, "source-%d %s\n", seed, replayOld(seed))
-		fmt.Fprintf(&b, "target-%d %s\n", seed, replayNew(seed))
+		fmt.Fprintf(&b, "source-%d %s\n", seed, replaySource(seed))
+		fmt.Fprintf(&b, "target-%d %s\n", seed, replayTarget(seed))
 	}
 	fmt.Fprintf(&b, "recover %s\n", replayRecover())
 	return b.String()
@@ -49,20 +50,20 @@
 
 func (d digest) add(words ...any) {
 	for _, w := range words {
-		fmt.Fprint(d, w, " ")
+		_, _ = fmt.Fprint(d, w, " ")
 	}
-	fmt.Fprintln(d)
+	_, _ = fmt.Fprintln(d) // a hash takes all
 }
 
-func (d digest) text() string { return fmt.Sprintf("%x", d.Sum(nil)) }
+func (d digest) text() string { return hex.EncodeToString(d.Sum(nil)) }
 
 func (d digest) request(r Request) {
 	d.add("request", r.InFlight, int(r.Idempotency), r.Sent, int64(r.FirstSend), int64(r.KeyWindow), int64(r.Deadline), r.ResponseLength, r.ResponseRecorded)
 }
 
-// replayOld feeds the machine of the process that serves with streams of inputs, most of
+// replaySource feeds the machine of the process that serves with streams of inputs, most of
 // which could come in its phase and some of which could not.
-func replayOld(seed uint64) string {
+func replaySource(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 1))
 	d := newDigest()
 	for range 150 {
@@ -73,7 +74,7 @@
 				HeartbeatTimeout: duration(r, 2000), MinGoodAnswers: r.IntN(40), MaxBadShare: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
 			}
 		}
-		replayOldOnce(d, r, NewSource(cfg, Version{1, r.IntN(3)}))
+		replaySourceOnce(d, r, NewSource(cfg, Version{1, r.IntN(3)}))
 	}
 	return d.text()
 }
@@ -82,30 +83,30 @@
 	return time.Duration(r.IntN(ms)) * time.Millisecond
 }
 
-func replayOldOnce(d digest, r *rand.Rand, o *Source) {
+func replaySourceOnce(d digest, r *rand.Rand, source *Source) {
 	now, next := time.Duration(0), ConnID(0)
 	for range 20 + r.IntN(120) {
 		if r.IntN(3) == 0 {
 			now += duration(r, 900+r.IntN(8)/7*4000)
 		}
-		var in any
+		var event SourceEvent
 		if r.IntN(10) < 2 {
-			in = nextForOld(r, o.Phase())
+			event = nextForSource(r, source.Phase())
 		} else {
-			in = anyForOld(r, ConnID(r.IntN(int(next)+2)), next+1)
-			if a, ok := in.(ConnectionAccepted); ok {
+			event = anyForSource(r, ConnID(r.IntN(int(next)+2)), next+1)
+			if a, ok := event.(ConnectionAccepted); ok {
 				next = a.Conn
 			}
 		}
-		for _, e := range o.Step(now, in) {
-			oldEffect(d, e)
+		for _, e := range source.Step(now, event) {
+			digestSourceEffect(d, e)
 		}
-		d.add("phase", int(o.Phase()), o.Phase().String(), o.Why())
+		d.add("phase", int(source.Phase()), source.Phase().String(), source.Failure().String())
 	}
 }
 
-// nextForOld is an input that leads on from a phase, or away from it.
-func nextForOld(r *rand.Rand, p Phase) any {
+// nextForSource is an input that leads on from a phase, or away from it.
+func nextForSource(r *rand.Rand, p Phase) SourceEvent {
 	switch p {
 	case Idle:
 		return UpgradeRequested{UsualBadShare: float64(r.IntN(6)-1) / 10}
@@ -127,8 +128,8 @@
 	return Tick{}
 }
 
-// anyForOld is any input, for a connection that may be there.
-func anyForOld(r *rand.Rand, id, next ConnID) any {
+// anyForSource is any input, for a connection that may be there.
+func anyForSource(r *rand.Rand, id, next ConnID) SourceEvent {
 	switch n := r.IntN(40); {
 	case n < 5:
 		return ConnectionAccepted{next}
@@ -173,7 +174,7 @@
 	}
 }
 
-func oldEffect(d digest, e any) {
+func digestSourceEffect(d digest, e SourceEffect) {
 	switch e := e.(type) {
 	case StartTarget:
 		d.add("start the target")
@@ -197,7 +198,7 @@
 		d.add("take back", uint32(e.Conn))
 		d.request(e.Request)
 	case ReportOutcome:
-		d.add("report", e.Why)
+		d.add("report", e.Failure.String())
 	case BeginShutdown:
 		d.add("begin the stop")
 	case Exit:
@@ -207,30 +208,30 @@
 	}
 }
 
-// replayNew does the same with the machine of the process that takes over.
-func replayNew(seed uint64) string {
+// replayTarget does the same with the machine of the process that takes over.
+func replayTarget(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 2))
 	d := newDigest()
 	for range 400 {
-		n := NewTarget(Version{1, r.IntN(3)})
-		order := []any{TargetStarted{}, StateReceived{}, StateApplied{}, ServeRequested{}, ConnectionReceived{1}, OwnershipCommitted{}, SourceExited{}}
+		target := NewTarget(Version{1, r.IntN(3)})
+		order := []TargetEvent{TargetStarted{}, StateReceived{}, StateApplied{}, ServeRequested{}, ConnectionReceived{1}, OwnershipCommitted{}, SourceExited{}}
 		for range 25 {
-			var in any
+			var event TargetEvent
 			if r.IntN(2) == 0 && len(order) > 0 {
-				in, order = order[0], order[1:]
+				event, order = order[0], order[1:]
 			} else {
-				in = anyForNew(r)
+				event = anyForTarget(r)
 			}
-			for _, e := range n.Step(0, in) {
-				newEffect(d, e)
+			for _, e := range target.Step(event) {
+				digestTargetEffect(d, e)
 			}
-			d.add("state", n.Owner(), n.Serving())
+			d.add("state", target.Owner(), target.Serving())
 		}
 	}
 	return d.text()
 }
 
-func anyForNew(r *rand.Rand) any {
+func anyForTarget(r *rand.Rand) TargetEvent {
 	switch r.IntN(30) {
 	case 0:
 		return TargetStarted{}
@@ -250,7 +251,7 @@
 	return ConnectionReceived{ConnID(r.IntN(100))}
 }
 
-func newEffect(d digest, e any) {
+func digestTargetEffect(d digest, e TargetEffect) {
 	switch e := e.(type) {
 	case SendHello:
 		d.add("send hello", e.Version.Major, e.Version.Minor, e.Problem)
--- a/internal/decide/handover/old_test.go
+++ b/internal/decide/handover/source_test.go
@@ -13,10 +13,10 @@
 // taken back only after it was given and only once the new process is dead, nothing is given
 // while it is being ended, the listener goes on unless the new process has it for good, each
 // upgrade has one report, and the old process leaves only when nothing is here.
-func TestOldInAnyOrder(t *testing.T) {
+func TestSourceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
-		o := NewSource(cfg, Version{1, 0})
+		source := NewSource(cfg, Version{1, 0})
 		now := time.Duration(0)
 		type where byte
 		const (
@@ -26,9 +26,9 @@
 		)
 		conns := map[ConnID]where{}
 		next, reports, upgrades, accepting, dead, gone := ConnID(1), 0, 0, true, true, false
-		step := func(in any) {
-			_, died := in.(TargetExited)
-			for _, e := range o.Step(now, in) {
+		step := func(event SourceEvent) {
+			_, died := event.(TargetExited)
+			for _, e := range source.Step(now, event) {
 				if gone {
 					t.Fatalf("%#v after the exit", e)
 				}
@@ -70,8 +70,8 @@
 					gone = true
 				}
 			}
-			if !accepting && o.Phase() != Finishing && o.Phase() != Exited {
-				t.Fatalf("nobody accepts in %v", o.Phase())
+			if !accepting && source.Phase() != Finishing && source.Phase() != Exited {
+				t.Fatalf("nobody accepts in %v", source.Phase())
 			}
 		}
 		some := func(w where) (id ConnID, ok bool) {
@@ -84,12 +84,12 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"upgrade": func(*rapid.T) {
-				if o.Phase() == Idle {
+				if source.Phase() == Idle {
 					upgrades++
 				}
 				was := reports
 				step(UpgradeRequested{})
-				if o.Phase() != Greeting && reports == was {
+				if source.Phase() != Greeting && reports == was {
 					t.Fatal("no word on an upgrade that did not begin")
 				} else if reports > was {
 					reports = was
@@ -153,8 +153,8 @@
 				if !dead {
 					dead = true
 					step(TargetExited{})
-					if !gone && o.Phase() != Idle {
-						t.Fatalf("the new process is dead, and the upgrade stands at %v", o.Phase())
+					if !gone && source.Phase() != Idle {
+						t.Fatalf("the new process is dead, and the upgrade stands at %v", source.Phase())
 					}
 				}
 			},
@@ -167,34 +167,6 @@
 	})
 }
 
-// One table for what becomes of a request whose process died.
-func TestRecover(t *testing.T) {
-	const s = time.Second
-	for name, tt := range map[string]struct {
-		r       Request
-		written int
-		now     time.Duration
-		want    Recovery
-	}{
-		"none":                        {Request{}, 0, 0, NothingToRecover},
-		"never sent":                  {Request{InFlight: true, Deadline: s}, 0, 0, Resend},
-		"never sent, its time over":   {Request{InFlight: true, Deadline: s}, 0, s, ReportDeadlineExceeded},
-		"may run once, sent":          {Request{InFlight: true, Sent: true, Deadline: s}, 0, 0, ReportInDoubt},
-		"safe, sent":                  {Request{InFlight: true, Sent: true, Idempotency: Idempotent, Deadline: s}, 0, 0, Resend},
-		"keyed, in its window":        {Request{InFlight: true, Sent: true, Idempotency: IdempotentWithKey, FirstSend: s, KeyWindow: 12 * s, Deadline: 60 * s}, 0, 12 * s, Resend},
-		"keyed, at its window's end":  {Request{InFlight: true, Sent: true, Idempotency: IdempotentWithKey, FirstSend: s, KeyWindow: 12 * s, Deadline: 60 * s}, 0, 13*s - margin, ReportInDoubt},
-		"answer written":              {Request{InFlight: true, Sent: true, ResponseLength: 10, Deadline: s}, 10, 0, NothingToRecover},
-		"answer known, half written":  {Request{InFlight: true, Sent: true, ResponseLength: 10, ResponseRecorded: true, Deadline: s}, 5, 0, WriteRemainder},
-		"answer known, none, late":    {Request{InFlight: true, Sent: true, ResponseLength: 10, ResponseRecorded: true, Deadline: s}, 0, 2 * s, WriteRemainder},
-		"answer lost, half written":   {Request{InFlight: true, Sent: true, ResponseLength: 10, Deadline: s}, 5, 0, CloseConnection},
-		"answer lost, safe, none yet": {Request{InFlight: true, Sent: true, Idempotency: Idempotent, ResponseLength: 10, Deadline: s}, 0, 0, Resend},
-	} {
-		if got := Recover(tt.r, tt.written, tt.now); got != tt.want {
-			t.Errorf("%s: %d, want %d", name, got, tt.want)
-		}
-	}
-}
-
 // The new process is held to what is usual: where a fifth of all is refused anyway, it may
 // refuse as much, and no more than that by far.
 func TestBadAnswers(t *testing.T) {
@@ -209,10 +181,10 @@
 		"worse than usual by far": {0.2, 10, 20, Returning},
 		"too few to tell":         {0, 5, 5, Probation},
 	} {
-		o := NewSource(DefaultConfig(), Version{1, 0})
+		source := NewSource(DefaultConfig(), Version{1, 0})
 		var kinds []string
-		for _, in := range []any{UpgradeRequested{tt.usual}, TargetHello{Version: Version{1, 0}}, TargetReady{}, TargetHeartbeat{Good: tt.good, Bad: tt.bad}} {
-			for _, e := range o.Step(0, in) {
+		for _, in := range []SourceEvent{UpgradeRequested{tt.usual}, TargetHello{Version: Version{1, 0}}, TargetReady{}, TargetHeartbeat{Good: tt.good, Bad: tt.bad}} {
+			for _, e := range source.Step(0, in) {
 				kinds = append(kinds, reflect.TypeOf(e).Name())
 			}
 		}
@@ -220,44 +192,44 @@
 		if tt.want == Returning {
 			want = append(want, "KillTarget")
 		}
-		if diff := cmp.Diff(want, kinds); diff != "" || o.Phase() != tt.want {
-			t.Errorf("%s: %v (-want +got):\n%s", name, o.Phase(), diff)
+		if diff := cmp.Diff(want, kinds); diff != "" || source.Phase() != tt.want {
+			t.Errorf("%s: %v (-want +got):\n%s", name, source.Phase(), diff)
 		}
 	}
 }
 
 // A new process that takes requests and answers none does not pass for one without work.
-func TestAnswersNothing(t *testing.T) {
+func TestTargetAnswersNothing(t *testing.T) {
 	for open, want := range map[int]Phase{0: Finishing, 3: Returning} {
-		o := NewSource(DefaultConfig(), Version{1, 0})
-		o.Step(0, ConnectionAccepted{1})
-		for _, in := range []any{UpgradeRequested{}, TargetHello{Version: Version{1, 0}}, ConnectionBusy{1}, TargetReady{}} {
-			o.Step(0, in)
+		source := NewSource(DefaultConfig(), Version{1, 0})
+		source.Step(0, ConnectionAccepted{1})
+		for _, in := range []SourceEvent{UpgradeRequested{}, TargetHello{Version: Version{1, 0}}, ConnectionBusy{1}, TargetReady{}} {
+			source.Step(0, in)
 		}
-		o.Step(15*time.Second, TargetHeartbeat{InFlight: open})
-		if o.Phase() != want {
-			t.Errorf("with %d open: %v, want %v", open, o.Phase(), want)
+		source.Step(15*time.Second, TargetHeartbeat{InFlight: open})
+		if source.Phase() != want {
+			t.Errorf("with %d open: %v, want %v", open, source.Phase(), want)
 		}
 	}
 }
 
 // A new process that dies after it was the owner leaves the old one, while it lives, serving.
 func TestOwnerDies(t *testing.T) {
-	o := NewSource(DefaultConfig(), Version{1, 0})
-	o.Step(0, ConnectionAccepted{1})
-	o.Step(0, ConnectionAccepted{2})
-	for _, in := range []any{UpgradeRequested{}, TargetHello{Version: Version{1, 1}}, ConnectionBusy{1}, TargetReady{}} {
-		o.Step(0, in)
+	source := NewSource(DefaultConfig(), Version{1, 0})
+	source.Step(0, ConnectionAccepted{1})
+	source.Step(0, ConnectionAccepted{2})
+	for _, in := range []SourceEvent{UpgradeRequested{}, TargetHello{Version: Version{1, 1}}, ConnectionBusy{1}, TargetReady{}} {
+		source.Step(0, in)
 	}
-	o.Step(5*time.Second, TargetHeartbeat{Good: 100})
-	if o.Phase() != Finishing {
-		t.Fatalf("it stands at %v", o.Phase())
+	source.Step(5*time.Second, TargetHeartbeat{Good: 100})
+	if source.Phase() != Finishing {
+		t.Fatalf("it stands at %v", source.Phase())
 	}
-	want := []any{StartAccepting{}, ReportOutcome{"it died after it was the owner; what it had was lost"}}
-	if diff := cmp.Diff(want, o.Step(6*time.Second, TargetExited{})); diff != "" || o.Phase() != Idle {
-		t.Errorf("%v (-want +got):\n%s", o.Phase(), diff)
+	want := []SourceEffect{StartAccepting{}, ReportOutcome{Failure{Reason: OwnerDied}}}
+	if diff := cmp.Diff(want, source.Step(6*time.Second, TargetExited{})); diff != "" || source.Phase() != Idle {
+		t.Errorf("%v (-want +got):\n%s", source.Phase(), diff)
 	}
-	if out := o.Step(7*time.Second, ConnectionIdle{1}); len(out) != 0 {
+	if out := source.Step(7*time.Second, ConnectionIdle{1}); len(out) != 0 {
 		t.Errorf("what is free stays here: %v", out)
 	}
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -113,9 +113,9 @@
 		replies <- admin.Reply{Problem: "the latest upgrade is not through: the process before this one still answers what it had taken", Done: true}
 		return
 	}
-	p.upgrades.source.Upgrade(p.requestedProgram(request), func(phase, why string, done bool) {
+	p.upgrades.source.Upgrade(p.requestedProgram(request), func(progress handover.Progress) {
 		select {
-		case replies <- admin.Reply{Phase: phase, Problem: why, Done: done}:
+		case replies <- admin.Reply{Phase: progress.Phase, Problem: progress.Problem, Done: progress.Done}:
 		default: // the caller has left
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -97,7 +97,7 @@
 		}
 		return err
 	}
-	if in != nil && in.checkOnly {
+	if in != nil && in.CheckOnly {
 		return nil
 	}
 	go p.handleSignals(signals) // ends with the process
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -17,26 +17,21 @@
 var errCannotTakeOver = errors.New("it can't take over")
 
 // inheritance is what a process that was started by an upgrade has from the source.
-type inheritance struct {
-	channel     *handover.Channel
-	listener    *os.File
-	connections int  // that wait to be taken over
-	checkOnly   bool // the process says whether it could take over, and ends
-}
+type inheritance struct{ *handover.Inheritance }
 
 // inheritFromSource returns what this process was started with by an upgrade; nil: it was started by itself.
 func inheritFromSource() (*inheritance, error) {
-	channel, listener, connections, checkOnly, ok, err := handover.Inherited()
-	if !ok || err != nil {
+	in, err := handover.Inherit()
+	if in == nil || err != nil {
 		return nil, err
 	}
-	return &inheritance{channel, listener, connections, checkOnly}, nil
+	return &inheritance{in}, nil
 }
 
 // sendHello tells the source what this process is, and why it can't take over; "": it can. Where that can't be sent, the source
 // sees the end of this process.
 func (in *inheritance) sendHello(problem string) {
-	_ = in.channel.Send(&handover.Hello{
+	_ = in.Channel.Send(&handover.Hello{
 		Major:   handover.Version.Major,
 		Minor:   handover.Version.Minor,
 		Problem: problem,
@@ -50,12 +45,12 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("limit on descriptors: %w", err)
 	}
-	needed := uint64(in.connections + ownDescriptors)
+	needed := uint64(in.Connections + ownDescriptors)
 	if limit.Cur < needed {
-		return fmt.Errorf("the limit on descriptors is %d; %d connections and what it needs itself take %d", limit.Cur, in.connections, needed)
+		return fmt.Errorf("the limit on descriptors is %d; %d connections and what it needs itself take %d", limit.Cur, in.Connections, needed)
 	}
-	if maxClients > 0 && in.connections > maxClients {
-		return fmt.Errorf("its settings allow %d clients, and %d are connected", maxClients, in.connections)
+	if maxClients > 0 && in.Connections > maxClients {
+		return fmt.Errorf("its settings allow %d clients, and %d are connected", maxClients, in.Connections)
 	}
 	return nil
 }
@@ -65,16 +60,16 @@
 	if err := in.checkLimits(p.limits.maxClients); err != nil {
 		return err
 	}
-	if in.checkOnly {
+	if in.CheckOnly {
 		in.sendHello("")
 		return nil
 	}
-	listener, err := netio.InheritListener(in.listener)
+	listener, err := netio.InheritListener(in.Listener)
 	if err != nil {
 		return err
 	}
 	p.protocol.frontend().ListenOn(listener)
-	p.target = handover.NewTarget(p.loop, p.core, p.protocol.frontend(), in.channel, handover.TargetOptions{
+	p.target = handover.NewTarget(p.loop, p.core, p.protocol.frontend(), in.Channel, handover.TargetOptions{
 		ApplyState: p.applySourceState,
 		OnOwner:    p.becomeOwner,
 		Reload:     p.reload,
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -56,7 +56,7 @@
 
 // openUpgrades lets a new version take over from this process.
 func (p *process) openUpgrades() {
-	p.upgrades.source = handover.NewSource(p.loop, p.core, p.protocol.frontend(), handover.SourceOptions{
+	p.upgrades.source = handover.NewSource(p.loop, p.protocol.frontend(), handover.SourceOptions{
 		Program:       handover.Program{Path: p.upgrades.program, Args: os.Args[1:]},
 		Config:        p.upgrades.settings.Decide(),
 		State:         p.state,
--- a/internal/handover/channel_test.go
+++ b/internal/handover/channel_test.go
@@ -20,7 +20,10 @@
 	if b, err = ChannelFromFile(f); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.Close(); b.Close() })
+	t.Cleanup(func() {
+		_ = a.Close() // some tests have closed it
+		_ = b.Close()
+	})
 	return a, b
 }
 
@@ -32,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	sent := []Message{
 		&Hello{Major: 1, Minor: 2, Problem: "no"}, &ConnectionTransfer{Conn: 7, Frontend: "rest", State: []byte{1}, Unread: bytes.Repeat([]byte("x"), 200_000)},
 		&RequestRecord{Conn: 7, Idempotency: 1, FirstSend: time.Second, KeyWindow: 12 * time.Second}, &OutputRecord{Conn: 7, Offset: 9, Data: []byte("y"), Idle: true, Consumed: 3}, &OwnershipCommit{},
@@ -86,7 +89,7 @@
 // by. One that knows fewer leaves the rest empty. A section that can't be read is named.
 func TestSections(t *testing.T) {
 	k := &ProcessState{LastEvent: 41, Counters: map[string]int64{"taken.lookup": 3}, Clock: Clock{Now: time.Hour}}
-	w, err := k.encode()
+	w, err := k.message()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +114,7 @@
 	f.Add([]byte("\x00\x00\x00\x09\x00\x01\xa2\x01\x01\x03\x64abcd"))
 	f.Add([]byte("\x00\x00\x00\x05\x01\x0a\xa1\x03\x42ab"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, _, used, err := parse(b)
+		m, _, used, err := parseFrame(b)
 		if used > len(b) || (m == nil) != (used == 0) || err != nil && used > 0 {
 			t.Errorf("%T, %d of %d, %v", m, used, len(b), err)
 		}
@@ -120,23 +123,3 @@
 		}
 	})
 }
-
-// What is kept of a connection: the state stands for what was read before its place, and
-// what was read behind it and not written comes back.
-func TestKept(t *testing.T) {
-	k := &kept{fd: -1, state: []byte("0"), in: []byte("abc"), inAt: 97}
-	k.input(&InputRecord{Offset: 100, Data: []byte("defgh"), ReceivedAt: time.Second})
-	k.sending = &RequestRecord{FirstSend: 2 * time.Second}
-	k.output(&OutputRecord{Offset: 50, Data: []byte("part"), Idle: false})
-	if string(k.in) != "abcdefgh" || k.sending == nil || string(k.state) != "0" {
-		t.Errorf("while a request is open: %+v", k)
-	}
-	k.output(&OutputRecord{Offset: 54, Data: []byte("answer"), Idle: true, Consumed: 102, State: []byte("1")})
-	if string(k.in) != "fgh" || k.inAt != 102 || k.sending != nil || string(k.state) != "1" || string(k.out) != "partanswer" || k.outAt != 50 {
-		t.Errorf("behind its answer: %+v", k)
-	}
-	k.output(&OutputRecord{Offset: 60, Data: []byte("bye"), Idle: true, Closing: true})
-	if !k.ending || len(k.in) > 0 || string(k.state) != "1" {
-		t.Errorf("at its end: %+v", k)
-	}
-}
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -1,56 +1,50 @@
 package handover
 
 import (
-	"fmt"
 	"time"
 
-	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/handover"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is what this program speaks. The minor one rises with every change that the one
-// before can pass by; the major one with every other.
-var Version = decide.Version{Major: 1, Minor: 0}
-
 // Message is one message of the channel.
 type Message interface{ kind() byte }
 
-// Messages of the new process.
+// Messages of the target.
 type (
-	// Hello says what it is. Problem is why it can't take over; "": it can.
+	// Hello is its first message. Problem is why it can't take over; "": it can.
 	Hello struct {
 		Major   int    `cbor:"1,keyasint"`
 		Minor   int    `cbor:"2,keyasint"`
 		Problem string `cbor:"3,keyasint,omitempty"`
-		Build   string `cbor:"4,keyasint,omitempty"` // as ringwood version tells it
+		Build   string `cbor:"4,keyasint,omitempty"` // as the command version prints it
 	}
-	// Ready says that it has taken what is known.
+	// Ready says that it has applied the state.
 	Ready struct{}
-	// Heartbeat says that it lives, and how its answers were since the last.
+	// Heartbeat says that it lives, and counts its answers since the last heartbeat.
 	Heartbeat struct {
 		Good     int `cbor:"1,keyasint"`
 		Bad      int `cbor:"2,keyasint"`
-		InFlight int `cbor:"3,keyasint"` // requests that it has taken and not answered
+		InFlight int `cbor:"3,keyasint"` // requests without an answer
 	}
-	// InputRecord are bytes that lie in a connection's socket from At on, and are consumed next.
+	// InputRecord has the bytes that it consumes next of a connection, from Offset on.
 	InputRecord struct {
 		Conn       uint32        `cbor:"1,keyasint"`
 		Offset     int64         `cbor:"2,keyasint"`
 		ReceivedAt time.Duration `cbor:"3,keyasint"`
 		Data       []byte        `cbor:"4,keyasint"`
 	}
-	// RequestRecord says that the request which is open on a connection goes to an engine next.
+	// RequestRecord says that the request in flight on a connection goes to an engine next.
 	RequestRecord struct {
 		Conn        uint32        `cbor:"1,keyasint"`
 		Idempotency uint8         `cbor:"2,keyasint"`
-		FirstSend   time.Duration `cbor:"3,keyasint"` // of the first send
+		FirstSend   time.Duration `cbor:"3,keyasint"`
 		KeyWindow   time.Duration `cbor:"4,keyasint"`
 		Deadline    time.Duration `cbor:"5,keyasint"`
 	}
-	// OutputRecord are bytes that are written to a connection next, from At on. Where Settled, no
-	// request is open behind them: State stands for all that was read before Consumed.
+	// OutputRecord has the bytes that it writes next to a connection, from Offset on. If Idle, no
+	// request is in flight behind them: State stands for all that was read before Consumed.
 	OutputRecord struct {
 		Conn     uint32 `cbor:"1,keyasint"`
 		Offset   int64  `cbor:"2,keyasint"`
@@ -66,28 +60,28 @@
 	}
 )
 
-// Messages of the old process.
+// Messages of the source.
 type (
-	// State is what it knows, by the names of its sections. One that the other does not know
-	// is named in its log and passed by.
+	// State is a ProcessState by the names of its sections. A section that the target does not
+	// know is named in its log and ignored.
 	State struct {
 		Sections map[string]cbor.RawMessage `cbor:"1,keyasint"`
 	}
-	// Serve tells it to serve.
+	// Serve tells the target to serve.
 	Serve struct{}
-	// ConnectionTransfer comes with the descriptor of a connection: its front's state, and what was read
-	// of it and not consumed.
+	// ConnectionTransfer comes with the descriptor of a connection. State is its handler's,
+	// Unread what was read of the connection and not consumed.
 	ConnectionTransfer struct {
 		Conn     uint32 `cbor:"1,keyasint"`
 		Frontend string `cbor:"2,keyasint"`
 		State    []byte `cbor:"3,keyasint"`
 		Unread   []byte `cbor:"4,keyasint,omitempty"`
 	}
-	// OwnershipCommit tells it that it is the owner for good.
+	// OwnershipCommit tells the target that it is the owner for good.
 	OwnershipCommit struct{}
-	// Reload tells it to read its files again, as the old one was told meanwhile.
+	// Reload tells the target to read its files again, as the source was told meanwhile.
 	Reload struct{}
-	// CounterIncrements are the counters of what ended in the old process since World.
+	// CounterIncrements are what was counted in the source since State.
 	CounterIncrements struct {
 		Counters map[string]int64 `cbor:"1,keyasint"`
 	}
@@ -95,113 +89,82 @@
 
 // Messages of both.
 type (
-	// SharedState is what all connections of a front share, as the front tells it.
+	// SharedState is what all connections of a frontend share.
 	SharedState struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
-	// ForwardedCall is a call that only the other may have the answer to.
+	// ForwardedCall is a call that only the other process may have an answer to.
 	ForwardedCall struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
 )
 
-func (*Hello) kind() byte              { return 1 }
-func (*Ready) kind() byte              { return 2 }
-func (*Heartbeat) kind() byte          { return 3 }
-func (*InputRecord) kind() byte        { return 4 }
-func (*RequestRecord) kind() byte      { return 5 }
-func (*OutputRecord) kind() byte       { return 6 }
-func (*ConnectionClosed) kind() byte   { return 7 }
-func (*State) kind() byte              { return 8 }
-func (*Serve) kind() byte              { return 9 }
-func (*ConnectionTransfer) kind() byte { return 10 }
-func (*OwnershipCommit) kind() byte    { return 11 }
-func (*Reload) kind() byte             { return 12 }
-func (*CounterIncrements) kind() byte  { return 13 }
-func (*SharedState) kind() byte        { return 14 }
-func (*ForwardedCall) kind() byte      { return 15 }
-
-// blank is an empty message of a kind; nil: there is none.
-func blank(kind byte) Message {
-	for _, m := range []Message{
-		&Hello{}, &Ready{}, &Heartbeat{}, &InputRecord{}, &RequestRecord{}, &OutputRecord{}, &ConnectionClosed{}, &State{}, &Serve{}, &ConnectionTransfer{}, &OwnershipCommit{},
-		&Reload{}, &CounterIncrements{}, &SharedState{}, &ForwardedCall{},
-	} {
-		if m.kind() == kind {
-			return m
-		}
-	}
-	return nil
-}
-
-// Clock is the time of both processes at one moment: Mono is the machine's monotonic clock.
-type Clock struct {
-	Now       time.Duration `cbor:"1,keyasint"`
-	Monotonic time.Duration `cbor:"2,keyasint"`
-}
-
-// ProcessState is what a process that serves knows.
-type ProcessState struct {
-	Clock       Clock
-	Core        core.Snapshot
-	LastEvent   uint64 // number of the event bus's last event taken; 0: none
-	Shared      []byte // of the front
-	QueryShapes []byte // a snapshot; nil: none
-	Membership  []byte // of internal/membership: the fleet as this member knows it; nil: it is none
-	Counters    map[string]int64
-}
-
-// sections are the parts of a World by name.
-func (k *ProcessState) sections() map[string]any {
-	return map[string]any{
-		"clock": &k.Clock, "core": &k.Core, "event": &k.LastEvent, "shared": &k.Shared, "shapes": &k.QueryShapes, "members": &k.Membership, "counters": &k.Counters,
-	}
-}
-
-func (k *ProcessState) encode() (*State, error) {
-	w := &State{Sections: map[string]cbor.RawMessage{}}
-	for name, part := range k.sections() {
-		b, err := cbor.Marshal(part)
-		if err != nil {
-			return nil, fmt.Errorf("handover: %s: %w", name, err)
-		}
-		w.Sections[name] = b
-	}
-	return w, nil
-}
+// The kinds of messages in a frame's header.
+const (
+	kindHello byte = iota + 1
+	kindReady
+	kindHeartbeat
+	kindInputRecord
+	kindRequestRecord
+	kindOutputRecord
+	kindConnectionClosed
+	kindState
+	kindServe
+	kindConnectionTransfer
+	kindOwnershipCommit
+	kindReload
+	kindCounterIncrements
+	kindSharedState
+	kindForwardedCall
+)
 
-// decode reads a World. unknown names the sections that this version has no use for.
-func (w *State) decode() (k *ProcessState, unknown []string, err error) {
-	k = &ProcessState{}
-	parts := k.sections()
-	for name, b := range w.Sections {
-		part, ok := parts[name]
-		if !ok {
-			unknown = append(unknown, name)
-			continue
-		}
-		if err := decoder.Unmarshal(b, part); err != nil {
-			return nil, nil, fmt.Errorf("handover: %s: %w", name, err)
-		}
-	}
-	return k, unknown, nil
+func (*Hello) kind() byte              { return kindHello }
+func (*Ready) kind() byte              { return kindReady }
+func (*Heartbeat) kind() byte          { return kindHeartbeat }
+func (*InputRecord) kind() byte        { return kindInputRecord }
+func (*RequestRecord) kind() byte      { return kindRequestRecord }
+func (*OutputRecord) kind() byte       { return kindOutputRecord }
+func (*ConnectionClosed) kind() byte   { return kindConnectionClosed }
+func (*State) kind() byte              { return kindState }
+func (*Serve) kind() byte              { return kindServe }
+func (*ConnectionTransfer) kind() byte { return kindConnectionTransfer }
+func (*OwnershipCommit) kind() byte    { return kindOwnershipCommit }
+func (*Reload) kind() byte             { return kindReload }
+func (*CounterIncrements) kind() byte  { return kindCounterIncrements }
+func (*SharedState) kind() byte        { return kindSharedState }
+func (*ForwardedCall) kind() byte      { return kindForwardedCall }
+
+// messageByKind makes an empty message of each kind.
+var messageByKind = map[byte]func() Message{
+	kindHello:              func() Message { return &Hello{} },
+	kindReady:              func() Message { return &Ready{} },
+	kindHeartbeat:          func() Message { return &Heartbeat{} },
+	kindInputRecord:        func() Message { return &InputRecord{} },
+	kindRequestRecord:      func() Message { return &RequestRecord{} },
+	kindOutputRecord:       func() Message { return &OutputRecord{} },
+	kindConnectionClosed:   func() Message { return &ConnectionClosed{} },
+	kindState:              func() Message { return &State{} },
+	kindServe:              func() Message { return &Serve{} },
+	kindConnectionTransfer: func() Message { return &ConnectionTransfer{} },
+	kindOwnershipCommit:    func() Message { return &OwnershipCommit{} },
+	kindReload:             func() Message { return &Reload{} },
+	kindCounterIncrements:  func() Message { return &CounterIncrements{} },
+	kindSharedState:        func() Message { return &SharedState{} },
+	kindForwardedCall:      func() Message { return &ForwardedCall{} },
 }
 
-// Encode writes what is known for another process of the same or another version.
-func (k *ProcessState) Encode() ([]byte, error) {
-	w, err := k.encode()
-	if err != nil {
-		return nil, err
+// newMessage returns an empty message of a kind, or nil if there is none.
+func newMessage(kind byte) Message {
+	if create, ok := messageByKind[kind]; ok {
+		return create()
 	}
-	return cbor.Marshal(w)
+	return nil
 }
 
-// DecodeProcessState reads what Encode wrote. unknown names the parts that this version has no use
-// for.
-func DecodeProcessState(b []byte) (k *ProcessState, unknown []string, err error) {
-	var w State
-	if err := decoder.Unmarshal(b, &w); err != nil {
-		return nil, nil, fmt.Errorf("handover: what is known: %w", err)
+// request is the record as the decisions take it.
+func (m *RequestRecord) request() decide.Request {
+	return decide.Request{
+		InFlight: true, Idempotency: decide.Idempotency(m.Idempotency), Sent: true,
+		FirstSend: m.FirstSend, KeyWindow: m.KeyWindow, Deadline: m.Deadline,
 	}
-	return w.decode()
 }
--- a/internal/handover/process_test.go
+++ b/internal/handover/process_test.go
@@ -26,24 +26,24 @@
 // takeOver tells by its hello what it inherited.
 func takeOver(conns string) int {
 	checkText, checkSet := os.LookupEnv(storedEnvCheck)
-	ch, listener, n, check, ok, err := Inherited()
-	if err != nil || !ok {
-		fmt.Fprintln(os.Stderr, "inherited:", ok, err)
+	in, err := Inherit()
+	if err != nil || in == nil {
+		fmt.Fprintln(os.Stderr, "inherited:", in, err)
 		return 1
 	}
 	_, env := os.LookupEnv(storedEnv)
 	_, envCheck := os.LookupEnv(storedEnvCheck)
-	ln, err := net.FileListener(listener)
+	ln, err := net.FileListener(in.Listener)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "listener:", err)
 		return 1
 	}
 	said := &Hello{Major: 1, Problem: os.Getenv("TEST_PROBLEM"), Build: fmt.Sprintf(
-		"%q %q %v: %d %v at %s, left %v %v, args %q", conns, checkText, checkSet, n, check, ln.Addr(), env, envCheck, os.Args[1:])}
+		"%q %q %v: %d %v at %s, left %v %v, args %q", conns, checkText, checkSet, in.Connections, in.CheckOnly, ln.Addr(), env, envCheck, os.Args[1:])}
 	if os.Getenv("TEST_SILENT") != "" {
 		return 0
 	}
-	if err := ch.Send(said); err != nil {
+	if err := in.Channel.Send(said); err != nil {
 		return 1
 	}
 	time.Sleep(time.Minute) // it is ended
@@ -56,12 +56,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	f, err = ln.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { f.Close() })
+	t.Cleanup(func() { _ = f.Close() })
 	return ln.Addr().String(), f
 }
 
@@ -78,18 +78,18 @@
 		t.Errorf("a process that is checked: %s, want %s", build, want)
 	}
 
-	proc, err := spawn(program, listener, 0)
+	proc, err := startProcess(program, listener, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
 		proc.kill()
 		_ = proc.cmd.Wait()
-		_ = proc.ch.Close()
+		_ = proc.channel.Close()
 	}()
 	said := make(chan string, 1)
 	go func() {
-		_ = proc.ch.Read(func(m Message, _ []int) {
+		_ = proc.channel.Read(func(m Message, _ []int) {
 			if h, ok := m.(*Hello); ok {
 				said <- h.Build
 			}
@@ -126,8 +126,8 @@
 // A number of connections that can't be read is an error, and no process that takes over.
 func TestEnvironmentUnreadable(t *testing.T) {
 	t.Setenv(storedEnv, "many")
-	_, _, _, _, ok, err := Inherited()
-	if !ok || err == nil || !strings.Contains(err.Error(), storedEnv) {
-		t.Errorf("ok %v, error %v", ok, err)
+	in, err := Inherit()
+	if in != nil || err == nil || !strings.Contains(err.Error(), storedEnv) {
+		t.Errorf("inherited %v, error %v", in, err)
 	}
 }
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -71,7 +71,7 @@
 	for _, tt := range storedFrames {
 		t.Run(tt.file, func(t *testing.T) {
 			stored := storedBytes(t, filepath.Join("frames", tt.file+".bin"))
-			got, descriptors, used, err := parse(stored)
+			got, descriptors, used, err := parseFrame(stored)
 			if err != nil || used != len(stored) || descriptors != tt.descriptors {
 				t.Fatalf("parse: %d descriptors, %d of %d bytes, error %v", descriptors, used, len(stored), err)
 			}
@@ -85,8 +85,8 @@
 		})
 	}
 	for kind := range byte(0xff) {
-		if (blank(kind) != nil) != seen[kind] {
-			t.Errorf("kind %d: known %v, stored %v", kind, blank(kind) != nil, seen[kind])
+		if (newMessage(kind) != nil) != seen[kind] {
+			t.Errorf("kind %d: known %v, stored %v", kind, newMessage(kind) != nil, seen[kind])
 		}
 	}
 }
@@ -117,7 +117,7 @@
 		t.Run(tt.file, func(t *testing.T) {
 			stored := storedBytes(t, filepath.Join("frames", tt.file+".bin"))
 			for cut := range stored {
-				if m, _, used, err := parse(stored[:cut]); m != nil || used != 0 || err != nil {
+				if m, _, used, err := parseFrame(stored[:cut]); m != nil || used != 0 || err != nil {
 					t.Errorf("cut at byte %d: %T, %d bytes used, error %v", cut, m, used, err)
 				}
 				if err := readBytes(t, stored[:cut]); cut > 0 && !errors.Is(err, ErrMalformedFrame) || cut == 0 && err != nil {
@@ -128,7 +128,7 @@
 				for bit := range 8 {
 					damaged := bytes.Clone(stored)
 					damaged[i] ^= 1 << bit
-					_, _, used, err := parse(damaged)
+					_, _, used, err := parseFrame(damaged)
 					if used > len(damaged) || err != nil && (used > 0 || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind)) {
 						t.Errorf("byte %d, bit %d changed: %d bytes used, error %v", i, bit, used, err)
 					}
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer func() { _ = b.Close() }()
 	if _, err := a.conn.Write(raw); err != nil {
 		t.Fatal(err)
 	}
