--- a/internal/decide/takeover/replay_test.go
+++ b/internal/decide/takeover/replay_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -47,10 +48,10 @@
 		for i := range r.IntN(5) {
 			others = append(others, anyProcess(r, i+1, now))
 		}
-		step, from := Next(self, others, now)
-		fmt.Fprintf(d, "%d %q %t %t %g\n", int(step), from, Replaced(self, others), Asked(self, others), Share(others))
+		action, from := NextAction(self, others, now)
+		_, _ = fmt.Fprintf(d, "%d %q %t %t %g\n", int(action), from, Replaced(self, others), StateWanted(self, others), LimitShare(others))
 		for _, o := range others {
-			fmt.Fprintf(d, "%t %t\n", self.After(o), o.After(self))
+			_, _ = fmt.Fprintf(d, "%t %t\n", self.StartedAfter(o), o.StartedAfter(self))
 		}
 	}
 	return d.Sum(nil)
@@ -59,12 +60,12 @@
 // anyProcess began some time ago, often at the edge of the time that one waits.
 func anyProcess(r *rand.Rand, i int, now time.Duration) Process {
 	p := Process{
-		ID: fmt.Sprint(i), Began: now - time.Duration(r.IntN(4)*500)*time.Millisecond - time.Duration(r.IntN(3)-1),
-		Ready: r.IntN(3) > 0, Stopping: r.IntN(3) == 0, Knows: r.IntN(2) == 0,
+		ID: strconv.Itoa(i), StartedAt: now - time.Duration(r.IntN(4)*500)*time.Millisecond - time.Duration(r.IntN(3)-1),
+		Ready: r.IntN(3) > 0, ShuttingDown: r.IntN(3) == 0, StateWritten: r.IntN(2) == 0,
 	}
 	for other := range 5 {
 		if r.IntN(2) == 0 {
-			p.Heard = append(p.Heard, fmt.Sprint(other))
+			p.KnownProcesses = append(p.KnownProcesses, strconv.Itoa(other))
 		}
 	}
 	return p
--- a/internal/decide/takeover/succession_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -1,8 +1,8 @@
 package takeover
 
 import (
-	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 
@@ -12,7 +12,7 @@
 // Processes start, become ready, are told to end and die in any order, and look at each other at
 // any time: a new one waits no longer than it should, takes only from one that serves, has heard of
 // it and was there before, and of two never does each think the other one took its place.
-func TestSuccession(t *testing.T) {
+func TestTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var now time.Duration
 		alive := map[string]*Process{}
@@ -22,7 +22,7 @@
 					list = append(list, *p)
 				}
 			}
-			slices.SortFunc(list, func(a, b Process) int { return int(a.Began - b.Began) })
+			slices.SortFunc(list, func(a, b Process) int { return int(a.StartedAt - b.StartedAt) })
 			return list
 		}
 		pick := func(t *rapid.T) *Process {
@@ -38,42 +38,42 @@
 		}
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
-			"start": func(t *rapid.T) {
+			"start": func(*rapid.T) {
 				n++
-				alive[fmt.Sprint(n)] = &Process{ID: fmt.Sprint(n), Began: now}
+				alive[strconv.Itoa(n)] = &Process{ID: strconv.Itoa(n), StartedAt: now}
 			},
 			"time": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
 			"look": func(t *rapid.T) {
 				p := pick(t)
 				if p.Ready {
-					p.Heard = p.Heard[:0]
+					p.KnownProcesses = p.KnownProcesses[:0]
 					for _, o := range others(p.ID) {
-						p.Heard = append(p.Heard, o.ID)
+						p.KnownProcesses = append(p.KnownProcesses, o.ID)
 					}
-					p.Knows = Asked(*p, others(p.ID))
+					p.StateWritten = StateWanted(*p, others(p.ID))
 					return
 				}
-				step, from := Next(*p, others(p.ID), now)
-				switch f := alive[from]; step {
+				action, from := NextAction(*p, others(p.ID), now)
+				switch f := alive[from]; action {
 				case Wait:
-					if now-p.Began >= waitMost {
-						t.Fatalf("%v waits since %v", p, now-p.Began)
+					if now-p.StartedAt >= maxWait {
+						t.Fatalf("%v waits since %v", p, now-p.StartedAt)
 					}
-				case Take:
-					if !f.Ready || !slices.Contains(f.Heard, p.ID) || f.After(*p) {
+				case TakeOver:
+					if !f.Ready || !slices.Contains(f.KnownProcesses, p.ID) || f.StartedAfter(*p) {
 						t.Fatalf("%v takes over from %v", p, f)
 					}
 					fallthrough
-				case Alone:
+				case StartAlone:
 					p.Ready = true
 				}
 			},
-			"end":  func(t *rapid.T) { pick(t).Stopping = true },
+			"end":  func(t *rapid.T) { pick(t).ShuttingDown = true },
 			"dies": func(t *rapid.T) { delete(alive, pick(t).ID) },
 			"": func(t *rapid.T) {
 				serving, replaced := 0, 0
 				for _, p := range alive {
-					if p.Ready && !p.Stopping {
+					if p.Ready && !p.ShuttingDown {
 						serving++
 						if Replaced(*p, others(p.ID)) {
 							replaced++
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -24,7 +24,7 @@
 		OnReplaced:     func() { p.retire(platform) },
 	}, p.log)
 	if err != nil { // no process can replace this one later, and it serves all the same
-		p.log.Error("succession", "error", err)
+		p.log.Error("takeover.unavailable", "error", err)
 		p.serve(nil)
 		return p.failed
 	}
@@ -44,7 +44,7 @@
 func (p *process) resumeShared(state *handover.ProcessState) error {
 	p.restore(state)
 	if err := p.protocol.frontend().ApplySharedState(state.Shared); err != nil { // clients of the other process ask again
-		p.log.Warn("succession.results", "error", err)
+		p.log.Warn("takeover.results", "error", err)
 	}
 	if state.LastEvent == 0 {
 		state = nil
--- a/internal/gateway/replacement_test.go
+++ b/internal/gateway/replacement_test.go
@@ -217,7 +217,7 @@
 	_, part, _ = strings.Cut(part, `{"more":"`)
 	part, _, _ = strings.Cut(part, `"`)
 	b := p.start()
-	b.await("succession.taken")
+	b.await("takeover.completed")
 	if n := b.down(); n != 2 {
 		t.Errorf("%d engines are avoided by the process that took over", n)
 	}
@@ -262,7 +262,7 @@
 		t.Errorf("with no engine: %s", got)
 	}
 	c := p.start()
-	c.await("succession.taken")
+	c.await("takeover.completed")
 	if n := c.down(); n != 3 {
 		t.Errorf("%d engines are avoided by the third process", n)
 	}
--- a/internal/takeover/folder.go
+++ b/internal/takeover/folder.go
@@ -1,9 +1,6 @@
-// Package succession lets a process that the platform starts beside one that serves take its
-// place: state passes through a folder that both see. What they do is decided by decide/succession.
 package takeover
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"os"
@@ -11,185 +8,169 @@
 	"strings"
 	"syscall"
 	"time"
-
-	"gannetspur/internal/decide/adminstate"
-	decide "gannetspur/internal/decide/takeover"
-
-	"github.com/cespare/xxhash/v2"
-	"github.com/fxamacker/cbor/v2"
 )
 
-// State is what one process writes down for the others.
-type State struct {
-	decide.Process
-	Bans   adminstate.Overrides
-	Events uint64 // sum of what its configuration told of the roster; same where numbers of events are
-	World  []byte // what it knows, as handover.Knowledge; nil: nobody waits for it
-}
-
-// A file is four bytes that name its kind, the version of what follows, a checksum (xxHash64,
-// big-endian) and the state as CBOR.
+// The files of a process are its ID with these endings. Other versions use the same.
 const (
-	magic     = "rwsu"
-	version   = 1
-	fileHead  = len(magic) + 1 + 8
-	mostState = 8 << 20
+	stateSuffix     = ".state"
+	lockSuffix      = ".lock"
+	temporarySuffix = ".part" // a state that is being written
 )
 
-var errFile = errors.New("no whole state of this version")
-
-func encode(s *State) ([]byte, error) {
-	body, err := cbor.Marshal(s)
-	if err != nil {
-		return nil, fmt.Errorf("encode: %w", err)
-	}
-	b := append(make([]byte, 0, fileHead+len(body)), magic...)
-	b = binary.BigEndian.AppendUint64(append(b, version), xxhash.Sum64(body))
-	return append(b, body...), nil
+// Folder is where the processes of one front end write their states. Each has a file of its own,
+// and a lock on another for as long as it lives: the kernel releases it however the process ends.
+type Folder struct {
+	dir   string
+	self  string // ID of this process
+	lock  *os.File
+	cache map[string]cachedState // by process
 }
 
-func decode(b []byte) (*State, error) {
-	if len(b) < fileHead || len(b) > mostState || string(b[:len(magic)]) != magic || b[len(magic)] != version {
-		return nil, errFile
-	}
-	body := b[fileHead:]
-	if binary.BigEndian.Uint64(b[len(magic)+1:]) != xxhash.Sum64(body) {
-		return nil, errFile
-	}
-	s := new(State)
-	if err := cbor.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("%w: %w", errFile, err)
-	}
-	return s, nil
+// cachedState is a file as it was read last.
+type cachedState struct {
+	file  fileIdentity
+	state *State // nil: the file can't be used
 }
 
-const (
-	stateEnd = ".state"
-	lockEnd  = ".lock"
-	partEnd  = ".part"
-)
+// fileIdentity changes when a file is replaced.
+type fileIdentity struct {
+	modified time.Time
+	size     int64
+	inode    uint64
+}
 
-// Folder is where the processes of one front end write. Each has a file of its own, and a
-// lock on another for as long as it lives: the kernel lets go of it however the process ends.
-type Folder struct {
-	dir, self string
-	lock      *os.File
-	read      map[string]reading
+func (i fileIdentity) equal(other fileIdentity) bool {
+	return i.modified.Equal(other.modified) && i.size == other.size && i.inode == other.inode
 }
 
-// reading is a file as it was read last.
-type reading struct {
-	at    time.Time
-	size  int64
-	inode uint64
-	state *State // nil: it can't be used
+func identityOf(info os.FileInfo) fileIdentity {
+	identity := fileIdentity{modified: info.ModTime(), size: info.Size()}
+	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
+		identity.inode = stat.Ino
+	}
+	return identity
 }
 
-// Open enters a folder, which is made if need be, under a name that no other process has.
-func Open(dir string) (*Folder, error) {
+// OpenFolder enters a folder, which is created if need be, under an ID that no other process has.
+func OpenFolder(dir string) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("succession: %w", err)
+		return nil, fmt.Errorf("takeover: %w", err)
 	}
-	lock, err := os.CreateTemp(dir, fmt.Sprintf("%d-*%s", os.Getpid(), lockEnd))
+	lock, err := os.CreateTemp(dir, fmt.Sprintf("%d-*%s", os.Getpid(), lockSuffix))
 	if err == nil {
 		err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("succession: lock: %w", err)
+		return nil, fmt.Errorf("takeover: lock: %w", err)
 	}
-	return &Folder{dir: dir, self: strings.TrimSuffix(filepath.Base(lock.Name()), lockEnd), lock: lock, read: map[string]reading{}}, nil
+	self := strings.TrimSuffix(filepath.Base(lock.Name()), lockSuffix)
+	return &Folder{dir: dir, self: self, lock: lock, cache: map[string]cachedState{}}, nil
 }
 
-// Self is the name of this process.
+// Self is the ID of this process.
 func (f *Folder) Self() string { return f.self }
 
-// Write replaces this process's file, whole or not at all.
+func (f *Folder) path(id, suffix string) string { return filepath.Join(f.dir, id+suffix) }
+
+// Write replaces this process's file, completely or not at all.
 func (f *Folder) Write(s *State) error {
-	b, err := encode(s)
+	b, err := encodeState(s)
 	if err != nil {
-		return fmt.Errorf("succession: %w", err)
+		return fmt.Errorf("takeover: %w", err)
 	}
-	part := filepath.Join(f.dir, f.self+partEnd)
-	if err := os.WriteFile(part, b, 0o600); err != nil {
-		_ = os.Remove(part) // what is there takes room that may be short
-		return fmt.Errorf("succession: %w", err)
+	temporary := f.path(f.self, temporarySuffix)
+	if err := os.WriteFile(temporary, b, 0o600); err != nil {
+		_ = os.Remove(temporary) // what is there takes disk space that may be short
+		return fmt.Errorf("takeover: %w", err)
 	}
-	if err := os.Rename(part, filepath.Join(f.dir, f.self+stateEnd)); err != nil {
-		return fmt.Errorf("succession: %w", err)
+	if err := os.Rename(temporary, f.path(f.self, stateSuffix)); err != nil {
+		return fmt.Errorf("takeover: %w", err)
 	}
 	return nil
 }
 
-// Others are the states of the other processes that live, as far as they can be read. What
-// dead ones have left is removed.
+// Others returns the states of the other living processes, as far as they can be read. The files
+// of dead ones are removed.
 func (f *Folder) Others() ([]State, error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
-		return nil, fmt.Errorf("succession: %w", err)
+		return nil, fmt.Errorf("takeover: %w", err)
 	}
-	var all []State
-	there := map[string]bool{}
-	for _, e := range entries {
-		id, ok := strings.CutSuffix(e.Name(), stateEnd)
+	var states []State
+	living := map[string]bool{}
+	for _, entry := range entries {
+		id, ok := strings.CutSuffix(entry.Name(), stateSuffix)
 		if !ok || id == f.self {
 			continue
 		}
 		if !f.alive(id) {
-			for _, end := range []string{stateEnd, partEnd, lockEnd} {
-				_ = os.Remove(filepath.Join(f.dir, id+end))
-			}
+			f.removeFiles(id)
 			continue
 		}
-		there[id] = true
-		if s := f.state(id); s != nil {
-			all = append(all, *s)
+		living[id] = true
+		if s := f.read(id); s != nil {
+			states = append(states, *s)
 		}
 	}
-	for id := range f.read {
-		if !there[id] {
-			delete(f.read, id)
+	for id := range f.cache {
+		if !living[id] {
+			delete(f.cache, id)
 		}
 	}
-	return all, nil
+	return states, nil
 }
 
-// alive tells whether a process holds its lock.
+// alive reports whether a process holds its lock. In doubt, as when no descriptor is left, it
+// does, and nothing of it is removed.
 func (f *Folder) alive(id string) bool {
-	lock, err := os.Open(filepath.Join(f.dir, id+lockEnd))
+	lock, err := os.Open(f.path(id, lockSuffix))
 	if err != nil {
-		return !errors.Is(err, os.ErrNotExist) // in doubt, as with no descriptor, nothing is removed
+		return !errors.Is(err, os.ErrNotExist)
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }()
 	return errors.Is(syscall.Flock(int(lock.Fd()), syscall.LOCK_SH|syscall.LOCK_NB), syscall.EWOULDBLOCK)
 }
 
-// state reads another process's file, unless it is as it was.
-func (f *Folder) state(id string) *State {
-	path := filepath.Join(f.dir, id+stateEnd)
+// read returns another process's state, from the cache unless its file was replaced; nil if it
+// can't be used.
+func (f *Folder) read(id string) *State {
+	path := f.path(id, stateSuffix)
 	info, err := os.Stat(path)
-	if err != nil || info.Size() > mostState {
+	if err != nil || info.Size() > maxFileBytes {
 		return nil
 	}
-	now := reading{at: info.ModTime(), size: info.Size()}
-	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
-		now.inode = sys.Ino
+	identity := identityOf(info)
+	cached, ok := f.cache[id]
+	if ok && cached.file.equal(identity) {
+		return cached.state
 	}
-	if last, ok := f.read[id]; ok && last.at.Equal(now.at) && last.size == now.size && last.inode == now.inode {
-		return last.state
+	cached = cachedState{file: identity, state: readStateFile(path, id)}
+	f.cache[id] = cached
+	return cached.state
+}
+
+// readStateFile returns the state in a file, or nil. A state under the name of another process
+// is nobody's.
+func readStateFile(path, id string) *State {
+	b, err := os.ReadFile(path)
+	if err != nil {
+		return nil
 	}
-	if b, err := os.ReadFile(path); err == nil {
-		if s, err := decode(b); err == nil && s.ID == id { // under another's name it is nobody's
-			now.state = s
-		}
+	s, err := decodeState(b)
+	if err != nil || s.ID != id {
+		return nil
 	}
-	f.read[id] = now
-	return now.state
+	return s
 }
 
-// Close leaves the folder.
-func (f *Folder) Close() {
-	for _, end := range []string{stateEnd, partEnd, lockEnd} {
-		_ = os.Remove(filepath.Join(f.dir, f.self+end))
+func (f *Folder) removeFiles(id string) {
+	for _, suffix := range []string{stateSuffix, temporarySuffix, lockSuffix} {
+		_ = os.Remove(f.path(id, suffix)) // not all are there
 	}
-	_ = f.lock.Close()
+}
+
+// Close removes this process's files and releases its lock.
+func (f *Folder) Close() {
+	f.removeFiles(f.self)
+	_ = f.lock.Close() // nothing was written to it
 }
--- a/internal/takeover/folder_test.go
+++ b/internal/takeover/folder_test.go
@@ -14,7 +14,7 @@
 
 func open(t *testing.T, dir string) *Folder {
 	t.Helper()
-	f, err := Open(dir)
+	f, err := OpenFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,8 +24,8 @@
 
 func stateOf(f *Folder) *State {
 	return &State{
-		Process: decide.Process{ID: f.Self(), Began: time.Hour, Ready: true, Heard: []string{"x"}, Knows: true},
-		Bans:    adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, Events: 1 << 63, World: []byte("world"),
+		Process:   decide.Process{ID: f.Self(), StartedAt: time.Hour, Ready: true, KnownProcesses: []string{"x"}, StateWritten: true},
+		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceSum: 1 << 63, ProcessState: []byte("world"),
 	}
 }
 
@@ -50,18 +50,18 @@
 	if diff := cmp.Diff([]State{*want}, others(t, b)); diff != "" {
 		t.Fatal(diff)
 	}
-	path := filepath.Join(dir, a.Self()+stateEnd)
+	path := filepath.Join(dir, a.Self()+stateSuffix)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := range whole {
-		if _, err := decode(whole[:cut]); err == nil {
+		if _, err := decodeState(whole[:cut]); err == nil {
 			t.Errorf("taken, cut at byte %d of %d", cut, len(whole))
 		}
 		spoilt := append([]byte(nil), whole...)
 		spoilt[cut] ^= 1
-		if _, err := decode(spoilt); err == nil {
+		if _, err := decodeState(spoilt); err == nil {
 			t.Errorf("taken, with byte %d changed", cut)
 		}
 	}
@@ -78,7 +78,7 @@
 	if all := others(t, b); len(all) > 0 {
 		t.Errorf("a torn file was taken: %v", all)
 	}
-	wrong, err := encode(stateOf(b))
+	wrong, err := encodeState(stateOf(b))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	if err := a.Write(stateOf(a)); err != nil {
 		t.Fatal(err)
 	}
-	part := filepath.Join(dir, a.Self()+partEnd)
+	part := filepath.Join(dir, a.Self()+temporarySuffix)
 	if err := os.Symlink("/dev/full", part); err != nil {
 		t.Fatal(err)
 	}
@@ -126,22 +126,22 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b, err := encode(&State{Process: decide.Process{ID: "1"}, World: []byte{1}})
+	b, err := encodeState(&State{Process: decide.Process{ID: "1"}, ProcessState: []byte{1}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
-	f.Add([]byte(magic))
+	f.Add([]byte(fileMagic))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s, err := decode(b)
+		s, err := decodeState(b)
 		if err != nil {
 			return
 		}
-		again, err := encode(s)
+		again, err := encodeState(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s2, err := decode(again); err != nil || !cmp.Equal(s, s2) {
+		if s2, err := decodeState(again); err != nil || !cmp.Equal(s, s2) {
 			t.Fatalf("%v became %v, %v", s, s2, err)
 		}
 	})
--- a/internal/takeover/stored_test.go
+++ b/internal/takeover/stored_test.go
@@ -17,14 +17,14 @@
 // storedStates are states whose files version c18a9bd wrote: testdata has their bytes. The
 // processes of two versions read each other's files while one takes the other's place.
 var storedStates = map[string]State{
-	"waiting.state": {Process: decide.Process{ID: "17-1", Began: 90 * time.Hour}, Bans: adminstate.Overrides{}},
+	"waiting.state": {Process: decide.Process{ID: "17-1", StartedAt: 90 * time.Hour}, Overrides: adminstate.Overrides{}},
 	"serving.state": {
-		Process: decide.Process{ID: "18-2", Began: 91 * time.Hour, Ready: true, Stopping: true, Heard: []string{"17-1", "19-3"}, Knows: true},
-		Bans:    adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, Events: 1<<63 + 5, World: []byte("what it knows"),
+		Process:   decide.Process{ID: "18-2", StartedAt: 91 * time.Hour, Ready: true, ShuttingDown: true, KnownProcesses: []string{"17-1", "19-3"}, StateWritten: true},
+		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceSum: 1<<63 + 5, ProcessState: []byte("what it knows"),
 	},
 	"returned.state": {
-		Process: decide.Process{ID: "19-3", Ready: true}, Events: 7,
-		Bans: adminstate.Overrides{"s-1": {At: time.Hour, DisabledSince: time.Minute}},
+		Process: decide.Process{ID: "19-3", Ready: true}, EventSourceSum: 7,
+		Overrides: adminstate.Overrides{"s-1": {At: time.Hour, DisabledSince: time.Minute}},
 	},
 }
 
@@ -43,18 +43,18 @@
 	for name, want := range storedStates {
 		t.Run(name, func(t *testing.T) {
 			stored := storedFile(t, name)
-			got, err := decode(stored)
+			got, err := decodeState(stored)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(&want, got); diff != "" {
 				t.Errorf("state (-want +got):\n%s", diff)
 			}
-			if written, err := encode(&want); err != nil || !bytes.Equal(written, stored) {
+			if written, err := encodeState(&want); err != nil || !bytes.Equal(written, stored) {
 				t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
 			}
 			for cut := range stored {
-				if _, err := decode(stored[:cut]); !errors.Is(err, errFile) {
+				if _, err := decodeState(stored[:cut]); !errors.Is(err, errUnusableFile) {
 					t.Errorf("cut at byte %d of %d: error %v", cut, len(stored), err)
 				}
 			}
@@ -62,7 +62,7 @@
 				for bit := range 8 {
 					damaged := bytes.Clone(stored)
 					damaged[i] ^= 1 << bit
-					if _, err := decode(damaged); !errors.Is(err, errFile) {
+					if _, err := decodeState(damaged); !errors.Is(err, errUnusableFile) {
 						t.Errorf("byte %d, bit %d changed: error %v", i, bit, err)
 					}
 				}
