--- /dev/null
+++ b/internal/admin/client.go
@@ -0,0 +1,56 @@
+package admin
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+)
+
+// maxReplyBytes bounds a reply, which may hold all counters or sites.
+const maxReplyBytes = 16 << 20
+
+// FetchStatus asks the gateway behind a socket for its status.
+func FetchStatus(ctx context.Context, path string) (*Status, error) {
+	last, err := Call(ctx, path, Request{Command: "status"}, func(Reply) {})
+	if err == nil && last.Status == nil {
+		err = errors.New(last.Problem)
+	}
+	return last.Status, err
+}
+
+// Call sends a request to the gateway behind a socket. It calls onReply for each reply but the
+// last, which it returns.
+func Call(ctx context.Context, path string, request Request, onReply func(Reply)) (last Reply, err error) {
+	c, err := (&net.Dialer{}).DialContext(ctx, "unix", path)
+	if err != nil {
+		return last, fmt.Errorf("admin: %w", err)
+	}
+	defer func() { _ = c.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	defer stop()
+	b, err := json.Marshal(request)
+	if err != nil {
+		return last, fmt.Errorf("admin: %w", err)
+	}
+	if _, err := c.Write(append(b, '\n')); err != nil {
+		return last, fmt.Errorf("admin: %w", err)
+	}
+	lines := bufio.NewScanner(c)
+	lines.Buffer(nil, maxReplyBytes)
+	for lines.Scan() {
+		last = Reply{}
+		if err := json.Unmarshal(lines.Bytes(), &last); err != nil {
+			return last, fmt.Errorf("admin: %w", err)
+		}
+		if last.Done {
+			return last, nil
+		}
+		onReply(last)
+	}
+	cause := errors.Join(lines.Err(), ctx.Err(), io.ErrUnexpectedEOF)
+	return last, fmt.Errorf("admin: the gateway ended without a last word: %w", cause)
+}
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(c, sent); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer s.Close()
+			defer func() { _ = s.Close() }()
 			request := storedLines(t, tt.name+".request")
 			if got, want := rawCall(t, path, request), storedLines(t, tt.name+".replies"); got != want {
 				t.Errorf("replies\n%s, want\n%s", got, want)
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	lines := make(chan string, 1)
 	go func() {
 		c, err := ln.Accept()
@@ -144,7 +144,7 @@
 			lines <- err.Error()
 			return
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		line, err := bufio.NewReader(c).ReadString('\n')
 		if err != nil {
 			line = err.Error()
