--- a/internal/backend/lineproto/links.go
+++ b/internal/backend/lineproto/links.go
@@ -45,33 +45,33 @@
 type Rows [][]byte
 
 var (
-	_ core.Links        = (*Links)(nil)
-	_ core.LoadReporter = (*Links)(nil)
+	_ core.Links        = (*Backend)(nil)
+	_ core.LoadReporter = (*Backend)(nil)
 )
 
-// Links holds the connections to all engines.
-type Links struct {
+// Backend holds the connections to all engines.
+type Backend struct {
 	loop    *netio.Loop
 	core    *core.Core
 	site    config.Site
 	stats   *metrics.Counters
 	log     *slog.Logger
-	engines *backend.Pool[*link]
+	engines *backend.EngineSet[*link]
 	probes  uint64 // begun
 }
 
 // New returns links that report to the core.
-func New(loop *netio.Loop, c *core.Core, site config.Site, counters *metrics.Counters, l *slog.Logger) *Links {
+func New(loop *netio.Loop, c *core.Core, site config.Site, counters *metrics.Counters, l *slog.Logger) *Backend {
 	site.MaxStreams = max(site.MaxStreams, 1)
 	if site.ConnectTimeout <= 0 {
 		site.ConnectTimeout = 250 * time.Millisecond
 	}
-	return &Links{loop: loop, core: c, site: site, stats: counters, log: l, engines: backend.NewPool[*link]()}
+	return &Backend{loop: loop, core: c, site: site, stats: counters, log: l, engines: backend.NewEngineSet[*link]()}
 }
 
 // link is one connection, from the start of its dial.
 type link struct {
-	all     *Links
+	all     *Backend
 	engine  *backend.Engine[*link]
 	conn    *netio.Conn // nil until it is up
 	streams map[string]*stream
@@ -115,10 +115,10 @@
 func (s *stream) Owner() *core.Attempt { return s.attempt }
 
 // UpdateEngine takes an entry of the roster.
-func (ls *Links) UpdateEngine(e core.Engine) { ls.engines.Engine(e) }
+func (ls *Backend) UpdateEngine(e core.Engine) { ls.engines.Update(e) }
 
 // Send begins an attempt on a connection with room, or on a new one.
-func (ls *Links) Send(a *core.Attempt) {
+func (ls *Backend) Send(a *core.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
 		ls.core.EndAttempt(a, core.OutcomeNoAddress, core.Report{})
@@ -139,7 +139,7 @@
 
 // room finds a link that can take a request of this id.
 func room(e *backend.Engine[*link], id string, most int, now time.Duration) *link {
-	for _, l := range e.Links {
+	for _, l := range e.Connections {
 		if l.retired || len(l.streams) >= most || l.streams[id] != nil || now < l.past[id] || l.conn != nil && l.conn.Disconnected() {
 			continue
 		}
@@ -148,16 +148,16 @@
 	return nil
 }
 
-func (ls *Links) dial(e *backend.Engine[*link]) *link {
+func (ls *Backend) dial(e *backend.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, streams: map[string]*stream{}, past: map[string]time.Duration{}}
-	e.Links = append(e.Links, l)
+	e.Connections = append(e.Connections, l)
 	ls.stats.Add("links.dialed")
 	ls.loop.Dial(e.Addr, ls.site.ConnectTimeout, maxBuffer, l, func(c *netio.Conn, err error) {
 		if err == nil {
 			l.up(c)
 			return
 		}
-		end := backend.DialEnd(err)
+		end := backend.DialOutcome(err)
 		if end != core.OutcomeConnectionRefused {
 			ls.log.Warn("engine.unreachable", "engine", e.ID, "error", err)
 		}
@@ -272,7 +272,7 @@
 }
 
 // Cancel gives an attempt up.
-func (ls *Links) Cancel(a *core.Attempt) bool {
+func (ls *Backend) Cancel(a *core.Attempt) bool {
 	s, ok := a.LinkState.(*stream)
 	if !ok {
 		return true
@@ -350,7 +350,7 @@
 }
 
 // SetPriority sets the priority of an attempt that is out.
-func (ls *Links) SetPriority(a *core.Attempt, priority int) {
+func (ls *Backend) SetPriority(a *core.Attempt, priority int) {
 	if s, ok := a.LinkState.(*stream); ok && s.written && s.missing == 0 && s.link.conn != nil {
 		s.link.conn.Write([]byte("hurry " + a.Request.ID + " " + strconv.Itoa(priority) + "\r\n"))
 	}
--- a/internal/backend/lineproto/probe.go
+++ b/internal/backend/lineproto/probe.go
@@ -19,14 +19,14 @@
 
 // RequestLoadReport asks an engine for its load, on a connection that is up where there is one. An engine
 // that a probe is out to is not asked again: two answers would tell the same.
-func (ls *Links) RequestLoadReport(id string) {
+func (ls *Backend) RequestLoadReport(id string) {
 	e := ls.engines.Get(id)
 	if e == nil {
 		ls.core.EndLoadReport(id, core.OutcomeNoAddress, policy.LoadReport{})
 		return
 	}
 	var on *link
-	for _, l := range e.Links {
+	for _, l := range e.Connections {
 		if l.probe != nil {
 			ls.core.EndLoadReport(id, core.OutcomeNotSent, policy.LoadReport{})
 			return
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,33 +11,35 @@
 	"gannetspur/policy"
 )
 
-// Link is one connection to an engine, from the start of its dial.
-type Link interface {
+// Connection is one connection to an engine, from the start of its dial.
+type Connection interface {
 	comparable
 	// Retire has the link take no more, and close once nothing is open on it.
 	Retire()
 }
 
-// Pool holds the engines of the roster by id: a new engine may have the address
+// EngineSet holds the engines of the roster by id: a new engine may have the address
 // of a gone one.
-type Pool[L Link] struct{ engines map[string]*Engine[L] }
+type EngineSet[L Connection] struct{ engines map[string]*Engine[L] }
 
 // Engine is one engine with its links.
-type Engine[L Link] struct {
-	ID, Addr string
-	Links    []L
-	started  time.Duration
+type Engine[L Connection] struct {
+	ID, Addr    string
+	Connections []L
+	started     time.Duration
 }
 
-// NewPool returns an empty pool.
-func NewPool[L Link]() *Pool[L] { return &Pool[L]{engines: map[string]*Engine[L]{}} }
+// NewEngineSet returns an empty pool.
+func NewEngineSet[L Connection]() *EngineSet[L] {
+	return &EngineSet[L]{engines: map[string]*Engine[L]{}}
+}
 
 // Get looks an engine up; nil if the roster has none of this id.
-func (p *Pool[L]) Get(id string) *Engine[L] { return p.engines[id] }
+func (p *EngineSet[L]) Get(id string) *Engine[L] { return p.engines[id] }
 
-// Engine takes an entry of the roster. Links to an engine that has moved, has
+// Update takes an entry of the roster. Links to an engine that has moved, has
 // started anew or is gone are retired.
-func (p *Pool[L]) Engine(e core.Engine) {
+func (p *EngineSet[L]) Update(e core.Engine) {
 	old := p.engines[e.ID]
 	if old == nil {
 		if e.State != policy.EngineDeparted {
@@ -46,7 +48,7 @@
 		return
 	}
 	if e.State == policy.EngineDeparted || e.Addr != old.Addr || e.Started != old.started {
-		for _, l := range slices.Clone(old.Links) {
+		for _, l := range slices.Clone(old.Connections) {
 			l.Retire()
 		}
 	}
@@ -58,11 +60,11 @@
 
 // Remove takes a link out that has ended.
 func (e *Engine[L]) Remove(l L) {
-	e.Links = slices.DeleteFunc(e.Links, func(o L) bool { return o == l })
+	e.Connections = slices.DeleteFunc(e.Connections, func(o L) bool { return o == l })
 }
 
-// DialEnd tells how a failed dial ends what waited for it.
-func DialEnd(err error) core.Outcome {
+// DialOutcome tells how a failed dial ends what waited for it.
+func DialOutcome(err error) core.Outcome {
 	switch {
 	case netio.IsConnectionRefused(err):
 		return core.OutcomeConnectionRefused
--- a/internal/backend/postgres/codec.go
+++ b/internal/backend/postgres/codec.go
@@ -112,7 +112,7 @@
 	if err := reader.Unmarshal(b, &r); err != nil {
 		return nil, fmt.Errorf("%w: %w", errCodec, err)
 	}
-	if len(r.Rows) > MaxResult || strings.IndexByte(r.Tag, 0) >= 0 {
+	if len(r.Rows) > MaxResultBytes || strings.IndexByte(r.Tag, 0) >= 0 {
 		return nil, fmt.Errorf("%w: a result of %d bytes", errCodec, len(r.Rows))
 	}
 	rest, n := r.Rows, 0
--- a/internal/backend/postgres/codec_test.go
+++ b/internal/backend/postgres/codec_test.go
@@ -72,7 +72,7 @@
 		"rows cut short":        {Rows: row[:len(row)-1], RowCount: 1},
 		"another message":       {Rows: pgproto.AppendMessage(nil, 'E', []byte{0}), RowCount: 1},
 		"a tag that goes on":    {Tag: "SELECT 1\x00Z"},
-		"more than may be held": {Rows: make([]byte, MaxResult+1)},
+		"more than may be held": {Rows: make([]byte, MaxResultBytes+1)},
 	} {
 		enc, err := c.Result(r)
 		if err != nil {
--- a/internal/backend/postgres/links.go
+++ b/internal/backend/postgres/links.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	// MaxResult bounds the rows of one result, which is held until it is whole.
-	MaxResult = 4 << 20
+	// MaxResultBytes bounds the rows of one result, which is held until it is whole.
+	MaxResultBytes = 4 << 20
 	// usualHeld bounds the rows of all results on their way where the options don't.
 	usualHeld = 48 << 20
 	// stallMost is how long an engine may send nothing in the middle of a message.
 	stallMost  = 2 * time.Second
-	maxMessage = MaxResult
+	maxMessage = MaxResultBytes
 	maxNamed   = 32      // statements that stay prepared on one connection
 	maxKept    = 4 << 10 // and the length of each: their texts are kept
 	maxBuffer  = maxMessage + 64<<10
@@ -40,41 +40,41 @@
 
 // Options say how engines are spoken to.
 type Options struct {
-	User, Database string
-	Password       string          // for engines that want SCRAM-SHA-256; "": none
-	TLS            *tls.Config     // nil: connections are not encrypted; else an engine that declines is not spoken to
-	ConnectTimeout time.Duration   // for the connection and its startup together
-	Pool           connpool.Limits // of the connections to each engine
-	MostHeld       int             // bytes of rows of all results that are on their way
+	User, Database   string
+	Password         string          // for engines that want SCRAM-SHA-256; "": none
+	TLS              *tls.Config     // nil: connections are not encrypted; else an engine that declines is not spoken to
+	ConnectTimeout   time.Duration   // for the connection and its startup together
+	Pool             connpool.Limits // of the connections to each engine
+	MaxBufferedBytes int             // bytes of rows of all results that are on their way
 }
 
 var (
-	_ core.Links          = (*Links)(nil)
-	_ core.StreamingLinks = (*Links)(nil)
+	_ core.Links          = (*Backend)(nil)
+	_ core.StreamingLinks = (*Backend)(nil)
 )
 
-// Links holds the connections to all engines.
-type Links struct {
+// Backend holds the connections to all engines.
+type Backend struct {
 	loop    *netio.Loop
 	core    *core.Core
 	opts    Options
 	stats   *metrics.Counters
 	log     *slog.Logger
-	engines *backend.Pool[*link]
+	engines *backend.EngineSet[*link]
 	places  map[string]*place
 	size    int           // of the rows on their way
 	prover  *scram.Client // keeps what it has worked out for each engine's salt; nil: no password
 }
 
 // New returns links that report to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters, l *slog.Logger) *Links {
+func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters, l *slog.Logger) *Backend {
 	if opts.ConnectTimeout <= 0 {
 		opts.ConnectTimeout = time.Second
 	}
-	if opts.MostHeld <= 0 {
-		opts.MostHeld = usualHeld
+	if opts.MaxBufferedBytes <= 0 {
+		opts.MaxBufferedBytes = usualHeld
 	}
-	ls := &Links{loop: loop, core: c, opts: opts, stats: counters, log: l, engines: backend.NewPool[*link](), places: map[string]*place{}}
+	ls := &Backend{loop: loop, core: c, opts: opts, stats: counters, log: l, engines: backend.NewEngineSet[*link](), places: map[string]*place{}}
 	if opts.Password != "" {
 		var err error
 		if ls.prover, err = scram.SHA256.NewClient("", opts.Password, ""); err != nil { // its text is no password: engines will say so
@@ -86,7 +86,7 @@
 
 // link is one connection, from the start of its dial.
 type link struct {
-	all     *Links
+	all     *Backend
 	engine  *backend.Engine[*link]
 	place   *place
 	free    bool        // the pool counts on it
@@ -121,14 +121,14 @@
 // Owner is the attempt that the connection carries; nil: none.
 func (l *link) Owner() *core.Attempt { return l.attempt }
 
-func (ls *Links) dial(e *backend.Engine[*link]) *link {
+func (ls *Backend) dial(e *backend.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, place: ls.place(e.ID), named: map[string]string{}, applied: map[string]string{}}
-	e.Links = append(e.Links, l)
+	e.Connections = append(e.Connections, l)
 	ls.stats.Add("links.dialed")
 	by := ls.loop.Now() + ls.opts.ConnectTimeout
 	ls.loop.Dial(e.Addr, ls.opts.ConnectTimeout, maxBuffer, l, func(c *netio.Conn, err error) {
 		if err != nil {
-			l.lost(backend.DialEnd(err))
+			l.lost(backend.DialOutcome(err))
 			return
 		}
 		l.conn = c
@@ -215,7 +215,7 @@
 }
 
 // Continue puts the next statement of a transaction on its connection.
-func (ls *Links) Continue(a *core.Attempt) {
+func (ls *Backend) Continue(a *core.Attempt) {
 	l, ok := a.LinkState.(*link)
 	if !ok || l.attempt != a || l.conn == nil { // its end is on its way
 		return
@@ -278,7 +278,7 @@
 // Cancel gives an attempt up. Where it was written, the engine is told on a
 // connection of its own, and the link is not used again: the word could arrive
 // late and end whatever ran there next.
-func (ls *Links) Cancel(a *core.Attempt) bool {
+func (ls *Backend) Cancel(a *core.Attempt) bool {
 	if w, ok := a.LinkState.(*waiter); ok {
 		w.leave()
 		return true
@@ -326,7 +326,7 @@
 func (silent) Closed(*netio.Conn, error)            {}
 
 // SetPriority does nothing: this protocol knows no priority.
-func (ls *Links) SetPriority(*core.Attempt, int) {}
+func (ls *Backend) SetPriority(*core.Attempt, int) {}
 
 // Retire has the link take no more.
 func (l *link) Retire() {
@@ -453,10 +453,10 @@
 		r.RowDescription = nil
 	case 'D':
 		switch {
-		case len(r.Rows)+len(whole) > MaxResult:
-			l.stop("54000", fmt.Sprintf("the result is larger than %d bytes", MaxResult))
+		case len(r.Rows)+len(whole) > MaxResultBytes:
+			l.stop("54000", fmt.Sprintf("the result is larger than %d bytes", MaxResultBytes))
 			return nil
-		case l.all.size+len(whole) > l.all.opts.MostHeld:
+		case l.all.size+len(whole) > l.all.opts.MaxBufferedBytes:
 			l.stop("53200", "the gateway holds too many results")
 			return nil
 		}
--- a/internal/backend/postgres/pool.go
+++ b/internal/backend/postgres/pool.go
@@ -23,7 +23,7 @@
 
 // waiter is an attempt that waits for a connection.
 type waiter struct {
-	all     *Links
+	all     *Backend
 	attempt *core.Attempt
 	ticket  *connpool.Ticket
 	place   *place
@@ -44,7 +44,7 @@
 	w.place.pool.Release(w.all.core.Now(), w.ticket)
 }
 
-func (ls *Links) place(id string) *place {
+func (ls *Backend) place(id string) *place {
 	p := ls.places[id]
 	if p == nil {
 		p = &place{pool: connpool.Pool{Limits: ls.opts.Pool}, waits: map[*connpool.Ticket]*waiter{}}
@@ -55,8 +55,8 @@
 
 // UpdateEngine takes an entry of the roster. Guards against sending to an engine that drains, or is taken out by operators, what
 // waited for a connection: it may wait for longer than an engine that drains may be sent to.
-func (ls *Links) UpdateEngine(e core.Engine) {
-	ls.engines.Engine(e)
+func (ls *Backend) UpdateEngine(e core.Engine) {
+	ls.engines.Update(e)
 	p := ls.place(e.ID)
 	if p.live = e.State == policy.EngineLive; p.live {
 		ls.next(e.ID)
@@ -81,7 +81,7 @@
 
 // forget drops what is kept of an engine that the roster does not name, once its connections have ended: one that comes
 // back before has them counted.
-func (ls *Links) forget(id string) {
+func (ls *Backend) forget(id string) {
 	if p := ls.places[id]; p != nil && ls.engines.Get(id) == nil {
 		if p.pool.Stats().Open == 0 && len(p.waits) == 0 {
 			delete(ls.places, id)
@@ -90,7 +90,7 @@
 }
 
 // Send begins an attempt on an idle connection, on a new one, or when one is free.
-func (ls *Links) Send(a *core.Attempt) {
+func (ls *Backend) Send(a *core.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
 		ls.core.EndAttempt(a, core.OutcomeNoAddress, core.Report{})
@@ -122,8 +122,8 @@
 
 // ended has the pool no longer count on connections that have ended, as Closed will tell. Guards against a statement that is
 // promised to one of them.
-func (ls *Links) ended(e *backend.Engine[*link]) {
-	for _, l := range e.Links {
+func (ls *Backend) ended(e *backend.Engine[*link]) {
+	for _, l := range e.Connections {
 		if l.free && l.conn.Disconnected() {
 			l.retired = true
 			l.taken()
@@ -132,10 +132,10 @@
 }
 
 // run gives an attempt the connection that the pool says.
-func (ls *Links) run(e *backend.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Decision) {
+func (ls *Backend) run(e *backend.Engine[*link], a *core.Attempt, ticket *connpool.Ticket, answer connpool.Decision) {
 	var l *link
 	if answer == connpool.UseIdle {
-		for _, o := range e.Links {
+		for _, o := range e.Connections {
 			if o.free {
 				l = o
 				break
@@ -154,7 +154,7 @@
 }
 
 // next has those who wait go, as far as there is room.
-func (ls *Links) next(id string) {
+func (ls *Backend) next(id string) {
 	p, e := ls.places[id], ls.engines.Get(id)
 	if p == nil || e == nil {
 		ls.forget(id)
@@ -174,13 +174,13 @@
 }
 
 // ahead opens a connection ahead where one is wanted.
-func (ls *Links) ahead(id string) {
+func (ls *Backend) ahead(id string) {
 	p, e := ls.places[id], ls.engines.Get(id)
 	if p == nil || e == nil || !p.live {
 		return
 	}
 	opening := 0
-	for _, l := range e.Links {
+	for _, l := range e.Connections {
 		if !l.ready && !l.retired {
 			opening++
 		}
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -63,7 +63,7 @@
 		Password:       deploy.Engine.Password,
 		TLS:            deploy.Engine.Config,
 		ConnectTimeout: config.FromMS(deploy.ConnectTimeoutMS),
-		MostHeld:       limits.memoryFraction(4),
+		MaxBufferedBytes:       limits.memoryFraction(4),
 		Pool: connpool.Limits{
 			MaxConnections: deploy.Pool.PerEngine,
 			MaxPerUser:     deploy.Pool.PerUser,
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -38,7 +38,7 @@
 	site    config.Site
 	log     *slog.Logger
 	addr    string
-	lines   *lineproto.Links
+	lines   *lineproto.Backend
 	rest    *httpapi.Front
 	options httpapi.Options
 	pgwire  pgfrontend.Options
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -289,14 +289,14 @@
 // take nothing more.
 func TestAddressIsUsedAgain(t *testing.T) {
 	var told []string
-	p := backend.NewPool[*fakeLink]()
+	p := backend.NewEngineSet[*fakeLink]()
 	entry := func(id string, state policy.EngineState, started time.Duration) {
-		p.Engine(core.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
+		p.Update(core.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
 	}
 	entry("old", policy.EngineLive, 0)
-	p.Get("old").Links = append(p.Get("old").Links, &fakeLink{"old", &told})
+	p.Get("old").Connections = append(p.Get("old").Connections, &fakeLink{"old", &told})
 	entry("new", policy.EngineLive, 0)
-	if p.Get("new") == p.Get("old") || len(p.Get("new").Links) != 0 {
+	if p.Get("new") == p.Get("old") || len(p.Get("new").Connections) != 0 {
 		t.Error("the new engine has the old one's links")
 	}
 	entry("old", policy.EngineDraining, 0)
@@ -304,7 +304,7 @@
 	if p.Get("old") != nil {
 		t.Error("the gone engine is still there")
 	}
-	p.Get("new").Links = append(p.Get("new").Links, &fakeLink{"new", &told})
+	p.Get("new").Connections = append(p.Get("new").Connections, &fakeLink{"new", &told})
 	entry("new", policy.EngineLive, time.Second)
 	same(t, "retired", strings.Join(told, " "), "old new")
 }
