--- /dev/null
+++ b/internal/backend/lineproto/replay_test.go
@@ -0,0 +1,124 @@
+package lineproto
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+)
+
+const (
+	replayDigestFile = "testdata/parser-replay.sha256"
+	replayAnswers    = 20_000
+)
+
+// TestParserReplay feeds seeded answers of engines, some of them corrupt, cut short or doubled, to the
+// parser, and compares what it reads with the digest that version c18a9bd gave.
+func TestParserReplay(t *testing.T) {
+	random := rand.New(rand.NewPCG(0x11e5, 3))
+	digest := sha256.New()
+	for range replayAnswers {
+		replayInput(digest, corrupted(random, randomAnswer(random)))
+	}
+	got := hex.EncodeToString(digest.Sum(nil))
+	want, err := os.ReadFile(replayDigestFile)
+	if err != nil {
+		t.Fatalf("%v (this run's digest: %s)", err, got)
+	}
+	if got != strings.TrimSpace(string(want)) {
+		t.Errorf("digest of what the parser read = %s, want %s", got, want)
+	}
+}
+
+// replayInput adds to the digest all that is read from one buffer.
+func replayInput(digest hash.Hash, input []byte) {
+	for {
+		answer, n, err := parse(input)
+		fmt.Fprintf(digest, "n=%d error=%t id=%q word=%q fields=%q body=%q\n", n, err != nil, answer.id, answer.word, answer.fields, answer.body)
+		if n == 0 || err != nil {
+			return
+		}
+		replayFields(digest, answer.fields)
+		fmt.Fprintf(digest, "rows=%t\n", wholeRows(answer.body))
+		input = input[n:]
+	}
+}
+
+func replayFields(digest hash.Hash, fields string) {
+	for _, name := range []string{"batches", "batch", "cpu"} {
+		text, ok := field(fields, name)
+		value, isNumber := number(fields, name)
+		fmt.Fprintf(digest, "%s=%q,%t,%g,%t\n", name, text, ok, value, isNumber)
+	}
+	load := gauges(fields)
+	fmt.Fprintf(digest, "load=%t,%g,%g,%g,%g,%g\n", load.Reported, load.CPUUtilization, load.InFlight,
+		load.WaitingForMemory, load.MemoryUtilization, load.DiskUtilization)
+	kind, value, ok := note(fields)
+	fmt.Fprintf(digest, "progress=%d,%g,%t\n", int(kind), value, ok)
+	for _, word := range []string{"WAIT", "BROKE", "PAST", "DONE"} {
+		fmt.Fprintf(digest, "%s=%s\n", word, ends[word])
+	}
+}
+
+func pick(random *rand.Rand, choices ...string) string { return choices[random.IntN(len(choices))] }
+
+func randomAnswer(random *rand.Rand) string {
+	body := ""
+	for range random.IntN(4) {
+		body += pick(random, "a\tb\tc\n", "ä\t\t9\n", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "\x00\t1\t2\n", "\r\t1\t2\n", "\xff\t1\t2\n")
+	}
+	length := len(body)
+	if random.IntN(12) == 0 {
+		length += random.IntN(3) - 1
+	}
+	words := []string{"DONE", "MORE", "WAIT", "BROKE", "PAST", "TELL", "FIT", "UNFIT", "OTHER", ""}
+	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", pick(random, "9b1f00", "p1", "p77", ""), words[random.IntN(len(words))],
+		randomFields(random), length, body)
+}
+
+func randomFields(random *rand.Rand) string {
+	value := func() string {
+		return pick(random, "0", "1", "2", "-1", "0.25", "1e3", "NaN", "Inf", "x", "", "99999999999999999999", "1e999")
+	}
+	var fields []string
+	for range random.IntN(5) {
+		switch name := pick(random, "batches", "batch", "cpu", "used", "num", "res", "gauges", "other"); name {
+		case "res":
+			fields = append(fields, "res="+pick(random, "p", "s", "w", "z"))
+		case "gauges":
+			var gauges []string
+			for range random.IntN(4) {
+				gauges = append(gauges, pick(random, "util", "cpu", "inflight", "active", "queue", "waiting", "x0", "x1", "x2")+":"+value())
+			}
+			fields = append(fields, "gauges="+strings.Join(gauges, ";"))
+		default:
+			fields = append(fields, name+"="+value())
+		}
+	}
+	if len(fields) == 0 {
+		return pick(random, "-", "-", "", "a b")
+	}
+	return strings.Join(fields, ",")
+}
+
+// corrupted doubles an answer, cuts it short, flips a bit of it, makes it too long or leaves it as it is.
+func corrupted(random *rand.Rand, answer string) []byte {
+	b := []byte(answer)
+	switch random.IntN(10) {
+	case 0:
+		b = append(b, b...)
+	case 1:
+		b = b[:random.IntN(len(b)+1)]
+	case 2:
+		b[random.IntN(len(b))] ^= 1 << random.IntN(8)
+	case 3:
+		b = append([]byte(strings.Repeat("x", random.IntN(4<<10))), b...)
+	case 4:
+		b = append(b, randomAnswer(random)...)
+	}
+	return b
+}
