--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -58,12 +58,12 @@
 
 func backendOptions(deploy *config.Postgres, limits limits) pgbackend.Options {
 	return pgbackend.Options{
-		User:           deploy.User,
-		Database:       deploy.Database,
-		Password:       deploy.Engine.Password,
-		TLS:            deploy.Engine.Config,
-		ConnectTimeout: config.FromMS(deploy.ConnectTimeoutMS),
-		MaxBufferedBytes:       limits.memoryFraction(4),
+		User:             deploy.User,
+		Database:         deploy.Database,
+		Password:         deploy.Engine.Password,
+		TLS:              deploy.Engine.Config,
+		ConnectTimeout:   config.FromMS(deploy.ConnectTimeoutMS),
+		MaxBufferedBytes: limits.memoryFraction(4),
 		Pool: connpool.Limits{
 			MaxConnections: deploy.Pool.PerEngine,
 			MaxPerUser:     deploy.Pool.PerUser,
