--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -31,8 +31,8 @@
 	sourceHas bool
 	targetHas bool
 	asked     bool // its request is in the socket, or further
-	at        byte // 'o': the old process has it, 'n': the new one, 0: nobody yet
-	stage     byte // 1 taken, 2 recorded as sent, 3 at an engine, 4 answer recorded; of the new process
+	at        byte // 'o': the source has it, 'n': the target, 'd': done, 0: nobody yet
+	stage     byte // 1 taken, 2 recorded as sent, 3 at an engine, 4 answer recorded; of the target
 	runs      int
 	lateRun   bool // it ran again past its window
 	answers   int
@@ -71,10 +71,10 @@
 
 // faults are guards that a seeded mistake takes away.
 type faults struct {
-	backEarly  bool // taken back before the new process is known to be dead
-	unread     bool // taken back before all that it wrote was read
-	noRecord   bool // the new process sends first and records then
-	blindRetry bool // what may have run is sent again whatever its class
+	reclaimEarly bool // reclaimed before the target is known to be dead
+	unread       bool // reclaimed before all that it wrote was read
+	noRecord     bool // the target sends first and records then
+	blindRetry   bool // what may have run is sent again whatever its class
 }
 
 type step struct {
@@ -102,7 +102,7 @@
 		case StartAccepting:
 			w.sourceListens = true
 		case KillTarget:
-			if f.backEarly {
+			if f.reclaimEarly {
 				w.sourceStep(f, now, TargetExited{})
 			}
 			w.killTarget()
@@ -140,7 +140,7 @@
 	}
 	switch how {
 	case NothingToRecover:
-		if !e.Request.InFlight { // never recorded: the old process reads it anew, if it is still there
+		if !e.Request.InFlight { // never recorded: the source reads it anew, if it is still there
 			if c.stage <= 1 {
 				c.at, c.stage = 0, 0
 			}
@@ -191,7 +191,7 @@
 	}
 }
 
-// record is what the new process tells of a request, in stages: before each next thing.
+// record sends the record of a request at a stage, before the next step.
 func (w *world) record(i int, stage byte) {
 	if w.target.Owner() {
 		return
@@ -214,23 +214,23 @@
 		do("upgrade", func(n *world) { n.upgrades++; n.sourceStep(f, 0, UpgradeRequested{}) })
 	}
 	if w.targetAlive && !w.started {
-		do("new starts", func(n *world) { n.started = true; n.targetStep(TargetStarted{}) })
-		do("new can't serve", func(n *world) { n.started = true; n.targetStep(TargetStarted{"port"}) })
+		do("target starts", func(n *world) { n.started = true; n.targetStep(TargetStarted{}) })
+		do("target can't serve", func(n *world) { n.started = true; n.targetStep(TargetStarted{"port"}) })
 	}
 	if w.targetAlive && w.warming {
-		do("new is warm", func(n *world) { n.warming = false; n.targetStep(StateApplied{}) })
+		do("target has applied the state", func(n *world) { n.warming = false; n.targetStep(StateApplied{}) })
 	}
 	if w.targetAlive && w.started && len(w.toTarget) > 0 {
-		do("to new", func(n *world) { m := n.toTarget[0]; n.toTarget = n.toTarget[1:]; n.targetStep(m) })
+		do("to target", func(n *world) { m := n.toTarget[0]; n.toTarget = n.toTarget[1:]; n.targetStep(m) })
 	}
 	if w.targetAlive && w.started && !w.sourceAlive && len(w.toTarget) == 0 && !w.target.sourceExited {
-		do("new sees the end", func(n *world) { n.targetStep(SourceExited{}) })
+		do("target sees the end", func(n *world) { n.targetStep(SourceExited{}) })
 	}
 	if w.sourceAlive && len(w.toSource) > 0 {
-		do("to old", func(n *world) { m := n.toSource[0]; n.toSource = n.toSource[1:]; n.sourceStep(f, 0, m) })
+		do("to source", func(n *world) { m := n.toSource[0]; n.toSource = n.toSource[1:]; n.sourceStep(f, 0, m) })
 	}
 	if w.sourceAlive && w.spawned && !w.targetAlive && (len(w.toSource) == 0 || f.unread) {
-		do("new is reaped", func(n *world) { n.spawned = false; n.toSource = nil; n.sourceStep(f, 0, TargetExited{}) })
+		do("target is reaped", func(n *world) { n.spawned = false; n.toSource = nil; n.sourceStep(f, 0, TargetExited{}) })
 	}
 	if w.sourceAlive && w.source.revocable() {
 		do("time passes", func(n *world) { n.sourceStep(f, limit, Tick{}) })
@@ -246,10 +246,10 @@
 	}
 	if w.crashes < 2 {
 		if w.targetAlive {
-			do("new crashes", func(n *world) { n.crashes++; n.killTarget() })
+			do("target crashes", func(n *world) { n.crashes++; n.killTarget() })
 		}
 		if w.sourceAlive {
-			do("old crashes", func(n *world) { n.crashes++; n.sourceAlive, n.sourceListens, n.sourceOpen = false, false, false })
+			do("source crashes", func(n *world) { n.crashes++; n.sourceAlive, n.sourceListens, n.sourceOpen = false, false, false })
 		}
 	}
 	return all
@@ -262,10 +262,10 @@
 		do(name("client asks"), func(n *world) { n.conns[i].asked = true })
 	}
 	if c.asked && c.at == 0 && c.sourceHas && w.sourceAlive {
-		do(name("old takes"), func(n *world) { n.conns[i].at = 'o'; n.sourceStep(f, 0, ConnectionBusy{ConnID(i)}) })
+		do(name("source takes"), func(n *world) { n.conns[i].at = 'o'; n.sourceStep(f, 0, ConnectionBusy{ConnID(i)}) })
 	}
 	if c.at == 'o' && w.sourceAlive {
-		do(name("old answers"), func(n *world) {
+		do(name("source answers"), func(n *world) {
 			k := &n.conns[i]
 			n.run(k)
 			k.answers++
@@ -278,17 +278,17 @@
 	}
 	switch {
 	case c.asked && c.at == 0:
-		do(name("new takes"), func(n *world) { n.conns[i].at, n.conns[i].stage = 'n', 1; n.record(i, 1) })
+		do(name("target takes"), func(n *world) { n.conns[i].at, n.conns[i].stage = 'n', 1; n.record(i, 1) })
 	case c.at == 'n' && c.stage == 1 && f.noRecord:
-		do(name("new sends"), func(n *world) { n.conns[i].stage = 3; n.run(&n.conns[i]) })
+		do(name("target sends"), func(n *world) { n.conns[i].stage = 3; n.run(&n.conns[i]) })
 	case c.at == 'n' && c.stage == 1:
-		do(name("new records the send"), func(n *world) { n.conns[i].stage = 2; n.record(i, 2) })
+		do(name("target records the send"), func(n *world) { n.conns[i].stage = 2; n.record(i, 2) })
 	case c.at == 'n' && c.stage == 2:
-		do(name("new sends"), func(n *world) { n.conns[i].stage = 3; n.run(&n.conns[i]) })
+		do(name("target sends"), func(n *world) { n.conns[i].stage = 3; n.run(&n.conns[i]) })
 	case c.at == 'n' && c.stage == 3:
-		do(name("new records the answer"), func(n *world) { n.conns[i].stage = 4; n.record(i, 4) })
+		do(name("target records the answer"), func(n *world) { n.conns[i].stage = 4; n.record(i, 4) })
 	case c.at == 'n' && c.stage == 4:
-		do(name("new answers"), func(n *world) {
+		do(name("target answers"), func(n *world) {
 			n.conns[i].written = true
 			n.conns[i].answers++
 			n.conns[i].at = 'd'
@@ -362,7 +362,7 @@
 			return len(seen), depth, why, path(at)
 		}
 		next := w.steps(f)
-		if !slices.ContainsFunc(next, func(s step) bool { return s.name != "new crashes" && s.name != "old crashes" }) {
+		if !slices.ContainsFunc(next, func(s step) bool { return s.name != "target crashes" && s.name != "source crashes" }) {
 			if why := w.stuck(); why != "" {
 				return len(seen), depth, why, path(at)
 			}
@@ -395,7 +395,7 @@
 // Each guard is needed: without it the check finds a state that breaks a rule.
 func TestModelFindsSeededFaults(t *testing.T) {
 	for name, f := range map[string]faults{
-		"taken back early": {backEarly: true}, "taken back unread": {unread: true},
+		"reclaimed early": {reclaimEarly: true}, "reclaimed unread": {unread: true},
 		"sent unrecorded": {noRecord: true}, "sent again blindly": {blindRetry: true},
 	} {
 		states, _, fault, trace := explore(f, 3e6)
--- a/internal/decide/handover/source_test.go
+++ b/internal/decide/handover/source_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes in whatever order: a connection is given only while it is here and free, is
-// taken back only after it was given and only once the new process is dead, nothing is given
-// while it is being ended, the listener goes on unless the new process has it for good, each
-// upgrade has one report, and the old process leaves only when nothing is here.
+// Whatever comes in whatever order: a connection is transferred only while it is here and idle, is
+// reclaimed only after it was transferred and only once the target is dead, nothing is transferred
+// while the target is being killed, the listener goes on unless the target is the owner, each
+// upgrade has one outcome, and the source exits only when no connection is left here.
 func TestSourceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -22,7 +22,7 @@
 		const (
 			here where = iota
 			busy
-			given
+			transferred
 		)
 		conns := map[ConnID]where{}
 		next, reports, upgrades, accepting, dead, gone := ConnID(1), 0, 0, true, true, false
@@ -37,22 +37,22 @@
 					dead = false
 				case TransferConnection:
 					if conns[e.Conn] != here {
-						t.Fatalf("%d is given, and is %d", e.Conn, conns[e.Conn])
+						t.Fatalf("%d is transferred, and is %d", e.Conn, conns[e.Conn])
 					}
 					if dead {
-						t.Fatalf("%d is given to nobody", e.Conn)
+						t.Fatalf("%d is transferred to nobody", e.Conn)
 					}
-					conns[e.Conn] = given
+					conns[e.Conn] = transferred
 				case ReclaimConnection:
-					if conns[e.Conn] != given || !died {
-						t.Fatalf("%d is taken back, and is %d", e.Conn, conns[e.Conn])
+					if conns[e.Conn] != transferred || !died {
+						t.Fatalf("%d is reclaimed, and is %d", e.Conn, conns[e.Conn])
 					}
 					if conns[e.Conn] = here; e.Request.InFlight {
 						conns[e.Conn] = busy
 					}
 				case ReleaseDuplicate:
-					if conns[e.Conn] != given {
-						t.Fatalf("%d is forgotten, and is %d", e.Conn, conns[e.Conn])
+					if conns[e.Conn] != transferred {
+						t.Fatalf("%d is released, and is %d", e.Conn, conns[e.Conn])
 					}
 					delete(conns, e.Conn)
 				case StopAccepting:
@@ -63,8 +63,8 @@
 					reports++
 				case Exit:
 					for id, w := range conns {
-						if w != given {
-							t.Fatalf("it leaves, and %d is here", id)
+						if w != transferred {
+							t.Fatalf("it exits, and %d is here", id)
 						}
 					}
 					gone = true
@@ -90,7 +90,7 @@
 				was := reports
 				step(UpgradeRequested{})
 				if source.Phase() != Greeting && reports == was {
-					t.Fatal("no word on an upgrade that did not begin")
+					t.Fatal("no outcome of an upgrade that did not begin")
 				} else if reports > was {
 					reports = was
 				}
@@ -121,12 +121,12 @@
 				}
 			},
 			"they close": func(*rapid.T) {
-				if id, ok := some(given); ok && !dead {
+				if id, ok := some(transferred); ok && !dead {
 					step(TargetClosedConnection{id})
 				}
 			},
 			"record": func(t *rapid.T) {
-				if id, ok := some(given); ok && !dead {
+				if id, ok := some(transferred); ok && !dead {
 					step(RequestRecorded{id, Request{InFlight: rapid.Bool().Draw(t, "open")}})
 				}
 			},
@@ -154,7 +154,7 @@
 					dead = true
 					step(TargetExited{})
 					if !gone && source.Phase() != Idle {
-						t.Fatalf("the new process is dead, and the upgrade stands at %v", source.Phase())
+						t.Fatalf("the target is dead, and the phase is %v", source.Phase())
 					}
 				}
 			},
@@ -167,8 +167,8 @@
 	})
 }
 
-// The new process is held to what is usual: where a fifth of all is refused anyway, it may
-// refuse as much, and no more than that by far.
+// The target is judged by what is usual: where a fifth of all is rejected anyway, it may
+// reject as much, and no more than that by far.
 func TestBadAnswers(t *testing.T) {
 	for name, tt := range map[string]struct {
 		usual     float64
@@ -198,7 +198,7 @@
 	}
 }
 
-// A new process that takes requests and answers none does not pass for one without work.
+// A target that takes requests and answers none does not pass for one without work.
 func TestTargetAnswersNothing(t *testing.T) {
 	for open, want := range map[int]Phase{0: Finishing, 3: Returning} {
 		source := NewSource(DefaultConfig(), Version{1, 0})
@@ -213,7 +213,7 @@
 	}
 }
 
-// A new process that dies after it was the owner leaves the old one, while it lives, serving.
+// After a target that dies as the owner, the source serves again while it lives.
 func TestOwnerDies(t *testing.T) {
 	source := NewSource(DefaultConfig(), Version{1, 0})
 	source.Step(0, ConnectionAccepted{1})
--- a/internal/handover/source.go
+++ b/internal/handover/source.go
@@ -2,11 +2,9 @@
 
 import (
 	"log/slog"
-	"maps"
 	"os"
 	"time"
 
-	"gannetspur/internal/core"
 	decide "gannetspur/internal/decide/handover"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -18,8 +16,6 @@
 	pollEvery = 2 * time.Millisecond
 	// memoryCheckEvery is how often the target's memory is checked.
 	memoryCheckEvery = 200 * time.Millisecond
-	// channelClosedGrace is how long the target may live on after its end of the channel has closed.
-	channelClosedGrace = 200 * time.Millisecond
 )
 
 // SourceOptions configure a Source. The functions are called on the loop.
@@ -156,120 +152,6 @@
 	}
 }
 
-// startTarget starts the target, with a goroutine that reads its channel and one that waits for
-// its end. The first ends at the channel's end, which the second forces by killing all that the
-// target has started: any of it may hold the channel open, and write to it still.
-func (s *Source) startTarget() {
-	s.poll()
-	listener, err := s.frontend.Listener().File()
-	if err == nil {
-		s.target, err = startProcess(s.attempt.program, listener, s.connections.localCount())
-		_ = listener.Close()
-	}
-	if err != nil {
-		problem := err.Error()
-		s.loop.Post(func() { s.step(decide.TargetHello{Version: Version, Problem: problem}) })
-		return
-	}
-	target := s.target
-	s.log.Info("upgrade.started", "program", s.attempt.program.Path, "pid", target.pid())
-	channelRead := make(chan struct{})
-	go func() {
-		err := target.channel.Read(func(m Message, fds []int) {
-			closeDescriptors(fds) // a target has none to transfer
-			s.loop.Post(func() { s.handleMessage(m) })
-		})
-		close(channelRead)
-		s.loop.Post(func() { s.channelEnded(target, err) })
-	}()
-	go func() {
-		state := target.cmd.Wait()
-		target.kill()
-		<-channelRead
-		s.loop.Post(func() { s.targetEnded(target, state) })
-	}()
-}
-
-// channelEnded kills a target whose messages can't be read any more: it is of no use, whether
-// it lives or not.
-func (s *Source) channelEnded(target *targetProcess, err error) {
-	if err != nil {
-		s.log.Warn("upgrade.channel", "error", err)
-	}
-	s.loop.Timers.Add(s.loop.Now()+channelClosedGrace, func() {
-		if s.target == target && s.machine.Phase() != decide.Finishing {
-			target.kill()
-		}
-	})
-}
-
-// targetEnded takes the target's death, after all that it wrote was read.
-func (s *Source) targetEnded(target *targetProcess, state error) {
-	s.log.Info("upgrade.process-ended", "pid", target.pid(), "state", state)
-	_ = target.channel.Close() // it was read to its end
-	if s.target == target {
-		s.target = nil
-		s.step(decide.TargetExited{})
-	}
-}
-
-func (s *Source) sendState() {
-	state := s.opts.State()
-	s.attempt.countersSent = maps.Clone(state.Counters)
-	state.Clock = Clock{Now: s.loop.Now(), Monotonic: monotonicNow()}
-	state.Shared = s.frontend.SharedState()
-	m, err := state.message()
-	if err != nil { // then the target has no state, and is not ready in time
-		s.log.Error("upgrade.state", "error", err)
-		return
-	}
-	s.send(m)
-}
-
-// handleMessage takes a message of the target.
-func (s *Source) handleMessage(m Message) {
-	if s.target == nil || s.machine == nil {
-		return
-	}
-	switch m := m.(type) {
-	case *Hello:
-		s.attempt.build = m.Build
-		s.step(decide.TargetHello{Version: decide.Version{Major: m.Major, Minor: m.Minor}, Problem: m.Problem})
-	case *Ready:
-		s.updateConnections()
-		s.step(decide.TargetReady{})
-	case *Heartbeat:
-		s.step(decide.TargetHeartbeat{Good: m.Good, Bad: m.Bad, InFlight: m.InFlight})
-	case *InputRecord:
-		if r := s.connections.retained(m.Conn); r != nil {
-			r.recordInput(m)
-		}
-		s.step(decide.TargetActive{})
-	case *RequestRecord:
-		if r := s.connections.retained(m.Conn); r != nil {
-			r.request = m
-		}
-		s.step(decide.RequestRecorded{Conn: decide.ConnID(m.Conn), Request: m.request()})
-	case *OutputRecord:
-		if r := s.connections.retained(m.Conn); r != nil {
-			r.recordOutput(m)
-		}
-		if m.Idle {
-			s.step(decide.RequestRecorded{Conn: decide.ConnID(m.Conn)})
-		}
-	case *ConnectionClosed:
-		s.step(decide.TargetClosedConnection{Conn: decide.ConnID(m.Conn)})
-	case *SharedState:
-		if err := s.frontend.ApplySharedState(m.Data); err != nil {
-			s.log.Warn("upgrade.shared", "error", err)
-		}
-	case *ForwardedCall:
-		s.frontend.HandleForwardedCall(m.Data)
-	default:
-		s.log.Warn("upgrade.odd-message", "kind", m.kind())
-	}
-}
-
 // poll looks at what happens without a message.
 func (s *Source) poll() {
 	s.poller.Stop()
@@ -327,102 +209,3 @@
 	s.log.Info("upgrade.exit", "pid", os.Getpid())
 	s.opts.Exit()
 }
-
-// updateConnections tells the machine which connections have ended, and which can be transferred.
-func (s *Source) updateConnections() {
-	for id, c := range s.connections.local {
-		if c.Ended() {
-			s.connections.removeLocal(id)
-			s.step(decide.ConnectionClosed{Conn: id})
-			continue
-		}
-		idle := canTransfer(c, transferableHandler(c))
-		if idle != s.connections.busy[id] {
-			continue // as the machine knows it
-		}
-		if idle {
-			delete(s.connections.busy, id)
-			s.step(decide.ConnectionIdle{Conn: id})
-		} else {
-			s.connections.busy[id] = true
-			s.step(decide.ConnectionBusy{Conn: id})
-		}
-	}
-}
-
-// transfer sends a connection to the target and retains what is needed to reclaim it.
-func (s *Source) transfer(id decide.ConnID) {
-	c := s.connections.local[id]
-	if c == nil {
-		return
-	}
-	handler := transferableHandler(c)
-	if !c.Ended() && !canTransfer(c, handler) {
-		s.connections.busy[id] = true
-		s.effects.add(s.machine.Step(s.loop.Now(), decide.TransferCancelled{Conn: id}))
-		return
-	}
-	s.connections.removeLocal(id)
-	state := handler.EncodeState()
-	fd, unread, err := c.Detach()
-	if err != nil { // its end is reported soon
-		s.effects.add(s.machine.Step(s.loop.Now(), decide.TargetClosedConnection{Conn: id}))
-		return
-	}
-	handler.Transferred()
-	s.connections.transferred[id] = newRetained(fd, state, unread)
-	s.send(&ConnectionTransfer{Conn: uint32(id), Frontend: s.frontend.Name(), State: state, Unread: unread}, fd)
-}
-
-// reclaim makes a connection this process's own again. What the target had recorded to write
-// and did not is written first; what it had read and not answered is handled anew, and what it
-// had sent to an engine is sent again only as Recover says.
-func (s *Source) reclaim(id decide.ConnID) {
-	r := s.connections.takeRetained(id)
-	if r == nil {
-		return
-	}
-	orphan, err := s.reattach(r)
-	if err != nil {
-		s.log.Warn("upgrade.lost-connection", "error", err)
-		return
-	}
-	s.stats.Add("upgrade.taken-back")
-	if orphan.MustFail {
-		s.stats.Add("upgrade.in-doubt")
-	}
-}
-
-// reattach puts a retained connection back into the loop. It owns the descriptor.
-func (s *Source) reattach(r *retainedConnection) (core.Orphan, error) {
-	place, err := netio.StreamPositionOf(r.fd)
-	if err != nil {
-		r.close()
-		return core.Orphan{}, err
-	}
-	restore, err := s.frontend.RestoreConnection(r.state)
-	if err != nil {
-		r.close()
-		return core.Orphan{}, err
-	}
-	unread := r.unanswered(place)
-	orphan := r.orphanedRequest(s.loop.Now())
-	c, err := s.loop.Attach(r.fd, s.frontend.ReadLimit(), unread, func(c *netio.Conn) netio.Handler {
-		h := restore(c)
-		if t, ok := h.(Transferable); ok && len(unread) > 0 {
-			t.RecoverRequest(orphan)
-		}
-		return h
-	})
-	if err != nil {
-		return core.Orphan{}, err
-	}
-	if remainder := r.unwritten(place); len(remainder) > 0 {
-		s.stats.Add("upgrade.answers-finished")
-		c.Write(remainder)
-	}
-	if r.closing {
-		c.Close()
-	}
-	return orphan, nil
-}
--- /dev/null
+++ b/internal/handover/transfer.go
@@ -0,0 +1,106 @@
+package handover
+
+import (
+	"gannetspur/internal/core"
+	decide "gannetspur/internal/decide/handover"
+	"gannetspur/internal/netio"
+)
+
+// updateConnections tells the machine which connections have ended, and which can be transferred.
+func (s *Source) updateConnections() {
+	for id, c := range s.connections.local {
+		if c.Ended() {
+			s.connections.removeLocal(id)
+			s.step(decide.ConnectionClosed{Conn: id})
+			continue
+		}
+		idle := canTransfer(c, transferableHandler(c))
+		if idle != s.connections.busy[id] {
+			continue // as the machine knows it
+		}
+		if idle {
+			delete(s.connections.busy, id)
+			s.step(decide.ConnectionIdle{Conn: id})
+		} else {
+			s.connections.busy[id] = true
+			s.step(decide.ConnectionBusy{Conn: id})
+		}
+	}
+}
+
+// transfer sends a connection to the target and retains what is needed to reclaim it.
+func (s *Source) transfer(id decide.ConnID) {
+	c := s.connections.local[id]
+	if c == nil {
+		return
+	}
+	handler := transferableHandler(c)
+	if !c.Ended() && !canTransfer(c, handler) {
+		s.connections.busy[id] = true
+		s.effects.add(s.machine.Step(s.loop.Now(), decide.TransferCancelled{Conn: id}))
+		return
+	}
+	s.connections.removeLocal(id)
+	state := handler.EncodeState()
+	fd, unread, err := c.Detach()
+	if err != nil { // its end is reported soon
+		s.effects.add(s.machine.Step(s.loop.Now(), decide.TargetClosedConnection{Conn: id}))
+		return
+	}
+	handler.Transferred()
+	s.connections.transferred[id] = newRetained(fd, state, unread)
+	s.send(&ConnectionTransfer{Conn: uint32(id), Frontend: s.frontend.Name(), State: state, Unread: unread}, fd)
+}
+
+// reclaim makes a connection this process's own again. What the target had recorded to write
+// and did not is written first; what it had read and not answered is handled anew, and what it
+// had sent to an engine is sent again only as Recover says.
+func (s *Source) reclaim(id decide.ConnID) {
+	r := s.connections.takeRetained(id)
+	if r == nil {
+		return
+	}
+	orphan, err := s.reattach(r)
+	if err != nil {
+		s.log.Warn("upgrade.lost-connection", "error", err)
+		return
+	}
+	s.stats.Add("upgrade.taken-back")
+	if orphan.MustFail {
+		s.stats.Add("upgrade.in-doubt")
+	}
+}
+
+// reattach puts a retained connection back into the loop. It owns the descriptor.
+func (s *Source) reattach(r *retainedConnection) (core.Orphan, error) {
+	place, err := netio.StreamPositionOf(r.fd)
+	if err != nil {
+		r.close()
+		return core.Orphan{}, err
+	}
+	restore, err := s.frontend.RestoreConnection(r.state)
+	if err != nil {
+		r.close()
+		return core.Orphan{}, err
+	}
+	unread := r.unanswered(place)
+	orphan := r.orphanedRequest(s.loop.Now())
+	c, err := s.loop.Attach(r.fd, s.frontend.ReadLimit(), unread, func(c *netio.Conn) netio.Handler {
+		h := restore(c)
+		if t, ok := h.(Transferable); ok && len(unread) > 0 {
+			t.RecoverRequest(orphan)
+		}
+		return h
+	})
+	if err != nil {
+		return core.Orphan{}, err
+	}
+	if remainder := r.unwritten(place); len(remainder) > 0 {
+		s.stats.Add("upgrade.answers-finished")
+		c.Write(remainder)
+	}
+	if r.closing {
+		c.Close()
+	}
+	return orphan, nil
+}
--- a/internal/takeover/folder_test.go
+++ b/internal/takeover/folder_test.go
@@ -38,9 +38,9 @@
 	return all
 }
 
-// A state is read whole or not at all: cut at any byte, with any byte changed, of another
+// A state is read complete or not at all: cut at any byte, with any byte changed, of another
 // version, under another's name or of a process that is dead, there is none.
-func TestOnlyWholeStatesOfTheLiving(t *testing.T) {
+func TestOnlyCompleteStatesOfLivingProcesses(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir), open(t, dir)
 	want := stateOf(a)
@@ -51,17 +51,17 @@
 		t.Fatal(diff)
 	}
 	path := filepath.Join(dir, a.Self()+stateSuffix)
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := range whole {
-		if _, err := decodeState(whole[:cut]); err == nil {
-			t.Errorf("taken, cut at byte %d of %d", cut, len(whole))
+	for cut := range complete {
+		if _, err := decodeState(complete[:cut]); err == nil {
+			t.Errorf("taken, cut at byte %d of %d", cut, len(complete))
 		}
-		spoilt := append([]byte(nil), whole...)
-		spoilt[cut] ^= 1
-		if _, err := decodeState(spoilt); err == nil {
+		damaged := append([]byte(nil), complete...)
+		damaged[cut] ^= 1
+		if _, err := decodeState(damaged); err == nil {
 			t.Errorf("taken, with byte %d changed", cut)
 		}
 	}
@@ -74,7 +74,7 @@
 			t.Fatal(err)
 		}
 	}
-	put(whole[:len(whole)/2])
+	put(complete[:len(complete)/2])
 	if all := others(t, b); len(all) > 0 {
 		t.Errorf("a torn file was taken: %v", all)
 	}
@@ -86,7 +86,7 @@
 	if all := others(t, b); len(all) > 0 {
 		t.Errorf("a state under another's name was taken: %v", all)
 	}
-	put(whole)
+	put(complete)
 	if all := others(t, b); len(all) != 1 {
 		t.Errorf("%d states, want 1", len(all))
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// Where there is no room for a new state the one before it stays whole, and nothing of the new one
+// Where there is no room for a new state the one before it stays complete, and nothing of the new one
 // takes room.
 func TestNoRoomForState(t *testing.T) {
 	dir := t.TempDir()
