--- /dev/null
+++ b/internal/frontend/postgres/errors.go
@@ -0,0 +1,137 @@
+package postgres
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"gannetspur/internal/core"
+	"gannetspur/internal/pgproto"
+)
+
+// SQLSTATE codes (PostgreSQL's manual, appendix A).
+const (
+	codeProtocolViolation        = "08P01"
+	codeFeatureNotSupported      = "0A000"
+	codeNullValueNotAllowed      = "22004"
+	codeInvalidParameterValue    = "22023"
+	codeActiveTransaction        = "25001"
+	codeNoActiveTransaction      = "25P01"
+	codeInFailedTransaction      = "25P02"
+	codeIdleInTransactionTimeout = "25P03"
+	codeTransactionTimeout       = "25P04"
+	codeInvalidStatementName     = "26000"
+	codeInvalidAuthorization     = "28000"
+	codeInvalidPassword          = "28P01"
+	codeInvalidCursorName        = "34000"
+	codeTransactionRollback      = "40000"
+	codeCompletionUnknown        = "40003"
+	codeInsufficientPrivilege    = "42501"
+	codeSyntaxError              = "42601"
+	codeUndefinedObject          = "42704"
+	codeDuplicateCursor          = "42P03"
+	codeDuplicateStatement       = "42P05"
+	codeInsufficientResources    = "53000"
+	codeOutOfMemory              = "53200"
+	codeTooManyConnections       = "53300"
+	codeProgramLimitExceeded     = "54000"
+	codeObjectNotInPrerequisite  = "55000"
+	codeQueryCanceled            = "57014"
+	codeAdminShutdown            = "57P01"
+	codeSystemError              = "58000"
+)
+
+const (
+	severityError = "ERROR"
+	severityFatal = "FATAL"
+)
+
+// Messages that PostgreSQL words the same way.
+const (
+	messageStatementTimeout       = "canceling statement due to statement timeout"
+	messageTransactionTimeout     = "terminating connection due to transaction timeout"
+	messageIdleTransactionTimeout = "terminating connection due to idle-in-transaction timeout"
+)
+
+var errUnknownMessageType = errors.New("a message of a kind that no client sends")
+
+func newError(code, format string, args ...any) *pgproto.Error {
+	return &pgproto.Error{Severity: severityError, Code: code, Message: fmt.Sprintf(format, args...)}
+}
+
+// asProtocolError returns the ErrorResponse in an error's chain, or a protocol violation that says
+// what the error says.
+func asProtocolError(err error) *pgproto.Error {
+	if e := pgproto.AsError(err); e != nil {
+		return e
+	}
+	return newError(codeProtocolViolation, "%v", err)
+}
+
+func errMalformed(message string) *pgproto.Error {
+	return newError(codeProtocolViolation, "malformed %s message", message)
+}
+
+func errShutdown() *pgproto.Error { return newError(codeAdminShutdown, "the gateway is stopping") }
+
+func errCanceledByUser() *pgproto.Error {
+	return newError(codeQueryCanceled, "canceling statement due to user request")
+}
+
+func errStatementTimeout() *pgproto.Error {
+	return newError(codeQueryCanceled, messageStatementTimeout)
+}
+
+func errInFailedTransaction() *pgproto.Error {
+	return newError(codeInFailedTransaction, "current transaction is aborted, commands ignored until end of transaction block")
+}
+
+// errInDoubt answers a statement that was sent and may have run.
+func errInDoubt() *pgproto.Error {
+	return newError(codeCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
+}
+
+func errRejected(retryAfter time.Duration) *pgproto.Error {
+	e := newError(codeInsufficientResources, "the engines are busy; the statement was refused, and trying again is harmless")
+	if retryAfter > 0 {
+		roundedUp := (retryAfter + time.Millisecond - 1) / time.Millisecond
+		e.Hint = fmt.Sprintf("Try again in %d ms.", roundedUp)
+	}
+	return e
+}
+
+// answerError words a final answer that is no completion. Each kind has a code of its own; an
+// engine's error about the statement passes on unchanged.
+func answerError(a core.Answer) *pgproto.Error {
+	engineError := pgproto.AsError(a.EngineError)
+	switch {
+	case a.InDoubt && engineError == nil: // also past its deadline: a time-out would say that nothing was done
+		return errInDoubt()
+	case a.InDoubt:
+		return engineError
+	case a.DeadlinePassed:
+		return errStatementTimeout()
+	case a.Verdict == core.Rejected:
+		return errRejected(a.RetryAfter)
+	case engineError != nil:
+		return engineError
+	case a.Sent:
+		return errInDoubt()
+	}
+	return newError(codeSystemError, "the statement could not be sent to any engine")
+}
+
+// transactionError words the failure of a statement within a transaction. Its commit was not sent,
+// so a lost connection means that all of it is rolled back.
+func transactionError(a core.Answer) *pgproto.Error {
+	engineError := pgproto.AsError(a.EngineError)
+	switch {
+	case engineError != nil:
+		return engineError
+	case a.Verdict == core.Rejected:
+		return answerError(a)
+	case a.DeadlinePassed:
+		return errStatementTimeout()
+	}
+	return newError(codeTransactionRollback, "the connection to the engine was lost; the transaction is rolled back")
+}
--- /dev/null
+++ b/internal/frontend/postgres/portal.go
@@ -0,0 +1,285 @@
+package postgres
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+
+	"gannetspur/internal/pgproto"
+	"gannetspur/internal/sqltext"
+)
+
+// portal is a statement with its values. It runs once: rows that are fetched later come from those
+// that are held here, also when its engine has drained meanwhile.
+type portal struct {
+	statement *statement
+	bind      []byte          // the body of its Bind past the names
+	values    sqltext.Binds   // within bind
+	key       string          // of a class that needs one
+	result    *pgproto.Result // complete, without its rows; nil: it has not run
+	remaining []byte          // rows that were not sent yet
+	sentRows  int
+	completed bool // its completion was sent
+}
+
+func (c *connection) handleBind(body []byte) *pgproto.Error {
+	r := pgproto.Reader{Rest: body}
+	portalName := r.CString()
+	statementName := r.CString()
+	r.Rest = bytes.Clone(r.Rest) // the portal keeps it, and the values lie within
+	bind := r.Rest
+	values, ok := readBind(&r)
+	if !ok {
+		return errMalformed("Bind")
+	}
+	s := c.statements[statementName]
+	switch {
+	case s == nil:
+		return newError(codeInvalidStatementName, "prepared statement %q does not exist", statementName)
+	case portalName != "" && c.portals[portalName] != nil:
+		return newError(codeDuplicateCursor, "portal %q already exists", portalName)
+	case len(c.portals) >= maxPortals:
+		return newError(codeProgramLimitExceeded, "more than %d portals", maxPortals)
+	}
+	if want, known := s.parameterCount(); known && want != len(values.Values) {
+		return newError(codeProtocolViolation, "bind message supplies %d parameters, but the prepared statement requires %d", len(values.Values), want)
+	}
+	p := &portal{statement: s, bind: bind}
+	if s.shape != nil {
+		p.values = values
+	}
+	if s.runsAtEngine() {
+		var e *pgproto.Error
+		if p.key, e = s.readKey(values.Values); e != nil {
+			return e
+		}
+	}
+	c.dropPortal(portalName) // the unnamed one is replaced
+	c.portals[portalName] = p
+	c.out.bindComplete()
+	return nil
+}
+
+// readBind reads a Bind past its names: formats, values and result formats.
+func readBind(r *pgproto.Reader) (b sqltext.Binds, ok bool) {
+	formats := r.Count()
+	b.Formats = r.Rest[:min(2*formats, len(r.Rest))]
+	if !readFormats(r, formats) {
+		return b, false
+	}
+	values := r.Count()
+	oneForEach := formats <= 1 || formats == values
+	if !oneForEach || r.Invalid {
+		return b, false
+	}
+	for range values {
+		value, ok := readValue(r)
+		if !ok {
+			return b, false
+		}
+		b.Values = append(b.Values, value)
+	}
+	if !readFormats(r, r.Count()) {
+		return b, false
+	}
+	return b, r.Complete()
+}
+
+// readFormats reads format codes, each text (0) or binary (1).
+func readFormats(r *pgproto.Reader, n int) (ok bool) {
+	for range n {
+		if format := r.Int16(); format != 0 && format != 1 {
+			return false
+		}
+	}
+	return true
+}
+
+// readValue reads one value; nil: it is null.
+func readValue(r *pgproto.Reader) (value []byte, ok bool) {
+	const sizeOfNull = -1
+	size := r.Int32()
+	if size >= 0 {
+		value = r.Bytes(size)
+	} else if size != sizeOfNull {
+		return nil, false
+	}
+	return value, !r.Invalid
+}
+
+// describePortalLater notes that a portal's description is due. An Execute is likely to follow, and
+// brings it along.
+func (c *connection) describePortalLater(name string) *pgproto.Error {
+	if c.portals[name] == nil {
+		return newError(codeInvalidCursorName, "portal %q does not exist", name)
+	}
+	c.describePending = true
+	c.describedPortal = name
+	return nil
+}
+
+// settleDescribe settles a portal's description once the next message shows whether an Execute
+// brings it along. It reports whether that message must wait for an engine's answer.
+func (c *connection) settleDescribe(kind byte, body []byte) (wait bool) {
+	p := c.portals[c.describedPortal]
+	r := pgproto.Reader{Rest: body}
+	if kind == msgExecute && r.CString() == c.describedPortal && p.result == nil && !p.statement.empty {
+		return false // handleExecute sees to it
+	}
+	c.describePending = false
+	c.describeStatement(p.statement, func() { c.sendPortalDescription(p) })
+	return c.request.request != nil
+}
+
+func (c *connection) sendPortalDescription(p *portal) {
+	description := p.statement.description
+	switch {
+	case p.result != nil:
+		c.out.rowDescription(p.result.RowDescription)
+	case description == nil || description.RowDescription == nil:
+		c.out.rowDescription(nil)
+	default:
+		fields, err := pgproto.WithResultFormats(description.RowDescription, p.bind)
+		if err != nil {
+			c.fail(errMalformed("RowDescription"))
+			return
+		}
+		c.out.rowDescription(fields)
+	}
+}
+
+func (c *connection) handleExecute(body []byte) *pgproto.Error {
+	describe := c.describePending
+	c.describePending = false
+	r := pgproto.Reader{Rest: body}
+	name := r.CString()
+	maxRows := r.Int32()
+	if !r.Complete() {
+		return errMalformed("Execute")
+	}
+	p := c.portals[name]
+	switch {
+	case p == nil:
+		return newError(codeInvalidCursorName, "portal %q does not exist", name)
+	case p.statement.empty:
+		c.out.emptyQueryResponse()
+		return nil
+	case p.statement.control != "":
+		if describe {
+			c.out.rowDescription(nil)
+		}
+		return c.control(p.statement, c.out.commandComplete)
+	case p.result != nil:
+		c.releaseRows(p)
+		e := c.sendRows(p, maxRows)
+		c.holdRows(p)
+		return e
+	}
+	c.runPortal(p, func() {
+		if describe {
+			c.out.rowDescription(p.result.RowDescription)
+		}
+		_ = c.sendRows(p, maxRows) // it has not run before
+		c.holdRows(p)
+	})
+	return nil
+}
+
+// runPortal has an engine run a portal, and goes on with done where that succeeds.
+func (c *connection) runPortal(p *portal, done func()) {
+	s := p.statement
+	p.values.Types = s.parameterOIDs()
+	c.execute(execution{
+		statement: s,
+		message:   &pgproto.Statement{Query: s.query, ParameterTypes: s.parameterTypes, Bind: p.bind},
+		key:       p.key,
+		values:    &p.values,
+		onResult: func(res *pgproto.Result) {
+			p.result = res
+			p.remaining = res.Rows
+			res.Rows = nil
+			done()
+		},
+	})
+}
+
+// sendRows sends rows of a portal that has run: all, or maxRows of them if that is above 0.
+func (c *connection) sendRows(p *portal, maxRows int) *pgproto.Error {
+	res := p.result
+	if p.completed && res.RowDescription == nil {
+		return newError(codeObjectNotInPrerequisite, "the portal has run and cannot be run again")
+	}
+	sent := c.takeRows(p, maxRows)
+	switch {
+	case maxRows > 0 && sent == maxRows:
+		c.out.portalSuspended()
+	case res.EmptyQuery:
+		c.out.emptyQueryResponse()
+		p.completed = true
+	default:
+		c.out.commandComplete(completionTag(res, sent))
+		p.completed = true
+	}
+	return nil
+}
+
+// takeRows moves rows of a portal to the output. It returns their number.
+func (c *connection) takeRows(p *portal, maxRows int) (n int) {
+	size := 0
+	for size < len(p.remaining) && (maxRows <= 0 || n < maxRows) {
+		_, _, rowSize, _ := pgproto.ReadMessage(p.remaining[size:], len(p.remaining))
+		size += rowSize
+		n++
+	}
+	c.out.raw(p.remaining[:size])
+	p.remaining = p.remaining[size:]
+	p.sentRows += n
+	return n
+}
+
+// completionTag is an engine's tag with the number of rows that one Execute was given.
+func completionTag(res *pgproto.Result, rows int) string {
+	verb, _, hasCount := strings.Cut(res.Tag, " ")
+	if !hasCount || rows == res.RowCount {
+		return res.Tag
+	}
+	return verb + " " + strconv.Itoa(rows)
+}
+
+// sendResult sends the whole result of a statement of a Query.
+func (c *connection) sendResult(s *statement, res *pgproto.Result) {
+	if res.RowDescription != nil {
+		c.out.rowDescription(res.RowDescription)
+	}
+	const allRows = 0
+	_ = c.sendRows(&portal{statement: s, result: res, remaining: res.Rows}, allRows) // it has not run before
+}
+
+// holdRows counts the rows that a portal keeps. A portal that would keep too much keeps nothing,
+// and the batch fails.
+func (c *connection) holdRows(p *portal) {
+	f := c.frontend
+	if f.heldBytes+len(p.remaining) > f.opts.MaxHeldBytes {
+		p.remaining = nil
+		c.fail(newError(codeOutOfMemory, "open portals hold too many rows; fetch them, or ask for all at once"))
+		return
+	}
+	f.heldBytes += len(p.remaining)
+}
+
+// releaseRows is the reverse of holdRows.
+func (c *connection) releaseRows(p *portal) { c.frontend.heldBytes -= len(p.remaining) }
+
+func (c *connection) dropPortal(name string) {
+	if p := c.portals[name]; p != nil {
+		c.releaseRows(p)
+		delete(c.portals, name)
+	}
+}
+
+func (c *connection) dropPortals() {
+	for _, p := range c.portals {
+		c.releaseRows(p)
+	}
+	clear(c.portals)
+}
