--- /dev/null
+++ b/internal/backend/lineproto/command.go
@@ -0,0 +1,94 @@
+package lineproto
+
+import "strconv"
+
+// Commands to an engine. Each is a line that ends in CR LF; a request's statement follows its line.
+
+// commandCapacity is the space in bytes for one or two commands without a statement: an ID has 16 characters.
+const commandCapacity = 64
+
+// newCommand returns an empty buffer for commands.
+func newCommand() []byte { return make([]byte, 0, commandCapacity) }
+
+// requestCommand starts a statement.
+type requestCommand struct {
+	id             string
+	class          string
+	timeLeftMS     int64
+	idempotencyKey string // "": none
+	memoryMB       int64  // granted; below 1: the engine chooses
+	priority       int
+	statement      Statement
+}
+
+// requestOverhead is the space in bytes for a request's line and line ends.
+const requestOverhead = 160
+
+func (r requestCommand) encode() []byte {
+	b := make([]byte, 0, requestOverhead+len(r.statement))
+	b = append(b, "want "...)
+	b = append(b, r.id...)
+	b = append(b, " kind="...)
+	b = append(b, r.class...)
+	b = append(b, ",ms="...)
+	b = strconv.AppendInt(b, r.timeLeftMS, 10)
+	if r.idempotencyKey != "" {
+		b = append(b, ",token="...)
+		b = append(b, r.idempotencyKey...)
+	}
+	if r.memoryMB >= 1 {
+		b = append(b, ",mb="...)
+		b = strconv.AppendInt(b, r.memoryMB, 10)
+	}
+	b = append(b, ",nice="...)
+	b = strconv.AppendInt(b, int64(r.priority), 10)
+	b = append(b, ' ')
+	b = strconv.AppendInt(b, int64(len(r.statement)), 10)
+	b = append(b, "\r\n"...)
+	b = append(b, r.statement...)
+	return append(b, "\r\n"...)
+}
+
+// appendCancelCommand adds the command that cancels a request.
+func appendCancelCommand(b []byte, id string) []byte {
+	return appendLine(b, "never_mind ", id)
+}
+
+// appendReleaseCommand adds the command that frees the pages of a result.
+func appendReleaseCommand(b []byte, id string) []byte {
+	return appendLine(b, "shut ", id)
+}
+
+// appendPageCommand adds the command that fetches one page of a result.
+func appendPageCommand(b []byte, id string, page int) []byte {
+	return appendNumberedLine(b, "turn ", id, page)
+}
+
+// appendPriorityCommand adds the command that changes a request's priority.
+func appendPriorityCommand(b []byte, id string, priority int) []byte {
+	return appendNumberedLine(b, "hurry ", id, priority)
+}
+
+// appendHealthCheckCommand adds the command that asks whether the engine is up.
+func appendHealthCheckCommand(b []byte, tag string) []byte {
+	return appendLine(b, "there ", tag)
+}
+
+// appendLoadReportCommand adds the command that asks for the engine's load.
+func appendLoadReportCommand(b []byte, tag string) []byte {
+	return appendLine(b, "busy ", tag)
+}
+
+func appendLine(b []byte, command, id string) []byte {
+	b = append(b, command...)
+	b = append(b, id...)
+	return append(b, "\r\n"...)
+}
+
+func appendNumberedLine(b []byte, command, id string, number int) []byte {
+	b = append(b, command...)
+	b = append(b, id...)
+	b = append(b, ' ')
+	b = strconv.AppendInt(b, int64(number), 10)
+	return append(b, "\r\n"...)
+}
--- a/internal/backend/lineproto/parse_test.go
+++ b/internal/backend/lineproto/parser_test.go
@@ -7,11 +7,11 @@
 	f.Add([]byte("9b1f DONE batches=2,cpu=1.5,gauges=util:0.5;x 3\r\na\tb\r\n"))
 	f.Add([]byte("p1 FIT gauges=inflight:7;util:0.61 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, n, err := parse(b)
+		a, n, err := parseAnswer(b)
 		if n > len(b) || len(a.body) > n || err != nil && n != 0 {
 			t.Fatalf("%d of %d bytes, body %d, %v", n, len(b), len(a.body), err)
 		}
-		gauges(a.fields)
-		note(a.fields)
+		parseLoadReport(a.fields)
+		parseProgress(a.fields)
 	})
 }
--- a/internal/backend/lineproto/replay_test.go
+++ b/internal/backend/lineproto/replay_test.go
@@ -34,50 +34,55 @@
 	}
 }
 
+func record(digest hash.Hash, format string, values ...any) {
+	_, _ = fmt.Fprintf(digest, format, values...) // a hash never fails
+}
+
 // replayInput adds to the digest all that is read from one buffer.
 func replayInput(digest hash.Hash, input []byte) {
 	for {
-		answer, n, err := parse(input)
-		fmt.Fprintf(digest, "n=%d error=%t id=%q word=%q fields=%q body=%q\n", n, err != nil, answer.id, answer.word, answer.fields, answer.body)
+		a, n, err := parseAnswer(input)
+		record(digest, "n=%d error=%t id=%q word=%q fields=%q body=%q\n", n, err != nil, a.id, a.kind, a.fields, a.body)
 		if n == 0 || err != nil {
 			return
 		}
-		replayFields(digest, answer.fields)
-		fmt.Fprintf(digest, "rows=%t\n", wholeRows(answer.body))
+		replayFields(digest, a.fields)
+		record(digest, "rows=%t\n", hasCompleteRows(a.body))
 		input = input[n:]
 	}
 }
 
 func replayFields(digest hash.Hash, fields string) {
 	for _, name := range []string{"batches", "batch", "cpu"} {
-		text, ok := field(fields, name)
-		value, isNumber := number(fields, name)
-		fmt.Fprintf(digest, "%s=%q,%t,%g,%t\n", name, text, ok, value, isNumber)
+		text, ok := fieldValue(fields, name)
+		value, isNumber := numberField(fields, name)
+		record(digest, "%s=%q,%t,%g,%t\n", name, text, ok, value, isNumber)
 	}
-	load := gauges(fields)
-	fmt.Fprintf(digest, "load=%t,%g,%g,%g,%g,%g\n", load.Reported, load.CPUUtilization, load.InFlight,
+	load := parseLoadReport(fields)
+	record(digest, "load=%t,%g,%g,%g,%g,%g\n", load.Reported, load.CPUUtilization, load.InFlight,
 		load.WaitingForMemory, load.MemoryUtilization, load.DiskUtilization)
-	kind, value, ok := note(fields)
-	fmt.Fprintf(digest, "progress=%d,%g,%t\n", int(kind), value, ok)
-	for _, word := range []string{"WAIT", "BROKE", "PAST", "DONE"} {
-		fmt.Fprintf(digest, "%s=%s\n", word, ends[word])
+	kind, value, ok := parseProgress(fields)
+	record(digest, "progress=%d,%g,%t\n", int(kind), value, ok)
+	for _, kind := range []answerKind{"WAIT", "BROKE", "PAST", "DONE"} {
+		record(digest, "%s=%s\n", string(kind), failureOutcomes[kind])
 	}
 }
 
 func pick(random *rand.Rand, choices ...string) string { return choices[random.IntN(len(choices))] }
 
 func randomAnswer(random *rand.Rand) string {
-	body := ""
+	var body strings.Builder
 	for range random.IntN(4) {
-		body += pick(random, "a\tb\tc\n", "ä\t\t9\n", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "\x00\t1\t2\n", "\r\t1\t2\n", "\xff\t1\t2\n")
+		body.WriteString(pick(random, "a\tb\tc\n", "ä\t\t9\n", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc",
+			"\x00\t1\t2\n", "\r\t1\t2\n", "\xff\t1\t2\n"))
 	}
-	length := len(body)
+	length := body.Len()
 	if random.IntN(12) == 0 {
 		length += random.IntN(3) - 1
 	}
 	words := []string{"DONE", "MORE", "WAIT", "BROKE", "PAST", "TELL", "FIT", "UNFIT", "OTHER", ""}
 	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", pick(random, "9b1f00", "p1", "p77", ""), words[random.IntN(len(words))],
-		randomFields(random), length, body)
+		randomFields(random), length, body.String())
 }
 
 func randomFields(random *rand.Rand) string {
--- a/internal/backend/lineproto/codec.go
+++ b/internal/backend/lineproto/result_codec.go
@@ -1,6 +1,7 @@
 package lineproto
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"unicode/utf8"
@@ -10,16 +11,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Codec turns statements and rows into bytes and back, for gateways that pass them on. What it
-// reads is checked as what clients and engines send is.
+// Codec encodes statements and rows for forwarding between gateways. What it decodes
+// is checked like what clients and engines send.
 type Codec struct{}
 
-// mostStatement bounds a statement of another gateway, as the front bounds a client's.
-const mostStatement = 64 << 10
+// maxStatementBytes bounds a statement of another gateway, as the frontend bounds a client's.
+const maxStatementBytes = 64 << 10
 
-var errCodec = errors.New("lines: what another gateway sent can't be used")
+var errCodec = errors.New("line protocol: what another gateway sent can't be used")
 
-// Form names what is encoded.
+// Form returns the name of the encoding.
 func (Codec) Form() string { return "lines" }
 
 // Statement encodes a statement.
@@ -31,15 +32,13 @@
 	return []byte(text), nil
 }
 
-// ReadStatement reads one: text in UTF-8 without zeros.
+// ReadStatement decodes a statement: text in UTF-8 without zeros.
 func (Codec) ReadStatement(b []byte) (core.Statement, error) {
-	if len(b) == 0 || len(b) > mostStatement || !utf8.Valid(b) {
+	if len(b) == 0 || len(b) > maxStatementBytes || !utf8.Valid(b) {
 		return nil, fmt.Errorf("%w: a statement that is no text", errCodec)
 	}
-	for _, c := range b {
-		if c == 0 {
-			return nil, fmt.Errorf("%w: a statement with a zero", errCodec)
-		}
+	if bytes.IndexByte(b, 0) >= 0 {
+		return nil, fmt.Errorf("%w: a statement with a zero", errCodec)
 	}
 	return Statement(b), nil
 }
@@ -53,28 +52,28 @@
 	return cbor.Marshal([][]byte(rows))
 }
 
-// ReadResult reads rows: whole ones, within what an engine may send.
+// ReadResult decodes rows: complete ones, within what an engine may send.
 func (Codec) ReadResult(b []byte) (core.Result, error) {
 	var pages [][]byte
 	if err := cbor.Unmarshal(b, &pages); err != nil {
 		return nil, fmt.Errorf("%w: %w", errCodec, err)
 	}
 	rows := Rows(pages)
-	for _, p := range rows {
-		if !wholeRows(p) {
-			return nil, fmt.Errorf("%w: %w", errCodec, errBody)
+	for _, page := range rows {
+		if !hasCompleteRows(page) {
+			return nil, fmt.Errorf("%w: %w", errCodec, errInvalidPage)
 		}
 	}
-	if len(rows) > maxPages || rows.Size() > maxResult {
+	if len(rows) > maxPages || rows.Size() > maxResultBytes {
 		return nil, fmt.Errorf("%w: %d pages of %d bytes", errCodec, len(rows), rows.Size())
 	}
 	return rows, nil
 }
 
-// Detail has nothing to tell: engines of this wire give no reasons.
+// Detail returns nothing: engines of this protocol give no reasons.
 func (Codec) Detail(error) []byte { return nil }
 
-// ReadDetail is not asked for what Detail never gives.
+// ReadDetail fails: Detail never returns anything to decode.
 func (Codec) ReadDetail([]byte) (detail, err error) {
 	return nil, fmt.Errorf("%w: a reason", errCodec)
 }
--- a/internal/backend/lineproto/codec_test.go
+++ b/internal/backend/lineproto/result_codec_test.go
@@ -27,14 +27,14 @@
 	if got, err := c.ReadStatement(enc); err != nil || got != Statement("SELECT 'ä'") {
 		t.Error(got, err)
 	}
-	for _, bad := range []string{"", "SELECT \x00", "SELECT \xff", string(make([]byte, mostStatement+1))} {
+	for _, bad := range []string{"", "SELECT \x00", "SELECT \xff", string(make([]byte, maxStatementBytes+1))} {
 		if _, err := c.ReadStatement([]byte(bad)); err == nil {
 			t.Errorf("%.20q was taken as a statement", bad)
 		}
 	}
-	spoilt, _ := c.Result(Rows{[]byte("a\tb\n")})
-	large, _ := c.Result(Rows{make([]byte, maxResult+1)})
-	for _, bad := range [][]byte{nil, []byte("x"), spoilt, large, append(enc, 1)} {
+	corrupt, _ := c.Result(Rows{[]byte("a\tb\n")})
+	large, _ := c.Result(Rows{make([]byte, maxResultBytes+1)})
+	for _, bad := range [][]byte{nil, []byte("x"), corrupt, large, append(enc, 1)} {
 		if _, err := c.ReadResult(bad); err == nil {
 			t.Errorf("%.20q was taken as rows", bad)
 		}
