--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -37,8 +37,8 @@
 		ProbationSeconds:        d.MinProbation.Seconds(),
 		MaxProbationSeconds:     d.MaxProbation.Seconds(),
 		HeartbeatTimeoutSeconds: d.HeartbeatTimeout.Seconds(),
-		MinSuccesses:            d.MinGoodAnswers,
-		MaxFailureFraction:      d.MaxBadShare,
+		MinSuccesses:            d.MinSuccesses,
+		MaxFailureFraction:      d.MaxFailureRate,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &u) {
@@ -87,8 +87,8 @@
 		MinProbation:     seconds(u.ProbationSeconds),
 		MaxProbation:     seconds(u.MaxProbationSeconds),
 		HeartbeatTimeout: seconds(u.HeartbeatTimeoutSeconds),
-		MinGoodAnswers:   u.MinSuccesses,
-		MaxBadShare:      u.MaxFailureFraction,
+		MinSuccesses:   u.MinSuccesses,
+		MaxFailureRate:      u.MaxFailureFraction,
 		MaxMemory:        int64(u.MaxMemoryMB) << 20,
 	}
 }
--- a/internal/decide/handover/failure.go
+++ b/internal/decide/handover/failure.go
@@ -13,8 +13,8 @@
 	WarmTimedOut
 	HeartbeatTimedOut
 	TooMuchMemory
-	TooManyBadAnswers
-	NoGoodAnswer
+	TooManyFailures
+	NoSuccess
 	NoAnswer
 	ShutdownRequested
 	TargetDied
@@ -31,8 +31,8 @@
 	WarmTimedOut:             "it was not ready in time",
 	HeartbeatTimedOut:        "it went silent",
 	TooMuchMemory:            "it takes too much memory",
-	TooManyBadAnswers:        "too many of its answers are errors of its own",
-	NoGoodAnswer:             "none of its answers was good",
+	TooManyFailures:          "too many of its answers are errors of its own",
+	NoSuccess:                "none of its answers was good",
 	NoAnswer:                 "it takes requests and answers none",
 	ShutdownRequested:        "a planned stop came first",
 	TargetDied:               "it died",
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -48,8 +48,8 @@
 	MinProbation     time.Duration // the target serves at least so long before it is the owner for good
 	MaxProbation     time.Duration // upper bound of the probation when there is little work; above MinProbation
 	HeartbeatTimeout time.Duration // a target that is silent for so long is killed
-	MinGoodAnswers   int           // good answers that the target must give, where there is work
-	MaxBadShare      float64       // share of its answers that may be errors, 0 to 1
+	MinSuccesses     int           // good answers that the target must give, where there is work
+	MaxFailureRate   float64       // share of its answers that may be errors, 0 to 1
 	MaxMemory        int64         // resident memory of the target in bytes; 0: no bound
 }
 
@@ -57,7 +57,7 @@
 func DefaultConfig() Config {
 	return Config{
 		GreetTimeout: 5 * time.Second, WarmTimeout: 10 * time.Second, MinProbation: 3 * time.Second, MaxProbation: 15 * time.Second,
-		HeartbeatTimeout: time.Second, MinGoodAnswers: 20, MaxBadShare: 0.1,
+		HeartbeatTimeout: time.Second, MinSuccesses: 20, MaxFailureRate: 0.1,
 	}
 }
 
--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -44,7 +44,7 @@
 
 // all times are one unit: a step happens at 0, what lets time pass at 1.
 func modelConfig() Config {
-	return Config{GreetTimeout: limit, WarmTimeout: limit, MinProbation: limit, MaxProbation: limit, HeartbeatTimeout: limit, MinGoodAnswers: 1, MaxBadShare: 0.5}
+	return Config{GreetTimeout: limit, WarmTimeout: limit, MinProbation: limit, MaxProbation: limit, HeartbeatTimeout: limit, MinSuccesses: 1, MaxFailureRate: 0.5}
 }
 
 func initialWorld() world {
@@ -236,7 +236,7 @@
 		do("time passes", func(n *world) { n.sourceStep(f, limit, Tick{}) })
 	}
 	if w.sourceAlive && w.targetAlive && w.source.phase == Probation && w.target.Serving() {
-		do("proof", func(n *world) { n.sourceStep(f, limit, TargetHeartbeat{Good: 1}) })
+		do("proof", func(n *world) { n.sourceStep(f, limit, TargetHeartbeat{Successes: 1}) })
 	}
 	if !w.window {
 		do("windows end", func(n *world) { n.window = true })
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -71,7 +71,7 @@
 		if r.IntN(3) == 0 {
 			cfg = Config{
 				GreetTimeout: duration(r, 2000), WarmTimeout: duration(r, 2000), MinProbation: duration(r, 3000), MaxProbation: duration(r, 9000),
-				HeartbeatTimeout: duration(r, 2000), MinGoodAnswers: r.IntN(40), MaxBadShare: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
+				HeartbeatTimeout: duration(r, 2000), MinSuccesses: r.IntN(40), MaxFailureRate: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
 			}
 		}
 		replaySourceOnce(d, r, NewSource(cfg, Version{1, r.IntN(3)}))
@@ -109,7 +109,7 @@
 func nextForSource(r *rand.Rand, p Phase) SourceEvent {
 	switch p {
 	case Idle:
-		return UpgradeRequested{UsualBadShare: float64(r.IntN(6)-1) / 10}
+		return UpgradeRequested{UsualFailureRate: float64(r.IntN(6)-1) / 10}
 	case Greeting:
 		if r.IntN(8) == 0 {
 			return TargetHello{Version: Version{1, 1}, Problem: "no port " + strconv.Itoa(r.IntN(9))}
@@ -119,9 +119,9 @@
 		return TargetReady{}
 	case Probation:
 		if r.IntN(2) == 0 { // one that gives no good answer
-			return TargetHeartbeat{Bad: r.IntN(8) / 7, InFlight: r.IntN(2)}
+			return TargetHeartbeat{Failures: r.IntN(8) / 7, InFlight: r.IntN(2)}
 		}
-		return TargetHeartbeat{Good: r.IntN(30), Bad: r.IntN(3), InFlight: r.IntN(2)}
+		return TargetHeartbeat{Successes: r.IntN(30), Failures: r.IntN(3), InFlight: r.IntN(2)}
 	case Returning:
 		return TargetExited{}
 	}
@@ -148,7 +148,7 @@
 	case n < 28:
 		return TargetActive{}
 	case n < 31:
-		return TargetHeartbeat{Good: r.IntN(8), Bad: r.IntN(2), InFlight: r.IntN(3)}
+		return TargetHeartbeat{Successes: r.IntN(8), Failures: r.IntN(2), InFlight: r.IntN(3)}
 	case n < 37:
 		return Tick{}
 	case n < 38:
--- a/internal/decide/handover/source.go
+++ b/internal/decide/handover/source.go
@@ -84,7 +84,7 @@
 		return []SourceEffect{ReportOutcome{Failure{Reason: AnotherUpgradeInProgress}}}
 	}
 	s.enter(Greeting, now)
-	s.probation = newProbation(s.cfg.MaxBadShare, event.UsualBadShare, now)
+	s.probation = newProbation(s.cfg.MaxFailureRate, event.UsualFailureRate, now)
 	s.failure = Failure{}
 	return []SourceEffect{StartTarget{}}
 }
--- a/internal/decide/handover/source_events.go
+++ b/internal/decide/handover/source_events.go
@@ -11,9 +11,9 @@
 
 // Events of the source's own process.
 type (
-	// UpgradeRequested asks for an upgrade. UsualBadShare is the current share of answers of this
+	// UpgradeRequested asks for an upgrade. UsualFailureRate is the current share of answers of this
 	// process that are rejections or failures: the target is judged relative to it.
-	UpgradeRequested struct{ UsualBadShare float64 }
+	UpgradeRequested struct{ UsualFailureRate float64 }
 	// StopRequested asks for a graceful shutdown.
 	StopRequested struct{}
 	// ConnectionAccepted reports a new connection of the source. IDs must rise.
@@ -46,7 +46,7 @@
 	// TargetReady says that it has applied the state and could serve.
 	TargetReady struct{}
 	// TargetHeartbeat counts its answers since the last heartbeat, and its requests in flight.
-	TargetHeartbeat struct{ Good, Bad, InFlight int }
+	TargetHeartbeat struct{ Successes, Failures, InFlight int }
 	// RequestRecorded is its record of the request on a connection.
 	RequestRecorded struct {
 		Conn    ConnID
--- a/internal/decide/handover/source_test.go
+++ b/internal/decide/handover/source_test.go
@@ -142,7 +142,7 @@
 			},
 			"alive": func(t *rapid.T) {
 				if !dead {
-					step(TargetHeartbeat{Good: rapid.IntRange(0, 30).Draw(t, "good"), Bad: rapid.IntRange(0, 3).Draw(t, "bad")})
+					step(TargetHeartbeat{Successes: rapid.IntRange(0, 30).Draw(t, "good"), Failures: rapid.IntRange(0, 3).Draw(t, "bad")})
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -183,7 +183,7 @@
 	} {
 		source := NewSource(DefaultConfig(), Version{1, 0})
 		var kinds []string
-		for _, in := range []SourceEvent{UpgradeRequested{tt.usual}, TargetHello{Version: Version{1, 0}}, TargetReady{}, TargetHeartbeat{Good: tt.good, Bad: tt.bad}} {
+		for _, in := range []SourceEvent{UpgradeRequested{tt.usual}, TargetHello{Version: Version{1, 0}}, TargetReady{}, TargetHeartbeat{Successes: tt.good, Failures: tt.bad}} {
 			for _, e := range source.Step(0, in) {
 				kinds = append(kinds, reflect.TypeOf(e).Name())
 			}
@@ -221,7 +221,7 @@
 	for _, in := range []SourceEvent{UpgradeRequested{}, TargetHello{Version: Version{1, 1}}, ConnectionBusy{1}, TargetReady{}} {
 		source.Step(0, in)
 	}
-	source.Step(5*time.Second, TargetHeartbeat{Good: 100})
+	source.Step(5*time.Second, TargetHeartbeat{Successes: 100})
 	if source.Phase() != Finishing {
 		t.Fatalf("it stands at %v", source.Phase())
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -22,10 +22,10 @@
 
 // CountAnswers returns how many answers so far were served, and how many were not: rejections,
 // failures, and calls that the frontend itself found at fault.
-func CountAnswers(c *metrics.Counters) (good, bad int64) {
-	good = c.Sum("answered.served.")
-	bad = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
-	return good, max(bad, c.Sum("pgwire.errors."))
+func CountAnswers(c *metrics.Counters) (successes, failures int64) {
+	successes = c.Sum("answered.served.")
+	failures = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
+	return successes, max(failures, c.Sum("pgwire.errors."))
 }
 
 // monotonicNow reads the machine's monotonic clock, which all its processes share
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -24,9 +24,9 @@
 	Ready struct{}
 	// Heartbeat says that it lives, and counts its answers since the last heartbeat.
 	Heartbeat struct {
-		Good     int `cbor:"1,keyasint"`
-		Bad      int `cbor:"2,keyasint"`
-		InFlight int `cbor:"3,keyasint"` // requests without an answer
+		Successes int `cbor:"1,keyasint"`
+		Failures  int `cbor:"2,keyasint"`
+		InFlight  int `cbor:"3,keyasint"` // requests without an answer
 	}
 	// InputRecord has the bytes that it consumes next of a connection, from Offset on.
 	InputRecord struct {
--- a/internal/handover/quality.go
+++ b/internal/handover/quality.go
@@ -9,19 +9,19 @@
 	qualityWeight = 0.3
 )
 
-// answerQuality is a moving average of the share of answers that are rejections or failures.
+// answerQuality is a moving average of the fraction of answers that are rejections or failures.
 type answerQuality struct {
-	good, bad int64 // at the latest sample
-	badShare  float64
+	successes, failures int64 // at the latest sample
+	failureRate         float64
 }
 
 // sample takes the numbers of all answers so far.
-func (q *answerQuality) sample(good, bad int64) {
-	newGood := good - q.good
-	newBad := bad - q.bad
-	if n := newGood + newBad; n > 0 {
-		q.badShare += qualityWeight * (float64(newBad)/float64(n) - q.badShare)
+func (q *answerQuality) sample(successes, failures int64) {
+	newSuccesses := successes - q.successes
+	newFailures := failures - q.failures
+	if n := newSuccesses + newFailures; n > 0 {
+		q.failureRate += qualityWeight * (float64(newFailures)/float64(n) - q.failureRate)
 	}
-	q.good = good
-	q.bad = bad
+	q.successes = successes
+	q.failures = failures
 }
--- a/internal/handover/source.go
+++ b/internal/handover/source.go
@@ -114,7 +114,7 @@
 		s.machine.Step(s.loop.Now(), decide.ConnectionAccepted{Conn: s.connections.add(c)})
 	}
 	s.frontend.OnAccept(s.accepted)
-	s.step(decide.UpgradeRequested{UsualBadShare: s.quality.badShare})
+	s.step(decide.UpgradeRequested{UsualFailureRate: s.quality.failureRate})
 }
 
 // accepted adds a new connection, which has its handler from the loop's next iteration on.
--- a/internal/handover/source_target.go
+++ b/internal/handover/source_target.go
@@ -93,7 +93,7 @@
 		s.updateConnections()
 		s.step(decide.TargetReady{})
 	case *Heartbeat:
-		s.step(decide.TargetHeartbeat{Good: m.Good, Bad: m.Bad, InFlight: m.InFlight})
+		s.step(decide.TargetHeartbeat{Successes: m.Successes, Failures: m.Failures, InFlight: m.InFlight})
 	case *InputRecord:
 		if r := s.connections.retained(m.Conn); r != nil {
 			r.recordInput(m)
--- a/internal/handover/target.go
+++ b/internal/handover/target.go
@@ -19,7 +19,7 @@
 // TargetOptions configure a Target. The functions are called on the loop.
 type TargetOptions struct {
 	ApplyState func(*ProcessState) error // goes on from the source's state
-	OnOwner    func()                    // this process is the owner for good
+	OnOwner    func()                    // this process is the owner for successes
 	Reload     func()                    // has the files read again
 	Abort      func()                    // ends the process, which is no owner
 }
@@ -37,7 +37,7 @@
 	machine      *decide.Target
 	build        string
 	sourceExited bool
-	reported     struct{ good, bad int64 } // answers up to the latest heartbeat
+	reported     struct{ successes, failures int64 } // answers up to the latest heartbeat
 	recorders    map[core.Client]*recorder
 }
 
@@ -67,7 +67,7 @@
 // SourceExited reports whether the source has died or left.
 func (t *Target) SourceExited() bool { return t.sourceExited }
 
-// Owner reports whether this process is the owner for good.
+// Owner reports whether this process is the owner for successes.
 func (t *Target) Owner() bool { return t.machine.Owner() }
 
 func (t *Target) send(m Message) {
@@ -85,20 +85,20 @@
 		return
 	}
 	if t.machine.Serving() {
-		good, bad := CountAnswers(t.stats)
+		successes, failures := CountAnswers(t.stats)
 		t.send(&Heartbeat{
-			Good:     int(good - t.reported.good),
-			Bad:      int(bad - t.reported.bad),
-			InFlight: t.core.Unanswered(),
+			Successes: int(successes - t.reported.successes),
+			Failures:  int(failures - t.reported.failures),
+			InFlight:  t.core.Unanswered(),
 		})
-		t.setReported(good, bad)
+		t.setReported(successes, failures)
 	}
 	t.loop.Timers.Add(t.loop.Now()+heartbeatEvery, t.sendHeartbeats)
 }
 
-func (t *Target) setReported(good, bad int64) {
-	t.reported.good = good
-	t.reported.bad = bad
+func (t *Target) setReported(successes, failures int64) {
+	t.reported.successes = successes
+	t.reported.failures = failures
 }
 
 func (t *Target) step(event decide.TargetEvent) {
@@ -211,7 +211,7 @@
 	return err
 }
 
-// channelEnded takes the channel's end: the source has died, or has left in good order.
+// channelEnded takes the channel's end: the source has died, or has left in successes order.
 func (t *Target) channelEnded(err error) {
 	if err != nil {
 		t.log.Warn("upgrade.channel", "error", err)
