--- a/internal/handover/target.go
+++ b/internal/handover/target.go
@@ -19,7 +19,7 @@
 // TargetOptions configure a Target. The functions are called on the loop.
 type TargetOptions struct {
 	ApplyState func(*ProcessState) error // goes on from the source's state
-	OnOwner    func()                    // this process is the owner for successes
+	OnOwner    func()                    // this process is the owner for good
 	Reload     func()                    // has the files read again
 	Abort      func()                    // ends the process, which is no owner
 }
@@ -67,7 +67,7 @@
 // SourceExited reports whether the source has died or left.
 func (t *Target) SourceExited() bool { return t.sourceExited }
 
-// Owner reports whether this process is the owner for successes.
+// Owner reports whether this process is the owner for good.
 func (t *Target) Owner() bool { return t.machine.Owner() }
 
 func (t *Target) send(m Message) {
@@ -211,7 +211,7 @@
 	return err
 }
 
-// channelEnded takes the channel's end: the source has died, or has left in successes order.
+// channelEnded takes the channel's end: the source has died, or has left in good order.
 func (t *Target) channelEnded(err error) {
 	if err != nil {
 		t.log.Warn("upgrade.channel", "error", err)
