--- a/internal/frontend/httpapi/move.go
+++ b/internal/frontend/httpapi/move.go
@@ -29,25 +29,25 @@
 }
 
 // Name tells this front from others.
-func (f *Front) Name() string { return "rest" }
+func (f *Frontend) Name() string { return "rest" }
 
 // ReadLimit bounds what is read of a connection and not consumed, in bytes.
-func (f *Front) ReadLimit() int { return http1.MaxRequestSize }
+func (f *Frontend) ReadLimit() int { return http1.MaxRequestSize }
 
 // OnAccept names who hears of each connection that is accepted, once its handler is there.
-func (f *Front) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
+func (f *Frontend) OnAccept(fn func(*netio.Conn)) { f.accepted = fn }
 
 // OnSharedChange names who hears of what all connections share, as ApplySharedState takes it, before
 // anything is answered that relies on it; nil: nobody.
-func (f *Front) OnSharedChange(fn func([]byte)) { f.shared = fn }
+func (f *Frontend) OnSharedChange(fn func([]byte)) { f.shared = fn }
 
 // OnUnknownCall is for calls that another process may have the answer to; here there are none.
-func (f *Front) OnUnknownCall(func([]byte)) {}
+func (f *Frontend) OnUnknownCall(func([]byte)) {}
 
 // HandleForwardedCall takes such a call of another process.
-func (f *Front) HandleForwardedCall([]byte) {}
+func (f *Frontend) HandleForwardedCall([]byte) {}
 
-func (f *Front) hold(h heldState) {
+func (f *Frontend) hold(h heldState) {
 	if f.held[h.Path] != nil {
 		return
 	}
@@ -62,7 +62,7 @@
 	f.loop.Timers.Add(h.Until, func() { f.release(h.Path) })
 }
 
-func (f *Front) share(all ...heldState) {
+func (f *Frontend) share(all ...heldState) {
 	if f.shared == nil || len(all) == 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // SharedState is what all connections share: results that wait to be fetched.
-func (f *Front) SharedState() []byte {
+func (f *Frontend) SharedState() []byte {
 	var all []heldState
 	for path, h := range f.held {
 		all = append(all, heldState{Path: path, Parts: h.pages, Until: f.loop.Now() + heldMoved})
@@ -85,7 +85,7 @@
 const heldMoved = time.Minute
 
 // ApplySharedState takes what the connections of another process share.
-func (f *Front) ApplySharedState(b []byte) error {
+func (f *Frontend) ApplySharedState(b []byte) error {
 	var all []heldState
 	if err := cbor.Unmarshal(b, &all); err != nil {
 		return fmt.Errorf("shared state: %w", err)
@@ -99,7 +99,7 @@
 }
 
 // RestoreConnection is a handler for a connection of another process, from its EncodeState.
-func (f *Front) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
+func (f *Frontend) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
 	var s state
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("state of a connection: %w", err)
@@ -107,7 +107,7 @@
 	return func(c *netio.Conn) netio.Handler {
 		k := &conn{front: f, conn: c, used: f.loop.Now(), good: s.Good, further: s.Further}
 		f.conns[k] = struct{}{}
-		if len(f.conns) > f.opts.MostClients {
+		if len(f.conns) > f.opts.MaxClients {
 			f.makeRoom()
 		}
 		if !k.good {
--- a/internal/frontend/httpapi/move_test.go
+++ b/internal/frontend/httpapi/move_test.go
@@ -18,7 +18,7 @@
 	"gannetspur/policy"
 )
 
-func front(t *testing.T) *Front {
+func front(t *testing.T) *Frontend {
 	t.Helper()
 	l, err := netio.New(0)
 	if err != nil {
@@ -62,7 +62,7 @@
 // comes, and what can't be read is refused whole.
 func TestHeldResultsMove(t *testing.T) {
 	one, two := front(t), front(t)
-	do := func(f *Front, what func()) {
+	do := func(f *Frontend, what func()) {
 		done := make(chan struct{})
 		f.loop.Post(func() { what(); close(done) })
 		<-done
@@ -107,7 +107,7 @@
 	f.Add(k.EncodeState())
 	f.Add([]byte{0xa1, 0x01, 0xf5})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if accept, err := (&Front{}).RestoreConnection(b); (accept == nil) != (err != nil) {
+		if accept, err := (&Frontend{}).RestoreConnection(b); (accept == nil) != (err != nil) {
 			t.Error("neither a handler nor an error")
 		}
 	})
@@ -115,7 +115,7 @@
 
 // Some clients take 2 s to write a call, and those that never end one are told so within 3.
 func TestTimeToWriteACall(t *testing.T) {
-	if within := front(t).opts.CallWithin; within <= 2200*time.Millisecond || within >= 2900*time.Millisecond {
+	if within := front(t).opts.RequestTimeout; within <= 2200*time.Millisecond || within >= 2900*time.Millisecond {
 		t.Errorf("a call has to be whole within %v", within)
 	}
 }
--- a/internal/frontend/httpapi/replay_test.go
+++ b/internal/frontend/httpapi/replay_test.go
@@ -154,7 +154,7 @@
 }
 
 // replayFront starts a front over a scripted core.
-func replayFront(t *testing.T, opts Options, seen hash.Hash) (f *Front, do func(func())) {
+func replayFront(t *testing.T, opts Options, seen hash.Hash) (f *Frontend, do func(func())) {
 	t.Helper()
 	loop, err := netio.New(0)
 	if err != nil {
@@ -229,7 +229,7 @@
 
 // replayOpenRequest is two connections with one id, the second of which is refused; the first is
 // refused for what follows its call.
-func replayOpenRequest(t *testing.T, f *Front, do func(func())) []byte {
+func replayOpenRequest(t *testing.T, f *Frontend, do func(func())) []byte {
 	t.Helper()
 	call := "POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + heldID + "\r\nReq-Wait-Ms: 60000\r\nContent-Length: 8\r\n\r\nselect 1"
 	first, second := replayDial(t, f.Addr()), replayDial(t, f.Addr())
@@ -255,13 +255,13 @@
 	scenarios := []struct {
 		name  string
 		opts  Options
-		start func(f *Front)
+		start func(f *Frontend)
 	}{
-		{"usual", Options{CallWithin: within}, func(*Front) {}},
-		{"little is held", Options{CallWithin: within, MostHeld: 100_000}, func(*Front) {}},
-		{"results in one answer", Options{CallWithin: within}, func(f *Front) { f.GiveWhole(true) }},
-		{"connections end behind an answer", Options{CallWithin: within}, (*Front).Part},
-		{"draining", Options{CallWithin: within}, (*Front).Drain},
+		{"usual", Options{RequestTimeout: within}, func(*Frontend) {}},
+		{"little is held", Options{RequestTimeout: within, MaxHeldBytes: 100_000}, func(*Frontend) {}},
+		{"results in one answer", Options{RequestTimeout: within}, func(f *Frontend) { f.SetUnpaged(true) }},
+		{"connections end behind an answer", Options{RequestTimeout: within}, (*Frontend).CloseAfterResponse},
+		{"draining", Options{RequestTimeout: within}, (*Frontend).Drain},
 	}
 	want := map[string]string{}
 	if !*writeReplay {
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -53,14 +53,14 @@
 
 // Options bound what clients may take.
 type Options struct {
-	MostClients int                 // connections at once; past that the longest idle ones are closed
-	MostHeld    int                 // bytes of results that wait to be fetched
+	MaxClients int                 // connections at once; past that the longest idle ones are closed
+	MaxHeldBytes    int                 // bytes of results that wait to be fetched
 	Shapes      *queryshape.Service // estimates by the shapes of statements; nil: off
-	CallWithin  time.Duration       // a connection's first call, and any that has begun, must be whole
+	RequestTimeout  time.Duration       // a connection's first call, and any that has begun, must be whole
 }
 
-// Front accepts clients.
-type Front struct {
+// Frontend accepts clients.
+type Frontend struct {
 	loop  *netio.Loop
 	core  *core.Core
 	opts  Options
@@ -89,24 +89,24 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Front {
-	if opts.MostClients <= 0 {
-		opts.MostClients = 512
+func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Frontend {
+	if opts.MaxClients <= 0 {
+		opts.MaxClients = 512
 	}
-	if opts.MostHeld <= 0 {
-		opts.MostHeld = 16 << 20
+	if opts.MaxHeldBytes <= 0 {
+		opts.MaxHeldBytes = 16 << 20
 	}
-	if opts.CallWithin <= 0 {
-		opts.CallWithin = callWithin
+	if opts.RequestTimeout <= 0 {
+		opts.RequestTimeout = callWithin
 	}
-	return &Front{
+	return &Frontend{
 		loop: loop, core: c, opts: opts, stats: counters, boot: strconv.FormatInt(int64(c.Now()), 36),
 		conns: map[*conn]struct{}{}, ids: map[string]*conn{}, held: map[string]*held{},
 	}
 }
 
 // Listen accepts at the address.
-func (f *Front) Listen(addr string) error {
+func (f *Frontend) Listen(addr string) error {
 	ln, err := netio.Listen(addr)
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
@@ -116,20 +116,20 @@
 }
 
 // ListenOn accepts from a listener, which another process may have opened.
-func (f *Front) ListenOn(ln *netio.Listener) {
+func (f *Frontend) ListenOn(ln *netio.Listener) {
 	f.listener = ln
-	f.loop.Serve(ln, http1.MaxRequestSize, f.opts.MostClients+spareClients, f.accept)
+	f.loop.Serve(ln, http1.MaxRequestSize, f.opts.MaxClients+spareClients, f.accept)
 	f.sweepIdle()
 }
 
 // Listener is where it accepts.
-func (f *Front) Listener() *netio.Listener { return f.listener }
+func (f *Frontend) Listener() *netio.Listener { return f.listener }
 
-func (f *Front) accept(c *netio.Conn) netio.Handler {
+func (f *Frontend) accept(c *netio.Conn) netio.Handler {
 	f.stats.Add("rest.connections")
 	k := &conn{front: f, conn: c, used: f.loop.Now()}
 	f.conns[k] = struct{}{}
-	if len(f.conns) > f.opts.MostClients {
+	if len(f.conns) > f.opts.MaxClients {
 		f.makeRoom()
 	}
 	k.await()
@@ -139,7 +139,7 @@
 	return k
 }
 
-func (f *Front) sweepIdle() {
+func (f *Frontend) sweepIdle() {
 	now := f.loop.Now()
 	for k := range f.conns {
 		if k.request == nil && now-k.used > idleMost {
@@ -154,7 +154,7 @@
 // rank and then of time. Guards against clients that connect by the hundred, or ask once and stay: the others would find no
 // descriptor left. Where none can be closed yet it comes again: at the most
 // connections nothing more is accepted, so nothing else would call it.
-func (f *Front) makeRoom() {
+func (f *Frontend) makeRoom() {
 	for {
 		var least *conn
 		open, now := 0, f.loop.Now()
@@ -171,7 +171,7 @@
 			}
 		}
 		switch {
-		case open <= f.opts.MostClients:
+		case open <= f.opts.MaxClients:
 			return
 		case least == nil:
 			if !f.crowded {
@@ -205,28 +205,28 @@
 }
 
 // Addr is where clients connect.
-func (f *Front) Addr() string { return f.listener.Addr().String() }
+func (f *Frontend) Addr() string { return f.listener.Addr().String() }
 
 // CloseListener takes no new connections; those that are open go on.
-func (f *Front) CloseListener() { _ = f.listener.Close() }
+func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
-// Part ends each connection behind its next answer, as its client hears: another process
+// CloseAfterResponse ends each connection behind its next answer, as its client hears: another process
 // takes the next one.
-func (f *Front) Part() { f.parting = true }
+func (f *Frontend) CloseAfterResponse() { f.parting = true }
 
-// GiveWhole has results go in one answer each, whatever their size: a call for a further part
+// SetUnpaged has results go in one answer each, whatever their size: a call for a further part
 // may come to another process on a new connection.
-func (f *Front) GiveWhole(on bool) { f.whole = on }
+func (f *Frontend) SetUnpaged(on bool) { f.whole = on }
 
 // LimitClients bounds how many may be connected at once from now on.
-func (f *Front) LimitClients(most int) {
-	f.opts.MostClients = max(most, 1)
+func (f *Frontend) LimitClients(most int) {
+	f.opts.MaxClients = max(most, 1)
 	f.makeRoom()
 }
 
 // Drain ends each connection as soon as nothing is open on it: a call that has begun to come is
 // still waited for, and those that a client has written ahead are answered.
-func (f *Front) Drain() {
+func (f *Frontend) Drain() {
 	f.draining = true
 	for k := range f.conns {
 		if k.request == nil && !k.further && !k.begun && !k.ended {
@@ -236,7 +236,7 @@
 }
 
 // Idle tells whether all clients have had all of their answers.
-func (f *Front) Idle() bool {
+func (f *Frontend) Idle() bool {
 	for _, h := range f.held {
 		if !h.whole {
 			return false
@@ -252,7 +252,7 @@
 
 // conn is one client connection.
 type conn struct {
-	front   *Front
+	front   *Frontend
 	conn    *netio.Conn
 	request *core.Request     // taken and not answered
 	used    time.Duration     // the latest that came of a call, or its latest answer
@@ -315,7 +315,7 @@
 // await has the connection closed unless a call is whole in time. Guards against
 // clients that connect and say nothing, or stop in the middle of a call.
 func (k *conn) await() {
-	k.due = k.front.loop.Timers.Add(k.front.loop.Now()+k.front.opts.CallWithin, func() {
+	k.due = k.front.loop.Timers.Add(k.front.loop.Now()+k.front.opts.RequestTimeout, func() {
 		if k.ended {
 			return
 		}
@@ -505,7 +505,7 @@
 	for _, p := range rows {
 		size += len(p)
 	}
-	if len(parts) < 2 || f.heldSize+size > f.opts.MostHeld || f.draining || f.whole {
+	if len(parts) < 2 || f.heldSize+size > f.opts.MaxHeldBytes || f.draining || f.whole {
 		k.write(200, 0, encode(rows, ""))
 		return
 	}
@@ -552,7 +552,7 @@
 	k.write(200, 0, encode(h.pages[n], next))
 }
 
-func (f *Front) release(path string) bool {
+func (f *Frontend) release(path string) bool {
 	h := f.held[path]
 	if h == nil {
 		return false
--- a/internal/frontend/httpapi/stored_test.go
+++ b/internal/frontend/httpapi/stored_test.go
@@ -39,7 +39,7 @@
 // Stored states are read whole and written anew byte for byte; cut short they are refused, and
 // with any bit changed they are refused or read as something else.
 func TestStoredConnections(t *testing.T) {
-	f := &Front{}
+	f := &Frontend{}
 	for name, want := range storedConnections {
 		t.Run(name, func(t *testing.T) {
 			stored := storedBytes(t, name)
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -71,7 +71,7 @@
 func (p *process) retire(platform *platformProtocol) {
 	p.log.Info("replaced")
 	platform.front.CloseListener()
-	platform.front.Part()
+	platform.front.CloseAfterResponse()
 	p.handOverMember()
 }
 
@@ -79,7 +79,7 @@
 func (p *process) shareLimits(platform *platformProtocol, share float64) {
 	p.log.Info("limits.shared", "part", share)
 	platform.front.LimitClients(int(share * float64(p.limits.maxClients)))
-	platform.front.GiveWhole(share < 1) // the next call of a client may come to another process
+	platform.front.SetUnpaged(share < 1) // the next call of a client may come to another process
 	p.loop.SetDescriptorShare(share)
 	p.loop.SetBufferBudget(int64(share * float64(p.limits.bufferBytes())))
 	limitRuntime(int(share * float64(p.limits.memoryMB)))
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -39,7 +39,7 @@
 	log     *slog.Logger
 	addr    string
 	lines   *lineproto.Backend
-	rest    *httpapi.Front
+	rest    *httpapi.Frontend
 	options httpapi.Options
 	pgwire  pgfrontend.Options
 	front   *pgfrontend.Frontend
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -322,7 +322,7 @@
 func TestBadClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
-	g.options.CallWithin = 100 * time.Millisecond
+	g.options.RequestTimeout = 100 * time.Millisecond
 	g.platform(addr)
 	open := httpConnect(t, g.addr)
 	_, _ = io.WriteString(open.c, post("lookup", ""))
@@ -378,7 +378,7 @@
 func TestRoomForClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
-	g.options.MostClients, g.options.CallWithin = 4, time.Minute
+	g.options.MaxClients, g.options.RequestTimeout = 4, time.Minute
 	g.platform(addr)
 	const health = "GET /health HTTP/1.1\r\n\r\n"
 	open := httpConnect(t, g.addr)
@@ -415,7 +415,7 @@
 // first, although they came later. One that has stopped half way for long goes before one that served.
 func TestRoomForSlowWriters(t *testing.T) {
 	g := newGateway(t, nil)
-	g.options.MostClients, g.options.CallWithin = 2, time.Minute
+	g.options.MaxClients, g.options.RequestTimeout = 2, time.Minute
 	g.platform()
 	slow := httpConnect(t, g.addr)
 	_, _ = io.WriteString(slow.c, "GET /hea")
