--- /dev/null
+++ b/internal/backend/postgres/replay_test.go
@@ -0,0 +1,130 @@
+package postgres
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"gannetspur/internal/core"
+	"gannetspur/internal/pgproto"
+)
+
+const (
+	replayDigestFile  = "testdata/session-replay.sha256"
+	replayConnections = 300
+	replayStatements  = 60 // on each connection
+)
+
+// TestSessionReplay runs seeded statements, settings and answers through what a connection knows of its session,
+// and compares the messages that it writes and the results that it reads with the digest that version c18a9bd gave.
+func TestSessionReplay(t *testing.T) {
+	random := rand.New(rand.NewPCG(0x9a, 11))
+	digest := sha256.New()
+	for range replayConnections {
+		replayConnection(digest, random)
+	}
+	for _, class := range []string{"00", "08", "0A", "22", "23", "25", "28", "40", "42", "53", "54", "55", "57", "58", "F0", "XX"} {
+		for _, rest := range []string{"000", "P01", "P02", "P03", "P04", "014", "P05"} {
+			record(digest, "%s%s=%s\n", class, rest, replayOutcome(class+rest))
+		}
+	}
+	got := hex.EncodeToString(digest.Sum(nil))
+	want, err := os.ReadFile(replayDigestFile)
+	if err != nil {
+		t.Fatalf("%v (this run's digest: %s)", err, got)
+	}
+	if got != strings.TrimSpace(string(want)) {
+		t.Errorf("digest of the session = %s, want %s", got, want)
+	}
+}
+
+func record(digest hash.Hash, format string, values ...any) {
+	_, _ = fmt.Fprintf(digest, format, values...) // a hash never fails
+}
+
+func pick(random *rand.Rand, choices ...string) string { return choices[random.IntN(len(choices))] }
+
+func replayConnection(digest hash.Hash, random *rand.Rand) {
+	c := newReplaySession()
+	for range replayStatements {
+		query := pick(random, "SELECT ", "SET x = ", "INSERT ") + fmt.Sprint(random.IntN(40))
+		if random.IntN(20) == 0 {
+			query += strings.Repeat("y", 5<<10)
+		}
+		types := []byte(pick(random, "\x00\x00", "\x00\x01\x00\x00\x00\x17"))
+		c.begin(random.IntN(5) == 0, query, types, pick(random, "", "", "", "work_mem"))
+		name, prepare := c.prepare()
+		record(digest, "prepare name=%x bytes=%x\n", name, prepare)
+		var settings []pgproto.Setting
+		for _, setting := range []string{"search_path", "statement_timeout", "work_mem"} {
+			if random.IntN(3) == 0 {
+				settings = append(settings, pgproto.Setting{Name: setting, Text: "SET " + setting + " = " + pick(random, "1", "2")})
+			}
+		}
+		record(digest, "settings=%x\n", c.applySettings(settings))
+		for range random.IntN(8) {
+			replayMessage(digest, random, c)
+		}
+		record(digest, "%s\n", c.state())
+		record(digest, "stale=%t\n", c.stale(pick(random, "26000", "0A000", "42P01")))
+		record(digest, "%s\n", c.state())
+	}
+}
+
+func replayMessage(digest hash.Hash, random *rand.Rand, c replaySession) {
+	kind := pick(random, "1", "1", "2", "3", "t", "T", "n", "D", "D", "D", "C", "C", "I", "Q", "S", "N", "A")
+	body := []byte(pick(random, "", "\x00\x00", "SELECT 1\x00", "SET\x00", "work_mem\x001\x00", "no end"))
+	complete := pgproto.AppendMessage(nil, kind[0], body)
+	record(digest, "%s error=%t\n", kind, c.message(kind[0], body, complete) != nil)
+}
+
+func sortedPairs(values map[string]string) (pairs []string) {
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		pairs = append(pairs, fmt.Sprintf("%q=%q", key, values[key]))
+	}
+	return pairs
+}
+
+func resultText(r *pgproto.Result) string {
+	return fmt.Sprintf("params=%x fields=%x rows=%x count=%d tag=%q empty=%t status=%x",
+		r.ParameterDescription, r.RowDescription, r.Rows, r.RowCount, r.Tag, r.EmptyQuery, r.ParameterStatus)
+}
+
+// The rest is how the replay reaches the connection.
+
+func replayOutcome(code string) string { return errorEnd(code).String() }
+
+type replaySession struct{ l *link }
+
+func newReplaySession() replaySession {
+	all := &Backend{opts: Options{MaxBufferedBytes: usualHeld}}
+	return replaySession{&link{all: all, ready: true, named: map[string]string{}, applied: map[string]string{}}}
+}
+
+func (c replaySession) begin(streaming bool, query string, types []byte, changed string) {
+	statement := &pgproto.Statement{Query: query, ParameterTypes: types, ChangedSetting: changed}
+	c.l.attempt = &core.Attempt{Request: &core.Request{Statement: statement, Streaming: streaming}}
+	c.l.fresh()
+}
+
+func (c replaySession) prepare() (name, messages []byte) { return c.l.prepare(c.l.statement()) }
+
+func (c replaySession) applySettings(settings []pgproto.Setting) []byte { return c.l.settle(settings) }
+
+func (c replaySession) message(kind byte, body, complete []byte) error {
+	return c.l.message(kind, body, complete)
+}
+
+func (c replaySession) stale(code string) bool { return c.l.stale(code) }
+
+func (c replaySession) state() string {
+	return fmt.Sprintf("bound=%t preludes=%d complete=%t held=%d named=%v settings=%v %s", c.l.bound, c.l.begins, c.l.whole, c.l.all.size,
+		sortedPairs(c.l.named), sortedPairs(c.l.applied), resultText(c.l.result))
+}
