--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -87,8 +87,8 @@
 		MinProbation:     seconds(u.ProbationSeconds),
 		MaxProbation:     seconds(u.MaxProbationSeconds),
 		HeartbeatTimeout: seconds(u.HeartbeatTimeoutSeconds),
-		MinSuccesses:   u.MinSuccesses,
-		MaxFailureRate:      u.MaxFailureFraction,
+		MinSuccesses:     u.MinSuccesses,
+		MaxFailureRate:   u.MaxFailureFraction,
 		MaxMemory:        int64(u.MaxMemoryMB) << 20,
 	}
 }
--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -53,10 +53,10 @@
 
 // Options bound what clients may take.
 type Options struct {
-	MaxClients int                 // connections at once; past that the longest idle ones are closed
-	MaxHeldBytes    int                 // bytes of results that wait to be fetched
-	Shapes      *queryshape.Service // estimates by the shapes of statements; nil: off
-	RequestTimeout  time.Duration       // a connection's first call, and any that has begun, must be whole
+	MaxClients     int                 // connections at once; past that the longest idle ones are closed
+	MaxHeldBytes   int                 // bytes of results that wait to be fetched
+	Shapes         *queryshape.Service // estimates by the shapes of statements; nil: off
+	RequestTimeout time.Duration       // a connection's first call, and any that has begun, must be whole
 }
 
 // Frontend accepts clients.
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -20,7 +20,7 @@
 	config   *config.Config
 	eventSum uint64            // checksum of the endpoint list in the configuration
 	socket   *netio.Listener   // the clients', where the platform holds it; nil: this process opens its own
-	front    *httpapi.Frontend    // the clients' side
+	front    *httpapi.Frontend // the clients' side
 	watch    *eventbus.Watcher // nil: no event bus is named, or it is not watched yet
 }
 
@@ -58,9 +58,9 @@
 		}
 	}
 	platform.front = httpapi.New(p.loop, p.core, httpapi.Options{
-		MaxClients: limits.maxClients,
-		MaxHeldBytes:    limits.memoryFraction(8),
-		Shapes:      p.shapes,
+		MaxClients:   limits.maxClients,
+		MaxHeldBytes: limits.memoryFraction(8),
+		Shapes:       p.shapes,
 	}, p.counters)
 	p.protocol = platform
 	return nil
