--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -3,11 +3,9 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -17,7 +15,6 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/config"
 	"gannetspur/internal/core"
 	"gannetspur/internal/metrics"
 	"gannetspur/internal/netio"
@@ -58,23 +55,8 @@
 // replay runs one stream. It returns what the client read, and a transcript of the engine.
 func replay(t *testing.T, seed uint64) (client []byte, engine string) {
 	t.Helper()
-	raw, err := os.ReadFile("../../../deploy/postgres-settings.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var site config.Site
-	if err := json.Unmarshal(raw, &site); err != nil {
-		t.Fatal(err)
-	}
-	loop, err := netio.New(1024)
-	if err != nil {
-		t.Fatal(err)
-	}
 	counters := metrics.New()
-	c, err := core.New(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
+	c, loop := newTestCore(t, counters)
 	links := &replayLinks{core: c, loop: loop, hanging: make(chan bool, 1)}
 	c.SetLinks(links)
 	f := New(loop, c, replayOptions(seed), counters)
