--- a/internal/frontend/postgres/connection.go
+++ b/internal/frontend/postgres/connection.go
@@ -142,11 +142,11 @@
 
 func (c *connection) handleMessage(kind byte, body []byte) {
 	switch {
-	case kind == msgTerminate:
+	case kind == pgproto.MessageTerminate:
 		c.flush() // answers to what the client sent ahead of it
 		c.ended = true
 		c.socket.Close()
-	case kind == msgSync:
+	case kind == pgproto.MessageSync:
 		c.sync()
 	case c.skipToSync:
 	default:
@@ -158,22 +158,22 @@
 
 func (c *connection) dispatch(kind byte, body []byte) *pgproto.Error {
 	switch kind {
-	case msgParse:
+	case pgproto.MessageParse:
 		return c.handleParse(body)
-	case msgBind:
+	case pgproto.MessageBind:
 		return c.handleBind(body)
-	case msgDescribe:
+	case pgproto.MessageDescribe:
 		return c.handleDescribe(body)
-	case msgExecute:
+	case pgproto.MessageExecute:
 		return c.handleExecute(body)
-	case msgClose:
+	case pgproto.MessageClose:
 		return c.handleClose(body)
-	case msgQuery:
+	case pgproto.MessageQuery:
 		return c.handleQuery(body)
-	case msgFunctionCall: // no Sync follows it, as none follows a Query
+	case pgproto.MessageFunctionCall: // no Sync follows it, as none follows a Query
 		c.inSimpleQuery = true
 		return newError(codeFeatureNotSupported, "function calls are not supported")
-	case msgPassword:
+	case pgproto.MessagePassword:
 		return newError(codeProtocolViolation, "no password was asked for")
 	}
 	return nil // Flush: all is written anyway. Copy data after a rejected COPY is ignored.
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -45,7 +45,7 @@
 // readLoginMessage reads one message of a login. The answer is the same whether the user is unknown
 // or the proof is wrong.
 func (c *connection) readLoginMessage(in *netio.Buffer) (more bool, err error) {
-	if b := in.Bytes(); len(b) > 0 && b[0] != msgPassword {
+	if b := in.Bytes(); len(b) > 0 && b[0] != pgproto.MessagePassword {
 		return false, errUnknownMessageType
 	}
 	_, body, n, err := pgproto.ReadMessage(in.Bytes(), maxLoginMessageSize)
--- a/internal/frontend/postgres/portal.go
+++ b/internal/frontend/postgres/portal.go
@@ -123,7 +123,7 @@
 func (c *connection) settleDescribe(kind byte, body []byte) (wait bool) {
 	p := c.portals[c.describedPortal]
 	r := pgproto.Reader{Rest: body}
-	if kind == msgExecute && r.CString() == c.describedPortal && p.result == nil && !p.statement.empty {
+	if kind == pgproto.MessageExecute && r.CString() == c.describedPortal && p.result == nil && !p.statement.empty {
 		return false // handleExecute sees to it
 	}
 	c.describePending = false
--- a/internal/frontend/postgres/prepared.go
+++ b/internal/frontend/postgres/prepared.go
@@ -120,7 +120,7 @@
 	r := pgproto.Reader{Rest: body}
 	kind = r.Byte()
 	name = r.CString()
-	if !r.Complete() || kind != targetStatement && kind != targetPortal {
+	if !r.Complete() || kind != pgproto.TargetStatement && kind != pgproto.TargetPortal {
 		return 0, "", errMalformed(message)
 	}
 	return kind, name, nil
@@ -131,7 +131,7 @@
 	if e != nil {
 		return e
 	}
-	if kind == targetPortal {
+	if kind == pgproto.TargetPortal {
 		return c.describePortalLater(name)
 	}
 	s := c.statements[name]
@@ -173,7 +173,7 @@
 	if e != nil {
 		return e
 	}
-	if kind == targetStatement {
+	if kind == pgproto.TargetStatement {
 		delete(c.statements, name)
 	} else {
 		c.dropPortal(name)
--- a/internal/frontend/postgres/replay_engine_test.go
+++ b/internal/frontend/postgres/replay_engine_test.go
@@ -110,12 +110,12 @@
 	case s.DescribeOnly:
 		return &pgproto.Result{ParameterDescription: types}
 	case s.ChangedSetting != "":
-		status := pgproto.AppendMessage(nil, 'S', pgproto.CString(s.ChangedSetting), pgproto.CString("value"))
+		status := pgproto.AppendMessage(nil, pgproto.MessageParameterStatus, pgproto.CString(s.ChangedSetting), pgproto.CString("value"))
 		return &pgproto.Result{Tag: "SET", ParameterStatus: status}
 	case selects:
 		res := &pgproto.Result{RowDescription: fields, RowCount: sum % 5}
 		for n := range res.RowCount {
-			res.Rows = pgproto.AppendMessage(res.Rows, 'D', []byte{0, 1}, pgproto.Int32(9), fmt.Appendf(nil, "row %5d", n))
+			res.Rows = pgproto.AppendMessage(res.Rows, pgproto.MessageDataRow, []byte{0, 1}, pgproto.Int32(9), fmt.Appendf(nil, "row %5d", n))
 		}
 		res.Tag = fmt.Sprintf("SELECT %d", res.RowCount)
 		return res
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -152,7 +152,7 @@
 				break
 			}
 		}
-		_, _ = r.conn.Write(pgproto.AppendMessage(nil, 'X'))
+		_, _ = r.conn.Write(pgproto.AppendMessage(nil, pgproto.MessageTerminate))
 		r.readReady()
 		r.disconnect()
 	}
@@ -226,28 +226,28 @@
 	case n < 1:
 		return []byte("!garbage"), false
 	case n < 2:
-		return pgproto.AppendMessage(nil, 'F', make([]byte, 8)), false
+		return pgproto.AppendMessage(nil, pgproto.MessageFunctionCall, make([]byte, 8)), false
 	case n < 6:
-		return pgproto.AppendMessage(nil, 'Q', pgproto.CString(r.pick("select hang() from t", "update t set hang = 1"))), true
+		return pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString(r.pick("select hang() from t", "update t set hang = 1"))), true
 	case n < 7 && !r.lost:
 		r.lost = true
-		return pgproto.AppendMessage(nil, 'Q', pgproto.CString("update t set lose = 1")), false
+		return pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString("update t set lose = 1")), false
 	case n < 50:
-		return pgproto.AppendMessage(nil, 'Q', pgproto.CString(r.query())), false
+		return pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString(r.query())), false
 	}
 	for range r.random.IntN(4) + 1 {
 		batch = r.extended(batch)
 	}
-	return pgproto.AppendMessage(batch, 'S'), false
+	return pgproto.AppendMessage(batch, pgproto.MessageSync), false
 }
 
 func (r *replayClient) extended(b []byte) []byte {
 	statement, portal := r.pick("", "", "a", "b"), r.pick("", "", "p", "q")
 	switch r.random.IntN(12) {
 	case 0:
-		return pgproto.AppendMessage(b, 'C', []byte(r.pick("S", "P", "X")), pgproto.CString(r.pick("", "a", "b", "p", "q")))
+		return pgproto.AppendMessage(b, pgproto.MessageClose, []byte(r.pick("S", "P", "X")), pgproto.CString(r.pick("", "a", "b", "p", "q")))
 	case 1:
-		return pgproto.AppendMessage(b, 'D', []byte(r.pick("S", "P")), pgproto.CString(r.pick("", "a", "b", "p", "q")))
+		return pgproto.AppendMessage(b, pgproto.MessageDescribe, []byte(r.pick("S", "P")), pgproto.CString(r.pick("", "a", "b", "p", "q")))
 	case 2:
 		return pgproto.AppendMessage(b, r.pick("H", "d", "c", "f", "p")[0], pgproto.CString("x"))
 	case 3:
@@ -255,16 +255,16 @@
 	case 4:
 		return r.execute(b, portal)
 	}
-	b = pgproto.AppendMessage(b, 'C', []byte("S"), pgproto.CString(statement))
+	b = pgproto.AppendMessage(b, pgproto.MessageClose, []byte("S"), pgproto.CString(statement))
 	query := r.query()
-	b = pgproto.AppendMessage(b, 'P', pgproto.CString(statement), pgproto.CString(query), r.types())
+	b = pgproto.AppendMessage(b, pgproto.MessageParse, pgproto.CString(statement), pgproto.CString(query), r.types())
 	if r.random.IntN(4) == 0 {
-		b = pgproto.AppendMessage(b, 'D', []byte("S"), pgproto.CString(statement))
+		b = pgproto.AppendMessage(b, pgproto.MessageDescribe, []byte("S"), pgproto.CString(statement))
 	}
-	b = pgproto.AppendMessage(b, 'C', []byte("P"), pgproto.CString(portal))
-	b = pgproto.AppendMessage(b, 'B', pgproto.CString(portal), pgproto.CString(statement), r.bind(strings.Count(query, "$")))
+	b = pgproto.AppendMessage(b, pgproto.MessageClose, []byte("P"), pgproto.CString(portal))
+	b = pgproto.AppendMessage(b, pgproto.MessageBind, pgproto.CString(portal), pgproto.CString(statement), r.bind(strings.Count(query, "$")))
 	if r.random.IntN(2) == 0 {
-		b = pgproto.AppendMessage(b, 'D', []byte("P"), pgproto.CString(portal))
+		b = pgproto.AppendMessage(b, pgproto.MessageDescribe, []byte("P"), pgproto.CString(portal))
 	}
 	for range r.random.IntN(3) {
 		b = r.execute(b, portal)
@@ -273,7 +273,7 @@
 }
 
 func (r *replayClient) execute(b []byte, portal string) []byte {
-	return pgproto.AppendMessage(b, 'E', pgproto.CString(portal), pgproto.Int32(r.random.IntN(4)))
+	return pgproto.AppendMessage(b, pgproto.MessageExecute, pgproto.CString(portal), pgproto.Int32(r.random.IntN(4)))
 }
 
 func (r *replayClient) types() []byte {
@@ -339,12 +339,12 @@
 		if _, err := io.ReadFull(r.conn, body); err != nil {
 			r.t.Fatal(err)
 		}
-		if head[0] == 'K' {
+		if head[0] == pgproto.MessageBackendKeyData {
 			r.cancel = slices.Clone(body)
 			clear(body[4:]) // the secret is random
 		}
 		r.read = append(append(r.read, head...), body...)
-		if head[0] == 'Z' {
+		if head[0] == pgproto.MessageReadyForQuery {
 			return true
 		}
 	}
--- a/internal/frontend/postgres/startup.go
+++ b/internal/frontend/postgres/startup.go
@@ -41,7 +41,7 @@
 		c.acceptTLS()
 		return false, nil
 	case code == pgproto.SSLRequest || code == pgproto.GSSENCRequest:
-		c.out.encryptionAnswer(encryptionDeclined)
+		c.out.encryptionAnswer(pgproto.EncryptionDeclined)
 		return true, nil
 	case code == pgproto.CancelRequest:
 		c.frontend.cancel(body)
--- a/internal/frontend/postgres/tls.go
+++ b/internal/frontend/postgres/tls.go
@@ -1,6 +1,10 @@
 package postgres
 
-import "crypto/tls"
+import (
+	"crypto/tls"
+
+	"gannetspur/internal/pgproto"
+)
 
 // tlsHandshakeRecord is the first byte of a connection that begins with TLS (RFC 8446, 5.1).
 const tlsHandshakeRecord = 0x16
@@ -10,7 +14,7 @@
 
 // acceptTLS accepts an SSLRequest and starts TLS behind it.
 func (c *connection) acceptTLS() {
-	c.out.encryptionAnswer(encryptionAccepted)
+	c.out.encryptionAnswer(pgproto.EncryptionAccepted)
 	c.flush()
 	c.startTLS(func(tls.ConnectionState) bool { return true })
 }
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -38,11 +38,11 @@
 func (c *connection) transactionStatus() byte {
 	switch {
 	case c.transaction == nil:
-		return statusIdle
+		return pgproto.TransactionIdle
 	case c.transaction.failed:
-		return statusFailed
+		return pgproto.TransactionFailed
 	}
-	return statusInTransaction
+	return pgproto.TransactionOpen
 }
 
 // beginTransaction opens a transaction. An engine hears of it with its first statement.
