--- a/internal/backend/postgres/replay_test.go
+++ b/internal/backend/postgres/replay_test.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"os"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -54,13 +55,13 @@
 func replayConnection(digest hash.Hash, random *rand.Rand) {
 	c := newReplaySession()
 	for range replayStatements {
-		query := pick(random, "SELECT ", "SET x = ", "INSERT ") + fmt.Sprint(random.IntN(40))
+		query := pick(random, "SELECT ", "SET x = ", "INSERT ") + strconv.Itoa(random.IntN(40))
 		if random.IntN(20) == 0 {
 			query += strings.Repeat("y", 5<<10)
 		}
 		types := []byte(pick(random, "\x00\x00", "\x00\x01\x00\x00\x00\x17"))
 		c.begin(random.IntN(5) == 0, query, types, pick(random, "", "", "", "work_mem"))
-		name, prepare := c.prepare()
+		name, prepare := c.prepareStatement()
 		record(digest, "prepare name=%x bytes=%x\n", name, prepare)
 		var settings []pgproto.Setting
 		for _, setting := range []string{"search_path", "statement_timeout", "work_mem"} {
@@ -73,7 +74,7 @@
 			replayMessage(digest, random, c)
 		}
 		record(digest, "%s\n", c.state())
-		record(digest, "stale=%t\n", c.stale(pick(random, "26000", "0A000", "42P01")))
+		record(digest, "stale=%t\n", c.dropStaleName(pick(random, "26000", "0A000", "42P01")))
 		record(digest, "%s\n", c.state())
 	}
 }
@@ -82,7 +83,7 @@
 	kind := pick(random, "1", "1", "2", "3", "t", "T", "n", "D", "D", "D", "C", "C", "I", "Q", "S", "N", "A")
 	body := []byte(pick(random, "", "\x00\x00", "SELECT 1\x00", "SET\x00", "work_mem\x001\x00", "no end"))
 	complete := pgproto.AppendMessage(nil, kind[0], body)
-	record(digest, "%s error=%t\n", kind, c.message(kind[0], body, complete) != nil)
+	record(digest, "%s error=%t\n", kind, c.handleMessage(kind[0], body, complete) != nil)
 }
 
 func sortedPairs(values map[string]string) (pairs []string) {
@@ -99,32 +100,34 @@
 
 // The rest is how the replay reaches the connection.
 
-func replayOutcome(code string) string { return errorEnd(code).String() }
+func replayOutcome(code string) string { return sqlstateOutcome(code).String() }
 
-type replaySession struct{ l *link }
+type replaySession struct{ *connection }
 
 func newReplaySession() replaySession {
-	all := &Backend{opts: Options{MaxBufferedBytes: usualHeld}}
-	return replaySession{&link{all: all, ready: true, named: map[string]string{}, applied: map[string]string{}}}
+	b := &Backend{options: Options{MaxBufferedBytes: defaultMaxBufferedBytes}}
+	c := &connection{backend: b, session: newSession(), prepared: newPreparedStatements()}
+	c.startup.done = true
+	return replaySession{c}
 }
 
 func (c replaySession) begin(streaming bool, query string, types []byte, changed string) {
 	statement := &pgproto.Statement{Query: query, ParameterTypes: types, ChangedSetting: changed}
-	c.l.attempt = &core.Attempt{Request: &core.Request{Statement: statement, Streaming: streaming}}
-	c.l.fresh()
+	c.query.attempt = &core.Attempt{Request: &core.Request{Statement: statement, Streaming: streaming}}
+	c.resetResponse()
 }
 
-func (c replaySession) prepare() (name, messages []byte) { return c.l.prepare(c.l.statement()) }
-
-func (c replaySession) applySettings(settings []pgproto.Setting) []byte { return c.l.settle(settings) }
-
-func (c replaySession) message(kind byte, body, complete []byte) error {
-	return c.l.message(kind, body, complete)
+func (c replaySession) prepareStatement() (name, messages []byte) {
+	return c.prepare(nil, c.statement())
 }
 
-func (c replaySession) stale(code string) bool { return c.l.stale(code) }
+func (c replaySession) applySettings(settings []pgproto.Setting) (messages []byte) {
+	messages, c.response.preludes = c.session.appendSettings(nil, settings)
+	return messages
+}
 
 func (c replaySession) state() string {
-	return fmt.Sprintf("bound=%t preludes=%d complete=%t held=%d named=%v settings=%v %s", c.l.bound, c.l.begins, c.l.whole, c.l.all.size,
-		sortedPairs(c.l.named), sortedPairs(c.l.applied), resultText(c.l.result))
+	return fmt.Sprintf("bound=%t preludes=%d complete=%t held=%d named=%v settings=%v %s", c.response.bound, c.response.preludes,
+		c.response.complete, c.backend.bufferedBytes, sortedPairs(c.prepared.names), sortedPairs(c.session.settings),
+		resultText(c.response.result))
 }
--- /dev/null
+++ b/internal/backend/postgres/response.go
@@ -0,0 +1,176 @@
+package postgres
+
+import (
+	"errors"
+	"fmt"
+
+	"gannetspur/internal/core"
+	"gannetspur/internal/pgproto"
+)
+
+var (
+	errTransactionOpen    = errors.New("the session is left in a transaction")
+	errIncompleteResponse = errors.New("a response without an end")
+)
+
+// response is what has come of the answer to a statement.
+type response struct {
+	result   *pgproto.Result
+	bound    bool // BindComplete has come: the statement may be running
+	preludes int  // statements ahead of it whose CommandComplete has not come
+	complete bool // CommandComplete or EmptyQueryResponse has come
+	failure  *pgproto.Error
+}
+
+// resetResponse makes the connection ready for the next response.
+func (c *connection) resetResponse() { c.response = response{result: &pgproto.Result{}} }
+
+// handleResponseMessage takes one message of a response.
+func (c *connection) handleResponseMessage(kind byte, body, message []byte) error {
+	result := c.response.result
+	switch kind {
+	case messageParseComplete:
+		c.recordPrepared()
+	case messageBindComplete:
+		c.response.bound = true
+	case messageCloseComplete:
+	case messageParameterDescription:
+		result.ParameterDescription = append([]byte{}, body...)
+	case messageRowDescription:
+		result.RowDescription = append([]byte{}, body...)
+	case messageNoData:
+		result.RowDescription = nil
+	case messageDataRow:
+		c.handleRow(message)
+	case messageCommandComplete:
+		return c.handleCommandComplete(body)
+	case messageEmptyQueryResponse:
+		result.EmptyQuery = true
+		c.response.complete = true
+	default:
+		return fmt.Errorf("%w: %q in a response", errUnexpectedMessage, kind)
+	}
+	return nil
+}
+
+// handleRow holds a row until the result is complete, as far as the bounds allow.
+func (c *connection) handleRow(message []byte) {
+	result := c.response.result
+	switch {
+	case len(result.Rows)+len(message) > MaxResultBytes:
+		c.rejectResult(sqlstateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", MaxResultBytes))
+		return
+	case c.backend.bufferedBytes+len(message) > c.backend.options.MaxBufferedBytes:
+		c.rejectResult(sqlstateOutOfMemory, "the gateway holds too many results")
+		return
+	}
+	result.Rows = append(result.Rows, message...)
+	result.RowCount++
+	c.backend.bufferedBytes += len(message)
+}
+
+// rejectResult ends an attempt whose response is still coming, and is too large.
+func (c *connection) rejectResult(code, text string) {
+	a := c.query.attempt
+	c.backend.Cancel(a)
+	reason := &pgproto.Error{Severity: "ERROR", Code: code, Message: text}
+	c.backend.core.EndAttempt(a, core.OutcomeResultTooLarge, core.Report{EngineError: reason})
+}
+
+func (c *connection) handleCommandComplete(body []byte) error {
+	if c.response.preludes > 0 {
+		c.response.preludes--
+		c.response.bound = false
+		return nil
+	}
+	tag := pgproto.Reader{Rest: body}
+	c.response.result.Tag = tag.CString()
+	c.response.complete = true
+	if !tag.Complete() {
+		return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
+	}
+	return nil
+}
+
+// handleParameterStatus keeps what a client's SET reports. All else is the session's, which no client owns.
+func (c *connection) handleParameterStatus(message []byte) {
+	statement := c.statement()
+	if statement == nil || statement.ChangedSetting == "" || c.response.preludes > 0 {
+		return
+	}
+	c.response.result.ParameterStatus = append(c.response.result.ParameterStatus, message...)
+}
+
+func (c *connection) handleError(body []byte) error {
+	failure, err := pgproto.ReadError(body)
+	if err != nil {
+		return err
+	}
+	c.response.failure = failure
+	if c.response.preludes > 0 { // which settings the session has now is not known
+		c.retired = true
+	}
+	if !c.startup.done || failure.Severity == "FATAL" {
+		c.close(c.fatalOutcome())
+	}
+	return nil
+}
+
+// handleReadyForQuery takes the end of the startup, of a session's reset, of a statement or of a transaction's part.
+func (c *connection) handleReadyForQuery(body []byte) error {
+	if len(body) != 1 {
+		return errTransactionOpen
+	}
+	inTransaction := body[0] != transactionIdle
+	mayBeInTransaction := c.startup.done && c.query.attempt != nil && c.query.attempt.Request.Streaming
+	switch {
+	case inTransaction && !mayBeInTransaction:
+		return errTransactionOpen
+	case c.session.resetting:
+		return c.completeReset()
+	case inTransaction:
+		return c.relayPart()
+	case !c.startup.done:
+		c.completeStartup()
+		return nil
+	case c.query.attempt == nil:
+		return fmt.Errorf("%w: ReadyForQuery on an idle connection", errUnexpectedMessage)
+	}
+	return c.finishStatement()
+}
+
+// finishStatement ends the attempt at the end of its response.
+func (c *connection) finishStatement() error {
+	statement := c.statement()
+	failure := c.response.failure
+	described := statement.DescribeOnly && c.response.result.ParameterDescription != nil
+	switch {
+	case failure != nil && statement.EndsTransaction: // it was rolled back, and the engine says why
+		c.finish(core.OutcomeStatementRejected, core.Report{EngineError: failure})
+	case failure != nil && c.dropStaleName(failure.Code):
+		c.finish(core.OutcomeNotSent, core.Report{})
+	case failure != nil:
+		c.finish(c.failureOutcome(statement), core.Report{EngineError: failure})
+	case c.response.complete || described:
+		c.finish(core.OutcomeServed, core.Report{Result: c.response.result})
+	default:
+		return errIncompleteResponse
+	}
+	return nil
+}
+
+// relayPart passes on an answer within a transaction: a result, or the error that has failed it.
+func (c *connection) relayPart() error {
+	if c.response.failure == nil && !c.response.complete {
+		return errIncompleteResponse
+	}
+	report := core.Report{Result: c.response.result}
+	if c.response.failure != nil {
+		report = core.Report{EngineError: c.response.failure}
+	}
+	c.backend.bufferedBytes -= len(c.response.result.Rows)
+	c.resetResponse()
+	c.query.continued = true
+	c.backend.core.RelayPart(c.query.attempt, report)
+	return nil
+}
--- a/internal/backend/postgres/codec_test.go
+++ b/internal/backend/postgres/result_codec_test.go
@@ -38,8 +38,10 @@
 		t.Error(err, diff)
 	}
 	e := &pgproto.Error{Severity: "ERROR", Code: "42P01", Message: "no such table"}
-	if got, err := c.ReadDetail(c.Detail(e)); err != nil || got.(*pgproto.Error).Code != "42P01" {
-		t.Error(got, err)
+	detail, err := c.ReadDetail(c.Detail(e))
+	decoded := pgproto.AsError(detail)
+	if err != nil || decoded == nil || decoded.Code != e.Code || decoded.Severity != e.Severity || decoded.Message != e.Message {
+		t.Errorf("ReadDetail = %v, %v, want %v", decoded, err, e)
 	}
 	if c.Detail(errors.New("other")) != nil {
 		t.Error("what is no error was written")
