--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -179,11 +179,11 @@
 				t.Error(err)
 				return
 			}
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			_ = conn.SetDeadline(time.Now().Add(patience))
 			r := bufio.NewReader(conn)
 			for i := range each {
-				fmt.Fprintf(conn, "POST /rpc/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\nContent-Length: 8\r\n\r\nSELECT 1", c<<16|i)
+				_, _ = fmt.Fprintf(conn, "POST /rpc/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\nContent-Length: 8\r\n\r\nSELECT 1", c<<16|i)
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil {
 					t.Error(err)
@@ -191,6 +191,7 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
+				_ = resp.Body.Close()
 				answers <- resp.StatusCode
 			}
 		}()
--- a/internal/integration/descriptors_test.go
+++ b/internal/integration/descriptors_test.go
@@ -38,7 +38,10 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { in.Close(); _ = cmd.Wait() }()
+	defer func() {
+		_ = in.Close()
+		_ = cmd.Wait()
+	}()
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +55,7 @@
 	got, _ := clients[0].call(health)
 	same(t, "first client", got, "200 {}")
 	for _, k := range clients[:50] {
-		k.c.Close()
+		_ = k.c.Close()
 	}
 	for _, k := range clients[50:] {
 		got, _ := k.call(health)
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -63,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close(ctx)
+	defer func() { _ = c.Close(ctx) }()
 	first := func(q interface {
 		QueryRow(ctx context.Context, sql string, args ...any) pgx.Row
 	}, text string, args ...any) string {
@@ -92,7 +93,7 @@
 	}
 	var b pgx.Batch
 	for i := range 5 {
-		b.Queue("SELECT $1", fmt.Sprint(i))
+		b.Queue("SELECT $1", strconv.Itoa(i))
 	}
 	r := c.SendBatch(ctx, &b)
 	for range 5 {
@@ -170,7 +171,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }()
 	db.SetMaxOpenConns(3)
 	var got string
 	if err := db.QueryRowContext(ctx, "SELECT part FROM stock_1.parts").Scan(&got); err != nil || got != "SELECT part FROM stock_1.parts" {
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -123,7 +123,7 @@
 	g := platform(t, addr)
 	k := httpConnect(t, g.addr)
 	call := post("lookup", "Connection: close\r\n") + strings.Repeat(healthCall, 8000)
-	go io.WriteString(k.c, call)
+	go func() { _, _ = io.WriteString(k.c, call) }()
 	got, _ := k.answer()
 	same(t, "answer", got, `200 {"result":[["a","b","c"]]}`)
 	k.ends()
--- a/internal/integration/order_test.go
+++ b/internal/integration/order_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -40,8 +41,23 @@
 	hangs bool
 }
 
-func newOrderedEngine(t *testing.T, hangs bool) *orderedEngine {
-	e := &orderedEngine{wants: make(chan string, 100), asks: make(chan string, 100), ends: make(chan string, 100), hangs: hangs}
+func newOrderedEngine(t *testing.T) *orderedEngine {
+	t.Helper()
+	e := &orderedEngine{wants: make(chan string, 100), asks: make(chan string, 100), ends: make(chan string, 100)}
+	e.start(t)
+	return e
+}
+
+// newHangingEngine returns one that never tells that it knows no query of a page.
+func newHangingEngine(t *testing.T) *orderedEngine {
+	t.Helper()
+	e := &orderedEngine{wants: make(chan string, 100), asks: make(chan string, 100), ends: make(chan string, 100), hangs: true}
+	e.start(t)
+	return e
+}
+
+func (e *orderedEngine) start(t *testing.T) {
+	t.Helper()
 	e.addr = listen(t, func(c net.Conn) {
 		over := make(chan struct{})
 		defer close(over)
@@ -53,11 +69,11 @@
 				case id := <-e.ends:
 					switch {
 					case id == "break":
-						c.Close()
+						_ = c.Close()
 					case strings.Contains(id, " "):
-						fmt.Fprint(c, id)
+						_, _ = fmt.Fprint(c, id)
 					default:
-						fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", id)
+						_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", id)
 					}
 				}
 			}
@@ -76,13 +92,12 @@
 				case w[0] == "turn":
 					e.asks <- w[1]
 					if !e.hangs {
-						fmt.Fprintf(c, "%s BROKE - 0\r\n\r\n", w[1])
+						_, _ = fmt.Fprintf(c, "%s BROKE - 0\r\n\r\n", w[1])
 					}
 				}
 			}
 		}
 	})
-	return e
 }
 
 // none tells that nothing has reached the engine.
@@ -99,7 +114,7 @@
 // they came on; another key is not held up; and behind one that may run still, as its client left
 // or its connection broke, the key rests.
 func TestOrderOfAKey(t *testing.T) {
-	e := newOrderedEngine(t, false)
+	e := newOrderedEngine(t)
 	g := newGateway(t, ordered).platform(e.addr)
 	var clients []*httpClient
 	ids := func(n int) string { return fmt.Sprintf("%016x", n) }
@@ -124,7 +139,7 @@
 	e.ends <- ids(0)
 	same(t, "second, once the first is over", await(t, e.wants), ids(1))
 	left := time.Now()
-	clients[1].c.Close()
+	_ = clients[1].c.Close()
 	same(t, "third", await(t, e.wants), ids(2))
 	if rest := time.Since(left); rest < settle {
 		t.Errorf("the key rested for %v behind a client that left", rest)
@@ -161,12 +176,12 @@
 		"starts anew":         {start: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newOrderedEngine(t, true)
+			e := newHangingEngine(t)
 			g := newGateway(t, ordered).platform(e.addr)
 			k := httpConnect(t, g.addr)
 			_, _ = io.WriteString(k.c, keyed(0, "a"))
 			same(t, "first", await(t, e.wants), first)
-			k.c.Close()
+			_ = k.c.Close()
 			next := httpConnect(t, g.addr)
 			_, _ = io.WriteString(next.c, strings.Replace(keyed(1, "a"), "2000", "20000", 1))
 			for range 2 { // it is asked again a second later, past the rest
@@ -199,7 +214,7 @@
 // A load that waits for its turn until its time is up gets its one answer then, never having been
 // sent, and the next in line goes on.
 func TestWaitForATurnEnds(t *testing.T) {
-	e := newOrderedEngine(t, false)
+	e := newOrderedEngine(t)
 	g := newGateway(t, ordered).platform(e.addr)
 	long, short, next := httpConnect(t, g.addr), httpConnect(t, g.addr), httpConnect(t, g.addr)
 	for i, k := range []*httpClient{long, short, next} {
@@ -226,7 +241,7 @@
 
 // A class in order needs a key of a plain form; without one nothing is sent.
 func TestOrderNeedsAKey(t *testing.T) {
-	e := newOrderedEngine(t, false)
+	e := newOrderedEngine(t)
 	g := newGateway(t, ordered).platform(e.addr)
 	for name, head := range map[string]string{
 		"missing": "", "empty": "Req-Key: \r\n", "oversized": "Req-Key: " + strings.Repeat("7", 65) + "\r\n",
@@ -251,7 +266,7 @@
 	send := func(text, key string, n int) *pgClient {
 		t.Helper()
 		k := connect(t, g.addr)
-		k.send(parse("", text), bind("", "", key, fmt.Sprint(n)), execute("", 0), sync)
+		k.send(parse("", text), bind("", "", key, strconv.Itoa(n)), execute("", 0), sync)
 		for g.count("taken.load") < int64(n) {
 			time.Sleep(time.Millisecond)
 		}
@@ -293,14 +308,14 @@
 	var clients []*pgClient
 	for n := range 2 {
 		k := connect(t, g.addr)
-		k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1, $2)"), bind("", "", "a", fmt.Sprint(n)), execute("", 0), sync)
+		k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1, $2)"), bind("", "", "a", strconv.Itoa(n)), execute("", 0), sync)
 		for g.count("taken.load") < int64(n+1) {
 			time.Sleep(time.Millisecond)
 		}
 		clients = append(clients, k)
 	}
 	await(t, asked)
-	clients[0].c.Close()
+	_ = clients[0].c.Close()
 	same(t, "engine heard", await(t, seen).query, "cancel")
 	rested := make(chan bool)
 	g.do(func() { g.loop.Timers.Add(g.loop.Now()+settle+settle, func() { close(rested) }) })
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -173,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -181,7 +182,10 @@
 				return
 			}
 			_ = c.SetDeadline(time.Now().Add(patience))
-			go func() { defer c.Close(); serve(c) }()
+			go func() {
+				defer func() { _ = c.Close() }()
+				serve(c)
+			}()
 		}
 	}()
 	return ln.Addr().String()
@@ -194,7 +198,7 @@
 		t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(patience))
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -211,6 +215,7 @@
 // lineEngine is an engine of the platform: it reports each line, with the
 // statement of a want after it, and answers as the script says.
 func lineEngine(t *testing.T, script func(line string) (answer string)) (addr string, seen chan string) {
+	t.Helper()
 	seen = make(chan string, 100)
 	var one gosync.Mutex // scripts keep state, and connections are served side by side
 	return listen(t, func(c net.Conn) {
@@ -258,6 +263,7 @@
 // pgEngine is a PostgreSQL engine: the script answers each batch; nil leaves the
 // batch open until a CancelRequest, which is reported as a call of its own.
 func pgEngine(t *testing.T, script func(pgCall) []byte) (addr string, seen chan pgCall) {
+	t.Helper()
 	return slowPgEngine(t, 0, script)
 }
 
@@ -266,6 +272,7 @@
 const breakOff = "break off"
 
 func slowPgEngine(t *testing.T, startup time.Duration, script func(pgCall) []byte) (addr string, seen chan pgCall) {
+	t.Helper()
 	seen = make(chan pgCall, 100)
 	return listen(t, func(c net.Conn) {
 		var in []byte
@@ -418,7 +425,7 @@
 		if n == 0 {
 			p := make([]byte, 4096)
 			m, err := k.c.Read(p)
-			if k.in = append(k.in, p[:m]...); err == io.EOF {
+			if k.in = append(k.in, p[:m]...); errors.Is(err, io.EOF) {
 				return strings.Join(append(words, "end"), " ")
 			} else if err != nil {
 				k.t.Fatalf("after %q: %v", words, err)
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -36,6 +36,7 @@
 }
 
 func httpConnect(t *testing.T, addr string) *httpClient {
+	t.Helper()
 	c := dial(t, addr)
 	return &httpClient{t, c, bufio.NewReader(c)}
 }
@@ -56,7 +57,7 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		k.t.Fatal(err)
@@ -170,7 +171,7 @@
 		t.Fatal(err)
 	}
 	dead := ln.Addr().String()
-	ln.Close()
+	_ = ln.Close()
 	g := platform(t, dead)
 	k := httpConnect(t, g.addr)
 	got, head := k.call(post("load", "Req-Token: k\r\n"))
@@ -205,7 +206,7 @@
 	k := httpConnect(t, g.addr)
 	_, _ = io.WriteString(k.c, post("lookup", ""))
 	await(t, seen)
-	k.c.Close()
+	_ = k.c.Close()
 	same(t, "engine heard", await(t, seen), "never_mind "+id)
 	got, _ := httpConnect(t, g.addr).call(post("lookup", ""))
 	same(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
@@ -451,10 +452,10 @@
 		w := strings.Fields(line)
 		switch w[0] {
 		case "want":
-			page := fmt.Sprintf("%s DONE batches=2 4\r\na\t\t\n\r\n", w[1])
+			page := w[1] + " DONE batches=2 4\r\na\t\t\n\r\n"
 			return "0000000000000000 DONE - 2\r\nxx\r\n" + page + page
 		case "turn":
-			page := fmt.Sprintf("%s MORE batch=1 4\r\nb\t\t\n\r\n", w[1])
+			page := w[1] + " MORE batch=1 4\r\nb\t\t\n\r\n"
 			return page + page
 		}
 		return ""
@@ -483,7 +484,7 @@
 			stopped = true
 			return w[1] + " DONE batches=1 400\r\na\tb"
 		}
-		return fmt.Sprintf("%s DONE batches=1 0\r\n\r\n", w[1])
+		return w[1] + " DONE batches=1 0\r\n\r\n"
 	})
 	g := platform(t, addr)
 	one, two := httpConnect(t, g.addr), httpConnect(t, g.addr)
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -20,6 +20,7 @@
 }
 
 func newPooled(t *testing.T, limits connpool.Limits) *pooled {
+	t.Helper()
 	p := &pooled{asked: make(chan string, 100), release: make(chan bool, 100)}
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
 		p.asked <- c.query
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -81,7 +81,7 @@
 	if c := await(t, seen); !strings.Contains(c.bind, "k1") {
 		t.Errorf("engine was asked %+v", c)
 	}
-	k.c.Close()
+	_ = k.c.Close()
 	same(t, "after the disconnection the engine heard", await(t, seen).query, "cancel")
 	if sent, gone := g.count("sent."), g.count("gone."); sent != 1 || gone != 1 {
 		t.Errorf("%d sent, %d gone, want one of each", sent, gone)
