--- a/internal/backend/lineproto/parser.go
+++ b/internal/backend/lineproto/parser.go
@@ -48,7 +48,7 @@
 
 var (
 	errLine          = errors.New("a line is too long or not ended by CR LF")
-	errWords         = errors.New("an answer does not have four words")
+	errWordCount     = errors.New("an answer does not have four words")
 	errLength        = errors.New("an answer's length is no number or too large")
 	errBodyEnd       = errors.New("an answer's body is not followed by CR LF")
 	errUnknownAnswer = errors.New("unknown kind of answer")
@@ -67,7 +67,7 @@
 	}
 	words := strings.Split(string(b[:end-1]), " ")
 	if len(words) != answerWords || words[0] == "" || words[1] == "" {
-		return answer{}, 0, errWords
+		return answer{}, 0, errWordCount
 	}
 	length, err := strconv.ParseUint(words[3], 10, 31)
 	if err != nil || length > maxBodyBytes {
