--- a/internal/frontend/postgres/cancel.go
+++ b/internal/frontend/postgres/cancel.go
@@ -25,17 +25,17 @@
 		return
 	}
 	isAuthentic := subtle.ConstantTimeCompare(c.secretKey[:], body[4:]) == 1
-	if c.request.request == nil || !isAuthentic {
+	if c.inFlight.request == nil || !isAuthentic {
 		return
 	}
 	f.counters.Add("pgwire.cancels")
 	c.cancelRequest()
 }
 
-// cancelRequest cancels the open request.
+// cancelRequest cancels the request in flight.
 func (c *connection) cancelRequest() {
-	r := c.request.request
-	c.request.take()
+	r := c.inFlight.request
+	c.inFlight.take()
 	e := c.cancelTransaction(r)
 	switch {
 	case e != nil:
--- a/internal/frontend/postgres/connection.go
+++ b/internal/frontend/postgres/connection.go
@@ -26,7 +26,7 @@
 	// inSimpleQuery is set while a Query is answered: an error ends in ReadyForQuery at once.
 	inSimpleQuery bool
 	transaction   *transaction // nil: none is open
-	request       openRequest
+	inFlight      inFlightRequest
 
 	out        messageWriter
 	stallTimer *timerqueue.Entry // ends a connection that stops in the middle of a message
@@ -37,7 +37,7 @@
 	started            bool // its startup is complete
 	closing            bool // its last message is being written
 	ended              bool
-	closeWhenQuiescent bool
+	closeWhenQuiescent bool // nothing may be open on it then
 }
 
 // extendedQuery is the state of the extended query protocol.
@@ -51,8 +51,8 @@
 	describedPortal string
 }
 
-// openRequest is the request that a connection waits for. No message is read meanwhile.
-type openRequest struct {
+// inFlightRequest is the request that a connection waits for. No message is read meanwhile.
+type inFlightRequest struct {
 	request  *core.Request // nil: there is none
 	onAnswer func(core.Answer)
 	// orphan is set where the first message was read by a process that died: what is known of its
@@ -60,16 +60,16 @@
 	orphan *core.Orphan
 }
 
-// take closes the open request. It returns what waits for its answer, or nil.
-func (o *openRequest) take() (onAnswer func(core.Answer)) {
-	onAnswer = o.onAnswer
-	o.request = nil
-	o.onAnswer = nil
+// take forgets the request. It returns what waits for its answer, or nil.
+func (r *inFlightRequest) take() (onAnswer func(core.Answer)) {
+	onAnswer = r.onAnswer
+	r.request = nil
+	r.onAnswer = nil
 	return onAnswer
 }
 
 // quiescent reports whether neither a request nor a transaction is open.
-func (c *connection) quiescent() bool { return c.request.request == nil && c.transaction == nil }
+func (c *connection) quiescent() bool { return c.inFlight.request == nil && c.transaction == nil }
 
 // Data reads messages until one waits for its answer.
 func (c *connection) Data(_ *netio.Conn, in *netio.Buffer) {
@@ -82,13 +82,13 @@
 	if c.mayRead() && in.Len() > 0 && c.socket.Pending() <= maxPendingWrite {
 		c.startStallTimer()
 	}
-	c.socket.LimitReadAhead(c.request.request != nil)
-	c.request.orphan = nil
+	c.socket.LimitReadAhead(c.inFlight.request != nil)
+	c.inFlight.orphan = nil
 	c.flush()
 }
 
 // mayRead reports whether the next message may be read.
-func (c *connection) mayRead() bool { return c.request.request == nil && !c.ended }
+func (c *connection) mayRead() bool { return c.inFlight.request == nil && !c.ended }
 
 func (c *connection) readMessages(in *netio.Buffer) error {
 	for c.mayRead() {
@@ -263,8 +263,8 @@
 	c.frontend.removeConnection(c)
 	c.abandonTransaction()
 	c.transaction = nil
-	if r := c.request.request; r != nil {
-		c.request.take()
+	if r := c.inFlight.request; r != nil {
+		c.inFlight.take()
 		c.frontend.core.ClientDisconnected(r)
 	}
 }
--- a/internal/frontend/postgres/errors.go
+++ b/internal/frontend/postgres/errors.go
@@ -41,18 +41,14 @@
 	codeSystemError              = "58000"
 )
 
+// Severities of ErrorResponse and NoticeResponse.
 const (
-	severityError = "ERROR"
-	severityFatal = "FATAL"
-)
-
-// Messages that PostgreSQL words the same way.
-const (
-	messageStatementTimeout       = "canceling statement due to statement timeout"
-	messageTransactionTimeout     = "terminating connection due to transaction timeout"
-	messageIdleTransactionTimeout = "terminating connection due to idle-in-transaction timeout"
+	severityError   = "ERROR"
+	severityFatal   = "FATAL"
+	severityWarning = "WARNING"
 )
 
+// errUnknownMessageType is a message of a type that the protocol does not have for clients.
 var errUnknownMessageType = errors.New("a message of a kind that no client sends")
 
 func newError(code, format string, args ...any) *pgproto.Error {
@@ -79,7 +75,15 @@
 }
 
 func errStatementTimeout() *pgproto.Error {
-	return newError(codeQueryCanceled, messageStatementTimeout)
+	return newError(codeQueryCanceled, "canceling statement due to statement timeout")
+}
+
+func errTransactionTimeout() *pgproto.Error {
+	return newError(codeTransactionTimeout, "terminating connection due to transaction timeout")
+}
+
+func errIdleTransactionTimeout() *pgproto.Error {
+	return newError(codeIdleInTransactionTimeout, "terminating connection due to idle-in-transaction timeout")
 }
 
 func errInFailedTransaction() *pgproto.Error {
--- a/internal/frontend/postgres/handover.go
+++ b/internal/frontend/postgres/handover.go
@@ -247,4 +247,4 @@
 func (c *connection) Transferred() { c.frontend.removeConnection(c) }
 
 // RecoverRequest tells that the request which comes first was read by another process, which died.
-func (c *connection) RecoverRequest(orphan core.Orphan) { c.request.orphan = &orphan }
+func (c *connection) RecoverRequest(orphan core.Orphan) { c.inFlight.orphan = &orphan }
--- a/internal/frontend/postgres/messages.go
+++ b/internal/frontend/postgres/messages.go
@@ -110,6 +110,6 @@
 
 // warning adds a NoticeResponse about something that is no error.
 func (w *messageWriter) warning(code, text string) {
-	notice := &pgproto.Error{Severity: "WARNING", Code: code, Message: text}
+	notice := &pgproto.Error{Severity: severityWarning, Code: code, Message: text}
 	w.message(pgproto.MessageNoticeResponse, notice.Body())
 }
--- a/internal/frontend/postgres/portal.go
+++ b/internal/frontend/postgres/portal.go
@@ -128,7 +128,7 @@
 	}
 	c.describePending = false
 	c.describeStatement(p.statement, func() { c.sendPortalDescription(p) })
-	return c.request.request != nil
+	return c.inFlight.request != nil
 }
 
 func (c *connection) sendPortalDescription(p *portal) {
--- a/internal/frontend/postgres/replay_engine_test.go
+++ b/internal/frontend/postgres/replay_engine_test.go
@@ -16,6 +16,12 @@
 	loop       *netio.Loop
 	transcript strings.Builder
 	hanging    chan bool
+	latest     *core.Attempt
+}
+
+// loseLatest breaks the connection of the attempt that was served last. Call on the loop.
+func (l *replayLinks) loseLatest() {
+	l.core.EndAttempt(l.latest, core.OutcomeConnectionReset, core.Report{})
 }
 
 func (l *replayLinks) Send(a *core.Attempt) {
@@ -64,6 +70,7 @@
 }
 
 func (l *replayLinks) serve(a *core.Attempt) {
+	l.latest = a
 	r := a.Request
 	s := r.Statement.(*pgproto.Statement)
 	goesOn := r.Streaming && !s.EndsTransaction
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -56,10 +56,21 @@
 func replay(t *testing.T, seed uint64) (client []byte, engine string) {
 	t.Helper()
 	counters := metrics.New()
+	r := startScripted(t, replayOptions(seed), counters)
+	r.random = rand.New(rand.NewPCG(seed, 7))
+	r.run()
+	r.stop()
+	sums := fmt.Sprintf("errors %d all %d\n", counters.Sum("pgwire.errors."), counters.Sum("pgwire."))
+	return r.read, r.links.transcript.String() + sums
+}
+
+// startScripted starts a frontend whose engine is scripted.
+func startScripted(t *testing.T, opts Options, counters *metrics.Counters) *replayClient {
+	t.Helper()
 	c, loop := newTestCore(t, counters)
 	links := &replayLinks{core: c, loop: loop, hanging: make(chan bool, 1)}
 	c.SetLinks(links)
-	f := New(loop, c, replayOptions(seed), counters)
+	f := New(loop, c, opts, counters)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -70,11 +81,11 @@
 			Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e1", Zone: "hall-a", Kind: "std-8", State: policy.EngineLive},
 		}})
 	})
-	r := &replayClient{t: t, loop: loop, front: f, random: rand.New(rand.NewPCG(seed, 7)), hanging: links.hanging}
-	r.run()
-	loop.Post(loop.Stop)
-	<-done
-	return r.read, links.transcript.String() + fmt.Sprintf("errors %d all %d\n", counters.Sum("pgwire.errors."), counters.Sum("pgwire."))
+	stop := func() {
+		loop.Post(loop.Stop)
+		<-done
+	}
+	return &replayClient{t: t, loop: loop, front: f, links: links, stop: stop}
 }
 
 func replayOptions(seed uint64) Options {
@@ -95,15 +106,16 @@
 
 // replayClient sends batches of messages and reads all that comes back.
 type replayClient struct {
-	t       *testing.T
-	loop    *netio.Loop
-	front   *Frontend
-	random  *rand.Rand
-	hanging chan bool
-	conn    net.Conn
-	cancel  []byte // body of a CancelRequest
-	read    []byte
-	lost    bool // the one connection to an engine that is lost
+	t      *testing.T
+	loop   *netio.Loop
+	front  *Frontend
+	links  *replayLinks
+	stop   func() // ends the loop
+	random *rand.Rand
+	conn   net.Conn
+	cancel []byte // body of a CancelRequest
+	read   []byte
+	lost   bool // the one connection to an engine that is lost
 }
 
 var replayQueries = []string{
@@ -158,12 +170,28 @@
 	}
 }
 
-func (r *replayClient) connect() bool {
+func (r *replayClient) dial() {
 	var err error
 	if r.conn, err = net.Dial("tcp", r.front.Addr()); err != nil {
 		r.t.Fatal(err)
 	}
 	_ = r.conn.SetDeadline(time.Now().Add(replayTimeout))
+}
+
+// connectAs starts a session without ado.
+func (r *replayClient) connectAs(user string) {
+	r.t.Helper()
+	r.dial()
+	body := slices.Concat(pgproto.CString("user"), pgproto.CString(user), []byte{0})
+	r.write(pgproto.AppendStartup(nil, pgproto.Version, body))
+	if !r.readReady() {
+		r.t.Fatal("the connection has ended before ReadyForQuery")
+	}
+}
+
+// connect starts a session with seeded parameters, some of which are wrong.
+func (r *replayClient) connect() bool {
+	r.dial()
 	body := slices.Concat(pgproto.CString("user"), pgproto.CString(r.pick("app", "billing")))
 	switch r.random.IntN(8) {
 	case 0:
@@ -310,7 +338,7 @@
 	select {
 	case <-over:
 		return
-	case <-r.hanging:
+	case <-r.links.hanging:
 	}
 	conn, err := net.Dial("tcp", r.front.Addr())
 	if err != nil {
@@ -327,25 +355,38 @@
 // readReady reads up to the next ReadyForQuery; false: the connection has ended.
 func (r *replayClient) readReady() bool {
 	for {
-		head := make([]byte, 5)
-		if _, err := io.ReadFull(r.conn, head); err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) {
-				r.t.Fatalf("no answer in %v", replayTimeout)
-			}
-			r.read = append(r.read, "end"...)
+		kind, body, ok := r.readMessage()
+		if !ok {
 			return false
 		}
-		body := make([]byte, binary.BigEndian.Uint32(head[1:])-4)
-		if _, err := io.ReadFull(r.conn, body); err != nil {
-			r.t.Fatal(err)
-		}
-		if head[0] == pgproto.MessageBackendKeyData {
+		if kind == pgproto.MessageBackendKeyData {
 			r.cancel = slices.Clone(body)
-			clear(body[4:]) // the secret is random
 		}
-		r.read = append(append(r.read, head...), body...)
-		if head[0] == pgproto.MessageReadyForQuery {
+		if kind == pgproto.MessageReadyForQuery {
 			return true
 		}
 	}
 }
+
+// readMessage reads one message and notes it, but for a secret key in it; ok: the connection has not
+// ended.
+func (r *replayClient) readMessage() (kind byte, body []byte, ok bool) {
+	head := make([]byte, 5)
+	if _, err := io.ReadFull(r.conn, head); err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			r.t.Fatalf("no answer in %v", replayTimeout)
+		}
+		r.read = append(r.read, "end"...)
+		return 0, nil, false
+	}
+	body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
+	if _, err := io.ReadFull(r.conn, body); err != nil {
+		r.t.Fatal(err)
+	}
+	r.read = append(append(r.read, head...), body...)
+	if head[0] == pgproto.MessageBackendKeyData {
+		secret := r.read[len(r.read)-4:]
+		clear(secret) // it is random
+	}
+	return head[0], body, true
+}
--- a/internal/frontend/postgres/request.go
+++ b/internal/frontend/postgres/request.go
@@ -35,12 +35,12 @@
 	e.message.Settings = c.session.settings
 	e.message.User = c.user
 	e.message.TaintsSession = e.statement.taintsSession
-	orphan := c.request.orphan
-	c.request.orphan = nil
+	orphan := c.inFlight.orphan
+	c.inFlight.orphan = nil
 	r := c.newRequest(class, e, receivedAt(orphan, c.frontend.core.Now()))
 	c.estimate(r, e, shaped)
-	c.request.request = r
-	c.request.onAnswer = func(a core.Answer) {
+	c.inFlight.request = r
+	c.inFlight.onAnswer = func(a core.Answer) {
 		if res, ok := resultOf(a); ok {
 			e.onResult(res)
 			return
@@ -126,7 +126,7 @@
 		c.endStreaming(a)
 		return
 	}
-	onAnswer := c.request.take()
+	onAnswer := c.inFlight.take()
 	if c.ended || onAnswer == nil {
 		return
 	}
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -57,7 +57,7 @@
 	}
 	c.transaction = &transaction{beginQuery: query}
 	c.transaction.limitTimer = f.loop.Timers.Add(f.loop.Now()+f.opts.transactionTimeout(), func() {
-		c.expireTransaction(newError(codeTransactionTimeout, messageTransactionTimeout))
+		c.expireTransaction(errTransactionTimeout())
 	})
 	c.startIdleTimer()
 	return nil
@@ -70,8 +70,8 @@
 	tx := c.transaction
 	tx.idleTimer.Stop()
 	tx.idleTimer = f.loop.Timers.Add(f.loop.Now()+f.opts.idleTransactionTimeout(), func() {
-		if c.transaction == tx && c.request.request == nil {
-			c.expireTransaction(newError(codeIdleInTransactionTimeout, messageIdleTransactionTimeout))
+		if c.transaction == tx && c.inFlight.request == nil {
+			c.expireTransaction(errIdleTransactionTimeout())
 		}
 	})
 }
@@ -102,8 +102,8 @@
 		return
 	}
 	tx.detach()
-	if c.request.request == r {
-		c.request.request = nil
+	if c.inFlight.request == r {
+		c.inFlight.request = nil
 	}
 	c.frontend.core.ClientDisconnected(r)
 }
@@ -170,19 +170,19 @@
 		Streaming: true,
 	}
 	tx.request = r
-	c.request.request = r
+	c.inFlight.request = r
 	c.frontend.core.Accept(r)
 }
 
 // continueStreaming gives the transaction's engine its next statement.
 func (c *connection) continueStreaming(message *pgproto.Statement, timeout time.Duration) {
 	tx := c.transaction
-	c.request.request = tx.request
+	c.inFlight.request = tx.request
 	if c.frontend.core.Continue(tx.request, message, timeout) {
 		return
 	}
 	// The engine connection is lost: the request's end is on its way to Answer, or was reported.
-	c.request.request = nil
+	c.inFlight.request = nil
 	tx.request = nil
 	tx.onAnswer(core.Answer{Verdict: core.Failed})
 }
@@ -208,7 +208,7 @@
 		return
 	}
 	// The engine connection was lost between two statements, or this process ends.
-	c.request.request = nil
+	c.inFlight.request = nil
 	tx.failed = true
 	if c.frontend.draining {
 		c.fatal(errShutdown())
@@ -219,7 +219,7 @@
 func (c *connection) answerInTransaction(a core.Answer) {
 	onAnswer := c.transaction.onAnswer
 	c.transaction.onAnswer = nil
-	c.request.request = nil
+	c.inFlight.request = nil
 	if c.ended || onAnswer == nil {
 		return
 	}
--- /dev/null
+++ b/internal/frontend/postgres/transaction_test.go
@@ -0,0 +1,118 @@
+package postgres
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"gannetspur/internal/metrics"
+	"gannetspur/internal/pgproto"
+)
+
+// TestTransactionEnds ends transactions in ways that seeded streams don't reach.
+func TestTransactionEnds(t *testing.T) {
+	const brief = 300 * time.Millisecond
+	type step struct {
+		query string                // sent, where it is not empty
+		act   func(r *replayClient) // on the loop, ahead of the query
+		want  string                // all that comes up to ReadyForQuery or the end
+	}
+	begin := step{query: "begin", want: "C(BEGIN) Z(T)"}
+	update := step{query: "update t set a = 1", want: "C(UPDATE) Z(T)"}
+	lose := func(r *replayClient) { r.links.loseLatest() }
+	drain := func(r *replayClient) { r.front.Drain() }
+	for name, test := range map[string]struct {
+		opts  Options
+		steps []step
+	}{
+		"engine lost between statements": {steps: []step{
+			begin, update,
+			{act: lose, query: "update t set a = 2", want: "E(25P02) Z(E)"},
+			{query: "savepoint a", want: "E(25P02) Z(E)"},
+			{query: "rollback to a", want: "E(25P02) Z(E)"},
+			{query: "commit", want: "C(ROLLBACK) Z(I)"},
+		}},
+		"engine lost within a statement": {steps: []step{
+			begin, update,
+			{query: "update t set lose = 1", want: "E(40000) Z(E)"},
+			{query: "rollback", want: "C(ROLLBACK) Z(I)"},
+		}},
+		"engine lost at commit": {steps: []step{
+			begin, update,
+			{query: "commit /* lose */", want: "E(40003) Z(I)"},
+		}},
+		"engine lost at rollback": {steps: []step{
+			begin, update,
+			{query: "rollback /* lose */", want: "C(ROLLBACK) Z(I)"},
+		}},
+		"commit rejected by the engine": {steps: []step{
+			begin, update,
+			{query: "commit /* fail */", want: "E(22012) Z(I)"},
+		}},
+		"drained while open": {steps: []step{
+			begin, update,
+			{act: drain, query: "commit", want: "C(COMMIT) Z(I)"},
+			{want: "E(57P01) end"},
+		}},
+		"drained while idle": {steps: []step{{act: drain, want: "E(57P01) end"}}},
+		"engine lost while draining": {steps: []step{
+			begin, update,
+			{act: func(r *replayClient) { drain(r); lose(r) }, want: "E(57P01) end"},
+		}},
+		"idle for too long": {opts: Options{IdleTransactionTimeout: brief}, steps: []step{
+			begin, update,
+			{want: "E(25P03) end"},
+		}},
+		"open for too long": {opts: Options{TransactionTimeout: brief}, steps: []step{
+			begin,
+			{want: "E(25P04) end"},
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			opts := test.opts
+			opts.DefaultClass, opts.WriteClass = "lookup", "write"
+			r := startScripted(t, opts, metrics.New())
+			t.Cleanup(r.stop)
+			r.connectAs("app")
+			for i, s := range test.steps {
+				if s.act != nil {
+					r.loop.Post(func() { s.act(r) })
+				}
+				if s.query != "" {
+					r.write(pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString(s.query)))
+				}
+				if got := r.readSummary(); got != s.want {
+					t.Fatalf("step %d, %q: got %s, want %s", i, s.query, got, s.want)
+				}
+			}
+			r.disconnect()
+		})
+	}
+}
+
+// readSummary reads up to ReadyForQuery or the connection's end. Completions, errors and statuses
+// come with what they say.
+func (r *replayClient) readSummary() string {
+	var summary []string
+	for {
+		kind, body, ok := r.readMessage()
+		reader := pgproto.Reader{Rest: body}
+		switch {
+		case !ok:
+			return strings.Join(append(summary, "end"), " ")
+		case kind == pgproto.MessageCommandComplete:
+			summary = append(summary, fmt.Sprintf("C(%s)", reader.CString()))
+		case kind == pgproto.MessageErrorResponse:
+			e, err := pgproto.ReadError(body)
+			if err != nil {
+				r.t.Fatal(err)
+			}
+			summary = append(summary, fmt.Sprintf("E(%s)", e.Code))
+		case kind == pgproto.MessageReadyForQuery:
+			return strings.Join(append(summary, fmt.Sprintf("Z(%c)", reader.Byte())), " ")
+		default:
+			summary = append(summary, string(kind))
+		}
+	}
+}
