--- a/internal/frontend/postgres/connection.go
+++ b/internal/frontend/postgres/connection.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// resume goes on with what the client sent ahead.
+// resume reads what the client sent ahead.
 func (c *connection) resume() {
 	c.flush()
 	c.socket.LimitReadAhead(false)
--- a/internal/frontend/postgres/frontend.go
+++ b/internal/frontend/postgres/frontend.go
@@ -1,6 +1,6 @@
 // Package postgres is the frontend for clients that speak the PostgreSQL wire protocol, with simple
 // and extended queries. Each execution becomes one request to the core and gets one final answer: a
-// completion or one ErrorResponse. A transaction is one request that goes on behind its first answer.
+// completion or one ErrorResponse. A transaction is one streaming request.
 package postgres
 
 import (
--- a/internal/frontend/postgres/portal.go
+++ b/internal/frontend/postgres/portal.go
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// runPortal has an engine run a portal, and goes on with done where that succeeds.
+// runPortal has an engine run a portal, and calls done where that succeeds.
 func (c *connection) runPortal(p *portal, done func()) {
 	s := p.statement
 	p.values.Types = s.parameterOIDs()
--- a/internal/frontend/postgres/prepared.go
+++ b/internal/frontend/postgres/prepared.go
@@ -152,7 +152,7 @@
 	c.out.rowDescription(s.description.RowDescription)
 }
 
-// describeStatement has an engine describe a statement, unless one has, and goes on with done.
+// describeStatement has an engine describe a statement, unless one has, and calls done.
 func (c *connection) describeStatement(s *statement, done func()) {
 	if s.description != nil || !s.runsAtEngine() {
 		done()
--- a/internal/frontend/postgres/simple_query.go
+++ b/internal/frontend/postgres/simple_query.go
@@ -91,7 +91,7 @@
 	return transactionControl[word]
 }
 
-// prepareAll prepares the statements of a Query. inTransaction tells whether the first of them runs
+// prepareAll prepares the statements of a Query. inTransaction is set where the first of them runs
 // in a transaction; each must.
 func (c *connection) prepareAll(queries []string, inTransaction bool) ([]*statement, *pgproto.Error) {
 	context := statementContext{runsOnce: true, inTransaction: inTransaction}
@@ -114,7 +114,7 @@
 	return statements, nil
 }
 
-// runNext runs the first of the statements that remain, and goes on from its answer.
+// runNext runs the first of the statements that remain, and from its answer the next one.
 func (c *connection) runNext(remaining []*statement) {
 	if c.ended {
 		return
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -77,7 +77,7 @@
 }
 
 // expireTransaction ends a transaction and its connection, as PostgreSQL does. One that is
-// committing goes on: its answer is on its way, or its loss is reported.
+// committing is left alone: its answer is on its way, or its loss is reported.
 func (c *connection) expireTransaction(e *pgproto.Error) {
 	if c.ended || c.transaction == nil {
 		return
@@ -140,8 +140,8 @@
 	})
 }
 
-// sendInTransaction puts a statement of the transaction to the core: the first one as a request that
-// goes on behind its answer, the others to the engine of that request.
+// sendInTransaction puts a statement of the transaction to the core: the first one as a streaming
+// request, the others to the engine of that request.
 func (c *connection) sendInTransaction(message *pgproto.Statement, onAnswer func(core.Answer)) {
 	f := c.frontend
 	class, _ := f.core.Class(f.opts.WriteClass)
@@ -187,7 +187,7 @@
 	tx.onAnswer(core.Answer{Verdict: core.Failed})
 }
 
-// PartialAnswer takes the answer to a statement of a transaction that goes on.
+// PartialAnswer takes the answer to a statement of an open transaction.
 func (c *connection) PartialAnswer(r *core.Request, a core.Answer) {
 	tx := c.transaction
 	if tx == nil || tx.request != r || tx.onAnswer == nil {
