--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -57,7 +57,7 @@
 	}
 	c.transaction = &transaction{beginQuery: query}
 	c.transaction.limitTimer = f.loop.Timers.Add(f.loop.Now()+f.opts.transactionTimeout(), func() {
-		c.expireTransaction(newError(codeTransactionTimeout, messageTransactionTimeout))
+		c.expireTransaction(errTransactionTimeout())
 	})
 	c.startIdleTimer()
 	return nil
@@ -70,14 +70,14 @@
 	tx := c.transaction
 	tx.idleTimer.Stop()
 	tx.idleTimer = f.loop.Timers.Add(f.loop.Now()+f.opts.idleTransactionTimeout(), func() {
-		if c.transaction == tx && c.request.request == nil {
-			c.expireTransaction(newError(codeIdleInTransactionTimeout, messageIdleTransactionTimeout))
+		if c.transaction == tx && c.inFlight.request == nil {
+			c.expireTransaction(errIdleTransactionTimeout())
 		}
 	})
 }
 
 // expireTransaction ends a transaction and its connection, as PostgreSQL does. One that is
-// committing goes on: its answer is on its way, or its loss is reported.
+// committing is left alone: its answer is on its way, or its loss is reported.
 func (c *connection) expireTransaction(e *pgproto.Error) {
 	if c.ended || c.transaction == nil {
 		return
@@ -102,8 +102,8 @@
 		return
 	}
 	tx.detach()
-	if c.request.request == r {
-		c.request.request = nil
+	if c.inFlight.request == r {
+		c.inFlight.request = nil
 	}
 	c.frontend.core.ClientDisconnected(r)
 }
@@ -140,8 +140,8 @@
 	})
 }
 
-// sendInTransaction puts a statement of the transaction to the core: the first one as a request that
-// goes on behind its answer, the others to the engine of that request.
+// sendInTransaction puts a statement of the transaction to the core: the first one as a streaming
+// request, the others to the engine of that request.
 func (c *connection) sendInTransaction(message *pgproto.Statement, onAnswer func(core.Answer)) {
 	f := c.frontend
 	class, _ := f.core.Class(f.opts.WriteClass)
@@ -170,24 +170,24 @@
 		Streaming: true,
 	}
 	tx.request = r
-	c.request.request = r
+	c.inFlight.request = r
 	c.frontend.core.Accept(r)
 }
 
 // continueStreaming gives the transaction's engine its next statement.
 func (c *connection) continueStreaming(message *pgproto.Statement, timeout time.Duration) {
 	tx := c.transaction
-	c.request.request = tx.request
+	c.inFlight.request = tx.request
 	if c.frontend.core.Continue(tx.request, message, timeout) {
 		return
 	}
 	// The engine connection is lost: the request's end is on its way to Answer, or was reported.
-	c.request.request = nil
+	c.inFlight.request = nil
 	tx.request = nil
 	tx.onAnswer(core.Answer{Verdict: core.Failed})
 }
 
-// PartialAnswer takes the answer to a statement of a transaction that goes on.
+// PartialAnswer takes the answer to a statement of an open transaction.
 func (c *connection) PartialAnswer(r *core.Request, a core.Answer) {
 	tx := c.transaction
 	if tx == nil || tx.request != r || tx.onAnswer == nil {
@@ -208,7 +208,7 @@
 		return
 	}
 	// The engine connection was lost between two statements, or this process ends.
-	c.request.request = nil
+	c.inFlight.request = nil
 	tx.failed = true
 	if c.frontend.draining {
 		c.fatal(errShutdown())
@@ -219,7 +219,7 @@
 func (c *connection) answerInTransaction(a core.Answer) {
 	onAnswer := c.transaction.onAnswer
 	c.transaction.onAnswer = nil
-	c.request.request = nil
+	c.inFlight.request = nil
 	if c.ended || onAnswer == nil {
 		return
 	}
