--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -121,12 +121,8 @@
 				close(c)
 			}
 		}
-		if st := s.status(); st != nil {
-			_ = syscall.Kill(st.PID, syscall.SIGKILL)
-		}
 		_ = s.old.Process.Kill()
-		for range s.events { // until the last process has ended
-		}
+		s.killAll()
 	})
 	s.await("serving")
 	for range 200 {
@@ -142,6 +138,29 @@
 	return nil
 }
 
+// killAll kills the process that answers at the operators' socket until all processes have
+// ended, which the end of their events tells. A process that has just become the owner does not
+// have the socket yet, so one look may find nobody, or a process that is about to exit.
+func (s *site) killAll() {
+	look := time.NewTicker(50 * time.Millisecond)
+	defer look.Stop()
+	for {
+		if st := s.status(); st != nil {
+			_ = syscall.Kill(st.PID, syscall.SIGKILL)
+		}
+		for drained := false; !drained; {
+			select {
+			case _, ok := <-s.events:
+				if !ok {
+					return
+				}
+			case <-look.C:
+				drained = true
+			}
+		}
+	}
+}
+
 // work holds a statement whose text has a mark that is held.
 func (s *site) work(text string) (time.Duration, float64) {
 	s.mu.Lock()
