--- a/cmd/gateway/members.go
+++ b/cmd/gateway/members.go
@@ -38,7 +38,7 @@
 }
 
 func (c *membersCommand) show() error {
-	last, err := c.call(admin.Request{Command: "members"}, func(admin.Reply) {})
+	last, err := c.call(admin.Request{Command: admin.CommandMembers}, func(admin.Reply) {})
 	switch {
 	case err != nil:
 		return err
--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -48,7 +48,7 @@
 }
 
 func (c *siteStatusCommand) Run() error {
-	o, err := c.request(admin.Request{Command: "site-status"})
+	o, err := c.request(admin.Request{Command: admin.CommandSiteStatus})
 	if err != nil {
 		return err
 	}
@@ -91,17 +91,17 @@
 	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site."`
 }
 
-func (c *siteDrainCommand) Run() error { return drain(&c.siteFlags, "site-drain", c.Site) }
+func (c *siteDrainCommand) Run() error { return drain(&c.siteFlags, admin.CommandSiteDrain, c.Site) }
 
 type siteUndrainCommand struct {
 	siteFlags
 	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site."`
 }
 
-func (c *siteUndrainCommand) Run() error { return drain(&c.siteFlags, "site-undrain", c.Site) }
+func (c *siteUndrainCommand) Run() error { return drain(&c.siteFlags, admin.CommandSiteUndrain, c.Site) }
 
-func drain(f *siteFlags, do, site string) error {
-	o, err := f.request(admin.Request{Command: do, Site: site})
+func drain(f *siteFlags, command, site string) error {
+	o, err := f.request(admin.Request{Command: command, Site: site})
 	if err == nil {
 		printSites(o)
 	}
--- a/cmd/gateway/upgrade.go
+++ b/cmd/gateway/upgrade.go
@@ -45,12 +45,12 @@
 // Run has a new version take over. It waits, tells each phase, and ends with status 1 and
 // the reason where control has returned to the old one.
 func (c *upgradeCommand) Run() error {
-	do := "upgrade"
+	command := admin.CommandUpgrade
 	if c.Check {
-		do = "check"
+		command = admin.CommandCheck
 	}
 	start := time.Now()
-	last, err := c.call(admin.Request{Command: do, Program: c.Program}, func(r admin.Reply) {
+	last, err := c.call(admin.Request{Command: command, Program: c.Program}, func(r admin.Reply) {
 		fmt.Printf("%6.2f s  %s\n", time.Since(start).Seconds(), r.Phase)
 	})
 	switch {
@@ -74,7 +74,7 @@
 }
 
 func (c *statusCommand) Run() error {
-	last, err := c.call(admin.Request{Command: "status"}, func(admin.Reply) {})
+	last, err := c.call(admin.Request{Command: admin.CommandStatus}, func(admin.Reply) {})
 	if err != nil {
 		return err
 	}
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -15,7 +15,7 @@
 
 // FetchStatus asks the gateway behind a socket for its status.
 func FetchStatus(ctx context.Context, path string) (*Status, error) {
-	last, err := Call(ctx, path, Request{Command: "status"}, func(Reply) {})
+	last, err := Call(ctx, path, Request{Command: CommandStatus}, func(Reply) {})
 	if err == nil && last.Status == nil {
 		err = errors.New(last.Problem)
 	}
--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -5,9 +5,20 @@
 
 import "encoding/json"
 
+// Commands of a Request.
+const (
+	CommandStatus      = "status"
+	CommandUpgrade     = "upgrade"
+	CommandCheck       = "check" // would a program take over?
+	CommandSiteStatus  = "site-status"
+	CommandSiteDrain   = "site-drain"
+	CommandSiteUndrain = "site-undrain"
+	CommandMembers     = "members"
+)
+
 // Request is what an operator asks for.
 type Request struct {
-	Command string   `json:"do"` // status, upgrade, check, site-status, site-drain, site-undrain, members
+	Command string   `json:"do"`
 	Site    string   `json:"site,omitempty"`
 	Program string   `json:"program,omitempty"`
 	Args    []string `json:"args,omitempty"`
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -37,19 +37,19 @@
 // answerAdmin answers an operator. It runs on a goroutine of its own.
 func (p *process) answerAdmin(request admin.Request, reply func(admin.Reply)) {
 	switch request.Command {
-	case "members":
+	case admin.CommandMembers:
 		reply(p.adminMembers())
-	case "site-status", "site-drain", "site-undrain":
+	case admin.CommandSiteStatus, admin.CommandSiteDrain, admin.CommandSiteUndrain:
 		reply(p.adminSites(request))
-	case "status":
+	case admin.CommandStatus:
 		status := onLoop(p, p.status)
 		reply(admin.Reply{Status: status, Done: true})
-	case "upgrade", "check":
+	case admin.CommandUpgrade, admin.CommandCheck:
 		if p.upgradeSource() == nil {
 			reply(admin.Reply{Problem: "this gateway was started without a file of upgrades", Done: true})
 			return
 		}
-		if request.Command == "check" {
+		if request.Command == admin.CommandCheck {
 			reply(p.checkUpgrade(request))
 			return
 		}
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -226,7 +226,7 @@
 
 // Overview is how a gateway sees the sites.
 func (b *Both) Overview(ctx context.Context, site int) (o forwarding.Overview, err error) {
-	last, err := admin.Call(ctx, b.places[site].admin, admin.Request{Command: "site-status"}, func(admin.Reply) {})
+	last, err := admin.Call(ctx, b.places[site].admin, admin.Request{Command: admin.CommandSiteStatus}, func(admin.Reply) {})
 	if err != nil {
 		return o, err
 	}
@@ -371,7 +371,7 @@
 		return nil
 	case e.Do == Upgrade:
 		for {
-			last, err := admin.Call(ctx, p.admin, admin.Request{Command: "upgrade"}, func(admin.Reply) {})
+			last, err := admin.Call(ctx, p.admin, admin.Request{Command: admin.CommandUpgrade}, func(admin.Reply) {})
 			switch {
 			case err != nil || last.Problem == "":
 				return err
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -95,7 +95,7 @@
 			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", u.Why), err)
 		}
 	case Forget:
-		r := admin.Request{Command: "upgrade", Program: opts.Lab, Args: append([]string{"scripted", "forget", opts.Program}, g.args...)}
+		r := admin.Request{Command: admin.CommandUpgrade, Program: opts.Lab, Args: append([]string{"scripted", "forget", opts.Program}, g.args...)}
 		last, err := admin.Call(ctx, g.admin, r, func(admin.Reply) {})
 		if err != nil || last.Problem != "" {
 			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", last.Problem), err)
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -324,7 +324,7 @@
 }
 
 func (g *gate) request(kind string, chance *rand.Rand) (r admin.Request, err error) {
-	r.Command = "upgrade"
+	r.Command = admin.CommandUpgrade
 	between := func(low, high time.Duration) float64 {
 		return (low + time.Duration(chance.Int64N(int64(high-low)))).Seconds()
 	}
