--- a/internal/frontend/httpapi/arrivals_test.go
+++ b/internal/frontend/httpapi/arrivals_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Every byte is told to have come when it did, or earlier where there were too many pieces; never later, and at
-// times that don't go back.
+// Each byte is reported to have come when it did, or earlier where there were too many pieces; never
+// later, and at times that don't go back.
 func TestArrivals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a arrivals
@@ -22,19 +22,19 @@
 				}
 				pieces++
 			}
-			a.note(int64(len(came)), now)
+			a.record(int64(len(came)), now)
 			if taken == len(came) || rapid.IntRange(0, 2).Draw(t, "take") > 0 {
 				continue
 			}
 			taken = rapid.IntRange(taken+1, len(came)).Draw(t, "up to")
-			at := a.of(int64(taken))
-			if want := came[taken-1]; at > want || at != want && pieces <= mostArrivals || at < last {
-				t.Fatalf("byte %d came at %v, told as %v after %v", taken, want, at, last)
+			at := a.timeOf(int64(taken))
+			if want := came[taken-1]; at > want || at != want && pieces <= maxArrivals || at < last {
+				t.Fatalf("byte %d came at %v, reported as %v after %v", taken, want, at, last)
 			}
 			last = at
 		}
-		if len(a) > mostArrivals {
-			t.Fatalf("%d are kept", len(a))
+		if len(a) > maxArrivals {
+			t.Fatalf("%d arrivals are kept, want %d at most", len(a), maxArrivals)
 		}
 	})
 }
--- a/internal/frontend/httpapi/move_test.go
+++ b/internal/frontend/httpapi/handover_test.go
@@ -18,7 +18,7 @@
 	"gannetspur/policy"
 )
 
-func front(t *testing.T) *Frontend {
+func startFrontend(t *testing.T) *Frontend {
 	t.Helper()
 	l, err := netio.New(0)
 	if err != nil {
@@ -57,53 +57,53 @@
 	return resp.StatusCode, string(b)
 }
 
-// A client is between two parts of its result when another process takes over: the next part
-// comes from there, on whichever connection it asks for it. What is held later is shared as it
-// comes, and what can't be read is refused whole.
-func TestHeldResultsMove(t *testing.T) {
-	one, two := front(t), front(t)
+// A client is between two pages of its result when another process takes over: the next page
+// comes from there, on whichever connection it is requested. Results that are held later are
+// published one by one, and a state that can't be read is rejected.
+func TestHeldResultsTransfer(t *testing.T) {
+	source, target := startFrontend(t), startFrontend(t)
 	do := func(f *Frontend, what func()) {
 		done := make(chan struct{})
 		f.loop.Post(func() { what(); close(done) })
 		<-done
 	}
-	held := func(path string) heldState {
-		return heldState{Path: path, Until: one.loop.Now() + time.Minute,
-			Parts: []lineproto.Rows{{[]byte("a\tb\tc\n")}, {[]byte("d\te\tf\n")}, {[]byte("g\th\ti\n")}}}
+	held := func(path string) resultState {
+		return resultState{Path: path, Until: source.loop.Now() + time.Minute,
+			Pages: []lineproto.Rows{{[]byte("a\tb\tc\n")}, {[]byte("d\te\tf\n")}, {[]byte("g\th\ti\n")}}}
 	}
 	var before, later []byte
-	do(one, func() {
-		one.OnSharedChange(func(b []byte) { later = b })
-		one.hold(held("/more/x-1"))
-		before = one.SharedState()
-		one.share(held("/more/x-2"))
+	do(source, func() {
+		source.OnSharedChange(func(b []byte) { later = b })
+		source.hold(held("/more/x-1"))
+		before = source.SharedState()
+		source.publishResults(held("/more/x-2"))
 	})
-	do(two, func() {
+	do(target, func() {
 		for _, b := range [][]byte{before, later, before} {
-			if err := two.ApplySharedState(b); err != nil {
+			if err := target.ApplySharedState(b); err != nil {
 				t.Error(err)
 			}
 		}
-		if err := two.ApplySharedState([]byte("nonsense")); err == nil {
-			t.Error("nonsense was taken")
+		if err := target.ApplySharedState([]byte("nonsense")); err == nil {
+			t.Error("applied a state that can't be read")
 		}
-		if want := 2 * 18; two.heldSize != want {
-			t.Errorf("%d bytes are held, want %d", two.heldSize, want)
+		if want := 2 * 18; target.results.bytes != want {
+			t.Errorf("held bytes = %d, want %d", target.results.bytes, want)
 		}
 	})
 	for _, path := range []string{"/more/x-1/1", "/more/x-2/2"} {
-		if status, body := get(t, two.Addr(), path); status != 200 || !strings.Contains(body, `"d"`) && !strings.Contains(body, `"g"`) {
+		if status, body := get(t, target.Addr(), path); status != 200 || !strings.Contains(body, `"d"`) && !strings.Contains(body, `"g"`) {
 			t.Errorf("%s: %d %s", path, status, body)
 		}
 	}
-	if status, _ := get(t, two.Addr(), "/more/x-3/1"); status != 404 {
-		t.Errorf("what nobody held: %d", status)
+	if status, _ := get(t, target.Addr(), "/more/x-3/1"); status != 404 {
+		t.Errorf("a page that nobody held: status = %d, want 404", status)
 	}
 }
 
 // No state of another version crashes a front.
 func FuzzRestore(f *testing.F) {
-	k := &conn{good: true, further: true}
+	k := &conn{served: true, nextPagePending: true}
 	f.Add(k.EncodeState())
 	f.Add([]byte{0xa1, 0x01, 0xf5})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -113,9 +113,9 @@
 	})
 }
 
-// Some clients take 2 s to write a call, and those that never end one are told so within 3.
-func TestTimeToWriteACall(t *testing.T) {
-	if within := front(t).opts.RequestTimeout; within <= 2200*time.Millisecond || within >= 2900*time.Millisecond {
-		t.Errorf("a call has to be whole within %v", within)
+// Some clients take 2 s to write a request, and those that never end one are owed an error within 3 s.
+func TestDefaultRequestTimeout(t *testing.T) {
+	if within := startFrontend(t).options.RequestTimeout; within <= 2200*time.Millisecond || within >= 2900*time.Millisecond {
+		t.Errorf("request timeout = %v, want 2.2 s to 2.9 s", within)
 	}
 }
--- a/internal/frontend/httpapi/replay_test.go
+++ b/internal/frontend/httpapi/replay_test.go
@@ -172,7 +172,7 @@
 	}
 	c.SetRemoteSites(&scriptedCore{core: c, loop: loop, seen: seen})
 	f = New(loop, c, opts, metrics.New())
-	f.boot = "t"
+	f.results.instance = "t"
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -235,15 +235,15 @@
 	first, second := replayDial(t, f.Addr()), replayDial(t, f.Addr())
 	_, _ = io.WriteString(first, call)
 	for open := 0; open == 0; {
-		do(func() { open = len(f.ids) })
+		do(func() { open = len(f.openRequests) })
 	}
 	_, _ = io.WriteString(second, call)
 	got, _ := io.ReadAll(second)
 	_, _ = io.WriteString(first, "rest")
 	rest, _ := io.ReadAll(first)
 	do(func() {
-		if len(f.ids) > 0 {
-			t.Errorf("%d requests are open", len(f.ids))
+		if len(f.openRequests) > 0 {
+			t.Errorf("%d requests are open", len(f.openRequests))
 		}
 	})
 	return append(got, rest...)
@@ -285,7 +285,7 @@
 			got := replayOpenRequest(t, f, do)
 			do(func() {
 				fmt.Fprintf(digest, "open %q\n", got)
-				counters := f.stats.All()
+				counters := f.counters.All()
 				for _, name := range slices.Sorted(maps.Keys(counters)) {
 					fmt.Fprintf(digest, "%s %d\n", name, counters[name])
 				}
--- a/internal/frontend/httpapi/encode_test.go
+++ b/internal/frontend/httpapi/response_test.go
@@ -7,11 +7,11 @@
 	"gannetspur/internal/backend/lineproto"
 )
 
-// Answers are JSON whatever the rows hold.
+// Responses are JSON whatever the rows hold.
 func FuzzEncode(f *testing.F) {
 	f.Add("a\t\"b\"\\\x01\nc\td\n")
 	f.Fuzz(func(t *testing.T, page string) {
-		if b := encode(lineproto.Rows{[]byte(page)}, "/more/x"); !json.Valid(b) {
+		if b := encodeRows(lineproto.Rows{[]byte(page)}, "/more/x"); !json.Valid(b) {
 			t.Fatalf("%q", b)
 		}
 	})
--- a/internal/frontend/httpapi/stored_test.go
+++ b/internal/frontend/httpapi/stored_test.go
@@ -16,14 +16,14 @@
 // storedConnections and storedResults are what version c18a9bd wrote to testdata: the states
 // that a process hands over with its connections.
 var (
-	storedConnections = map[string]state{
+	storedConnections = map[string]connectionState{
 		"connection-new.cbor":  {},
-		"connection-good.cbor": {Good: true},
-		"connection-used.cbor": {Good: true, Further: true},
+		"connection-good.cbor": {Served: true},
+		"connection-used.cbor": {Served: true, NextPagePending: true},
 	}
-	storedResults = []heldState{
-		{Path: "x-3/1", Parts: []lineproto.Rows{{[]byte(`["a"]`), []byte(`["b"]`)}, {[]byte(`["c"]`)}}, Until: 90 * time.Minute},
-		{Path: "x-4/1", Parts: []lineproto.Rows{{[]byte{}}}},
+	storedResults = []resultState{
+		{Path: "x-3/1", Pages: []lineproto.Rows{{[]byte(`["a"]`), []byte(`["b"]`)}, {[]byte(`["c"]`)}}, Until: 90 * time.Minute},
+		{Path: "x-4/1", Pages: []lineproto.Rows{{[]byte{}}}},
 	}
 )
 
@@ -36,21 +36,21 @@
 	return b
 }
 
-// Stored states are read whole and written anew byte for byte; cut short they are refused, and
-// with any bit changed they are refused or read as something else.
+// Stored states are decoded completely and encoded again byte for byte. Cut short they are rejected,
+// and with any bit changed they are rejected or decoded as something else.
 func TestStoredConnections(t *testing.T) {
 	f := &Frontend{}
 	for name, want := range storedConnections {
 		t.Run(name, func(t *testing.T) {
 			stored := storedBytes(t, name)
-			var got state
+			var got connectionState
 			if err := cbor.Unmarshal(stored, &got); err != nil {
 				t.Fatal(err)
 			}
 			if got != want {
 				t.Errorf("state = %+v, want %+v", got, want)
 			}
-			k := &conn{good: want.Good, further: want.Further}
+			k := &conn{served: want.Served, nextPagePending: want.NextPagePending}
 			if written := k.EncodeState(); !bytes.Equal(written, stored) {
 				t.Errorf("written as %x, want %x", written, stored)
 			}
@@ -78,7 +78,7 @@
 // The same of results that wait to be fetched.
 func TestStoredResults(t *testing.T) {
 	stored := storedBytes(t, "results.cbor")
-	var got []heldState
+	var got []resultState
 	if err := cbor.Unmarshal(stored, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -89,12 +89,12 @@
 		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
 	}
 	for cut := range stored {
-		if err := front(t).ApplySharedState(stored[:cut]); err == nil {
-			t.Errorf("taken, cut at byte %d of %d", cut, len(stored))
+		if err := startFrontend(t).ApplySharedState(stored[:cut]); err == nil {
+			t.Errorf("applied, cut at byte %d of %d", cut, len(stored))
 		}
 	}
 	for i := range stored {
-		var damagedResults []heldState
+		var damagedResults []resultState
 		damaged := bytes.Clone(stored)
 		damaged[i] ^= 1
 		_ = cbor.Unmarshal(damaged, &damagedResults) // it may be read as something else, and must not panic
