--- /dev/null
+++ b/internal/site/mux/replay_test.go
@@ -0,0 +1,208 @@
+package mux
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"testing"
+
+	"gannetspur/internal/site/frame"
+	"gannetspur/internal/site/message"
+)
+
+// replayFile holds a digest for each seed of TestReplay. Version c18a9bd wrote it.
+const replayFile = "testdata/replay.txt"
+
+var writeReplay = flag.Bool("write-replay", false, "write "+replayFile)
+
+// replayEnd is one side, which adds all that it hears and writes to a digest.
+type replayEnd struct {
+	name   string
+	random *rand.Rand
+	digest hash.Hash
+	link   *Link
+	open   []uint32 // requests of the other side that are complete
+	sent   []uint32 // streams that this side opened
+	wire   []byte   // on its way to this side
+	closed bool
+}
+
+func (e *replayEnd) log(format string, args ...any) {
+	fmt.Fprintf(e.digest, e.name+" "+format+"\n", args...)
+}
+
+func (e *replayEnd) Greeted(g message.Greet) error {
+	e.log("greeted %s %s", g.Site, g.Gateway)
+	return nil
+}
+
+func (e *replayEnd) Asked(stream uint32, a message.Ask, statement []byte) {
+	e.log("asked %d %s %d %x", stream, a.ID, a.Size, sha256.Sum256(statement))
+	e.open = append(e.open, stream)
+	if e.random.IntN(3) == 0 { // it may call the link from within
+		e.answer(e.random.IntN(len(e.open)))
+	}
+}
+
+func (e *replayEnd) Answered(stream uint32, a message.Answer, body []byte) {
+	e.log("answered %d %d %d %x", stream, a.Verdict, a.Size, sha256.Sum256(body))
+}
+
+func (e *replayEnd) Cancelled(stream uint32) { e.log("cancelled %d", stream) }
+func (e *replayEnd) Digest(d message.Digest) { e.log("digest %g", d.Takes) }
+func (e *replayEnd) Keys(k message.Keys)     { e.log("keys %d", len(k.Sent)) }
+func (e *replayEnd) Ponged(number uint32)    { e.log("ponged %d", number) }
+func (e *replayEnd) Leaves()                 { e.log("leaves") }
+func (e *replayEnd) Ready()                  { e.log("ready") }
+
+func (e *replayEnd) body() []byte {
+	size := e.random.IntN([]int{10, 1000, 200_000}[e.random.IntN(3)])
+	return bytes.Repeat([]byte{byte(e.random.IntN(256))}, size)
+}
+
+func (e *replayEnd) answer(i int) {
+	stream := e.open[i]
+	e.open = append(e.open[:i], e.open[i+1:]...)
+	a := message.Answer{Verdict: uint8(e.random.IntN(2)), Ran: true}
+	e.check("answer", e.link.Answer(stream, a, e.body()))
+}
+
+// check logs the kind of an error, whose text is free to change.
+func (e *replayEnd) check(what string, err error) {
+	kind := "none"
+	for name, sentinel := range map[string]error{
+		"order": ErrOrder, "credit": ErrCredit, "version": ErrVersion, "bounds": message.ErrBounds,
+		"kind": frame.ErrKind, "length": frame.ErrLength, "form": frame.ErrForm,
+	} {
+		if errors.Is(err, sentinel) {
+			kind = name
+		}
+	}
+	if err != nil && kind == "none" {
+		kind = "other"
+	}
+	e.log("%s: error %s", what, kind)
+	e.closed = e.closed || err != nil
+}
+
+// step has one thing happen at a side.
+func (e *replayEnd) step(other *replayEnd) {
+	random := e.random
+	switch random.IntN(16) {
+	case 0, 1, 2:
+		body := append(e.body(), 'x')
+		stream, ok, err := e.link.Ask(message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1}, body)
+		e.log("ask %d %t", stream, ok)
+		e.check("ask", err)
+		if ok {
+			e.sent = append(e.sent, stream)
+		}
+	case 3, 4:
+		if len(e.open) > 0 {
+			e.answer(random.IntN(len(e.open)))
+		}
+	case 5:
+		if len(e.sent) > 0 {
+			e.link.Cancel(e.sent[random.IntN(len(e.sent))])
+		}
+	case 6:
+		e.link.Ping(random.Uint32())
+	case 7:
+		e.check("digest", e.link.Digest(random.Uint32(), message.Digest{Takes: float64(random.IntN(9))}))
+		e.check("keys", e.link.Keys(message.Keys{Sent: make([]message.Key, random.IntN(2))}))
+	case 8:
+		e.check("stale", e.link.Stale())
+		if random.IntN(20) == 0 {
+			e.link.Leave()
+		}
+	default:
+		out := e.link.Pull(nil, random.IntN(100_000))
+		e.log("pull %d %x", len(out), sha256.Sum256(out))
+		other.wire = append(other.wire, out...)
+	}
+	n := random.IntN(len(e.wire) + 1)
+	took, err := e.link.Input(e.wire[:n])
+	e.log("input %d of %d", took, n)
+	e.check("input", err)
+	e.wire = e.wire[took:]
+	e.log("%d open, %d held, %t waiting, %t left, %d late", e.link.Open(), e.link.Held(), e.link.Waiting(), e.link.Left(), e.link.Late)
+}
+
+// replayHostile appends a frame that may be out of place.
+func replayHostile(random *rand.Rand, b []byte) []byte {
+	f := frame.Frame{Kind: frame.Kind(1 + random.IntN(11)), Stream: uint32(random.IntN(12)), Value: uint32(random.IntN(3))}
+	heads := []any{
+		&message.Greet{Site: "s", Gateway: "g", Form: "lines"}, &message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: 1 + random.IntN(3)},
+		&message.Answer{Verdict: 1, Size: random.IntN(3)}, &message.Digest{Takes: 1}, &message.Keys{},
+	}
+	if random.IntN(4) > 0 {
+		f.Body, _ = message.Append(nil, heads[random.IntN(len(heads))])
+	}
+	return frame.Append(b, f)
+}
+
+func replayDigest(t *testing.T, seed uint64) string {
+	t.Helper()
+	random := rand.New(rand.NewPCG(seed, 1))
+	digest := sha256.New()
+	cfg := Config{Window: 1 << (6 + random.IntN(11)), Streams: 1 + random.IntN(30), Held: 1 << (10 + random.IntN(10))}
+	if seed%5 == 0 {
+		cfg = Config{}
+	}
+	ends := [2]*replayEnd{}
+	for i := range ends {
+		end := &replayEnd{name: fmt.Sprint(i), random: random, digest: digest}
+		cfg.Dialled = i == 0
+		cfg.Greet = message.Greet{Site: "s", Gateway: end.name, Form: "lines"}
+		link, err := New(cfg, end)
+		if err != nil {
+			t.Fatal(err)
+		}
+		end.link = link
+		ends[i] = end
+	}
+	for range 600 {
+		side := random.IntN(2)
+		ends[side].step(ends[1-side])
+		if seed%3 == 0 && random.IntN(100) == 0 {
+			ends[side].wire = replayHostile(random, ends[side].wire)
+		}
+		if ends[side].closed {
+			break
+		}
+	}
+	return fmt.Sprintf("%x", digest.Sum(nil))
+}
+
+// Two ends under seeded streams of events do, byte for byte, what version c18a9bd did.
+func TestReplay(t *testing.T) {
+	const seeds = 300
+	var got bytes.Buffer
+	for seed := range uint64(seeds) {
+		fmt.Fprintf(&got, "%d %s\n", seed, replayDigest(t, seed))
+	}
+	if *writeReplay {
+		if err := os.WriteFile(replayFile, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(replayFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
+	if len(gotLines) != len(wantLines) {
+		t.Fatalf("%d seeds, want %d", len(gotLines)-1, len(wantLines)-1)
+	}
+	for i := range wantLines {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Errorf("digest = %s, want %s", gotLines[i], wantLines[i])
+		}
+	}
+}
