--- a/internal/frontend/httpapi/rest.go
+++ b/internal/frontend/httpapi/rest.go
@@ -456,7 +456,7 @@
 	if s := f.opts.Shapes; s != nil {
 		s.EstimateText(r, text)
 	} else {
-		r.DataSet, _ = sqltext.Group(text)
+		r.DataSet, _ = sqltext.TableGroup(text)
 	}
 	k.request, k.good = r, true
 	f.ids[id] = k
