--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -98,7 +98,9 @@
 	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site."`
 }
 
-func (c *siteUndrainCommand) Run() error { return drain(&c.siteFlags, admin.CommandSiteUndrain, c.Site) }
+func (c *siteUndrainCommand) Run() error {
+	return drain(&c.siteFlags, admin.CommandSiteUndrain, c.Site)
+}
 
 func drain(f *siteFlags, command, site string) error {
 	o, err := f.request(admin.Request{Command: command, Site: site})
