--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -106,7 +106,13 @@
 	k.says("BEGIN")
 	same(t, "in the transaction", k.says("SELECT 1"), "T D(SELECT 1) D() C(SELECT 2) ZT")
 	for range 2 {
-		same(t, "a write that waited in vain", other.says("DELETE FROM stock_1.parts"), "E(53000 hint) ZI")
+		late := g.count("answered-late.")
+		got := other.says("DELETE FROM stock_1.parts")
+		want := "E(53000 hint) ZI"
+		if g.count("answered-late.") > late { // its turn came so late, on a busy machine, that its time was over
+			want = "E(57014) ZI"
+		}
+		same(t, "a write that waited in vain", got, want)
 	}
 	if n := g.count("ended.crowded"); n < 2 {
 		t.Errorf("%d ended for want of a connection", n)
