--- a/cmd/gateway/shapes_explain.go
+++ b/cmd/gateway/shapes_explain.go
@@ -35,17 +35,17 @@
 		return err
 	}
 	reader := sqltext.NewReader()
-	reader.Judge = true
-	reader.Functions = sqltext.Functions{}
+	reader.ClassifyEffect = true
+	reader.ReadOnlyFunctions = sqltext.FunctionSet{}
 	for _, name := range c.Readers {
-		reader.Functions[name] = true
+		reader.ReadOnlyFunctions[name] = true
 	}
 	statement := reader.Read(c.SQL)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "tokens\t%s\n", tokens(c.SQL))
-	fmt.Fprintf(w, "shape\t%s\n", statement.Norm)
-	if statement.Grouped {
-		fmt.Fprintf(w, "group\t%d\n", statement.Group)
+	fmt.Fprintf(w, "shape\t%s\n", statement.NormalForm)
+	if statement.HasTableGroup {
+		fmt.Fprintf(w, "group\t%d\n", statement.TableGroup)
 	}
 	fmt.Fprintf(w, "may do\t%v (%v)\n", statement.Effect.Effect, statement.Effect)
 	fmt.Fprintf(w, "features\t%+v\n", statement.Features)
@@ -130,12 +130,12 @@
 	add(p.Alternatives > 0, "%d alternatives", p.Alternatives)
 	add(p.Span > 0, "a range of %.4g", p.Span)
 	add(p.HalfOpen, "a range with one end")
-	add(p.Wild == sqltext.Prefix, "a pattern with a fixed beginning")
-	add(p.Wild == sqltext.Leading, "a pattern with a wildcard in front")
+	add(p.Pattern == sqltext.PrefixPattern, "a pattern with a fixed beginning")
+	add(p.Pattern == sqltext.LeadingWildcard, "a pattern with a wildcard in front")
 	add(p.Limit > 0, "at most %.0f rows", p.Limit)
-	add(p.Off > 0, "%d restrictions switched off by null", p.Off)
+	add(p.DisabledRestrictions > 0, "%d restrictions switched off by null", p.DisabledRestrictions)
 	add(p.Rows > 0, "%d rows to write", p.Rows)
-	add(p.Open, "nothing narrows what is read")
+	add(p.Unrestricted, "nothing narrows what is read")
 	if len(parts) == 0 {
 		return "nothing of note"
 	}
--- a/internal/decide/costmodel/replay_test.go
+++ b/internal/decide/costmodel/replay_test.go
@@ -64,7 +64,7 @@
 	statements := make([]sqltext.Features, shapes)
 	for i := range statements {
 		statements[i] = sqltext.Features{
-			Verb: "siudm"[i%5], Tables: int32(1 + i%4), Joins: int32(i % 3), Aggregates: int32(i % 2), Windows: int32(i / 37),
+			Command: "siudm"[i%5], Tables: int32(1 + i%4), Joins: int32(i % 3), Aggregates: int32(i % 2), Windows: int32(i / 37),
 			Groups: int32(i % 2), Sorts: int32(i % 3), Distincts: int32(i / 30), Selects: int32(1 + i%3), Rows: int32(i % 5),
 			Where: i%7 != 0, Limited: i%6 == 0,
 		}
@@ -73,7 +73,7 @@
 		shape := min(int(rng.ExpFloat64()*6), shapes-1)
 		profile := sqltext.Profile{
 			Alternatives: []int{0, 0, 1, 5, 40, 900}[rng.IntN(6)], Span: []float64{0, 0, 7, 365}[rng.IntN(4)], HalfOpen: rng.IntN(9) == 0,
-			Wild: sqltext.Wild(rng.IntN(4)), Limit: []float64{0, 10, 1e5}[rng.IntN(3)], Off: rng.IntN(20) / 19, Open: rng.IntN(12) == 0,
+			Pattern: sqltext.PatternKind(rng.IntN(4)), Limit: []float64{0, 10, 1e5}[rng.IntN(3)], DisabledRestrictions: rng.IntN(20) / 19, Unrestricted: rng.IntN(12) == 0,
 			Rows: int(statements[shape].Rows), Column: uint32(rng.IntN(3)), Key: rng.Uint64N(200),
 		}
 		if rng.IntN(3) == 0 {
--- a/internal/frontend/httpapi/request.go
+++ b/internal/frontend/httpapi/request.go
@@ -95,7 +95,7 @@
 	if f.options.Shapes != nil {
 		f.options.Shapes.EstimateText(r, text)
 	} else {
-		r.DataSet, _ = sqltext.Group(text)
+		r.DataSet, _ = sqltext.TableGroup(text)
 	}
 	c.request = r
 	c.served = true
--- a/internal/frontend/postgres/classify.go
+++ b/internal/frontend/postgres/classify.go
@@ -42,7 +42,7 @@
 		return classification{class: class, keyParameter: wanted.keyParameter}, nil
 	}
 	effect := f.effectOf(query, shape)
-	onlyReads := effect.Effect == sqltext.Reads || effect.Effect == sqltext.Untold && wanted.readOnly
+	onlyReads := effect.Effect == sqltext.Reads || effect.Effect == sqltext.Unknown && wanted.readOnly
 	if onlyReads {
 		return classification{class: class, keyParameter: wanted.keyParameter, classByShape: !wanted.explicit}, nil
 	}
@@ -61,7 +61,7 @@
 
 // classByRule returns the class of the first rule that matches, or the default.
 func (f *Frontend) classByRule(query string) classRequest {
-	matches := func(r Rule) bool { return sqltext.Begins(query, r.Starts) }
+	matches := func(r Rule) bool { return sqltext.HasTokenPrefix(query, r.Starts) }
 	i := slices.IndexFunc(f.opts.Rules, matches)
 	if i < 0 {
 		return classRequest{name: f.opts.DefaultClass}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (f *Frontend) effectOf(query string, shape *queryshape.Statement) sqltext.Verdict {
+func (f *Frontend) effectOf(query string, shape *queryshape.Statement) sqltext.EffectVerdict {
 	if shape != nil {
 		return shape.Effect()
 	}
--- a/internal/frontend/postgres/options.go
+++ b/internal/frontend/postgres/options.go
@@ -17,7 +17,7 @@
 	// transactions; "": these are rejected.
 	WriteClass string
 	// ReadOnlyFunctions are those that the operators know to read only.
-	ReadOnlyFunctions sqltext.Functions
+	ReadOnlyFunctions sqltext.FunctionSet
 	Rules             []Rule
 	// Shapes gives classes and estimates by the shapes of statements; nil: off.
 	Shapes *queryshape.Service
--- a/internal/frontend/postgres/prepared.go
+++ b/internal/frontend/postgres/prepared.go
@@ -64,7 +64,7 @@
 		query:          query,
 		parameterTypes: parameterTypes,
 		empty:          words.first == "",
-		taintsSession:  sqltext.Names(query, "set_config"),
+		taintsSession:  sqltext.ContainsName(query, "set_config"),
 	}
 	if words.isControl(context) {
 		s.control = words.first
--- a/internal/frontend/postgres/request.go
+++ b/internal/frontend/postgres/request.go
@@ -109,7 +109,7 @@
 	shapes := c.frontend.opts.Shapes
 	s := e.statement
 	if shapes == nil || s.shape == nil {
-		r.DataSet, _ = sqltext.Group(s.query)
+		r.DataSet, _ = sqltext.TableGroup(s.query)
 		return
 	}
 	r.DataSet, _ = s.shape.DataSet()
--- a/internal/frontend/postgres/simple_query.go
+++ b/internal/frontend/postgres/simple_query.go
@@ -31,7 +31,7 @@
 		return c.answerSetStatementTimeout(value)
 	}
 	if strings.Contains(query, ";") {
-		if parts := sqltext.Split(query); len(parts) > 1 {
+		if parts := sqltext.SplitStatements(query); len(parts) > 1 {
 			return c.runStatements(parts)
 		}
 	}
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -79,7 +79,7 @@
 	options := pgfrontend.Options{
 		DefaultClass:           deploy.DefaultClass,
 		WriteClass:             deploy.WriteClass,
-		ReadOnlyFunctions:      sqltext.Functions{},
+		ReadOnlyFunctions:      sqltext.FunctionSet{},
 		MaxClients:             clientsOf(deploy.Sockets),
 		MaxHeldBytes:           limits{memoryMB: deploy.MemoryMB}.memoryFraction(6),
 		Shapes:                 p.process.shapes,
--- a/internal/queryshape/estimator.go
+++ b/internal/queryshape/estimator.go
@@ -66,7 +66,7 @@
 	s.reading = *e.reader.Read(text)
 	s.execution = nil
 	s.reading.Slots = append(s.slots[:0], s.reading.Slots...)
-	s.reading.Norm = nil
+	s.reading.NormalForm = nil
 }
 
 var noBinds sqltext.Binds
@@ -91,7 +91,7 @@
 		WorkHint:   hint.Work,
 		MemoryHint: hint.MemoryMB,
 	}
-	x.cached = e.cache.Get(s.reading.Print)
+	x.cached = e.cache.Get(s.reading.Fingerprint)
 	if x.cached != nil {
 		e.Stats.Hits++
 		x.query.Record = &x.cached.ShapeRecord
@@ -105,7 +105,7 @@
 // cache, which may not admit it.
 func (e *Estimator) Learn(x *Execution, outcome decide.Outcome) {
 	e.Stats.Learned++
-	fingerprint := x.statement.reading.Print
+	fingerprint := x.statement.reading.Fingerprint
 	shape := x.cached
 	if shape == nil {
 		shape = e.cache.Get(fingerprint)
@@ -121,8 +121,8 @@
 func (e *Estimator) newCachedShape(s *Statement) *CachedShape {
 	r := e.reader.Read(s.text)
 	return &CachedShape{
-		NormalForm: string(r.Norm[:min(len(r.Norm), MaxNormalForm)]),
-		Truncated:  r.Cut || len(r.Norm) > MaxNormalForm,
+		NormalForm: string(r.NormalForm[:min(len(r.NormalForm), MaxNormalForm)]),
+		Truncated:  r.Truncated || len(r.NormalForm) > MaxNormalForm,
 	}
 }
 
--- a/internal/queryshape/service_requests.go
+++ b/internal/queryshape/service_requests.go
@@ -46,7 +46,7 @@
 
 // Read reads a statement and judges its effect. readOnly are functions that operators have
 // declared to be read-only.
-func (s *Service) Read(text string, readOnly sqltext.Functions) *Statement {
+func (s *Service) Read(text string, readOnly sqltext.FunctionSet) *Statement {
 	s.enableJudgement(readOnly)
 	defer s.disableJudgement()
 	return s.estimator.Read(text)
@@ -54,7 +54,7 @@
 
 // ReadOnce reads a statement that will have one execution, as that of a Query message. The
 // statement is stored in its execution, so that it allocates nothing; it is valid until RequestDone.
-func (s *Service) ReadOnce(text string, readOnly sqltext.Functions) *Statement {
+func (s *Service) ReadOnce(text string, readOnly sqltext.FunctionSet) *Statement {
 	s.enableJudgement(readOnly)
 	defer s.disableJudgement()
 	x := s.newExecution()
@@ -63,12 +63,12 @@
 	return &x.own
 }
 
-func (s *Service) enableJudgement(readOnly sqltext.Functions) {
-	s.estimator.reader.Judge = true
-	s.estimator.reader.Functions = readOnly
+func (s *Service) enableJudgement(readOnly sqltext.FunctionSet) {
+	s.estimator.reader.ClassifyEffect = true
+	s.estimator.reader.ReadOnlyFunctions = readOnly
 }
 
-func (s *Service) disableJudgement() { s.estimator.reader.Judge = false }
+func (s *Service) disableJudgement() { s.estimator.reader.ClassifyEffect = false }
 
 // EstimateRequest estimates a request whose class is already known, and gives the estimate to the
 // request if the settings say so.
--- a/internal/queryshape/snapshot.go
+++ b/internal/queryshape/snapshot.go
@@ -82,7 +82,7 @@
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
 		shape := &CachedShape{ShapeRecord: saved.Record, NormalForm: saved.NormalForm}
-		e.cache.Add(e.reader.Print(saved.NormalForm), shape)
+		e.cache.Add(e.reader.Fingerprint(saved.NormalForm), shape)
 	}
 	return e, nil
 }
--- a/internal/queryshape/statement.go
+++ b/internal/queryshape/statement.go
@@ -14,16 +14,18 @@
 }
 
 // Effect returns what the statement may do.
-func (s *Statement) Effect() sqltext.Verdict { return s.reading.Effect }
+func (s *Statement) Effect() sqltext.EffectVerdict { return s.reading.Effect }
 
 // FirstWord returns the statement's first word; "(" stands for anything but a word.
-func (s *Statement) FirstWord() string { return s.reading.First }
+func (s *Statement) FirstWord() string { return s.reading.FirstWord }
 
 // MultipleStatements tells whether a second statement follows in the text.
-func (s *Statement) MultipleStatements() bool { return s.reading.Several }
+func (s *Statement) MultipleStatements() bool { return s.reading.MultipleStatements }
 
 // DataSet returns the data set of the statement, if its text names one.
-func (s *Statement) DataSet() (dataSet int64, ok bool) { return s.reading.Group, s.reading.Grouped }
+func (s *Statement) DataSet() (dataSet int64, ok bool) {
+	return s.reading.TableGroup, s.reading.HasTableGroup
+}
 
 // Execution is one execution of a statement, with its estimate. Its cost is awaited.
 type Execution struct {
@@ -36,7 +38,7 @@
 }
 
 // Fingerprint identifies the shape of the statement.
-func (x *Execution) Fingerprint() Fingerprint { return x.statement.reading.Print }
+func (x *Execution) Fingerprint() Fingerprint { return x.statement.reading.Fingerprint }
 
 // Hint is the client's estimate of an execution; 0: none.
 type Hint struct {
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -10,35 +10,35 @@
 
 // Effects. The zero value is the most cautious: what can't be told may write.
 const (
-	Untold Effect = iota // it may write
-	Writes               // it does, as far as its words tell
-	Reads                // nothing in it is known to write, and all of it is known
+	Unknown Effect = iota // it may write
+	Writes                // it does, as far as its words tell
+	Reads                 // nothing in it is known to write, and all of it is known
 )
 
 var effectNames = [...]string{"can't be told", "writes", "reads"}
 
 func (e Effect) String() string { return effectNames[e] }
 
-// Verdict is a statement's effect, and the word of it that decided.
-type Verdict struct {
+// EffectVerdict is a statement's effect, and the word of it that decided.
+type EffectVerdict struct {
 	Effect Effect
-	Why    string // a few words
+	Reason string // a few words
 	Word   string // as it stands in the statement; "" where Why says all
 }
 
-func (v Verdict) String() string {
+func (v EffectVerdict) String() string {
 	if v.Word == "" {
-		return v.Why
+		return v.Reason
 	}
-	return v.Word + ": " + v.Why
+	return v.Word + ": " + v.Reason
 }
 
-// Functions names functions that only read, in small letters, with their schema where
+// FunctionSet names functions that only read, in small letters, with their schema where
 // they are not of pg_catalog.
-type Functions map[string]bool
+type FunctionSet map[string]bool
 
 // has looks a name up without an allocation for names as they are usually written.
-func (f Functions) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
+func (f FunctionSet) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
 // EffectOf reads what a statement may do, and errs on the side of writing: it reads
 // only where its first word says so, no word in it writes or locks, and all functions
@@ -46,7 +46,7 @@
 //
 // What a text can't show is not seen: a view or an operator over a function that
 // writes, a cast with a function of its own, and a column that is a function (t.f).
-func EffectOf(stmt string, more Functions) Verdict {
+func EffectOf(stmt string, more FunctionSet) EffectVerdict {
 	l := Lexer{Src: stmt}
 	r := effectReader{more: more}
 	for t := l.Next(); t.Kind != End; t = l.Next() {
@@ -59,12 +59,12 @@
 }
 
 // sure tells that nothing more can change the verdict.
-func (r *effectReader) sure() bool { return r.worst.Why != "" && r.worst.Effect == Writes }
+func (r *effectReader) sure() bool { return r.worst.Reason != "" && r.worst.Effect == Writes }
 
 // effectReader judges a run of tokens.
 type effectReader struct {
-	more  Functions
-	worst Verdict // the first that is no reading one; Writes goes before Untold
+	more  FunctionSet
+	worst EffectVerdict // the first that is no reading one; Writes goes before Unknown
 
 	begun            bool // the first word was read
 	explain, planned bool // EXPLAIN stands in front; nothing yet says that it runs
@@ -84,8 +84,8 @@
 }
 
 func (r *effectReader) say(e Effect, word, why string) {
-	if r.worst.Why == "" || e == Writes && r.worst.Effect == Untold {
-		r.worst = Verdict{e, why, word}
+	if r.worst.Reason == "" || e == Writes && r.worst.Effect == Unknown {
+		r.worst = EffectVerdict{e, why, word}
 	}
 }
 
@@ -100,29 +100,29 @@
 	w, use := t.word(), t.use()
 	schema := Token{}
 	switch t.Kind {
-	case Ident, Quoted:
+	case Ident, QuotedIdent:
 		if r.kind == Dot { // a part of a longer name: no key word
 			w, use = wNone, 0
 			schema = r.last
 		}
-		if r.kind != Dot || r.kind2 != Ident && r.kind2 != Quoted {
+		if r.kind != Dot || r.kind2 != Ident && r.kind2 != QuotedIdent {
 			schema = Token{}
 		}
 		r.word(l, t, w, use)
-	case Open:
+	case OpenParen:
 		r.open(l)
 		r.depth++
 		r.ctes &^= bit(r.depth)
 		r.expect &^= bit(r.depth)
-	case Close:
+	case CloseParen:
 		r.depth--
 	case Comma:
 		if r.ctes&bit(r.depth) != 0 {
 			r.expect |= bit(r.depth)
 		}
-	case Op:
+	case Operator:
 		if !knownOperator(l.Text(t)) {
-			r.say(Untold, l.Text(t), "an operator that is not known")
+			r.say(Unknown, l.Text(t), "an operator that is not known")
 		}
 	}
 	if t.Kind == Dot { // the name goes on
@@ -137,7 +137,7 @@
 func (r *effectReader) word(l *Lexer, t Token, w word, use use) {
 	r.cteName = false
 	text := l.Text(t)
-	start := !r.begun || r.kind == Open
+	start := !r.begun || r.kind == OpenParen
 	switch {
 	case !r.begun:
 		r.begun = true
@@ -174,7 +174,7 @@
 		r.say(Writes, "FOR "+strings.ToUpper(text), "it locks rows")
 	}
 	if w == wOperator {
-		r.say(Untold, text, "an operator named by its schema")
+		r.say(Unknown, text, "an operator named by its schema")
 	}
 }
 
@@ -187,11 +187,11 @@
 			r.say(Writes, text, "it writes")
 			return
 		case "DO", "CALL", "EXECUTE":
-			r.say(Untold, text, "what it runs can't be seen")
+			r.say(Unknown, text, "what it runs can't be seen")
 			return
 		}
 	}
-	r.say(Untold, text, "it begins no statement that is known to read")
+	r.say(Unknown, text, "it begins no statement that is known to read")
 }
 
 // option reads what stands between EXPLAIN and its statement. ANALYZE in any form
@@ -219,11 +219,11 @@
 	if !r.begun || r.options || r.planned {
 		return
 	}
-	if r.last.Kind != Ident && r.last.Kind != Quoted || r.kind == Dot {
+	if r.last.Kind != Ident && r.last.Kind != QuotedIdent || r.kind == Dot {
 		return
 	}
 	qualified := r.schema.Kind != End
-	if !qualified && (r.before == wAs || r.kind2 == Close && !r.distinctOn && r.use&(reserved|infix) == 0) {
+	if !qualified && (r.before == wAs || r.kind2 == CloseParen && !r.distinctOn && r.use&(reserved|infix) == 0) {
 		return // the columns of an alias
 	}
 	if r.last.Kind == Ident && !qualified {
@@ -231,12 +231,12 @@
 		case r.use&(reserved|typeName) != 0, r.cteName:
 			return
 		case r.prev == wOver || r.prev == wFilter:
-			if r.kind2 == Close { // a call is over, and this belongs to it
+			if r.kind2 == CloseParen { // a call is over, and this belongs to it
 				return
 			}
 		case r.use&infix != 0:
-			if r.kind2 == Ident && r.before == wNone || r.kind2 == Close || r.kind2 == Quoted || r.kind2 == String ||
-				r.kind2 == Number || r.kind2 == Param || r.kind2 == Unbracket || r.before == wNot || r.before == wNatural ||
+			if r.kind2 == Ident && r.before == wNone || r.kind2 == CloseParen || r.kind2 == QuotedIdent || r.kind2 == String ||
+				r.kind2 == Number || r.kind2 == Param || r.kind2 == CloseBracket || r.before == wNot || r.before == wNatural ||
 				r.before == wNull || r.before == wTrue || r.before == wFalse {
 				return
 			}
@@ -248,7 +248,7 @@
 		}
 	}
 	name := l.Text(r.last)
-	if r.last.Kind == Quoted {
+	if r.last.Kind == QuotedIdent {
 		name = bare(name)
 	}
 	if qualified {
@@ -258,31 +258,31 @@
 			if r.more.has(full) {
 				return
 			}
-			r.say(Untold, full, "a function not known to read only")
+			r.say(Unknown, full, "a function not known to read only")
 			return
 		}
 	}
-	if r.last.Kind == Quoted && name != strings.ToLower(name) || !readers.has(name) && !r.more.has(name) {
-		r.say(Untold, name, "a function not known to read only")
+	if r.last.Kind == QuotedIdent && name != strings.ToLower(name) || !readers.has(name) && !r.more.has(name) {
+		r.say(Unknown, name, "a function not known to read only")
 	}
 }
 
-func (r *effectReader) verdict(l *Lexer) Verdict {
+func (r *effectReader) verdict(l *Lexer) EffectVerdict {
 	switch {
-	case r.worst.Why != "":
+	case r.worst.Reason != "":
 		return r.worst
 	case !r.begun:
-		return Verdict{Untold, "no word begins it", ""}
-	case l.Flaws&Unterminated != 0:
-		return Verdict{Untold, "a string, a name or a comment in it does not end", ""}
-	case l.Flaws&Backslash != 0:
-		return Verdict{Untold, "a backslash before a quote reads differently without standard_conforming_strings", ""}
-	case l.Flaws&Unicode != 0:
-		return Verdict{Untold, "U& hides what it spells", ""}
-	case l.Flaws&Strange != 0:
-		return Verdict{Untold, "a character in it is of no statement", ""}
-	case l.Flaws&High != 0 && !utf8.ValidString(l.Src):
-		return Verdict{Untold, "it is not UTF-8", ""}
+		return EffectVerdict{Unknown, "no word begins it", ""}
+	case l.Defects&UnterminatedText != 0:
+		return EffectVerdict{Unknown, "a string, a name or a comment in it does not end", ""}
+	case l.Defects&BackslashQuote != 0:
+		return EffectVerdict{Unknown, "a backslash before a quote reads differently without standard_conforming_strings", ""}
+	case l.Defects&UnicodeEscape != 0:
+		return EffectVerdict{Unknown, "U& hides what it spells", ""}
+	case l.Defects&InvalidCharacter != 0:
+		return EffectVerdict{Unknown, "a character in it is of no statement", ""}
+	case l.Defects&NonASCII != 0 && !utf8.ValidString(l.Src):
+		return EffectVerdict{Unknown, "it is not UTF-8", ""}
 	}
-	return Verdict{Reads, "all its words and functions read", ""}
+	return EffectVerdict{Reads, "all its words and functions read", ""}
 }
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -9,7 +9,7 @@
 
 // What may write is never taken for a reading statement, however it is written.
 func TestEffect(t *testing.T) {
-	more := Functions{"stock.price_of": true, "is_open": true}
+	more := FunctionSet{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
 		"DELETE FROM t":                Writes,
 		" /* c */ UPDATE t SET a = 1":  Writes,
@@ -35,31 +35,31 @@
 		"SELECT E'a\\'', b FROM t FOR SHARE":                                       Writes,
 		"SELECT E'a'\n'\\'', b FROM t FOR SHARE":                                   Writes,
 
-		"SELECT setval('s', 1)":                                   Untold,
-		"SELECT \"setval\" ('s', 1)":                              Untold,
-		"SELECT pg_catalog.setval('s', 1)":                        Untold,
-		"SELECT setval/**/('s', 1)":                               Untold,
-		"SELECT public.lower('s')":                                Untold,
-		"SELECT DISTINCT ON (a) setval('s', 1)":                   Untold,
-		"SELECT a FROM unnest(x) WITH ORDINALITY, setval('s', 1)": Untold,
-		"WITH a AS (SELECT 1) SELECT 2, setval('s', 1)":           Untold,
-		"WITH a AS (SELECT 1, evil(2)) SELECT 2":                  Untold,
-		"SELECT \"Lower\"('s')":                                   Untold,
-		"SELECT 1 WHERE a = over(1)":                              Untold,
-		"SELECT 1 WHERE a IN (1) AND join(1) > 0":                 Untold,
-		"EXPLAIN ANALYZE SELECT evil()":                           Untold,
-		"EXPLAIN ANALYZE EXECUTE p":                               Untold,
-		"DO $$ BEGIN DELETE FROM t; END $$":                       Untold,
-		"CALL f()":                                                Untold, "EXECUTE p": Untold, "NOTIFY x": Untold, "": Untold, "xyz": Untold,
-		"SELECT 'open":                     Untold,
-		"SELECT 1 /* open":                 Untold,
-		"SELECT 'a\\' || 'b'":              Untold,
-		"SELECT U&'\\0061'":                Untold,
-		"SELECT U&\"\\0073etval\"('s', 1)": Untold,
-		"SELECT a OPERATOR(evil.+) b":      Untold,
-		"SELECT a <<<>>> b":                Untold,
-		"SELECT '\xff'":                    Untold,
-		"SELECT query_to_xml('DELETE FROM t', true, true, '')": Untold,
+		"SELECT setval('s', 1)":                                   Unknown,
+		"SELECT \"setval\" ('s', 1)":                              Unknown,
+		"SELECT pg_catalog.setval('s', 1)":                        Unknown,
+		"SELECT setval/**/('s', 1)":                               Unknown,
+		"SELECT public.lower('s')":                                Unknown,
+		"SELECT DISTINCT ON (a) setval('s', 1)":                   Unknown,
+		"SELECT a FROM unnest(x) WITH ORDINALITY, setval('s', 1)": Unknown,
+		"WITH a AS (SELECT 1) SELECT 2, setval('s', 1)":           Unknown,
+		"WITH a AS (SELECT 1, evil(2)) SELECT 2":                  Unknown,
+		"SELECT \"Lower\"('s')":                                   Unknown,
+		"SELECT 1 WHERE a = over(1)":                              Unknown,
+		"SELECT 1 WHERE a IN (1) AND join(1) > 0":                 Unknown,
+		"EXPLAIN ANALYZE SELECT evil()":                           Unknown,
+		"EXPLAIN ANALYZE EXECUTE p":                               Unknown,
+		"DO $$ BEGIN DELETE FROM t; END $$":                       Unknown,
+		"CALL f()":                                                Unknown, "EXECUTE p": Unknown, "NOTIFY x": Unknown, "": Unknown, "xyz": Unknown,
+		"SELECT 'open":                     Unknown,
+		"SELECT 1 /* open":                 Unknown,
+		"SELECT 'a\\' || 'b'":              Unknown,
+		"SELECT U&'\\0061'":                Unknown,
+		"SELECT U&\"\\0073etval\"('s', 1)": Unknown,
+		"SELECT a OPERATOR(evil.+) b":      Unknown,
+		"SELECT a <<<>>> b":                Unknown,
+		"SELECT '\xff'":                    Unknown,
+		"SELECT query_to_xml('DELETE FROM t', true, true, '')": Unknown,
 
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": Reads,
 		"select pg_catalog.now(), is_open(x), Stock.Price_Of(y) from t":                        Reads,
@@ -83,7 +83,7 @@
 			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
 		}
 		r := NewReader()
-		r.Judge, r.Functions = true, more
+		r.ClassifyEffect, r.ReadOnlyFunctions = true, more
 		if also := r.Read(stmt).Effect; also != got {
 			t.Errorf("%s: %v on the way, %v by itself", stmt, also, got)
 		}
@@ -115,12 +115,12 @@
 			}
 			at = tok.End
 		}
-		Group(stmt)
+		TableGroup(stmt)
 		FirstWord(stmt)
 		LeadingComment(stmt)
 		SkipComments(stmt)
-		Begins(stmt, stmt)
-		if EffectOf(stmt, nil).Effect == Reads && l.Flaws&^High == 0 {
+		HasTokenPrefix(stmt, stmt)
+		if EffectOf(stmt, nil).Effect == Reads && l.Defects&^NonASCII == 0 {
 			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == Reads && !strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN") {
 				t.Fatalf("%q reads also with FOR UPDATE behind it", stmt)
 			}
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -14,25 +14,25 @@
 
 // Kinds of token.
 const (
-	End       Kind = iota // the text is over
-	Ident                 // a key word or a name without quotes
-	Quoted                // a name in double quotes
-	String                // '..', E'..', U&'..', N'..', with its continuations
-	Bits                  // B'..', X'..'
-	Dollar                // $tag$..$tag$
-	Number                // 1, 1_000, 0x1F, 1.5e-3
-	Param                 // $1
-	Op                    // a run of operator characters
-	Dot                   // .
-	Comma                 // ,
-	Open                  // (
-	Close                 // )
-	Bracket               // [
-	Unbracket             // ]
-	Cast                  // ::
-	Colon                 // : alone, or :=
-	Semicolon             // ;
-	Odd                   // a character that no rule takes, or a lone $
+	End          Kind = iota // the text is over
+	Ident                    // a key word or a name without quotes
+	QuotedIdent              // a name in double quotes
+	String                   // '..', E'..', U&'..', N'..', with its continuations
+	BitString                // B'..', X'..'
+	DollarString             // $tag$..$tag$
+	Number                   // 1, 1_000, 0x1F, 1.5e-3
+	Param                    // $1
+	Operator                 // a run of operator characters
+	Dot                      // .
+	Comma                    // ,
+	OpenParen                // (
+	CloseParen               // )
+	OpenBracket              // [
+	CloseBracket             // ]
+	Cast                     // ::
+	Colon                    // : alone, or :=
+	Semicolon                // ;
+	Invalid                  // a character that no rule takes, or a lone $
 )
 
 // Token is one token: its kind and where it stands, as offsets in bytes. Four fields are
@@ -53,31 +53,31 @@
 func (t Token) word() word   { return word(t.info >> 48) }
 func (t Token) upper() bool  { return t.info>>56 != 0 }
 
-// Flaw is what makes a text one whose reading can't be relied on.
-type Flaw uint8
+// Defect is what makes a text one whose reading can't be relied on.
+type Defect uint8
 
 // Flaws, as bits.
 const (
-	// Unterminated: a string, a quoted name or a comment is open at the end.
-	Unterminated Flaw = 1 << iota
-	// Backslash: a backslash stands before a quote in an ordinary string. Where
+	// UnterminatedText: a string, a quoted name or a comment is open at the end.
+	UnterminatedText Defect = 1 << iota
+	// BackslashQuote: a backslash stands before a quote in an ordinary string. Where
 	// standard_conforming_strings is off the string goes on there.
-	Backslash
-	// Unicode: a name or string is written U&; its letters are not those it shows.
-	Unicode
-	// Strange: a character that no rule of the lexer takes, a NUL among them.
-	Strange
-	// High: bytes above 0x7f stand in the text. No flaw by itself, but the caller
+	BackslashQuote
+	// UnicodeEscape: a name or string is written U&; its letters are not those it shows.
+	UnicodeEscape
+	// InvalidCharacter: a character that no rule of the lexer takes, a NUL among them.
+	InvalidCharacter
+	// NonASCII: bytes above 0x7f stand in the text. No flaw by itself, but the caller
 	// must know that the text is UTF-8 before it relies on where tokens end.
-	High
+	NonASCII
 )
 
 // Lexer reads the tokens of one text in turn. Its zero value with Src set is ready;
 // it holds no other state than its place, so it can be copied to look ahead.
 type Lexer struct {
-	Src   string
-	Pos   int
-	Flaws Flaw
+	Src     string
+	Pos     int
+	Defects Defect
 }
 
 // Classes of characters.
@@ -156,19 +156,19 @@
 	case '"':
 		l.Pos++
 		l.name()
-		return Token{Kind: Quoted, Start: at, End: l.Pos}
+		return Token{Kind: QuotedIdent, Start: at, End: l.Pos}
 	case '$':
 		return l.dollar()
 	case '(':
-		return one(Open)
+		return one(OpenParen)
 	case ')':
-		return one(Close)
+		return one(CloseParen)
 	case ',':
 		return one(Comma)
 	case '[':
-		return one(Bracket)
+		return one(OpenBracket)
 	case ']':
-		return one(Unbracket)
+		return one(CloseBracket)
 	case ';':
 		return one(Semicolon)
 	case '.':
@@ -187,8 +187,8 @@
 		t.End = l.Pos
 		return t
 	}
-	l.Flaws |= Strange
-	return one(Odd)
+	l.Defects |= InvalidCharacter
+	return one(Invalid)
 }
 
 // skip passes space and comments.
@@ -204,7 +204,7 @@
 		case c == '/' && i+1 < len(src) && src[i+1] == '*':
 			end, ok := blockEnd(src, i)
 			if !ok {
-				l.Flaws |= Unterminated
+				l.Defects |= UnterminatedText
 			}
 			i = end
 		default:
@@ -303,7 +303,7 @@
 		seen |= class
 	}
 	if seen&cHigh != 0 {
-		l.Flaws |= High
+		l.Defects |= NonASCII
 	}
 	l.Pos = i
 	if i < len(src) && i-at == 1 {
@@ -312,15 +312,15 @@
 			l.Pos++
 			l.quote(c == 'e')
 			if c == 'b' || c == 'x' {
-				return Token{Kind: Bits, Start: at, End: l.Pos}
+				return Token{Kind: BitString, Start: at, End: l.Pos}
 			}
 			return Token{Kind: String, Start: at, End: l.Pos}
 		case c == 'u' && src[i] == '&' && i+1 < len(src) && (src[i+1] == '\'' || src[i+1] == '"'):
-			l.Flaws |= Unicode
+			l.Defects |= UnicodeEscape
 			l.Pos = i + 2
 			if src[i+1] == '"' {
 				l.name()
-				return Token{Kind: Quoted, Start: at, End: l.Pos}
+				return Token{Kind: QuotedIdent, Start: at, End: l.Pos}
 			}
 			l.quote(false)
 			return Token{Kind: String, Start: at, End: l.Pos}
@@ -348,14 +348,14 @@
 			i += 2
 		case c == '\\':
 			if i+1 < len(src) && src[i+1] == '\'' {
-				l.Flaws |= Backslash
+				l.Defects |= BackslashQuote
 			}
 			i++
 		case c != '\'':
 			if c >= 0x80 {
-				l.Flaws |= High
+				l.Defects |= NonASCII
 			} else if c == 0 {
-				l.Flaws |= Strange
+				l.Defects |= InvalidCharacter
 			}
 			i++
 		case i+1 < len(src) && src[i+1] == '\'':
@@ -369,7 +369,7 @@
 			i = next
 		}
 	}
-	l.Flaws |= Unterminated
+	l.Defects |= UnterminatedText
 	l.Pos = len(src)
 }
 
@@ -401,10 +401,10 @@
 		c := src[i]
 		switch {
 		case c >= 0x80:
-			l.Flaws |= High
+			l.Defects |= NonASCII
 			i++
 		case c == 0:
-			l.Flaws |= Strange
+			l.Defects |= InvalidCharacter
 			i++
 		case c != '"':
 			i++
@@ -415,7 +415,7 @@
 			return
 		}
 	}
-	l.Flaws |= Unterminated
+	l.Defects |= UnterminatedText
 	l.Pos = len(src)
 }
 
@@ -434,25 +434,25 @@
 		i++
 	}
 	if i >= len(src) || src[i] != '$' {
-		l.Flaws |= Strange
+		l.Defects |= InvalidCharacter
 		l.Pos = at + 1
-		return Token{Kind: Odd, Start: at, End: l.Pos}
+		return Token{Kind: Invalid, Start: at, End: l.Pos}
 	}
 	tag := src[at : i+1]
 	end := find(src, i+1, tag)
 	if end < 0 {
-		l.Flaws |= Unterminated
+		l.Defects |= UnterminatedText
 		l.Pos = len(src)
 	} else {
 		l.Pos = end + len(tag)
 	}
 	for _, c := range []byte(src[at:l.Pos]) {
 		if c >= 0x80 {
-			l.Flaws |= High
+			l.Defects |= NonASCII
 			break
 		}
 	}
-	return Token{Kind: Dollar, Start: at, End: l.Pos}
+	return Token{Kind: DollarString, Start: at, End: l.Pos}
 }
 
 // find is the place of the tag from i on, -1 where there is none. Candidates begin at
@@ -541,5 +541,5 @@
 		i--
 	}
 	l.Pos = i
-	return Token{Kind: Op, Start: at, End: i}
+	return Token{Kind: Operator, Start: at, End: i}
 }
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -8,29 +8,29 @@
 	"strings"
 )
 
-// Wild is where the first wildcard of a pattern stands.
-type Wild uint8
+// PatternKind is where the first wildcard of a pattern stands.
+type PatternKind uint8
 
 // Places of a wildcard.
 const (
-	NoPattern Wild = iota
-	Exact          // there is none
-	Prefix         // behind some letters: an index can serve it
-	Leading        // in front, or the pattern is not known
+	NoPattern       PatternKind = iota
+	ExactPattern                // there is none
+	PrefixPattern               // behind some letters: an index can serve it
+	LeadingWildcard             // in front, or the pattern is not known
 )
 
 // Profile is what the values of one execution tell of its size.
 type Profile struct {
-	Alternatives int     // of the longest list; 0: no list
-	Span         float64 // of the widest range with both ends: days of dates, else the difference; 0: none
-	HalfOpen     bool    // a range has one end only
-	Wild         Wild
-	Limit        float64 // rows; 0: none
-	Off          int     // restrictions that a null switches off
-	Open         bool    // nothing narrows what is read
-	Rows         int     // to be written
-	Column       uint32  // hash of the name that the longest list, or else the widest range, is of
-	Key          uint64  // hash of the first value compared for equality; 0: none
+	Alternatives         int     // of the longest list; 0: no list
+	Span                 float64 // of the widest range with both ends: days of dates, else the difference; 0: none
+	HalfOpen             bool    // a range has one end only
+	Pattern              PatternKind
+	Limit                float64 // rows; 0: none
+	DisabledRestrictions int     // restrictions that a null switches off
+	Unrestricted         bool    // nothing narrows what is read
+	Rows                 int     // to be written
+	Column               uint32  // hash of the name that the longest list, or else the widest range, is of
+	Key                  uint64  // hash of the first value compared for equality; 0: none
 }
 
 // Binds are the values of one execution, as a Bind message of PostgreSQL has them.
@@ -77,8 +77,8 @@
 // Profile reads what the values tell: those in the text, and those bound.
 func (r *Reading) Profile(stmt string, b *Binds, seed uint64) Profile {
 	p := Profile{Rows: int(r.Features.Rows)}
-	var low, high [MostSlots]float64
-	var lows, highs [MostSlots]uint32
+	var low, high [MaxSlots]float64
+	var lows, highs [MaxSlots]uint32
 	nl, nh := 0, 0
 	narrowing := r.Restrictions
 	for i := range r.Slots {
@@ -89,11 +89,11 @@
 			v, bin, known = b.value(s.Param)
 			null = known && v == nil
 		} else {
-			text = stmt[s.From:s.To]
+			text = stmt[s.Start:s.End]
 		}
 		if null {
 			if s.Role != RoleOther && s.Role != RoleLimit && r.guarded(s.Param) {
-				p.Off++
+				p.DisabledRestrictions++
 				narrowing--
 			}
 			continue
@@ -108,19 +108,19 @@
 			switch {
 			case s.Param > 0 && known:
 				n = arrayLen(v, bin)
-			case s.Param == 0 && s.To > s.From:
+			case s.Param == 0 && s.End > s.Start:
 				n = textArrayLen(unquote(text))
 			}
 			if n > p.Alternatives {
 				p.Alternatives, p.Column = n, s.Column
 			}
-		case RoleLow, RoleHigh:
+		case RoleLowerBound, RoleUpperBound:
 			x, ok := number64(text, v, bin, b.oid(s.Param))
 			if !ok {
 				p.HalfOpen = true
 				break
 			}
-			if s.Role == RoleLow {
+			if s.Role == RoleLowerBound {
 				low[nl], lows[nl] = x, s.Column
 				nl++
 			} else {
@@ -138,8 +138,8 @@
 				text = unquote(text)
 			}
 			w := wildOf(text)
-			p.Wild = max(p.Wild, w)
-			if w == Leading {
+			p.Pattern = max(p.Pattern, w)
+			if w == LeadingWildcard {
 				narrowing--
 			}
 		case RoleLimit:
@@ -164,7 +164,7 @@
 		p.HalfOpen = p.HalfOpen || !met
 	}
 	p.HalfOpen = p.HalfOpen || nh > 0 && nl == 0
-	p.Open = r.Open || narrowing <= 0 && r.Features.Verb != 'i'
+	p.Unrestricted = r.Unrestricted || narrowing <= 0 && r.Features.Command != 'i'
 	if !(p.Span >= 0) || p.Span > 1e12 {
 		p.Span = 1e12
 	}
@@ -174,7 +174,7 @@
 // guarded tells whether a null in the parameter switches its restriction off.
 func (r *Reading) guarded(param int32) bool {
 	for i := range r.Slots {
-		if r.Slots[i].Param == param && r.Slots[i].Guard {
+		if r.Slots[i].Param == param && r.Slots[i].NullGuard {
 			return true
 		}
 	}
@@ -186,11 +186,11 @@
 func (p *Profile) Bucket() uint32 {
 	b := log2Bucket(float64(p.Alternatives), 15) // 4 bits
 	b = b<<5 | log2Bucket(p.Span, 31)
-	b = b<<2 | uint32(p.Wild)
+	b = b<<2 | uint32(p.Pattern)
 	b = b<<4 | min(log2Bucket(p.Limit, 30)/2, 15)
-	b = b<<3 | uint32(min(p.Off, 7))
+	b = b<<3 | uint32(min(p.DisabledRestrictions, 7))
 	b = b<<4 | log2Bucket(float64(p.Rows), 15)
-	for _, f := range []bool{p.HalfOpen, p.Open} {
+	for _, f := range []bool{p.HalfOpen, p.Unrestricted} {
 		b <<= 1
 		if f {
 			b |= 1
@@ -232,22 +232,22 @@
 
 // wildOf finds the first wildcard of a pattern. A regular expression that is not
 // anchored counts as one with a wildcard in front.
-func wildOf(s string) Wild {
+func wildOf(s string) PatternKind {
 	for i := range len(s) {
 		switch s[i] {
 		case '%', '_', '.', '*', '(', '[', '|':
 			if i == 0 {
-				return Leading
+				return LeadingWildcard
 			}
 			if i == 1 && s[0] == '^' {
-				return Leading
+				return LeadingWildcard
 			}
-			return Prefix
+			return PrefixPattern
 		case '\\':
-			return Prefix
+			return PrefixPattern
 		}
 	}
-	return Exact
+	return ExactPattern
 }
 
 // arrayLen is the number of elements of a bound array.
--- a/internal/sqltext/readers.go
+++ b/internal/sqltext/readers.go
@@ -7,8 +7,8 @@
 // (nextval, setval), settings (set_config), locks, large objects, notifications,
 // signals to other sessions, and all that runs a statement given as text
 // (query_to_xml, ts_stat, ts_rewrite, dblink).
-var readers = func() Functions {
-	f := Functions{}
+var readers = func() FunctionSet {
+	f := FunctionSet{}
 	for _, name := range strings.Fields(`
 abs acos acosd acosh age any_value array_agg array_append array_cat array_dims array_fill array_length array_lower
 array_ndims array_position array_positions array_prepend array_remove array_replace array_reverse array_sample
--- a/internal/sqltext/replay_test.go
+++ b/internal/sqltext/replay_test.go
@@ -293,37 +293,37 @@
 			break
 		}
 	}
-	r.line("tokens", uint64(l.Flaws))
+	r.line("tokens", uint64(l.Defects))
 }
 
 func (r *replayRecord) reading(out *Reading) {
-	r.line("normal form", string(out.Norm), out.Cut)
+	r.line("normal form", string(out.NormalForm), out.Truncated)
 	f := &out.Features
-	r.line("features", uint64(f.Verb), int64(f.Tables), int64(f.Joins), int64(f.Aggregates), int64(f.Windows), int64(f.Groups), int64(f.Sorts),
+	r.line("features", uint64(f.Command), int64(f.Tables), int64(f.Joins), int64(f.Aggregates), int64(f.Windows), int64(f.Groups), int64(f.Sorts),
 		int64(f.Distincts), int64(f.Selects), int64(f.Rows), int64(f.Values), f.Where, f.Limited)
 	for _, s := range out.Slots {
-		r.line("slots", uint64(s.Role), s.Guard, uint64(s.Column), int64(s.Param), int64(s.From), int64(s.To), int64(s.Count))
+		r.line("slots", uint64(s.Role), s.NullGuard, uint64(s.Column), int64(s.Param), int64(s.Start), int64(s.End), int64(s.Count))
 	}
-	r.line("reading", out.Group, out.Grouped, uint64(out.Flaws), uint64(out.Effect.Effect), out.Effect.Why, out.Effect.Word, out.First, out.Several,
-		int64(out.Restrictions), out.Open)
+	r.line("reading", out.TableGroup, out.HasTableGroup, uint64(out.Defects), uint64(out.Effect.Effect), out.Effect.Reason, out.Effect.Word, out.FirstWord, out.MultipleStatements,
+		int64(out.Restrictions), out.Unrestricted)
 }
 
 func (r *replayRecord) profile(p Profile) {
-	r.line("profile", int64(p.Alternatives), p.Span, p.HalfOpen, uint64(p.Wild), p.Limit, int64(p.Off), p.Open, int64(p.Rows), uint64(p.Column), p.Key,
+	r.line("profile", int64(p.Alternatives), p.Span, p.HalfOpen, uint64(p.Pattern), p.Limit, int64(p.DisabledRestrictions), p.Unrestricted, int64(p.Rows), uint64(p.Column), p.Key,
 		uint64(p.Bucket()))
 }
 
-func (r *replayRecord) shortReaders(text, other string, more Functions) {
-	group, grouped := Group(text)
+func (r *replayRecord) shortReaders(text, other string, more FunctionSet) {
+	group, grouped := TableGroup(text)
 	comment, commented := LeadingComment(text)
 	first, several := FirstWord(text)
-	r.line("short readers", group, grouped, comment, commented, first, several, SkipComments(text), Begins(text, other), Begins(text, "select"),
-		Begins(text, "WITH q"), Names(text, "set_config"))
-	for _, part := range Split(text) {
+	r.line("short readers", group, grouped, comment, commented, first, several, SkipComments(text), HasTokenPrefix(text, other), HasTokenPrefix(text, "select"),
+		HasTokenPrefix(text, "WITH q"), ContainsName(text, "set_config"))
+	for _, part := range SplitStatements(text) {
 		r.line("split", part)
 	}
 	effect := EffectOf(text, more)
-	r.line("effect", uint64(effect.Effect), effect.Why, effect.Word, effect.String(), effect.Effect.String())
+	r.line("effect", uint64(effect.Effect), effect.Reason, effect.Word, effect.String(), effect.Effect.String())
 	alone := EffectOf(text, nil)
 	r.line("effect", uint64(alone.Effect), alone.String())
 }
@@ -333,10 +333,10 @@
 // were written by version c18a9bd.
 func TestReplay(t *testing.T) {
 	const statements = 6000
-	more := Functions{"stock.price_of": true, "is_open": true}
+	more := FunctionSet{"stock.price_of": true, "is_open": true}
 	generator := statementGenerator{rng: rand.New(rand.NewPCG(17, 4))}
 	judging, plain := NewReader(), NewReader()
-	judging.Judge, judging.Functions = true, more
+	judging.ClassifyEffect, judging.ReadOnlyFunctions = true, more
 	record := replayRecord{digests: map[string]hash.Hash{}}
 	prints := map[[2]uint64]int64{}
 	for i := range int64(statements) {
@@ -345,13 +345,13 @@
 		record.shortReaders(text, generator.pick("SELECT DISTINCT", "-- c\nselect", "(select", "update sales_17.", "", "WITH"), more)
 		out := judging.Read(text)
 		record.reading(out)
-		if !out.Cut && judging.Print(string(out.Norm)) != out.Print {
+		if !out.Truncated && judging.Fingerprint(string(out.NormalForm)) != out.Fingerprint {
 			t.Fatalf("%q: its normal form has another fingerprint than the statement", text)
 		}
-		if _, known := prints[out.Print]; !known {
-			prints[out.Print] = i
+		if _, known := prints[out.Fingerprint]; !known {
+			prints[out.Fingerprint] = i
 		}
-		record.line("fingerprints", prints[out.Print]) // the first statement that shares it
+		record.line("fingerprints", prints[out.Fingerprint]) // the first statement that shares it
 		for range 2 {
 			binds := generator.binds()
 			record.profile(out.Profile(text, &binds, uint64(i)))
--- a/internal/sqltext/shape.go
+++ b/internal/sqltext/shape.go
@@ -7,34 +7,34 @@
 
 // Roles of a value.
 const (
-	RoleOther    Role = iota
-	RoleEqual         // it is compared for equality
-	RoleList          // one of its alternatives is (IN, ANY)
-	RoleLow           // lower end of a range
-	RoleHigh          // upper end of a range
-	RolePattern       // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
-	RoleLimit         // of rows
-	RoleInterval      // a span of time by itself, as in now() - interval '1 year'
+	RoleOther      Role = iota
+	RoleEqual           // it is compared for equality
+	RoleList            // one of its alternatives is (IN, ANY)
+	RoleLowerBound      // lower end of a range
+	RoleUpperBound      // upper end of a range
+	RolePattern         // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
+	RoleLimit           // of rows
+	RoleInterval        // a span of time by itself, as in now() - interval '1 year'
 )
 
 // Slot is one value of a statement that its size may depend on.
 type Slot struct {
-	Role   Role
-	Guard  bool   // the statement asks whether it is null, as in $1 IS NULL OR a = $1
-	Column uint32 // hash of the name that it is compared with; 0: none
-	Param  int32  // its number from 1; 0: a literal, which stands at From
-	From   int32
-	To     int32
-	Count  int32 // of alternatives in a list that is written out
+	Role      Role
+	NullGuard bool   // the statement asks whether it is null, as in $1 IS NULL OR a = $1
+	Column    uint32 // hash of the name that it is compared with; 0: none
+	Param     int32  // its number from 1; 0: a literal, which stands at From
+	Start     int32
+	End       int32
+	Count     int32 // of alternatives in a list that is written out
 }
 
-// MostSlots bounds the values of one statement that are looked at; of the others only
+// MaxSlots bounds the values of one statement that are looked at; of the others only
 // the number counts.
-const MostSlots = 24
+const MaxSlots = 24
 
 // Features are what the words of a statement tell of its work.
 type Features struct {
-	Verb       byte  // s: it selects; i, u, d, m: it writes so; e: EXPLAIN; 0: something else
+	Command    byte  // s: it selects; i, u, d, m: it writes so; e: EXPLAIN; 0: something else
 	Tables     int32 // names behind FROM and JOIN
 	Joins      int32
 	Aggregates int32 // calls of aggregate functions
@@ -51,44 +51,44 @@
 
 // Reading is what one pass over a statement tells. It belongs to its Reader.
 type Reading struct {
-	// Print is the fingerprint: two hashes of the normal form with seeds of this process
+	// Fingerprint is the fingerprint: two hashes of the normal form with seeds of this process
 	// that nobody outside knows, 128 bits together, so that nobody can write a statement
 	// which shares the place of another. It means nothing to another process.
-	Print [2]uint64
-	// Norm is the statement with its values, comments, case and spacing taken out,
+	Fingerprint [2]uint64
+	// NormalForm is the statement with its values, comments, case and spacing taken out,
 	// and with lists of alternatives and rows of values as one. The number in the
 	// name of a schema is # there: shapes of all groups are one. Of a long one only the
-	// last part is here, and Cut is set; the fingerprint is of all of it.
-	Norm     []byte
-	Cut      bool
-	Features Features
-	Slots    []Slot
-	Group    int64
-	Grouped  bool
-	Flaws    Flaw
+	// last part is here, and Truncated is set; the fingerprint is of all of it.
+	NormalForm    []byte
+	Truncated     bool
+	Features      Features
+	Slots         []Slot
+	TableGroup    int64
+	HasTableGroup bool
+	Defects       Defect
 	// Effect is what EffectOf says, First and Several what FirstWord does, read on the way
-	// where the Reader judges. Else Effect is Untold, the most cautious.
-	Effect  Verdict
-	First   string // as it stands in the text; "(" for what is no word
-	Several bool
+	// where the Reader classifies effects. Else Effect is Unknown, the most cautious.
+	Effect             EffectVerdict
+	FirstWord          string // as it stands in the text; "(" for what is no word
+	MultipleStatements bool
 	// Restrictions counts the comparisons of a name with a value, which can narrow what
 	// is read. Open: one is written so that it holds for all rows (NULL IS NULL OR).
 	Restrictions int
-	Open         bool
+	Unrestricted bool
 }
 
 // Reader reads statements. It allocates while its buffer grows and not after; it is
 // for one goroutine.
 type Reader struct {
-	// Judge has the effect read too. Functions are known to read only, beside
+	// ClassifyEffect has the effect read too. Functions are known to read only, beside
 	// PostgreSQL's own.
-	Judge     bool
-	Functions Functions
+	ClassifyEffect    bool
+	ReadOnlyFunctions FunctionSet
 
 	seeds [2]maphash.Seed
 	long  [2]maphash.Hash // of what was cut off
 	norm  []byte
-	slots [MostSlots]Slot
+	slots [MaxSlots]Slot
 	lists [mostLists]listContext
 	// Apart from the pass, which is cleared for each statement.
 	effect effectReader
@@ -110,16 +110,16 @@
 // cut hashes what stands in the buffer and goes on with an empty one.
 func (p *pass) cut() {
 	for i := range p.r.long {
-		if !p.out.Cut {
+		if !p.out.Truncated {
 			p.r.long[i].SetSeed(p.r.seeds[i])
 		}
 		_, _ = p.r.long[i].Write(p.norm) // it never fails
 	}
-	p.norm, p.out.Cut = p.norm[:0], true
+	p.norm, p.out.Truncated = p.norm[:0], true
 }
 
-// Print is the fingerprint of a normal form that is not cut.
-func (r *Reader) Print(norm string) (print [2]uint64) {
+// Fingerprint is the fingerprint of a normal form that is not cut.
+func (r *Reader) Fingerprint(norm string) (print [2]uint64) {
 	for i, seed := range r.seeds {
 		print[i] = maphash.String(seed, norm)
 	}
@@ -149,11 +149,11 @@
 	r.norm = r.norm[:0]
 	r.out = Reading{}
 	p := pass{l: Lexer{Src: stmt}, r: r, out: &r.out, norm: r.norm}
-	if r.Judge {
-		r.effect = effectReader{more: r.Functions}
+	if r.ClassifyEffect {
+		r.effect = effectReader{more: r.ReadOnlyFunctions}
 	}
 	for t := p.l.Next(); t.Kind != End; t = p.l.Next() {
-		if r.Judge {
+		if r.ClassifyEffect {
 			p.first(t)
 			if !r.effect.sure() {
 				r.effect.token(&p.l, t)
@@ -161,24 +161,24 @@
 		}
 		p.token(t)
 	}
-	if r.Judge {
+	if r.ClassifyEffect {
 		r.out.Effect = r.effect.verdict(&p.l)
 	}
 	p.endLists(-1)
 	p.finish()
 	for i, seed := range r.seeds {
-		if r.out.Cut {
+		if r.out.Truncated {
 			_, _ = r.long[i].Write(p.norm)
-			r.out.Print[i] = r.long[i].Sum64()
+			r.out.Fingerprint[i] = r.long[i].Sum64()
 		} else {
-			r.out.Print[i] = maphash.Bytes(seed, p.norm)
+			r.out.Fingerprint[i] = maphash.Bytes(seed, p.norm)
 		}
 	}
 	r.norm = p.norm
-	r.out.Norm = p.norm
+	r.out.NormalForm = p.norm
 	r.out.Slots = r.slots[:p.slots]
-	r.out.Group, r.out.Grouped = p.group.group, p.group.found
-	r.out.Flaws = p.l.Flaws
+	r.out.TableGroup, r.out.HasTableGroup = p.group.group, p.group.found
+	r.out.Defects = p.l.Defects
 	return &r.out
 }
 
@@ -214,14 +214,14 @@
 func (p *pass) first(t Token) {
 	switch {
 	case t.Kind == Semicolon:
-		p.ended = p.out.First != ""
+		p.ended = p.out.FirstWord != ""
 	case p.ended:
-		p.out.Several = true
-	case p.out.First != "":
+		p.out.MultipleStatements = true
+	case p.out.FirstWord != "":
 	case t.Kind == Ident:
-		p.out.First = p.l.Text(t)
+		p.out.FirstWord = p.l.Text(t)
 	default:
-		p.out.First = "("
+		p.out.FirstWord = "("
 	}
 }
 
@@ -235,10 +235,10 @@
 		switch {
 		case t.Kind == Dot || t.use()&beforeTable != 0:
 			g.token(&p.l, t)
-		case t.Kind <= Quoted:
+		case t.Kind <= QuotedIdent:
 			g.name, g.prev = t, t.Kind
-		case t.Kind == Open:
-			g.prev = Open
+		case t.Kind == OpenParen:
+			g.prev = OpenParen
 		default:
 			g.table, g.prev = false, t.Kind
 		}
@@ -247,14 +247,14 @@
 		p.elements(t, use)
 	}
 	switch t.Kind {
-	case Ident, Quoted:
+	case Ident, QuotedIdent:
 		p.word(t, w, use)
-	case String, Bits, Dollar, Number, Param:
+	case String, BitString, DollarString, Number, Param:
 		p.value(t)
 	default:
 		p.mark(t)
 	}
-	if t.Kind != Op {
+	if t.Kind != Operator {
 		p.sign = 0
 	}
 	p.before, p.prev = p.prev, w
@@ -262,7 +262,7 @@
 }
 
 // joins are the kinds of token that no space follows in the normal form.
-var joins = [Odd + 1]bool{End: true, Dot: true, Open: true, Bracket: true, Cast: true}
+var joins = [Invalid + 1]bool{End: true, Dot: true, OpenParen: true, OpenBracket: true, Cast: true}
 
 // space parts two words.
 func (p *pass) space() {
@@ -277,7 +277,7 @@
 	p.name = len(p.norm)
 	text := p.l.Src[t.Start:t.End]
 	switch {
-	case t.Kind == Quoted:
+	case t.Kind == QuotedIdent:
 		p.norm = appendQuoted(p.norm, text)
 	case t.upper():
 		p.norm = appendLower(p.norm, text)
@@ -337,8 +337,8 @@
 
 func (p *pass) verb(v byte) {
 	f := &p.out.Features
-	if f.Verb == 0 || f.Verb == 's' && v != 's' {
-		f.Verb = v
+	if f.Command == 0 || f.Command == 's' && v != 's' {
+		f.Command = v
 	}
 }
 
@@ -346,7 +346,7 @@
 func (p *pass) operand(t Token, text string) {
 	f := &p.out.Features
 	p.column = t.hash()
-	if t.Kind == Quoted {
+	if t.Kind == QuotedIdent {
 		p.column = hashName(text)
 	}
 	if at := p.l.Pos; at < len(p.l.Src) && len(text) <= 12 { // what follows at once tells most names apart
@@ -354,7 +354,7 @@
 		case '(', ' ', '/', '\n', '\t', '\r':
 			if t.Kind == Ident && aggregate(text) {
 				next := p.l
-				if next.Next().Kind == Open {
+				if next.Next().Kind == OpenParen {
 					f.Aggregates++
 				}
 			}
@@ -370,11 +370,11 @@
 func (p *pass) expect(w word, use use) {
 	switch w {
 	case wBetween:
-		p.pending, p.compared, p.between = RoleLow, p.column, true
+		p.pending, p.compared, p.between = RoleLowerBound, p.column, true
 	case wSymmetric, wNot, wSimilar, wInterval:
 	case wAnd:
 		if p.between {
-			p.pending, p.between = RoleHigh, false
+			p.pending, p.between = RoleUpperBound, false
 		} else {
 			p.pending, p.column = RoleOther, 0
 		}
@@ -396,11 +396,11 @@
 	case wIs:
 		for i := range p.slots {
 			if s := &p.r.slots[i]; p.param > 0 && s.Param == int32(p.param) {
-				s.Guard = true
+				s.NullGuard = true
 			}
 		}
 		if p.prev == wNull {
-			p.out.Open = true
+			p.out.Unrestricted = true
 		}
 		p.param, p.pending = 0, RoleOther
 	default:
@@ -430,7 +430,7 @@
 			return // one of a list, whose slot counts it
 		}
 	}
-	guard := p.before == wCoalesce && p.kind == Open
+	guard := p.before == wCoalesce && p.kind == OpenParen
 	if t.Kind == Param {
 		p.param = number(p.l.Src[t.Start+1 : t.End])
 	} else {
@@ -439,7 +439,7 @@
 	switch role {
 	case RoleInterval:
 		p.out.Restrictions++
-	case RoleEqual, RoleList, RoleLow, RoleHigh, RolePattern:
+	case RoleEqual, RoleList, RoleLowerBound, RoleUpperBound, RolePattern:
 		if p.compared == 0 { // 1 = 1
 			role = RoleOther
 			break
@@ -447,14 +447,14 @@
 		p.out.Restrictions++
 	}
 	// Of values that have no part in it only parameters can turn out to be guards.
-	if role == RoleOther && (t.Kind != Param || f.Verb == 'i') || p.slots == MostSlots {
+	if role == RoleOther && (t.Kind != Param || f.Command == 'i') || p.slots == MaxSlots {
 		return
 	}
-	s := Slot{Role: role, Guard: guard, Column: p.compared, Count: 1}
+	s := Slot{Role: role, NullGuard: guard, Column: p.compared, Count: 1}
 	if t.Kind == Param {
 		s.Param = int32(p.param)
-	} else if s.From, s.To = int32(t.Start), int32(t.End); at > 0 {
-		s.From = int32(p.signAt)
+	} else if s.Start, s.End = int32(t.Start), int32(t.End); at > 0 {
+		s.Start = int32(p.signAt)
 	}
 	p.r.slots[p.slots] = s
 	p.slots++
@@ -479,8 +479,8 @@
 		p.param = 0
 	}
 	switch t.Kind {
-	case Open:
-		if p.kind == Op || p.kind == Comma || p.prev != wNone {
+	case OpenParen:
+		if p.kind == Operator || p.kind == Comma || p.prev != wNone {
 			p.space()
 		}
 		p.norm = append(p.norm, '(')
@@ -495,13 +495,13 @@
 				p.pending = RoleOther
 			}
 		}
-	case Bracket:
+	case OpenBracket:
 		p.norm = append(p.norm, '[')
 		p.depth++
 		if p.prev == wArray && p.open < mostLists {
 			p.list()
 		}
-	case Close, Unbracket:
+	case CloseParen, CloseBracket:
 		p.norm = append(p.norm, text...)
 		p.depth--
 	case Comma:
@@ -516,7 +516,7 @@
 		p.schema()
 		p.norm = append(p.norm, '.')
 	case Semicolon:
-	case Op:
+	case Operator:
 		p.operator(text)
 		return
 	default:
@@ -526,7 +526,7 @@
 
 func (p *pass) operator(text string) {
 	p.sign = 0
-	signed := p.kind == Op || p.kind == Open || p.kind == Comma || p.kind == Bracket || p.prev != wNone
+	signed := p.kind == Operator || p.kind == OpenParen || p.kind == Comma || p.kind == OpenBracket || p.prev != wNone
 	p.space()
 	at := len(p.norm)
 	p.norm = append(p.norm, text...)
@@ -543,9 +543,9 @@
 	case "=":
 		p.pending, p.compared = RoleEqual, p.column
 	case "<", "<=":
-		p.pending, p.compared = RoleHigh, p.column
+		p.pending, p.compared = RoleUpperBound, p.column
 	case ">", ">=":
-		p.pending, p.compared = RoleLow, p.column
+		p.pending, p.compared = RoleLowerBound, p.column
 	case "~", "~~", "~*", "~~*":
 		p.pending, p.compared = RolePattern, p.column
 	default:
@@ -556,7 +556,7 @@
 // schema puts # in place of the number of a schema's name, once the dot behind it
 // shows that it is one.
 func (p *pass) schema() {
-	if p.kind != Ident && p.kind != Quoted || p.name >= len(p.norm) {
+	if p.kind != Ident && p.kind != QuotedIdent || p.name >= len(p.norm) {
 		return
 	}
 	n := len(p.norm)
@@ -571,7 +571,7 @@
 // list begins a list of alternatives behind the parenthesis or bracket just read.
 func (p *pass) list() {
 	c := listContext{depth: p.depth, start: len(p.norm), elem: len(p.norm), first: -1, slot: -1}
-	if p.slots < MostSlots {
+	if p.slots < MaxSlots {
 		p.r.slots[p.slots] = Slot{Role: RoleList, Column: p.compared}
 		c.slot = p.slots
 		p.slots++
@@ -602,9 +602,9 @@
 			p.skipElements(c)
 		}
 		c.elem = len(p.norm)
-	case t.Kind == Close || t.Kind == Unbracket:
+	case t.Kind == CloseParen || t.Kind == CloseBracket:
 		p.endLists(p.depth - 1)
-	case c.rows && t.Kind != Open:
+	case c.rows && t.Kind != OpenParen:
 		p.endLists(p.depth - 1)
 	}
 }
@@ -644,7 +644,7 @@
 func (p *pass) skipRows(c *listContext) {
 	for {
 		next := p.l
-		if next.Next().Kind != Open {
+		if next.Next().Kind != OpenParen {
 			return
 		}
 		for n := 1; ; n++ {
@@ -652,7 +652,7 @@
 				return
 			}
 			k := next.Next().Kind
-			if k == Close && n == c.plain {
+			if k == CloseParen && n == c.plain {
 				break
 			}
 			if k != Comma || n >= c.plain {
--- a/internal/sqltext/shape_test.go
+++ b/internal/sqltext/shape_test.go
@@ -35,7 +35,7 @@
 	} {
 		for _, s := range stmts {
 			r := NewReader()
-			if diff := cmp.Diff(want, string(r.Read(s).Norm)); diff != "" {
+			if diff := cmp.Diff(want, string(r.Read(s).NormalForm)); diff != "" {
 				t.Errorf("%.80s:\n%s", s, diff)
 			}
 		}
@@ -93,17 +93,17 @@
 		{"SELECT a FROM t WHERE n BETWEEN -5 AND 5", Binds{}, Profile{Span: 10}},
 		{"SELECT a FROM t WHERE day > now() - interval '1 year'", Binds{}, Profile{Span: 365.25}},
 		{"SELECT a FROM t WHERE day >= $1", text("2026-01-01"), Profile{HalfOpen: true}},
-		{"SELECT a FROM t WHERE name LIKE '%x%'", Binds{}, Profile{Wild: Leading, Open: true}},
-		{"SELECT a FROM t WHERE name LIKE $1", text("x%"), Profile{Wild: Prefix}},
+		{"SELECT a FROM t WHERE name LIKE '%x%'", Binds{}, Profile{Pattern: LeadingWildcard, Unrestricted: true}},
+		{"SELECT a FROM t WHERE name LIKE $1", text("x%"), Profile{Pattern: PrefixPattern}},
 		{"SELECT a FROM t WHERE b = 1 LIMIT $1", text("1000000"), Profile{Limit: 1e6}},
 		{"SELECT a FROM t WHERE b = 1 LIMIT $1", bin(20, be(50, 8)), Profile{Limit: 50}},
-		{"SELECT a FROM t FETCH FIRST 9 ROWS ONLY", Binds{}, Profile{Limit: 9, Open: true}},
-		{"SELECT a FROM t WHERE $1 IS NULL OR part = $1", text("NULL"), Profile{Off: 1, Open: true}},
+		{"SELECT a FROM t FETCH FIRST 9 ROWS ONLY", Binds{}, Profile{Limit: 9, Unrestricted: true}},
+		{"SELECT a FROM t WHERE $1 IS NULL OR part = $1", text("NULL"), Profile{DisabledRestrictions: 1, Unrestricted: true}},
 		{"SELECT a FROM t WHERE ($1::text IS NULL OR part = $1)", text("p"), Profile{}},
-		{"SELECT a FROM t WHERE part = coalesce($1, part)", text("NULL"), Profile{Off: 1, Open: true}},
-		{"SELECT a FROM t WHERE NULL IS NULL OR part = 'p'", Binds{}, Profile{Open: true}},
-		{"SELECT a FROM t WHERE 1 = 1", Binds{}, Profile{Open: true}},
-		{"SELECT a FROM t JOIN u ON t.x = u.y", Binds{}, Profile{Open: true}},
+		{"SELECT a FROM t WHERE part = coalesce($1, part)", text("NULL"), Profile{DisabledRestrictions: 1, Unrestricted: true}},
+		{"SELECT a FROM t WHERE NULL IS NULL OR part = 'p'", Binds{}, Profile{Unrestricted: true}},
+		{"SELECT a FROM t WHERE 1 = 1", Binds{}, Profile{Unrestricted: true}},
+		{"SELECT a FROM t JOIN u ON t.x = u.y", Binds{}, Profile{Unrestricted: true}},
 		{"INSERT INTO t VALUES (1, 2), (3, 4), (5, 6)", Binds{}, Profile{Rows: 3}},
 		{"SELECT a FROM t WHERE part = ANY($1)", bin(1009, be(9, 2)), Profile{}},
 		{"SELECT a FROM t WHERE part = ANY($1)", bin(1009, append(be(6, 4), make([]byte, 60)...)), Profile{}},
@@ -144,27 +144,27 @@
 	f.Add("ARRAY[IN(ARRAY[IN(1,(2,-", []byte{9})
 	f.Fuzz(func(t *testing.T, stmt string, v []byte) {
 		r := NewReader()
-		r.Judge = true
+		r.ClassifyEffect = true
 		out := r.Read(stmt)
 		if want := EffectOf(stmt, nil); out.Effect != want {
 			t.Fatalf("%q: %v on the way, %v by itself", stmt, out.Effect, want)
 		}
 		first, several := FirstWord(stmt)
-		if strings.ToUpper(out.First) != first || out.Several != several {
-			t.Fatalf("%q: first %q, several %v; by itself %q, %v", stmt, out.First, out.Several, first, several)
+		if strings.ToUpper(out.FirstWord) != first || out.MultipleStatements != several {
+			t.Fatalf("%q: first %q, several %v; by itself %q, %v", stmt, out.FirstWord, out.MultipleStatements, first, several)
 		}
-		if len(out.Norm) > 2*len(stmt)+16 {
-			t.Fatalf("%d bytes of normal form for %d", len(out.Norm), len(stmt))
+		if len(out.NormalForm) > 2*len(stmt)+16 {
+			t.Fatalf("%d bytes of normal form for %d", len(out.NormalForm), len(stmt))
 		}
 		for _, s := range out.Slots {
-			if s.From < 0 || s.To < s.From || int(s.To) > len(stmt) || s.Count < 0 {
+			if s.Start < 0 || s.End < s.Start || int(s.End) > len(stmt) || s.Count < 0 {
 				t.Fatalf("slot %+v of %d bytes", s, len(stmt))
 			}
 		}
 		for _, formats := range [][]byte{nil, {0, 1}} {
 			p := out.Profile(stmt, &Binds{Values: [][]byte{v, nil, v}, Formats: formats, Types: v}, 1)
 			_ = p.Bucket()
-			if p.Alternatives < 0 || p.Span < 0 || p.Limit < 0 || p.Off < 0 {
+			if p.Alternatives < 0 || p.Span < 0 || p.Limit < 0 || p.DisabledRestrictions < 0 {
 				t.Fatalf("profile %+v", p)
 			}
 		}
--- a/internal/sqltext/split.go
+++ b/internal/sqltext/split.go
@@ -1,9 +1,9 @@
 package sqltext
 
-// Split parts a text into its statements, as PostgreSQL does for a simple Query: at semicolons that
+// SplitStatements parts a text into its statements, as PostgreSQL does for a simple Query: at semicolons that
 // stand in no parentheses, quotes or comments. What holds no token is left out. A body in SQL
 // (BEGIN ATOMIC) is not seen as one: its parts are no statements, and an engine says so.
-func Split(text string) (all []string) {
+func SplitStatements(text string) (all []string) {
 	l := Lexer{Src: text}
 	begin, depth, any := 0, 0, false
 	for t := l.Next(); t.Kind != End; t = l.Next() {
@@ -14,9 +14,9 @@
 			}
 			begin, any = t.End, false
 			continue
-		case t.Kind == Open:
+		case t.Kind == OpenParen:
 			depth++
-		case t.Kind == Close:
+		case t.Kind == CloseParen:
 			depth--
 		}
 		any = true
@@ -27,8 +27,8 @@
 	return all
 }
 
-// Names tells whether a text holds a name in small letters, in any case, wherever it stands.
-func Names(text, name string) bool {
+// ContainsName tells whether a text holds a name in small letters, in any case, wherever it stands.
+func ContainsName(text, name string) bool {
 	for i := 0; i+len(name) <= len(text); i++ {
 		if text[i]|0x20 == name[0] && same(text[i:i+len(name)], name) {
 			return true
--- a/internal/sqltext/split_test.go
+++ b/internal/sqltext/split_test.go
@@ -20,7 +20,7 @@
 		"SELECT E'\\';'; SELECT 1":          {"SELECT E'\\';'", " SELECT 1"},
 		"a); b":                             {"a)", " b"},
 	} {
-		if diff := cmp.Diff(want, Split(text)); diff != "" {
+		if diff := cmp.Diff(want, SplitStatements(text)); diff != "" {
 			t.Errorf("%q: %s", text, diff)
 		}
 	}
@@ -32,7 +32,7 @@
 	f.Add("a;b;(;);c")
 	f.Fuzz(func(t *testing.T, text string) {
 		at := 0
-		for _, part := range Split(text) {
+		for _, part := range SplitStatements(text) {
 			if len(part) == 0 || len(text)-at < len(part) {
 				t.Fatalf("%q of %q", part, text)
 			}
--- a/internal/sqltext/sqltext.go
+++ b/internal/sqltext/sqltext.go
@@ -5,11 +5,11 @@
 // staging is the schema that names no group.
 const staging = "staging"
 
-// Group is the number behind the underscore in the name of the statement's
+// TableGroup is the number behind the underscore in the name of the statement's
 // schema: 17 in sales_17.orders. Names in strings and comments don't count. A
 // name where a table stands (after FROM and the like) goes before others, which
 // may be a column of an alias.
-func Group(stmt string) (group int64, ok bool) {
+func TableGroup(stmt string) (group int64, ok bool) {
 	l := Lexer{Src: stmt}
 	var g groupReader
 	for t := l.Next(); t.Kind != End; t = l.Next() {
@@ -35,20 +35,20 @@
 		return true
 	}
 	switch t.Kind {
-	case Ident, Quoted:
+	case Ident, QuotedIdent:
 		if g.prev != Dot && t.use()&beforeTable != 0 {
-			g.table, g.prev = true, Op
+			g.table, g.prev = true, Operator
 			return false
 		}
 		g.name = t // of a.b.c the last but one is the schema's
 	case Dot:
-		if g.prev == Ident || g.prev == Quoted {
+		if g.prev == Ident || g.prev == QuotedIdent {
 			n, is := schemaGroup(bare(l.Text(g.name)))
 			if is && (g.table || !g.found) {
 				g.group, g.found, g.sure = n, true, g.table
 			}
 		}
-	case Open:
+	case OpenParen:
 	default:
 		g.table = false
 	}
@@ -123,9 +123,9 @@
 	return l.Src[l.Pos:]
 }
 
-// Begins tells whether a statement begins with the tokens of a text. Space, comments
+// HasTokenPrefix tells whether a statement begins with the tokens of a text. Space, comments
 // and, in key words and names without quotes, case don't count.
-func Begins(stmt, with string) bool {
+func HasTokenPrefix(stmt, with string) bool {
 	a, b := Lexer{Src: stmt}, Lexer{Src: with}
 	for n := 0; ; n++ {
 		want := b.Next()
--- a/internal/sqltext/sqltext_test.go
+++ b/internal/sqltext/sqltext_test.go
@@ -21,7 +21,7 @@
 		"SELECT 1 FROM register.sales_13.t":                                         13,
 		"SELECT 1":                                                                  -1, "SELECT a.b FROM c": -1, "SELECT 'open": -1, "SELECT s_x.t FROM s_.t": -1,
 	} {
-		got, ok := Group(stmt)
+		got, ok := TableGroup(stmt)
 		if !ok {
 			got = -1
 		}
