--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -8,7 +8,8 @@
 // Effect is what a statement may do to what is stored.
 type Effect uint8
 
-// Effects. The zero value is the most cautious: what can't be told may write.
+// Effects. The zero value is the most cautious: a statement whose effect is unknown may
+// write.
 const (
 	Unknown Effect = iota // it may write
 	Writes                // it does, as far as its words tell
@@ -23,7 +24,7 @@
 type EffectVerdict struct {
 	Effect Effect
 	Reason string // a few words
-	Word   string // as it stands in the statement; "" where Why says all
+	Word   string // as it stands in the statement; "" where Reason says all
 }
 
 func (v EffectVerdict) String() string {
@@ -33,256 +34,246 @@
 	return v.Word + ": " + v.Reason
 }
 
-// FunctionSet names functions that only read, in small letters, with their schema where
-// they are not of pg_catalog.
-type FunctionSet map[string]bool
-
-// has looks a name up without an allocation for names as they are usually written.
-func (f FunctionSet) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
+// Reasons that more than one place gives. They go to operators.
+const (
+	reasonWrites          = "it writes"
+	reasonUnknownFunction = "a function not known to read only"
+)
 
-// EffectOf reads what a statement may do, and errs on the side of writing: it reads
-// only where its first word says so, no word in it writes or locks, and all functions
-// and operators that it names are known to read. more are the operator's own.
+// EffectOf reads what a statement may do, and errs on the side of writing: it reads only
+// where its first word says so, no word in it writes or locks, and all functions and
+// operators that it names are known to read. readOnly are the functions that the operator
+// vouches for.
 //
-// What a text can't show is not seen: a view or an operator over a function that
-// writes, a cast with a function of its own, and a column that is a function (t.f).
-func EffectOf(stmt string, more FunctionSet) EffectVerdict {
+// What a text can't show is not seen: a view or an operator over a function that writes, a
+// cast with a function of its own, and a column that is a function (t.f).
+func EffectOf(stmt string, readOnly FunctionSet) EffectVerdict {
 	l := Lexer{Src: stmt}
-	r := effectReader{more: more}
+	c := effectClassifier{readOnly: readOnly}
 	for t := l.Next(); t.Kind != End; t = l.Next() {
-		r.token(&l, t)
-		if r.sure() {
-			return r.worst
+		c.token(&l, t)
+		if c.final() {
+			return c.worst
 		}
 	}
-	return r.verdict(&l)
+	return c.verdict(&l)
 }
 
-// sure tells that nothing more can change the verdict.
-func (r *effectReader) sure() bool { return r.worst.Reason != "" && r.worst.Effect == Writes }
+// effectClassifier judges the tokens of a statement in turn.
+type effectClassifier struct {
+	readOnly FunctionSet
+	worst    EffectVerdict // the first that does not read; Writes goes before Unknown
 
-// effectReader judges a run of tokens.
-type effectReader struct {
-	more  FunctionSet
-	worst EffectVerdict // the first that is no reading one; Writes goes before Unknown
+	begun   bool // the first word was read
+	explain explainState
+	depth   int // of parentheses
 
-	begun            bool // the first word was read
-	explain, planned bool // EXPLAIN stands in front; nothing yet says that it runs
-	options          bool // between EXPLAIN and its statement
-	depth            int  // of parentheses
+	lastWord, beforeLastWord keyword // the last two tokens, where they are key words
+	lastKind, beforeLastKind Kind    // of the last two tokens
+	lastToken                Token   // but for dots
+	lastTraits               keywordTraits
+	schema                   Token // of lastToken, where it is qualified
+	hasDistinctOn            bool  // DISTINCT ON stands in the statement: a call may follow a parenthesis
 
-	prev, before word // of the last two tokens, where they are key words
-	kind, kind2  Kind // of the last two tokens
-	last         Token
-	use          use
-	schema       Token // of last, where it is qualified
-	distinctOn   bool  // DISTINCT ON stands in the statement: a call may follow a parenthesis
-	// ctes has a bit for each depth at which a list of common table expressions is
-	// being read; expect one where the next name begins one.
-	ctes, expect uint64
-	cteName      bool // last is the name of one
+	ctes      depthSet // where a list of common table expressions (CTEs) is being read
+	expectCTE depthSet // where the next name is the name of one
+	lastIsCTE bool     // the last token is the name of one
 }
 
-func (r *effectReader) say(e Effect, word, why string) {
-	if r.worst.Reason == "" || e == Writes && r.worst.Effect == Unknown {
-		r.worst = EffectVerdict{e, why, word}
-	}
+// explainState is what EXPLAIN in front of a statement makes of it.
+type explainState struct {
+	planOnly  bool // nothing yet says that the statement runs
+	inOptions bool // between EXPLAIN and its statement
 }
 
-func bit(depth int) uint64 {
-	if depth < 0 || depth > 63 {
-		return 0 // deeper lists are not known as such; their columns look like calls
+// depthSet is a set of depths of parentheses, as bits. Deeper lists than it can hold are
+// not known as such; their columns look like calls.
+type depthSet uint64
+
+const maxSetDepth = 63
+
+func depthBit(depth int) depthSet {
+	if depth < 0 || depth > maxSetDepth {
+		return 0
 	}
 	return 1 << depth
 }
 
-func (r *effectReader) token(l *Lexer, t Token) {
-	w, use := t.word(), t.use()
+func (s depthSet) has(depth int) bool { return s&depthBit(depth) != 0 }
+func (s *depthSet) add(depth int)     { *s |= depthBit(depth) }
+func (s *depthSet) remove(depth int)  { *s &^= depthBit(depth) }
+
+// report takes a finding. The first one stays, but Writes goes before Unknown.
+func (c *effectClassifier) report(effect Effect, word, reason string) {
+	if c.worst.Reason == "" || effect == Writes && c.worst.Effect == Unknown {
+		c.worst = EffectVerdict{Effect: effect, Reason: reason, Word: word}
+	}
+}
+
+// final tells that nothing later can change the verdict.
+func (c *effectClassifier) final() bool { return c.worst.Reason != "" && c.worst.Effect == Writes }
+
+// token takes the next token.
+func (c *effectClassifier) token(l *Lexer, t Token) {
+	word, traits := t.keyword(), t.traits()
 	schema := Token{}
 	switch t.Kind {
 	case Ident, QuotedIdent:
-		if r.kind == Dot { // a part of a longer name: no key word
-			w, use = wNone, 0
-			schema = r.last
-		}
-		if r.kind != Dot || r.kind2 != Ident && r.kind2 != QuotedIdent {
-			schema = Token{}
+		if c.lastKind == Dot { // a part of a longer name: no key word
+			word, traits = keywordNone, 0
+			if c.beforeLastKind.isName() {
+				schema = c.lastToken
+			}
 		}
-		r.word(l, t, w, use)
+		c.word(l.Text(t), t.Kind, word, traits)
 	case OpenParen:
-		r.open(l)
-		r.depth++
-		r.ctes &^= bit(r.depth)
-		r.expect &^= bit(r.depth)
+		c.openParen(l)
+		c.depth++
+		c.ctes.remove(c.depth)
+		c.expectCTE.remove(c.depth)
 	case CloseParen:
-		r.depth--
+		c.depth--
 	case Comma:
-		if r.ctes&bit(r.depth) != 0 {
-			r.expect |= bit(r.depth)
+		if c.ctes.has(c.depth) {
+			c.expectCTE.add(c.depth)
 		}
 	case Operator:
-		if !knownOperator(l.Text(t)) {
-			r.say(Unknown, l.Text(t), "an operator that is not known")
+		if !isReadOnlyOperator(l.Text(t)) {
+			c.report(Unknown, l.Text(t), "an operator that is not known")
 		}
 	}
+	c.beforeLastKind = c.lastKind
+	c.lastKind = t.Kind
 	if t.Kind == Dot { // the name goes on
-		r.kind2, r.kind = r.kind, Dot
 		return
 	}
-	r.before, r.prev = r.prev, w
-	r.kind2, r.kind = r.kind, t.Kind
-	r.use, r.last, r.schema = use, t, schema
+	c.beforeLastWord = c.lastWord
+	c.lastWord = word
+	c.lastTraits = traits
+	c.lastToken = t
+	c.schema = schema
 }
 
-func (r *effectReader) word(l *Lexer, t Token, w word, use use) {
-	r.cteName = false
-	text := l.Text(t)
-	start := !r.begun || r.kind == OpenParen
+// word judges a name or key word.
+func (c *effectClassifier) word(text string, kind Kind, word keyword, traits keywordTraits) {
+	startsStatement := !c.begun || c.lastKind == OpenParen
 	switch {
-	case !r.begun:
-		r.begun = true
-		switch {
-		case w == wExplain:
-			r.explain, r.planned, r.options = true, true, true
-		case use&reader != 0:
-		case use&writes != 0:
-			r.say(Writes, text, "it writes")
-		default:
-			r.first(text, t.Kind)
+	case !c.begun:
+		c.begun = true
+		c.firstWord(text, kind, word, traits)
+	case c.explain.inOptions:
+		c.explainOption(text, kind, traits)
+		startsStatement = startsStatement || !c.explain.inOptions
+	}
+	isFirstToken := c.lastToken.Kind == End
+	if traits&writeTrait != 0 && c.lastWord != keywordAs && !c.explain.planOnly && !isFirstToken {
+		c.report(Writes, text, reasonWrites)
+	}
+	c.lastIsCTE = false
+	if word == keywordWith && startsStatement { // elsewhere it is WITH ORDINALITY, WITH TIES or the like
+		c.ctes.add(c.depth)
+		c.expectCTE.add(c.depth)
+	} else {
+		c.trackCTEs(word, traits)
+	}
+	if c.lastWord == keywordFor && !c.explain.planOnly {
+		switch word {
+		case keywordUpdate, keywordNo, keywordShare, keywordKey:
+			c.report(Writes, "FOR "+strings.ToUpper(text), "it locks rows")
 		}
-	case r.options:
-		r.option(text, t.Kind, use)
-		start = start || !r.options
 	}
-	if r.begun && use&writes != 0 && r.prev != wAs && !r.planned && r.last.Kind != End {
-		r.say(Writes, text, "it writes")
+	if word == keywordOperator {
+		c.report(Unknown, text, "an operator named by its schema")
 	}
+}
+
+// trackCTEs notes the names of common table expressions, whose columns in parentheses are
+// no call, and DISTINCT ON.
+func (c *effectClassifier) trackCTEs(word keyword, traits keywordTraits) {
 	switch {
-	case w == wWith && start: // elsewhere it is WITH ORDINALITY, WITH TIES or the like
-		r.ctes |= bit(r.depth)
-		r.expect |= bit(r.depth)
-	case w == wRecursive && r.prev == wWith:
-	case r.expect&bit(r.depth) != 0:
-		r.expect &^= bit(r.depth)
-		r.cteName = true
-	case use&(reader|writes) != 0:
-		r.ctes &^= bit(r.depth)
-	case w == wOn && r.prev == wDistinct:
-		r.distinctOn = true
-	}
-	if r.prev == wFor && (w == wUpdate || w == wNo || w == wShare || w == wKey) && !r.planned {
-		r.say(Writes, "FOR "+strings.ToUpper(text), "it locks rows")
+	case word == keywordRecursive && c.lastWord == keywordWith:
+	case c.expectCTE.has(c.depth):
+		c.expectCTE.remove(c.depth)
+		c.lastIsCTE = true
+	case traits&(readTrait|writeTrait) != 0:
+		c.ctes.remove(c.depth)
+	case word == keywordOn && c.lastWord == keywordDistinct:
+		c.hasDistinctOn = true
 	}
-	if w == wOperator {
-		r.say(Unknown, text, "an operator named by its schema")
+}
+
+// firstWord judges the first word of the statement.
+func (c *effectClassifier) firstWord(text string, kind Kind, word keyword, traits keywordTraits) {
+	switch {
+	case word == keywordExplain:
+		c.explain = explainState{planOnly: true, inOptions: true}
+	case traits&readTrait != 0:
+	case traits&writeTrait != 0:
+		c.report(Writes, text, reasonWrites)
+	default:
+		c.unknownCommand(text, kind)
 	}
 }
 
-// first judges a first word that begins no reading statement.
-func (r *effectReader) first(text string, k Kind) {
-	if k == Ident {
+// unknownCommand judges a first word that neither reads nor writes as a key word.
+func (c *effectClassifier) unknownCommand(text string, kind Kind) {
+	if kind == Ident {
 		switch strings.ToUpper(text) {
 		case "CREATE", "ALTER", "DROP", "TRUNCATE", "COMMENT", "GRANT", "REVOKE", "REINDEX", "CLUSTER", "VACUUM",
 			"REFRESH", "IMPORT", "SECURITY", "REASSIGN", "COPY":
-			r.say(Writes, text, "it writes")
+			c.report(Writes, text, reasonWrites)
 			return
 		case "DO", "CALL", "EXECUTE":
-			r.say(Unknown, text, "what it runs can't be seen")
+			c.report(Unknown, text, "what it runs can't be seen")
 			return
 		}
 	}
-	r.say(Unknown, text, "it begins no statement that is known to read")
+	c.report(Unknown, text, "it begins no statement that is known to read")
 }
 
-// option reads what stands between EXPLAIN and its statement. ANALYZE in any form
+// explainOption reads what stands between EXPLAIN and its statement. ANALYZE in any form
 // runs the statement; whatever is not known as an option begins it.
-func (r *effectReader) option(text string, k Kind, use use) {
-	if strings.EqualFold(bare(text), "analyze") || strings.EqualFold(bare(text), "analyse") {
-		r.planned = false
+func (c *effectClassifier) explainOption(text string, kind Kind, traits keywordTraits) {
+	option := unquoteName(text)
+	if strings.EqualFold(option, "analyze") || strings.EqualFold(option, "analyse") {
+		c.explain.planOnly = false
 		return
 	}
-	if r.depth > 0 && use&reader == 0 || strings.EqualFold(text, "verbose") {
+	startsReading := traits&readTrait != 0
+	if c.depth > 0 && !startsReading || strings.EqualFold(text, "verbose") {
 		return
 	}
-	r.options = false
-	if use&reader == 0 && !r.planned {
-		if use&writes != 0 {
-			r.say(Writes, text, "EXPLAIN ANALYZE runs it")
-		} else {
-			r.first(text, k)
-		}
+	c.explain.inOptions = false
+	switch {
+	case startsReading || c.explain.planOnly:
+	case traits&writeTrait != 0:
+		c.report(Writes, text, "EXPLAIN ANALYZE runs it")
+	default:
+		c.unknownCommand(text, kind)
 	}
 }
 
-// open judges a parenthesis: behind a name that is no key word it begins a call.
-func (r *effectReader) open(l *Lexer) {
-	if !r.begun || r.options || r.planned {
-		return
-	}
-	if r.last.Kind != Ident && r.last.Kind != QuotedIdent || r.kind == Dot {
-		return
-	}
-	qualified := r.schema.Kind != End
-	if !qualified && (r.before == wAs || r.kind2 == CloseParen && !r.distinctOn && r.use&(reserved|infix) == 0) {
-		return // the columns of an alias
+// verdict is the effect at the end of the text.
+func (c *effectClassifier) verdict(l *Lexer) EffectVerdict {
+	if c.worst.Reason != "" {
+		return c.worst
 	}
-	if r.last.Kind == Ident && !qualified {
-		switch {
-		case r.use&(reserved|typeName) != 0, r.cteName:
-			return
-		case r.prev == wOver || r.prev == wFilter:
-			if r.kind2 == CloseParen { // a call is over, and this belongs to it
-				return
-			}
-		case r.use&infix != 0:
-			if r.kind2 == Ident && r.before == wNone || r.kind2 == CloseParen || r.kind2 == QuotedIdent || r.kind2 == String ||
-				r.kind2 == Number || r.kind2 == Param || r.kind2 == CloseBracket || r.before == wNot || r.before == wNatural ||
-				r.before == wNull || r.before == wTrue || r.before == wFalse {
-				return
-			}
-		case r.prev == wBy && (r.before == wOrder || r.before == wGroup || r.before == wPartition):
-			return
-		case r.prev == wSets && r.before == wGrouping, (r.prev == wFirst || r.prev == wNext) && r.before == wFetch,
-			r.prev == wMaterialized && (r.before == wAs || r.before == wNot):
-			return
-		}
-	}
-	name := l.Text(r.last)
-	if r.last.Kind == QuotedIdent {
-		name = bare(name)
-	}
-	if qualified {
-		schema := bare(l.Text(r.schema))
-		if !equal(schema, "pg_catalog") {
-			full := schema + "." + name
-			if r.more.has(full) {
-				return
-			}
-			r.say(Unknown, full, "a function not known to read only")
-			return
-		}
-	}
-	if r.last.Kind == QuotedIdent && name != strings.ToLower(name) || !readers.has(name) && !r.more.has(name) {
-		r.say(Unknown, name, "a function not known to read only")
-	}
-}
-
-func (r *effectReader) verdict(l *Lexer) EffectVerdict {
+	reason := ""
 	switch {
-	case r.worst.Reason != "":
-		return r.worst
-	case !r.begun:
-		return EffectVerdict{Unknown, "no word begins it", ""}
+	case !c.begun:
+		reason = "no word begins it"
 	case l.Defects&UnterminatedText != 0:
-		return EffectVerdict{Unknown, "a string, a name or a comment in it does not end", ""}
+		reason = "a string, a name or a comment in it does not end"
 	case l.Defects&BackslashQuote != 0:
-		return EffectVerdict{Unknown, "a backslash before a quote reads differently without standard_conforming_strings", ""}
+		reason = "a backslash before a quote reads differently without standard_conforming_strings"
 	case l.Defects&UnicodeEscape != 0:
-		return EffectVerdict{Unknown, "U& hides what it spells", ""}
+		reason = "U& hides what it spells"
 	case l.Defects&InvalidCharacter != 0:
-		return EffectVerdict{Unknown, "a character in it is of no statement", ""}
+		reason = "a character in it is of no statement"
 	case l.Defects&NonASCII != 0 && !utf8.ValidString(l.Src):
-		return EffectVerdict{Unknown, "it is not UTF-8", ""}
+		reason = "it is not UTF-8"
+	default:
+		return EffectVerdict{Effect: Reads, Reason: "all its words and functions read"}
 	}
-	return EffectVerdict{Reads, "all its words and functions read", ""}
+	return EffectVerdict{Effect: Unknown, Reason: reason}
 }
--- a/internal/sqltext/readers.go
+++ b/internal/sqltext/effect_functions.go
@@ -2,12 +2,19 @@
 
 import "strings"
 
-// readers are functions of pg_catalog that change nothing that is stored and nothing
+// FunctionSet names functions that only read, in small letters, with their schema where
+// they are not of pg_catalog.
+type FunctionSet map[string]bool
+
+// has looks a name up without an allocation for names as they are usually written.
+func (f FunctionSet) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
+
+// readOnlyFunctions are functions of pg_catalog that change nothing that is stored and nothing
 // of a session that a later statement could see. Left out on purpose: sequences
 // (nextval, setval), settings (set_config), locks, large objects, notifications,
 // signals to other sessions, and all that runs a statement given as text
 // (query_to_xml, ts_stat, ts_rewrite, dblink).
-var readers = func() FunctionSet {
+var readOnlyFunctions = func() FunctionSet {
 	f := FunctionSet{}
 	for _, name := range strings.Fields(`
 abs acos acosd acosh age any_value array_agg array_append array_cat array_dims array_fill array_length array_lower
@@ -61,20 +68,20 @@
 	return f
 }()
 
-// operators are those of pg_catalog; all of them read. Others may be anyone's.
-var operators = func() map[string]bool {
-	o := map[string]bool{}
+// readOnlyOperators are those of pg_catalog; all of them read. Others may be anyone's.
+var readOnlyOperators = func() map[string]bool {
+	operators := map[string]bool{}
 	for _, op := range strings.Fields("+ - * / % ^ |/ ||/ @ & | # ~ << >> < > <= >= = <> != || ~* !~ !~* ~~ ~~* !~~ !~~* " +
 		"-> ->> #> #>> @> <@ ? ?| ?& #- @? @@ @@@ && &< &> <<| |>> &<| |&> ^@ -|- <-> ## ?- ?# ?-| ?|| <^ >^ ~= ~<~ ~<=~ " +
 		"~>=~ ~>~ <<= >>= *= *<> *< *> *<= *>= @-@ @@ !! => =-") {
-		o[op] = true
+		operators[op] = true
 	}
-	return o
+	return operators
 }()
 
-func knownOperator(op string) bool {
+func isReadOnlyOperator(op string) bool {
 	if len(op) == 1 && op[0] != '`' && op[0] != '!' {
 		return true
 	}
-	return operators[op]
+	return readOnlyOperators[op]
 }
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -117,7 +117,9 @@
 		}
 		TableGroup(stmt)
 		FirstWord(stmt)
-		LeadingComment(stmt)
+		if comment, ok := LeadingComment(stmt); ok && !strings.Contains(stmt, comment) {
+			t.Fatalf("comment %q is not in %q", comment, stmt)
+		}
 		SkipComments(stmt)
 		HasTokenPrefix(stmt, stmt)
 		if EffectOf(stmt, nil).Effect == Reads && l.Defects&^NonASCII == 0 {
--- /dev/null
+++ b/internal/sqltext/lexer_numbers.go
@@ -0,0 +1,57 @@
+package sqltext
+
+// number reads a number. What follows at once, a letter say, is the next token, as it was
+// up to version 14 of PostgreSQL: later ones call it an error.
+func (l *Lexer) number() Token {
+	src, start := l.Src, l.Pos
+	if end, ok := prefixedNumberEnd(src, start); ok {
+		l.Pos = end
+		return Token{Kind: Number, Start: start, End: end}
+	}
+	i := decimalDigitsEnd(src, start)
+	isRange := i+1 < len(src) && src[i+1] == '.' // 1..2, as in a loop's bounds
+	if i < len(src) && src[i] == '.' && !isRange {
+		i = decimalDigitsEnd(src, i+1)
+	}
+	if i < len(src) && src[i]|caseBit == 'e' {
+		exponent := i + 1
+		if exponent < len(src) && (src[exponent] == '+' || src[exponent] == '-') {
+			exponent++
+		}
+		if exponent < len(src) && isDigit(src[exponent]) {
+			i = decimalDigitsEnd(src, exponent)
+		}
+	}
+	l.Pos = i
+	return Token{Kind: Number, Start: start, End: i}
+}
+
+// prefixedNumberEnd is the end of a number such as 0x1F, 0o17 or 0b11.
+func prefixedNumberEnd(src string, start int) (end int, ok bool) {
+	digits := start + 2
+	if src[start] != '0' || digits >= len(src) {
+		return 0, false
+	}
+	switch src[start+1] | caseBit {
+	case 'x':
+		return hexDigitsEnd(src, digits), isHex(src[digits])
+	case 'o', 'b':
+		return decimalDigitsEnd(src, digits), isDigit(src[digits])
+	}
+	return 0, false
+}
+
+// decimalDigitsEnd is the end of a run of digits, each with one underscore before it at most.
+func decimalDigitsEnd(src string, i int) int {
+	for i < len(src) && (isDigit(src[i]) || src[i] == '_' && i+1 < len(src) && isDigit(src[i+1])) {
+		i++
+	}
+	return i
+}
+
+func hexDigitsEnd(src string, i int) int {
+	for i < len(src) && (isHex(src[i]) || src[i] == '_' && i+1 < len(src) && isHex(src[i+1])) {
+		i++
+	}
+	return i
+}
--- /dev/null
+++ b/internal/sqltext/lexer_strings.go
@@ -0,0 +1,134 @@
+package sqltext
+
+// backslashRule is what a backslash means in a string.
+type backslashRule uint8
+
+const (
+	literalBackslash  backslashRule = iota // it is a character like others
+	escapingBackslash                      // it escapes the next character, as in E'..'
+)
+
+// stringToken reads a string; body is the place behind its first quote.
+func (l *Lexer) stringToken(start, body int, kind Kind, rule backslashRule) Token {
+	l.Pos = l.stringEnd(body, rule)
+	return Token{Kind: kind, Start: start, End: l.Pos}
+}
+
+// stringEnd is the place behind the quote that ends a string. A doubled quote is part of
+// the string, and so is one behind a backslash that escapes. A string goes on where nothing
+// but space with a line end in it lies between two parts.
+func (l *Lexer) stringEnd(i int, rule backslashRule) int {
+	src := l.Src
+	for i < len(src) {
+		c := src[i]
+		switch {
+		case c == '\\' && rule == escapingBackslash:
+			i += 2
+		case c == '\\':
+			if i+1 < len(src) && src[i+1] == '\'' {
+				l.Defects |= BackslashQuote
+			}
+			i++
+		case c != '\'':
+			if c >= 0x80 {
+				l.Defects |= NonASCII
+			} else if c == 0 {
+				l.Defects |= InvalidCharacter
+			}
+			i++
+		case i+1 < len(src) && src[i+1] == '\'':
+			i += 2
+		default:
+			next, continued := continuedString(src, i+1)
+			if !continued {
+				return i + 1
+			}
+			i = next
+		}
+	}
+	l.Defects |= UnterminatedText
+	return len(src)
+}
+
+// continuedString tells whether a string that ended goes on behind a line end, and where.
+func continuedString(src string, i int) (next int, ok bool) {
+	sawLineEnd := false
+	for i < len(src) {
+		switch c := src[i]; {
+		case c == '\n' || c == '\r':
+			sawLineEnd = true
+			i++
+		case isSpace(c):
+			i++
+		case c == '-' && i+1 < len(src) && src[i+1] == '-':
+			i = lineCommentEnd(src, i+2)
+		case c == '\'' && sawLineEnd:
+			return i + 1, true
+		default:
+			return 0, false
+		}
+	}
+	return 0, false
+}
+
+// dollarToken reads a dollar-quoted string, or a parameter such as $1.
+func (l *Lexer) dollarToken() Token {
+	src, start := l.Src, l.Pos
+	i := start + 1
+	if i < len(src) && isDigit(src[i]) {
+		for i < len(src) && isDigit(src[i]) {
+			i++
+		}
+		l.Pos = i
+		return Token{Kind: Param, Start: start, End: i}
+	}
+	for i < len(src) && src[i] != '$' && classes[src[i]]&namePartClass != 0 {
+		i++
+	}
+	if i >= len(src) || src[i] != '$' {
+		l.Defects |= InvalidCharacter
+		l.Pos = start + 1
+		return Token{Kind: Invalid, Start: start, End: l.Pos}
+	}
+	tag := src[start : i+1]
+	closing := findTag(src, i+1, tag)
+	if closing < 0 {
+		l.Defects |= UnterminatedText
+		l.Pos = len(src)
+	} else {
+		l.Pos = closing + len(tag)
+	}
+	if hasNonASCII(src[start:l.Pos]) {
+		l.Defects |= NonASCII
+	}
+	return Token{Kind: DollarString, Start: start, End: l.Pos}
+}
+
+func hasNonASCII(s string) bool {
+	for i := range len(s) {
+		if s[i] >= 0x80 {
+			return true
+		}
+	}
+	return false
+}
+
+// findTag is the place of the tag from i on, -1 where there is none. Candidates begin at
+// dollar signs, and none is read twice: a tag has dollar signs at its ends only.
+func findTag(src string, i int, tag string) int {
+	for i+len(tag) <= len(src) {
+		if src[i] != '$' {
+			i++
+			continue
+		}
+		matched := 1
+		for matched < len(tag) && src[i+matched] == tag[matched] {
+			matched++
+		}
+		if matched == len(tag) {
+			return i
+		}
+		i += max(matched-1, 1)
+	}
+	return -1
+}
--- a/internal/sqltext/replay_test.go
+++ b/internal/sqltext/replay_test.go
@@ -107,19 +107,20 @@
 }
 
 func (g *statementGenerator) where() string {
-	text := ""
+	var text strings.Builder
 	for n := g.rng.IntN(5); n > 0; n-- {
-		text += g.pick(" WHERE ", " AND ", " OR ", " WHERE ") + g.condition()
+		text.WriteString(g.pick(" WHERE ", " AND ", " OR ", " WHERE ") + g.condition())
 	}
-	return text
+	return text.String()
 }
 
 func (g *statementGenerator) selects() string {
-	text := g.pick("SELECT ", "select ", "SELECT DISTINCT ", "SELECT DISTINCT ON (a) ", "Select ") + g.expression()
+	var columns strings.Builder
+	columns.WriteString(g.pick("SELECT ", "select ", "SELECT DISTINCT ", "SELECT DISTINCT ON (a) ", "Select ") + g.expression())
 	for n := g.rng.IntN(4); n > 0; n-- {
-		text += g.pick(",", ", ", " , ") + g.expression() + g.pick("", " AS x", ` "update"`, " AS delete")
+		columns.WriteString(g.pick(",", ", ", " , ") + g.expression() + g.pick("", " AS x", ` "update"`, " AS delete"))
 	}
-	text += g.pick(" FROM ", " from ", " INTO x FROM ", " FROM ", " FROM ", " FROM ") + g.table()
+	text := columns.String() + g.pick(" FROM ", " from ", " INTO x FROM ", " FROM ", " FROM ", " FROM ") + g.table()
 	text += g.pick("", "", " JOIN "+g.table()+" USING (x)", " LEFT JOIN "+g.table()+" ON t.x = u.y", ", "+g.table()) + g.where()
 	text += g.pick("", "", " GROUP BY day", " GROUP BY GROUPING SETS ((a), ())", " HAVING count(*) > 3", " UNION ALL SELECT 2", " ORDER BY 1", " ORDER BY (a)")
 	text += g.pick("", "", " LIMIT 50", " LIMIT $1", " LIMIT "+g.value()+" OFFSET 5", " FETCH FIRST 9 ROWS ONLY", " FETCH NEXT (3) ROWS WITH TIES")
@@ -288,7 +289,7 @@
 func (r *replayRecord) tokens(text string) {
 	l := Lexer{Src: text}
 	for t := l.Next(); ; t = l.Next() {
-		r.line("tokens", uint64(t.Kind), int64(t.Start), int64(t.End), uint64(t.hash()), uint64(t.use()), uint64(t.word()), t.upper(), l.Text(t))
+		r.line("tokens", uint64(t.Kind), int64(t.Start), int64(t.End), uint64(t.nameHash()), uint64(t.traits()), uint64(t.keyword()), t.hasCapitals(), l.Text(t))
 		if t.Kind == End {
 			break
 		}
--- /dev/null
+++ b/internal/sqltext/size_profile.go
@@ -0,0 +1,204 @@
+package sqltext
+
+import "math/bits"
+
+// Profile is what the values of one execution tell of its size.
+type Profile struct {
+	Alternatives         int     // of the longest list; 0: no list
+	Span                 float64 // of the widest range with both ends: days of dates, else the difference; 0: none
+	HalfOpen             bool    // a range has one end only
+	Pattern              PatternKind
+	Limit                float64 // rows; 0: none
+	DisabledRestrictions int     // restrictions that a null switches off
+	Unrestricted         bool    // nothing narrows what is read
+	Rows                 int     // to be written
+	Column               uint32  // hash of the name that the longest list, or else the widest range, is of
+	Key                  uint64  // hash of the first value compared for equality; 0: none
+}
+
+// maxSpan is the widest span that a Profile tells, in days or units of a number.
+const maxSpan = 1e12
+
+// Profile reads what the values tell: those in the text, and those bound.
+func (r *Reading) Profile(stmt string, b *Binds, seed uint64) Profile {
+	p := profiler{profile: Profile{Rows: int(r.Features.Rows)}, narrowing: r.Restrictions, seed: seed}
+	for i := range r.Slots {
+		s := &r.Slots[i]
+		value := b.slotValue(stmt, s)
+		if !value.isNull(s) {
+			p.slot(s, &value)
+		} else if s.Role != RoleOther && s.Role != RoleLimit && r.hasNullGuard(s.Param) {
+			p.profile.DisabledRestrictions++
+			p.narrowing--
+		}
+	}
+	p.matchBounds()
+	profile := p.profile
+	profile.Unrestricted = r.Unrestricted || p.narrowing <= 0 && r.Features.Command != CommandInsert
+	isSpan := profile.Span >= 0 // not so for NaN
+	if !isSpan || profile.Span > maxSpan {
+		profile.Span = maxSpan
+	}
+	return profile
+}
+
+// hasNullGuard tells whether a null in the parameter switches its restriction off.
+func (r *Reading) hasNullGuard(param int32) bool {
+	for i := range r.Slots {
+		if r.Slots[i].Param == param && r.Slots[i].NullGuard {
+			return true
+		}
+	}
+	return false
+}
+
+// profiler makes the profile of one execution.
+type profiler struct {
+	profile   Profile
+	seed      uint64
+	narrowing int // restrictions that narrow what is read
+	lower     rangeBounds
+	upper     rangeBounds
+}
+
+// rangeBounds are the lower or the upper ends of the ranges of a statement.
+type rangeBounds struct {
+	values  [MaxSlots]float64
+	columns [MaxSlots]uint32
+	count   int
+}
+
+func (b *rangeBounds) add(value float64, column uint32) {
+	b.values[b.count] = value
+	b.columns[b.count] = column
+	b.count++
+}
+
+// slot takes a value that is not null.
+func (p *profiler) slot(s *Slot, value *slotValue) {
+	switch s.Role {
+	case RoleEqual:
+		if p.profile.Key == 0 && value.known {
+			p.profile.Key = value.hash(p.seed)
+		}
+	case RoleList:
+		p.list(s, value)
+	case RoleLowerBound, RoleUpperBound:
+		p.bound(s, value)
+	case RoleInterval:
+		if days, ok := intervalDays(unquoteString(value.literal)); ok {
+			p.profile.Span = max(p.profile.Span, days)
+		}
+	case RolePattern:
+		kind := value.patternKind(s)
+		p.profile.Pattern = max(p.profile.Pattern, kind)
+		if kind == LeadingWildcard {
+			p.narrowing--
+		}
+	case RoleLimit:
+		if rows, ok := value.number(); ok && rows > 0 {
+			p.profile.Limit = rows
+		}
+	}
+}
+
+func (p *profiler) list(s *Slot, value *slotValue) {
+	alternatives := int(s.Count)
+	switch {
+	case s.Param > 0 && value.known:
+		alternatives = value.boundArrayLen()
+	case s.Param == 0 && s.End > s.Start:
+		alternatives = textArrayLen(unquoteString(value.literal))
+	}
+	if alternatives > p.profile.Alternatives {
+		p.profile.Alternatives = alternatives
+		p.profile.Column = s.Column
+	}
+}
+
+func (p *profiler) bound(s *Slot, value *slotValue) {
+	x, ok := value.number()
+	switch {
+	case !ok:
+		p.profile.HalfOpen = true
+	case s.Role == RoleLowerBound:
+		p.lower.add(x, s.Column)
+	default:
+		p.upper.add(x, s.Column)
+	}
+}
+
+// matchBounds finds the widest range with both ends, and whether one has only one.
+func (p *profiler) matchBounds() {
+	for i := range p.lower.count {
+		column := p.lower.columns[i]
+		matched := false
+		for j := range p.upper.count {
+			if p.upper.columns[j] != column {
+				continue
+			}
+			matched = true
+			p.span(p.upper.values[j]-p.lower.values[i], column)
+		}
+		if !matched {
+			p.profile.HalfOpen = true
+		}
+	}
+	if p.upper.count > 0 && p.lower.count == 0 {
+		p.profile.HalfOpen = true
+	}
+}
+
+// span takes a range with both ends.
+func (p *profiler) span(width float64, column uint32) {
+	if width <= p.profile.Span {
+		return
+	}
+	p.profile.Span = width
+	if p.profile.Alternatives == 0 {
+		p.profile.Column = column
+	}
+}
+
+// Widths of the fields of a bucket, in bits.
+const (
+	spanBits     = 5
+	patternBits  = 2
+	limitBits    = 4
+	disabledBits = 3
+	rowsBits     = 4
+)
+
+// Bucket is a coarse form of the profile: executions of one shape that share it are taken
+// to cost alike.
+func (p *Profile) Bucket() uint32 {
+	const maxAlternatives = 15
+	b := log2Bucket(float64(p.Alternatives), maxAlternatives)
+	b = b<<spanBits | log2Bucket(p.Span, 1<<spanBits-1)
+	b = b<<patternBits | uint32(p.Pattern)
+	b = b<<limitBits | min(log2Bucket(p.Limit, 30)/2, 1<<limitBits-1)
+	b = b<<disabledBits | uint32(min(p.DisabledRestrictions, 1<<disabledBits-1))
+	b = b<<rowsBits | log2Bucket(float64(p.Rows), 1<<rowsBits-1)
+	for _, flag := range []bool{p.HalfOpen, p.Unrestricted} {
+		b <<= 1
+		if flag {
+			b |= 1
+		}
+	}
+	return b
+}
+
+// log2Bucket is 0 for what is not there, else one more than the logarithm, and at most
+// maxBucket.
+func log2Bucket(x float64, maxBucket uint32) uint32 {
+	const beyondAll = 1 << 40
+	switch {
+	case x <= 0:
+		return 0
+	case x < 1:
+		return 1
+	case x >= beyondAll:
+		return maxBucket
+	}
+	return min(uint32(bits.Len64(uint64(x))), maxBucket)
+}
