--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -86,7 +86,7 @@
 	chooser  decide.Chooser
 	hedge    decide.Hedger
 	keys     *decide.KeyHistory
-	fresh    []message.Key // not told yet; Ago is when, µs of the clock
+	fresh    []message.SentKey // not told yet; Ago is when, µs of the clock
 	packer   Packer
 	away     map[*core.Request]*crossed
 	ticked   int
@@ -177,7 +177,7 @@
 	r := a.Request
 	s.meter.AttemptStarted(s.threads(r.Class))
 	if r.IdempotencyKey != "" && s.keys.Record(a.SentAt, r.IdempotencyKey, a.SentAt, decide.ThisSite) && len(s.peers) > 0 {
-		s.fresh = append(s.fresh, message.Key{Key: r.IdempotencyKey, Ago: int64(a.SentAt / time.Microsecond)})
+		s.fresh = append(s.fresh, message.SentKey{Key: r.IdempotencyKey, AgoUS: int64(a.SentAt / time.Microsecond)})
 	}
 }
 
@@ -352,7 +352,7 @@
 	if s.ticked%staleTicks == 0 {
 		for _, p := range s.peers {
 			for _, l := range p.links {
-				if err := l.mux.Stale(); err != nil {
+				if err := l.mux.RejectStale(); err != nil {
 					l.t.Close(err)
 				}
 			}
@@ -405,7 +405,7 @@
 		if s.draining {
 			takes = 0
 		}
-		to[i].digest(s.words, message.Digest{Room: d.FreeCapacity, Takes: takes, Drains: s.draining})
+		to[i].digest(s.words, message.LoadReport{FreeCapacity: d.FreeCapacity, AvailableCores: takes, Draining: s.draining})
 		to[i].ping(now)
 	}
 }
@@ -413,15 +413,15 @@
 // tellKeys tells all peers of the keys that were sent since it was last called.
 func (s *Service) tellKeys(now time.Duration) {
 	for len(s.fresh) > 0 {
-		n := min(len(s.fresh), message.MostKeys)
-		all := make([]message.Key, n)
+		n := min(len(s.fresh), message.MaxKeys)
+		all := make([]message.SentKey, n)
 		for i, k := range s.fresh[:n] {
-			all[i] = message.Key{Key: k.Key, Ago: max(int64(now/time.Microsecond)-k.Ago, 0)}
+			all[i] = message.SentKey{Key: k.Key, AgoUS: max(int64(now/time.Microsecond)-k.AgoUS, 0)}
 		}
 		s.fresh = s.fresh[n:]
 		for _, p := range s.peers {
 			if l := p.link(); l != nil {
-				l.tell(message.Keys{Sent: all})
+				l.tell(message.SentKeys{Keys: all})
 			}
 		}
 	}
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -80,8 +80,8 @@
 	}
 	l := &Link{s: s, peer: p, t: t, since: s.clock.Now(), dialled: dialled, mine: map[uint32]*crossed{}, theirs: map[uint32]*foreign{}}
 	var err error
-	l.mux, err = mux.New(mux.Config{Dialled: dialled, Held: s.opts.Held, Greet: message.Greet{
-		Site: s.opts.Name.Site, Gateway: s.opts.Name.Gateway, Start: s.opts.Start, Form: s.opts.Codec.Form(), Zstd: s.packer.dec != nil,
+	l.mux, err = mux.New(mux.Config{Dialled: dialled, MaxHeldBytes: s.opts.Held, Hello: message.Hello{
+		Site: s.opts.Name.Site, Gateway: s.opts.Name.Gateway, Incarnation: s.opts.Start, Format: s.opts.Codec.Form(), AcceptsZstd: s.packer.dec != nil,
 	}}, l)
 	if err != nil {
 		return nil, err
@@ -92,9 +92,9 @@
 
 // Input takes what has come; see mux.Link.Input. The transport ends the link on an error.
 func (l *Link) Input(b []byte) (int, error) {
-	late := l.mux.Late
+	late := l.mux.LateFrames
 	n, err := l.mux.Input(b)
-	for range l.mux.Late - late {
+	for range l.mux.LateFrames - late {
 		l.s.stats.Add("site.late")
 	}
 	return n, err
@@ -104,13 +104,13 @@
 func (l *Link) Pull(b []byte, about int) []byte { return l.mux.Pull(b, about) }
 
 // Waiting tells whether there is something to Pull.
-func (l *Link) Waiting() bool { return l.mux.Waiting() }
+func (l *Link) Waiting() bool { return l.mux.HasOutput() }
 
 // Idle tells whether nothing is open on it.
 func (l *Link) Idle() bool { return len(l.mine)+len(l.theirs) == 0 }
 
-// Ready passes on that there is something to Pull.
-func (l *Link) Ready() { l.t.Ready() }
+// OutputReady passes on that there is something to Pull.
+func (l *Link) OutputReady() { l.t.Ready() }
 
 // fresh tells whether neither side has left the link.
 func (l *Link) fresh() bool { return l.greeted && !l.closed && l.leftAt == 0 && l.theyLeft == 0 }
@@ -126,7 +126,7 @@
 func (l *Link) leave() {
 	if l.leftAt == 0 {
 		l.leftAt = max(l.s.clock.Now(), 1)
-		l.mux.Leave()
+		l.mux.GoAway()
 	}
 }
 
@@ -176,17 +176,17 @@
 	return ids
 }
 
-// Greeted checks who the other side says that it is.
-func (l *Link) Greeted(g message.Greet) error {
+// HandleHello checks who the other side says that it is.
+func (l *Link) HandleHello(g message.Hello) error {
 	if n := (Name{g.Site, g.Gateway}); n != l.peer.name {
 		return fmt.Errorf("%w: it says that it is %s, and has proven to be %s", ErrPeer, n, l.peer.name)
 	}
-	if form := l.s.opts.Codec.Form(); g.Form != form {
-		return fmt.Errorf("%w: it speaks %s, and this side %s", ErrPeer, g.Form, form)
+	if form := l.s.opts.Codec.Form(); g.Format != form {
+		return fmt.Errorf("%w: it speaks %s, and this side %s", ErrPeer, g.Format, form)
 	}
-	l.greeted, l.packs = true, g.Zstd && l.s.packer.enc != nil
+	l.greeted, l.packs = true, g.AcceptsZstd && l.s.packer.enc != nil
 	l.peer.SetConnected(true)
-	l.s.log.Info("site.linked", "peer", l.peer.name.String(), "start", g.Start)
+	l.s.log.Info("site.linked", "peer", l.peer.name.String(), "start", g.Incarnation)
 	if l.s.leaving {
 		l.leave()
 	}
@@ -207,8 +207,8 @@
 	l.mux.Ping(l.pinged)
 }
 
-// Ponged measures a round trip. A number that is not out, or was already, measures nothing.
-func (l *Link) Ponged(number uint32) {
+// HandlePong measures a round trip. A number that is not out, or was already, measures nothing.
+func (l *Link) HandlePong(number uint32) {
 	p := &l.pings[number%pingsOut]
 	if p.number != number || p.at == 0 {
 		return
@@ -218,34 +218,34 @@
 	l.heard(max(rtt, 1))
 }
 
-func (l *Link) digest(number uint32, d message.Digest) {
-	if err := l.mux.Digest(number, d); err != nil {
+func (l *Link) digest(number uint32, d message.LoadReport) {
+	if err := l.mux.SendLoadReport(number, d); err != nil {
 		l.t.Close(err)
 	}
 }
 
-func (l *Link) tell(k message.Keys) {
-	if err := l.mux.Keys(k); err != nil {
+func (l *Link) tell(k message.SentKeys) {
+	if err := l.mux.SendKeys(k); err != nil {
 		l.t.Close(err)
 	}
 }
 
-// Digest takes what the peer says of itself.
-func (l *Link) Digest(d message.Digest) {
-	l.peer.RecordDigest(l.s.cfg, l.s.clock.Now(), decide.Digest{FreeCapacity: d.Room, AcceptableWork: d.Takes, Draining: d.Drains})
+// HandleLoadReport takes what the peer says of itself.
+func (l *Link) HandleLoadReport(d message.LoadReport) {
+	l.peer.RecordDigest(l.s.cfg, l.s.clock.Now(), decide.Digest{FreeCapacity: d.FreeCapacity, AcceptableWork: d.AvailableCores, Draining: d.Draining})
 }
 
-// Keys takes that keys were sent to engines at the peer's site, the way here included.
-func (l *Link) Keys(k message.Keys) {
+// HandleSentKeys takes that keys were sent to engines at the peer's site, the way here included.
+func (l *Link) HandleSentKeys(k message.SentKeys) {
 	now := l.s.clock.Now()
-	for _, one := range k.Sent {
-		l.s.keys.Record(now, one.Key, now-time.Duration(one.Ago)*time.Microsecond-l.peer.OneWayDelay(), decide.OtherSite)
+	for _, one := range k.Keys {
+		l.s.keys.Record(now, one.Key, now-time.Duration(one.AgoUS)*time.Microsecond-l.peer.OneWayDelay(), decide.OtherSite)
 	}
 }
 
-// Leaves takes that the other side wants new streams on another link, which the side that dials
+// HandleGoAway takes that the other side wants new streams on another link, which the side that dials
 // makes. Where it closes this one and there is no other, it has left.
-func (l *Link) Leaves() { l.theyLeft = max(l.s.clock.Now(), 1) }
+func (l *Link) HandleGoAway() { l.theyLeft = max(l.s.clock.Now(), 1) }
 
 // send takes a request to a peer. It tells whether it is on its way.
 func (s *Service) send(r *core.Request, q *decide.Query, p *peer) bool {
@@ -256,25 +256,25 @@
 	now := s.clock.Now()
 	left, ok := decide.RemainingAfter(s.cfg, r.Deadline-now, p.OneWayDelay())
 	statement, err := s.opts.Codec.Statement(r.Statement)
-	if !ok || err != nil || len(statement) == 0 || len(statement) > message.MostBody {
+	if !ok || err != nil || len(statement) == 0 || len(statement) > message.MaxBodySize {
 		return false
 	}
 	class := s.classes[r.Class]
-	a := message.Ask{
-		ID: r.ID, Class: r.Class, Effect: uint8(class.Idempotency), Key: r.IdempotencyKey, Group: r.DataSet, Left: left.Microseconds(), Work: r.Work.Microseconds(),
-		MB: r.MemoryMB, Repeat: r.ClientRetry, Sends: min(decide.AttemptGrant(s.cfg, q), message.MostSends),
+	a := message.Request{
+		ID: r.ID, Class: r.Class, Idempotency: uint8(class.Idempotency), IdempotencyKey: r.IdempotencyKey, DataSet: r.DataSet, RemainingUS: left.Microseconds(), WorkUS: r.Work.Microseconds(),
+		MemoryMB: r.MemoryMB, ClientRetry: r.ClientRetry, MaxSends: min(decide.AttemptGrant(s.cfg, q), message.MaxSends),
 	}
 	if q.MayHaveRun {
-		a.Before = q.SinceFirstAttempt.Microseconds() + 1
+		a.FirstSentAgoUS = q.SinceFirstAttempt.Microseconds() + 1
 	}
 	if l.packs {
-		statement, a.Raw = s.packer.Pack(statement)
+		statement, a.UncompressedSize = s.packer.Pack(statement)
 	}
-	id, ok, err := l.mux.Ask(a, statement)
+	id, ok, err := l.mux.Request(a, statement)
 	if err != nil || !ok {
 		return false
 	}
-	c := &crossed{r: r, link: l, stream: id, at: now, grant: a.Sends, turned: q.RejectedLocally, work: q.Work}
+	c := &crossed{r: r, link: l, stream: id, at: now, grant: a.MaxSends, turned: q.RejectedLocally, work: q.Work}
 	l.mine[id], s.away[r] = c, c
 	r.PriorSends += c.grant // given back where the answer says that it took fewer
 	if r.IdempotencyKey != "" {
@@ -344,8 +344,8 @@
 	}
 }
 
-// Answered takes what became of a request at the other side.
-func (l *Link) Answered(stream uint32, a message.Answer, body []byte) {
+// HandleResponse takes what became of a request at the other side.
+func (l *Link) HandleResponse(stream uint32, a message.Response, body []byte) {
 	s, c := l.s, l.mine[stream]
 	l.heard(0)
 	if c == nil {
@@ -353,63 +353,63 @@
 		return
 	}
 	now := s.clock.Now()
-	answer := core.Answer{RetryAfter: time.Duration(a.ComeBack) * time.Microsecond, Sent: a.Sends > 0}
-	body, err := s.packer.Unpack(body, a.Raw)
+	answer := core.Answer{RetryAfter: time.Duration(a.RetryAfterUS) * time.Microsecond, Sent: a.SendCount > 0}
+	body, err := s.packer.Unpack(body, a.UncompressedSize)
 	if err == nil && a.Verdict == 2 {
 		answer.Result, err = s.opts.Codec.ReadResult(body)
-	} else if err == nil && a.Detail {
+	} else if err == nil && a.IsError {
 		answer.EngineError, err = s.opts.Codec.ReadDetail(body)
 	}
 	switch {
 	case err != nil: // it ran, and nothing spoilt is passed on
 		s.stats.Add("site.unreadable")
 		s.log.Warn("site.unreadable", "peer", l.peer.name.String(), "error", err)
-		s.end(c, decide.InDoubt, core.Answer{}, a.Sends)
+		s.end(c, decide.InDoubt, core.Answer{}, a.SendCount)
 	case a.Verdict == 2:
 		answer.Verdict = core.Served
 		s.served(c, now, a)
 		s.core.CompleteForwarded(c.r, answer)
-	case !a.Ran && (a.Verdict == 1 || !a.Detail):
+	case !a.MayHaveRun && (a.Verdict == 1 || !a.IsError):
 		s.stats.Add("site.turned-away-there." + c.r.Class)
-		s.end(c, decide.NeverRan, answer, a.Sends)
-	case a.Detail: // an engine's word on the statement: another would say the same
+		s.end(c, decide.NeverRan, answer, a.SendCount)
+	case a.IsError: // an engine's word on the statement: another would say the same
 		s.over(c)
-		if a.Ran {
+		if a.MayHaveRun {
 			s.core.RecordRemoteSend(c.r, c.at)
 		}
 		s.core.CompleteForwarded(c.r, answer)
 	default:
-		s.end(c, decide.InDoubt, answer, a.Sends)
+		s.end(c, decide.InDoubt, answer, a.SendCount)
 	}
 }
 
-func (s *Service) served(c *crossed, now time.Duration, a message.Answer) {
+func (s *Service) served(c *crossed, now time.Duration, a message.Response) {
 	s.over(c)
-	c.r.PriorSends -= c.grant - min(a.Sends, c.grant)
+	c.r.PriorSends -= c.grant - min(a.SendCount, c.grant)
 	c.link.peer.RecordSuccess(now)
 	s.hedge.RecordLatency(c.r.Class, now-c.at)
 	s.stats.Add("site.served-there." + c.r.Class)
 }
 
-// Asked takes a request of another site.
-func (l *Link) Asked(stream uint32, a message.Ask, statement []byte) {
+// HandleRequest takes a request of another site.
+func (l *Link) HandleRequest(stream uint32, a message.Request, statement []byte) {
 	s := l.s
 	now := s.clock.Now()
 	class, ok := s.core.Class(a.Class)
 	refuse := func(why string) {
 		s.stats.Add("site.not-taken." + why)
-		l.answer(stream, message.Answer{Verdict: uint8(core.Rejected)}, nil)
+		l.answer(stream, message.Response{Verdict: uint8(core.Rejected)}, nil)
 	}
-	raw, err := s.packer.Unpack(statement, a.Raw)
+	raw, err := s.packer.Unpack(statement, a.UncompressedSize)
 	var read core.Statement
 	if err == nil {
 		read, err = s.opts.Codec.ReadStatement(raw)
 	}
 	switch {
-	case !ok || uint8(class.Idempotency) != a.Effect: // the sites' settings differ: nothing is known of what a repeat would do
+	case !ok || uint8(class.Idempotency) != a.Idempotency: // the sites' settings differ: nothing is known of what a repeat would do
 		refuse("class")
 		return
-	case err != nil || class.Idempotency == policy.IdempotentWithKey && a.Key == "":
+	case err != nil || class.Idempotency == policy.IdempotentWithKey && a.IdempotencyKey == "":
 		refuse("unreadable")
 		return
 	case s.draining || s.leaving:
@@ -418,11 +418,11 @@
 	}
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	r := &core.Request{
-		ID: a.ID, Class: a.Class, IdempotencyKey: a.Key, Statement: read, DataSet: a.Group, Deadline: now + us(a.Left), Work: us(a.Work), MemoryMB: a.MB,
-		ClientRetry: a.Repeat, FromOtherSite: true, MaxSends: a.Sends,
+		ID: a.ID, Class: a.Class, IdempotencyKey: a.IdempotencyKey, Statement: read, DataSet: a.DataSet, Deadline: now + us(a.RemainingUS), Work: us(a.WorkUS), MemoryMB: a.MemoryMB,
+		ClientRetry: a.ClientRetry, FromOtherSite: true, MaxSends: a.MaxSends,
 	}
-	if a.Before > 0 {
-		r.PriorSentAt = max(now-us(a.Before-1)-l.peer.OneWayDelay(), 1)
+	if a.FirstSentAgoUS > 0 {
+		r.PriorSentAt = max(now-us(a.FirstSentAgoUS-1)-l.peer.OneWayDelay(), 1)
 	}
 	q := s.query(r, false)
 	l.peer.asked += q.Work
@@ -437,8 +437,8 @@
 	s.core.Accept(r)
 }
 
-// Cancelled takes that the other site gave a request up.
-func (l *Link) Cancelled(stream uint32) {
+// HandleCancel takes that the other site gave a request up.
+func (l *Link) HandleCancel(stream uint32) {
 	if f := l.theirs[stream]; f != nil {
 		delete(l.theirs, stream)
 		l.s.stats.Add("site.cancelled." + f.r.Class)
@@ -453,28 +453,28 @@
 		return
 	}
 	delete(l.theirs, f.stream)
-	h := message.Answer{
-		Verdict: uint8(a.Verdict), Ran: r.MayHaveRunHere(), Sends: min(r.SendCount(), message.MostSends), ComeBack: a.RetryAfter.Microseconds(), Late: a.DeadlinePassed,
+	h := message.Response{
+		Verdict: uint8(a.Verdict), MayHaveRun: r.MayHaveRunHere(), SendCount: min(r.SendCount(), message.MaxSends), RetryAfterUS: a.RetryAfter.Microseconds(), DeadlinePassed: a.DeadlinePassed,
 	}
 	var body []byte
 	if a.Verdict == core.Served {
 		var err error
-		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > message.MostBody {
+		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > message.MaxBodySize {
 			s.stats.Add("site.unwritable")
 			h.Verdict, body = uint8(core.Failed), nil
 		}
 	} else if a.EngineError != nil {
 		body = s.opts.Codec.Detail(a.EngineError)
-		h.Detail = len(body) > 0
+		h.IsError = len(body) > 0
 	}
 	if l.packs {
-		body, h.Raw = s.packer.Pack(body)
+		body, h.UncompressedSize = s.packer.Pack(body)
 	}
 	l.answer(f.stream, h, body)
 }
 
-func (l *Link) answer(stream uint32, h message.Answer, body []byte) {
-	if err := l.mux.Answer(stream, h, body); err != nil {
+func (l *Link) answer(stream uint32, h message.Response, body []byte) {
+	if err := l.mux.Respond(stream, h, body); err != nil {
 		l.t.Close(err)
 	}
 }
--- a/internal/site/forwarding/pack.go
+++ b/internal/site/forwarding/pack.go
@@ -30,7 +30,7 @@
 func NewPacker() (p Packer, err error) {
 	p.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(packWindow), zstd.WithLowerEncoderMem(true))
 	if err == nil {
-		p.dec, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(message.MostBody), zstd.WithDecoderMaxWindow(packWindow), zstd.WithDecoderLowmem(true))
+		p.dec, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(message.MaxBodySize), zstd.WithDecoderMaxWindow(packWindow), zstd.WithDecoderLowmem(true))
 	}
 	if err != nil {
 		return Packer{}, fmt.Errorf("zstd: %w", err)
--- a/internal/site/forwarding/pack_test.go
+++ b/internal/site/forwarding/pack_test.go
@@ -40,13 +40,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bomb := enc.EncodeAll(make([]byte, message.MostBody+1), nil)
+	bomb := enc.EncodeAll(make([]byte, message.MaxBodySize+1), nil)
 	for name, tt := range map[string]struct {
 		b   []byte
 		raw int
 	}{
 		"longer than said": {body, raw - 1}, "shorter": {body, raw + 1}, "cut": {body[:len(body)-1], raw}, "no zstd": {rows, raw}, "nothing": {nil, raw},
-		"a bomb that says so": {bomb, message.MostBody + 1}, "a bomb": {bomb, 1000},
+		"a bomb that says so": {bomb, message.MaxBodySize + 1}, "a bomb": {bomb, 1000},
 	} {
 		if _, err := p.Unpack(tt.b, tt.raw); !errors.Is(err, errPacked) {
 			t.Errorf("%s: %v", name, err)
--- a/internal/site/frame/fixture_test.go
+++ b/internal/site/frame/fixture_test.go
@@ -13,18 +13,18 @@
 // the link's packages were reworked.
 func fixtureFrames() []Frame {
 	return []Frame{
-		{Kind: Greet, Value: Version, Body: []byte("\xa1\x01\x61x")},
-		{Kind: Ask, Stream: 1, Body: []byte("an ask")},
+		{Kind: Hello, Value: Version, Body: []byte("\xa1\x01\x61x")},
+		{Kind: Request, Stream: 1, Body: []byte("an ask")},
 		{Kind: Data, Stream: 1, Body: []byte("SELECT ")},
 		{Kind: Data, Stream: 1, Value: 1, Body: []byte("1")},
-		{Kind: Answer, Stream: 0xfffffffe, Body: []byte("an answer")},
+		{Kind: Response, Stream: 0xfffffffe, Body: []byte("an answer")},
 		{Kind: Cancel, Stream: 3},
 		{Kind: Credit, Stream: 3, Value: 1 << 20},
-		{Kind: Digest, Value: 7, Body: []byte("a digest")},
+		{Kind: LoadReport, Value: 7, Body: []byte("a digest")},
 		{Kind: Ping, Value: 0xdeadbeef},
 		{Kind: Pong, Value: 0xdeadbeef},
-		{Kind: Leave},
-		{Kind: Keys, Body: []byte("keys")},
+		{Kind: GoAway},
+		{Kind: SentKeys, Body: []byte("keys")},
 	}
 }
 
--- a/internal/site/frame/frame.go
+++ b/internal/site/frame/frame.go
@@ -24,8 +24,8 @@
 
 // Bounds.
 const (
-	HeadLen  = 12
-	MostBody = 64 << 10 // of any frame; more comes as several
+	HeaderSize  = 12
+	MaxBodySize = 64 << 10 // of any frame; more comes as several
 )
 
 // Kind is the kind of a frame.
@@ -33,17 +33,17 @@
 
 // Kinds. What value says stands behind each.
 const (
-	Greet  Kind = iota + 1 // version; the body is CBOR: who speaks
-	Ask                    // 0; the body is CBOR: a query without its statement
-	Data                   // 1 where it is the stream's last from this side; the body is raw
-	Answer                 // 0; the body is CBOR: how it ended; Data follows where there are rows
-	Cancel                 // 0; the asker gives the stream up
-	Credit                 // bytes of Data that may be sent more
-	Digest                 // number of the digest; the body is CBOR: room by class
-	Ping                   // number; Pong has the same
-	Pong                   //
-	Leave                  // 0; whoever sends it wants new streams on another link
-	Keys                   // 0; the body is CBOR: keys that were sent to engines
+	Hello      Kind = iota + 1 // version; the body is CBOR: who speaks
+	Request                    // 0; the body is CBOR: a query without its statement
+	Data                       // 1 where it is the stream's last from this side; the body is raw
+	Response                   // 0; the body is CBOR: how it ended; Data follows where there are rows
+	Cancel                     // 0; the asker gives the stream up
+	Credit                     // bytes of Data that may be sent more
+	LoadReport                 // number of the digest; the body is CBOR: room by class
+	Ping                       // number; Pong has the same
+	Pong                       //
+	GoAway                     // 0; whoever sends it wants new streams on another link
+	SentKeys                   // 0; the body is CBOR: keys that were sent to engines
 	kinds
 )
 
@@ -74,7 +74,7 @@
 // Append writes a frame. A body over MostBody is the caller's mistake and panics: what is
 // longer is cut into several Data by whoever sends it.
 func Append(b []byte, f Frame) []byte {
-	if len(f.Body) > MostBody {
+	if len(f.Body) > MaxBodySize {
 		panic(fmt.Sprintf("site link: a body of %d bytes", len(f.Body)))
 	}
 	b = append(b, byte(len(f.Body)>>16), byte(len(f.Body)>>8), byte(len(f.Body)), byte(f.Kind))
@@ -94,27 +94,27 @@
 	switch {
 	case f.Kind == 0 || f.Kind >= kinds:
 		return f, 0, fmt.Errorf("%w: %d", ErrKind, b[3])
-	case length > MostBody:
+	case length > MaxBodySize:
 		return f, 0, fmt.Errorf("%w: %v of %d bytes", ErrLength, f.Kind, length)
 	}
-	if len(b) < HeadLen {
+	if len(b) < HeaderSize {
 		return f, 0, nil
 	}
 	f.Stream, f.Value = binary.BigEndian.Uint32(b[4:]), binary.BigEndian.Uint32(b[8:])
 	if err := f.check(length); err != nil {
 		return f, 0, err
 	}
-	if len(b) < HeadLen+length {
+	if len(b) < HeaderSize+length {
 		return f, 0, nil
 	}
-	f.Body = b[HeadLen : HeadLen+length]
-	return f, HeadLen + length, nil
+	f.Body = b[HeaderSize : HeaderSize+length]
+	return f, HeaderSize + length, nil
 }
 
 // check tells whether a frame has what its kind needs, and nothing more.
 func (f *Frame) check(length int) error {
 	bad := func(what string) error { return fmt.Errorf("%w: %v: %s", ErrForm, f.Kind, what) }
-	link := f.Kind == Greet || f.Kind == Digest || f.Kind == Ping || f.Kind == Pong || f.Kind == Leave || f.Kind == Keys
+	link := f.Kind == Hello || f.Kind == LoadReport || f.Kind == Ping || f.Kind == Pong || f.Kind == GoAway || f.Kind == SentKeys
 	switch {
 	case link && f.Stream != 0:
 		return bad("it belongs to no stream")
@@ -122,7 +122,7 @@
 		return bad("it needs a stream")
 	}
 	switch f.Kind {
-	case Greet, Ask, Answer, Digest, Keys:
+	case Hello, Request, Response, LoadReport, SentKeys:
 		if length == 0 {
 			return bad("it has no body")
 		}
@@ -136,12 +136,12 @@
 		if f.Value == 0 {
 			return bad("it gives nothing")
 		}
-	case Leave, Ask, Answer, Keys, Cancel:
+	case GoAway, Request, Response, SentKeys, Cancel:
 		if f.Value != 0 {
 			return bad("its value is 0")
 		}
 	}
-	if length > 0 && (f.Kind == Cancel || f.Kind == Credit || f.Kind == Ping || f.Kind == Pong || f.Kind == Leave) {
+	if length > 0 && (f.Kind == Cancel || f.Kind == Credit || f.Kind == Ping || f.Kind == Pong || f.Kind == GoAway) {
 		return bad("it has a body")
 	}
 	return nil
--- a/internal/site/frame/frame_test.go
+++ b/internal/site/frame/frame_test.go
@@ -11,10 +11,10 @@
 // Frames come back as they were written, byte by byte as well as at once.
 func TestFrames(t *testing.T) {
 	all := []Frame{
-		{Kind: Greet, Value: Version, Body: []byte{0xa0}}, {Kind: Ask, Stream: 1, Body: []byte("head")},
-		{Kind: Data, Stream: 1, Value: 1, Body: bytes.Repeat([]byte("x"), MostBody)}, {Kind: Data, Stream: 1, Body: []byte{}},
-		{Kind: Answer, Stream: 1, Body: []byte("end")}, {Kind: Cancel, Stream: 3}, {Kind: Credit, Stream: 3, Value: 1 << 20},
-		{Kind: Digest, Value: 7, Body: []byte{0xa0}}, {Kind: Ping, Value: 9}, {Kind: Pong, Value: 9}, {Kind: Leave}, {Kind: Keys, Body: []byte{0xa0}},
+		{Kind: Hello, Value: Version, Body: []byte{0xa0}}, {Kind: Request, Stream: 1, Body: []byte("head")},
+		{Kind: Data, Stream: 1, Value: 1, Body: bytes.Repeat([]byte("x"), MaxBodySize)}, {Kind: Data, Stream: 1, Body: []byte{}},
+		{Kind: Response, Stream: 1, Body: []byte("end")}, {Kind: Cancel, Stream: 3}, {Kind: Credit, Stream: 3, Value: 1 << 20},
+		{Kind: LoadReport, Value: 7, Body: []byte{0xa0}}, {Kind: Ping, Value: 9}, {Kind: Pong, Value: 9}, {Kind: GoAway}, {Kind: SentKeys, Body: []byte{0xa0}},
 	}
 	var b []byte
 	for _, f := range all {
@@ -65,7 +65,7 @@
 
 // Any bytes give frames that write themselves back, an error, or the wish for more.
 func FuzzNext(f *testing.F) {
-	f.Add(Append(nil, Frame{Kind: Ask, Stream: 1, Body: []byte("head")}))
+	f.Add(Append(nil, Frame{Kind: Request, Stream: 1, Body: []byte("head")}))
 	f.Add([]byte("\x00\x00\x00\x0a\x00\x00\x00\x00\x00\x00\x00\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, n, err := Next(b)
--- a/internal/site/link/link.go
+++ b/internal/site/link/link.go
@@ -354,7 +354,7 @@
 		return
 	}
 	rest := b[n:]
-	if len(rest) > frame.HeadLen+frame.MostBody { // Input would have read it
+	if len(rest) > frame.HeaderSize+frame.MaxBodySize { // Input would have read it
 		c.Close(fmt.Errorf("%w: %d bytes", frame.ErrLength, len(rest)))
 		return
 	}
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -212,23 +212,23 @@
 			t.Error(err)
 		}
 	})
-	greet := func(version uint32, g message.Greet) []byte {
+	greet := func(version uint32, g message.Hello) []byte {
 		enc, err := message.Append(nil, &g)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return frame.Append(nil, frame.Frame{Kind: frame.Greet, Value: version, Body: enc})
+		return frame.Append(nil, frame.Frame{Kind: frame.Hello, Value: version, Body: enc})
 	}
-	good := greet(frame.Version, message.Greet{Site: "a", Gateway: "near", Form: "texts"})
+	good := greet(frame.Version, message.Hello{Site: "a", Gateway: "near", Format: "texts"})
 	var endless []byte
-	enc, err := message.Append(nil, &message.Ask{ID: "i", Class: "lookup", Effect: 2, Left: 1e6, Sends: 1, Size: message.MostBody})
+	enc, err := message.Append(nil, &message.Request{ID: "i", Class: "lookup", Idempotency: 2, RemainingUS: 1e6, MaxSends: 1, Size: message.MaxBodySize})
 	if err != nil {
 		t.Fatal(err)
 	}
 	endless = append(endless, good...)
-	endless = frame.Append(endless, frame.Frame{Kind: frame.Ask, Stream: 1, Body: enc})
+	endless = frame.Append(endless, frame.Frame{Kind: frame.Request, Stream: 1, Body: enc})
 	for range 300 {
-		endless = frame.Append(endless, frame.Frame{Kind: frame.Data, Stream: 1, Body: make([]byte, frame.MostBody)})
+		endless = frame.Append(endless, frame.Frame{Kind: frame.Data, Stream: 1, Body: make([]byte, frame.MaxBodySize)})
 	}
 	for name, tt := range map[string]struct {
 		keys string // file of the certificate; "": none
@@ -242,9 +242,9 @@
 		"another authority's": {"forged", "ringwood-site/1", nil},
 		"no peer":             {"stranger", "ringwood-site/1", nil},
 		"another protocol":    {"good", "h2", nil},
-		"another version":     {"good", "ringwood-site/1", greet(2, message.Greet{Site: "a", Gateway: "near", Form: "texts"})},
-		"another name":        {"good", "ringwood-site/1", greet(frame.Version, message.Greet{Site: "a", Gateway: "other", Form: "texts"})},
-		"another form":        {"good", "ringwood-site/1", greet(frame.Version, message.Greet{Site: "a", Gateway: "near", Form: "postgres"})},
+		"another version":     {"good", "ringwood-site/1", greet(2, message.Hello{Site: "a", Gateway: "near", Format: "texts"})},
+		"another name":        {"good", "ringwood-site/1", greet(frame.Version, message.Hello{Site: "a", Gateway: "other", Format: "texts"})},
+		"another form":        {"good", "ringwood-site/1", greet(frame.Version, message.Hello{Site: "a", Gateway: "near", Format: "postgres"})},
 		"garbage":             {"good", "ringwood-site/1", []byte(strings.Repeat("\xff", 1000))},
 		"without end":         {"good", "ringwood-site/1", endless},
 	} {
--- a/internal/site/message/fixture_test.go
+++ b/internal/site/message/fixture_test.go
@@ -10,16 +10,16 @@
 
 // fixtures are the messages behind the files under testdata, which were written by the code
 // before the link's packages were reworked.
-func fixtures() map[string]Head {
-	return map[string]Head{
-		"greet":         &Greet{Site: "lalitpur", Gateway: "lalitpur-1", Start: 1<<60 + 5, Form: "lines", Zstd: true},
-		"ask":           &Ask{ID: "0123456789abcdef", Class: "load", Effect: 1, Key: "k-7", Group: -3, Left: 1_500_001, Work: 250_002, MB: 1.5, Repeat: true, Sends: 2, Before: 3, Size: 4096, Raw: 9000},
-		"ask-least":     &Ask{ID: "a", Class: "lookup", Effect: 2, Left: 1, Sends: 1, Size: 1},
-		"answer-served": &Answer{Verdict: 2, Ran: true, Sends: 1, Work: 7, Size: 4, Raw: 9},
-		"answer-refuse": &Answer{Verdict: 1, Sends: 3, ComeBack: 2_000_000, Late: true},
-		"answer-failed": &Answer{Verdict: 0, Ran: true, Sends: 1, Size: 12, Detail: true},
-		"digest":        &Digest{Room: map[string]float64{"lookup": 1, "report": 0.25, "load": 0}, Takes: 3.5, Drains: true},
-		"keys":          &Keys{Sent: []Key{{"k-1", 0}, {"k-2", 86_000_000_000}}},
+func fixtures() map[string]Message {
+	return map[string]Message{
+		"greet":         &Hello{Site: "lalitpur", Gateway: "lalitpur-1", Incarnation: 1<<60 + 5, Format: "lines", AcceptsZstd: true},
+		"ask":           &Request{ID: "0123456789abcdef", Class: "load", Idempotency: 1, IdempotencyKey: "k-7", DataSet: -3, RemainingUS: 1_500_001, WorkUS: 250_002, MemoryMB: 1.5, ClientRetry: true, MaxSends: 2, FirstSentAgoUS: 3, Size: 4096, UncompressedSize: 9000},
+		"ask-least":     &Request{ID: "a", Class: "lookup", Idempotency: 2, RemainingUS: 1, MaxSends: 1, Size: 1},
+		"answer-served": &Response{Verdict: 2, MayHaveRun: true, SendCount: 1, WorkUS: 7, Size: 4, UncompressedSize: 9},
+		"answer-refuse": &Response{Verdict: 1, SendCount: 3, RetryAfterUS: 2_000_000, DeadlinePassed: true},
+		"answer-failed": &Response{Verdict: 0, MayHaveRun: true, SendCount: 1, Size: 12, IsError: true},
+		"digest":        &LoadReport{FreeCapacity: map[string]float64{"lookup": 1, "report": 0.25, "load": 0}, AvailableCores: 3.5, Draining: true},
+		"keys":          &SentKeys{Keys: []SentKey{{"k-1", 0}, {"k-2", 86_000_000_000}}},
 	}
 }
 
@@ -34,7 +34,7 @@
 			}
 			fresh := kinds[place(want)]
 			got := fresh()
-			if err := Read(raw, got); err != nil {
+			if err := Decode(raw, got); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(want, got); diff != "" {
@@ -45,14 +45,14 @@
 				t.Errorf("encoded = %x, %v, want %x", again, err, raw)
 			}
 			for n := range raw {
-				if Read(raw[:n], fresh()) == nil {
+				if Decode(raw[:n], fresh()) == nil {
 					t.Errorf("cut at %d of %d bytes: not refused", n, len(raw))
 				}
 				for bit := range 8 {
 					damaged := bytes.Clone(raw)
 					damaged[n] ^= 1 << bit
 					h := fresh()
-					if Read(damaged, h) != nil {
+					if Decode(damaged, h) != nil {
 						continue
 					}
 					if err := h.check(); err != nil {
--- a/internal/site/message/head.go
+++ b/internal/site/message/head.go
@@ -14,84 +14,84 @@
 
 // Bounds.
 const (
-	MostName    = 64       // bytes of a name, a class, an id or a key
-	MostClasses = 64       // in a digest
-	MostKeys    = 512      // in one Keys
-	MostBody    = 16 << 20 // bytes of a statement or of an answer's rows
-	MostSends   = 64
-	mostUS      = 24 * 3600 * 1_000_000
-	mostWork    = 1e9 // s or MB
+	MaxNameLength   = 64       // bytes of a name, a class, an id or a key
+	MaxClasses      = 64       // in a digest
+	MaxKeys         = 512      // in one Keys
+	MaxBodySize     = 16 << 20 // bytes of a statement or of an answer's rows
+	MaxSends        = 64
+	maxMicroseconds = 24 * 3600 * 1_000_000
+	maxAmount       = 1e9 // s or MB
 )
 
-// Greet is the first frame of each side.
-type Greet struct {
+// Hello is the first frame of each side.
+type Hello struct {
 	Site    string `cbor:"1,keyasint"`
 	Gateway string `cbor:"2,keyasint"`
-	// Start tells one life of a gateway from the next: a number that is drawn at its start.
-	Start uint64 `cbor:"3,keyasint"`
-	Form  string `cbor:"4,keyasint"` // of statements and rows: lines or postgres
-	Zstd  bool   `cbor:"5,keyasint"` // it reads packed bodies
-}
-
-// Ask is a query without its statement, which follows as Data.
-type Ask struct {
-	ID     string  `cbor:"1,keyasint"` // the client's
-	Class  string  `cbor:"2,keyasint"`
-	Effect uint8   `cbor:"3,keyasint"` // 0 runs once at most, 1 keyed, 2 safe; the other side must agree
-	Key    string  `cbor:"4,keyasint,omitempty"`
-	Group  int64   `cbor:"5,keyasint,omitempty"`
-	Left   int64   `cbor:"6,keyasint"` // µs that the other side has, the way back taken off
-	Work   int64   `cbor:"7,keyasint,omitempty"`
-	MB     float64 `cbor:"8,keyasint,omitempty"`
-	Repeat bool    `cbor:"9,keyasint,omitempty"`
-	Sends  int     `cbor:"10,keyasint"`           // that the other side may make, 1 to MostSends
-	Before int64   `cbor:"11,keyasint,omitempty"` // µs since the first send anywhere that may have run, and 1; 0: none may have
-	Size   int     `cbor:"12,keyasint"`           // of Data that follows, in bytes
-	Raw    int     `cbor:"13,keyasint,omitempty"` // of that unpacked; 0: it is not packed
-}
-
-// Answer is how a query ended. Its rows or its error follow as Data.
-type Answer struct {
-	Verdict  uint8 `cbor:"1,keyasint"`           // 0 failed, 1 refused, 2 served
-	Ran      bool  `cbor:"2,keyasint,omitempty"` // an engine was sent it; false: proof that none was
-	Sends    int   `cbor:"3,keyasint,omitempty"`
-	ComeBack int64 `cbor:"4,keyasint,omitempty"` // µs, with refused
-	Late     bool  `cbor:"5,keyasint,omitempty"`
-	Work     int64 `cbor:"6,keyasint,omitempty"` // µs that it needed
-	Size     int   `cbor:"7,keyasint,omitempty"`
-	Raw      int   `cbor:"8,keyasint,omitempty"`
-	Detail   bool  `cbor:"9,keyasint,omitempty"` // the body is an error's
-}
-
-// Digest is what a gateway says of itself.
-type Digest struct {
-	Room   map[string]float64 `cbor:"1,keyasint"` // by class, 0 to 1
-	Takes  float64            `cbor:"2,keyasint"` // s of one core, until the next word
-	Drains bool               `cbor:"3,keyasint,omitempty"`
-}
-
-// Key is that a key was sent to an engine, so many µs ago.
-type Key struct {
-	Key string `cbor:"1,keyasint"`
-	Ago int64  `cbor:"2,keyasint"`
-}
-
-// Keys are keys that were sent to engines since the last Keys.
-type Keys struct {
-	Sent []Key `cbor:"1,keyasint"`
+	// Incarnation tells one life of a gateway from the next: a number that is drawn at its start.
+	Incarnation uint64 `cbor:"3,keyasint"`
+	Format      string `cbor:"4,keyasint"` // of statements and rows: lines or postgres
+	AcceptsZstd bool   `cbor:"5,keyasint"` // it reads packed bodies
+}
+
+// Request is a query without its statement, which follows as Data.
+type Request struct {
+	ID               string  `cbor:"1,keyasint"` // the client's
+	Class            string  `cbor:"2,keyasint"`
+	Idempotency      uint8   `cbor:"3,keyasint"` // 0 runs once at most, 1 keyed, 2 safe; the other side must agree
+	IdempotencyKey   string  `cbor:"4,keyasint,omitempty"`
+	DataSet          int64   `cbor:"5,keyasint,omitempty"`
+	RemainingUS      int64   `cbor:"6,keyasint"` // µs that the other side has, the way back taken off
+	WorkUS           int64   `cbor:"7,keyasint,omitempty"`
+	MemoryMB         float64 `cbor:"8,keyasint,omitempty"`
+	ClientRetry      bool    `cbor:"9,keyasint,omitempty"`
+	MaxSends         int     `cbor:"10,keyasint"`           // that the other side may make, 1 to MostSends
+	FirstSentAgoUS   int64   `cbor:"11,keyasint,omitempty"` // µs since the first send anywhere that may have run, and 1; 0: none may have
+	Size             int     `cbor:"12,keyasint"`           // of Data that follows, in bytes
+	UncompressedSize int     `cbor:"13,keyasint,omitempty"` // of that unpacked; 0: it is not packed
+}
+
+// Response is how a query ended. Its rows or its error follow as Data.
+type Response struct {
+	Verdict          uint8 `cbor:"1,keyasint"`           // 0 failed, 1 refused, 2 served
+	MayHaveRun       bool  `cbor:"2,keyasint,omitempty"` // an engine was sent it; false: proof that none was
+	SendCount        int   `cbor:"3,keyasint,omitempty"`
+	RetryAfterUS     int64 `cbor:"4,keyasint,omitempty"` // µs, with refused
+	DeadlinePassed   bool  `cbor:"5,keyasint,omitempty"`
+	WorkUS           int64 `cbor:"6,keyasint,omitempty"` // µs that it needed
+	Size             int   `cbor:"7,keyasint,omitempty"`
+	UncompressedSize int   `cbor:"8,keyasint,omitempty"`
+	IsError          bool  `cbor:"9,keyasint,omitempty"` // the body is an error's
+}
+
+// LoadReport is what a gateway says of itself.
+type LoadReport struct {
+	FreeCapacity   map[string]float64 `cbor:"1,keyasint"` // by class, 0 to 1
+	AvailableCores float64            `cbor:"2,keyasint"` // s of one core, until the next word
+	Draining       bool               `cbor:"3,keyasint,omitempty"`
+}
+
+// SentKey is that a key was sent to an engine, so many µs ago.
+type SentKey struct {
+	Key   string `cbor:"1,keyasint"`
+	AgoUS int64  `cbor:"2,keyasint"`
+}
+
+// SentKeys are keys that were sent to engines since the last SentKeys.
+type SentKeys struct {
+	Keys []SentKey `cbor:"1,keyasint"`
 }
 
 // ErrBounds is a field out of its bounds.
 var ErrBounds = errors.New("site link: out of bounds")
 
-// Head is what a frame says.
-type Head interface{ check() error }
+// Message is what a frame says.
+type Message interface{ check() error }
 
 var (
 	writer = must(cbor.EncOptions{Sort: cbor.SortCoreDeterministic}.EncMode())
 	reader = must(cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: MostKeys, MaxMapPairs: MostClasses, UTF8: cbor.UTF8RejectInvalid,
+		TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: MaxKeys, MaxMapPairs: MaxClasses, UTF8: cbor.UTF8RejectInvalid,
 	}.DecMode())
 )
 
@@ -112,8 +112,8 @@
 	return append(b, enc...), nil
 }
 
-// Read reads a head, whole and within its bounds.
-func Read(b []byte, h Head) error {
+// Decode reads a head, whole and within its bounds.
+func Decode(b []byte, h Message) error {
 	if err := reader.Unmarshal(b, h); err != nil {
 		return fmt.Errorf("site link: a head can't be read: %w", err)
 	}
@@ -123,7 +123,7 @@
 func bad(what string) error { return fmt.Errorf("%w: %s", ErrBounds, what) }
 
 func name(s string) bool {
-	if s == "" || len(s) > MostName || !utf8.ValidString(s) {
+	if s == "" || len(s) > MaxNameLength || !utf8.ValidString(s) {
 		return false
 	}
 	for _, c := range s {
@@ -135,55 +135,55 @@
 }
 
 func body(size, raw int) bool {
-	return size >= 0 && size <= MostBody && (raw == 0 || raw > 0 && raw <= MostBody && size > 0)
+	return size >= 0 && size <= MaxBodySize && (raw == 0 || raw > 0 && raw <= MaxBodySize && size > 0)
 }
 
-func (g *Greet) check() error {
-	if !name(g.Site) || !name(g.Gateway) || !name(g.Form) {
+func (g *Hello) check() error {
+	if !name(g.Site) || !name(g.Gateway) || !name(g.Format) {
 		return bad("greet: a name")
 	}
 	return nil
 }
 
-func (a *Ask) check() error {
+func (a *Request) check() error {
 	switch {
-	case !name(a.ID) || !name(a.Class) || a.Key != "" && !name(a.Key):
+	case !name(a.ID) || !name(a.Class) || a.IdempotencyKey != "" && !name(a.IdempotencyKey):
 		return bad("ask: a name")
-	case a.Effect > 2:
+	case a.Idempotency > 2:
 		return bad("ask: effect")
-	case a.Left < 0 || a.Left > mostUS || a.Before < 0 || a.Before > mostUS || a.Work < 0 || a.Work > mostUS:
+	case a.RemainingUS < 0 || a.RemainingUS > maxMicroseconds || a.FirstSentAgoUS < 0 || a.FirstSentAgoUS > maxMicroseconds || a.WorkUS < 0 || a.WorkUS > maxMicroseconds:
 		return bad("ask: a time")
-	case !(a.MB >= 0) || a.MB > mostWork:
+	case !(a.MemoryMB >= 0) || a.MemoryMB > maxAmount:
 		return bad("ask: memory")
-	case a.Sends < 1 || a.Sends > MostSends:
+	case a.MaxSends < 1 || a.MaxSends > MaxSends:
 		return bad("ask: sends")
-	case !body(a.Size, a.Raw) || a.Size == 0:
+	case !body(a.Size, a.UncompressedSize) || a.Size == 0:
 		return bad("ask: size")
 	}
 	return nil
 }
 
-func (a *Answer) check() error {
+func (a *Response) check() error {
 	switch {
 	case a.Verdict > 2:
 		return bad("answer: verdict")
-	case a.Sends < 0 || a.Sends > MostSends:
+	case a.SendCount < 0 || a.SendCount > MaxSends:
 		return bad("answer: sends")
-	case a.ComeBack < 0 || a.ComeBack > mostUS || a.Work < 0 || a.Work > mostUS:
+	case a.RetryAfterUS < 0 || a.RetryAfterUS > maxMicroseconds || a.WorkUS < 0 || a.WorkUS > maxMicroseconds:
 		return bad("answer: a time")
-	case !body(a.Size, a.Raw):
+	case !body(a.Size, a.UncompressedSize):
 		return bad("answer: size")
-	case a.Verdict == 2 && (a.Detail || !a.Ran):
+	case a.Verdict == 2 && (a.IsError || !a.MayHaveRun):
 		return bad("answer: served without having run")
 	}
 	return nil
 }
 
-func (d *Digest) check() error {
-	if !(d.Takes >= 0) || d.Takes > mostWork || len(d.Room) > MostClasses {
+func (d *LoadReport) check() error {
+	if !(d.AvailableCores >= 0) || d.AvailableCores > maxAmount || len(d.FreeCapacity) > MaxClasses {
 		return bad("digest: takes")
 	}
-	for class, room := range d.Room {
+	for class, room := range d.FreeCapacity {
 		if !name(class) || !(room >= 0) || room > 1 || math.IsNaN(room) {
 			return bad("digest: room")
 		}
@@ -191,12 +191,12 @@
 	return nil
 }
 
-func (k *Keys) check() error {
-	if len(k.Sent) > MostKeys {
+func (k *SentKeys) check() error {
+	if len(k.Keys) > MaxKeys {
 		return bad("keys: too many")
 	}
-	for _, s := range k.Sent {
-		if !name(s.Key) || s.Ago < 0 || s.Ago > mostUS {
+	for _, s := range k.Keys {
+		if !name(s.Key) || s.AgoUS < 0 || s.AgoUS > maxMicroseconds {
 			return bad("keys: a key")
 		}
 	}
--- a/internal/site/mux/mux.go
+++ b/internal/site/mux/mux.go
@@ -15,42 +15,42 @@
 
 // Config bounds an end.
 type Config struct {
-	Dialled bool // this side dialled: its streams have odd numbers
-	Greet   message.Greet
-	Window  int // bytes of Data that may come on a stream before this side gives more; 0: Window
-	Streams int // that the other side may have open at once; 0: Streams
-	Held    int // bytes of unfinished bodies that are held for the other side; 0: Held
+	Dialled      bool // this side dialled: its streams have odd numbers
+	Hello        message.Hello
+	Window       int // bytes of Data that may come on a stream before this side gives more; 0: Window
+	MaxStreams   int // that the other side may have open at once; 0: Streams
+	MaxHeldBytes int // bytes of unfinished bodies that are held for the other side; 0: Held
 }
 
 // Usual bounds.
 const (
-	Window  = 64 << 10
-	Streams = 16 << 10
-	Held    = 32 << 20
+	DefaultWindow       = 64 << 10
+	DefaultMaxStreams   = 16 << 10
+	DefaultMaxHeldBytes = 32 << 20
 	// piece is how much of one body goes out before the next stream has its turn.
 	piece = 16 << 10
 )
 
 // Handler hears of what comes. It may call the link from within.
 type Handler interface {
-	// Greeted is the first call.
-	Greeted(g message.Greet) error
-	// Asked tells of a query with its whole statement. Answer or AbortAsked follows, unless
+	// HandleHello is the first call.
+	HandleHello(g message.Hello) error
+	// HandleRequest tells of a query with its whole statement. Answer or AbortAsked follows, unless
 	// Cancelled comes first.
-	Asked(stream uint32, a message.Ask, statement []byte)
-	// Answered is the end of a stream that Ask opened.
-	Answered(stream uint32, a message.Answer, body []byte)
-	// Cancelled tells that the other side gave up a stream that it had opened.
-	Cancelled(stream uint32)
-	Digest(d message.Digest)
-	Keys(k message.Keys)
-	// Ponged tells that a ping of that number has come back.
-	Ponged(number uint32)
-	// Leaves tells that the other side wants new streams on another link.
-	Leaves()
-	// Ready tells that there is something to Pull, where there was nothing. It is not called from
+	HandleRequest(stream uint32, a message.Request, statement []byte)
+	// HandleResponse is the end of a stream that Ask opened.
+	HandleResponse(stream uint32, a message.Response, body []byte)
+	// HandleCancel tells that the other side gave up a stream that it had opened.
+	HandleCancel(stream uint32)
+	HandleLoadReport(d message.LoadReport)
+	HandleSentKeys(k message.SentKeys)
+	// HandlePong tells that a ping of that number has come back.
+	HandlePong(number uint32)
+	// HandleGoAway tells that the other side wants new streams on another link.
+	HandleGoAway()
+	// OutputReady tells that there is something to Pull, where there was nothing. It is not called from
 	// within Pull: ask Waiting behind it.
-	Ready()
+	OutputReady()
 }
 
 // Errors of the other side, all of them wrapped with what was wrong. The link is closed on one.
@@ -76,8 +76,8 @@
 	held    int    // bytes of bodies that have come in part, or may without more credit
 	short   []*stream
 	first   *stream // goes on past the bound, so that one always ends
-	// Late counts what came for streams that this side had given up.
-	Late int
+	// LateFrames counts what came for streams that this side had given up.
+	LateFrames int
 }
 
 type stream struct {
@@ -88,8 +88,8 @@
 	ringed bool // in Link.ring
 	last   bool // nothing more comes from this side behind out
 	// What comes in:
-	ask    *message.Ask
-	answer *message.Answer
+	ask    *message.Request
+	answer *message.Response
 	in     []byte
 	wanted int // of in, as the head said
 	given  int // credit that is with the other side
@@ -101,46 +101,46 @@
 // New returns an end whose greeting waits to be pulled.
 func New(cfg Config, h Handler) (*Link, error) {
 	if cfg.Window <= 0 {
-		cfg.Window = Window
+		cfg.Window = DefaultWindow
 	}
-	if cfg.Streams <= 0 {
-		cfg.Streams = Streams
+	if cfg.MaxStreams <= 0 {
+		cfg.MaxStreams = DefaultMaxStreams
 	}
-	if cfg.Held <= 0 {
-		cfg.Held = Held
+	if cfg.MaxHeldBytes <= 0 {
+		cfg.MaxHeldBytes = DefaultMaxHeldBytes
 	}
 	l := &Link{cfg: cfg, h: h, streams: map[uint32]*stream{}, next: 2}
 	if cfg.Dialled {
 		l.next = 1
 	}
-	enc, err := message.Append(nil, &cfg.Greet)
+	enc, err := message.Append(nil, &cfg.Hello)
 	if err != nil {
 		return nil, err
 	}
-	l.control = frame.Append(nil, frame.Frame{Kind: frame.Greet, Value: frame.Version, Body: enc})
+	l.control = frame.Append(nil, frame.Frame{Kind: frame.Hello, Value: frame.Version, Body: enc})
 	return l, nil
 }
 
-// Open is the number of open streams.
-func (l *Link) Open() int { return len(l.streams) }
+// OpenStreams is the number of open streams.
+func (l *Link) OpenStreams() int { return len(l.streams) }
 
-// Held is how many bytes of bodies have come in part, or may come as it stands.
-func (l *Link) Held() int { return l.held }
+// HeldBytes is how many bytes of bodies have come in part, or may come as it stands.
+func (l *Link) HeldBytes() int { return l.held }
 
-// Left tells whether the other side wants new streams on another link.
-func (l *Link) Left() bool { return l.left }
+// PeerGoingAway tells whether the other side wants new streams on another link.
+func (l *Link) PeerGoingAway() bool { return l.left }
 
 func (l *Link) put(f frame.Frame) {
-	first := !l.pulling && !l.Waiting()
+	first := !l.pulling && !l.HasOutput()
 	l.control = frame.Append(l.control, f)
 	if first {
-		l.h.Ready()
+		l.h.OutputReady()
 	}
 }
 
 func (l *Link) say(k frame.Kind, stream uint32, h any) error {
 	enc, err := message.Append(nil, h)
-	if err == nil && len(enc) > frame.MostBody {
+	if err == nil && len(enc) > frame.MaxBodySize {
 		err = fmt.Errorf("site link: a head of %d bytes", len(enc))
 	}
 	if err != nil {
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// Waiting tells whether there is something to Pull.
-func (l *Link) Waiting() bool { return len(l.control) > 0 || len(l.ring) > 0 }
+// HasOutput tells whether there is something to Pull.
+func (l *Link) HasOutput() bool { return len(l.control) > 0 || len(l.ring) > 0 }
 
 // Pull appends about so many bytes to go out: first all that is no body, then bodies within
 // their credit, a piece of each stream in turn.
@@ -173,7 +173,7 @@
 			f.Value, s.last = 1, true
 		}
 		b = frame.Append(b, f)
-		about -= frame.HeadLen + n
+		about -= frame.HeaderSize + n
 		switch {
 		case len(s.out) > 0:
 			l.wants(s)
@@ -192,11 +192,11 @@
 	if s.ringed || len(s.out) == 0 || s.credit <= 0 {
 		return
 	}
-	first := !l.pulling && !l.Waiting()
+	first := !l.pulling && !l.HasOutput()
 	s.ringed = true
 	l.ring = append(l.ring, s)
 	if first {
-		l.h.Ready()
+		l.h.OutputReady()
 	}
 }
 
@@ -241,15 +241,15 @@
 	l.held += n
 }
 
-// Ask opens a stream with a query. ok is false where the link takes none: it has not been greeted, or
+// Request opens a stream with a query. ok is false where the link takes none: it has not been greeted, or
 // all numbers are used.
-func (l *Link) Ask(a message.Ask, statement []byte) (id uint32, ok bool, err error) {
+func (l *Link) Request(a message.Request, statement []byte) (id uint32, ok bool, err error) {
 	if !l.greeted || l.next >= 1<<31 {
 		return 0, false, nil
 	}
 	a.Size = len(statement)
 	s := &stream{id: l.next, mine: true, credit: l.cfg.Window, out: statement, given: l.cfg.Window}
-	if err := l.say(frame.Ask, s.id, &a); err != nil {
+	if err := l.say(frame.Request, s.id, &a); err != nil {
 		return 0, false, err
 	}
 	l.next += 2
@@ -266,14 +266,14 @@
 	}
 }
 
-// Answer ends a stream that the other side opened. One that is no more is passed by.
-func (l *Link) Answer(id uint32, a message.Answer, body []byte) error {
+// Respond ends a stream that the other side opened. One that is no more is passed by.
+func (l *Link) Respond(id uint32, a message.Response, body []byte) error {
 	s := l.streams[id]
 	if s == nil || s.mine {
 		return nil
 	}
 	a.Size = len(body)
-	if err := l.say(frame.Answer, id, &a); err != nil {
+	if err := l.say(frame.Response, id, &a); err != nil {
 		return err
 	}
 	if s.out = body; len(body) == 0 {
@@ -284,9 +284,9 @@
 	return nil
 }
 
-// Stale turns away what the other side has begun to ask and not gone on with since Stale was
+// RejectStale turns away what the other side has begun to ask and not gone on with since RejectStale was
 // called last. Guards against queries that never become whole.
-func (l *Link) Stale() error {
+func (l *Link) RejectStale() error {
 	var all []uint32
 	for id, s := range l.streams {
 		if s.mine || s.ask == nil {
@@ -299,7 +299,7 @@
 	}
 	slices.Sort(all)
 	for _, id := range all {
-		if err := l.Answer(id, message.Answer{Verdict: 1}, nil); err != nil {
+		if err := l.Respond(id, message.Response{Verdict: 1}, nil); err != nil {
 			return err
 		}
 	}
@@ -309,21 +309,21 @@
 // Ping asks for a Pong of the number.
 func (l *Link) Ping(number uint32) { l.put(frame.Frame{Kind: frame.Ping, Value: number}) }
 
-// Digest and Keys say what they say.
-func (l *Link) Digest(number uint32, d message.Digest) error {
+// SendLoadReport and Keys say what they say.
+func (l *Link) SendLoadReport(number uint32, d message.LoadReport) error {
 	enc, err := message.Append(nil, &d)
 	if err != nil {
 		return err
 	}
-	l.put(frame.Frame{Kind: frame.Digest, Value: number, Body: enc})
+	l.put(frame.Frame{Kind: frame.LoadReport, Value: number, Body: enc})
 	return nil
 }
 
-// Keys tells of keys that were sent to engines.
-func (l *Link) Keys(k message.Keys) error { return l.say(frame.Keys, 0, &k) }
+// SendKeys tells of keys that were sent to engines.
+func (l *Link) SendKeys(k message.SentKeys) error { return l.say(frame.SentKeys, 0, &k) }
 
-// Leave says that this side wants new streams on another link.
-func (l *Link) Leave() { l.put(frame.Frame{Kind: frame.Leave}) }
+// GoAway says that this side wants new streams on another link.
+func (l *Link) GoAway() { l.put(frame.Frame{Kind: frame.GoAway}) }
 
 // Input takes what has come, and returns how much of it was whole frames: the rest is to be
 // given again with what follows it.
@@ -348,11 +348,11 @@
 		return l.greet(f)
 	}
 	switch f.Kind {
-	case frame.Greet:
+	case frame.Hello:
 		return fmt.Errorf("%w: a second greeting", ErrOrder)
-	case frame.Ask:
+	case frame.Request:
 		return l.asked(f)
-	case frame.Answer:
+	case frame.Response:
 		return l.answered(f)
 	case frame.Data:
 		return l.data(f)
@@ -363,62 +363,62 @@
 		if s := l.streams[f.Stream]; s != nil {
 			whole := s.ask == nil
 			if l.close(s); whole {
-				l.h.Cancelled(f.Stream)
+				l.h.HandleCancel(f.Stream)
 			}
 		}
 	case frame.Credit:
 		if s := l.streams[f.Stream]; s != nil {
-			if s.credit += int(f.Value); s.credit > message.MostBody+l.cfg.Window {
+			if s.credit += int(f.Value); s.credit > message.MaxBodySize+l.cfg.Window {
 				return fmt.Errorf("%w: credit of %d bytes", ErrCredit, s.credit)
 			}
 			l.wants(s)
 		}
-	case frame.Digest:
-		var d message.Digest
-		if err := message.Read(f.Body, &d); err != nil {
+	case frame.LoadReport:
+		var d message.LoadReport
+		if err := message.Decode(f.Body, &d); err != nil {
 			return err
 		}
-		l.h.Digest(d)
-	case frame.Keys:
-		var k message.Keys
-		if err := message.Read(f.Body, &k); err != nil {
+		l.h.HandleLoadReport(d)
+	case frame.SentKeys:
+		var k message.SentKeys
+		if err := message.Decode(f.Body, &k); err != nil {
 			return err
 		}
-		l.h.Keys(k)
+		l.h.HandleSentKeys(k)
 	case frame.Ping:
 		if len(l.control) < 1<<20 { // one that pings and does not read gets no more
 			l.put(frame.Frame{Kind: frame.Pong, Value: f.Value})
 		}
 	case frame.Pong:
-		l.h.Ponged(f.Value)
-	case frame.Leave:
+		l.h.HandlePong(f.Value)
+	case frame.GoAway:
 		l.left = true
-		l.h.Leaves()
+		l.h.HandleGoAway()
 	}
 	return nil
 }
 
 func (l *Link) greet(f frame.Frame) error {
 	switch {
-	case f.Kind != frame.Greet:
+	case f.Kind != frame.Hello:
 		return fmt.Errorf("%w: %v before a greeting", ErrOrder, f.Kind)
 	case f.Value != frame.Version:
 		return fmt.Errorf("%w: %d, and this side speaks %d", ErrVersion, f.Value, frame.Version)
 	}
-	var g message.Greet
-	if err := message.Read(f.Body, &g); err != nil {
+	var g message.Hello
+	if err := message.Decode(f.Body, &g); err != nil {
 		return err
 	}
 	l.greeted = true
-	return l.h.Greeted(g)
+	return l.h.HandleHello(g)
 }
 
 // mine tells whether a stream's number is of those that this side opens.
 func (l *Link) mine(id uint32) bool { return id%2 == l.next%2 }
 
 func (l *Link) asked(f frame.Frame) error {
-	var a message.Ask
-	if err := message.Read(f.Body, &a); err != nil {
+	var a message.Request
+	if err := message.Decode(f.Body, &a); err != nil {
 		return err
 	}
 	if l.mine(f.Stream) || f.Stream <= l.seen {
@@ -428,16 +428,16 @@
 	s := &stream{id: f.Stream, credit: l.cfg.Window, ask: &a, wanted: a.Size, given: l.cfg.Window}
 	l.streams[s.id] = s
 	l.theirs++
-	if n := min(a.Size, l.cfg.Window); l.theirs <= l.cfg.Streams && l.held+n <= l.cfg.Held {
+	if n := min(a.Size, l.cfg.Window); l.theirs <= l.cfg.MaxStreams && l.held+n <= l.cfg.MaxHeldBytes {
 		l.book(s, n)
 		return nil
 	}
-	return l.Answer(s.id, message.Answer{Verdict: 1}, nil) // nothing of it has run
+	return l.Respond(s.id, message.Response{Verdict: 1}, nil) // nothing of it has run
 }
 
 func (l *Link) answered(f frame.Frame) error {
-	var a message.Answer
-	if err := message.Read(f.Body, &a); err != nil {
+	var a message.Response
+	if err := message.Decode(f.Body, &a); err != nil {
 		return err
 	}
 	s := l.streams[f.Stream]
@@ -445,7 +445,7 @@
 	case !l.mine(f.Stream) || f.Stream >= l.next:
 		return fmt.Errorf("%w: an answer on stream %d", ErrOrder, f.Stream)
 	case s == nil:
-		l.Late++
+		l.LateFrames++
 		return nil
 	case s.answer != nil:
 		return fmt.Errorf("%w: a second answer on stream %d", ErrOrder, f.Stream)
@@ -467,7 +467,7 @@
 		case l.mine(f.Stream) && f.Stream >= l.next, !l.mine(f.Stream) && f.Stream > l.seen:
 			return fmt.Errorf("%w: data on stream %d", ErrOrder, f.Stream)
 		}
-		l.Late++
+		l.LateFrames++
 		return nil
 	}
 	if s.mine && s.answer == nil || !s.mine && s.ask == nil {
@@ -499,7 +499,7 @@
 		return
 	}
 	n := min(l.cfg.Window, rest)
-	if l.held+n > l.cfg.Held && l.first != s {
+	if l.held+n > l.cfg.MaxHeldBytes && l.first != s {
 		if l.first != nil {
 			s.short = true
 			l.short = append(l.short, s)
@@ -516,7 +516,7 @@
 func (l *Link) feed() {
 	for len(l.short) > 0 {
 		s := l.short[0]
-		if l.streams[s.id] == s && l.first != nil && l.held+l.cfg.Window > l.cfg.Held {
+		if l.streams[s.id] == s && l.first != nil && l.held+l.cfg.Window > l.cfg.MaxHeldBytes {
 			return
 		}
 		l.short = l.short[1:]
@@ -532,11 +532,11 @@
 	if s.mine {
 		a := *s.answer
 		l.close(s)
-		l.h.Answered(s.id, a, body)
+		l.h.HandleResponse(s.id, a, body)
 		return
 	}
 	a := *s.ask
 	s.ask = nil
 	l.drop(s)
-	l.h.Asked(s.id, a, body)
+	l.h.HandleRequest(s.id, a, body)
 }
--- a/internal/site/mux/mux_test.go
+++ b/internal/site/mux/mux_test.go
@@ -31,28 +31,32 @@
 	return e.link.Pull(nil, about)
 }
 
-func (e *end) Greeted(g message.Greet) error {
-	if g.Form != "lines" {
+func (e *end) HandleHello(g message.Hello) error {
+	if g.Format != "lines" {
 		return errors.New("another form")
 	}
 	return nil
 }
-func (e *end) Asked(id uint32, _ message.Ask, s []byte) {
+func (e *end) HandleRequest(id uint32, _ message.Request, s []byte) {
 	e.asks[id] = bytes.Clone(s)
 	if e.answer != nil {
 		e.answer(id, s)
 	}
 }
-func (e *end) Answered(id uint32, a message.Answer, b []byte) {
+func (e *end) HandleResponse(id uint32, a message.Response, b []byte) {
 	e.answers[id] = bytes.Clone(b)
 	e.heard = append(e.heard, fmt.Sprintf("answer %d %d", id, a.Verdict))
 }
-func (e *end) Cancelled(id uint32)     { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
-func (e *end) Digest(d message.Digest) { e.heard = append(e.heard, fmt.Sprintf("takes %g", d.Takes)) }
-func (e *end) Keys(k message.Keys)     { e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Sent))) }
-func (e *end) Ponged(n uint32)         { e.heard = append(e.heard, fmt.Sprintf("pong %d", n)) }
-func (e *end) Leaves()                 { e.heard = append(e.heard, "leaves") }
-func (e *end) Ready() {
+func (e *end) HandleCancel(id uint32) { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
+func (e *end) HandleLoadReport(d message.LoadReport) {
+	e.heard = append(e.heard, fmt.Sprintf("takes %g", d.AvailableCores))
+}
+func (e *end) HandleSentKeys(k message.SentKeys) {
+	e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Keys)))
+}
+func (e *end) HandlePong(n uint32) { e.heard = append(e.heard, fmt.Sprintf("pong %d", n)) }
+func (e *end) HandleGoAway()       { e.heard = append(e.heard, "leaves") }
+func (e *end) OutputReady() {
 	if e.pulling { // what is pulled from here would overtake
 		e.t.Fatal("told that there is something to pull while it is pulled")
 	}
@@ -67,7 +71,7 @@
 
 func newEnd(t testing.TB, cfg Config) *end {
 	e := &end{t: t, answers: map[uint32][]byte{}, asks: map[uint32][]byte{}}
-	cfg.Greet = message.Greet{Site: "s", Gateway: "g", Form: "lines"}
+	cfg.Hello = message.Hello{Site: "s", Gateway: "g", Format: "lines"}
 	l, err := New(cfg, e)
 	fatal(t, err)
 	e.link = l
@@ -111,20 +115,20 @@
 // was, once; nothing is left behind; and what is held stays within the bounds.
 func TestAnythingPassesWhole(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := Config{Window: 1 << rapid.IntRange(4, 17).Draw(rt, "window"), Held: 1 << rapid.IntRange(10, 20).Draw(rt, "held")}
+		cfg := Config{Window: 1 << rapid.IntRange(4, 17).Draw(rt, "window"), MaxHeldBytes: 1 << rapid.IntRange(10, 20).Draw(rt, "held")}
 		a, b := pair(t, cfg)
 		size := rapid.OneOf(rapid.IntRange(0, 100), rapid.IntRange(0, 150_000))
 		want := map[uint32][]byte{}
 		refused := 0
 		for _, e := range []*end{a, b} {
 			e.answer = func(id uint32, s []byte) {
-				e.must(e.link.Answer(id, message.Answer{Verdict: 2, Ran: true}, bytes.Repeat(s, 2)))
+				e.must(e.link.Respond(id, message.Response{Verdict: 2, MayHaveRun: true}, bytes.Repeat(s, 2)))
 			}
 		}
 		for range rapid.IntRange(1, 20).Draw(rt, "asks") {
 			from := []*end{a, b}[rapid.IntRange(0, 1).Draw(rt, "side")]
 			body := bytes.Repeat([]byte{byte(rapid.IntRange(1, 255).Draw(rt, "fill"))}, 1+size.Draw(rt, "size"))
-			id, ok, err := from.link.Ask(message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1}, body)
+			id, ok, err := from.link.Request(message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1}, body)
 			if err != nil || !ok {
 				rt.Fatal(ok, err)
 			}
@@ -146,8 +150,8 @@
 				}
 				got[id] = s
 			}
-			if e.link.Open() != 0 || e.link.Held() != 0 || e.link.Waiting() {
-				rt.Fatalf("left behind: %d streams, %d bytes, waiting %v", e.link.Open(), e.link.Held(), e.link.Waiting())
+			if e.link.OpenStreams() != 0 || e.link.HeldBytes() != 0 || e.link.HasOutput() {
+				rt.Fatalf("left behind: %d streams, %d bytes, waiting %v", e.link.OpenStreams(), e.link.HeldBytes(), e.link.HasOutput())
 			}
 		}
 		if !maps.EqualFunc(want, got, bytes.Equal) {
@@ -160,17 +164,17 @@
 func TestSmallPassesLarge(t *testing.T) {
 	a, b := pair(t, Config{})
 	b.answer = func(id uint32, s []byte) {
-		b.must(b.link.Answer(id, message.Answer{Verdict: 2, Ran: true}, bytes.Repeat([]byte("x"), len(s))))
+		b.must(b.link.Respond(id, message.Response{Verdict: 2, MayHaveRun: true}, bytes.Repeat([]byte("x"), len(s))))
 	}
-	large, _, err := a.link.Ask(message.Ask{ID: "large", Class: "c", Left: 1, Sends: 1}, make([]byte, 4<<20))
+	large, _, err := a.link.Request(message.Request{ID: "large", Class: "c", RemainingUS: 1, MaxSends: 1}, make([]byte, 4<<20))
 	fatal(t, err)
 	for range 40 { // its answer is on its way
 		pass1(t, a, b)
-		if b.link.Waiting() && len(b.asks) > 0 {
+		if b.link.HasOutput() && len(b.asks) > 0 {
 			break
 		}
 	}
-	small, _, err := a.link.Ask(message.Ask{ID: "small", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	small, _, err := a.link.Request(message.Request{ID: "small", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
 	pass(t, a, b, func() int { return 32 << 10 })
 	want := []string{fmt.Sprintf("answer %d 2", small), fmt.Sprintf("answer %d 2", large)}
@@ -192,23 +196,23 @@
 
 // The rest of what a link says.
 func TestWords(t *testing.T) {
-	a, b := pair(t, Config{Streams: 1})
-	one, _, err := a.link.Ask(message.Ask{ID: "1", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	a, b := pair(t, Config{MaxStreams: 1})
+	one, _, err := a.link.Request(message.Request{ID: "1", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
-	two, _, err := a.link.Ask(message.Ask{ID: "2", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	two, _, err := a.link.Request(message.Request{ID: "2", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
 	pass(t, a, b, func() int { return 100 })
 	a.link.Cancel(one)
 	a.link.Ping(7)
-	fatal(t, b.link.Digest(1, message.Digest{Takes: 3}))
-	fatal(t, b.link.Keys(message.Keys{Sent: []message.Key{{Key: "k", Ago: 1}}}))
-	b.link.Leave()
-	fatal(t, b.link.Answer(one, message.Answer{Verdict: 2, Ran: true}, []byte("too late")))
+	fatal(t, b.link.SendLoadReport(1, message.LoadReport{AvailableCores: 3}))
+	fatal(t, b.link.SendKeys(message.SentKeys{Keys: []message.SentKey{{Key: "k", AgoUS: 1}}}))
+	b.link.GoAway()
+	fatal(t, b.link.Respond(one, message.Response{Verdict: 2, MayHaveRun: true}, []byte("too late")))
 	pass(t, a, b, func() int { return 100 })
-	if !a.link.Left() {
+	if !a.link.PeerGoingAway() {
 		t.Error("it has not heard that the other side leaves")
 	}
-	if a.link.Late == 0 {
+	if a.link.LateFrames == 0 {
 		t.Error("a late answer was not counted")
 	}
 	want := [][]string{{fmt.Sprintf("answer %d 1", two), "takes 3", "1 keys", "leaves", "pong 7"}, {fmt.Sprintf("cancel %d", one)}}
@@ -224,15 +228,15 @@
 		fatal(t, err)
 		return b
 	}
-	greet := frame.Frame{Kind: frame.Greet, Value: frame.Version, Body: enc(&message.Greet{Site: "s", Gateway: "g", Form: "lines"})}
+	greet := frame.Frame{Kind: frame.Hello, Value: frame.Version, Body: enc(&message.Hello{Site: "s", Gateway: "g", Format: "lines"})}
 	ask := func(id uint32, size int) frame.Frame {
-		return frame.Frame{Kind: frame.Ask, Stream: id, Body: enc(&message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: size})}
+		return frame.Frame{Kind: frame.Request, Stream: id, Body: enc(&message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: size})}
 	}
 	data := func(id uint32, n int, last uint32) frame.Frame {
 		return frame.Frame{Kind: frame.Data, Stream: id, Value: last, Body: make([]byte, n)}
 	}
 	answer := func(id uint32) frame.Frame {
-		return frame.Frame{Kind: frame.Answer, Stream: id, Body: enc(&message.Answer{Verdict: 1})}
+		return frame.Frame{Kind: frame.Response, Stream: id, Body: enc(&message.Response{Verdict: 1})}
 	}
 	for name, tt := range map[string]struct {
 		frames []frame.Frame
@@ -240,7 +244,7 @@
 	}{
 		"no greeting":            {[]frame.Frame{ask(1, 1)}, ErrOrder},
 		"two greetings":          {[]frame.Frame{greet, greet}, ErrOrder},
-		"another version":        {[]frame.Frame{{Kind: frame.Greet, Value: 99, Body: greet.Body}}, ErrVersion},
+		"another version":        {[]frame.Frame{{Kind: frame.Hello, Value: 99, Body: greet.Body}}, ErrVersion},
 		"a stream of ours":       {[]frame.Frame{greet, ask(2, 1)}, ErrOrder},
 		"a number twice":         {[]frame.Frame{greet, ask(3, 1), ask(3, 1)}, ErrOrder},
 		"a number that went by":  {[]frame.Frame{greet, ask(3, 1), ask(1, 1)}, ErrOrder},
@@ -254,7 +258,7 @@
 		"data of no stream":      {[]frame.Frame{greet, data(5, 1, 1)}, ErrOrder},
 		"cancels what we asked":  {[]frame.Frame{greet, {Kind: frame.Cancel, Stream: 2}}, ErrOrder},
 		"boundless credit":       {[]frame.Frame{greet, ask(1, 1), {Kind: frame.Credit, Stream: 1, Value: 1 << 31}}, ErrCredit},
-		"room that is no number": {[]frame.Frame{greet, {Kind: frame.Digest, Body: []byte("\xa2\x01\xa1\x61c\xfb\x7f\xf8\x00\x00\x00\x00\x00\x00\x02\x01")}}, message.ErrBounds},
+		"room that is no number": {[]frame.Frame{greet, {Kind: frame.LoadReport, Body: []byte("\xa2\x01\xa1\x61c\xfb\x7f\xf8\x00\x00\x00\x00\x00\x00\x02\x01")}}, message.ErrBounds},
 	} {
 		e := newEnd(t, Config{Window: 16 << 10})
 		var b []byte
@@ -264,29 +268,29 @@
 		if _, err := e.link.Input(b); !errors.Is(err, tt.want) {
 			t.Errorf("%s: %v, want %v", name, err, tt.want)
 		}
-		if e.link.Held() > Held {
-			t.Errorf("%s: holds %d bytes", name, e.link.Held())
+		if e.link.HeldBytes() > DefaultMaxHeldBytes {
+			t.Errorf("%s: holds %d bytes", name, e.link.HeldBytes())
 		}
 	}
 }
 
 // Any bytes behind a greeting end in an error or in wishes for more, and within bounds.
 func FuzzInput(f *testing.F) {
-	h, err := message.Append(nil, &message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: 3})
+	h, err := message.Append(nil, &message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: 3})
 	fatal(f, err)
-	f.Add(frame.Append(frame.Append(nil, frame.Frame{Kind: frame.Ask, Stream: 1, Body: h}), frame.Frame{Kind: frame.Data, Stream: 1, Value: 1, Body: []byte("abc")}))
-	f.Add(frame.Append(nil, frame.Frame{Kind: frame.Digest, Body: []byte{0xa1, 1, 0xa0}}))
+	f.Add(frame.Append(frame.Append(nil, frame.Frame{Kind: frame.Request, Stream: 1, Body: h}), frame.Frame{Kind: frame.Data, Stream: 1, Value: 1, Body: []byte("abc")}))
+	f.Add(frame.Append(nil, frame.Frame{Kind: frame.LoadReport, Body: []byte{0xa1, 1, 0xa0}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e := newEnd(t, Config{})
 		greet := e.link.Pull(nil, 1)
 		if _, err := e.link.Input(greet); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := e.link.Input(b); n > len(b) || err == nil && len(b)-n > frame.HeadLen+frame.MostBody {
+		if n, err := e.link.Input(b); n > len(b) || err == nil && len(b)-n > frame.HeaderSize+frame.MaxBodySize {
 			t.Errorf("took %d of %d: %v", n, len(b), err)
 		}
-		if e.link.Held() > Held || e.link.Held() < 0 {
-			t.Errorf("holds %d bytes", e.link.Held())
+		if e.link.HeldBytes() > DefaultMaxHeldBytes || e.link.HeldBytes() < 0 {
+			t.Errorf("holds %d bytes", e.link.HeldBytes())
 		}
 	})
 }
--- a/internal/site/mux/replay_test.go
+++ b/internal/site/mux/replay_test.go
@@ -36,12 +36,12 @@
 	fmt.Fprintf(e.digest, e.name+" "+format+"\n", args...)
 }
 
-func (e *replayEnd) Greeted(g message.Greet) error {
+func (e *replayEnd) HandleHello(g message.Hello) error {
 	e.log("greeted %s %s", g.Site, g.Gateway)
 	return nil
 }
 
-func (e *replayEnd) Asked(stream uint32, a message.Ask, statement []byte) {
+func (e *replayEnd) HandleRequest(stream uint32, a message.Request, statement []byte) {
 	e.log("asked %d %s %d %x", stream, a.ID, a.Size, sha256.Sum256(statement))
 	e.open = append(e.open, stream)
 	if e.random.IntN(3) == 0 { // it may call the link from within
@@ -49,16 +49,16 @@
 	}
 }
 
-func (e *replayEnd) Answered(stream uint32, a message.Answer, body []byte) {
+func (e *replayEnd) HandleResponse(stream uint32, a message.Response, body []byte) {
 	e.log("answered %d %d %d %x", stream, a.Verdict, a.Size, sha256.Sum256(body))
 }
 
-func (e *replayEnd) Cancelled(stream uint32) { e.log("cancelled %d", stream) }
-func (e *replayEnd) Digest(d message.Digest) { e.log("digest %g", d.Takes) }
-func (e *replayEnd) Keys(k message.Keys)     { e.log("keys %d", len(k.Sent)) }
-func (e *replayEnd) Ponged(number uint32)    { e.log("ponged %d", number) }
-func (e *replayEnd) Leaves()                 { e.log("leaves") }
-func (e *replayEnd) Ready()                  { e.log("ready") }
+func (e *replayEnd) HandleCancel(stream uint32)            { e.log("cancelled %d", stream) }
+func (e *replayEnd) HandleLoadReport(d message.LoadReport) { e.log("digest %g", d.AvailableCores) }
+func (e *replayEnd) HandleSentKeys(k message.SentKeys)     { e.log("keys %d", len(k.Keys)) }
+func (e *replayEnd) HandlePong(number uint32)              { e.log("ponged %d", number) }
+func (e *replayEnd) HandleGoAway()                         { e.log("leaves") }
+func (e *replayEnd) OutputReady()                          { e.log("ready") }
 
 func (e *replayEnd) body() []byte {
 	size := e.random.IntN([]int{10, 1000, 200_000}[e.random.IntN(3)])
@@ -68,8 +68,8 @@
 func (e *replayEnd) answer(i int) {
 	stream := e.open[i]
 	e.open = append(e.open[:i], e.open[i+1:]...)
-	a := message.Answer{Verdict: uint8(e.random.IntN(2)), Ran: true}
-	e.check("answer", e.link.Answer(stream, a, e.body()))
+	a := message.Response{Verdict: uint8(e.random.IntN(2)), MayHaveRun: true}
+	e.check("answer", e.link.Respond(stream, a, e.body()))
 }
 
 // check logs the kind of an error, whose text is free to change.
@@ -96,7 +96,7 @@
 	switch random.IntN(16) {
 	case 0, 1, 2:
 		body := append(e.body(), 'x')
-		stream, ok, err := e.link.Ask(message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1}, body)
+		stream, ok, err := e.link.Request(message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1}, body)
 		e.log("ask %d %t", stream, ok)
 		e.check("ask", err)
 		if ok {
@@ -113,12 +113,12 @@
 	case 6:
 		e.link.Ping(random.Uint32())
 	case 7:
-		e.check("digest", e.link.Digest(random.Uint32(), message.Digest{Takes: float64(random.IntN(9))}))
-		e.check("keys", e.link.Keys(message.Keys{Sent: make([]message.Key, random.IntN(2))}))
+		e.check("digest", e.link.SendLoadReport(random.Uint32(), message.LoadReport{AvailableCores: float64(random.IntN(9))}))
+		e.check("keys", e.link.SendKeys(message.SentKeys{Keys: make([]message.SentKey, random.IntN(2))}))
 	case 8:
-		e.check("stale", e.link.Stale())
+		e.check("stale", e.link.RejectStale())
 		if random.IntN(20) == 0 {
-			e.link.Leave()
+			e.link.GoAway()
 		}
 	default:
 		out := e.link.Pull(nil, random.IntN(100_000))
@@ -130,15 +130,15 @@
 	e.log("input %d of %d", took, n)
 	e.check("input", err)
 	e.wire = e.wire[took:]
-	e.log("%d open, %d held, %t waiting, %t left, %d late", e.link.Open(), e.link.Held(), e.link.Waiting(), e.link.Left(), e.link.Late)
+	e.log("%d open, %d held, %t waiting, %t left, %d late", e.link.OpenStreams(), e.link.HeldBytes(), e.link.HasOutput(), e.link.PeerGoingAway(), e.link.LateFrames)
 }
 
 // replayHostile appends a frame that may be out of place.
 func replayHostile(random *rand.Rand, b []byte) []byte {
 	f := frame.Frame{Kind: frame.Kind(1 + random.IntN(11)), Stream: uint32(random.IntN(12)), Value: uint32(random.IntN(3))}
 	heads := []any{
-		&message.Greet{Site: "s", Gateway: "g", Form: "lines"}, &message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: 1 + random.IntN(3)},
-		&message.Answer{Verdict: 1, Size: random.IntN(3)}, &message.Digest{Takes: 1}, &message.Keys{},
+		&message.Hello{Site: "s", Gateway: "g", Format: "lines"}, &message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: 1 + random.IntN(3)},
+		&message.Response{Verdict: 1, Size: random.IntN(3)}, &message.LoadReport{AvailableCores: 1}, &message.SentKeys{},
 	}
 	if random.IntN(4) > 0 {
 		f.Body, _ = message.Append(nil, heads[random.IntN(len(heads))])
@@ -150,7 +150,7 @@
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	digest := sha256.New()
-	cfg := Config{Window: 1 << (6 + random.IntN(11)), Streams: 1 + random.IntN(30), Held: 1 << (10 + random.IntN(10))}
+	cfg := Config{Window: 1 << (6 + random.IntN(11)), MaxStreams: 1 + random.IntN(30), MaxHeldBytes: 1 << (10 + random.IntN(10))}
 	if seed%5 == 0 {
 		cfg = Config{}
 	}
@@ -158,7 +158,7 @@
 	for i := range ends {
 		end := &replayEnd{name: fmt.Sprint(i), random: random, digest: digest}
 		cfg.Dialled = i == 0
-		cfg.Greet = message.Greet{Site: "s", Gateway: end.name, Form: "lines"}
+		cfg.Hello = message.Hello{Site: "s", Gateway: end.name, Format: "lines"}
 		link, err := New(cfg, end)
 		if err != nil {
 			t.Fatal(err)
