--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -405,7 +405,7 @@
 		if s.draining {
 			takes = 0
 		}
-		to[i].digest(s.words, message.LoadReport{FreeCapacity: d.FreeCapacity, AvailableCores: takes, Draining: s.draining})
+		to[i].digest(s.words, message.LoadReport{FreeCapacity: d.FreeCapacity, WorkSeconds: takes, Draining: s.draining})
 		to[i].ping(now)
 	}
 }
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -232,7 +232,7 @@
 
 // HandleLoadReport takes what the peer says of itself.
 func (l *Link) HandleLoadReport(d message.LoadReport) {
-	l.peer.RecordDigest(l.s.cfg, l.s.clock.Now(), decide.Digest{FreeCapacity: d.FreeCapacity, AcceptableWork: d.AvailableCores, Draining: d.Draining})
+	l.peer.RecordDigest(l.s.cfg, l.s.clock.Now(), decide.Digest{FreeCapacity: d.FreeCapacity, AcceptableWork: d.WorkSeconds, Draining: d.Draining})
 }
 
 // HandleSentKeys takes that keys were sent to engines at the peer's site, the way here included.
--- a/internal/site/frame/frame_test.go
+++ b/internal/site/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Frames come back as they were written, byte by byte as well as at once.
+// Frames are read as they were written, also byte by byte.
 func TestFrames(t *testing.T) {
 	all := []Frame{
 		{Kind: Hello, Value: Version, Body: []byte{0xa0}}, {Kind: Request, Stream: 1, Body: []byte("head")},
@@ -40,8 +40,8 @@
 	}
 }
 
-// What can't be is told from the head, before any body has come.
-func TestBadFrames(t *testing.T) {
+// An invalid frame is reported from its header, before any body has come.
+func TestInvalidFrames(t *testing.T) {
 	for name, tt := range map[string]struct {
 		b    string
 		want error
@@ -63,7 +63,7 @@
 	}
 }
 
-// Any bytes give frames that write themselves back, an error, or the wish for more.
+// Any bytes give frames that are written back the same, an error, or need more bytes.
 func FuzzNext(f *testing.F) {
 	f.Add(Append(nil, Frame{Kind: Request, Stream: 1, Body: []byte("head")}))
 	f.Add([]byte("\x00\x00\x00\x0a\x00\x00\x00\x00\x00\x00\x00\x01"))
--- a/internal/site/message/fixture_test.go
+++ b/internal/site/message/fixture_test.go
@@ -18,7 +18,7 @@
 		"answer-served": &Response{Verdict: 2, MayHaveRun: true, SendCount: 1, WorkUS: 7, Size: 4, UncompressedSize: 9},
 		"answer-refuse": &Response{Verdict: 1, SendCount: 3, RetryAfterUS: 2_000_000, DeadlinePassed: true},
 		"answer-failed": &Response{Verdict: 0, MayHaveRun: true, SendCount: 1, Size: 12, IsError: true},
-		"digest":        &LoadReport{FreeCapacity: map[string]float64{"lookup": 1, "report": 0.25, "load": 0}, AvailableCores: 3.5, Draining: true},
+		"digest":        &LoadReport{FreeCapacity: map[string]float64{"lookup": 1, "report": 0.25, "load": 0}, WorkSeconds: 3.5, Draining: true},
 		"keys":          &SentKeys{Keys: []SentKey{{"k-1", 0}, {"k-2", 86_000_000_000}}},
 	}
 }
--- a/internal/site/message/head_test.go
+++ b/internal/site/message/message_test.go
@@ -10,24 +10,24 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// kinds makes an empty head of each kind.
+// kinds makes an empty message of each type.
 var kinds = []func() Message{
 	func() Message { return &Hello{} }, func() Message { return &Request{} }, func() Message { return &Response{} }, func() Message { return &LoadReport{} }, func() Message { return &SentKeys{} },
 }
 
-func whole() []Message {
+func samples() []Message {
 	return []Message{
 		&Hello{Site: "lalitpur", Gateway: "lalitpur-1", Incarnation: 1 << 60, Format: "lines", AcceptsZstd: true},
 		&Request{ID: "0123456789abcdef", Class: "load", Idempotency: 1, IdempotencyKey: "k", DataSet: -3, RemainingUS: 1, WorkUS: 5, MemoryMB: 1.5, ClientRetry: true, MaxSends: 2, FirstSentAgoUS: 1, Size: MaxBodySize, UncompressedSize: 9},
 		&Response{Verdict: 2, MayHaveRun: true, SendCount: 1, WorkUS: 7, Size: 4, UncompressedSize: 9},
-		&LoadReport{FreeCapacity: map[string]float64{"lookup": 1, "report": 0}, AvailableCores: 3.5, Draining: true},
+		&LoadReport{FreeCapacity: map[string]float64{"lookup": 1, "report": 0}, WorkSeconds: 3.5, Draining: true},
 		&SentKeys{Keys: []SentKey{{"k", 0}}},
 	}
 }
 
-// Heads come back as they were written, and nothing is read that is cut short or goes on.
-func TestHeads(t *testing.T) {
-	for i, h := range whole() {
+// Messages are decoded as they were encoded, and none that is cut short or has more behind it.
+func TestMessages(t *testing.T) {
+	for i, h := range samples() {
 		enc, err := Append(nil, h)
 		if err != nil {
 			t.Fatal(err)
@@ -40,14 +40,14 @@
 			t.Error(diff)
 		}
 		if Decode(enc[:len(enc)-1], kinds[i]()) == nil || Decode(append(bytes.Clone(enc), 0), kinds[i]()) == nil {
-			t.Errorf("%T: it was read though cut short, or with more behind it", h)
+			t.Errorf("%T: decoded though cut short, or with more behind it", h)
 		}
 	}
 }
 
-// What is out of its bounds is told.
+// A field out of its bounds is an error.
 func TestBounds(t *testing.T) {
-	change := func(i int, f func(h Message)) Message { h := whole()[i]; f(h); return h }
+	change := func(i int, f func(h Message)) Message { h := samples()[i]; f(h); return h }
 	for name, h := range map[string]Message{
 		"no name":            change(0, func(h Message) { h.(*Hello).Site = "" }),
 		"a name of a page":   change(0, func(h Message) { h.(*Hello).Gateway = strings.Repeat("x", MaxNameLength+1) }),
@@ -65,7 +65,7 @@
 		"packed nothing":     change(2, func(h Message) { h.(*Response).Size = 0 }),
 		"room beyond all":    change(3, func(h Message) { h.(*LoadReport).FreeCapacity["lookup"] = 1.01 }),
 		"room NaN":           change(3, func(h Message) { h.(*LoadReport).FreeCapacity["lookup"] = math.NaN() }),
-		"takes without end":  change(3, func(h Message) { h.(*LoadReport).AvailableCores = math.Inf(1) }),
+		"takes without end":  change(3, func(h Message) { h.(*LoadReport).WorkSeconds = math.Inf(1) }),
 		"a key of nothing":   change(4, func(h Message) { h.(*SentKeys).Keys[0].Key = "" }),
 		"a key to be sent":   change(4, func(h Message) { h.(*SentKeys).Keys[0].AgoUS = -1 }),
 		"keys by the armful": change(4, func(h Message) { h.(*SentKeys).Keys = make([]SentKey, MaxKeys+1) }),
@@ -79,7 +79,7 @@
 				continue
 			}
 			if err := Decode(enc, fresh()); err == nil {
-				t.Errorf("%s: it was read", name)
+				t.Errorf("%s: decoded", name)
 			} else if name != "keys by the armful" && !errors.Is(err, ErrBounds) {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -106,7 +106,7 @@
 
 // Any bytes are an error, or a head within its bounds that writes itself back the same.
 func FuzzRead(f *testing.F) {
-	for i, h := range whole() {
+	for i, h := range samples() {
 		enc, err := Append(nil, h)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/site/mux/mux_test.go
+++ b/internal/site/mux/mux_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// end is one side for tests: it writes down what it hears, and may answer what it is asked.
+// end is one side for tests: it records what it receives, and may respond to requests.
 type end struct {
 	t       testing.TB
 	link    *Link
@@ -49,7 +49,7 @@
 }
 func (e *end) HandleCancel(id uint32) { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
 func (e *end) HandleLoadReport(d message.LoadReport) {
-	e.heard = append(e.heard, fmt.Sprintf("takes %g", d.AvailableCores))
+	e.heard = append(e.heard, fmt.Sprintf("takes %g", d.WorkSeconds))
 }
 func (e *end) HandleSentKeys(k message.SentKeys) {
 	e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Keys)))
@@ -58,29 +58,30 @@
 func (e *end) HandleGoAway()       { e.heard = append(e.heard, "leaves") }
 func (e *end) OutputReady() {
 	if e.pulling { // what is pulled from here would overtake
-		e.t.Fatal("told that there is something to pull while it is pulled")
+		e.t.Fatal("OutputReady was called within Pull")
 	}
 }
 func (e *end) must(err error) { e.t.Helper(); fatal(e.t, err) }
-func fatal(t testing.TB, err error) {
-	t.Helper()
+func fatal(tb testing.TB, err error) {
+	tb.Helper()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-func newEnd(t testing.TB, cfg Config) *end {
-	e := &end{t: t, answers: map[uint32][]byte{}, asks: map[uint32][]byte{}}
+func newEnd(tb testing.TB, cfg Config) *end {
+	tb.Helper()
+	e := &end{t: tb, answers: map[uint32][]byte{}, asks: map[uint32][]byte{}}
 	cfg.Hello = message.Hello{Site: "s", Gateway: "g", Format: "lines"}
 	l, err := New(cfg, e)
-	fatal(t, err)
+	fatal(tb, err)
 	e.link = l
 	return e
 }
 
 // pass moves what waits from one end to the other, in pieces, until neither has more.
-func pass(t testing.TB, a, b *end, piece func() int) {
-	t.Helper()
+func pass(tb testing.TB, a, b *end, piece func() int) {
+	tb.Helper()
 	type way struct {
 		from, to *end
 		held     []byte
@@ -96,24 +97,25 @@
 				w.held = append(w.held, out[:n]...)
 				out = out[n:]
 				took, err := w.to.link.Input(w.held)
-				fatal(t, err)
+				fatal(tb, err)
 				w.held = w.held[took:]
 			}
 		}
 	}
 }
 
-func pair(t testing.TB, cfg Config) (a, b *end) {
+func pair(tb testing.TB, cfg Config) (a, b *end) {
+	tb.Helper()
 	d := cfg
 	d.Dialled = true
-	a, b = newEnd(t, d), newEnd(t, cfg)
-	pass(t, a, b, func() int { return 1 << 20 })
+	a, b = newEnd(tb, d), newEnd(tb, cfg)
+	pass(tb, a, b, func() int { return 1 << 20 })
 	return a, b
 }
 
-// Whatever is asked and answered, in whatever pieces it travels: each comes whole and as it
-// was, once; nothing is left behind; and what is held stays within the bounds.
-func TestAnythingPassesWhole(t *testing.T) {
+// Whatever the requests and responses, in whatever pieces they travel: each arrives complete and
+// unchanged, once; nothing is left open; and what is held stays within the bounds.
+func TestAllArrivesComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := Config{Window: 1 << rapid.IntRange(4, 17).Draw(rt, "window"), MaxHeldBytes: 1 << rapid.IntRange(10, 20).Draw(rt, "held")}
 		a, b := pair(t, cfg)
@@ -143,7 +145,7 @@
 		got := map[uint32][]byte{}
 		for _, e := range []*end{a, b} {
 			for id, s := range e.answers {
-				if len(s) == 0 { // turned away for want of room: nothing of it ran
+				if len(s) == 0 { // rejected for want of capacity: nothing of it ran
 					delete(want, id)
 					refused++
 					continue
@@ -160,8 +162,8 @@
 	})
 }
 
-// One large answer starves nobody: a small one that is asked for later passes it.
-func TestSmallPassesLarge(t *testing.T) {
+// One large response starves no other: a small one that is requested later overtakes it.
+func TestSmallResponseOvertakesLarge(t *testing.T) {
 	a, b := pair(t, Config{})
 	b.answer = func(id uint32, s []byte) {
 		b.must(b.link.Respond(id, message.Response{Verdict: 2, MayHaveRun: true}, bytes.Repeat([]byte("x"), len(s))))
@@ -194,8 +196,8 @@
 	}
 }
 
-// The rest of what a link says.
-func TestWords(t *testing.T) {
+// What a link sends beside requests and responses.
+func TestControlFrames(t *testing.T) {
 	a, b := pair(t, Config{MaxStreams: 1})
 	one, _, err := a.link.Request(message.Request{ID: "1", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
@@ -204,16 +206,16 @@
 	pass(t, a, b, func() int { return 100 })
 	a.link.Cancel(one)
 	a.link.Ping(7)
-	fatal(t, b.link.SendLoadReport(1, message.LoadReport{AvailableCores: 3}))
+	fatal(t, b.link.SendLoadReport(1, message.LoadReport{WorkSeconds: 3}))
 	fatal(t, b.link.SendKeys(message.SentKeys{Keys: []message.SentKey{{Key: "k", AgoUS: 1}}}))
 	b.link.GoAway()
 	fatal(t, b.link.Respond(one, message.Response{Verdict: 2, MayHaveRun: true}, []byte("too late")))
 	pass(t, a, b, func() int { return 100 })
 	if !a.link.PeerGoingAway() {
-		t.Error("it has not heard that the other side leaves")
+		t.Error("peer going away = false, want true")
 	}
 	if a.link.LateFrames == 0 {
-		t.Error("a late answer was not counted")
+		t.Error("late frames = 0, want some")
 	}
 	want := [][]string{{fmt.Sprintf("answer %d 1", two), "takes 3", "1 keys", "leaves", "pong 7"}, {fmt.Sprintf("cancel %d", one)}}
 	if diff := cmp.Diff(want, [][]string{a.heard, b.heard}); diff != "" {
@@ -221,9 +223,9 @@
 	}
 }
 
-// hostile is what a peer may send that must end the link, and is told from a good one.
-func TestHostile(t *testing.T) {
-	enc := func(h any) []byte {
+// What a hostile peer may send ends the link, each with its error.
+func TestHostilePeer(t *testing.T) {
+	enc := func(h message.Message) []byte {
 		b, err := message.Append(nil, h)
 		fatal(t, err)
 		return b
@@ -274,7 +276,7 @@
 	}
 }
 
-// Any bytes behind a greeting end in an error or in wishes for more, and within bounds.
+// Any bytes behind a hello end in an error or need more bytes, and stay within bounds.
 func FuzzInput(f *testing.F) {
 	h, err := message.Append(nil, &message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: 3})
 	fatal(f, err)
--- a/internal/site/mux/replay_test.go
+++ b/internal/site/mux/replay_test.go
@@ -3,12 +3,14 @@
 import (
 	"bytes"
 	"crypto/sha256"
+	"encoding/hex"
 	"errors"
 	"flag"
 	"fmt"
 	"hash"
 	"math/rand/v2"
 	"os"
+	"strconv"
 	"testing"
 
 	"gannetspur/internal/site/frame"
@@ -33,7 +35,7 @@
 }
 
 func (e *replayEnd) log(format string, args ...any) {
-	fmt.Fprintf(e.digest, e.name+" "+format+"\n", args...)
+	_, _ = fmt.Fprintf(e.digest, e.name+" "+format+"\n", args...)
 }
 
 func (e *replayEnd) HandleHello(g message.Hello) error {
@@ -54,7 +56,7 @@
 }
 
 func (e *replayEnd) HandleCancel(stream uint32)            { e.log("cancelled %d", stream) }
-func (e *replayEnd) HandleLoadReport(d message.LoadReport) { e.log("digest %g", d.AvailableCores) }
+func (e *replayEnd) HandleLoadReport(d message.LoadReport) { e.log("digest %g", d.WorkSeconds) }
 func (e *replayEnd) HandleSentKeys(k message.SentKeys)     { e.log("keys %d", len(k.Keys)) }
 func (e *replayEnd) HandlePong(number uint32)              { e.log("ponged %d", number) }
 func (e *replayEnd) HandleGoAway()                         { e.log("leaves") }
@@ -113,7 +115,7 @@
 	case 6:
 		e.link.Ping(random.Uint32())
 	case 7:
-		e.check("digest", e.link.SendLoadReport(random.Uint32(), message.LoadReport{AvailableCores: float64(random.IntN(9))}))
+		e.check("digest", e.link.SendLoadReport(random.Uint32(), message.LoadReport{WorkSeconds: float64(random.IntN(9))}))
 		e.check("keys", e.link.SendKeys(message.SentKeys{Keys: make([]message.SentKey, random.IntN(2))}))
 	case 8:
 		e.check("stale", e.link.RejectStale())
@@ -136,9 +138,9 @@
 // replayHostile appends a frame that may be out of place.
 func replayHostile(random *rand.Rand, b []byte) []byte {
 	f := frame.Frame{Kind: frame.Kind(1 + random.IntN(11)), Stream: uint32(random.IntN(12)), Value: uint32(random.IntN(3))}
-	heads := []any{
+	heads := []message.Message{
 		&message.Hello{Site: "s", Gateway: "g", Format: "lines"}, &message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: 1 + random.IntN(3)},
-		&message.Response{Verdict: 1, Size: random.IntN(3)}, &message.LoadReport{AvailableCores: 1}, &message.SentKeys{},
+		&message.Response{Verdict: 1, Size: random.IntN(3)}, &message.LoadReport{WorkSeconds: 1}, &message.SentKeys{},
 	}
 	if random.IntN(4) > 0 {
 		f.Body, _ = message.Append(nil, heads[random.IntN(len(heads))])
@@ -156,7 +158,7 @@
 	}
 	ends := [2]*replayEnd{}
 	for i := range ends {
-		end := &replayEnd{name: fmt.Sprint(i), random: random, digest: digest}
+		end := &replayEnd{name: strconv.Itoa(i), random: random, digest: digest}
 		cfg.Dialled = i == 0
 		cfg.Hello = message.Hello{Site: "s", Gateway: end.name, Format: "lines"}
 		link, err := New(cfg, end)
@@ -176,7 +178,7 @@
 			break
 		}
 	}
-	return fmt.Sprintf("%x", digest.Sum(nil))
+	return hex.EncodeToString(digest.Sum(nil))
 }
 
 // Two ends under seeded streams of events do, byte for byte, what version c18a9bd did.
