--- a/internal/site/frame/frame_test.go
+++ b/internal/site/frame/frame_test.go
@@ -8,13 +8,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Frames come back as they were written, byte by byte as well as at once.
+// Frames are read as they were written, also byte by byte.
 func TestFrames(t *testing.T) {
 	all := []Frame{
-		{Kind: Greet, Value: Version, Body: []byte{0xa0}}, {Kind: Ask, Stream: 1, Body: []byte("head")},
-		{Kind: Data, Stream: 1, Value: 1, Body: bytes.Repeat([]byte("x"), MostBody)}, {Kind: Data, Stream: 1, Body: []byte{}},
-		{Kind: Answer, Stream: 1, Body: []byte("end")}, {Kind: Cancel, Stream: 3}, {Kind: Credit, Stream: 3, Value: 1 << 20},
-		{Kind: Digest, Value: 7, Body: []byte{0xa0}}, {Kind: Ping, Value: 9}, {Kind: Pong, Value: 9}, {Kind: Leave}, {Kind: Keys, Body: []byte{0xa0}},
+		{Kind: Hello, Value: Version, Body: []byte{0xa0}}, {Kind: Request, Stream: 1, Body: []byte("head")},
+		{Kind: Data, Stream: 1, Value: 1, Body: bytes.Repeat([]byte("x"), MaxBodySize)}, {Kind: Data, Stream: 1, Body: []byte{}},
+		{Kind: Response, Stream: 1, Body: []byte("end")}, {Kind: Cancel, Stream: 3}, {Kind: Credit, Stream: 3, Value: 1 << 20},
+		{Kind: LoadReport, Value: 7, Body: []byte{0xa0}}, {Kind: Ping, Value: 9}, {Kind: Pong, Value: 9}, {Kind: GoAway}, {Kind: SentKeys, Body: []byte{0xa0}},
 	}
 	var b []byte
 	for _, f := range all {
@@ -40,8 +40,8 @@
 	}
 }
 
-// What can't be is told from the head, before any body has come.
-func TestBadFrames(t *testing.T) {
+// An invalid frame is reported from its header, before any body has come.
+func TestInvalidFrames(t *testing.T) {
 	for name, tt := range map[string]struct {
 		b    string
 		want error
@@ -63,9 +63,9 @@
 	}
 }
 
-// Any bytes give frames that write themselves back, an error, or the wish for more.
+// Any bytes give frames that are written back the same, an error, or need more bytes.
 func FuzzNext(f *testing.F) {
-	f.Add(Append(nil, Frame{Kind: Ask, Stream: 1, Body: []byte("head")}))
+	f.Add(Append(nil, Frame{Kind: Request, Stream: 1, Body: []byte("head")}))
 	f.Add([]byte("\x00\x00\x00\x0a\x00\x00\x00\x00\x00\x00\x00\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, n, err := Next(b)
--- a/internal/site/mux/mux_test.go
+++ b/internal/site/mux/mux_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// end is one side for tests: it writes down what it hears, and may answer what it is asked.
+// end is one side for tests: it records what it receives, and may respond to requests.
 type end struct {
 	t       testing.TB
 	link    *Link
@@ -31,52 +31,57 @@
 	return e.link.Pull(nil, about)
 }
 
-func (e *end) Greeted(g message.Greet) error {
-	if g.Form != "lines" {
+func (e *end) HandleHello(g message.Hello) error {
+	if g.Format != "lines" {
 		return errors.New("another form")
 	}
 	return nil
 }
-func (e *end) Asked(id uint32, _ message.Ask, s []byte) {
+func (e *end) HandleRequest(id uint32, _ message.Request, s []byte) {
 	e.asks[id] = bytes.Clone(s)
 	if e.answer != nil {
 		e.answer(id, s)
 	}
 }
-func (e *end) Answered(id uint32, a message.Answer, b []byte) {
+func (e *end) HandleResponse(id uint32, a message.Response, b []byte) {
 	e.answers[id] = bytes.Clone(b)
 	e.heard = append(e.heard, fmt.Sprintf("answer %d %d", id, a.Verdict))
 }
-func (e *end) Cancelled(id uint32)     { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
-func (e *end) Digest(d message.Digest) { e.heard = append(e.heard, fmt.Sprintf("takes %g", d.Takes)) }
-func (e *end) Keys(k message.Keys)     { e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Sent))) }
-func (e *end) Ponged(n uint32)         { e.heard = append(e.heard, fmt.Sprintf("pong %d", n)) }
-func (e *end) Leaves()                 { e.heard = append(e.heard, "leaves") }
-func (e *end) Ready() {
+func (e *end) HandleCancel(id uint32) { e.heard = append(e.heard, fmt.Sprintf("cancel %d", id)) }
+func (e *end) HandleLoadReport(d message.LoadReport) {
+	e.heard = append(e.heard, fmt.Sprintf("takes %g", d.WorkSeconds))
+}
+func (e *end) HandleSentKeys(k message.SentKeys) {
+	e.heard = append(e.heard, fmt.Sprintf("%d keys", len(k.Keys)))
+}
+func (e *end) HandlePong(n uint32) { e.heard = append(e.heard, fmt.Sprintf("pong %d", n)) }
+func (e *end) HandleGoAway()       { e.heard = append(e.heard, "leaves") }
+func (e *end) OutputReady() {
 	if e.pulling { // what is pulled from here would overtake
-		e.t.Fatal("told that there is something to pull while it is pulled")
+		e.t.Fatal("OutputReady was called within Pull")
 	}
 }
 func (e *end) must(err error) { e.t.Helper(); fatal(e.t, err) }
-func fatal(t testing.TB, err error) {
-	t.Helper()
+func fatal(tb testing.TB, err error) {
+	tb.Helper()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-func newEnd(t testing.TB, cfg Config) *end {
-	e := &end{t: t, answers: map[uint32][]byte{}, asks: map[uint32][]byte{}}
-	cfg.Greet = message.Greet{Site: "s", Gateway: "g", Form: "lines"}
+func newEnd(tb testing.TB, cfg Config) *end {
+	tb.Helper()
+	e := &end{t: tb, answers: map[uint32][]byte{}, asks: map[uint32][]byte{}}
+	cfg.Hello = message.Hello{Site: "s", Gateway: "g", Format: "lines"}
 	l, err := New(cfg, e)
-	fatal(t, err)
+	fatal(tb, err)
 	e.link = l
 	return e
 }
 
 // pass moves what waits from one end to the other, in pieces, until neither has more.
-func pass(t testing.TB, a, b *end, piece func() int) {
-	t.Helper()
+func pass(tb testing.TB, a, b *end, piece func() int) {
+	tb.Helper()
 	type way struct {
 		from, to *end
 		held     []byte
@@ -92,39 +97,40 @@
 				w.held = append(w.held, out[:n]...)
 				out = out[n:]
 				took, err := w.to.link.Input(w.held)
-				fatal(t, err)
+				fatal(tb, err)
 				w.held = w.held[took:]
 			}
 		}
 	}
 }
 
-func pair(t testing.TB, cfg Config) (a, b *end) {
+func pair(tb testing.TB, cfg Config) (a, b *end) {
+	tb.Helper()
 	d := cfg
 	d.Dialled = true
-	a, b = newEnd(t, d), newEnd(t, cfg)
-	pass(t, a, b, func() int { return 1 << 20 })
+	a, b = newEnd(tb, d), newEnd(tb, cfg)
+	pass(tb, a, b, func() int { return 1 << 20 })
 	return a, b
 }
 
-// Whatever is asked and answered, in whatever pieces it travels: each comes whole and as it
-// was, once; nothing is left behind; and what is held stays within the bounds.
-func TestAnythingPassesWhole(t *testing.T) {
+// Whatever the requests and responses, in whatever pieces they travel: each arrives complete and
+// unchanged, once; nothing is left open; and what is held stays within the bounds.
+func TestAllArrivesComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := Config{Window: 1 << rapid.IntRange(4, 17).Draw(rt, "window"), Held: 1 << rapid.IntRange(10, 20).Draw(rt, "held")}
+		cfg := Config{Window: 1 << rapid.IntRange(4, 17).Draw(rt, "window"), MaxHeldBytes: 1 << rapid.IntRange(10, 20).Draw(rt, "held")}
 		a, b := pair(t, cfg)
 		size := rapid.OneOf(rapid.IntRange(0, 100), rapid.IntRange(0, 150_000))
 		want := map[uint32][]byte{}
 		refused := 0
 		for _, e := range []*end{a, b} {
 			e.answer = func(id uint32, s []byte) {
-				e.must(e.link.Answer(id, message.Answer{Verdict: 2, Ran: true}, bytes.Repeat(s, 2)))
+				e.must(e.link.Respond(id, message.Response{Verdict: 2, MayHaveRun: true}, bytes.Repeat(s, 2)))
 			}
 		}
 		for range rapid.IntRange(1, 20).Draw(rt, "asks") {
 			from := []*end{a, b}[rapid.IntRange(0, 1).Draw(rt, "side")]
 			body := bytes.Repeat([]byte{byte(rapid.IntRange(1, 255).Draw(rt, "fill"))}, 1+size.Draw(rt, "size"))
-			id, ok, err := from.link.Ask(message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1}, body)
+			id, ok, err := from.link.Request(message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1}, body)
 			if err != nil || !ok {
 				rt.Fatal(ok, err)
 			}
@@ -139,15 +145,15 @@
 		got := map[uint32][]byte{}
 		for _, e := range []*end{a, b} {
 			for id, s := range e.answers {
-				if len(s) == 0 { // turned away for want of room: nothing of it ran
+				if len(s) == 0 { // rejected for want of capacity: nothing of it ran
 					delete(want, id)
 					refused++
 					continue
 				}
 				got[id] = s
 			}
-			if e.link.Open() != 0 || e.link.Held() != 0 || e.link.Waiting() {
-				rt.Fatalf("left behind: %d streams, %d bytes, waiting %v", e.link.Open(), e.link.Held(), e.link.Waiting())
+			if e.link.OpenStreams() != 0 || e.link.HeldBytes() != 0 || e.link.HasOutput() {
+				rt.Fatalf("left behind: %d streams, %d bytes, waiting %v", e.link.OpenStreams(), e.link.HeldBytes(), e.link.HasOutput())
 			}
 		}
 		if !maps.EqualFunc(want, got, bytes.Equal) {
@@ -156,21 +162,21 @@
 	})
 }
 
-// One large answer starves nobody: a small one that is asked for later passes it.
-func TestSmallPassesLarge(t *testing.T) {
+// One large response starves no other: a small one that is requested later overtakes it.
+func TestSmallResponseOvertakesLarge(t *testing.T) {
 	a, b := pair(t, Config{})
 	b.answer = func(id uint32, s []byte) {
-		b.must(b.link.Answer(id, message.Answer{Verdict: 2, Ran: true}, bytes.Repeat([]byte("x"), len(s))))
+		b.must(b.link.Respond(id, message.Response{Verdict: 2, MayHaveRun: true}, bytes.Repeat([]byte("x"), len(s))))
 	}
-	large, _, err := a.link.Ask(message.Ask{ID: "large", Class: "c", Left: 1, Sends: 1}, make([]byte, 4<<20))
+	large, _, err := a.link.Request(message.Request{ID: "large", Class: "c", RemainingUS: 1, MaxSends: 1}, make([]byte, 4<<20))
 	fatal(t, err)
 	for range 40 { // its answer is on its way
 		pass1(t, a, b)
-		if b.link.Waiting() && len(b.asks) > 0 {
+		if b.link.HasOutput() && len(b.asks) > 0 {
 			break
 		}
 	}
-	small, _, err := a.link.Ask(message.Ask{ID: "small", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	small, _, err := a.link.Request(message.Request{ID: "small", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
 	pass(t, a, b, func() int { return 32 << 10 })
 	want := []string{fmt.Sprintf("answer %d 2", small), fmt.Sprintf("answer %d 2", large)}
@@ -190,26 +196,26 @@
 	}
 }
 
-// The rest of what a link says.
-func TestWords(t *testing.T) {
-	a, b := pair(t, Config{Streams: 1})
-	one, _, err := a.link.Ask(message.Ask{ID: "1", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+// What a link sends beside requests and responses.
+func TestControlFrames(t *testing.T) {
+	a, b := pair(t, Config{MaxStreams: 1})
+	one, _, err := a.link.Request(message.Request{ID: "1", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
-	two, _, err := a.link.Ask(message.Ask{ID: "2", Class: "c", Left: 1, Sends: 1}, []byte("s"))
+	two, _, err := a.link.Request(message.Request{ID: "2", Class: "c", RemainingUS: 1, MaxSends: 1}, []byte("s"))
 	fatal(t, err)
 	pass(t, a, b, func() int { return 100 })
 	a.link.Cancel(one)
 	a.link.Ping(7)
-	fatal(t, b.link.Digest(1, message.Digest{Takes: 3}))
-	fatal(t, b.link.Keys(message.Keys{Sent: []message.Key{{Key: "k", Ago: 1}}}))
-	b.link.Leave()
-	fatal(t, b.link.Answer(one, message.Answer{Verdict: 2, Ran: true}, []byte("too late")))
+	fatal(t, b.link.SendLoadReport(1, message.LoadReport{WorkSeconds: 3}))
+	fatal(t, b.link.SendKeys(message.SentKeys{Keys: []message.SentKey{{Key: "k", AgoUS: 1}}}))
+	b.link.GoAway()
+	fatal(t, b.link.Respond(one, message.Response{Verdict: 2, MayHaveRun: true}, []byte("too late")))
 	pass(t, a, b, func() int { return 100 })
-	if !a.link.Left() {
-		t.Error("it has not heard that the other side leaves")
+	if !a.link.PeerGoingAway() {
+		t.Error("peer going away = false, want true")
 	}
-	if a.link.Late == 0 {
-		t.Error("a late answer was not counted")
+	if a.link.LateFrames == 0 {
+		t.Error("late frames = 0, want some")
 	}
 	want := [][]string{{fmt.Sprintf("answer %d 1", two), "takes 3", "1 keys", "leaves", "pong 7"}, {fmt.Sprintf("cancel %d", one)}}
 	if diff := cmp.Diff(want, [][]string{a.heard, b.heard}); diff != "" {
@@ -217,22 +223,22 @@
 	}
 }
 
-// hostile is what a peer may send that must end the link, and is told from a good one.
-func TestHostile(t *testing.T) {
-	enc := func(h any) []byte {
+// What a hostile peer may send ends the link, each with its error.
+func TestHostilePeer(t *testing.T) {
+	enc := func(h message.Message) []byte {
 		b, err := message.Append(nil, h)
 		fatal(t, err)
 		return b
 	}
-	greet := frame.Frame{Kind: frame.Greet, Value: frame.Version, Body: enc(&message.Greet{Site: "s", Gateway: "g", Form: "lines"})}
+	greet := frame.Frame{Kind: frame.Hello, Value: frame.Version, Body: enc(&message.Hello{Site: "s", Gateway: "g", Format: "lines"})}
 	ask := func(id uint32, size int) frame.Frame {
-		return frame.Frame{Kind: frame.Ask, Stream: id, Body: enc(&message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: size})}
+		return frame.Frame{Kind: frame.Request, Stream: id, Body: enc(&message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: size})}
 	}
 	data := func(id uint32, n int, last uint32) frame.Frame {
 		return frame.Frame{Kind: frame.Data, Stream: id, Value: last, Body: make([]byte, n)}
 	}
 	answer := func(id uint32) frame.Frame {
-		return frame.Frame{Kind: frame.Answer, Stream: id, Body: enc(&message.Answer{Verdict: 1})}
+		return frame.Frame{Kind: frame.Response, Stream: id, Body: enc(&message.Response{Verdict: 1})}
 	}
 	for name, tt := range map[string]struct {
 		frames []frame.Frame
@@ -240,7 +246,7 @@
 	}{
 		"no greeting":            {[]frame.Frame{ask(1, 1)}, ErrOrder},
 		"two greetings":          {[]frame.Frame{greet, greet}, ErrOrder},
-		"another version":        {[]frame.Frame{{Kind: frame.Greet, Value: 99, Body: greet.Body}}, ErrVersion},
+		"another version":        {[]frame.Frame{{Kind: frame.Hello, Value: 99, Body: greet.Body}}, ErrVersion},
 		"a stream of ours":       {[]frame.Frame{greet, ask(2, 1)}, ErrOrder},
 		"a number twice":         {[]frame.Frame{greet, ask(3, 1), ask(3, 1)}, ErrOrder},
 		"a number that went by":  {[]frame.Frame{greet, ask(3, 1), ask(1, 1)}, ErrOrder},
@@ -254,7 +260,7 @@
 		"data of no stream":      {[]frame.Frame{greet, data(5, 1, 1)}, ErrOrder},
 		"cancels what we asked":  {[]frame.Frame{greet, {Kind: frame.Cancel, Stream: 2}}, ErrOrder},
 		"boundless credit":       {[]frame.Frame{greet, ask(1, 1), {Kind: frame.Credit, Stream: 1, Value: 1 << 31}}, ErrCredit},
-		"room that is no number": {[]frame.Frame{greet, {Kind: frame.Digest, Body: []byte("\xa2\x01\xa1\x61c\xfb\x7f\xf8\x00\x00\x00\x00\x00\x00\x02\x01")}}, message.ErrBounds},
+		"room that is no number": {[]frame.Frame{greet, {Kind: frame.LoadReport, Body: []byte("\xa2\x01\xa1\x61c\xfb\x7f\xf8\x00\x00\x00\x00\x00\x00\x02\x01")}}, message.ErrBounds},
 	} {
 		e := newEnd(t, Config{Window: 16 << 10})
 		var b []byte
@@ -264,29 +270,29 @@
 		if _, err := e.link.Input(b); !errors.Is(err, tt.want) {
 			t.Errorf("%s: %v, want %v", name, err, tt.want)
 		}
-		if e.link.Held() > Held {
-			t.Errorf("%s: holds %d bytes", name, e.link.Held())
+		if e.link.HeldBytes() > DefaultMaxHeldBytes {
+			t.Errorf("%s: holds %d bytes", name, e.link.HeldBytes())
 		}
 	}
 }
 
-// Any bytes behind a greeting end in an error or in wishes for more, and within bounds.
+// Any bytes behind a hello end in an error or need more bytes, and stay within bounds.
 func FuzzInput(f *testing.F) {
-	h, err := message.Append(nil, &message.Ask{ID: "i", Class: "c", Left: 1, Sends: 1, Size: 3})
+	h, err := message.Append(nil, &message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: 3})
 	fatal(f, err)
-	f.Add(frame.Append(frame.Append(nil, frame.Frame{Kind: frame.Ask, Stream: 1, Body: h}), frame.Frame{Kind: frame.Data, Stream: 1, Value: 1, Body: []byte("abc")}))
-	f.Add(frame.Append(nil, frame.Frame{Kind: frame.Digest, Body: []byte{0xa1, 1, 0xa0}}))
+	f.Add(frame.Append(frame.Append(nil, frame.Frame{Kind: frame.Request, Stream: 1, Body: h}), frame.Frame{Kind: frame.Data, Stream: 1, Value: 1, Body: []byte("abc")}))
+	f.Add(frame.Append(nil, frame.Frame{Kind: frame.LoadReport, Body: []byte{0xa1, 1, 0xa0}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e := newEnd(t, Config{})
 		greet := e.link.Pull(nil, 1)
 		if _, err := e.link.Input(greet); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := e.link.Input(b); n > len(b) || err == nil && len(b)-n > frame.HeadLen+frame.MostBody {
+		if n, err := e.link.Input(b); n > len(b) || err == nil && len(b)-n > frame.HeaderSize+frame.MaxBodySize {
 			t.Errorf("took %d of %d: %v", n, len(b), err)
 		}
-		if e.link.Held() > Held || e.link.Held() < 0 {
-			t.Errorf("holds %d bytes", e.link.Held())
+		if e.link.HeldBytes() > DefaultMaxHeldBytes || e.link.HeldBytes() < 0 {
+			t.Errorf("holds %d bytes", e.link.HeldBytes())
 		}
 	})
 }
