--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	addr, err := harness.Free()
+	addr, err := harness.UnusedAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 	}
 	ends = append(ends, g.Stop)
 	c.Server, c.Engine = addr, r.Postgres.Members()[0].Addr.String()
-	return stop, harness.Up(ctx, addr)
+	return stop, harness.WaitListening(ctx, addr)
 }
 
 // loopback tells whether an address is this machine's own.
--- a/cmd/testbed/keys.go
+++ b/cmd/testbed/keys.go
@@ -23,7 +23,7 @@
 		if !ok || site == "" || gateway == "" || strings.Contains(gateway, "/") {
 			return fmt.Errorf("%q is no SITE/GATEWAY", g)
 		}
-		if _, err := ca.Issue(c.Folder, gateway, site, gateway, testca.Tomorrow()); err != nil {
+		if _, err := ca.Issue(c.Folder, gateway, site, gateway, testca.DefaultExpiry()); err != nil {
 			return err
 		}
 	}
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -45,7 +45,7 @@
 	}
 	defer r.Close()
 	p := &platform{dir: dir, config: r.Config, program: c.Ringwood}
-	if p.socket, p.addr, err = harness.Hold("127.0.0.1:0"); err != nil {
+	if p.socket, p.addr, err = harness.OpenListener("127.0.0.1:0"); err != nil {
 		return err
 	}
 	defer p.socket.Close()
@@ -59,7 +59,7 @@
 	defer stop()
 	calls := callAll(ctx, "http://"+p.addr, c.Rate)
 	for i := range c.Times {
-		if err := harness.Pause(ctx, c.For); err != nil {
+		if err := harness.Sleep(ctx, c.For); err != nil {
 			return err
 		}
 		next, took, err := p.start()
@@ -93,7 +93,7 @@
 
 // start starts a process and waits for its yes.
 func (p *platform) start() (*exec.Cmd, time.Duration, error) {
-	endpoint, err := harness.Free()
+	endpoint, err := harness.UnusedAddress()
 	if err != nil {
 		return nil, 0, err
 	}
@@ -126,7 +126,7 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return 0, err
 	}
-	kill := time.AfterFunc(harness.EndsWithin, func() { _ = cmd.Process.Kill() })
+	kill := time.AfterFunc(harness.TerminationTimeout, func() { _ = cmd.Process.Kill() })
 	defer kill.Stop()
 	err := cmd.Wait()
 	return time.Since(began), err
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -58,7 +58,7 @@
 			{At: span * 2 / 3, Do: sites.Upgrade, Site: 1}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
 	}},
 	{Name: "lost-replies", What: "replies of the second site are lost for a while, then the link is cut", Events: func(span time.Duration, _ int) []simulation.Event {
-		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: string(faultproxy.Lost)}, {At: span / 2, Do: simulation.Mend},
+		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: string(faultproxy.DroppedReplies)}, {At: span / 2, Do: simulation.Mend},
 			{At: span / 2, Do: string(faultproxy.Reset)}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
 	}},
 }
@@ -105,8 +105,8 @@
 		case simulation.Load:
 			one.Do = sites.Busy
 			out = append(out, one)
-		case simulation.Cut, simulation.Mute, simulation.OneWay, string(faultproxy.Lost):
-			one.Do = map[string]string{simulation.Cut: string(faultproxy.Cut), simulation.Mute: string(faultproxy.Silence), simulation.OneWay: string(faultproxy.OneWay), string(faultproxy.Lost): string(faultproxy.Lost)}[ev.Do]
+		case simulation.Cut, simulation.Mute, simulation.OneWay, string(faultproxy.DroppedReplies):
+			one.Do = map[string]string{simulation.Cut: string(faultproxy.Cut), simulation.Mute: string(faultproxy.Silence), simulation.OneWay: string(faultproxy.HeldRequests), string(faultproxy.DroppedReplies): string(faultproxy.DroppedReplies)}[ev.Do]
 			one.For = until
 			out = append(out, one)
 		case simulation.Kill:
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -60,7 +60,7 @@
 		ended[i] = g.Ended
 	}
 	for _, addr := range []string{c.HTTP, c.Postgres} {
-		if err := harness.Up(ctx, addr); err != nil {
+		if err := harness.WaitListening(ctx, addr); err != nil {
 			return err
 		}
 	}
--- a/cmd/testbed/try_test.go
+++ b/cmd/testbed/try_test.go
@@ -30,11 +30,11 @@
 		}
 		return
 	}
-	web, err := harness.Free()
+	web, err := harness.UnusedAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	pg, err := harness.Free()
+	pg, err := harness.UnusedAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	defer cancel()
 	defer p.Process.Kill()
 	for _, addr := range []string{web, pg} {
-		if err := harness.Up(ctx, addr); err != nil {
+		if err := harness.WaitListening(ctx, addr); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/gateway/replacement_test.go
+++ b/internal/gateway/replacement_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	p := &platformOf{t: t, dir: t.TempDir(), seen: map[string][]string{}, hold: make(chan struct{})}
 	var err error
-	if p.socket, p.addr, err = harness.Hold("127.0.0.1:0"); err != nil {
+	if p.socket, p.addr, err = harness.OpenListener("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = p.socket.Close() })
@@ -142,7 +142,7 @@
 // start starts a process at the socket.
 func (p *platformOf) start() *childProcess {
 	p.t.Helper()
-	endpoint, err := harness.Free()
+	endpoint, err := harness.UnusedAddress()
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -58,7 +58,7 @@
 func newSite(t *testing.T, change ...string) *site {
 	t.Helper()
 	dir := t.TempDir()
-	addr, err := harness.Free()
+	addr, err := harness.UnusedAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ca.Issue(dir, "front", "lalitpur", "front", testca.Tomorrow()); err != nil {
+	if _, err := ca.Issue(dir, "front", "lalitpur", "front", testca.DefaultExpiry()); err != nil {
 		t.Fatal(err)
 	}
 	c, err := tls.LoadX509KeyPair(filepath.Join(dir, "front.pem"), filepath.Join(dir, "front.key"))
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ca.Issue(dir, "engine", "lalitpur", "engine", testca.Tomorrow()); err != nil {
+	if _, err := ca.Issue(dir, "engine", "lalitpur", "engine", testca.DefaultExpiry()); err != nil {
 		t.Fatal(err)
 	}
 	if err := ca.Write(dir); err != nil {
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -155,7 +155,7 @@
 	b.hold(true)
 	_, got := a.ask("lookup", "out", "SELECT 1", "", 8*time.Second)
 	out := next(t, b.Sent)
-	if _, err := ca.Issue(dir, "near", "a", "near", testca.Tomorrow()); err != nil {
+	if _, err := ca.Issue(dir, "near", "a", "near", testca.DefaultExpiry()); err != nil {
 		t.Fatal(err)
 	}
 	a.Now(func() {
@@ -198,12 +198,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	revoked, err := ca.Issue(dir, "taken-back", "a", "near", testca.Tomorrow())
+	revoked, err := ca.Issue(dir, "taken-back", "a", "near", testca.DefaultExpiry())
 	ca.Revoke(revoked)
 	_, err1 := ca.Issue(dir, "expired", "a", "near", time.Now().Add(-time.Minute))
-	_, err2 := ca.Issue(dir, "stranger", "c", "stranger", testca.Tomorrow())
-	_, err3 := other.Issue(dir, "forged", "a", "near", testca.Tomorrow())
-	_, err4 := ca.Issue(dir, "good", "a", "near", testca.Tomorrow())
+	_, err2 := ca.Issue(dir, "stranger", "c", "stranger", testca.DefaultExpiry())
+	_, err3 := other.Issue(dir, "forged", "a", "near", testca.DefaultExpiry())
+	_, err4 := ca.Issue(dir, "good", "a", "near", testca.DefaultExpiry())
 	if err := errors.Join(err, err1, err2, err3, err4, ca.Write(dir)); err != nil {
 		t.Fatal(err)
 	}
@@ -294,8 +294,8 @@
 		t.Fatal(err)
 	}
 	dir, wrong := t.TempDir(), t.TempDir()
-	_, err1 := ca.Issue(dir, "far", "b", "far", testca.Tomorrow())
-	_, err2 := ca.Issue(dir, "near", "a", "near", testca.Tomorrow())
+	_, err1 := ca.Issue(dir, "far", "b", "far", testca.DefaultExpiry())
+	_, err2 := ca.Issue(dir, "near", "a", "near", testca.DefaultExpiry())
 	if err := errors.Join(err1, err2, ca.Write(dir), other.Write(wrong)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/cluster/drawn.go
+++ b/internal/testbed/cluster/drawn.go
@@ -46,7 +46,7 @@
 		case 11:
 			f.Do, f.Who = []Do{DiskFull, NoFiles}[rng.IntN(2)], f.Who[:1]
 		case 12:
-			f.Do, f.Side, f.To, f.Kind = Link, Engines, []int{rng.IntN(engines)}, []faultproxy.Kind{faultproxy.Silence, faultproxy.OneWay, faultproxy.Lost, faultproxy.Cut, faultproxy.Reset}[rng.IntN(5)]
+			f.Do, f.Side, f.To, f.Kind = Link, Engines, []int{rng.IntN(engines)}, []faultproxy.Kind{faultproxy.Silence, faultproxy.HeldRequests, faultproxy.DroppedReplies, faultproxy.Cut, faultproxy.Reset}[rng.IntN(5)]
 			f.For = min(f.For, 5*time.Second)
 		case 13:
 			f.Do, f.Side, f.Kind = Link, Bus, []faultproxy.Kind{faultproxy.Silence, faultproxy.Cut, faultproxy.Garbage}[rng.IntN(3)]
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -55,7 +55,7 @@
 
 // hold opens the socket that processes of the front end follow each other at, as the platform does.
 func (f *front) hold() (err error) {
-	if f.socket, _, err = harness.Hold(f.addr); err != nil {
+	if f.socket, _, err = harness.OpenListener(f.addr); err != nil {
 		return fmt.Errorf("front end %d: %w", f.n, err)
 	}
 	return nil
@@ -178,7 +178,7 @@
 	f.now = next
 	f.mu.Unlock()
 	f.tell(was, old, true)
-	kill := time.AfterFunc(harness.EndsWithin, func() { f.tell(was, syscall.SIGKILL, true) })
+	kill := time.AfterFunc(harness.TerminationTimeout, func() { f.tell(was, syscall.SIGKILL, true) })
 	defer kill.Stop()
 	return f.gone(was)
 }
--- a/internal/testbed/cluster/tier.go
+++ b/internal/testbed/cluster/tier.go
@@ -249,14 +249,14 @@
 const settleMost = 15 * time.Second
 
 // prepare writes the files of all front ends.
-func (t *tier) prepare(r *harness.Rig) error {
+func (t *tier) prepare(r *harness.Harness) error {
 	raw, err := os.ReadFile(r.Config)
 	if err != nil {
 		return err
 	}
 	var real []netip.AddrPort
 	for len(real) < t.opts.Processes {
-		free, err := harness.Free()
+		free, err := harness.UnusedAddress()
 		if err != nil {
 			return err
 		}
@@ -273,7 +273,7 @@
 		if err := json.Unmarshal(raw, &file); err != nil {
 			return err
 		}
-		addr, err := harness.Free()
+		addr, err := harness.UnusedAddress()
 		if err != nil {
 			return err
 		}
@@ -312,7 +312,7 @@
 }
 
 // relayed puts relays of a front end's own in place of what its file names.
-func (t *tier) relayed(i int, file map[string]any, r *harness.Rig) (err error) {
+func (t *tier) relayed(i int, file map[string]any, r *harness.Harness) (err error) {
 	w := &t.ways[i]
 	if file["bus"], err = w.open(Bus, file["bus"].(string), t.opts.Seed); err != nil {
 		return err
@@ -446,7 +446,7 @@
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	steps = append(steps, step{t.opts.Span, func() error { return nil }})
 	for _, s := range steps {
-		if err := harness.Pause(ctx, max(time.Until(t.began.Add(s.at)), 0)); err != nil {
+		if err := harness.Sleep(ctx, max(time.Until(t.began.Add(s.at)), 0)); err != nil {
 			return err
 		}
 		if err := s.do(); err != nil {
--- a/internal/testbed/faultproxy/link.go
+++ b/internal/testbed/faultproxy/link.go
@@ -21,8 +21,8 @@
 // (replies) or on both.
 const (
 	Silence   Kind = "silence"    // both ways: bytes are taken and kept until it ends
-	OneWay    Kind = "one-way"    // requests are taken and kept until it ends, replies pass
-	Lost      Kind = "lost"       // replies are taken and thrown away; requests arrive
+	HeldRequests    Kind = "one-way"    // requests are taken and kept until it ends, replies pass
+	DroppedReplies      Kind = "lost"       // replies are taken and thrown away; requests arrive
 	Garbage   Kind = "garbage"    // one byte of each piece of the replies is changed
 	Cut       Kind = "cut"        // both connections are closed, and new ones are refused
 	Reset     Kind = "reset"      // both are reset (RST), once at its start
@@ -30,7 +30,7 @@
 )
 
 // Kinds are all of them.
-var Kinds = []Kind{Silence, OneWay, Lost, Garbage, Cut, Reset, HalfClose}
+var Kinds = []Kind{Silence, HeldRequests, DroppedReplies, Garbage, Cut, Reset, HalfClose}
 
 // Fault is one fault of a schedule.
 type Fault struct {
@@ -258,7 +258,7 @@
 			b := make([]byte, piece)
 			n, err := from.Read(b)
 			if n > 0 {
-				if replies && l.on(Lost) {
+				if replies && l.on(DroppedReplies) {
 					continue
 				}
 				due := time.Now().Add(l.opts.Delay + l.jitter() + l.stall())
@@ -319,7 +319,7 @@
 	}
 	for {
 		change := p.link.waiter()
-		if !p.link.on(Silence) && !(request && p.link.on(OneWay)) {
+		if !p.link.on(Silence) && !(request && p.link.on(HeldRequests)) {
 			return true
 		}
 		select {
--- a/internal/testbed/faultproxy/link_test.go
+++ b/internal/testbed/faultproxy/link_test.go
@@ -90,7 +90,7 @@
 
 // Each fault does what it says, and no more.
 func TestFaults(t *testing.T) {
-	for _, kind := range []Kind{Lost, Garbage, Cut, Reset, HalfClose, Silence} {
+	for _, kind := range []Kind{DroppedReplies, Garbage, Cut, Reset, HalfClose, Silence} {
 		t.Run(string(kind), func(t *testing.T) {
 			l, c, seen := open(t, Options{Faults: []Fault{{Kind: kind, From: 100 * time.Millisecond, For: 200 * time.Millisecond}}, Seed: 1})
 			if got, err := ask(c, 'a'); err != nil || got != 'a' {
@@ -102,7 +102,7 @@
 				<-change // it has begun
 			}
 			switch kind {
-			case Lost:
+			case DroppedReplies:
 				_, _ = c.Write([]byte{'b'})
 				if got := <-seen; got != 'b' {
 					t.Errorf("the server saw %q", got)
--- a/internal/testbed/harness/rig.go
+++ b/internal/testbed/harness/rig.go
@@ -44,8 +44,8 @@
 	Log     *slog.Logger
 }
 
-// Rig is what was set up. The emulated systems end with Close.
-type Rig struct {
+// Harness is what was set up. The emulated systems end with Close.
+type Harness struct {
 	Config, Deploy, Shapes string          // the gateways' files
 	Lines, Postgres        *emulator.Fleet // the engines of each wire, and what tells of them
 	listeners              []net.Listener
@@ -53,12 +53,12 @@
 }
 
 // Do does one thing to the engines of both wires, or to what tells of them.
-func (r *Rig) Do(kind string, engine int) error {
+func (r *Harness) Do(kind string, engine int) error {
 	return errors.Join(r.Lines.Do(kind, engine), r.Postgres.Do(kind, engine))
 }
 
 // Close ends the emulated systems.
-func (r *Rig) Close() {
+func (r *Harness) Close() {
 	r.Lines.Close()
 	r.Postgres.Close()
 	for _, l := range r.links {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (r *Rig) listen() (net.Listener, error) {
+func (r *Harness) listen() (net.Listener, error) {
 	ln, err := emulator.Listen("127.0.0.1:0")
 	if err == nil {
 		r.listeners = append(r.listeners, ln)
@@ -87,8 +87,8 @@
 }
 
 // New starts the emulated systems and writes the files.
-func New(opts Options) (r *Rig, err error) {
-	r = &Rig{Config: filepath.Join(opts.Dir, "config.json"), Deploy: filepath.Join(opts.Dir, "postgres.toml"), Shapes: filepath.Join(opts.Dir, "shapes.toml"),
+func New(opts Options) (r *Harness, err error) {
+	r = &Harness{Config: filepath.Join(opts.Dir, "config.json"), Deploy: filepath.Join(opts.Dir, "postgres.toml"), Shapes: filepath.Join(opts.Dir, "shapes.toml"),
 		Lines: emulator.NewFleet(), Postgres: emulator.NewFleet()}
 	defer func() {
 		if err != nil {
@@ -128,7 +128,7 @@
 }
 
 // engine starts one engine, behind a link where there are links.
-func (r *Rig) engine(fleet *emulator.Fleet, opts Options, one emulator.Options, id string, serve func(net.Listener, emulator.Options), start func()) error {
+func (r *Harness) engine(fleet *emulator.Fleet, opts Options, one emulator.Options, id string, serve func(net.Listener, emulator.Options), start func()) error {
 	ln, err := emulator.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -148,7 +148,7 @@
 	return fleet.Add(id, ln, addr, func(ln net.Listener) { serve(ln, one) }, start)
 }
 
-func (r *Rig) write(opts Options, targets []target, bus, agent string) error {
+func (r *Harness) write(opts Options, targets []target, bus, agent string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
 		return fmt.Errorf("start this from the repository's root: %w", err)
@@ -192,11 +192,11 @@
 	return nil
 }
 
-// EndsWithin is how long the platform lets a process live that it told to end.
-const EndsWithin = 5700 * time.Millisecond
+// TerminationTimeout is how long the platform lets a process live that it told to end.
+const TerminationTimeout = 5700 * time.Millisecond
 
-// Hold opens a socket that processes of one front end listen at one after the other, as the platform does, and tells where it is.
-func Hold(addr string) (*os.File, string, error) {
+// OpenListener opens a socket that processes of one front end listen at one after the other, as the platform does, and tells where it is.
+func OpenListener(addr string) (*os.File, string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, "", fmt.Errorf("rig: %w", err)
@@ -250,8 +250,8 @@
 	}
 }
 
-// Up waits until somebody listens.
-func Up(ctx context.Context, addr string) error {
+// WaitListening waits until somebody listens.
+func WaitListening(ctx context.Context, addr string) error {
 	for {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 		if err == nil {
@@ -265,9 +265,9 @@
 	}
 }
 
-// Free is a loopback address that nobody listens at just now, below the ports that systems
+// UnusedAddress is a loopback address that nobody listens at just now, below the ports that systems
 // give out by themselves: none of the emulated systems, nor a connection, takes it meanwhile.
-func Free() (string, error) {
+func UnusedAddress() (string, error) {
 	var last error
 	for range 100 {
 		ln, err := emulator.Listen(fmt.Sprintf("127.0.0.1:%d", 18000+rand.IntN(14000)))
@@ -281,8 +281,8 @@
 	return "", last
 }
 
-// Pause waits, or tells that the context has ended.
-func Pause(ctx context.Context, d time.Duration) error {
+// Sleep waits, or tells that the context has ended.
+func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -109,7 +109,7 @@
 		return res, err
 	}
 	defer os.RemoveAll(dir)
-	addr, err := harness.Free()
+	addr, err := harness.UnusedAddress()
 	if err != nil {
 		return res, err
 	}
@@ -131,7 +131,7 @@
 		return res, err
 	}
 	defer g.Stop()
-	if err := harness.Up(ctx, addr); err != nil {
+	if err := harness.WaitListening(ctx, addr); err != nil {
 		return res, err
 	}
 	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests/5); err != nil { // warm
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -102,7 +102,7 @@
 	}
 	s.marks++
 	c := &client{w: w, site: s, mark: fmt.Sprintf("%c-%d-%d", kind, s.n, s.marks), due: w.now, guess: math.Exp(guessSpread * s.rng.NormFloat64())}
-	name := workcost.Of(c.mark).Name
+	name := workcost.ClassOf(c.mark).Name
 	i := slices.IndexFunc(w.opts.Site.Policy.Classes, func(class policy.Class) bool { return class.Name == name })
 	if i < 0 {
 		w.fail(fmt.Errorf("fleet: the settings have no class %q", name))
@@ -186,7 +186,7 @@
 	if at < 0 {
 		return
 	}
-	worth := workcost.Of(c.mark).Worth
+	worth := workcost.ClassOf(c.mark).Value
 	got := 0.0
 	if served {
 		got = workcost.Value(c.mark, now-c.due)
@@ -220,7 +220,7 @@
 		}
 	}
 	r.order, r.open = nil, nil
-	r.Worst = workcost.Worst(r.spans)
+	r.Worst = workcost.WorstTenSeconds(r.spans)
 	for _, s := range w.sites {
 		for _, g := range s.gateways {
 			for name, n := range g.stats.All() {
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -229,7 +229,7 @@
 
 // spent counts what a run took of its engine, and whether its answer was wanted.
 func (w *World) spent(r *running, wanted bool) {
-	x := (w.now - r.at).Seconds() * workcost.Of(r.mark).Threads
+	x := (w.now - r.at).Seconds() * workcost.ClassOf(r.mark).Threads
 	w.res.Spent += x
 	if !wanted {
 		w.res.Wasted += x
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -207,8 +207,8 @@
 	if ca, err = testca.New("sites"); err != nil {
 		return nil, 0, err
 	}
-	if _, err = ca.Issue(dir, Near.Gateway, Near.Site, Near.Gateway, testca.Tomorrow()); err == nil {
-		if far, err = ca.Issue(dir, Far.Gateway, Far.Site, Far.Gateway, testca.Tomorrow()); err == nil {
+	if _, err = ca.Issue(dir, Near.Gateway, Near.Site, Near.Gateway, testca.DefaultExpiry()); err == nil {
+		if far, err = ca.Issue(dir, Far.Gateway, Far.Site, Far.Gateway, testca.DefaultExpiry()); err == nil {
 			err = ca.Write(dir)
 		}
 	}
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -48,7 +48,7 @@
 // Known tells whether there is a kind of event of this name.
 func Known(do string) bool {
 	return emulator.Known(do) || slices.Contains([]string{GatewayDies, Upgrade, SiteDrain, SiteBack, Busy,
-		string(faultproxy.Silence), string(faultproxy.OneWay), string(faultproxy.Lost), string(faultproxy.Cut), string(faultproxy.Reset)}, do)
+		string(faultproxy.Silence), string(faultproxy.HeldRequests), string(faultproxy.DroppedReplies), string(faultproxy.Cut), string(faultproxy.Reset)}, do)
 }
 
 // Event is something that happens.
@@ -99,7 +99,7 @@
 // place is one site.
 type place struct {
 	n       int
-	rig     *harness.Rig
+	rig     *harness.Harness
 	addr    string
 	sites   string // where it listens for the other
 	admin   string
@@ -141,10 +141,10 @@
 		if err = os.Mkdir(dir, 0o700); err != nil {
 			return b, err
 		}
-		if p.addr, err = harness.Free(); err != nil {
+		if p.addr, err = harness.UnusedAddress(); err != nil {
 			return b, err
 		}
-		if p.sites, err = harness.Free(); err != nil {
+		if p.sites, err = harness.UnusedAddress(); err != nil {
 			return b, err
 		}
 		if p.rig, err = harness.New(harness.Options{
@@ -153,7 +153,7 @@
 		}); err != nil {
 			return b, err
 		}
-		if _, err = b.ca.Issue(opts.Dir, Names[i], Names[i], Names[i]+"-1", testca.Tomorrow()); err != nil {
+		if _, err = b.ca.Issue(opts.Dir, Names[i], Names[i], Names[i]+"-1", testca.DefaultExpiry()); err != nil {
 			return b, err
 		}
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, p := range b.places {
-		if err = harness.Up(ctx, p.addr); err != nil {
+		if err = harness.WaitListening(ctx, p.addr); err != nil {
 			return b, err
 		}
 	}
@@ -325,14 +325,14 @@
 	events := slices.Clone(opts.Events)
 	slices.SortStableFunc(events, func(x, y Event) int { return int(x.At - y.At) })
 	for _, e := range events {
-		if err := harness.Pause(ctx, time.Until(begin.Add(e.At))); err != nil {
+		if err := harness.Sleep(ctx, time.Until(begin.Add(e.At))); err != nil {
 			return nil, err
 		}
 		if err := b.do(ctx, e, traffic, &running); err != nil {
 			return nil, err
 		}
 	}
-	if err := harness.Pause(ctx, time.Until(begin.Add(opts.Span))); err != nil {
+	if err := harness.Sleep(ctx, time.Until(begin.Add(opts.Span))); err != nil {
 		return nil, err
 	}
 	stop()
@@ -360,7 +360,7 @@
 		if p.gateway, err = harness.Start(b.opts.Program, b.opts.Log, p.args...); err != nil {
 			return err
 		}
-		if err := harness.Up(ctx, p.addr); err != nil {
+		if err := harness.WaitListening(ctx, p.addr); err != nil {
 			return err
 		}
 		for _, s := range append([]*load.Source{p.source}, p.more...) { // clients see at once that their connections have ended
@@ -378,7 +378,7 @@
 			case !strings.Contains(last.Problem, "is not through"): // else the one before answers what it had taken still
 				return fmt.Errorf("the upgrade ended with %q", last.Problem)
 			}
-			if err := harness.Pause(ctx, 200*time.Millisecond); err != nil {
+			if err := harness.Sleep(ctx, 200*time.Millisecond); err != nil {
 				return err
 			}
 		}
@@ -426,7 +426,7 @@
 			}
 			res.Requests++
 			span := &spans[int(at/time.Second)]
-			worth := workcost.Of(r.Mark).Worth
+			worth := workcost.ClassOf(r.Mark).Value
 			span[1] += worth
 			asked += worth
 			if r.Verdict == load.Served {
@@ -438,7 +438,7 @@
 		}
 	}
 	res.Service = got / max(asked, 1e-9)
-	res.Worst = workcost.Worst(spans)
+	res.Worst = workcost.WorstTenSeconds(spans)
 	res.Faults = load.Check(all, res.Runs, window)
 	for i, p := range b.places {
 		var mine []emulator.Run
--- a/internal/testbed/testca/authority.go
+++ b/internal/testbed/testca/authority.go
@@ -77,8 +77,8 @@
 	return a.serial, err
 }
 
-// Tomorrow is when what is issued usually ends.
-func Tomorrow() time.Time { return time.Now().Add(day) }
+// DefaultExpiry is when what is issued usually ends.
+func DefaultExpiry() time.Time { return time.Now().Add(day) }
 
 // Revoke takes a certificate back, in the lists that are written from then on.
 func (a *Authority) Revoke(serial int64) {
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -83,7 +83,7 @@
 	running.Go(func() { s.Run(traffic) })
 	defer running.Wait()
 	defer stop()
-	if err := harness.Pause(ctx, opts.Warm+opts.Span); err != nil {
+	if err := harness.Sleep(ctx, opts.Warm+opts.Span); err != nil {
 		return nil, err
 	}
 	event := time.Now()
@@ -114,7 +114,7 @@
 	default:
 		return nil, fmt.Errorf("there is no way %q", opts.Way)
 	}
-	if err := harness.Pause(ctx, time.Until(event.Add(opts.Span))); err != nil {
+	if err := harness.Sleep(ctx, time.Until(event.Add(opts.Span))); err != nil {
 		return nil, err
 	}
 	stop()
@@ -131,7 +131,7 @@
 			continue
 		}
 		res.Requests++
-		asked[span] += workcost.Of(rec.Mark).Worth
+		asked[span] += workcost.ClassOf(rec.Mark).Value
 		switch rec.Verdict {
 		case load.Served:
 			got[span] += workcost.Value(rec.Mark, rec.Latency())
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -109,7 +109,7 @@
 // gate is the gateway that serves just now, whichever process that is.
 type gate struct {
 	opts  Options
-	rig   *harness.Rig
+	rig   *harness.Harness
 	addr  string
 	admin string
 	args  []string
@@ -119,7 +119,7 @@
 // open sets a gateway up between engines, and returns once it serves. set says what is set up
 // beside what the options say.
 func open(ctx context.Context, opts Options, set harness.Options) (g *gate, err error) {
-	addr, err := harness.Free()
+	addr, err := harness.UnusedAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 	go func() { s.Run(traffic); close(ended) }()
 	res = &Result{}
 	defer func() { stop(); <-ended }()
-	if err := harness.Pause(ctx, 2*time.Second); err != nil {
+	if err := harness.Sleep(ctx, 2*time.Second); err != nil {
 		return nil, err
 	}
 	res.Stable = time.Now()
@@ -206,11 +206,11 @@
 		}
 		res.Upgrades = append(res.Upgrades, u)
 		opts.Each(u)
-		if err := harness.Pause(ctx, opts.Gap); err != nil {
+		if err := harness.Sleep(ctx, opts.Gap); err != nil {
 			return nil, err
 		}
 	}
-	if err := harness.Pause(ctx, time.Second); err != nil {
+	if err := harness.Sleep(ctx, time.Second); err != nil {
 		return nil, err
 	}
 	if st, err := admin.FetchStatus(ctx, g.admin); err == nil {
@@ -274,7 +274,7 @@
 				return nil
 			}
 		}
-		if over := harness.Pause(ctx, 50*time.Millisecond); over != nil {
+		if over := harness.Sleep(ctx, 50*time.Millisecond); over != nil {
 			return errors.Join(errors.New("the gateway never served"), err, over)
 		}
 	}
@@ -384,7 +384,7 @@
 		}
 		u.Done, u.Why = time.Now(), strings.ReplaceAll(last.Problem, g.opts.Dir+"/", "")
 		if strings.Contains(u.Why, "not through") {
-			if err := harness.Pause(ctx, 20*time.Millisecond); err != nil {
+			if err := harness.Sleep(ctx, 20*time.Millisecond); err != nil {
 				return u, err
 			}
 			continue
