--- a/internal/testbed/workcost/costs.go
+++ b/internal/testbed/workcost/costs.go
@@ -16,14 +16,14 @@
 // Class is what a class of the register is worth, and how long its answers may take. The figures
 // are those of the settings of the PostgreSQL front (deploy/postgres-settings.json).
 type Class struct {
-	Name        string
+	Name                string
 	Value, LateFraction float64 // of an answer in time, and the share of it that a late one has
-	LatencyObjective         time.Duration
-	Stretch     float64 // of the work over the threads, on top of the aim
-	Threads, IO float64
-	Mean        float64 // of the work, ms
-	Need        float64 // of memory, MB
-	Load, Waits bool
+	LatencyObjective    time.Duration
+	Stretch             float64 // of the work over the threads, on top of the aim
+	Threads, IO         float64
+	Mean                float64 // of the work, ms
+	Need                float64 // of memory, MB
+	Load, Waits         bool
 }
 
 var classes = map[byte]Class{
