--- a/internal/frontend/httpapi/handover_test.go
+++ b/internal/frontend/httpapi/handover_test.go
@@ -46,13 +46,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path)
+	_, _ = fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer func() { _ = resp.Body.Close() }()
 	b, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(b)
 }
--- a/internal/frontend/httpapi/replay_test.go
+++ b/internal/frontend/httpapi/replay_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"crypto/sha256"
+	"encoding/hex"
 	"flag"
 	"fmt"
 	"hash"
@@ -47,7 +48,7 @@
 )
 
 func (s *scriptedCore) ForwardOnArrival(r *core.Request) bool {
-	fmt.Fprintf(s.seen, "%s %s %q %q %q %d %d %g %t %t\n", r.ID, r.Class, r.Statement, r.IdempotencyKey, r.SerialKey, r.DataSet,
+	_, _ = fmt.Fprintf(s.seen, "%s %s %q %q %q %d %d %g %t %t\n", r.ID, r.Class, r.Statement, r.IdempotencyKey, r.SerialKey, r.DataSet,
 		r.Work, r.MemoryMB, r.ClientRetry, r.Deadline-s.loop.Now() > 50*time.Second && r.Deadline-s.loop.Now() <= longest)
 	s.core.Forwarded(r, s.loop.Now()+longest)
 	if r.ID == heldID {
@@ -96,9 +97,10 @@
 
 // replayCall is a call that a front answers and goes on behind.
 func replayCall(random *rand.Rand) string {
-	method, path, header, body := "POST", "/rpc/lookup", "", "select * from t"+strconv.Itoa(random.IntN(50))+" where a = 1"
-	path = []string{"/rpc/lookup", "/rpc/lookup", "/rpc/lookup", "/rpc/site/lookup", "/rpc/write", "/rpc/load"}[random.IntN(6)]
-	header = fmt.Sprintf("Req-Id: %016x\r\nReq-Wait-Ms: %d\r\n", random.Uint64(), 60000+random.IntN(500000))
+	method := "POST"
+	body := "select * from t" + strconv.Itoa(random.IntN(50)) + " where a = 1"
+	path := []string{"/rpc/lookup", "/rpc/lookup", "/rpc/lookup", "/rpc/site/lookup", "/rpc/write", "/rpc/load"}[random.IntN(6)]
+	header := fmt.Sprintf("Req-Id: %016x\r\nReq-Wait-Ms: %d\r\n", random.Uint64(), 60000+random.IntN(500000))
 	if random.IntN(3) == 0 {
 		header += fmt.Sprintf("Req-Retry: %d\r\n", random.IntN(3))
 	}
@@ -209,6 +211,7 @@
 				break
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
+			_ = resp.Body.Close()
 		}
 	}
 	_, _ = io.WriteString(c, last)
@@ -279,18 +282,18 @@
 			size := 0
 			for n, last := range replayRefused() {
 				got := replayConnection(t, f.Addr(), rand.New(rand.NewPCG(uint64(i), uint64(n))), last)
-				do(func() { fmt.Fprintf(digest, "%d %q\n", n, got) })
+				do(func() { _, _ = fmt.Fprintf(digest, "%d %q\n", n, got) })
 				size += len(got)
 			}
 			got := replayOpenRequest(t, f, do)
 			do(func() {
-				fmt.Fprintf(digest, "open %q\n", got)
+				_, _ = fmt.Fprintf(digest, "open %q\n", got)
 				counters := f.counters.All()
 				for _, name := range slices.Sorted(maps.Keys(counters)) {
-					fmt.Fprintf(digest, "%s %d\n", name, counters[name])
+					_, _ = fmt.Fprintf(digest, "%s %d\n", name, counters[name])
 				}
 			})
-			sum := fmt.Sprintf("%x", digest.Sum(nil))
+			sum := hex.EncodeToString(digest.Sum(nil))
 			t.Logf("%d bytes, %s", size, sum)
 			fmt.Fprintf(&written, "%s %s\n", sum, scenario.name)
 			if !*writeReplay && sum != want[scenario.name] {
