--- a/internal/sqltext/bound_values.go
+++ b/internal/sqltext/bound_values.go
@@ -30,13 +30,9 @@
 	oid     uint32 // its type, where it is bound; 0: not known
 }
 
-// slotValue finds the value of a slot.
-func (b *Binds) slotValue(stmt string, s *Slot) slotValue {
-	if s.Param <= 0 {
-		return slotValue{literal: stmt[s.Start:s.End], known: true}
-	}
-	n := int(s.Param)
-	v := slotValue{}
+// value finds the value of a parameter.
+func (b *Binds) value(param int32) (v slotValue) {
+	n := int(param)
 	if len(b.Types) >= oidLen*n {
 		v.oid = binary.BigEndian.Uint32(b.Types[oidLen*(n-1):])
 	}
--- a/internal/sqltext/size_profile.go
+++ b/internal/sqltext/size_profile.go
@@ -20,20 +20,29 @@
 const maxSpan = 1e12
 
 // Profile reads what the values tell: those in the text, and those bound.
-func (r *Reading) Profile(stmt string, b *Binds, seed uint64) Profile {
-	p := profiler{profile: Profile{Rows: int(r.Features.Rows)}, narrowing: r.Restrictions, seed: seed}
+func (r *Reading) Profile(stmt string, b *Binds, seed uint64) (profile Profile) {
+	var p profiler // set field by field: a composite literal would be copied, arrays and all
+	p.profile = &profile
+	p.seed = seed
+	p.narrowing = r.Restrictions
+	profile.Rows = int(r.Features.Rows)
 	for i := range r.Slots {
 		s := &r.Slots[i]
-		value := b.slotValue(stmt, s)
+		var value slotValue
+		if s.Param > 0 {
+			value = b.value(s.Param)
+		} else {
+			value.literal = stmt[s.Start:s.End]
+			value.known = true
+		}
 		if !value.isNull(s) {
 			p.slot(s, &value)
 		} else if s.Role != RoleOther && s.Role != RoleLimit && r.hasNullGuard(s.Param) {
-			p.profile.DisabledRestrictions++
+			profile.DisabledRestrictions++
 			p.narrowing--
 		}
 	}
 	p.matchBounds()
-	profile := p.profile
 	profile.Unrestricted = r.Unrestricted || p.narrowing <= 0 && r.Features.Command != CommandInsert
 	isSpan := profile.Span >= 0 // not so for NaN
 	if !isSpan || profile.Span > maxSpan {
@@ -54,7 +63,7 @@
 
 // profiler makes the profile of one execution.
 type profiler struct {
-	profile   Profile
+	profile   *Profile
 	seed      uint64
 	narrowing int // restrictions that narrow what is read
 	lower     rangeBounds
