--- a/internal/sqltext/bound_values.go
+++ b/internal/sqltext/bound_values.go
@@ -30,13 +30,9 @@
 	oid     uint32 // its type, where it is bound; 0: not known
 }
 
-// slotValue finds the value of a slot.
-func (b *Binds) slotValue(stmt string, s *Slot) slotValue {
-	if s.Param <= 0 {
-		return slotValue{literal: stmt[s.Start:s.End], known: true}
-	}
-	n := int(s.Param)
-	v := slotValue{}
+// value finds the value of a parameter.
+func (b *Binds) value(param int32) (v slotValue) {
+	n := int(param)
 	if len(b.Types) >= oidLen*n {
 		v.oid = binary.BigEndian.Uint32(b.Types[oidLen*(n-1):])
 	}
@@ -69,7 +65,7 @@
 )
 
 // microsecondsPerDay is the unit of timestamps in binary form, in days.
-const microsecondsPerDay = 86400e6
+const microsecondsPerDay = secondsPerDay * 1e6
 
 // binaryNumber reads a number in binary form, or a date or timestamp as days since 2000.
 func binaryNumber(v []byte, oid uint32) (x float64, ok bool) {
