--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -75,7 +75,7 @@
 // leaveSites tells other sites that this process forwards nothing and accepts nothing any more.
 func (p *process) leaveSites() {
 	if p.sites != nil {
-		p.sites.runner.Leave()
+		p.sites.runner.GoAway()
 	}
 }
 
--- a/internal/site/link/keys.go
+++ b/internal/site/link/keys.go
@@ -153,11 +153,11 @@
 	return forwarding.Name{Site: names[0].Host, Gateway: gateway}, nil
 }
 
-// Until is when this gateway's own certificate ends.
-func (k *Keys) Until() time.Time { return k.now().until }
+// ExpiresAt is when this gateway's own certificate ends.
+func (k *Keys) ExpiresAt() time.Time { return k.now().until }
 
-// Revoked tells whether a certificate is revoked by the list as it is now.
-func (k *Keys) Revoked(c *x509.Certificate) bool { return k.now().revoked[c.SerialNumber.String()] }
+// IsRevoked tells whether a certificate is revoked by the list as it is now.
+func (k *Keys) IsRevoked(c *x509.Certificate) bool { return k.now().revoked[c.SerialNumber.String()] }
 
 // config is for one handshake with a peer: want is who it must be, or any gateway.
 func (k *Keys) config(want forwarding.Name, server bool, got *proven) *tls.Config {
--- a/internal/site/link/link.go
+++ b/internal/site/link/link.go
@@ -128,9 +128,9 @@
 	return r.ln.Addr().String()
 }
 
-// Leave accepts and dials no more, and says on all links that nothing new is taken on them.
+// GoAway accepts and dials no more, and says on all links that nothing new is taken on them.
 // They stay open for what is.
-func (r *Runner) Leave() {
+func (r *Runner) GoAway() {
 	r.stopped = true
 	if r.ln != nil {
 		_ = r.ln.Close() // what was accepted goes on
@@ -145,7 +145,7 @@
 		return err
 	}
 	for c := range r.conns {
-		if r.keys.Revoked(c.proven.leaf) {
+		if r.keys.IsRevoked(c.proven.leaf) {
 			c.Close(ErrRevoked)
 		} else if !c.dialled {
 			c.link.Renew() // the other side dials
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -144,7 +144,7 @@
 }
 
 // Close ends the node.
-func (n *Node) Close() { n.Now(func() { n.Runner.Leave(); n.Loop.Stop() }) }
+func (n *Node) Close() { n.Now(func() { n.Runner.GoAway(); n.Loop.Stop() }) }
 
 // Now runs something on the node's goroutine.
 func (n *Node) Now(f func()) {
