--- a/internal/site/link/keys.go
+++ b/internal/site/link/keys.go
@@ -1,6 +1,6 @@
 // Package link runs the links between gateways on sockets: mutual TLS 1.3 (RFC 8446), whose
 // keys may be replaced while it runs, dialling, accepting, and moving bytes between a
-// connection and its crossing.Link.
+// connection and its forwarding.Link.
 package link
 
 import (
@@ -27,6 +27,12 @@
 	Revoked     string // certificate revocation list (RFC 5280) of the authority; "": none
 }
 
+// protocol is the link's name in TLS's application-layer protocol negotiation (RFC 7301).
+const protocol = "ringwood-site/1"
+
+// gatewayScheme is the scheme of URIs that name gateways.
+const gatewayScheme = "ringwood"
+
 // Errors of keys.
 var (
 	ErrKeys    = errors.New("site link: keys")
@@ -34,20 +40,21 @@
 	ErrName    = errors.New("site link: the certificate names no gateway")
 )
 
-// Keys are what a gateway proves itself with, and checks others by. They may be read again
-// at any time; links made from then on use the new ones.
+// Keys are what a gateway proves who it is with, and checks others by. They may be read again at
+// any time; links made from then on use the new ones.
 type Keys struct {
-	files Files
-	own   forwarding.Name
-	mu    sync.Mutex
-	set   set
+	files   Files
+	own     forwarding.Name
+	mu      sync.Mutex
+	current keySet
 }
 
-type set struct {
-	cert    tls.Certificate
-	roots   *x509.CertPool
-	revoked map[string]bool // serial numbers
-	until   time.Time       // when this gateway's own certificate ends
+// keySet is what the files hold. It does not change once it was read.
+type keySet struct {
+	certificate tls.Certificate
+	authority   *x509.CertPool
+	revoked     map[string]bool // by serial number
+	expiresAt   time.Time       // end of this gateway's own certificate
 }
 
 // LoadKeys reads the keys of a gateway.
@@ -59,88 +66,109 @@
 	return k, nil
 }
 
-// Reload reads the files again. Keys that can't be used change nothing.
+// Reload reads the files again. Invalid keys change nothing.
 func (k *Keys) Reload() error {
-	s, err := k.read()
+	set, err := k.read()
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
-	k.set = s
+	k.current = set
 	k.mu.Unlock()
 	return nil
 }
 
-func (k *Keys) now() set {
+func (k *Keys) load() keySet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.set
+	return k.current
 }
 
-func (k *Keys) read() (s set, err error) {
-	bad := func(err error, what string) (set, error) { return set{}, fmt.Errorf("%w: %s: %w", ErrKeys, what, err) }
-	if s.cert, err = tls.LoadX509KeyPair(k.files.Certificate, k.files.Key); err != nil {
-		return bad(err, k.files.Certificate)
+func (k *Keys) read() (set keySet, err error) {
+	set.certificate, err = k.readCertificate()
+	if err != nil {
+		return keySet{}, keysError(k.files.Certificate, err)
 	}
-	leaf, err := x509.ParseCertificate(s.cert.Certificate[0])
+	set.expiresAt = set.certificate.Leaf.NotAfter
+	authority, err := os.ReadFile(k.files.Authority)
 	if err != nil {
-		return bad(err, k.files.Certificate)
+		return keySet{}, keysError(k.files.Authority, err)
 	}
-	s.cert.Leaf, s.until = leaf, leaf.NotAfter
-	if name, err := nameOf(leaf); err != nil || name != k.own {
-		return bad(fmt.Errorf("it is %s's, and this gateway is %s", name, k.own), k.files.Certificate)
+	set.authority = x509.NewCertPool()
+	if !set.authority.AppendCertsFromPEM(authority) {
+		return keySet{}, keysError(k.files.Authority, errors.New("it holds no certificate"))
 	}
-	authority, err := os.ReadFile(k.files.Authority)
+	set.revoked, err = k.readRevoked(authority)
+	if err != nil {
+		return keySet{}, keysError(k.files.Revoked, err)
+	}
+	return set, nil
+}
+
+func keysError(file string, err error) error { return fmt.Errorf("%w: %s: %w", ErrKeys, file, err) }
+
+// readCertificate reads this gateway's own certificate, which must name it.
+func (k *Keys) readCertificate() (tls.Certificate, error) {
+	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
-		return bad(err, k.files.Authority)
+		return certificate, err
 	}
-	s.roots = x509.NewCertPool()
-	if !s.roots.AppendCertsFromPEM(authority) {
-		return bad(errors.New("it holds no certificate"), k.files.Authority)
+	certificate.Leaf, err = x509.ParseCertificate(certificate.Certificate[0])
+	if err != nil {
+		return certificate, err
+	}
+	name, err := gatewayName(certificate.Leaf)
+	if err != nil || name != k.own {
+		return certificate, fmt.Errorf("it is %s's, and this gateway is %s", name, k.own)
 	}
-	s.revoked = map[string]bool{}
+	return certificate, nil
+}
+
+// readRevoked reads the serial numbers of the revocation list, if there is one.
+func (k *Keys) readRevoked(authority []byte) (map[string]bool, error) {
+	revoked := map[string]bool{}
 	if k.files.Revoked == "" {
-		return s, nil
+		return revoked, nil
 	}
 	raw, err := os.ReadFile(k.files.Revoked)
 	if err != nil {
-		return bad(err, k.files.Revoked)
+		return nil, err
 	}
 	block, _ := pem.Decode(raw)
 	if block == nil {
-		return bad(errors.New("it is no PEM"), k.files.Revoked)
+		return nil, errors.New("it is no PEM")
 	}
 	list, err := x509.ParseRevocationList(block.Bytes)
 	if err != nil {
-		return bad(err, k.files.Revoked)
+		return nil, err
 	}
-	if err := signed(list, authority); err != nil {
-		return bad(err, k.files.Revoked)
+	if err := checkSigned(list, authority); err != nil {
+		return nil, err
 	}
-	for _, e := range list.RevokedCertificateEntries {
-		s.revoked[e.SerialNumber.String()] = true
+	for _, entry := range list.RevokedCertificateEntries {
+		revoked[entry.SerialNumber.String()] = true
 	}
-	return s, nil
+	return revoked, nil
 }
 
-// signed tells whether a list is signed by one of the authority's certificates. Guards
-// against a list that anybody could have written.
-func signed(list *x509.RevocationList, authority []byte) error {
+// checkSigned checks that a list is signed by one of the authority's certificates. Guards against a
+// list that anybody could have written.
+func checkSigned(list *x509.RevocationList, authority []byte) error {
 	for block, rest := pem.Decode(authority); block != nil; block, rest = pem.Decode(rest) {
-		ca, err := x509.ParseCertificate(block.Bytes)
-		if err == nil && list.CheckSignatureFrom(ca) == nil {
+		certificate, err := x509.ParseCertificate(block.Bytes)
+		if err == nil && list.CheckSignatureFrom(certificate) == nil {
 			return nil
 		}
 	}
 	return errors.New("it is not signed by the authority")
 }
 
-// nameOf is the gateway that a certificate names.
-func nameOf(c *x509.Certificate) (forwarding.Name, error) {
+// gatewayName is the gateway that a certificate names.
+func gatewayName(certificate *x509.Certificate) (forwarding.Name, error) {
 	var names []*url.URL
-	for _, u := range c.URIs {
-		if u.Scheme == "ringwood" {
-			names = append(names, u)
+	for _, uri := range certificate.URIs {
+		if uri.Scheme == gatewayScheme {
+			names = append(names, uri)
 		}
 	}
 	if len(names) != 1 {
@@ -154,59 +182,84 @@
 }
 
 // ExpiresAt is when this gateway's own certificate ends.
-func (k *Keys) ExpiresAt() time.Time { return k.now().until }
+func (k *Keys) ExpiresAt() time.Time { return k.load().expiresAt }
+
+// IsRevoked tells whether the current list revokes a certificate.
+func (k *Keys) IsRevoked(certificate *x509.Certificate) bool {
+	return k.load().isRevoked(certificate)
+}
+
+func (s keySet) isRevoked(certificate *x509.Certificate) bool {
+	return s.revoked[certificate.SerialNumber.String()]
+}
 
-// IsRevoked tells whether a certificate is revoked by the list as it is now.
-func (k *Keys) IsRevoked(c *x509.Certificate) bool { return k.now().revoked[c.SerialNumber.String()] }
+// identity is who a peer has proven to be.
+type identity struct {
+	name        forwarding.Name
+	certificate *x509.Certificate
+}
 
-// config is for one handshake with a peer: want is who it must be, or any gateway.
-func (k *Keys) config(want forwarding.Name, server bool, got *proven) *tls.Config {
-	s := k.now()
-	c := &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{s.cert}, RootCAs: s.roots, ClientCAs: s.roots,
-		SessionTicketsDisabled: true, NextProtos: []string{"ringwood-site/1"},
+// serverConfig is for one handshake that any gateway may begin. It sets proven.
+func (k *Keys) serverConfig(proven *identity) *tls.Config {
+	set := k.load()
+	config := set.config()
+	config.ClientAuth = tls.RequireAnyClientCert
+	config.VerifyConnection = func(state tls.ConnectionState) (err error) {
+		*proven, err = set.verify(state, x509.ExtKeyUsageClientAuth)
+		return err
 	}
-	verify := func(cs tls.ConnectionState, usage x509.ExtKeyUsage) error {
-		if len(cs.PeerCertificates) == 0 {
-			return ErrName
-		}
-		leaf := cs.PeerCertificates[0]
-		opts := x509.VerifyOptions{Roots: s.roots, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{usage}}
-		for _, c := range cs.PeerCertificates[1:] {
-			opts.Intermediates.AddCert(c)
-		}
-		if _, err := leaf.Verify(opts); err != nil {
-			return err
-		}
-		if s.revoked[leaf.SerialNumber.String()] {
-			return ErrRevoked
-		}
-		name, err := nameOf(leaf)
+	return config
+}
+
+// clientConfig is for one handshake with a peer. It sets proven.
+func (k *Keys) clientConfig(peer forwarding.Name, proven *identity) *tls.Config {
+	set := k.load()
+	config := set.config()
+	// VerifyConnection checks the peer's URI: gateways have no host names.
+	config.InsecureSkipVerify = true
+	config.VerifyConnection = func(state tls.ConnectionState) error {
+		got, err := set.verify(state, x509.ExtKeyUsageServerAuth)
 		if err != nil {
 			return err
 		}
-		if want != (forwarding.Name{}) && name != want {
-			return fmt.Errorf("%w: it is %s's, wanted is %s", ErrName, name, want)
+		if got.name != peer {
+			return fmt.Errorf("%w: it is %s's, wanted is %s", ErrName, got.name, peer)
 		}
-		if cs.NegotiatedProtocol != "ringwood-site/1" {
-			return fmt.Errorf("%w: it speaks %q", ErrName, cs.NegotiatedProtocol)
-		}
-		got.name, got.leaf = name, leaf
+		*proven = got
 		return nil
 	}
-	if server {
-		c.ClientAuth = tls.RequireAnyClientCert
-		c.VerifyConnection = func(cs tls.ConnectionState) error { return verify(cs, x509.ExtKeyUsageClientAuth) }
-		return c
+	return config
+}
+
+func (s keySet) config() *tls.Config {
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{s.certificate}, RootCAs: s.authority, ClientCAs: s.authority,
+		SessionTicketsDisabled: true, NextProtos: []string{protocol},
 	}
-	// Verified below, by its URI: gateways have no host names.
-	c.InsecureSkipVerify = true
-	c.VerifyConnection = func(cs tls.ConnectionState) error { return verify(cs, x509.ExtKeyUsageServerAuth) }
-	return c
 }
 
-// proven is who a peer has proven to be.
-type proven struct {
-	name forwarding.Name
-	leaf *x509.Certificate
+// verify checks a peer's certificate for its use, and returns who the peer is.
+func (s keySet) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) (identity, error) {
+	if len(state.PeerCertificates) == 0 {
+		return identity{}, ErrName
+	}
+	leaf := state.PeerCertificates[0]
+	options := x509.VerifyOptions{Roots: s.authority, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{usage}}
+	for _, intermediate := range state.PeerCertificates[1:] {
+		options.Intermediates.AddCert(intermediate)
+	}
+	if _, err := leaf.Verify(options); err != nil {
+		return identity{}, err
+	}
+	if s.isRevoked(leaf) {
+		return identity{}, ErrRevoked
+	}
+	name, err := gatewayName(leaf)
+	if err != nil {
+		return identity{}, err
+	}
+	if state.NegotiatedProtocol != protocol {
+		return identity{}, fmt.Errorf("%w: it speaks %q", ErrName, state.NegotiatedProtocol)
+	}
+	return identity{name: name, certificate: leaf}, nil
 }
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -91,14 +91,11 @@
 	return ca, dir, node{x, t}, node{y, t}, serial
 }
 
-// hold has the node's engine answer nothing by itself, or answer again.
-func (n node) hold(on bool) {
-	n.Now(func() {
-		if n.Answer = rows; on {
-			n.Answer = nil
-		}
-	})
-}
+// stopAnswering has the node's engine answer nothing by itself.
+func (n node) stopAnswering() { n.Now(func() { n.Answer = nil }) }
+
+// startAnswering has it answer again.
+func (n node) startAnswering() { n.Now(func() { n.Answer = rows }) }
 
 // A request crosses, is served and comes back whole, a large one packed; a client that leaves
 // has it given up there; one whose time is over has its answer, and the late one is dropped.
@@ -111,7 +108,7 @@
 			t.Errorf("%s: %d bytes came back", id, len(r))
 		}
 	}
-	b.hold(true)
+	b.stopAnswering()
 	r, _ := a.ask("lookup", "leaves", "SELECT 2", "", 3*time.Second)
 	next(t, b.Sent)
 	a.Now(func() { a.Core.ClientDisconnected(r) })
@@ -132,11 +129,11 @@
 // its client gives up. What it is once the window is over, internal/testbed/simulation plays.
 func TestLostReply(t *testing.T) {
 	_, _, a, b, _ := pair(t)
-	b.hold(true)
+	b.stopAnswering()
 	_, got := a.ask("load", "load", "INSERT", "key-1", 10*time.Second)
 	next(t, b.Sent)
 	b.Now(func() { time.Sleep(1200 * time.Millisecond) }) // the process stands still: nothing is read, nothing said
-	b.hold(false)
+	b.startAnswering()
 	began := time.Now()
 	want(t, got, core.Rejected) // with no engine here the module turns it away; its key drops a repeat
 	if took := time.Since(began); took > 2*time.Second {
@@ -152,7 +149,7 @@
 // A gateway whose certificate is revoked is dropped at once, and can't come back.
 func TestKeysReplaced(t *testing.T) {
 	ca, dir, a, b, serial := pair(t)
-	b.hold(true)
+	b.stopAnswering()
 	_, got := a.ask("lookup", "out", "SELECT 1", "", 8*time.Second)
 	out := next(t, b.Sent)
 	if _, err := ca.Issue(dir, "near", "a", "near", testca.DefaultExpiry()); err != nil {
@@ -166,7 +163,7 @@
 	a.must(a.Count("site.links", 2))
 	b.Now(func() { b.Core.EndAttempt(out, core.OutcomeServed, core.Report{Result: sitelink.Text("rows")}) })
 	want(t, got, core.Served)
-	b.hold(false)
+	b.startAnswering()
 	_, got = a.ask("lookup", "next", "SELECT 1", "", 3*time.Second)
 	want(t, got, core.Served)
 	a.must(a.Count("site.links-ended", 1)) // the old one, once nothing is on it
