--- a/cmd/testbed/keys.go
+++ b/cmd/testbed/keys.go
@@ -27,7 +27,7 @@
 			return err
 		}
 	}
-	if err := ca.Write(c.Folder); err != nil {
+	if err := ca.WriteFiles(c.Folder); err != nil {
 		return err
 	}
 	fmt.Printf("keys of %d gateways, good for a day, for trials only\n", len(c.Gateways))
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -226,7 +226,7 @@
 	if _, err := ca.Issue(dir, "engine", "lalitpur", "engine", testca.DefaultExpiry()); err != nil {
 		t.Fatal(err)
 	}
-	if err := ca.Write(dir); err != nil {
+	if err := ca.WriteFiles(dir); err != nil {
 		t.Fatal(err)
 	}
 	cert, err := tls.LoadX509KeyPair(filepath.Join(dir, "engine.pem"), filepath.Join(dir, "engine.key"))
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -177,7 +177,7 @@
 	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "up" }))
 
 	ca.Revoke(serial)
-	if err := ca.Write(dir); err != nil {
+	if err := ca.WriteFiles(dir); err != nil {
 		t.Fatal(err)
 	}
 	a.Now(func() {
@@ -204,7 +204,7 @@
 	_, err2 := ca.Issue(dir, "stranger", "c", "stranger", testca.DefaultExpiry())
 	_, err3 := other.Issue(dir, "forged", "a", "near", testca.DefaultExpiry())
 	_, err4 := ca.Issue(dir, "good", "a", "near", testca.DefaultExpiry())
-	if err := errors.Join(err, err1, err2, err3, err4, ca.Write(dir)); err != nil {
+	if err := errors.Join(err, err1, err2, err3, err4, ca.WriteFiles(dir)); err != nil {
 		t.Fatal(err)
 	}
 	b.Now(func() {
@@ -296,7 +296,7 @@
 	dir, wrong := t.TempDir(), t.TempDir()
 	_, err1 := ca.Issue(dir, "far", "b", "far", testca.DefaultExpiry())
 	_, err2 := ca.Issue(dir, "near", "a", "near", testca.DefaultExpiry())
-	if err := errors.Join(err1, err2, ca.Write(dir), other.Write(wrong)); err != nil {
+	if err := errors.Join(err1, err2, ca.WriteFiles(dir), other.WriteFiles(wrong)); err != nil {
 		t.Fatal(err)
 	}
 	f := sitelink.Files(dir, "far")
--- a/internal/testbed/emulator/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -28,13 +28,13 @@
 	User string // whom it trusts, of the PostgreSQL wire; "": everybody
 	// Machine, where there is one, has statements wait for each other as on a real engine;
 	// Ask tells what each is. Work is not asked then.
-	Machine *Machine
-	Ask     func(statement string) enginemodel.Query
-	Ledger  *Ledger                         // of effects; nil: none is kept
-	Logins  *scramauth.Users                // who may log in, of the PostgreSQL wire, by SCRAM; nil: User alone, unasked
-	TLS     *tls.Config                     // of the PostgreSQL wire; nil: encryption is declined
-	Heard   func(session, statement string) // each statement of the PostgreSQL wire, before it runs; nil: nobody
-	Log     *slog.Logger
+	Machine  *Machine
+	QueryFor func(statement string) enginemodel.Query
+	Ledger   *Ledger                         // of effects; nil: none is kept
+	Logins   *scramauth.Users                // who may log in, of the PostgreSQL wire, by SCRAM; nil: User alone, unasked
+	TLS      *tls.Config                     // of the PostgreSQL wire; nil: encryption is declined
+	Heard    func(session, statement string) // each statement of the PostgreSQL wire, before it runs; nil: nobody
+	Log      *slog.Logger
 }
 
 // carry has a statement carried out, and tells its end unless stop closes first. running, if
@@ -52,7 +52,7 @@
 			return Ended{}, 0, false
 		}
 	}
-	q := o.Ask(statement)
+	q := o.QueryFor(statement)
 	change(&q)
 	done := make(chan Ended, 1)
 	id := o.Machine.Run(q, func(e Ended) { done <- e })
--- a/internal/testbed/emulator/fleet.go
+++ b/internal/testbed/emulator/fleet.go
@@ -124,8 +124,8 @@
 // Known tells whether there is a kind of this name.
 func Known(kind string) bool { return slices.Contains(strings.Split(changeKinds, ", "), kind) }
 
-// Do does one thing to the fleet; engine counts from 1 where the kind needs one.
-func (f *Fleet) Do(kind string, engine int) error {
+// Apply does one thing to the fleet; engine counts from 1 where the kind needs one.
+func (f *Fleet) Apply(kind string, engine int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch kind {
--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -32,7 +32,7 @@
 // while it is silent.
 func TestFleetBus(t *testing.T) {
 	f := fleet(t)
-	if err := f.Do(Drain, 1); err != nil {
+	if err := f.Apply(Drain, 1); err != nil {
 		t.Fatal(err)
 	}
 	ln, err := Listen("127.0.0.1:0")
@@ -63,13 +63,13 @@
 	if number, kind, p := next(); number != 2 || kind != 2 || len(p) != 27 || p[3] != 1 || State(p[10]) != Draining {
 		t.Errorf("the first frame: %d %d %v", number, kind, p)
 	}
-	if err := f.Do(BusSilent, 0); err != nil {
+	if err := f.Apply(BusSilent, 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Do(Die, 2); err != nil {
+	if err := f.Apply(Die, 2); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Do(BusSpeaks, 0); err != nil {
+	if err := f.Apply(BusSpeaks, 0); err != nil {
 		t.Fatal(err)
 	}
 	for {
@@ -108,7 +108,7 @@
 		t.Errorf("at first: %d %s %v", status, now, list)
 	}
 	addr := f.Members()[1].Addr.String()
-	go func() { _ = f.Do(Die, 2) }()
+	go func() { _ = f.Apply(Die, 2) }()
 	if _, now, list := get("1"); now != "2" || list[1].Checks[0].Status != "critical" {
 		t.Errorf("after a death: %s %v", now, list)
 	}
@@ -116,7 +116,7 @@
 		c.Close()
 		t.Error("a dead engine accepts")
 	}
-	go func() { _ = f.Do(Return, 2) }()
+	go func() { _ = f.Apply(Return, 2) }()
 	if _, now, list := get("2"); now != "3" || list[1].Checks[0].Status != "passing" || list[1].Service.Meta["boot_ms"] == "" {
 		t.Errorf("after its return: %s %v", now, list)
 	}
@@ -125,14 +125,14 @@
 	} else {
 		c.Close()
 	}
-	if err := f.Do(ConsulAway, 0); err != nil {
+	if err := f.Apply(ConsulAway, 0); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, _ := get("0"); status != 500 {
 		t.Errorf("away: %d", status)
 	}
 	for kind, engine := range map[string]int{"dance": 1, Drain: 3, Die: 0} {
-		if f.Do(kind, engine) == nil {
+		if f.Apply(kind, engine) == nil {
 			t.Errorf("%s %d went through", kind, engine)
 		}
 	}
--- a/internal/testbed/faultproxy/link.go
+++ b/internal/testbed/faultproxy/link.go
@@ -20,13 +20,13 @@
 // Kinds of fault. Those that name a direction act on bytes from the server to the client
 // (replies) or on both.
 const (
-	Silence   Kind = "silence"    // both ways: bytes are taken and kept until it ends
-	HeldRequests    Kind = "one-way"    // requests are taken and kept until it ends, replies pass
-	DroppedReplies      Kind = "lost"       // replies are taken and thrown away; requests arrive
-	Garbage   Kind = "garbage"    // one byte of each piece of the replies is changed
-	Cut       Kind = "cut"        // both connections are closed, and new ones are refused
-	Reset     Kind = "reset"      // both are reset (RST), once at its start
-	HalfClose Kind = "half-close" // the way to the server is closed, replies go on
+	Silence        Kind = "silence"    // both ways: bytes are taken and kept until it ends
+	HeldRequests   Kind = "one-way"    // requests are taken and kept until it ends, replies pass
+	DroppedReplies Kind = "lost"       // replies are taken and thrown away; requests arrive
+	Garbage        Kind = "garbage"    // one byte of each piece of the replies is changed
+	Cut            Kind = "cut"        // both connections are closed, and new ones are refused
+	Reset          Kind = "reset"      // both are reset (RST), once at its start
+	HalfClose      Kind = "half-close" // the way to the server is closed, replies go on
 )
 
 // Kinds are all of them.
--- /dev/null
+++ b/internal/testbed/harness/harness.go
@@ -0,0 +1,154 @@
+// Package harness runs ringwood against emulated systems on loopback addresses: engines, event
+// bus, service catalogue, the configuration files that name them, and gateway processes.
+package harness
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"path/filepath"
+
+	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/enginemodel"
+	"gannetspur/internal/testbed/faultproxy"
+)
+
+// Options say what to set up.
+type Options struct {
+	Root     string // the repository, whose deploy files are the templates
+	Dir      string // where files are written
+	Engines  int    // of each wire protocol
+	Work     emulator.Work
+	HTTP     string // listen address of the HTTP frontend
+	Postgres string // listen address of the PostgreSQL frontend
+	Shapes   bool   // whether the PostgreSQL frontend's configuration enables query shapes
+	User     string // the user that PostgreSQL engines trust; "": any
+	Clients  int    // connections to size the frontends for; 0: as the templates say
+	Ledger   *emulator.Ledger
+	Name     string // prefix of the engines' names in the ledger
+	// Machine and QueryFor, where given, make engines whose statements compete for resources.
+	Machine  func(i int) *emulator.Machine
+	QueryFor func(statement string) enginemodel.Query
+	Link     *faultproxy.Options // between gateways and engines; nil: direct connections
+	Log      *slog.Logger
+}
+
+// Harness holds the emulated systems and the files that describe them. Close stops the systems.
+type Harness struct {
+	Config, Deploy, Shapes string          // paths of the gateways' configuration files
+	Lines, Postgres        *emulator.Fleet // engines of each wire protocol, with their discovery
+	listeners              []net.Listener
+	links                  []*faultproxy.Link
+}
+
+// New starts the emulated systems and writes the configuration files.
+func New(opts Options) (*Harness, error) {
+	h := &Harness{
+		Config:   filepath.Join(opts.Dir, "config.json"),
+		Deploy:   filepath.Join(opts.Dir, "postgres.toml"),
+		Shapes:   filepath.Join(opts.Dir, "shapes.toml"),
+		Lines:    emulator.NewFleet(),
+		Postgres: emulator.NewFleet(),
+	}
+	if err := h.start(opts); err != nil {
+		h.Close()
+		return nil, err
+	}
+	return h, nil
+}
+
+func (h *Harness) start(opts Options) error {
+	if err := h.startEngines(opts); err != nil {
+		return err
+	}
+	bus, err := h.listen()
+	if err != nil {
+		return err
+	}
+	go h.Lines.Bus(bus)
+	agent, err := h.listen()
+	if err != nil {
+		return err
+	}
+	go func() { _ = http.Serve(agent, h.Postgres.Consul("stock-engine")) }() // ends with its listener
+	return h.writeFiles(opts, bus.Addr().String(), agent.Addr().String())
+}
+
+// startEngines starts the engines of both protocols. Engines of one number share a machine.
+func (h *Harness) startEngines(opts Options) error {
+	for i := range opts.Engines {
+		engine := emulator.Options{Work: opts.Work, QueryFor: opts.QueryFor, Ledger: opts.Ledger}
+		var start func()
+		if opts.Machine != nil {
+			engine.Machine = opts.Machine(i)
+			start = engine.Machine.Start
+		}
+		lines := engineSpec{id: fmt.Sprintf("s-%08x", i+1), options: engine, serve: emulator.Lines, start: start}
+		if err := h.startEngine(h.Lines, opts, lines); err != nil {
+			return err
+		}
+		engine.User = opts.User
+		postgres := engineSpec{id: fmt.Sprintf("engine-%d", i+1), options: engine, serve: emulator.Postgres, start: start}
+		if err := h.startEngine(h.Postgres, opts, postgres); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// engineSpec describes one engine to start.
+type engineSpec struct {
+	id      string
+	options emulator.Options
+	serve   func(net.Listener, emulator.Options)
+	start   func() // restarts the engine's machine; nil: it has none
+}
+
+// startEngine starts one engine, behind a fault proxy if the options ask for one.
+func (h *Harness) startEngine(fleet *emulator.Fleet, opts Options, spec engineSpec) error {
+	listener, err := emulator.Listen("127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	spec.options.Name = opts.Name + spec.id
+	spec.options.Log = opts.Log.With("engine", spec.options.Name)
+	addr := listener.Addr().String()
+	if opts.Link != nil {
+		link, err := faultproxy.Listen(addr, *opts.Link)
+		if err != nil {
+			_ = listener.Close()
+			return err
+		}
+		h.links = append(h.links, link)
+		addr = link.Addr()
+	}
+	serve := func(listener net.Listener) { spec.serve(listener, spec.options) }
+	return fleet.Add(spec.id, listener, addr, serve, spec.start)
+}
+
+func (h *Harness) listen() (net.Listener, error) {
+	listener, err := emulator.Listen("127.0.0.1:0")
+	if err == nil {
+		h.listeners = append(h.listeners, listener)
+	}
+	return listener, err
+}
+
+// Apply applies one change to the engines of both protocols, or to their discovery.
+func (h *Harness) Apply(kind string, engine int) error {
+	return errors.Join(h.Lines.Apply(kind, engine), h.Postgres.Apply(kind, engine))
+}
+
+// Close stops the emulated systems.
+func (h *Harness) Close() {
+	h.Lines.Close()
+	h.Postgres.Close()
+	for _, link := range h.links {
+		link.Close()
+	}
+	for _, listener := range h.listeners {
+		_ = listener.Close()
+	}
+}
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -209,7 +209,7 @@
 	}
 	if _, err = ca.Issue(dir, Near.Gateway, Near.Site, Near.Gateway, testca.DefaultExpiry()); err == nil {
 		if far, err = ca.Issue(dir, Far.Gateway, Far.Site, Far.Gateway, testca.DefaultExpiry()); err == nil {
-			err = ca.Write(dir)
+			err = ca.WriteFiles(dir)
 		}
 	}
 	return ca, far, err
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -131,7 +131,7 @@
 	if b.ca, err = testca.New("sites"); err != nil {
 		return b, err
 	}
-	if err = b.ca.Write(opts.Dir); err != nil {
+	if err = b.ca.WriteFiles(opts.Dir); err != nil {
 		return b, err
 	}
 	for i := range b.places {
@@ -149,7 +149,7 @@
 		}
 		if p.rig, err = harness.New(harness.Options{
 			Root: opts.Root, Dir: dir, Engines: opts.Engines, HTTP: p.addr, Postgres: p.addr, User: "ringwood", Clients: opts.Connections + 200, Name: Names[i] + "/",
-			Ledger: b.ledger, Ask: workcost.Query, Machine: func(int) *emulator.Machine { return emulator.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
+			Ledger: b.ledger, QueryFor: workcost.Query, Machine: func(int) *emulator.Machine { return emulator.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
 		}); err != nil {
 			return b, err
 		}
@@ -345,7 +345,7 @@
 	p := b.places[e.Site]
 	switch {
 	case emulator.Known(e.Do):
-		return p.rig.Do(e.Do, e.Engine)
+		return p.rig.Apply(e.Do, e.Engine)
 	case e.Do == GatewayDies:
 		p.killed = true
 		st, err := admin.FetchStatus(ctx, p.admin)
--- a/internal/testbed/testca/authority.go
+++ b/internal/testbed/testca/authority.go
@@ -1,5 +1,5 @@
-// Package authority stands in for a certificate authority: it issues what gateways prove
-// themselves with to each other, good and bad, and lists what it has revoked (RFC 5280).
+// Package testca is a certificate authority for tests: it issues certificates to gateways, valid
+// and invalid ones, and publishes a revocation list (RFC 5280).
 package testca
 
 import (
@@ -17,97 +17,114 @@
 	"time"
 )
 
-// Authority signs certificates and a list of those that it has revoked.
+// Authority signs certificates and a list of the revoked ones.
 type Authority struct {
 	key     *ecdsa.PrivateKey
 	cert    *x509.Certificate
-	serial  int64
-	number  int64
+	serial  int64 // of the latest certificate
+	number  int64 // of the latest revocation list
 	revoked []x509.RevocationListEntry
 }
 
-// day is how long what it issues holds, unless it is asked otherwise.
 const day = 24 * time.Hour
 
-// New returns an authority.
+// authorityValidity is how long the authority's own certificate is valid.
+const authorityValidity = 10 * day
+
+// New returns an authority with a self-signed certificate.
 func New(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("testca: %w", err)
 	}
-	t := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-day), NotAfter: time.Now().Add(10 * day),
-		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	template := &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: name},
+		NotBefore:             time.Now().Add(-day),
+		NotAfter:              time.Now().Add(authorityValidity),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("testca: %w", err)
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("testca: %w", err)
 	}
 	return &Authority{key: key, cert: cert, serial: 1}, nil
 }
 
-// Issue writes a certificate and its key for a gateway, NAME.pem and NAME.key, and returns its
-// serial number. It holds from long ago until then.
+// Issue writes a certificate and its key for a gateway, NAME.pem and NAME.key, and returns the
+// certificate's serial number. The certificate is valid from a day ago until the given time.
 func (a *Authority) Issue(dir, name, site, gateway string, until time.Time) (serial int64, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return 0, fmt.Errorf("authority: %w", err)
+		return 0, fmt.Errorf("testca: %w", err)
 	}
 	a.serial++
-	t := &x509.Certificate{
-		SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: gateway}, NotBefore: time.Now().Add(-day), NotAfter: until,
-		URIs: []*url.URL{{Scheme: "ringwood", Host: site, Path: "/" + gateway}}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(a.serial),
+		Subject:      pkix.Name{CommonName: gateway},
+		NotBefore:    time.Now().Add(-day),
+		NotAfter:     until,
+		URIs:         []*url.URL{{Scheme: "ringwood", Host: site, Path: "/" + gateway}},
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return 0, fmt.Errorf("authority: %w", err)
+		return 0, fmt.Errorf("testca: %w", err)
 	}
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return 0, fmt.Errorf("authority: %w", err)
+		return 0, fmt.Errorf("testca: %w", err)
 	}
-	if err = write(dir, name+".pem", "CERTIFICATE", der); err == nil {
-		err = write(dir, name+".key", "PRIVATE KEY", raw)
+	if err := writePEM(dir, name+".pem", "CERTIFICATE", der); err != nil {
+		return a.serial, err
 	}
-	return a.serial, err
+	return a.serial, writePEM(dir, name+".key", "PRIVATE KEY", raw)
 }
 
-// DefaultExpiry is when what is issued usually ends.
+// DefaultExpiry returns the usual end of a certificate's validity, a day from now.
 func DefaultExpiry() time.Time { return time.Now().Add(day) }
 
-// Revoke takes a certificate back, in the lists that are written from then on.
+// Revoke adds a certificate to the revocation lists that are written from now on.
 func (a *Authority) Revoke(serial int64) {
-	a.revoked = append(a.revoked, x509.RevocationListEntry{SerialNumber: big.NewInt(serial), RevocationTime: time.Now()})
+	entry := x509.RevocationListEntry{SerialNumber: big.NewInt(serial), RevocationTime: time.Now()}
+	a.revoked = append(a.revoked, entry)
 }
 
-// Write writes the authority's certificate, authority.pem, and its list, revoked.pem.
-func (a *Authority) Write(dir string) error {
+// WriteFiles writes the authority's certificate, authority.pem, and its revocation list,
+// revoked.pem.
+func (a *Authority) WriteFiles(dir string) error {
 	a.number++
 	list, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{
-		Number: big.NewInt(a.number), ThisUpdate: time.Now().Add(-time.Hour), NextUpdate: time.Now().Add(day), RevokedCertificateEntries: a.revoked,
+		Number:                    big.NewInt(a.number),
+		ThisUpdate:                time.Now().Add(-time.Hour),
+		NextUpdate:                time.Now().Add(day),
+		RevokedCertificateEntries: a.revoked,
 	}, a.cert, a.key)
 	if err != nil {
-		return fmt.Errorf("authority: %w", err)
+		return fmt.Errorf("testca: %w", err)
 	}
-	if err := write(dir, "authority.pem", "CERTIFICATE", a.cert.Raw); err != nil {
+	if err := writePEM(dir, "authority.pem", "CERTIFICATE", a.cert.Raw); err != nil {
 		return err
 	}
-	return write(dir, "revoked.pem", "X509 CRL", list)
+	return writePEM(dir, "revoked.pem", "X509 CRL", list)
 }
 
-// write puts a file in place in one step: who reads it has the old or the new one.
-func write(dir, name, kind string, der []byte) error {
+// writePEM replaces a file atomically, so that a reader sees either the old or the new one.
+func writePEM(dir, name, kind string, der []byte) error {
 	path := filepath.Join(dir, name)
-	if err := os.WriteFile(path+".new", pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
-		return fmt.Errorf("authority: %w", err)
+	encoded := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+	if err := os.WriteFile(path+".new", encoded, 0o600); err != nil {
+		return fmt.Errorf("testca: %w", err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("authority: %w", err)
+		return fmt.Errorf("testca: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -57,7 +57,7 @@
 		Front: "postgres", Root: opts.Root, Dir: opts.Dir, Program: opts.Program, Engines: opts.Engines, Connections: opts.Connections,
 		ProveFor: time.Second, Log: opts.Log,
 	}, harness.Options{
-		Ledger: ledger, Ask: workcost.Query,
+		Ledger: ledger, QueryFor: workcost.Query,
 		Machine: func(i int) *emulator.Machine {
 			m := emulator.NewMachine(enginemodel.Usual())
 			if i < opts.Crowded {
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -192,7 +192,7 @@
 			if e.Do == Reconnect {
 				went <- s.Reconnect()
 			} else {
-				went <- r.Do(e.Do, e.Engine)
+				went <- r.Apply(e.Do, e.Engine)
 			}
 		})
 		defer t.Stop()
