--- a/internal/testbed/faultproxy/link_test.go
+++ b/internal/testbed/faultproxy/link_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	seen = make(chan byte, 100)
 	go func() {
 		for {
@@ -26,7 +26,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				b := make([]byte, 1)
 				for {
 					if _, err := c.Read(b); err != nil {
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	return l, c, seen
 }
@@ -97,8 +97,8 @@
 				t.Fatalf("before the fault: %q, %v", got, err)
 			}
 			<-seen
-			change := l.waiter()
-			if !l.on(kind) {
+			change := l.nextChange()
+			if !l.active(kind) {
 				<-change // it has begun
 			}
 			switch kind {
@@ -107,8 +107,8 @@
 				if got := <-seen; got != 'b' {
 					t.Errorf("the server saw %q", got)
 				}
-				for l.on(kind) {
-					<-l.waiter()
+				for l.active(kind) {
+					<-l.nextChange()
 				}
 				if got, err := ask(c, 'c'); err != nil || got != 'c' {
 					t.Errorf("after it: %q, %v", got, err)
@@ -132,7 +132,7 @@
 				}
 				n, err := net.Dial("tcp", l.Addr())
 				if err == nil {
-					defer n.Close()
+					defer func() { _ = n.Close() }()
 					_, err = n.Read(make([]byte, 1))
 				}
 				if err == nil {
