--- a/internal/site/forwarding/crossing.go
+++ b/internal/site/forwarding/crossing.go
@@ -45,7 +45,7 @@
 	Peers    []Name // that it knows from the start; SetPeers names others
 	Codec    Codec
 	Pack     bool // bodies are packed where that pays
-	Held     int  // bytes of unfinished bodies that a link holds; 0: mux.Held
+	Held     int  // bytes of unfinished bodies that a link holds; 0: mux.DefaultMaxHeldBytes
 	// Choose, where given, is asked in place of decide.Chooser: the laboratory compares ways.
 	Choose func(now time.Duration, q *decide.Query, room float64, peers []*decide.Peer) decide.Choice
 }
