--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -64,14 +64,14 @@
 	if o.Draining {
 		takes = "takes nothing new of other sites"
 	}
-	fmt.Printf("%s  %.1f cores, %s; room: %s\n\n", o.Name, o.Cores, takes, rooms(o.Room))
+	fmt.Printf("%s  %.1f cores, %s; room: %s\n\n", o.Name, o.Cores, takes, rooms(o.FreeCapacity))
 	fmt.Printf("%-24s %-9s %8s %8s %6s %6s %8s  %s\n", "peer", "state", "rtt ms", "heard ms", "there", "theirs", "takes s", "room there")
 	for _, p := range o.Peers {
 		state := p.State
 		if p.Drained {
 			state += "*"
 		}
-		fmt.Printf("%-24s %-9s %8.1f %8.0f %6d %6d %8.2f  %s\n", p.Peer, state, p.RTTMS, p.HeardMS, p.There, p.Theirs, p.Credit, rooms(p.Room))
+		fmt.Printf("%-24s %-9s %8.1f %8.0f %6d %6d %8.2f  %s\n", p.Peer, state, p.RTTMS, p.HeardMS, p.Forwarded, p.Served, p.Credit, rooms(p.FreeCapacity))
 	}
 	for _, e := range o.Log {
 		fmt.Println(e)
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -94,8 +94,11 @@
 	service := p.sites.service
 	reply := admin.Reply{Done: true}
 	if request.Command != "site-status" {
-		undrain := request.Command == "site-undrain"
-		if !service.Drain(request.Site, undrain) {
+		setDrained := service.Drain
+		if request.Command == "site-undrain" {
+			setDrained = service.Undrain
+		}
+		if !setDrained(request.Site) {
 			reply.Problem = fmt.Sprintf("there is no site or gateway %q", request.Site)
 		}
 		p.log.Info(request.Command, "site", request.Site)
--- a/internal/site/forwarding/pack.go
+++ b/internal/site/forwarding/pack.go
@@ -15,11 +15,11 @@
 	dec *zstd.Decoder
 }
 
-// Bounds of packing: less than packLeast is sent as it is, and what does not shrink to
-// packPart as well (docs/measurements/site-link.md).
+// Bounds of packing: less than minPackedBytes is sent as it is, and what does not shrink to
+// maxPackedRatio as well (docs/measurements/site-link.md).
 const (
-	packLeast = 1 << 10
-	packPart  = 0.8
+	minPackedBytes = 1 << 10
+	maxPackedRatio = 0.8
 	// packWindow bounds the memory of both sides for one body.
 	packWindow = 256 << 10
 )
@@ -40,11 +40,11 @@
 
 // Pack returns a body as it is to travel, and its length as it was; 0: it is not packed.
 func (p Packer) Pack(b []byte) (body []byte, raw int) {
-	if p.enc == nil || len(b) < packLeast {
+	if p.enc == nil || len(b) < minPackedBytes {
 		return b, 0
 	}
 	packed := p.enc.EncodeAll(b, make([]byte, 0, len(b)/2))
-	if float64(len(packed)) > packPart*float64(len(b)) {
+	if float64(len(packed)) > maxPackedRatio*float64(len(b)) {
 		return b, 0
 	}
 	return packed, len(b)
@@ -64,8 +64,11 @@
 		return nil, fmt.Errorf("%w: its length is not as said", errPacked)
 	}
 	out, err := p.dec.DecodeAll(b, make([]byte, 0, raw))
-	if err != nil || len(out) != raw {
-		return nil, fmt.Errorf("%w: %d bytes of %d: %v", errPacked, len(out), raw, err)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %d bytes of %d: %w", errPacked, len(out), raw, err)
+	}
+	if len(out) != raw {
+		return nil, fmt.Errorf("%w: %d bytes of %d", errPacked, len(out), raw)
 	}
 	return out, nil
 }
--- a/internal/site/forwarding/pack_test.go
+++ b/internal/site/forwarding/pack_test.go
@@ -28,7 +28,7 @@
 	for name, tt := range map[string]struct {
 		b      []byte
 		packed bool
-	}{"rows": {rows, true}, "small": {rows[:packLeast-1], false}, "noise": {noise, false}, "nothing": {nil, false}} {
+	}{"rows": {rows, true}, "small": {rows[:minPackedBytes-1], false}, "noise": {noise, false}, "nothing": {nil, false}} {
 		body, raw := p.Pack(tt.b)
 		got, err := p.Unpack(body, raw)
 		if err != nil || !bytes.Equal(got, tt.b) || (raw > 0) != tt.packed {
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -38,7 +38,7 @@
 func (n node) ask(class, id, text, key string, within time.Duration) (*core.Request, sitelink.Answers) {
 	n.t.Helper()
 	if n.near() {
-		n.must(n.Until(func(s forwarding.Status) bool { return s.Credit > 0 }))
+		n.must(n.Until(func(s forwarding.PeerStatus) bool { return s.Credit > 0 }))
 	}
 	return n.Ask(class, id, []byte(text), key, within)
 }
@@ -140,7 +140,7 @@
 		t.Errorf("its client heard %v later", took)
 	}
 	a.must(a.Count("site.taken-back.silent", 1))
-	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "up" }))
+	a.must(a.Until(func(s forwarding.PeerStatus) bool { return s.State == "up" }))
 	_, got = a.ask("load", "again", "INSERT", "key-1", 3*time.Second) // within its window
 	want(t, got, core.Served)
 }
@@ -169,9 +169,9 @@
 	a.must(a.Count("site.links-ended", 1)) // the old one, once nothing is on it
 
 	b.Now(func() { b.Runner.SetPeers(nil) }) // it is named no more, and named again
-	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "silent" }))
+	a.must(a.Until(func(s forwarding.PeerStatus) bool { return s.State == "silent" }))
 	b.Now(func() { b.Runner.SetPeers([]link.Peer{{Name: sitelink.Near}}) })
-	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "up" }))
+	a.must(a.Until(func(s forwarding.PeerStatus) bool { return s.State == "up" }))
 
 	ca.Revoke(serial)
 	if err := ca.WriteFiles(dir); err != nil {
@@ -182,7 +182,7 @@
 			t.Error(err)
 		}
 	})
-	a.must(a.Until(func(s forwarding.Status) bool { return s.State == "silent" }))
+	a.must(a.Until(func(s forwarding.PeerStatus) bool { return s.State == "silent" }))
 	a.must(a.Count("site.link-failed", 1))
 	_, got = a.ask("lookup", "alone", "SELECT 1", "", 3*time.Second)
 	want(t, got, core.Rejected)
@@ -272,7 +272,7 @@
 		_ = c.Close()
 	}
 	b.Now(func() {
-		if n := b.Service.Overview().Peers[0].Theirs; n != 0 {
+		if n := b.Service.Overview().Peers[0].Served; n != 0 {
 			t.Errorf("%d requests of them are open", n)
 		}
 	})
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -367,7 +367,7 @@
 		w.after(500*time.Millisecond, func() { w.fail(g.start()) })
 	case Drain, Back:
 		for _, g := range s.gateways {
-			g.do(func() { g.service.Drain("", e.Do == Back) })
+			g.do(func() { setDraining(g.service, e.Do != Back) })
 		}
 	default:
 		w.fail(fmt.Errorf("fleet: there is no event %q", e.Do))
@@ -392,3 +392,12 @@
 	}
 	g.w.res.orphans(g)
 }
+
+// setDraining drains a gateway's own site, or takes that back.
+func setDraining(service *forwarding.Service, draining bool) { //nolint:revive // the scenario's event says which
+	if draining {
+		service.Drain("")
+		return
+	}
+	service.Undrain("")
+}
--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -249,7 +249,7 @@
 			return o, fmt.Errorf("%w; %d were answered already", err, len(got))
 		}
 	}
-	near.Now(func() { o.Streams = near.Service.Overview().Peers[0].There })
+	near.Now(func() { o.Streams = near.Service.Overview().Peers[0].Forwarded })
 	after := heap()
 	o.HeapMB = float64(after-before) / 1e6
 	o.PerStream = float64(after-before) / float64(max(o.Streams, 1))
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -171,7 +171,7 @@
 }
 
 // Until waits for something to hold of the node's one peer.
-func (n *Node) Until(holds func(forwarding.Status) bool) error {
+func (n *Node) Until(holds func(forwarding.PeerStatus) bool) error {
 	var o forwarding.Overview
 	for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(2 * time.Millisecond) {
 		ok := false
@@ -236,7 +236,7 @@
 		far.Close()
 		return nil, nil, err
 	}
-	if err = near.Until(func(s forwarding.Status) bool { return s.State == "up" && s.Credit > 0 }); err != nil {
+	if err = near.Until(func(s forwarding.PeerStatus) bool { return s.State == "up" && s.Credit > 0 }); err != nil {
 		near.Close()
 		far.Close()
 		return nil, nil, err
