--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -61,7 +61,7 @@
 	w := bufio.NewWriter(f)
 	bars := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(40))
 	bar := bars.AddBar(int64(c.Number), mpb.PrependDecorators(decor.Name("statements ")), mpb.AppendDecorators(decor.CountersNoUnit("%d of %d")))
-	err = traffic.Generate(w, c.options(), c.Number, c.Rate, traffic.Comes(c.Comes), func(n int) { bar.IncrBy(n) })
+	err = traffic.Generate(w, c.options(), c.Number, c.Rate, traffic.Arrivals(c.Comes), func(n int) { bar.IncrBy(n) })
 	bar.SetCurrent(int64(c.Number))
 	bars.Wait()
 	if e := w.Flush(); err == nil {
@@ -154,7 +154,7 @@
 			classes[r.Class] = s
 		}
 		s.n++
-		s.worth += r.Worth
+		s.worth += r.Value
 		_ = s.work.RecordValue(max(int64(r.Work*1000), 1)) // past an hour it would only be left out
 		if r.Hard != "" {
 			s.hard++
@@ -171,7 +171,7 @@
 		return true
 	})
 	fmt.Printf("seed %d, %s arrivals, %d statements in %s; %d shapes recur, %d come once; %d bytes a statement\n%s\n\n",
-		head.Seed, head.Comes, total, time.Duration(last)*time.Microsecond, len(shapes), oneOff, bytes/max(total, 1), head.Model)
+		head.Seed, head.Arrivals, total, time.Duration(last)*time.Microsecond, len(shapes), oneOff, bytes/max(total, 1), head.Model)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "class\tshare\tworth\tmedian ms\tp90 ms\tp99 ms\thard\n")
 	names := make([]string, 0, len(classes))
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -62,16 +62,16 @@
 const mostPrepared = 200
 
 // lookups are reading statements of the model, with their values written out or bound.
-func lookups(seed uint64, n int, bound bool) []workload.Asked {
+func lookups(seed uint64, n int, bound bool) []workload.Statement {
 	w := workload.New(workload.Options{Seed: seed, Templates: 200}, n)
-	var texts []workload.Asked
+	var texts []workload.Statement
 	distinct := map[string]bool{}
 	for len(texts) < n {
 		a := w.Next()
-		if a.Class != "lookup" || (len(a.Values) > 0) != bound || bound && !distinct[a.Statement] && len(distinct) == mostPrepared {
+		if a.Class != "lookup" || (len(a.Values) > 0) != bound || bound && !distinct[a.SQL] && len(distinct) == mostPrepared {
 			continue
 		}
-		distinct[a.Statement] = true
+		distinct[a.SQL] = true
 		texts = append(texts, a)
 	}
 	return texts
@@ -79,16 +79,16 @@
 
 // messages are what a client sends for one statement: a Query, or a Bind of a statement
 // that it prepares where it has not yet.
-func messages(out []byte, a *workload.Asked, named map[string]string) []byte {
+func messages(out []byte, a *workload.Statement, named map[string]string) []byte {
 	if len(a.Values) == 0 {
-		return pgproto.AppendMessage(out, 'Q', pgproto.CString(a.Statement))
+		return pgproto.AppendMessage(out, 'Q', pgproto.CString(a.SQL))
 	}
-	name, ok := named[a.Statement]
+	name, ok := named[a.SQL]
 	if !ok {
 		name = fmt.Sprintf("s%d", len(named))
-		named[a.Statement] = name
+		named[a.SQL] = name
 		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(a.Types)/4)), a.Types...)
-		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(a.Statement), types)
+		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(a.SQL), types)
 	}
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(a.Formats)/2))
 	body = binary.BigEndian.AppendUint16(append(body, a.Formats...), uint16(len(a.Values)))
@@ -103,7 +103,7 @@
 	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
-func costRound(ctx context.Context, opts CostOptions, texts []workload.Asked, on bool) (res CostRound, err error) {
+func costRound(ctx context.Context, opts CostOptions, texts []workload.Statement, on bool) (res CostRound, err error) {
 	dir, err := os.MkdirTemp("", "testbed-cost-")
 	if err != nil {
 		return res, err
@@ -158,7 +158,7 @@
 
 // ask has clients send statements one after the other. Refusals are waited out at the
 // start, while no engine is known yet.
-func ask(ctx context.Context, addr string, texts []workload.Asked, clients, requests int) error {
+func ask(ctx context.Context, addr string, texts []workload.Statement, clients, requests int) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, clients)
 	for i := range clients {
@@ -177,7 +177,7 @@
 	return all
 }
 
-func askOne(ctx context.Context, addr string, texts []workload.Asked, from, requests int) error {
+func askOne(ctx context.Context, addr string, texts []workload.Statement, from, requests int) error {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -25,7 +25,7 @@
 
 // Classes are those that statements are judged by.
 func Classes() []decide.Class {
-	return []decide.Class{{Name: "lookup", MaxWorkMS: workload.BroadAt}, {Name: "report"}}
+	return []decide.Class{{Name: "lookup", MaxWorkMS: workload.ReportWork}, {Name: "report"}}
 }
 
 // Variants are the whole classifier, and each part switched off in turn.
@@ -124,10 +124,10 @@
 		}
 		if m := mean[r.Class]; judged {
 			res.Judged++
-			worth += r.Worth
+			worth += r.Value
 			if got == r.Class {
 				right++
-				rightWorth += r.Worth
+				rightWorth += r.Value
 			}
 			if r.Class == "write" {
 				res.WritesSeen++
@@ -154,7 +154,7 @@
 				hints = append(hints, math.Abs(math.Log2(r.HintWork/r.Work)))
 				hinted++
 				said := "lookup"
-				if r.HintWork > workload.BroadAt {
+				if r.HintWork > workload.ReportWork {
 					said = "report"
 				}
 				if r.Class == "load" || said == r.Class {
@@ -197,7 +197,7 @@
 	w := workload.New(opts, number)
 	all := make([]traffic.Record, number)
 	for i := range all {
-		all[i] = traffic.FromAsked(w.Next())
+		all[i] = traffic.RecordOf(w.Next())
 	}
 	return all
 }
--- a/internal/testbed/traffic/generate.go
+++ b/internal/testbed/traffic/generate.go
@@ -11,19 +11,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Comes says how statements come: with even chances, in bursts, or by the seasons.
-type Comes string
+// Arrivals says how statements come: with even chances, in bursts, or by the seasons.
+type Arrivals string
 
 // The ways.
 const (
-	Poisson Comes = "poisson"
-	Bursts  Comes = "bursts" // on and off, with heavy-tailed spells
-	Season  Comes = "season" // a day's curve, rising to a festival at the end
+	Poisson Arrivals = "poisson"
+	Bursts  Arrivals = "bursts" // on and off, with heavy-tailed spells
+	Season  Arrivals = "season" // a day's curve, rising to a festival at the end
 )
 
 // arrivals tells the moments at which statements come.
 type arrivals struct {
-	how  Comes
+	how  Arrivals
 	rng  *rand.Rand
 	rate float64
 	at   float64 // seconds
@@ -33,7 +33,7 @@
 	span float64 // of the whole, for the season
 }
 
-func newArrivals(how Comes, rate float64, number int, seed uint64) (*arrivals, error) {
+func newArrivals(how Arrivals, rate float64, number int, seed uint64) (*arrivals, error) {
 	switch how {
 	case Poisson, Bursts, Season:
 	default:
@@ -83,18 +83,18 @@
 }
 
 // Generate writes so many statements of a world.
-func Generate(w io.Writer, opts workload.Options, number int, rate float64, how Comes, progress func(int)) error {
+func Generate(w io.Writer, opts workload.Options, number int, rate float64, how Arrivals, progress func(int)) error {
 	a, err := newArrivals(how, rate, number, opts.Seed)
 	if err != nil {
 		return err
 	}
-	t, err := NewWriter(w, Head{Seed: opts.Seed, Model: fmt.Sprintf("%+v", opts), Rate: rate, Comes: string(how), Number: number})
+	t, err := NewWriter(w, Head{Seed: opts.Seed, Model: fmt.Sprintf("%+v", opts), Rate: rate, Arrivals: string(how), Number: number})
 	if err != nil {
 		return err
 	}
 	world := workload.New(opts, number)
 	for i := range number {
-		r := FromAsked(world.Next())
+		r := RecordOf(world.Next())
 		r.At = a.next()
 		if err := t.Write(&r); err != nil {
 			return err
@@ -106,10 +106,10 @@
 	return t.Close()
 }
 
-// FromAsked turns a statement of the model into a record.
-func FromAsked(q workload.Asked) Record {
+// RecordOf turns a statement of the model into a record.
+func RecordOf(q workload.Statement) Record {
 	return Record{
-		Statement: q.Statement, Values: q.Values, Formats: q.Formats, Types: q.Types, HintWork: q.HintWork, HintMB: q.HintMB, Key: q.Key,
-		Class: q.Class, Hard: q.Hard, Template: q.Template, Work: q.Work, MemoryMB: q.MemoryMB, Worth: q.Worth,
+		Statement: q.SQL, Values: q.Values, Formats: q.Formats, Types: q.Types, HintWork: q.HintWork, HintMB: q.HintMB, Key: q.Key,
+		Class: q.Class, Hard: q.Hard, Template: q.Template, Work: q.Work, MemoryMB: q.MemoryMB, Value: q.Value,
 	}
 }
--- a/internal/testbed/traffic/traffic.go
+++ b/internal/testbed/traffic/traffic.go
@@ -43,11 +43,11 @@
 
 // Head says how the traffic came to be.
 type Head struct {
-	Seed   uint64  `cbor:"1,keyasint"`
-	Model  string  `cbor:"2,keyasint"` // its options, in words
-	Rate   float64 `cbor:"3,keyasint"` // statements a second on average
-	Comes  string  `cbor:"4,keyasint"` // poisson, bursts or season
-	Number int     `cbor:"5,keyasint"`
+	Seed     uint64  `cbor:"1,keyasint"`
+	Model    string  `cbor:"2,keyasint"` // its options, in words
+	Rate     float64 `cbor:"3,keyasint"` // statements a second on average
+	Arrivals string  `cbor:"4,keyasint"` // poisson, bursts or season
+	Number   int     `cbor:"5,keyasint"`
 }
 
 // Record is one statement.
@@ -67,7 +67,7 @@
 	Template int     `cbor:"22,keyasint"`
 	Work     float64 `cbor:"23,keyasint"` // ms on one core
 	MemoryMB float64 `cbor:"24,keyasint"`
-	Worth    float64 `cbor:"25,keyasint"`
+	Value    float64 `cbor:"25,keyasint"`
 }
 
 // Writer writes a file.
--- a/internal/testbed/traffic/traffic_test.go
+++ b/internal/testbed/traffic/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func generate(t testing.TB, how Comes, number int) []byte {
+func generate(t testing.TB, how Arrivals, number int) []byte {
 	var b bytes.Buffer
 	if err := Generate(&b, workload.Defaults(7), number, 99, how, nil); err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 
 // The same seed gives the same bytes, and what is read is what was written.
 func TestRoundTrip(t *testing.T) {
-	for _, how := range []Comes{Poisson, Bursts, Season} {
+	for _, how := range []Arrivals{Poisson, Bursts, Season} {
 		one, two := generate(t, how, 3000), generate(t, how, 3000)
 		if !bytes.Equal(one, two) {
 			t.Errorf("%s: one seed, two files", how)
@@ -48,7 +48,7 @@
 		world := workload.New(workload.Defaults(7), 3000)
 		last := int64(0)
 		for i := range all {
-			want := FromAsked(world.Next())
+			want := RecordOf(world.Next())
 			want.At = all[i].At
 			if diff := cmp.Diff(want, all[i]); diff != "" {
 				t.Fatalf("%s: record %d:\n%s", how, i, diff)
--- a/internal/testbed/workload/register.go
+++ b/internal/testbed/workload/register.go
@@ -64,24 +64,24 @@
 	}
 }
 
-// BroadAt is the true work from which a reading statement is a report, in milliseconds.
-const BroadAt = 800
-
-// Asked is one statement with what is true of it.
-type Asked struct {
-	Statement string
-	Values    [][]byte // bound; nil: null
-	Formats   []byte   // as in a Bind message
-	Types     []byte   // object ids
-	Class     string   // lookup, report, load or write
-	Hard      string   // the hard case it is, or ""
-	Template  int      // -1: a one-off shape
-	Work      float64  // ms on one core
-	MemoryMB  float64
-	HintWork  float64 // 0: none
-	HintMB    float64
-	Worth     float64
-	Key       int // number of the bound value that is a load's key; 0: none
+// ReportWork is the true work from which a reading statement is a report, in milliseconds.
+const ReportWork = 800
+
+// Statement is one statement with what is true of it.
+type Statement struct {
+	SQL      string
+	Values   [][]byte // bound; nil: null
+	Formats  []byte   // as in a Bind message
+	Types    []byte   // object ids
+	Class    string   // lookup, report, load or write
+	Hard     string   // the hard case it is, or ""
+	Template int      // -1: a one-off shape
+	Work     float64  // ms on one core
+	MemoryMB float64
+	HintWork float64 // 0: none
+	HintMB   float64
+	Value    float64
+	Key      int // number of the bound value that is a load's key; 0: none
 }
 
 // World asks.
@@ -124,7 +124,7 @@
 }
 
 // Next is the next statement.
-func (w *World) Next() Asked {
+func (w *World) Next() Statement {
 	at := float64(w.asked) / float64(w.total)
 	w.asked++
 	grown := 1.0
@@ -151,13 +151,13 @@
 }
 
 // finish adds scatter, hint and worth.
-func (w *World) finish(a Asked, usual float64) Asked {
+func (w *World) finish(a Statement, usual float64) Statement {
 	truth := a.Work
 	a.Work *= w.noise.Rand()
 	a.MemoryMB = math.Max(2, 6*math.Pow(truth/200, 0.7)*w.noise.Rand())
 	if w.rng.Float64() >= w.opts.HintMissing {
 		class := "lookup"
-		if usual > BroadAt {
+		if usual > ReportWork {
 			class = "report"
 		}
 		if a.Class == "load" || a.Class == "write" {
@@ -166,7 +166,7 @@
 		a.HintWork = usual * w.bias[class] * w.hint.Rand()
 		a.HintMB = a.MemoryMB * w.hint.Rand() * 1.2
 	}
-	a.Worth = map[string]float64{"lookup": 1, "report": 4, "load": 5, "write": 4}[a.Class]
+	a.Value = map[string]float64{"lookup": 1, "report": 4, "load": 5, "write": 4}[a.Class]
 	return a
 }
 
--- a/internal/testbed/workload/templates.go
+++ b/internal/testbed/workload/templates.go
@@ -176,7 +176,7 @@
 
 // instance asks a template's question with values of its own. usual is what the shape
 // costs with values as they usually are: what a planner without them would say.
-func (w *World) instance(t *template, grown float64) (a Asked, usual float64) {
+func (w *World) instance(t *template, grown float64) (a Statement, usual float64) {
 	r := w.rng
 	x := &text{t: t, r: r}
 	group := 1 + int(w.groupZipf.Uint64())
@@ -375,7 +375,7 @@
 		a.Work = 1200 + 17*float64(n)
 		usual = 1200 + 17*110
 	}
-	a.Statement, a.Values, a.Formats, a.Types = x.b.String(), x.values, x.forms, x.types
+	a.SQL, a.Values, a.Formats, a.Types = x.b.String(), x.values, x.forms, x.types
 	if t.family == batch {
 		return a, usual
 	}
@@ -384,7 +384,7 @@
 		a.Work *= coldTimes
 	}
 	a.Class = "report"
-	if a.Work < BroadAt {
+	if a.Work < ReportWork {
 		a.Class = "lookup"
 		a.Hard = "" // broad by its values, but over a table so small that it stays a lookup
 	}
@@ -407,10 +407,10 @@
 	"/* a lookup */ CALL stock_%d.close_month(%d)",
 }
 
-func (w *World) write(grown float64) Asked {
-	a := Asked{Class: "write", Template: -2}
+func (w *World) write(grown float64) Statement {
+	a := Statement{Class: "write", Template: -2}
 	i := w.rng.IntN(len(writes))
-	a.Statement = fmt.Sprintf(writes[i], 1+w.rng.IntN(Groups), w.rng.IntN(Parts))
+	a.SQL = fmt.Sprintf(writes[i], 1+w.rng.IntN(Groups), w.rng.IntN(Parts))
 	a.Work = 300 * grown
 	return w.finish(a, 300)
 }
