--- a/internal/testbed/workload/register.go
+++ b/internal/testbed/workload/register.go
@@ -1,8 +1,8 @@
-// Package register models the Board's register and the programs that ask it: districts,
-// wholesalers, parts of very different popularity, ten years of days, and what each
-// statement truly costs there. The cost comes from what a statement means (how many rows
-// it reaches, by which way, and what is done with them), never from its text: nothing
-// that ringwood's classifier looks at has a part in it.
+// Package workload models a register of parts and the programs that query it: districts,
+// wholesalers, parts of very different popularity, ten years of days, and what each statement
+// costs there. The cost follows from what a statement means (how many rows it reaches, by which
+// access path, and what is done with them) and never from its text: it is independent of anything
+// that ringwood's classifier looks at.
 package workload
 
 import (
@@ -26,7 +26,7 @@
 	name string
 	rows float64
 	cols []string
-	time string // column of its day
+	time string // name of its date column
 }
 
 var tables = []table{
@@ -38,36 +38,44 @@
 	{"returns", 20000, []string{"part", "district", "reason"}, "day"},
 }
 
-// Options say what world is made.
+// Options configure a world. Recorded traffic names its fields: renaming one changes the files.
 type Options struct {
 	Seed      uint64
-	Templates int     // recurring shapes; 0: 200
-	OneOff    float64 // share of statements whose shape never comes again
-	Hard      float64 // share of lookups whose values make them broad reports
-	Writes    float64 // share of statements that write and are no loads
-	// DriftAt is when the table of orders has grown, as a share of the statements; from
-	// then on what reaches it costs Drift times as much. 0: never.
+	Templates int     // recurring shapes; 0: defaultTemplates
+	OneOff    float64 // fraction of statements whose shape never recurs
+	Hard      float64 // fraction of lookups whose values make them broad reports
+	Writes    float64 // fraction of statements that write and are no bulk loads
+	// DriftAt is when the table of orders grows, as a fraction of the statements; from then on
+	// it has Drift times as many rows. 0: never.
 	DriftAt float64
 	Drift   float64
 	// HintNoise is the scatter of hints, as a standard deviation of the natural
-	// logarithm; HintMissing the share of statements without one. Hints are made from
+	// logarithm; HintMissing the fraction of statements without one. Hints are made from
 	// what the shape usually costs, so they know nothing of the values.
 	HintNoise   float64
 	HintMissing float64
 }
 
-// Defaults are the figures of the Board's brief, as far as it gives them.
+// Defaults returns the options of the usual traffic.
 func Defaults(seed uint64) Options {
 	return Options{
-		Seed: seed, Templates: 200, OneOff: 0.05, Hard: 0.04, Writes: 0.02,
+		Seed: seed, Templates: defaultTemplates, OneOff: 0.05, Hard: 0.04, Writes: 0.02,
 		DriftAt: 0.6, Drift: 3, HintNoise: 0.7, HintMissing: 0.15,
 	}
 }
 
-// ReportWork is the true work from which a reading statement is a report, in milliseconds.
+const (
+	defaultTemplates = 200
+	oneOffTemplate   = -1 // the template number of statements whose shape never recurs
+)
+
+// values are what answers are worth, by class.
+var values = map[string]float64{"lookup": 1, "report": 4, "load": 5, "write": 4}
+
+// ReportWork is the actual work, in milliseconds, from which a statement that reads is a report.
 const ReportWork = 800
 
-// Statement is one statement with what is true of it.
+// Statement is one statement, with its actual class and cost.
 type Statement struct {
 	SQL      string
 	Values   [][]byte // bound; nil: null
@@ -75,7 +83,7 @@
 	Types    []byte   // object ids
 	Class    string   // lookup, report, load or write
 	Hard     string   // the hard case it is, or ""
-	Template int      // -1: a one-off shape
+	Template int      // -1: a one-off shape, -2: a statement that writes
 	Work     float64  // ms on one core
 	MemoryMB float64
 	HintWork float64 // 0: none
@@ -84,25 +92,25 @@
 	Key      int // number of the bound value that is a load's key; 0: none
 }
 
-// World asks.
+// World generates statements.
 type World struct {
-	opts      Options
-	rng       *rand.Rand
-	templates []*template
-	pick      []float64 // cumulated weights
-	partZipf  *rand.Zipf
-	groupZipf *rand.Zipf
-	noise     distuv.LogNormal
-	hint      distuv.LogNormal
-	bias      map[string]float64 // of hints, by class
-	asked     int
-	total     int
+	opts       Options
+	rng        *rand.Rand
+	templates  []*template
+	cumulative []float64 // cumulative weights of the templates
+	partZipf   *rand.Zipf
+	groupZipf  *rand.Zipf
+	noise      distuv.LogNormal
+	hint       distuv.LogNormal
+	bias       map[string]float64 // of hints, by class
+	generated  int                // statements so far
+	total      int
 }
 
-// New makes a world that will be asked for so many statements.
+// New returns a world that generates total statements.
 func New(opts Options, total int) *World {
 	if opts.Templates <= 0 {
-		opts.Templates = 200
+		opts.Templates = defaultTemplates
 	}
 	rng := rand.New(rand.NewPCG(opts.Seed, 0x7265676973746572))
 	w := &World{
@@ -118,70 +126,79 @@
 		t := w.template(i)
 		w.templates = append(w.templates, t)
 		sum += t.weight
-		w.pick = append(w.pick, sum)
+		w.cumulative = append(w.cumulative, sum)
 	}
 	return w
 }
 
-// Next is the next statement.
+// Next returns the next statement.
 func (w *World) Next() Statement {
-	at := float64(w.asked) / float64(w.total)
-	w.asked++
-	grown := 1.0
-	if w.opts.DriftAt > 0 && at >= w.opts.DriftAt {
-		grown = w.opts.Drift
+	progress := float64(w.generated) / float64(w.total)
+	w.generated++
+	growth := 1.0
+	if w.opts.DriftAt > 0 && progress >= w.opts.DriftAt {
+		growth = w.opts.Drift
+	}
+	draw := w.rng.Float64()
+	if draw >= w.opts.OneOff && draw < w.opts.OneOff+w.opts.Writes {
+		return w.write(growth)
 	}
 	var t *template
-	id := -1
-	switch u := w.rng.Float64(); {
-	case u < w.opts.OneOff:
+	number := oneOffTemplate
+	if draw < w.opts.OneOff {
 		t = w.template(1 << 20)
 		t.oneOff = true
-	case u < w.opts.OneOff+w.opts.Writes:
-		return w.write(grown)
-	default:
-		x := w.rng.Float64() * w.pick[len(w.pick)-1]
-		for id = 0; w.pick[id] < x; id++ {
-		}
-		t = w.templates[id]
+	} else {
+		number = w.pickTemplate()
+		t = w.templates[number]
+	}
+	s, usual := w.instance(t, growth)
+	s.Template = number
+	return w.finish(s, usual)
+}
+
+// pickTemplate draws a recurring template by weight.
+func (w *World) pickTemplate() int {
+	x := w.rng.Float64() * w.cumulative[len(w.cumulative)-1]
+	number := 0
+	for w.cumulative[number] < x {
+		number++
 	}
-	a, usual := w.instance(t, grown)
-	a.Template = id
-	return w.finish(a, usual)
+	return number
 }
 
-// finish adds scatter, hint and worth.
-func (w *World) finish(a Statement, usual float64) Statement {
-	truth := a.Work
-	a.Work *= w.noise.Rand()
-	a.MemoryMB = math.Max(2, 6*math.Pow(truth/200, 0.7)*w.noise.Rand())
+// finish adds noise, hints and value. usual is the work that the shape usually needs.
+func (w *World) finish(s Statement, usual float64) Statement {
+	exact := s.Work
+	s.Work *= w.noise.Rand()
+	s.MemoryMB = math.Max(2, 6*math.Pow(exact/200, 0.7)*w.noise.Rand())
 	if w.rng.Float64() >= w.opts.HintMissing {
 		class := "lookup"
 		if usual > ReportWork {
 			class = "report"
 		}
-		if a.Class == "load" || a.Class == "write" {
-			class = a.Class
+		if s.Class == "load" || s.Class == "write" {
+			class = s.Class
 		}
-		a.HintWork = usual * w.bias[class] * w.hint.Rand()
-		a.HintMB = a.MemoryMB * w.hint.Rand() * 1.2
+		s.HintWork = usual * w.bias[class] * w.hint.Rand()
+		s.HintMB = s.MemoryMB * w.hint.Rand() * 1.2
 	}
-	a.Value = map[string]float64{"lookup": 1, "report": 4, "load": 5, "write": 4}[a.Class]
-	return a
+	s.Value = values[s.Class]
+	return s
 }
 
 // reach is how a statement reaches its rows, and what it does with them.
 type reach struct {
 	indexed float64 // rows found by an index
-	scanned float64 // rows read in turn
+	scanned float64 // rows read sequentially
 	joined  float64
 	sorted  float64
 	grouped float64
 	out     float64
 }
 
-// Unit costs in milliseconds on one core. With them lookups lie about 200 ms and reports
-// about 3 s, as the brief has it.
+// Unit costs in milliseconds on one core. With them lookups take about 200 ms and reports about
+// 3 s.
 const (
 	base       = 110
 	perIndexed = 0.03
