--- a/internal/testbed/traffic/traffic_test.go
+++ b/internal/testbed/traffic/traffic_test.go
@@ -11,10 +11,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func generate(t testing.TB, how Arrivals, number int) []byte {
+func generate(tb testing.TB, how Arrivals, number int) []byte {
+	tb.Helper()
 	var b bytes.Buffer
 	if err := Generate(&b, workload.Defaults(7), number, 99, how, nil); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b.Bytes()
 }
