--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -374,7 +374,7 @@
 			failed++
 		}
 		t.raw.Add(front, connections, seed, []string{"steady", "good", "broken"}[phase], string(rune(r.Kind)), r.Due.Sub(res.Stable).Milliseconds(),
-			fmt.Sprintf("%.3f", float64(r.Latency().Microseconds())/1000), r.Verdict, len(r.Tries))
+			fmt.Sprintf("%.3f", float64(r.Latency().Microseconds())/1000), r.Verdict, len(r.Attempts))
 	}
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	three := func(h *hdrhistogram.Histogram) string {
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -127,7 +127,7 @@
 	s.await("serving")
 	for range 200 {
 		c := s.client()
-		v, _ := c.Ask(load.Lookup, "q-0-1", nil, time.Second)
+		v, _ := c.Send(load.Lookup, "q-0-1", nil, time.Second)
 		c.Close()
 		if v == load.Served {
 			return s
@@ -274,7 +274,7 @@
 			return r
 		default:
 		}
-		if v, why := c.Ask(load.Lookup, fmt.Sprintf("q-99-%d", n), nil, 5*time.Second); v != load.Served {
+		if v, why := c.Send(load.Lookup, fmt.Sprintf("q-99-%d", n), nil, 5*time.Second); v != load.Served {
 			s.t.Fatalf("while it proves itself: %s %s", v, why)
 		}
 	}
@@ -297,7 +297,7 @@
 func ask(c load.Client, mark string) <-chan told {
 	got := make(chan told, 1)
 	go func() {
-		v, d := c.Ask(load.Kind(mark[0]), mark, nil, 20*time.Second)
+		v, d := c.Send(load.Kind(mark[0]), mark, nil, 20*time.Second)
 		got <- told{v, d}
 	}()
 	return got
@@ -339,7 +339,7 @@
 		close(c)
 	}
 	s.want("a load", answers["k-1-1"], load.Served)
-	s.want("a write", answers["w-1-2"], load.Doubt)
+	s.want("a write", answers["w-1-2"], load.Ambiguous)
 	s.want("a lookup", answers["q-1-3"], load.Served)
 	if dropped := s.runs("k-1-1", 2); dropped != 1 {
 		t.Errorf("of two runs of the load %d were dropped", dropped)
@@ -380,7 +380,7 @@
 	time.Sleep(300 * time.Millisecond) // the window itself
 	_ = syscall.Kill(pid, syscall.SIGKILL)
 	<-end
-	s.want("a load past its window", answer, load.Doubt)
+	s.want("a load past its window", answer, load.Ambiguous)
 	s.runs("k-1-1", 1)
 }
 
--- a/internal/testbed/load/check.go
+++ b/internal/testbed/load/check.go
@@ -36,9 +36,9 @@
 			add("no answer", "the connection ended: %s", r.Detail)
 		case Silent:
 			add("no answer", "none came in time: %s", r.Detail)
-		case Spoilt:
+		case Corrupt:
 			add("spoilt", "%s", r.Detail)
-		case Unasked:
+		case Unreachable:
 			add("not reached", "%s", r.Detail)
 		}
 		mine := by[r.Mark]
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -22,15 +22,15 @@
 
 // Verdicts.
 const (
-	Served  Verdict = "served"
-	Refused Verdict = "refused" // trying again is harmless
-	Failed  Verdict = "failed"
-	Doubt   Verdict = "doubt"   // it may have run (40003)
-	Late    Verdict = "late"    // its time was over (57014)
-	Reset   Verdict = "reset"   // the connection ended without an answer
-	Silent  Verdict = "silent"  // no answer in time
-	Spoilt  Verdict = "spoilt"  // an answer to something else, or what can't be read
-	Unasked Verdict = "unasked" // no connection could be had
+	Served      Verdict = "served"
+	Refused     Verdict = "refused" // trying again is harmless
+	Failed      Verdict = "failed"
+	Ambiguous   Verdict = "doubt"   // it may have run (40003)
+	Late        Verdict = "late"    // its time was over (57014)
+	Reset       Verdict = "reset"   // the connection ended without an answer
+	Silent      Verdict = "silent"  // no answer in time
+	Corrupt     Verdict = "spoilt"  // an answer to something else, or what can't be read
+	Unreachable Verdict = "unasked" // no connection could be had
 )
 
 // Kind is what a request does.
@@ -54,8 +54,8 @@
 
 // Client is one connection of a client.
 type Client interface {
-	// Ask sends one request and waits for its answer.
-	Ask(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string)
+	// Send sends one request and waits for its answer.
+	Send(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string)
 	// Idle tells whether the connection still stands, between two requests.
 	Idle() Verdict
 	Close()
@@ -87,7 +87,7 @@
 	_ = w.conn.SetReadDeadline(time.Time{})
 	switch {
 	case err == nil:
-		return Spoilt
+		return Corrupt
 	case errors.Is(err, io.EOF) || !isTimeout(err):
 		return Reset
 	}
@@ -137,8 +137,8 @@
 	return c, nil
 }
 
-// Ask sends one request.
-func (c *HTTP) Ask(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
+// Send sends one request.
+func (c *HTTP) Send(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
 	path, text, head := "lookup", fmt.Sprintf("SELECT part, note FROM stock_3.parts WHERE tag = '%s'", mark), ""
 	if kind == Load {
 		path, text, head = "load", fmt.Sprintf("INSERT INTO stock_3.batches VALUES ('%s')", mark), "Req-Token: "+mark+"\r\n"
@@ -150,7 +150,7 @@
 	if time.Since(c.used) > idleMost {
 		w, err := dial(c.addr)
 		if err != nil {
-			return Unasked, err.Error()
+			return Unreachable, err.Error()
 		}
 		c.Close()
 		c.wire = w
@@ -169,7 +169,7 @@
 	case status == 200 && strings.Contains(body, mark):
 		return Served, ""
 	case status == 200:
-		return Spoilt, body
+		return Corrupt, body
 	case status == 503 || status == 429:
 		return Refused, body
 	}
@@ -283,9 +283,9 @@
 	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
-// Ask sends one request: a recorded statement as it was recorded; of its own, every third lookup has its value in the text of a Query, every fifth
+// Send sends one request: a recorded statement as it was recorded; of its own, every third lookup has its value in the text of a Query, every fifth
 // fetches its rows one by one by way of a portal, all others bind.
-func (c *Postgres) Ask(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
+func (c *Postgres) Send(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
 	c.n++
 	_ = c.conn.SetDeadline(time.Now().Add(within + grace))
 	var out []byte
@@ -306,7 +306,7 @@
 	if _, err := c.conn.Write(out); err != nil {
 		return broken(err)
 	}
-	verdict, detail, seen := Spoilt, "no completion", false
+	verdict, detail, seen := Corrupt, "no completion", false
 	for {
 		k, body, err := c.message()
 		if err != nil {
@@ -321,14 +321,14 @@
 			}
 		case 'C':
 			if verdict, detail = Served, ""; !seen {
-				verdict, detail = Spoilt, "another's rows"
+				verdict, detail = Corrupt, "another's rows"
 			}
 		case 'E':
 			e, err := pgproto.ReadError(body)
 			if err != nil {
-				return Spoilt, err.Error()
+				return Corrupt, err.Error()
 			}
-			verdict, detail = told(e.Code), e.Code+" "+e.Message
+			verdict, detail = verdictOf(e.Code), e.Code+" "+e.Message
 			if e.Severity == "FATAL" {
 				return Reset, detail
 			}
@@ -343,12 +343,12 @@
 	}
 }
 
-func told(code string) Verdict {
+func verdictOf(code string) Verdict {
 	switch code {
 	case "53000":
 		return Refused
 	case "40003":
-		return Doubt
+		return Ambiguous
 	case "57014":
 		return Late
 	}
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -37,13 +37,13 @@
 
 // Record is what became of one request.
 type Record struct {
-	Mark    string
-	Kind    Kind
-	Due     time.Time // when it arrived, whether a connection was free or not
-	End     time.Time
-	Verdict Verdict // the last
-	Detail  string
-	Tries   []Verdict
+	Mark     string
+	Kind     Kind
+	Due      time.Time // when it arrived, whether a connection was free or not
+	End      time.Time
+	Verdict  Verdict // the last
+	Detail   string
+	Attempts []Verdict
 }
 
 // Latency is how long its client waited, from its arrival.
@@ -55,7 +55,7 @@
 
 	mu      sync.Mutex
 	free    []Client
-	room    *sync.Cond
+	freed   *sync.Cond
 	rng     *rand.Rand
 	records []Record
 	stop    chan struct{}
@@ -67,7 +67,7 @@
 // New connects all clients.
 func New(opts Options) (*Source, error) {
 	s := &Source{stop: make(chan struct{}), opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0x6c6f6164))}
-	s.room = sync.NewCond(&s.mu)
+	s.freed = sync.NewCond(&s.mu)
 	errs := make(chan error, 16)
 	per := (opts.Connections + 15) / 16
 	for i := range 16 {
@@ -135,7 +135,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.one(&r, statement)
+			s.perform(&r, statement)
 			s.mu.Lock()
 			s.records = append(s.records, r)
 			s.mu.Unlock()
@@ -143,11 +143,11 @@
 	}
 }
 
-// following tells the gap before the next request, its kind and its statement.
-type following func() (gap time.Duration, kind Kind, statement *Statement)
+// nextRequest tells the gap before the next request, its kind and its statement.
+type nextRequest func() (gap time.Duration, kind Kind, statement *Statement)
 
 // drawn are requests that come by themselves, of kinds by their shares.
-func (s *Source) drawn() following {
+func (s *Source) drawn() nextRequest {
 	gap := distuv.Exponential{Rate: s.opts.Rate, Src: rand.NewPCG(s.opts.Seed, 1)}
 	kinds := rand.New(rand.NewPCG(s.opts.Seed, 2))
 	return func() (time.Duration, Kind, *Statement) {
@@ -165,7 +165,7 @@
 }
 
 // recorded are requests as they were recorded, but for their rate.
-func (s *Source) recorded() following {
+func (s *Source) recorded() nextRequest {
 	all := s.opts.Recorded
 	span := float64(all[len(all)-1].At-all[0].At) / 1e6
 	slower := float64(len(all)) / span / s.opts.Rate
@@ -190,42 +190,42 @@
 	}
 }
 
-// one carries out one request with its client's retries.
-func (s *Source) one(r *Record, statement *Statement) {
+// perform carries out perform request with its client's retries.
+func (s *Source) perform(r *Record, statement *Statement) {
 	for try := 0; ; try++ {
 		if try > 0 && s.opts.Elsewhere != nil && s.draw() < 0.5 {
-			r.Verdict, r.Detail = s.elsewhere(r)
+			r.Verdict, r.Detail = s.sendElsewhere(r)
 		} else {
-			r.Verdict, r.Detail = s.try(r, statement)
+			r.Verdict, r.Detail = s.attempt(r, statement)
 		}
-		r.Tries = append(r.Tries, r.Verdict)
+		r.Attempts = append(r.Attempts, r.Verdict)
 		r.End = time.Now()
-		if r.Kind != Load || try >= s.opts.Retries || r.Verdict != Refused && r.Verdict != Failed && r.Verdict != Doubt {
+		if r.Kind != Load || try >= s.opts.Retries || r.Verdict != Refused && r.Verdict != Failed && r.Verdict != Ambiguous {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// elsewhere tries again at another gateway.
-func (s *Source) elsewhere(r *Record) (Verdict, string) {
-	c, err := s.opts.Elsewhere(uint64(len(r.Tries))<<32 | uint64(r.Due.UnixMicro())&0xffffffff)
+// sendElsewhere tries again at another gateway.
+func (s *Source) sendElsewhere(r *Record) (Verdict, string) {
+	c, err := s.opts.Elsewhere(uint64(len(r.Attempts))<<32 | uint64(r.Due.UnixMicro())&0xffffffff)
 	if err != nil {
-		return Unasked, err.Error()
+		return Unreachable, err.Error()
 	}
 	defer c.Close()
-	return c.Ask(r.Kind, r.Mark, nil, s.opts.Within)
+	return c.Send(r.Kind, r.Mark, nil, s.opts.Within)
 }
 
-func (s *Source) try(r *Record, statement *Statement) (Verdict, string) {
+func (s *Source) attempt(r *Record, statement *Statement) (Verdict, string) {
 	c := s.take()
-	v, detail := c.Ask(r.Kind, r.Mark, statement, s.opts.Within)
+	v, detail := c.Send(r.Kind, r.Mark, statement, s.opts.Within)
 	switch v {
-	case Reset, Silent, Spoilt:
-		c = s.anew(c)
+	case Reset, Silent, Corrupt:
+		c = s.replace(c)
 	default:
 		if s.opts.Churn > 0 && s.draw() < s.opts.Churn {
-			c = s.anew(c)
+			c = s.replace(c)
 		}
 	}
 	s.give(c)
@@ -238,8 +238,8 @@
 	return s.rng.Float64()
 }
 
-// anew closes a connection and makes another; nil: it could not be made.
-func (s *Source) anew(c Client) Client {
+// replace closes a connection and makes another; nil: it could not be made.
+func (s *Source) replace(c Client) Client {
 	c.Close()
 	c, err := s.dial()
 	if err != nil {
@@ -253,7 +253,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.free) == 0 {
-		s.room.Wait()
+		s.freed.Wait()
 	}
 	i := s.rng.IntN(len(s.free))
 	c := s.free[i]
@@ -270,18 +270,18 @@
 	s.mu.Lock()
 	s.free = append(s.free, c)
 	s.mu.Unlock()
-	s.room.Signal()
+	s.freed.Signal()
 }
 
 // absent is the place of a connection that could not be made.
 type absent struct{ s *Source }
 
-func (a *absent) Ask(k Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
+func (a *absent) Send(k Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
 	c, err := a.s.dial()
 	if err != nil {
-		return Unasked, err.Error()
+		return Unreachable, err.Error()
 	}
-	v, d := c.Ask(k, mark, statement, within)
+	v, d := c.Send(k, mark, statement, within)
 	c.Close() // the next one connects anew
 	return v, d
 }
@@ -297,7 +297,7 @@
 		switch c.Idle() {
 		case Reset:
 			ended++
-		case Spoilt:
+		case Corrupt:
 			unasked++
 		}
 	}
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -416,8 +416,8 @@
 			res.Records[i] = append(res.Records[i], s.Records()...)
 		}
 		for _, r := range res.Records[i] {
-			if p.killed && (r.Verdict == load.Reset || r.Verdict == load.Unasked) { // a gateway that dies takes its connections along
-				r.Verdict = load.Doubt
+			if p.killed && (r.Verdict == load.Reset || r.Verdict == load.Unreachable) { // a gateway that dies takes its connections along
+				r.Verdict = load.Ambiguous
 			}
 			all = append(all, r)
 			at := r.Due.Sub(begin)
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -135,7 +135,7 @@
 		switch rec.Verdict {
 		case load.Served:
 			got[span] += workcost.Value(rec.Mark, rec.Latency())
-		case load.Reset, load.Silent, load.Unasked:
+		case load.Reset, load.Silent, load.Unreachable:
 			res.Lost++
 		}
 	}
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -268,7 +268,7 @@
 			c, err = load.DialHTTP(g.addr, 1<<30)
 		}
 		if err == nil {
-			v, _ := c.Ask(load.Lookup, "q-0-0", nil, time.Second)
+			v, _ := c.Send(load.Lookup, "q-0-0", nil, time.Second)
 			c.Close()
 			if v == load.Served {
 				return nil
