--- a/internal/testbed/load/check.go
+++ b/internal/testbed/load/check.go
@@ -9,7 +9,7 @@
 	"gannetspur/internal/testbed/emulator"
 )
 
-// Fault is a rule that a request saw broken.
+// Fault is a violation of a rule by one request.
 type Fault struct {
 	Rule string
 	Mark string
@@ -18,14 +18,14 @@
 
 func (f Fault) String() string { return fmt.Sprintf("%s: %s: %s", f.Rule, f.Mark, f.What) }
 
-// Check joins what clients were told with what engines did. Each request must have one final
-// answer that is its own, in time; what may run once has run once at most; what runs under a
-// key has had its effect once, and went out within the window of its first send alone; what
-// was served has run.
+// Check compares the outcomes that clients saw with what engines executed. Each request must get
+// one final answer, its own and in time. A write that is not idempotent must run at most once. A
+// load with an idempotency key must take effect at most once, and must not be sent later than the
+// window after its first send. What was served must have run.
 func Check(records []Record, runs []emulator.Run, window time.Duration) (faults []Fault) {
-	by := map[string][]emulator.Run{}
+	byMark := map[string][]emulator.Run{}
 	for _, r := range runs {
-		by[r.Mark] = append(by[r.Mark], r)
+		byMark[r.Mark] = append(byMark[r.Mark], r)
 	}
 	for _, r := range records {
 		add := func(rule, what string, args ...any) {
@@ -41,23 +41,23 @@
 		case Unreachable:
 			add("not reached", "%s", r.Detail)
 		}
-		mine := by[r.Mark]
+		executions := byMark[r.Mark]
 		effects := 0
-		for _, run := range mine {
+		for _, run := range executions {
 			if !run.Dropped {
 				effects++
 			}
-			if late := run.At.Sub(mine[0].At); r.Kind == Load && late >= window {
+			if late := run.At.Sub(executions[0].At); r.Kind == Load && late >= window {
 				add("key window", "sent again %v after its first send", late)
 			}
 		}
 		switch {
 		case (r.Kind == Load || r.Kind == Write) && effects > 1:
 			add("effect twice", "%d effects", effects)
-		case r.Kind == Write && len(mine) > 1:
-			add("effect twice", "it ran %d times", len(mine))
+		case r.Kind == Write && len(executions) > 1:
+			add("effect twice", "it ran %d times", len(executions))
 		}
-		if r.Verdict == Served && len(mine) == 0 {
+		if r.Verdict == Served && len(executions) == 0 {
 			add("served what never ran", "no engine saw it")
 		}
 	}
@@ -65,12 +65,12 @@
 	return faults
 }
 
-// stopWithin is how long after word of it an engine that drains or is gone may get new work,
-// with what a send may take on its way.
+// stopWithin is how long after the notice an engine that is draining or departed may receive new
+// requests: the limit, and an allowance for those in transit.
 const stopWithin = 2*time.Second + 250*time.Millisecond
 
-// CheckDrains finds work that reached an engine more than 2 s after the roster was told that
-// it drains or is gone.
+// CheckDrains finds requests that reached an engine more than 2 s after discovery reported it as
+// draining or departed.
 func CheckDrains(runs []emulator.Run, history []emulator.Change) (faults []Fault) {
 	for _, r := range runs {
 		var last emulator.Change
