--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what an experiment found: a table in Markdown, the raw figures
-// as CSV and a chart as SVG. The same figures give the same bytes.
+// Package report writes the results of an experiment: a table in Markdown, the raw figures as CSV
+// and a chart as SVG. The same figures give the same bytes.
 package report
 
 import (
@@ -19,13 +19,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is a result: names of columns and rows of texts.
+const (
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 10 * vg.Centimeter
+	barsWidth   = 240 // points, of all bars of a chart
+)
+
+// Table is a result: the names of its columns, and rows of text.
 type Table struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Add adds a row; numbers are written with three figures.
+// Add adds a row. Floating-point numbers are written with three significant digits.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -39,7 +45,7 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// Markdown is the table as Markdown.
+// Markdown returns the table as Markdown.
 func (t *Table) Markdown() (string, error) {
 	var b strings.Builder
 	w := tablewriter.NewTable(&b, tablewriter.WithRenderer(renderer.NewMarkdown()),
@@ -54,7 +60,7 @@
 	return b.String(), nil
 }
 
-// CSV is the table as comma-separated values.
+// CSV returns the table as comma-separated values.
 func (t *Table) CSV() (string, error) {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -78,8 +84,9 @@
 // SVG draws the chart.
 func (c *Bars) SVG() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = c.Title, c.Axis
-	width := vg.Points(240 / float64(max(len(c.Series)*len(c.Groups), 1)))
+	p.Title.Text = c.Title
+	p.Y.Label.Text = c.Axis
+	width := vg.Points(barsWidth / float64(max(len(c.Series)*len(c.Groups), 1)))
 	for i, values := range c.Values {
 		bars, err := plotter.NewBarChart(plotter.Values(values), width)
 		if err != nil {
@@ -101,26 +108,30 @@
 	Title, X, Y string
 	Series      []string
 	Points      [][][2]float64 // by series
-	LogX        bool
+	LogX        bool // whether the X axis is logarithmic
 }
 
 // SVG draws the chart.
 func (c *Lines) SVG() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text = c.Title
+	p.X.Label.Text = c.X
+	p.Y.Label.Text = c.Y
 	if c.LogX {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+		p.X.Scale = plot.LogScale{}
+		p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	}
 	for i, points := range c.Points {
 		xys := make(plotter.XYs, len(points))
-		for j, q := range points {
-			xys[j].X, xys[j].Y = q[0], q[1]
+		for j, point := range points {
+			xys[j] = plotter.XY{X: point[0], Y: point[1]}
 		}
 		line, err := plotter.NewLine(xys)
 		if err != nil {
 			return nil, fmt.Errorf("chart: %w", err)
 		}
-		line.Color, line.Width = plotutil.Color(i), vg.Points(1.5)
+		line.Color = plotutil.Color(i)
+		line.Width = vg.Points(1.5)
 		p.Add(line)
 		p.Legend.Add(c.Series[i], line)
 	}
@@ -128,8 +139,9 @@
 	return draw(p)
 }
 
+// draw renders a chart as SVG.
 func draw(p *plot.Plot) ([]byte, error) {
-	w, err := p.WriterTo(18*vg.Centimeter, 10*vg.Centimeter, "svg")
+	w, err := p.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return nil, fmt.Errorf("chart: %w", err)
 	}
@@ -140,7 +152,7 @@
 	return b.Bytes(), nil
 }
 
-// Write keeps files of one experiment in a folder.
+// Write writes the files of one experiment to a directory, which it creates if necessary.
 func Write(dir string, files map[string][]byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("results: %w", err)
