--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	rows, err := csv.NewReader(f).ReadAll()
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -117,7 +117,7 @@
 	return stop, harness.Up(ctx, addr)
 }
 
-// loopback tells whether an address is this machine's own.
+// loopback returns an error unless an address is of this machine's loopback.
 func loopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,6 +1,6 @@
-// Command testbed is the laboratory: it makes traffic whose truth is known, judges the
-// gateway's parts on it, and sets up a gateway with emulated surroundings to try. Nothing
-// of it is needed to serve.
+// Command testbed generates traffic with known costs, runs experiments on the gateway and on
+// its parts, and starts a gateway with emulated surroundings for trials. A gateway in service
+// doesn't need it.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 type cli struct {
 	Traffic  trafficCommand  `cmd:"" help:"Recorded traffic: make it, look at it, sum it up."`
-	Shapes   shapesCommand   `cmd:"" help:"Judge the classifier of statements, and flood its cache."`
+	Shapes   shapesCommand   `cmd:"" help:"Evaluate the classifier of statements, and flood its cache."`
 	Run      runCommand      `cmd:"" help:"Play an experiment, and keep its table, figures and chart."`
 	Compare  compareCommand  `cmd:"" help:"Set the figures of two runs of an experiment side by side."`
 	Replace  replaceCommand  `cmd:"" help:"Hold a socket as the platform does, and replace the front end at it under calls."`
@@ -27,7 +27,7 @@
 func main() {
 	var c cli
 	ctx := kong.Parse(&c, kong.Name("testbed"), kong.UsageOnError(),
-		kong.Description("The laboratory of ringwood: traffic, models and measurements on this machine's loopback."))
+		kong.Description("The testbed of ringwood: traffic, models and measurements on this machine's loopback."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(1)
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -19,37 +19,60 @@
 }
 
 type membersPlay struct {
-	Name    string
-	Ways    []string
-	Members []int
-	Loss    float64
-	Seeds   int     // so many are named to each at its start; 0: all
-	WarmS   float64 `toml:"warm_s"` // until all have found each other
-	RestS   float64 `toml:"rest_s"`
-	PauseS  float64 `toml:"pause_s"` // one stands still
-	Crashes int     // one after the other
-	Most    float64 // share that dies at once in the end
+	Name            string
+	Protocols       []string `toml:"ways"` // names in membershipsim.Ways
+	Members         []int
+	Loss            float64
+	Seeds           int     // number of members that each knows at its start; 0: all
+	WarmS           float64 `toml:"warm_s"` // until all have found each other
+	RestS           float64 `toml:"rest_s"`
+	PauseS          float64 `toml:"pause_s"` // one process stops for a while
+	Crashes         int     // one after the other
+	FinalCrashShare float64 `toml:"most"` // share of the members that dies at once in the end
 }
 
 func readMembers(path string) (*membersExperiment, error) {
 	var e membersExperiment
-	return &e, readFile(path, &e, func(bad func(ok bool, format string, args ...any)) {
-		named(bad, e.Name, e.Seeds, 1, 1)
-		bad(len(e.Plays) > 0, "play: none")
+	return &e, readFile(path, &e, func(require requireFunc) {
+		requireCommon(require, e.Name, e.Seeds, 1, 1)
+		require(len(e.Plays) > 0, "play: none")
 		for i, p := range e.Plays {
-			for _, w := range p.Ways {
-				bad(membershipsim.Ways[w] != nil, "play[%d].ways: there is no %q", i, w)
+			for _, w := range p.Protocols {
+				require(membershipsim.Ways[w] != nil, "play[%d].ways: there is no %q", i, w)
 			}
 			for _, n := range p.Members {
-				bad(n >= 3 && n <= 2000, "play[%d].members: %d is not from 3 to 2000", i, n)
+				require(n >= 3 && n <= 2000, "play[%d].members: %d is not from 3 to 2000", i, n)
 			}
-			bad(p.Loss >= 0 && p.Loss < 1 && p.Most >= 0 && p.Most < 1, "play[%d].loss, most: not from 0 to 1", i)
-			bad(p.Seeds >= 0, "play[%d].seeds: below 0", i)
-			bad(p.WarmS > 0 && p.RestS > 0 && p.WarmS+p.RestS <= 200000, "play[%d].warm_s, rest_s: not above 0", i)
+			require(p.Loss >= 0 && p.Loss < 1 && p.FinalCrashShare >= 0 && p.FinalCrashShare < 1, "play[%d].loss, most: not from 0 to 1", i)
+			require(p.Seeds >= 0, "play[%d].seeds: below 0", i)
+			require(p.WarmS > 0 && p.RestS > 0 && p.WarmS+p.RestS <= 200000, "play[%d].warm_s, rest_s: not above 0", i)
 		}
 	})
 }
 
+// membersJob is one run of a members experiment.
+type membersJob struct {
+	play  membersPlay
+	m     membershipsim.Measure
+	found membershipsim.Found
+}
+
+// jobs returns all runs, those that share a row of the table next to each other.
+func (e *membersExperiment) jobs() (jobs []*membersJob) {
+	for _, p := range e.Plays {
+		for _, n := range p.Members {
+			for _, way := range p.Protocols {
+				for _, seed := range e.Seeds {
+					jobs = append(jobs, &membersJob{play: p, m: membershipsim.Measure{
+						Way: way, Members: n, Seed: seed, Loss: p.Loss, Seeds: p.Seeds, Warm: seconds(p.WarmS), Rest: seconds(p.RestS), Pause: seconds(p.PauseS), Crashes: p.Crashes, Most: p.FinalCrashShare,
+					}})
+				}
+			}
+		}
+	}
+	return jobs
+}
+
 // runMembers plays all of it, as many plays at once as there are processors. The CSV is the same for the same seeds.
 func runMembers(c *runCommand) error {
 	e, err := readMembers(c.File)
@@ -59,38 +82,26 @@
 	if len(c.Seed) > 0 {
 		e.Seeds = c.Seed
 	}
-	type job struct {
-		play  membersPlay
-		m     membershipsim.Measure
-		found membershipsim.Found
-	}
-	var jobs []*job
-	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	for _, p := range e.Plays {
-		for _, n := range p.Members {
-			for _, way := range p.Ways {
-				for _, seed := range e.Seeds {
-					jobs = append(jobs, &job{play: p, m: membershipsim.Measure{
-						Way: way, Members: n, Seed: seed, Loss: p.Loss, Seeds: p.Seeds, Warm: s(p.WarmS), Rest: s(p.RestS), Pause: s(p.PauseS), Crashes: p.Crashes, Most: p.Most,
-					}})
-				}
-			}
-		}
-	}
-	room := make(chan struct{}, runtime.NumCPU())
-	var all sync.WaitGroup
+	jobs := e.jobs()
+	slots := make(chan struct{}, runtime.NumCPU())
+	var running sync.WaitGroup
 	for _, j := range jobs {
-		room <- struct{}{}
-		all.Go(func() {
+		slots <- struct{}{}
+		running.Go(func() {
 			j.found = j.m.Play()
 			if !c.Quiet {
 				fmt.Printf("%s, %d members, %s, seed %d\n", j.play.Name, j.m.Members, j.m.Way, j.m.Seed)
 			}
-			<-room
+			<-slots
 		})
 	}
-	all.Wait()
+	running.Wait()
+
+	return e.report(c.Out, jobs)
+}
 
+// report writes the tables and the chart of all jobs.
+func (e *membersExperiment) report(dir string, jobs []*membersJob) error {
 	table := report.Table{Columns: []string{"play", "members", "way", "plays", "settled after the start: worst (s)", "known to a survivor: p50, p99 (s)", "to the last: worst (s)", "never known", "wrong deaths a member and day",
 		"by one that stood still", "changes of the view a crash", "bytes a second, at rest", "in a trouble", "datagrams a second", "CPU a second (ms)", "a decision (us)",
 		"most dead: one view of the rest (s)", "changes"}}
@@ -110,7 +121,7 @@
 					late++
 				}
 			}
-			raw.Add(jobs[i].play.Name, m.Members, m.Way, m.Seed, f.Agreed, f.Settled.Seconds(), quantile(f.Detected, 0.5), quantile(f.Detected, 0.99), worst(f.Last), late, f.Wrong, f.WrongBy,
+			raw.Add(jobs[i].play.Name, m.Members, m.Way, m.Seed, f.Agreed, f.Settled.Seconds(), quantileSeconds(f.Detected, 0.5), quantileSeconds(f.Detected, 0.99), longestSeconds(f.Last), late, f.Wrong, f.WrongBy,
 				f.Changes, f.Bytes, f.BytesAll, f.Packets, f.MostLast.Seconds(), f.MostViews)
 			detected, last, most = append(detected, f.Detected...), append(last, f.Last...), append(most, f.MostLast)
 			settled = append(settled, f.Settled)
@@ -123,7 +134,7 @@
 		slices.Sort(last)
 		began := "never"
 		if slices.Min(settled) > 0 {
-			began = worst(settled)
+			began = longestSeconds(settled)
 		}
 		rest := "-"
 		if first.m.Most > 0 {
@@ -132,7 +143,7 @@
 			}
 		}
 		k := float64(n)
-		table.Add(first.play.Name, first.m.Members, first.m.Way, n, began, fmt.Sprintf("%s, %s", quantile(detected, 0.5), quantile(detected, 0.99)), quantile(last, 1), never,
+		table.Add(first.play.Name, first.m.Members, first.m.Way, n, began, fmt.Sprintf("%s, %s", quantileSeconds(detected, 0.5), quantileSeconds(detected, 0.99)), quantileSeconds(last, 1), never,
 			fmt.Sprintf("%.2f", float64(wrong)/span), by, fmt.Sprintf("%.2f", changes/k), fmt.Sprintf("%.0f", bytes/k), fmt.Sprintf("%.0f", busy), fmt.Sprintf("%.1f", packets/k),
 			fmt.Sprintf("%.2f", float64(cpu.Microseconds())/1000/k), fmt.Sprintf("%.1f", float64(each.Nanoseconds())/1000/k), rest, views)
 		if first.m.Crashes > 0 && len(last) > 0 {
@@ -145,19 +156,19 @@
 		}
 	}
 	chart.LogX = len(chart.Points) > 0 // there is no logarithm of nothing
-	return keep(c.Out, e.Name, &table, &raw, chart.SVG)
+	return keep(dir, e.Name, &table, &raw, chart.SVG)
 }
 
-// worst words the longest of durations, in seconds.
-func worst(all []time.Duration) string {
+// longestSeconds formats the longest of durations, in seconds.
+func longestSeconds(all []time.Duration) string {
 	if len(all) == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", slices.Max(all).Seconds())
 }
 
-// quantile words one of durations in order, in seconds.
-func quantile(all []time.Duration, q float64) string {
+// quantileSeconds formats a quantile of sorted durations, in seconds.
+func quantileSeconds(all []time.Duration, q float64) string {
 	if len(all) == 0 {
 		return "-"
 	}
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -26,8 +26,8 @@
 	For      time.Duration `default:"1s" help:"Time between two replacements."`
 }
 
-// yesWithin is how long the platform waits for the yes of a new process.
-const yesWithin = 6 * time.Second
+// readyTimeout is how long the platform waits until a new process is ready.
+const readyTimeout = 6 * time.Second
 
 // Run holds a socket, as the platform does, and replaces the process at it under calls.
 func (c *replaceCommand) Run() (err error) {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	r, err := harness.New(harness.Options{
 		Root: ".", Dir: dir, Engines: 2, HTTP: "127.0.0.1:9090", Postgres: "127.0.0.1:0", Work: emulator.Plain,
 		Log: slog.New(slog.DiscardHandler),
@@ -48,34 +48,34 @@
 	if p.socket, p.addr, err = harness.Hold("127.0.0.1:0"); err != nil {
 		return err
 	}
-	defer p.socket.Close()
+	defer func() { _ = p.socket.Close() }()
 
-	now, took, err := p.start()
+	current, elapsed, err := p.start()
 	if err != nil {
 		return err
 	}
-	fmt.Printf("ready after %v\n", took.Round(time.Millisecond))
+	fmt.Printf("ready after %v\n", elapsed.Round(time.Millisecond))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	calls := callAll(ctx, "http://"+p.addr, c.Rate)
+	calls := startCalls(ctx, "http://"+p.addr, c.Rate)
 	for i := range c.Times {
 		if err := harness.Pause(ctx, c.For); err != nil {
 			return err
 		}
-		next, took, err := p.start()
+		next, elapsed, err := p.start()
 		if err != nil {
-			return errors.Join(fmt.Errorf("replacement %d", i+1), err, now.Wait())
+			return errors.Join(fmt.Errorf("replacement %d", i+1), err, current.Wait())
 		}
-		ended, err := end(now)
+		ended, err := terminate(current)
 		if err != nil {
 			return fmt.Errorf("replacement %d: the old process: %w", i+1, err)
 		}
-		fmt.Printf("replacement %d: ready after %v, the old process ended after %v\n", i+1, took.Round(time.Millisecond), ended.Round(time.Millisecond))
-		now = next
+		fmt.Printf("replacement %d: ready after %v, the old process ended after %v\n", i+1, elapsed.Round(time.Millisecond), ended.Round(time.Millisecond))
+		current = next
 	}
 	stop()
 	answered, failed := calls()
-	if _, err := end(now); err != nil {
+	if _, err := terminate(current); err != nil {
 		return fmt.Errorf("the last process: %w", err)
 	}
 	fmt.Printf("%d calls answered, %d failed\n", answered, failed)
@@ -91,7 +91,7 @@
 	socket                     *os.File
 }
 
-// start starts a process and waits for its yes.
+// start starts a process and waits until it is ready.
 func (p *platform) start() (*exec.Cmd, time.Duration, error) {
 	endpoint, err := harness.Free()
 	if err != nil {
@@ -106,7 +106,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, 0, err
 	}
-	for time.Since(began) < yesWithin {
+	for time.Since(began) < readyTimeout {
 		if resp, err := http.Get("http://" + endpoint + "/ready"); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -117,11 +117,11 @@
 	}
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	return nil, 0, fmt.Errorf("no yes within %v: %s", yesWithin, strings.TrimSpace(log.String()))
+	return nil, 0, fmt.Errorf("no yes within %v: %s", readyTimeout, strings.TrimSpace(log.String()))
 }
 
-// end ends a process as the platform does.
-func end(cmd *exec.Cmd) (time.Duration, error) {
+// terminate ends a process as the platform does.
+func terminate(cmd *exec.Cmd) (time.Duration, error) {
 	began := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return 0, err
@@ -132,11 +132,11 @@
 	return time.Since(began), err
 }
 
-// callAll makes calls at a rate until the context ends. What is returned waits for the last
+// startCalls makes calls at a rate until the context ends. What is returned waits for the last
 // answers and counts.
-func callAll(ctx context.Context, url string, rate float64) func() (answered, failed int) {
+func startCalls(ctx context.Context, url string, rate float64) func() (answered, failed int) {
 	var mu sync.Mutex
-	var good, bad int
+	var answered, failed int
 	var all sync.WaitGroup
 	fresh, kept := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	all.Go(func() {
@@ -157,15 +157,15 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
-					bad++
+					failed++
 					fmt.Fprintln(os.Stderr, "call:", err)
 				} else {
-					good++
+					answered++
 				}
 			})
 		}
 	})
-	return func() (int, int) { all.Wait(); return good, bad }
+	return func() (int, int) { all.Wait(); return answered, failed }
 }
 
 func callOnce(client *http.Client, url string, n int) error {
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return err
 	}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -40,29 +40,29 @@
 	Quiet    bool     `help:"No bar of progress."`
 }
 
-// experiment is a file of an experiment with upgrades.
-type experiment struct {
-	Name        string
-	Title       string
-	Kind        string
-	Seeds       []uint64
-	Fronts      []string
-	Engines     int
-	WorkMS      float64 `toml:"work_ms"`
-	Connections []int
-	Rate        float64
-	Loads       float64
-	Writes      float64
-	Churn       float64
-	Traffic     string   // file of recorded traffic (testbed traffic generate) that is played in place of the clients' own; "": none
-	Good        int      // upgrades that must go through
-	Broken      []string // and others, of these kinds
-	MayReturn   bool     `toml:"may_return"` // good ones may be returned from, as engines have troubles
-	GapMS       float64  `toml:"gap_ms"`
-	ProveForMS  float64  `toml:"prove_for_ms"`
-	DelayMS     float64  `toml:"delay_ms"`  // of a link between gateway and engines, one way
-	JitterMS    float64  `toml:"jitter_ms"` // added to it
-	Events      []struct {
+// upgradeExperiment is a file of an upgradeExperiment with upgrades.
+type upgradeExperiment struct {
+	Name          string
+	Title         string
+	Kind          string
+	Seeds         []uint64
+	Fronts        []string
+	Engines       int
+	WorkMS        float64 `toml:"work_ms"`
+	Connections   []int
+	Rate          float64
+	Loads         float64
+	Writes        float64
+	Churn         float64
+	Traffic       string   // file of recorded traffic (testbed traffic generate) that is played in place of the clients' own; "": none
+	ValidUpgrades int      `toml:"good"`       // upgrades that must go through
+	FaultyKinds   []string `toml:"broken"`     // and others, of these kinds
+	MayReturn     bool     `toml:"may_return"` // good ones may be returned from, as engines have troubles
+	GapMS         float64  `toml:"gap_ms"`
+	ProveForMS    float64  `toml:"prove_for_ms"`
+	DelayMS       float64  `toml:"delay_ms"`  // of a link between gateway and engines, one way
+	JitterMS      float64  `toml:"jitter_ms"` // added to it
+	Events        []struct {
 		AtS    float64 `toml:"at_s"` // from the first upgrade
 		Do     string
 		Engine int // from 1
@@ -75,20 +75,19 @@
 }
 
 // link is what lies between gateway and engines.
-func (e *experiment) link(seed uint64) *faultproxy.Options {
+func (e *upgradeExperiment) link(seed uint64) *faultproxy.Options {
 	if e.DelayMS <= 0 && e.JitterMS <= 0 && len(e.LinkFaults) == 0 {
 		return nil
 	}
-	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	opts := &faultproxy.Options{Delay: ms(e.DelayMS), Jitter: ms(e.JitterMS), Seed: seed}
+	opts := &faultproxy.Options{Delay: milliseconds(e.DelayMS), Jitter: milliseconds(e.JitterMS), Seed: seed}
 	for _, f := range e.LinkFaults {
-		opts.Faults = append(opts.Faults, faultproxy.Fault{Kind: f.Kind, From: ms(1000 * f.FromS), For: ms(1000 * f.ForS)})
+		opts.Faults = append(opts.Faults, faultproxy.Fault{Kind: f.Kind, From: milliseconds(1000 * f.FromS), For: milliseconds(1000 * f.ForS)})
 	}
 	return opts
 }
 
 // recorded reads the file of recorded traffic, if there is one.
-func (e *experiment) recorded() ([]traffic.Record, error) {
+func (e *upgradeExperiment) recorded() ([]traffic.Record, error) {
 	if e.Traffic == "" {
 		return nil, nil
 	}
@@ -96,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	all, _, err := shapes.Records(bufio.NewReader(f))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", e.Traffic, err)
@@ -104,64 +103,67 @@
 	return all, nil
 }
 
-func (e *experiment) events() (all []upgrades.Event) {
+func (e *upgradeExperiment) events() (all []upgrades.Event) {
 	for _, ev := range e.Events {
-		all = append(all, upgrades.Event{At: time.Duration(ev.AtS * float64(time.Second)), Do: ev.Do, Engine: ev.Engine})
+		all = append(all, upgrades.Event{At: seconds(ev.AtS), Do: ev.Do, Engine: ev.Engine})
 	}
 	return all
 }
 
+// requireFunc notes a fault of an experiment's file unless ok.
+type requireFunc func(ok bool, format string, args ...any)
+
 // readFile reads an experiment, and names every fault in it.
-func readFile(path string, e any, check func(bad func(ok bool, format string, args ...any))) error {
+func readFile(path string, e any, check func(require requireFunc)) error {
 	meta, err := toml.DecodeFile(path, e)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	var faults []error
-	bad := func(ok bool, format string, args ...any) {
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
 			faults = append(faults, fmt.Errorf("%s: "+format, append([]any{path}, args...)...))
 		}
 	}
 	for _, key := range meta.Undecoded() {
-		bad(false, "%s: there is no such field", key)
+		require(false, "%s: there is no such field", key)
 	}
-	check(bad)
+	check(require)
 	return errors.Join(faults...)
 }
 
-// named checks what all experiments have.
-func named(bad func(ok bool, format string, args ...any), name string, seeds []uint64, engines int, rate float64) {
-	bad(name != "" && !strings.ContainsAny(name, "/ "), "name: missing, or not fit for a file's name")
-	bad(len(seeds) > 0, "seeds: none")
-	bad(engines > 0 && engines <= 64, "engines: %d is not from 1 to 64", engines)
-	bad(rate > 0 && rate <= 5000, "rate: %g is not above 0, up to 5000 a second", rate)
+// requireCommon checks what all experiments have.
+func requireCommon(require requireFunc, name string, seeds []uint64, engines int, rate float64) {
+	require(name != "" && !strings.ContainsAny(name, "/ "), "name: missing, or not fit for a file's name")
+	require(len(seeds) > 0, "seeds: none")
+	require(engines > 0 && engines <= 64, "engines: %d is not from 1 to 64", engines)
+	require(rate > 0 && rate <= 5000, "rate: %g is not above 0, up to 5000 a second", rate)
 }
 
-func readExperiment(path string) (*experiment, error) {
-	var e experiment
-	return &e, readFile(path, &e, func(bad func(ok bool, format string, args ...any)) {
-		named(bad, e.Name, e.Seeds, e.Engines, e.Rate)
-		bad(len(e.Connections) > 0 && slices.Min(e.Connections) > 0 && slices.Max(e.Connections) <= 20000, "connections: wanted are numbers from 1 to 20000")
-		bad(e.ProveForMS >= 100 && e.ProveForMS <= 60000, "prove_for_ms: %g is not from 100 to 60000", e.ProveForMS)
+func readExperiment(path string) (*upgradeExperiment, error) {
+	var e upgradeExperiment
+	return &e, readFile(path, &e, func(require requireFunc) {
+		requireCommon(require, e.Name, e.Seeds, e.Engines, e.Rate)
+		require(len(e.Connections) > 0 && slices.Min(e.Connections) > 0 && slices.Max(e.Connections) <= 20000, "connections: wanted are numbers from 1 to 20000")
+		require(e.ProveForMS >= 100 && e.ProveForMS <= 60000, "prove_for_ms: %g is not from 100 to 60000", e.ProveForMS)
 		for _, f := range e.Fronts {
-			bad(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
+			require(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
 		}
-		bad(e.DelayMS >= 0 && e.DelayMS <= 1000 && e.JitterMS >= 0 && e.JitterMS <= 1000, "delay_ms, jitter_ms: not from 0 to 1000")
+		require(e.DelayMS >= 0 && e.DelayMS <= 1000 && e.JitterMS >= 0 && e.JitterMS <= 1000, "delay_ms, jitter_ms: not from 0 to 1000")
 		for i, ev := range e.Events {
-			bad(emulator.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: there is no %q", i, ev.Do)
-			bad(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is not from 1 to %d", i, ev.Engine, e.Engines)
+			require(emulator.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: there is no %q", i, ev.Do)
+			require(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is not from 1 to %d", i, ev.Engine, e.Engines)
 		}
-		for _, k := range e.Broken {
-			bad(upgrades.Broken[k] != "", "broken: there is no kind %q", k)
+		for _, k := range e.FaultyKinds {
+			require(upgrades.Broken[k] != "", "broken: there is no kind %q", k)
 		}
 	})
 }
 
-// kinds are the upgrades of one run, the broken ones strewn among the good.
-func (e *experiment) kinds(seed uint64) []string {
-	all := slices.Clone(e.Broken)
-	for range e.Good {
+// kinds are the upgrades of one run, the broken ones shuffled among the good.
+func (e *upgradeExperiment) kinds(seed uint64) []string {
+	all := slices.Clone(e.FaultyKinds)
+	for range e.ValidUpgrades {
 		all = append(all, upgrades.Good)
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x6b696e64))
@@ -169,80 +171,106 @@
 	return all
 }
 
+// environment is what an experiment with gateway processes runs in.
+type environment struct {
+	program string    // the gateway's program, an absolute path
+	testbed string    // this program, which acts as a faulty successor in some upgrades
+	dir     string    // for temporary files
+	log     io.Writer // receives the gateways' events
+}
+
+// processExperiment is an experiment that starts gateway processes.
+type processExperiment interface {
+	run(ctx context.Context, c *runCommand, env environment) error
+}
+
+// Run runs the experiment that the file describes.
 func (c *runCommand) Run() error {
-	var kind struct{ Kind string }
-	if _, err := toml.DecodeFile(c.File, &kind); err != nil {
+	var header struct{ Kind string }
+	if _, err := toml.DecodeFile(c.File, &header); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	var e *experiment
-	var service *serviceExperiment
-	var sockets *sitesExperiment
-	var processes *tierExperiment
-	var err error
-	switch kind.Kind {
-	case "upgrades":
-		e, err = readExperiment(c.File)
-	case "service":
-		service, err = readService(c.File)
+	switch header.Kind {
 	case "fleet":
 		return runFleet(c)
 	case "growth":
 		return runGrowth(c)
 	case "members":
 		return runMembers(c)
+	}
+	e, err := c.readProcessExperiment(header.Kind)
+	if err != nil {
+		return err
+	}
+	return c.runProcesses(e)
+}
+
+// readProcessExperiment reads the experiment's file as one of that kind.
+func (c *runCommand) readProcessExperiment(kind string) (processExperiment, error) {
+	switch kind {
+	case "upgrades":
+		return readExperiment(c.File)
+	case "service":
+		return readService(c.File)
 	case "tier":
-		if processes, err = readTier(c.File); len(c.Seed) > 0 {
-			processes.Seeds = c.Seed
+		e, err := readCluster(c.File)
+		if len(c.Seed) > 0 {
+			e.Seeds = c.Seed
 		}
+		return e, err
 	case "sites":
-		sockets, err = readSites(c.File)
+		return readSites(c.File)
 	default:
-		err = fmt.Errorf("%s: kind: there is no %q; wanted is upgrades, service, fleet, growth, sites, members or tier", c.File, kind.Kind)
-	}
-	if err != nil {
-		return err
+		return nil, fmt.Errorf("%s: kind: there is no %q; wanted is upgrades, service, fleet, growth, sites, members or tier", c.File, kind)
 	}
+}
+
+// runProcesses prepares program, folder and log, and runs an experiment with them until it ends or a signal comes.
+func (c *runCommand) runProcesses(e processExperiment) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	dir, err := os.MkdirTemp("", "testbed-run-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	lab, err := os.Executable()
-	if err != nil {
+	defer func() { _ = os.RemoveAll(dir) }()
+	env := environment{dir: dir, log: io.Discard}
+	if env.testbed, err = os.Executable(); err != nil {
 		return err
 	}
-	program := c.Ringwood
-	if program == "" {
-		if program, err = harness.Build(ctx, ".", dir); err != nil {
-			return err
-		}
-	}
-	if program, err = exec.LookPath(program); err == nil {
-		program, err = filepath.Abs(program)
-	}
-	if err != nil {
+	if env.program, err = c.gatewayProgram(ctx, dir); err != nil {
 		return err
 	}
-	log := io.Discard
 	if c.Log != "" {
 		f, err := os.Create(c.Log)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		log = f
-	}
-	if processes != nil {
-		return processes.run(ctx, c, program, dir, log)
+		defer func() { _ = f.Close() }()
+		env.log = f
 	}
-	if sockets != nil {
-		return sockets.run(ctx, c, program, dir, log)
+	return e.run(ctx, c, env)
+}
+
+// gatewayProgram returns the absolute path of the named program, or of one built from this folder.
+func (c *runCommand) gatewayProgram(ctx context.Context, dir string) (string, error) {
+	program := c.Ringwood
+	if program == "" {
+		built, err := harness.Build(ctx, ".", dir)
+		if err != nil {
+			return "", err
+		}
+		program = built
 	}
-	if service != nil {
-		return service.run(ctx, c, program, lab, dir, log)
+	found, err := exec.LookPath(program)
+	if err != nil {
+		return "", err
 	}
+	return filepath.Abs(found)
+}
+
+// run plays all series of upgrades, and fails if a rule was broken or an upgrade ended otherwise than it must.
+func (e *upgradeExperiment) run(ctx context.Context, c *runCommand, env environment) error {
 	recorded, err := e.recorded()
 	if err != nil {
 		return err
@@ -253,19 +281,7 @@
 	for _, connections := range e.Connections {
 		for _, front := range e.Fronts {
 			for _, seed := range e.Seeds {
-				kinds := e.kinds(seed)
-				bar := progress(c.Quiet, fmt.Sprintf("%s, %d connections, seed %d", front, connections, seed), len(kinds))
-				sub := filepath.Join(dir, fmt.Sprintf("%s-%d-%d", front, connections, seed))
-				if err := os.Mkdir(sub, 0o700); err != nil {
-					return err
-				}
-				res, err := upgrades.Play(ctx, upgrades.Options{
-					Front: front, Root: ".", Dir: sub, Program: program, Lab: lab, Engines: e.Engines, Connections: connections,
-					Work: time.Duration(e.WorkMS * float64(time.Millisecond)), Rate: e.Rate, Loads: e.Loads, Writes: e.Writes, Churn: e.Churn, Recorded: recorded,
-					Kinds: kinds, MayReturn: e.MayReturn, Gap: time.Duration(e.GapMS * float64(time.Millisecond)), ProveFor: time.Duration(e.ProveForMS * float64(time.Millisecond)),
-					Link: e.link(seed), Events: e.events(), Seed: seed, Log: log, Each: func(upgrades.Upgrade) { bar.step() },
-				})
-				bar.end()
+				res, err := e.play(ctx, c, env, upgrades.Options{Front: front, Connections: connections, Seed: seed, Recorded: recorded})
 				if err != nil {
 					return err
 				}
@@ -283,11 +299,46 @@
 	if err := t.keep(c.Out, e); err != nil {
 		return err
 	}
-	return judged(faults, wrong)
+	return reportViolations(faults, wrong)
 }
 
-// judged tells the rules broken, and is an error where there are any.
-func judged(faults []load.Fault, wrong int) error {
+// play plays one series of upgrades. The options name what differs between series; the rest is filled in here.
+func (e *upgradeExperiment) play(ctx context.Context, c *runCommand, env environment, opts upgrades.Options) (*upgrades.Result, error) {
+	opts.Root = "."
+	opts.Dir = filepath.Join(env.dir, fmt.Sprintf("%s-%d-%d", opts.Front, opts.Connections, opts.Seed))
+	opts.Program = env.program
+	opts.Lab = env.testbed
+	opts.Log = env.log
+	opts.Engines = e.Engines
+	opts.Work = milliseconds(e.WorkMS)
+	opts.Rate = e.Rate
+	opts.Loads = e.Loads
+	opts.Writes = e.Writes
+	opts.Churn = e.Churn
+	opts.Kinds = e.kinds(opts.Seed)
+	opts.MayReturn = e.MayReturn
+	opts.Gap = milliseconds(e.GapMS)
+	opts.ProveFor = milliseconds(e.ProveForMS)
+	opts.Link = e.link(opts.Seed)
+	opts.Events = e.events()
+	bar := c.newProgressBar(fmt.Sprintf("%s, %d connections, seed %d", opts.Front, opts.Connections, opts.Seed), len(opts.Kinds))
+	opts.Each = func(upgrades.Upgrade) { bar.step() }
+	if err := os.Mkdir(opts.Dir, 0o700); err != nil {
+		return nil, err
+	}
+	res, err := upgrades.Play(ctx, opts)
+	bar.end()
+	return res, err
+}
+
+// milliseconds converts a number of an experiment's file, in milliseconds.
+func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+
+// seconds converts a number of an experiment's file, in seconds.
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+
+// reportViolations prints the rules broken, and returns an error where there are any.
+func reportViolations(faults []load.Fault, wrong int) error {
 	for i, f := range faults {
 		if i == 20 {
 			fmt.Printf("and %d more\n", len(faults)-i)
@@ -302,30 +353,33 @@
 	return nil
 }
 
-// steps is a bar of progress, or none.
-type steps struct {
-	all *mpb.Progress
-	bar *mpb.Bar
+// progressBar shows how many steps of a run are done; its zero value shows nothing.
+type progressBar struct {
+	container *mpb.Progress
+	bar       *mpb.Bar
 }
 
-func progress(quiet bool, name string, n int) *steps {
-	if quiet {
-		return &steps{}
+// newProgressBar returns a bar of that many steps on standard error, or a silent one with --quiet.
+func (c *runCommand) newProgressBar(name string, steps int) *progressBar {
+	if c.Quiet {
+		return &progressBar{}
 	}
 	p := mpb.New(mpb.WithWidth(40), mpb.WithOutput(os.Stderr))
-	return &steps{p, p.AddBar(int64(n), mpb.PrependDecorators(decor.Name(name+" ")), mpb.AppendDecorators(decor.CountersNoUnit("%d of %d upgrades"), decor.Elapsed(decor.ET_STYLE_GO, decor.WCSyncSpace)))}
+	elapsed := decor.Elapsed(decor.ET_STYLE_GO, decor.WCSyncSpace)
+	bar := p.AddBar(int64(steps), mpb.PrependDecorators(decor.Name(name+" ")), mpb.AppendDecorators(decor.CountersNoUnit("%d of %d upgrades"), elapsed))
+	return &progressBar{container: p, bar: bar}
 }
 
-func (s *steps) step() {
+func (s *progressBar) step() {
 	if s.bar != nil {
 		s.bar.Increment()
 	}
 }
 
-func (s *steps) end() {
+func (s *progressBar) end() {
 	if s.bar != nil {
 		s.bar.Abort(false)
-		s.all.Wait()
+		s.container.Wait()
 	}
 }
 
@@ -335,7 +389,7 @@
 	chart                report.Bars
 }
 
-func newUpgradeTables(e *experiment) *upgradeTables {
+func newUpgradeTables(e *upgradeExperiment) *upgradeTables {
 	return &upgradeTables{
 		requests: report.Table{Columns: []string{"front", "connections", "seed", "upgrades", "requests", "served", "refused", "in doubt or failed", "rules broken",
 			"steady p50, p99, worst (ms)", "during good ones", "during broken ones", "resident (MB)", "more during an upgrade (MB)"}},
@@ -345,8 +399,8 @@
 	}
 }
 
-// after is how long behind an upgrade's end a request still counts as during it.
-const after = 500 * time.Millisecond
+// upgradeAftermath is how long behind an upgrade's end a request still counts as during it.
+const upgradeAftermath = 500 * time.Millisecond
 
 func (t *upgradeTables) add(front string, connections int, seed uint64, res *upgrades.Result) {
 	var h [3]*hdrhistogram.Histogram
@@ -357,7 +411,7 @@
 	for _, r := range res.Records {
 		phase := 0
 		for _, u := range res.Upgrades {
-			if r.End.After(u.Began) && r.Due.Before(u.Done.Add(after)) {
+			if r.End.After(u.Began) && r.Due.Before(u.Done.Add(upgradeAftermath)) {
 				if phase = 1; u.Kind != upgrades.Good {
 					phase = 2
 				}
@@ -402,21 +456,21 @@
 	}
 	slices.Sort(names)
 	for _, k := range names {
-		var took []float64
+		var durations []float64
 		right, why := 0, ""
 		for _, u := range by[k] {
-			took = append(took, u.Done.Sub(u.Began).Seconds())
+			durations = append(durations, u.Done.Sub(u.Began).Seconds())
 			why = u.Why
 			if u.Right {
 				right++
 			}
 		}
-		slices.Sort(took)
-		t.kinds.Add(front, connections, k, len(took), right, fmt.Sprintf("%.2f", took[len(took)/2]), fmt.Sprintf("%.2f", took[len(took)-1]), why)
+		slices.Sort(durations)
+		t.kinds.Add(front, connections, k, len(durations), right, fmt.Sprintf("%.2f", durations[len(durations)/2]), fmt.Sprintf("%.2f", durations[len(durations)-1]), why)
 	}
 }
 
-func (t *upgradeTables) keep(dir string, e *experiment) error {
+func (t *upgradeTables) keep(dir string, e *upgradeExperiment) error {
 	var b strings.Builder
 	for _, table := range []*report.Table{&t.requests, &t.kinds} {
 		md, err := table.Markdown()
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"slices"
-	"time"
+	"strconv"
 
 	"gannetspur/internal/testbed/load"
 	"gannetspur/internal/testbed/report"
@@ -22,7 +21,7 @@
 	Title       string
 	Kind        string
 	Seeds       []uint64
-	Ways        []string
+	Operations  []string `toml:"ways"`
 	Engines     int
 	Crowded     int
 	Share       float64
@@ -30,26 +29,26 @@
 	Connections int
 	WarmS       float64 `toml:"warm_s"`
 	SpanS       float64 `toml:"span_s"`
-	AtOnce      int     `toml:"at_once"` // rounds side by side
+	Parallel    int     `toml:"at_once"` // rounds side by side
 }
 
 func readService(path string) (*serviceExperiment, error) {
 	var e serviceExperiment
-	return &e, readFile(path, &e, func(bad func(ok bool, format string, args ...any)) {
-		named(bad, e.Name, e.Seeds, e.Engines, e.Rate)
-		bad(e.Crowded >= 0 && e.Crowded <= e.Engines, "crowded: %d is not from 0 to the number of engines", e.Crowded)
-		bad(e.Share >= 0 && e.Share < 1, "share: %g is not from 0 to below 1", e.Share)
-		bad(e.Connections > 0 && e.Connections <= 10000, "connections: %d is not from 1 to 10000", e.Connections)
-		bad(e.WarmS >= 0 && e.WarmS <= 600, "warm_s: %g is not from 0 to 600", e.WarmS)
-		bad(e.SpanS >= 1 && e.SpanS <= 600, "span_s: %g is not from 1 to 600", e.SpanS)
-		bad(e.AtOnce > 0 && e.AtOnce <= 16, "at_once: %d is not from 1 to 16", e.AtOnce)
-		for _, w := range e.Ways {
-			bad(slices.Contains([]string{upgrades.Nothing, upgrades.TakeOver, upgrades.Forget, upgrades.Restart}, w), "ways: there is no %q", w)
+	return &e, readFile(path, &e, func(require requireFunc) {
+		requireCommon(require, e.Name, e.Seeds, e.Engines, e.Rate)
+		require(e.Crowded >= 0 && e.Crowded <= e.Engines, "crowded: %d is not from 0 to the number of engines", e.Crowded)
+		require(e.Share >= 0 && e.Share < 1, "share: %g is not from 0 to below 1", e.Share)
+		require(e.Connections > 0 && e.Connections <= 10000, "connections: %d is not from 1 to 10000", e.Connections)
+		require(e.WarmS >= 0 && e.WarmS <= 600, "warm_s: %g is not from 0 to 600", e.WarmS)
+		require(e.SpanS >= 1 && e.SpanS <= 600, "span_s: %g is not from 1 to 600", e.SpanS)
+		require(e.Parallel > 0 && e.Parallel <= 16, "at_once: %d is not from 1 to 16", e.Parallel)
+		for _, w := range e.Operations {
+			require(slices.Contains([]string{upgrades.Nothing, upgrades.TakeOver, upgrades.Forget, upgrades.Restart}, w), "ways: there is no %q", w)
 		}
 	})
 }
 
-func (e *serviceExperiment) run(ctx context.Context, c *runCommand, program, lab, dir string, log io.Writer) error {
+func (e *serviceExperiment) run(ctx context.Context, c *runCommand, env environment) error {
 	type round struct {
 		way  string
 		seed uint64
@@ -57,20 +56,19 @@
 	}
 	var rounds []*round
 	for _, seed := range e.Seeds {
-		for _, way := range e.Ways {
+		for _, way := range e.Operations {
 			rounds = append(rounds, &round{way: way, seed: seed})
 		}
 	}
-	err := many(c.Quiet, e.Name, len(rounds), e.AtOnce, func(i int) (err error) {
+	err := c.runJobs(e.Name, len(rounds), e.Parallel, func(i int) (err error) {
 		r := rounds[i]
-		sub := filepath.Join(dir, fmt.Sprint(i))
+		sub := filepath.Join(env.dir, strconv.Itoa(i))
 		if err := os.Mkdir(sub, 0o700); err != nil {
 			return err
 		}
-		s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 		r.res, err = upgrades.PlayService(ctx, upgrades.ServiceOptions{
-			Way: r.way, Root: ".", Dir: sub, Program: program, Lab: lab, Engines: e.Engines, Crowded: e.Crowded, Share: e.Share, Rate: e.Rate,
-			Connections: e.Connections, Warm: s(e.WarmS), Span: s(e.SpanS), Seed: r.seed, Log: log,
+			Way: r.way, Root: ".", Dir: sub, Program: env.program, Lab: env.testbed, Engines: e.Engines, Crowded: e.Crowded, Share: e.Share, Rate: e.Rate,
+			Connections: e.Connections, Warm: seconds(e.WarmS), Span: seconds(e.SpanS), Seed: r.seed, Log: env.log,
 		})
 		return err
 	})
@@ -81,7 +79,7 @@
 	raw := report.Table{Columns: []string{"way", "seed", "before", "after", "requests", "lost"}}
 	chart := report.Bars{Title: e.Title, Axis: "worth answered in time over worth asked for", Series: []string{"before", "after"}, Values: make([][]float64, 2)}
 	var faults []load.Fault
-	for _, way := range e.Ways {
+	for _, way := range e.Operations {
 		var before, after, ratio []float64
 		requests, lost := 0, 0
 		for _, r := range rounds {
@@ -105,5 +103,5 @@
 	if err := keep(c.Out, e.Name, &t, &raw, chart.SVG); err != nil {
 		return err
 	}
-	return judged(faults, 0)
+	return reportViolations(faults, 0)
 }
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -25,9 +25,9 @@
 }
 
 type evaluateCommand struct {
-	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; without any, worlds are made from the seeds."`
-	Seeds  []uint64 `default:"1,2,3,4,5" help:"Of worlds that are made here."`
-	Number int      `default:"20000" help:"Statements of each such world."`
+	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; without any, traffic is generated from the seeds."`
+	Seeds  []uint64 `default:"1,2,3,4,5" help:"Of traffic that is generated here."`
+	Number int      `default:"20000" help:"Statements of each seed."`
 	Train  float64  `default:"0.5" help:"Share of the records that is not judged."`
 	Kbytes int      `default:"2048" help:"Bound of the cache."`
 	Out    string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*."`
@@ -44,7 +44,7 @@
 }
 
 func (c *evaluateCommand) Run() error {
-	var worlds [][]traffic.Record
+	var traces [][]traffic.Record
 	var seeds []uint64
 	for _, path := range c.Files {
 		f, err := os.Open(path)
@@ -52,15 +52,15 @@
 			return err
 		}
 		all, head, err := shapes.Records(bufio.NewReader(f))
-		f.Close()
+		_ = f.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		worlds, seeds = append(worlds, all), append(seeds, head.Seed)
+		traces, seeds = append(traces, all), append(seeds, head.Seed)
 	}
 	if len(c.Files) == 0 {
 		for _, seed := range c.Seeds {
-			worlds, seeds = append(worlds, shapes.Generated(workload.Defaults(seed), c.Number)), append(seeds, seed)
+			traces, seeds = append(traces, shapes.Generated(workload.Defaults(seed), c.Number)), append(seeds, seed)
 		}
 	}
 	t := report.Table{Columns: []string{"variant", "class right by count", "by worth", "hard cases alone", "writes taken as reads", "median error", "p90 error"}}
@@ -70,7 +70,7 @@
 	var first []shapes.Result
 	for _, v := range shapes.Variants() {
 		var results []shapes.Result
-		for i, w := range worlds {
+		for i, w := range traces {
 			r, err := shapes.Evaluate(w, v, shapes.Options{Train: c.Train, Bytes: c.Kbytes << 10})
 			if err != nil {
 				return err
@@ -188,7 +188,7 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }()
 		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
 		}
--- a/cmd/testbed/sitelink.go
+++ b/cmd/testbed/sitelink.go
@@ -1,12 +1,14 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"time"
 
 	"gannetspur/internal/testbed/report"
 	"gannetspur/internal/testbed/sitelink"
+	"gannetspur/policy"
 )
 
 type sitelinkCommand struct {
@@ -19,9 +21,9 @@
 // Run measures the link between sites against a bare relay, by turns.
 func (c *sitelinkCommand) Run() error {
 	if c.For < 100*time.Millisecond || c.For > time.Minute || c.Rounds < 1 || c.Rounds > 50 || c.Streams < 1 || c.Streams > 16000 {
-		return fmt.Errorf("--for, --rounds, --streams: out of their ranges")
+		return errors.New("--for, --rounds, --streams: out of their ranges")
 	}
-	set, err := settings()
+	set, err := siteConfig()
 	if err != nil {
 		return err
 	}
@@ -29,10 +31,23 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	if _, _, err := sitelink.Keys(dir); err != nil {
 		return err
 	}
+	if err := c.measureRates(dir, set.Policy); err != nil {
+		return err
+	}
+	open, err := sitelink.OpenStreams(dir, set.Policy, c.Streams)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("\n%d open streams: %.1f MB of heap in both gateways together, %.0f bytes a stream\n\n", open.Streams, open.HeapMB, open.PerStream)
+	return reportPacking()
+}
+
+// measureRates measures each load by turns over a bare relay and over the link, and writes tables and chart.
+func (c *sitelinkCommand) measureRates(dir string, settings policy.Settings) error {
 	t := report.Table{Columns: []string{"load", "way", "per second", "MB/s", "p50 (ms)", "p99 (ms)", "rounds"}}
 	raw := report.Table{Columns: []string{"load", "way", "round", "per_s", "mb_per_s", "p50_ms", "p99_ms"}}
 	chart := report.Bars{Title: "One link between sites", Axis: "of a bare relay's rate", Series: []string{"link", "link, zstd"}, Values: make([][]float64, 2)}
@@ -50,10 +65,11 @@
 		for round := range c.Rounds {
 			for i, way := range ways {
 				var r sitelink.Rate
+				var err error
 				if i == 0 {
 					r, err = sitelink.OverTCP(l.load)
 				} else {
-					r, err = sitelink.OverLink(dir, set.Policy, l.load, i == 2, 0)
+					r, err = sitelink.OverLink(dir, settings, l.load, i == 2, 0)
 				}
 				if err != nil {
 					return fmt.Errorf("%s, %s: %w", l.name, way, err)
@@ -62,38 +78,35 @@
 				raw.Add(l.name, way, round+1, fmt.Sprintf("%.0f", r.PerSecond), fmt.Sprintf("%.1f", r.MBps), fmt.Sprintf("%.3f", r.P50), fmt.Sprintf("%.3f", r.P99))
 			}
 		}
-		mid := func(i int, of func(sitelink.Rate) float64) float64 {
+		medianOf := func(i int, of func(sitelink.Rate) float64) float64 {
 			var x []float64
 			for _, r := range rates[i] {
 				x = append(x, of(r))
 			}
-			return middle(x)
+			return median(x)
 		}
 		for i, way := range ways {
-			per := mid(i, func(r sitelink.Rate) float64 { return r.PerSecond })
-			t.Add(l.name, way, fmt.Sprintf("%.0f", per), fmt.Sprintf("%.1f", mid(i, func(r sitelink.Rate) float64 { return r.MBps })),
-				fmt.Sprintf("%.3f", mid(i, func(r sitelink.Rate) float64 { return r.P50 })), fmt.Sprintf("%.3f", mid(i, func(r sitelink.Rate) float64 { return r.P99 })), c.Rounds)
+			per := medianOf(i, func(r sitelink.Rate) float64 { return r.PerSecond })
+			t.Add(l.name, way, fmt.Sprintf("%.0f", per), fmt.Sprintf("%.1f", medianOf(i, func(r sitelink.Rate) float64 { return r.MBps })),
+				fmt.Sprintf("%.3f", medianOf(i, func(r sitelink.Rate) float64 { return r.P50 })), fmt.Sprintf("%.3f", medianOf(i, func(r sitelink.Rate) float64 { return r.P99 })), c.Rounds)
 			if i > 0 {
-				chart.Values[i-1] = append(chart.Values[i-1], per/mid(0, func(r sitelink.Rate) float64 { return r.PerSecond }))
+				chart.Values[i-1] = append(chart.Values[i-1], per/medianOf(0, func(r sitelink.Rate) float64 { return r.PerSecond }))
 			}
 		}
 		chart.Groups = append(chart.Groups, fmt.Sprintf("%d x %d B", l.load.AtOnce, l.load.Answer))
 	}
-	if err := keep(c.Out, "site-link", &t, &raw, chart.SVG); err != nil {
-		return err
-	}
-	open, err := sitelink.OpenStreams(dir, set.Policy, c.Streams)
-	if err != nil {
-		return err
-	}
-	fmt.Printf("\n%d open streams: %.1f MB of heap in both gateways together, %.0f bytes a stream\n\n", open.Streams, open.HeapMB, open.PerStream)
+	return keep(c.Out, "site-link", &t, &raw, chart.SVG)
+}
+
+// reportPacking prints what compression does to bodies of several sizes.
+func reportPacking() error {
 	packed, err := sitelink.Packed([]int{400, 1 << 10, 4 << 10, 20_000, 64 << 10, 1 << 20})
 	if err != nil {
 		return err
 	}
 	p := report.Table{Columns: []string{"body, bytes", "travels", "pack (us)", "read (us)", "pays on lines up to (MB/s)"}}
-	for _, one := range packed {
-		p.Add(one.Size, one.Part, one.Pack, one.Read, one.Pays)
+	for _, body := range packed {
+		p.Add(body.Size, body.Part, body.Pack, body.Read, body.Pays)
 	}
 	md, err := p.Markdown()
 	if err != nil {
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"time"
 
+	"gannetspur/internal/config"
 	"gannetspur/internal/testbed/enginemodel"
 	"gannetspur/internal/testbed/faultproxy"
 	"gannetspur/internal/testbed/load"
@@ -22,37 +23,37 @@
 // sitesExperiment plays two sites on sockets, each scenario alone and together, and in virtual
 // time besides where that is asked for.
 type sitesExperiment struct {
-	fleetCommon
+	multiSiteSettings
 	Fronts      []string
-	Ways        []string
+	Strategies  []string `toml:"ways"`
 	Scenarios   []string
 	Connections int
 	Virtual     bool // the same in virtual time, side by side
-	AtOnce      int  `toml:"at_once"`
+	Parallel    int  `toml:"at_once"`
 }
 
 func readSites(path string) (*sitesExperiment, error) {
 	var e sitesExperiment
-	return &e, readFile(path, &e, func(bad func(ok bool, format string, args ...any)) {
-		e.check(bad)
-		bad(e.Gateways == 1, "gateways: %d is not 1: on sockets each site has one", e.Gateways)
-		bad(e.Connections > 0 && e.Connections <= 2000, "connections: %d is not from 1 to 2000", e.Connections)
-		bad(e.AtOnce > 0 && e.AtOnce <= 32, "at_once: %d is not from 1 to 32", e.AtOnce)
-		bad(len(e.Fronts) > 0 && len(e.Ways) > 0 && len(e.Scenarios) > 0, "fronts, ways, scenarios: none")
+	return &e, readFile(path, &e, func(require requireFunc) {
+		e.check(require)
+		require(e.Gateways == 1, "gateways: %d is not 1: on sockets each site has one", e.Gateways)
+		require(e.Connections > 0 && e.Connections <= 2000, "connections: %d is not from 1 to 2000", e.Connections)
+		require(e.Parallel > 0 && e.Parallel <= 32, "at_once: %d is not from 1 to 32", e.Parallel)
+		require(len(e.Fronts) > 0 && len(e.Strategies) > 0 && len(e.Scenarios) > 0, "fronts, ways, scenarios: none")
 		for _, f := range e.Fronts {
-			bad(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
+			require(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
 		}
-		for _, w := range e.Ways {
-			bad(w == simulation.Alone || w == simulation.Ours, "ways: there is no %q on sockets", w)
+		for _, w := range e.Strategies {
+			require(w == simulation.Alone || w == simulation.Ours, "ways: there is no %q on sockets", w)
 		}
 		for _, s := range e.Scenarios {
-			bad(socketScenario(s) != nil, "scenarios: there is no %q", s)
+			require(socketScenario(s) != nil, "scenarios: there is no %q", s)
 		}
 	})
 }
 
-// socketOnly are scenarios that sockets have beside those of virtual time.
-var socketOnly = []simulation.Scenario{
+// socketOnlyScenarios are scenarios that sockets have beside those of virtual time.
+var socketOnlyScenarios = []simulation.Scenario{
 	{Name: "upgrades", What: "both gateways are upgraded in turn while the first site is overloaded", Events: func(span time.Duration, _ int) []simulation.Event {
 		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: sites.Upgrade, Site: 1}, {At: span / 2, Do: sites.Upgrade},
 			{At: span * 2 / 3, Do: sites.Upgrade, Site: 1}, {At: span * 5 / 6, Do: simulation.Load, Part: 1}}
@@ -64,9 +65,9 @@
 }
 
 func socketScenario(name string) *simulation.Scenario {
-	for i := range socketOnly {
-		if socketOnly[i].Name == name {
-			return &socketOnly[i]
+	for i := range socketOnlyScenarios {
+		if socketOnlyScenarios[i].Name == name {
+			return &socketOnlyScenarios[i]
 		}
 	}
 	return simulation.ScenarioOf(name)
@@ -126,76 +127,86 @@
 	return out
 }
 
-type socketRun struct {
-	front, scenario, way string
-	seed                 uint64
-	res                  *sites.Result
-	virtual              *simulation.Result
+type siteRun struct {
+	front, scenario, strategy string
+	seed                      uint64
+	res                       *sites.Result
+	virtual                   *simulation.Result
 }
 
-func (e *sitesExperiment) run(ctx context.Context, c *runCommand, program, dir string, log io.Writer) error {
-	set, err := settings()
+func (e *sitesExperiment) run(ctx context.Context, c *runCommand, env environment) error {
+	set, err := siteConfig()
 	if err != nil {
 		return err
 	}
-	var runs []*socketRun
+	var runs []*siteRun
 	for _, f := range e.Fronts {
 		for _, s := range e.Scenarios {
-			for _, w := range e.Ways {
+			for _, w := range e.Strategies {
 				for _, seed := range e.Seeds {
-					runs = append(runs, &socketRun{front: f, scenario: s, way: w, seed: seed})
+					runs = append(runs, &siteRun{front: f, scenario: s, strategy: w, seed: seed})
 				}
 			}
 		}
 	}
-	err = many(c.Quiet, e.Name, len(runs), e.AtOnce, func(i int) (err error) {
-		r := runs[i]
-		sub := filepath.Join(dir, fmt.Sprint(i))
-		if err := os.Mkdir(sub, 0o700); err != nil {
-			return err
-		}
-		o := e.options(set)
-		events := socketScenario(r.scenario).Events(o.Span, 2)
-		r.res, err = sites.Play(ctx, sites.Options{
-			Front: r.front, Root: ".", Dir: sub, Program: program, Together: r.way == simulation.Ours, Engines: e.Engines, Engine: enginemodel.Usual(),
-			Rate: e.Rate, Loads: e.Loads, Reports: e.Reports, Writes: e.Writes, Connections: e.Connections,
-			Link:   faultproxy.Options{Delay: o.Delay, Bandwidth: int(o.Bandwidth), Stall: o.Stall, StallFor: o.StallFor, Seed: r.seed},
-			Events: e.events(events), Warm: o.Warm, Span: o.Span, Seed: r.seed, Log: log,
-		})
-		if err != nil {
-			return fmt.Errorf("%s, %s, seed %d: %w", r.scenario, r.way, r.seed, err)
-		}
-		if e.Virtual && simulation.ScenarioOf(r.scenario) != nil {
-			o.Way, o.Seed, o.Events = r.way, r.seed, events
-			r.virtual, err = simulation.Play(o)
-		}
+	err = c.runJobs(e.Name, len(runs), e.Parallel, func(i int) error { return e.play(ctx, env, set, i, runs[i]) })
+	if err != nil {
 		return err
-	})
+	}
+	faults, err := e.report(c.Out, runs)
 	if err != nil {
 		return err
 	}
+	return reportViolations(faults, 0)
+}
+
+// play plays run n on sockets, and in virtual time besides where that is asked for.
+func (e *sitesExperiment) play(ctx context.Context, env environment, set config.Site, n int, r *siteRun) (err error) {
+	sub := filepath.Join(env.dir, strconv.Itoa(n))
+	if err := os.Mkdir(sub, 0o700); err != nil {
+		return err
+	}
+	o := e.options(set)
+	events := socketScenario(r.scenario).Events(o.Span, 2)
+	r.res, err = sites.Play(ctx, sites.Options{
+		Front: r.front, Root: ".", Dir: sub, Program: env.program, Together: r.strategy == simulation.Ours, Engines: e.Engines, Engine: enginemodel.Usual(),
+		Rate: e.Rate, Loads: e.Loads, Reports: e.Reports, Writes: e.Writes, Connections: e.Connections,
+		Link:   faultproxy.Options{Delay: o.Delay, Bandwidth: int(o.Bandwidth), Stall: o.Stall, StallFor: o.StallFor, Seed: r.seed},
+		Events: e.events(events), Warm: o.Warm, Span: o.Span, Seed: r.seed, Log: env.log,
+	})
+	if err != nil {
+		return fmt.Errorf("%s, %s, seed %d: %w", r.scenario, r.strategy, r.seed, err)
+	}
+	if e.Virtual && simulation.ScenarioOf(r.scenario) != nil {
+		o.Way, o.Seed, o.Events = r.strategy, r.seed, events
+		r.virtual, err = simulation.Play(o)
+	}
+	return err
+}
+
+// report writes the tables and the chart of all runs, and returns the rules broken.
+func (e *sitesExperiment) report(dir string, runs []*siteRun) (faults []load.Fault, err error) {
 	t := report.Table{Columns: []string{"front", "what happens", "way", "requests", "service, median (least to most)", "worst 10 s", "p50, p99 of served (ms)", "crossed", "answered for here", "rules broken"}}
 	raw := report.Table{Columns: []string{"front", "scenario", "way", "seed", "requests", "service", "worst", "crossed", "virtual_service", "virtual_worst", "virtual_crossed", "faults"}}
-	chart := report.Bars{Title: e.Title, Axis: "worth answered in time over worth asked for", Series: slices.Clone(e.Ways), Values: make([][]float64, len(e.Ways))}
+	chart := report.Bars{Title: e.Title, Axis: "worth answered in time over worth asked for", Series: slices.Clone(e.Strategies), Values: make([][]float64, len(e.Strategies))}
 	if e.Virtual {
 		t.Columns = slices.Insert(t.Columns, 6, "the same in virtual time", "worst there")
-		for _, w := range e.Ways {
+		for _, w := range e.Strategies {
 			chart.Series = append(chart.Series, w+", virtual")
 			chart.Values = append(chart.Values, nil)
 		}
 	}
-	var faults []load.Fault
 	for _, f := range e.Fronts {
 		for _, s := range e.Scenarios {
 			chart.Groups = append(chart.Groups, s)
-			for i, w := range e.Ways {
-				var service, worst, took, virtual, vworst []float64
+			for i, w := range e.Strategies {
+				var service, worst, latencies, virtual, virtualWorst []float64
 				requests, crossed, taken, broken := 0, int64(0), int64(0), 0
 				for _, r := range runs {
-					if r.front != f || r.scenario != s || r.way != w {
+					if r.front != f || r.scenario != s || r.strategy != w {
 						continue
 					}
-					service, worst, took = append(service, r.res.Service), append(worst, r.res.Worst), append(took, r.res.Took...)
+					service, worst, latencies = append(service, r.res.Service), append(worst, r.res.Worst), append(latencies, r.res.Took...)
 					requests += r.res.Requests
 					mine := int64(0)
 					for _, class := range []string{"lookup", "report", "load", "write"} {
@@ -207,35 +218,32 @@
 					faults = append(faults, r.res.Faults...)
 					row := []any{f, s, w, r.seed, r.res.Requests, fmt.Sprintf("%.4f", r.res.Service), fmt.Sprintf("%.4f", r.res.Worst), mine, "", "", "", len(r.res.Faults)}
 					if v := r.virtual; v != nil {
-						virtual, vworst = append(virtual, v.Service()), append(vworst, v.Worst)
+						virtual, virtualWorst = append(virtual, v.Service()), append(virtualWorst, v.Worst)
 						row[8], row[9], row[10] = fmt.Sprintf("%.4f", v.Service()), fmt.Sprintf("%.4f", v.Worst), v.Crossed
 					}
 					raw.Add(row...)
 				}
-				slices.Sort(took)
+				slices.Sort(latencies)
 				at := func(p float64) float64 {
-					if len(took) == 0 {
+					if len(latencies) == 0 {
 						return 0
 					}
-					return stat.Quantile(p, stat.Empirical, took, nil)
+					return stat.Quantile(p, stat.Empirical, latencies, nil)
 				}
-				row := []any{f, s, w, requests, around(service), fmt.Sprintf("%.3f", middle(worst))}
+				row := []any{f, s, w, requests, medianAndRange(service), fmt.Sprintf("%.3f", median(worst))}
 				if e.Virtual {
 					if len(virtual) > 0 {
-						row = append(row, around(virtual), fmt.Sprintf("%.3f", middle(vworst)))
-						chart.Values[len(e.Ways)+i] = append(chart.Values[len(e.Ways)+i], middle(virtual))
+						row = append(row, medianAndRange(virtual), fmt.Sprintf("%.3f", median(virtualWorst)))
+						chart.Values[len(e.Strategies)+i] = append(chart.Values[len(e.Strategies)+i], median(virtual))
 					} else {
 						row = append(row, "-", "-")
-						chart.Values[len(e.Ways)+i] = append(chart.Values[len(e.Ways)+i], 0)
+						chart.Values[len(e.Strategies)+i] = append(chart.Values[len(e.Strategies)+i], 0)
 					}
 				}
 				t.Add(append(row, fmt.Sprintf("%.0f, %.0f", at(0.5), at(0.99)), crossed, taken, broken)...)
-				chart.Values[i] = append(chart.Values[i], middle(service))
+				chart.Values[i] = append(chart.Values[i], median(service))
 			}
 		}
 	}
-	if err := keep(c.Out, e.Name, &t, &raw, chart.SVG); err != nil {
-		return err
-	}
-	return judged(faults, 0)
+	return faults, keep(dir, e.Name, &t, &raw, chart.SVG)
 }
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -25,8 +25,8 @@
 	Stats    statsCommand    `cmd:"" help:"Sum a file up."`
 }
 
-// world are the flags that make a world of the model.
-type world struct {
+// workloadFlags are the flags that make a workloadFlags of the model.
+type workloadFlags struct {
 	Seed        uint64  `default:"1" help:"Of everything that is drawn."`
 	Number      int     `default:"20000" help:"How many statements."`
 	Templates   int     `default:"200" help:"Shapes that recur."`
@@ -39,7 +39,7 @@
 	HintMissing float64 `default:"0.15" help:"Share of statements without one."`
 }
 
-func (w world) options() workload.Options {
+func (w workloadFlags) options() workload.Options {
 	return workload.Options{
 		Seed: w.Seed, Templates: w.Templates, OneOff: w.OneOff, Hard: w.Hard, Writes: w.Writes,
 		DriftAt: w.DriftAt, Drift: w.Drift, HintNoise: w.HintNoise, HintMissing: w.HintMissing,
@@ -47,10 +47,10 @@
 }
 
 type generateCommand struct {
-	world
-	File  string  `arg:"" help:"The file to write."`
-	Rate  float64 `default:"99" help:"Statements a second on average."`
-	Comes string  `enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
+	workloadFlags
+	File     string  `arg:"" help:"The file to write."`
+	Rate     float64 `default:"99" help:"Statements a second on average."`
+	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
 }
 
 func (c *generateCommand) Run() (err error) {
@@ -61,7 +61,7 @@
 	w := bufio.NewWriter(f)
 	bars := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(40))
 	bar := bars.AddBar(int64(c.Number), mpb.PrependDecorators(decor.Name("statements ")), mpb.AppendDecorators(decor.CountersNoUnit("%d of %d")))
-	err = traffic.Generate(w, c.options(), c.Number, c.Rate, traffic.Comes(c.Comes), func(n int) { bar.IncrBy(n) })
+	err = traffic.Generate(w, c.options(), c.Number, c.Rate, traffic.Comes(c.Arrivals), func(n int) { bar.IncrBy(n) })
 	bar.SetCurrent(int64(c.Number))
 	bars.Wait()
 	if e := w.Flush(); err == nil {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return traffic.Head{}, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	t, err := traffic.NewReader(bufio.NewReader(f))
 	if err != nil {
 		return traffic.Head{}, fmt.Errorf("%s: %w", path, err)
@@ -106,7 +106,7 @@
 type showCommand struct {
 	File string `arg:"" help:"The file."`
 	From int    `default:"0" help:"The first record to print, from 0."`
-	Most int    `default:"20" help:"How many."`
+	Max  int    `name:"most" default:"20" help:"How many."`
 	Hard bool   `help:"Only the hard cases."`
 }
 
@@ -128,7 +128,7 @@
 			fmt.Println()
 			shown++
 		}
-		return shown < c.Most
+		return shown < c.Max
 	})
 	return err
 }
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	program := c.Ringwood
 	if program == "" {
 		if program, err = harness.Build(ctx, ".", dir); err != nil {
--- a/cmd/testbed/try_test.go
+++ b/cmd/testbed/try_test.go
@@ -20,7 +20,7 @@
 // Both fronts come up with one command, answer what the page says to paste, and all of it
 // ends when told.
 func TestTry(t *testing.T) {
-	if os.Getenv("RINGLAB_TRY") != "" {
+	if os.Getenv("TESTBED_TRY") != "" {
 		c := tryCommand{Engines: 2, HTTP: os.Getenv("HTTP"), Postgres: os.Getenv("POSTGRES"), For: time.Minute}
 		if err := os.Chdir("../.."); err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	p := exec.Command(os.Args[0], "-test.run=^TestTry$", "-test.v")
-	p.Env = append(os.Environ(), "RINGLAB_TRY=1", "HTTP="+web, "POSTGRES="+pg)
+	p.Env = append(os.Environ(), "TESTBED_TRY=1", "HTTP="+web, "POSTGRES="+pg)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
-	defer p.Process.Kill()
+	defer func() { _ = p.Process.Kill() }()
 	for _, addr := range []string{web, pg} {
 		if err := harness.Up(ctx, addr); err != nil {
 			t.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 	// The PostgreSQL front hears of its engines a moment after it listens.
 	for {
-		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+web+"/rpc/lookup", strings.NewReader("SELECT day FROM sales_17.orders WHERE tag = '3f9c'"))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+web+"/rpc/lookup", strings.NewReader("SELECT day FROM sales_17.orders WHERE tag = '3f9c'"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,15 +69,15 @@
 			t.Fatal(err)
 		}
 		body, _ := io.ReadAll(res.Body)
-		res.Body.Close()
-		if res.StatusCode == 200 && strings.Contains(string(body), "3f9c") {
+		_ = res.Body.Close()
+		if res.StatusCode == http.StatusOK && strings.Contains(string(body), "3f9c") {
 			break
 		}
 		if ctx.Err() != nil {
 			t.Fatalf("%d %s", res.StatusCode, body)
 		}
 	}
-	for !asked(t, pg) {
+	for !queryServed(t, pg) {
 		if ctx.Err() != nil {
 			t.Fatal("the PostgreSQL front serves nothing")
 		}
@@ -91,19 +91,20 @@
 	}
 	for _, addr := range []string{web, pg} {
 		if c, err := net.Dial("tcp", addr); err == nil {
-			c.Close()
+			_ = c.Close()
 			t.Errorf("somebody still listens at %s", addr)
 		}
 	}
 }
 
-// asked tells whether one statement was served.
-func asked(t *testing.T, addr string) bool {
+// queryServed reports whether one statement was served.
+func queryServed(t *testing.T, addr string) bool {
+	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	start := append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0)
 	b := pgproto.AppendStartup(nil, pgproto.Version, start)
 	b = pgproto.AppendMessage(b, 'Q', pgproto.CString("SELECT day FROM stock_17.orders"))
