--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -108,7 +108,7 @@
 	Title, X, Y string
 	Series      []string
 	Points      [][][2]float64 // by series
-	LogX        bool // whether the X axis is logarithmic
+	LogX        bool           // whether the X axis is logarithmic
 }
 
 // SVG draws the chart.
