--- /dev/null
+++ b/internal/testbed/cluster/check.go
@@ -0,0 +1,150 @@
+package cluster
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"gannetspur/internal/testbed/emulator"
+	"gannetspur/internal/testbed/load"
+)
+
+// reportGrace is how long what was said of a front end may still be said once it is back, or heard again: a watcher has to
+// hear it, and to tell.
+const reportGrace = 5 * time.Second
+
+// check checks the invariants on what was observed. It knows nothing of how members decide: only what was done to them,
+// what they logged, and what clients and engines saw.
+func (t *cluster) check(res *Result, records []load.Record, runs []emulator.Run) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	broken := func(format string, args ...any) { res.Broken = append(res.Broken, fmt.Sprintf(format, args...)) }
+	res.Events = slices.Clone(t.events)
+	slices.SortStableFunc(res.Events, func(a, b Event) int { return a.At.Compare(b.At) })
+	t.checkDeaths(res, broken)
+	t.checkAnswers(res, records, runs, broken)
+	for _, p := range t.procs {
+		if p.failed != nil {
+			broken("crash: %v", p.failed)
+		}
+	}
+	res.Passed, res.Lost = t.mesh.passed, t.mesh.dropped
+}
+
+// reachable reports whether a front end ran and was heard by more than half, both ways, at a time.
+func (t *cluster) reachable(who int, at time.Time) bool {
+	deaf := map[int]bool{}
+	for _, s := range t.spans {
+		if s.who != who || at.Before(s.from) || !s.to.IsZero() && at.After(s.to.Add(reportGrace)) {
+			continue
+		}
+		if s.down {
+			return false
+		}
+		for _, n := range s.unreachable {
+			deaf[n] = true
+		}
+	}
+	return 2*(len(t.procs)-len(deaf)) > len(t.procs)
+}
+
+// becameMember reports whether an event says that a process has joined anew, not continued as its predecessor.
+func becameMember(e Event) bool { return e.Name == "members" && e.Fields["carried"] != true }
+
+// stopped reports whether a front end did not run at a time, or not long before.
+func (t *cluster) stopped(who int, at time.Time) bool {
+	return slices.ContainsFunc(t.spans, func(s span) bool { return s.who == who && s.down && !at.Before(s.from) })
+}
+
+// checkDeaths checks what members reported of each other against what was done to them: whom most could hear is not called dead; whom
+// a member that most can hear loses sight of is not called lost; and who is gone for good is known by all to be.
+func (t *cluster) checkDeaths(res *Result, broken func(string, ...any)) {
+	known := map[[2]int]time.Time{} // by whom, of whom
+	views := map[int]int{}
+	for _, e := range res.Events {
+		switch {
+		case becameMember(e):
+			for n := range t.procs {
+				delete(known, [2]int{e.From, n})
+			}
+		case e.Name == "members.view" && e.At.After(t.began):
+			views[e.From]++
+			res.Views = max(res.Views, views[e.From])
+		case e.Name == "members.state":
+			id, _ := e.Fields["member"].(float64)
+			of, state := int(id)-1, fmt.Sprint(e.Fields["state"])
+			ended := state == "dead" || state == "lost" || state == "left"
+			switch {
+			case !ended:
+				delete(known, [2]int{e.From, of})
+				continue
+			case known[[2]int{e.From, of}].IsZero():
+				known[[2]int{e.From, of}] = e.At
+			}
+			t.checkReport(e, of, state, broken)
+		}
+	}
+	t.checkDeathsKnown(res, known, broken)
+}
+
+// checkReport checks one report of a member's end against what was done to the member.
+func (t *cluster) checkReport(e Event, of int, state string, broken func(string, ...any)) {
+	if state == "left" && !t.stopped(of, e.At) {
+		broken("wrong word: %v after the start %d says that %d left, which nobody told to stop", e.At.Sub(t.began).Round(time.Millisecond), e.From, of)
+	}
+	if state == "dead" && t.reachable(of, e.At) || state == "lost" && t.reachable(of, e.At) && t.reachable(e.From, e.At) {
+		broken("%s: %v after the start %d calls %d %s: %v, %v", "wrong death", e.At.Sub(t.began).Round(time.Millisecond), e.From, of, state, e.Fields["why"], e.Fields["witnesses"])
+	}
+}
+
+// checkDeathsKnown checks that all that are up know of each front end that is gone for good.
+func (t *cluster) checkDeathsKnown(res *Result, known map[[2]int]time.Time, broken func(string, ...any)) {
+	for _, s := range t.spans {
+		if !s.down || !s.to.IsZero() {
+			continue
+		}
+		var last time.Duration
+		for n := range t.procs {
+			if !t.up[n] {
+				continue
+			}
+			at, ok := known[[2]int{n, s.who}]
+			if !ok {
+				broken("unknown death: %d does not know that %d is gone", n, s.who)
+			}
+			last = max(last, at.Sub(s.from))
+		}
+		res.Known = append(res.Known, last)
+	}
+}
+
+// checkAnswers checks what clients received against what engines did. A request at a process that did not run meanwhile may
+// have no answer: nobody there could give one.
+func (t *cluster) checkAnswers(res *Result, records []load.Record, runs []emulator.Run, broken func(string, ...any)) {
+	by, ran := map[string]load.Record{}, map[string]bool{}
+	for _, r := range runs {
+		ran[r.Mark] = true
+	}
+	for _, r := range records {
+		by[r.Mark] = r
+		res.Requests++
+		res.Verdicts[r.Verdict]++
+	}
+	for _, f := range load.Check(records, runs, 12*time.Second) {
+		r := by[f.Mark]
+		if f.Rule == "no answer" || f.Rule == "not reached" {
+			if parts := strings.Split(f.Mark, "-"); len(parts) == 3 {
+				n, _ := strconv.Atoi(parts[1])
+				if slices.ContainsFunc(t.spans, func(s span) bool {
+					// A connection that its process left behind is found dead when it is used next.
+					return (s.down || s.disconnected || s.idleDisconnected && !ran[f.Mark]) && s.who == n && s.from.Add(-time.Second).Before(r.End) && (s.to.IsZero() || s.to.Add(reportGrace).After(r.Due))
+				}) {
+					continue
+				}
+			}
+		}
+		broken("%s", f)
+	}
+}
--- a/internal/testbed/cluster/judge_test.go
+++ b/internal/testbed/cluster/check_test.go
@@ -10,7 +10,7 @@
 )
 
 // The checker tells what it is there for, and nothing where all is well: each case is a log with one thing put in.
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	began := time.Unix(1_800_000_000, 0)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
 	said := func(s float64, from, of int, state string) Event {
@@ -36,22 +36,22 @@
 		{name: "one is called dead that serves", events: died[:1], up: []bool{true, true, true}, want: "wrong death"},
 		{name: "one is called dead long after its pause", events: []Event{said(20, 0, 2, "dead")}, spans: []span{{who: 2, from: at(1), to: at(11), down: true}}, up: []bool{true, true, true}, want: "wrong death"},
 		{name: "one is called dead in its pause", events: []Event{said(5, 0, 2, "dead")}, spans: []span{{who: 2, from: at(1), to: at(11), down: true}}, up: []bool{true, true, true}},
-		{name: "one is called dead that one does not hear", events: []Event{said(5, 0, 2, "dead")}, spans: []span{{who: 2, from: at(1), deaf: []int{0}}}, up: []bool{true, true, true}, want: "wrong death"},
-		{name: "one is called dead that nobody hears", events: []Event{said(5, 0, 2, "dead")}, spans: []span{{who: 2, from: at(1), deaf: []int{0, 1}}}, up: []bool{true, true, true}},
-		{name: "one is lost to one that is cut off", events: []Event{said(5, 0, 2, "lost")}, spans: []span{{who: 0, from: at(1), deaf: []int{1, 2}}, {who: 2, from: at(1), deaf: []int{0}}}, up: []bool{true, true, true}},
+		{name: "one is called dead that one does not hear", events: []Event{said(5, 0, 2, "dead")}, spans: []span{{who: 2, from: at(1), unreachable: []int{0}}}, up: []bool{true, true, true}, want: "wrong death"},
+		{name: "one is called dead that nobody hears", events: []Event{said(5, 0, 2, "dead")}, spans: []span{{who: 2, from: at(1), unreachable: []int{0, 1}}}, up: []bool{true, true, true}},
+		{name: "one is lost to one that is cut off", events: []Event{said(5, 0, 2, "lost")}, spans: []span{{who: 0, from: at(1), unreachable: []int{1, 2}}, {who: 2, from: at(1), unreachable: []int{0}}}, up: []bool{true, true, true}},
 		{name: "no answer", up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)}, want: "no answer"},
 		{name: "no answer of one that is gone", events: died, spans: gone, up: []bool{true, true, false}, records: []load.Record{request("q-2-1", 10, load.Reset)}},
-		{name: "a kept connection that ended as another process took the place", spans: []span{{who: 1, from: at(4), to: at(6), parted: true}}, up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)}},
-		{name: "no answer to what had been taken then", spans: []span{{who: 1, from: at(4), to: at(6), parted: true}}, up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)},
+		{name: "a kept connection that ended as another process took the place", spans: []span{{who: 1, from: at(4), to: at(6), idleDisconnected: true}}, up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)}},
+		{name: "no answer to what had been taken then", spans: []span{{who: 1, from: at(4), to: at(6), idleDisconnected: true}}, up: []bool{true, true, true}, records: []load.Record{request("q-1-1", 5, load.Reset)},
 			runs: []emulator.Run{{Mark: "q-1-1", At: at(5)}}, want: "no answer"},
-		{name: "one is said to have left that was only replaced", events: []Event{said(5, 0, 2, "left")}, spans: []span{{who: 2, from: at(4), to: at(6), parted: true}}, up: []bool{true, true, true}, want: "wrong word"},
+		{name: "one is said to have left that was only replaced", events: []Event{said(5, 0, 2, "left")}, spans: []span{{who: 2, from: at(4), to: at(6), idleDisconnected: true}}, up: []bool{true, true, true}, want: "wrong word"},
 		{name: "one that goes on in another process still knows of a death", events: append(died[:2:2], Event{At: at(13), From: 1, Name: "members", Fields: map[string]any{"carried": true}}), spans: gone, up: []bool{true, true, false}},
 		{name: "a load with two effects", up: []bool{true, true, true}, records: []load.Record{request("k-1-1", 5, load.Served)},
 			runs: []emulator.Run{{Mark: "k-1-1", At: at(5)}, {Mark: "k-1-1", At: at(5.1)}}, want: "effect twice"},
 	} {
-		play := &tier{procs: []*front{{n: 0}, {n: 1}, {n: 2}}, mesh: &mesh{}, began: began, events: c.events, spans: c.spans, up: c.up}
+		run := &cluster{procs: []*frontEnd{{n: 0}, {n: 1}, {n: 2}}, mesh: &mesh{}, began: began, events: c.events, spans: c.spans, up: c.up}
 		res := &Result{Verdicts: map[load.Verdict]int{}}
-		play.judge(res, c.records, c.runs)
+		run.check(res, c.records, c.runs)
 		if got := strings.Join(res.Broken, "; "); got == "" != (c.want == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
@@ -60,7 +60,7 @@
 
 // The same seed gives the same troubles, another one others.
 func TestDrawn(t *testing.T) {
-	words := func(seed uint64) string {
+	schedule := func(seed uint64) string {
 		var b strings.Builder
 		for _, f := range Drawn(seed, 7, 3, 30, time.Minute) {
 			if f.At+f.For > time.Minute {
@@ -70,7 +70,8 @@
 		}
 		return b.String()
 	}
-	if words(1) != words(1) || words(1) == words(2) {
+	first, repeated, other := schedule(1), schedule(1), schedule(2)
+	if first != repeated || first == other {
 		t.Error("the seed does not decide")
 	}
 }
--- a/internal/testbed/cluster/ways.go
+++ b/internal/testbed/cluster/connection_proxies.go
@@ -21,12 +21,12 @@
 // Sides are all of them.
 var Sides = []Side{Engines, Bus, Clients}
 
-// ways are the relays of one front end's connections: one to each engine, one to the event bus, and one that its clients come
+// connectionProxies are the relays of one front end's connections: one to each engine, one to the event bus, and one that its clients come
 // through. With the mesh's, nothing that a front end says or hears passes by a relay.
-type ways struct{ all map[Side][]*faultproxy.Link }
+type connectionProxies struct{ all map[Side][]*faultproxy.Link }
 
 // open opens a relay to an address and returns where it listens.
-func (w *ways) open(side Side, to string, seed uint64) (string, error) {
+func (w *connectionProxies) open(side Side, to string, seed uint64) (string, error) {
 	l, err := faultproxy.Listen(to, faultproxy.Options{Seed: seed})
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", side, err)
@@ -39,7 +39,7 @@
 }
 
 // do has something happen to the ways on a side, of these numbers or, where none is given, of all.
-func (w *ways) do(side Side, which []int, kind faultproxy.Kind, span time.Duration) {
+func (w *connectionProxies) do(side Side, which []int, kind faultproxy.Kind, span time.Duration) {
 	for i, l := range w.all[side] {
 		if len(which) == 0 || slices.Contains(which, i) {
 			l.Add(faultproxy.Fault{Kind: kind, For: span})
@@ -47,7 +47,7 @@
 	}
 }
 
-func (w *ways) close() {
+func (w *connectionProxies) close() {
 	for _, all := range w.all {
 		for _, l := range all {
 			l.Close()
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -28,8 +28,8 @@
 	Fields map[string]any
 }
 
-// front is one front end: a process at a time, or two while one takes the other's place.
-type front struct {
+// frontEnd is one frontEnd end: a process at a time, or two while one takes the other's place.
+type frontEnd struct {
 	n       int
 	program string
 	dir     string
@@ -37,24 +37,24 @@
 	addr    string   // where clients connect
 	socket  *os.File // listens there, where processes take each other's place; nil: each opens its own
 	log     io.Writer
-	hear    func(Event)
+	onEvent func(Event)
 
-	turn   sync.Mutex // of whoever has processes of it end or follow each other
-	mu     sync.Mutex
-	now    *process
-	failed error // one ended though nobody told it to
+	lifecycle sync.Mutex // of whoever has processes of it end or follow each other
+	mu        sync.Mutex
+	current   *process
+	failed    error // one ended though nobody told it to
 }
 
 // process is one of a front end.
 type process struct {
-	cmd    *exec.Cmd
-	serves chan struct{}
-	ended  chan struct{}
-	told   bool // to end
+	cmd          *exec.Cmd
+	serves       chan struct{}
+	ended        chan struct{}
+	endRequested bool // to end
 }
 
 // hold opens the socket that processes of the front end follow each other at, as the platform does.
-func (f *front) hold() (err error) {
+func (f *frontEnd) hold() (err error) {
 	if f.socket, _, err = harness.OpenListener(f.addr); err != nil {
 		return fmt.Errorf("front end %d: %w", f.n, err)
 	}
@@ -62,7 +62,7 @@
 }
 
 // drop lets go of the socket.
-func (f *front) drop() {
+func (f *frontEnd) drop() {
 	if f.socket != nil {
 		_ = f.socket.Close()
 		f.socket = nil
@@ -70,7 +70,7 @@
 }
 
 // begin starts a process.
-func (f *front) begin() (*process, error) {
+func (f *frontEnd) begin() (*process, error) {
 	out, w, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("front end %d: %w", f.n, err)
@@ -98,12 +98,12 @@
 }
 
 // read hears what a process logs, until it ends.
-func (f *front) read(p *process, out io.ReadCloser) {
+func (f *frontEnd) read(p *process, out io.ReadCloser) {
 	defer close(p.ended)
 	once := sync.OnceFunc(func() { close(p.serves) })
 	for in := bufio.NewScanner(out); in.Scan(); {
 		if f.log != nil {
-			fmt.Fprintf(f.log, "%d %s\n", f.n, in.Text())
+			_, _ = fmt.Fprintf(f.log, "%d %s\n", f.n, in.Text())
 		}
 		var e map[string]any
 		if json.Unmarshal(in.Bytes(), &e) != nil {
@@ -111,7 +111,7 @@
 		}
 		at, _ := time.Parse(time.RFC3339Nano, fmt.Sprint(e["time"]))
 		name := fmt.Sprint(e["msg"])
-		f.hear(Event{At: at, From: f.n, Name: name, Fields: e})
+		f.onEvent(Event{At: at, From: f.n, Name: name, Fields: e})
 		if name == "serving" {
 			once()
 		}
@@ -120,105 +120,124 @@
 	err := p.cmd.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !p.told {
+	if !p.endRequested {
 		f.failed = fmt.Errorf("front end %d ended by itself: %w", f.n, err)
 	}
 }
 
 // start starts a process, and waits until it serves.
-func (f *front) start() error {
+func (f *frontEnd) start() error {
 	p, err := f.begin()
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.now = p
+	f.current = p
 	f.mu.Unlock()
 	return f.await(p)
 }
 
-// startMost is how long a process may take until it serves.
-const startMost = 20 * time.Second
+// startTimeout is how long a process may take until it serves.
+const startTimeout = 20 * time.Second
 
-func (f *front) await(p *process) error {
+func (f *frontEnd) await(p *process) error {
 	select {
 	case <-p.serves:
 		return nil
 	case <-p.ended:
 		return fmt.Errorf("front end %d did not start", f.n)
-	case <-time.After(startMost):
+	case <-time.After(startTimeout):
 		return fmt.Errorf("front end %d does not serve", f.n)
 	}
 }
 
-// replace starts a process that takes the place of the one that runs, which is told to end by a signal once the new one serves,
-// as the platform does. Where the new one dies before, the old one goes on.
-func (f *front) replace(old syscall.Signal, newDies bool) error {
-	f.turn.Lock()
-	defer f.turn.Unlock()
-	was := f.running()
-	select {
-	case <-was.ended: // there is none to replace
+// replace starts a process that takes the place of the one that runs. Once the new one serves, the old one is told to end
+// by a signal, as the platform does. Where the new one does not serve, the old one goes on.
+func (f *frontEnd) replace(signal syscall.Signal) error {
+	f.lifecycle.Lock()
+	defer f.lifecycle.Unlock()
+	old := f.running()
+	if old.hasEnded() {
 		return nil
-	default:
 	}
 	next, err := f.begin()
 	if err != nil {
 		return err
 	}
-	if newDies {
-		f.tell(next, syscall.SIGKILL, true)
-		return f.gone(next)
-	}
 	if err := f.await(next); err != nil {
-		f.tell(next, syscall.SIGKILL, true)
-		return errors.Join(err, f.gone(next))
+		f.sendSignal(next, syscall.SIGKILL, true)
+		return errors.Join(err, f.waitForEnd(next))
 	}
 	f.mu.Lock()
-	f.now = next
+	f.current = next
 	f.mu.Unlock()
-	f.tell(was, old, true)
-	kill := time.AfterFunc(harness.TerminationTimeout, func() { f.tell(was, syscall.SIGKILL, true) })
+	f.sendSignal(old, signal, true)
+	kill := time.AfterFunc(harness.TerminationTimeout, func() { f.sendSignal(old, syscall.SIGKILL, true) })
 	defer kill.Stop()
-	return f.gone(was)
+	return f.waitForEnd(old)
+}
+
+// replaceAborted starts a process that would take the place of the one that runs, and kills it at once: the old one goes on.
+func (f *frontEnd) replaceAborted() error {
+	f.lifecycle.Lock()
+	defer f.lifecycle.Unlock()
+	if f.running().hasEnded() {
+		return nil
+	}
+	next, err := f.begin()
+	if err != nil {
+		return err
+	}
+	f.sendSignal(next, syscall.SIGKILL, true)
+	return f.waitForEnd(next)
+}
+
+// hasEnded reports whether the process has ended.
+func (p *process) hasEnded() bool {
+	select {
+	case <-p.ended:
+		return true
+	default:
+		return false
+	}
 }
 
-// endMost is how long a process may take to end.
-const endMost = 10 * time.Second
+// endTimeout is how long a process may take to end.
+const endTimeout = 10 * time.Second
 
-// gone waits for the end of a process.
-func (f *front) gone(p *process) error {
+// waitForEnd waits for the end of a process.
+func (f *frontEnd) waitForEnd(p *process) error {
 	select {
 	case <-p.ended:
 		return nil
-	case <-time.After(endMost):
-		f.tell(p, syscall.SIGKILL, true)
+	case <-time.After(endTimeout):
+		f.sendSignal(p, syscall.SIGKILL, true)
 		return fmt.Errorf("front end %d: its process does not end", f.n)
 	}
 }
 
-// tell sends a signal to a process that was started here; last tells that it is to end by it.
-func (f *front) tell(p *process, s syscall.Signal, last bool) {
+// sendSignal sends a signal to a process that was started here; last tells that it is to end by it.
+func (f *frontEnd) sendSignal(p *process, s syscall.Signal, last bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p == nil {
 		return
 	}
-	p.told = p.told || last
+	p.endRequested = p.endRequested || last
 	_ = p.cmd.Process.Signal(s) // one that has ended needs none
 }
 
 // signal sends a signal to the process that runs.
-func (f *front) signal(s syscall.Signal, last bool) { f.tell(f.running(), s, last) }
+func (f *frontEnd) signal(s syscall.Signal, last bool) { f.sendSignal(f.running(), s, last) }
 
-func (f *front) running() *process {
+func (f *frontEnd) running() *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.current
 }
 
 // limit changes what the process that runs may have of a resource, and tells what it might before.
-func (f *front) limit(resource int, cur uint64) (was uint64, err error) {
+func (f *frontEnd) limit(resource int, cur uint64) (was uint64, err error) {
 	p := f.running()
 	var old, set unix.Rlimit
 	if err := unix.Prlimit(p.cmd.Process.Pid, resource, nil, &old); err != nil {
@@ -230,16 +249,16 @@
 }
 
 // starve has the process that runs stand still for a part of each strainEvery, until what is returned is called.
-func (f *front) starve(still time.Duration) (end func()) {
+func (f *frontEnd) starve(still time.Duration) (end func()) {
 	p, over, done := f.running(), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		tick := time.NewTicker(strainEvery)
+		tick := time.NewTicker(starvePeriod)
 		defer tick.Stop()
 		for {
-			f.tell(p, syscall.SIGSTOP, false)
+			f.sendSignal(p, syscall.SIGSTOP, false)
 			time.Sleep(still) // this is what is played: it waits for nothing
-			f.tell(p, syscall.SIGCONT, false)
+			f.sendSignal(p, syscall.SIGCONT, false)
 			select {
 			case <-over:
 				return
@@ -254,7 +273,7 @@
 }
 
 // open is how many descriptors the process that runs has.
-func (f *front) open() (uint64, error) {
+func (f *frontEnd) open() (uint64, error) {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.running().cmd.Process.Pid))
 	return uint64(len(all)), err
 }
@@ -267,7 +286,7 @@
 }
 
 // cost reads it of the process that runs (proc(5): stat and statm).
-func (f *front) cost() (cost, error) {
+func (f *frontEnd) cost() (cost, error) {
 	c := cost{pid: f.running().cmd.Process.Pid}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.pid))
 	if err != nil {
@@ -290,7 +309,7 @@
 }
 
 // end ends what runs, whatever it does, and waits.
-func (f *front) end() {
+func (f *frontEnd) end() {
 	if p := f.running(); p != nil {
 		f.signal(syscall.SIGKILL, true)
 		_ = f.wait() // nothing more can be done to one that outlives it
@@ -299,9 +318,9 @@
 }
 
 // wait waits for the end of what was told to end.
-func (f *front) wait() error {
+func (f *frontEnd) wait() error {
 	if p := f.running(); p != nil {
-		return f.gone(p)
+		return f.waitForEnd(p)
 	}
 	return nil
 }
--- a/internal/testbed/cluster/drawn.go
+++ b/internal/testbed/cluster/random_faults.go
@@ -7,16 +7,16 @@
 	"gannetspur/internal/testbed/faultproxy"
 )
 
-// Drawn is a schedule that a seed gives: troubles of all kinds, one after the other and at once, with nobody choosing.
+// Drawn returns a random schedule, the same for the same seed: faults of all kinds, one after the other and at once.
 // The last quarter of the span is quiet.
-func Drawn(seed uint64, processes, engines, troubles int, span time.Duration) (faults []Fault) {
+func Drawn(seed uint64, processes, engines, count int, span time.Duration) (faults []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x74696572))
-	who := func(most int) []int {
+	who := func(maxCount int) []int {
 		all := rng.Perm(processes)
-		return all[:1+rng.IntN(max(most, 1))]
+		return all[:1+rng.IntN(max(maxCount, 1))]
 	}
 	quiet := span * 3 / 4
-	for range troubles {
+	for range count {
 		f := Fault{At: time.Duration(rng.Int64N(int64(quiet / 2))), Who: who(processes / 3)}
 		f.For = time.Second + time.Duration(rng.Int64N(int64(quiet-f.At-time.Second)))
 		switch rng.IntN(14) {
