--- a/internal/backend/postgres/connection.go
+++ b/internal/backend/postgres/connection.go
@@ -125,14 +125,14 @@
 
 func (c *connection) handleMessage(kind byte, body, message []byte) error {
 	switch kind {
-	case messageParameterStatus:
+	case pgproto.MessageParameterStatus:
 		c.handleParameterStatus(message)
 		return nil
-	case messageNoticeResponse, messageNotificationResponse: // they are the session's, which no client owns
+	case pgproto.MessageNoticeResponse, pgproto.MessageNotificationResponse: // they are the session's, which no client owns
 		return nil
-	case messageErrorResponse:
+	case pgproto.MessageErrorResponse:
 		return c.handleError(body)
-	case messageReadyForQuery:
+	case pgproto.MessageReadyForQuery:
 		return c.handleReadyForQuery(body)
 	}
 	switch {
--- a/internal/backend/postgres/prepared.go
+++ b/internal/backend/postgres/prepared.go
@@ -63,7 +63,7 @@
 }
 
 func appendParse(messages, name []byte, statement *pgproto.Statement) []byte {
-	return pgproto.AppendMessage(messages, messageParse, name, pgproto.CString(statement.Query), statement.ParameterTypes)
+	return pgproto.AppendMessage(messages, pgproto.MessageParse, name, pgproto.CString(statement.Query), statement.ParameterTypes)
 }
 
 // recordPrepared keeps the name of the statement that the engine has just prepared.
--- a/internal/backend/postgres/query.go
+++ b/internal/backend/postgres/query.go
@@ -72,7 +72,7 @@
 		messages = appendDescribePortal(messages)
 		messages = appendExecute(messages)
 	}
-	return pgproto.AppendMessage(messages, messageSync)
+	return pgproto.AppendMessage(messages, pgproto.MessageSync)
 }
 
 // finish takes the attempt off the connection, gives the connection back and ends the attempt.
--- a/internal/backend/postgres/response.go
+++ b/internal/backend/postgres/response.go
@@ -29,22 +29,22 @@
 func (c *connection) handleResponseMessage(kind byte, body, message []byte) error {
 	result := c.response.result
 	switch kind {
-	case messageParseComplete:
+	case pgproto.MessageParseComplete:
 		c.recordPrepared()
-	case messageBindComplete:
+	case pgproto.MessageBindComplete:
 		c.response.bound = true
-	case messageCloseComplete:
-	case messageParameterDescription:
+	case pgproto.MessageCloseComplete:
+	case pgproto.MessageParameterDescription:
 		result.ParameterDescription = append([]byte{}, body...)
-	case messageRowDescription:
+	case pgproto.MessageRowDescription:
 		result.RowDescription = append([]byte{}, body...)
-	case messageNoData:
+	case pgproto.MessageNoData:
 		result.RowDescription = nil
-	case messageDataRow:
+	case pgproto.MessageDataRow:
 		c.handleRow(message)
-	case messageCommandComplete:
+	case pgproto.MessageCommandComplete:
 		return c.handleCommandComplete(body)
-	case messageEmptyQueryResponse:
+	case pgproto.MessageEmptyQueryResponse:
 		result.EmptyQuery = true
 		c.response.complete = true
 	default:
@@ -121,7 +121,7 @@
 	if len(body) != 1 {
 		return errTransactionOpen
 	}
-	inTransaction := body[0] != transactionIdle
+	inTransaction := body[0] != pgproto.TransactionIdle
 	mayBeInTransaction := c.startup.done && c.query.attempt != nil && c.query.attempt.Request.Streaming
 	switch {
 	case inTransaction && !mayBeInTransaction:
--- a/internal/backend/postgres/result_codec.go
+++ b/internal/backend/postgres/result_codec.go
@@ -158,7 +158,7 @@
 func countRows(messages []byte) (rows int, err error) {
 	for len(messages) > 0 {
 		kind, _, size, err := pgproto.ReadMessage(messages, maxMessageBytes)
-		if err != nil || size == 0 || kind != messageDataRow {
+		if err != nil || size == 0 || kind != pgproto.MessageDataRow {
 			return 0, fmt.Errorf("%w: incomplete rows", errCodec)
 		}
 		messages = messages[size:]
--- a/internal/backend/postgres/session.go
+++ b/internal/backend/postgres/session.go
@@ -50,7 +50,7 @@
 	c.prepared.clear()
 	clear(c.session.settings)
 	c.session.resetting = true
-	c.socket.Write(pgproto.AppendMessage(nil, messageQuery, pgproto.CString("DISCARD ALL")))
+	c.socket.Write(pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString("DISCARD ALL")))
 	c.backend.loop.Timers.Add(c.backend.core.Now()+c.backend.options.ConnectTimeout, func() {
 		if c.session.resetting {
 			c.close(core.OutcomeIdleClosed)
--- a/internal/backend/postgres/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -84,9 +84,9 @@
 
 func (c *connection) handleStartupMessage(kind byte, body []byte) error {
 	switch kind {
-	case messageAuthentication:
+	case pgproto.MessageAuthentication:
 		return c.authenticate(body)
-	case messageBackendKeyData:
+	case pgproto.MessageBackendKeyData:
 		c.startup.cancelKey = append([]byte{}, body...)
 		return nil
 	}
@@ -129,7 +129,7 @@
 		if err != nil {
 			return err
 		}
-		c.socket.Write(pgproto.AppendMessage(nil, messageSASLResponse, []byte(final)))
+		c.socket.Write(pgproto.AppendMessage(nil, pgproto.MessagePassword, []byte(final)))
 		return nil
 	case code == pgproto.AuthSASLFinal && conversation != nil:
 		_, err := scramStep(conversation, string(r.Rest))
@@ -150,7 +150,7 @@
 		return err
 	}
 	mechanism := pgproto.CString(scramauth.Mechanism)
-	c.socket.Write(pgproto.AppendMessage(nil, messageSASLResponse, mechanism, pgproto.Int32(len(first)), []byte(first)))
+	c.socket.Write(pgproto.AppendMessage(nil, pgproto.MessagePassword, mechanism, pgproto.Int32(len(first)), []byte(first)))
 	return nil
 }
 
