--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -92,7 +92,7 @@
 	return xxhash.Sum64(b), nil
 }
 
-// Load reads the file at the path. Its error tells of all faults, each with its line and
+// Load reads the file at the path. Its error lists all faults, each with its line and
 // field (see FaultsOf).
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -69,7 +69,7 @@
 type Consul struct{ Address, Service, Token, Zone, Kind string }
 
 // LoadPostgres reads the deploy file of the PostgreSQL frontend, and the settings that it names.
-// Its error tells of all faults, each with its file, line and field (see FaultsOf).
+// Its error lists all faults, each with its file, line and field (see FaultsOf).
 func LoadPostgres(path string) (*Postgres, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -32,7 +32,7 @@
 	LocalReserve        float64 `toml:"reserve"`          // 0 to 1
 	ThreadsPerCore      float64 `toml:"threads_per_core"` // 0.1 to 100
 	DigestIntervalMS    float64 `toml:"word_every_ms"`    // 20 to 10,000, a third of silent_after_ms at most
-	MinPriorityWeight   float64 `toml:"price"`            // 0 or above, in the classes' worth
+	MinPriorityWeight   float64 `toml:"price"`            // 0 or above, in priority weight
 	AffinityBonus       float64 `toml:"affinity"`         // 0 to 1
 	HedgeRatio          float64 `toml:"hedge_share"`      // 0 to 1
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -38,7 +38,7 @@
 
 func (a *Attempt) mayHaveRun() bool { return !a.neverRan }
 
-// MustAwaitEngine tells whether an attempt that is given up counts as out until its engine is
+// MustAwaitEngine reports whether a cancelled attempt counts as in flight until its engine is
 // certain to be through with it: its request is answered, and the next one of its SerialKey may go
 // out only then. An engine that hangs reads a cancel once it is back; the pause that settings give
 // a key covers the network alone. Where the request goes on, its own next attempt is not held up.
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -12,11 +12,11 @@
 	ForwardRejected(r *Request) bool
 	// Drop gives up what is at another site: the request is over.
 	Drop(r *Request)
-	// AttemptStarted tells of an attempt at an engine of this site before it is made.
+	// AttemptStarted reports an attempt at an engine of this site before it is made.
 	AttemptStarted(a *Attempt)
-	// AttemptEnded tells of its end.
+	// AttemptEnded reports its end.
 	AttemptEnded(a *Attempt, outcome Outcome, rep Report)
-	// UpdateEngine tells of an engine's entry or of a change to it.
+	// UpdateEngine reports an engine's entry or a change to it.
 	UpdateEngine(e Engine)
 }
 
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -12,7 +12,7 @@
 	Cancel(a *Attempt) bool
 	// SetPriority changes the priority of an attempt that is out.
 	SetPriority(a *Attempt, priority int)
-	// UpdateEngine tells of an engine's entry or of a change to it.
+	// UpdateEngine reports an engine's entry or a change to it.
 	UpdateEngine(e Engine)
 }
 
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -1,4 +1,4 @@
-// Package eventbus watches the platform's event bus, which tells of changes to the endpoint list.
+// Package eventbus watches the platform's event bus, which reports changes to the endpoint list.
 package eventbus
 
 import (
--- a/policy/event.go
+++ b/policy/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is what a gateway is told: QueryArrived, AttemptEnded, LoadReportReceived, AttemptProgress,
+// Event is an input of a gateway: QueryArrived, AttemptEnded, LoadReportReceived, AttemptProgress,
 // StreamStarted, ClientDisconnected, TimerFired or EngineList.
 type Event interface{ event() }
 
--- a/policy/query.go
+++ b/policy/query.go
@@ -36,7 +36,7 @@
 	spilled      bool
 	waiting      bool // its latest progress said so
 	failed       bool // it ended in an error
-	lostResponse bool // its response was given up
+	lostResponse bool // its response was lost: it is waited for no longer
 	grantMB      float64
 }
 
