--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -1,4 +1,4 @@
-// Package house holds the test of the repository's own order.
+// Package archtest holds the test of the repository's own order.
 package archtest
 
 import (
--- a/internal/testbed/emulator/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -1,4 +1,4 @@
-// Package emul stands in for the systems that ringwood works with, from their published
+// Package emulator stands in for the systems that ringwood works with, from their published
 // protocols: engines of both wires, the event bus, and Consul's catalogue and health API.
 package emulator
 
--- a/internal/testbed/enginemodel/engine.go
+++ b/internal/testbed/enginemodel/engine.go
@@ -1,4 +1,4 @@
-// Package model is an engine of the register as a state machine in virtual time: cores and
+// Package enginemodel is an engine of the register as a state machine in virtual time: cores and
 // disks shared by all that runs, memory that is granted and waited for, groups of tables that
 // are warm, loads that hold their group, a cold start. It reads no clock; its caller moves
 // its time on, or follows the real one (internal/testbed/emulator).
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -1,4 +1,4 @@
-// Package members plays the membership of front ends in virtual time: the decisions of internal/decide/membership, and
+// Package membershipsim plays the membership of front ends in virtual time: the decisions of internal/decide/membership, and
 // two baselines, on one clock that jumps from event to event, over a network that loses, delays, repeats and cuts.
 // The same options give the same bytes.
 package membershipsim
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet plays sites in virtual time: the same core, decision module, site decisions and
+// Package simulation plays sites in virtual time: the same core, decision module, site decisions and
 // link protocol as the gateway's, without sockets, on one clock that jumps from event to
 // event. Engines are those of internal/testbed/enginemodel. The same options give the same bytes.
 package simulation
