--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -1,4 +1,5 @@
-// Package archtest holds the test of the repository's own order.
+// Package archtest tests the architecture: which packages import which, that decisions are pure, and that the names which
+// operators and other programs use exist.
 package archtest
 
 import (
@@ -10,9 +11,8 @@
 
 const module = "gannetspur/"
 
-// floors are the rooms of the gateway from the top down. An arrow of imports runs down, or
-// stays on its floor; rooms of one floor that need each other are named together.
-var floors = [][]string{
+// layers are the packages of the gateway from the top down, by prefix. A package imports what is below it or in its own layer.
+var layers = [][]string{
 	{"cmd/"},
 	{"internal/gateway"},
 	{"internal/frontend/", "internal/simwire"},
@@ -25,9 +25,10 @@
 	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/http1", "internal/metrics", "internal/logging", "internal/scramauth", "internal/site/frame", "internal/site/message", "internal/site/mux"},
 }
 
-func floor(pkg string) int {
-	return slices.IndexFunc(floors, func(rooms []string) bool {
-		return slices.ContainsFunc(rooms, func(room string) bool { return strings.HasPrefix(pkg, room) })
+// layerOf is the place of a package's layer, from the top; -1: it is in none.
+func layerOf(pkg string) int {
+	return slices.IndexFunc(layers, func(prefixes []string) bool {
+		return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(pkg, prefix) })
 	})
 }
 
@@ -42,30 +43,30 @@
 	return strings.Split(strings.TrimSpace(string(out)), "\n")
 }
 
-// Arrows run down only; decisions know no I/O, no clock and no chance of their own; and
-// nothing of the laboratory is linked into what serves.
+// Imports run down only; decisions do no I/O, read no clock and have no random source of their own; and nothing of the testbed
+// is linked into what serves.
 func TestImports(t *testing.T) {
 	for _, line := range list(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
 		pkg, imports, _ := strings.Cut(line, ": ")
 		pkg = strings.TrimPrefix(pkg, module)
-		lab := strings.HasPrefix(pkg, "internal/testbed/")
-		at := floor(pkg)
-		if at < 0 && !lab && pkg != "internal/integration" && pkg != "internal/archtest" {
-			t.Errorf("%s stands on no floor", pkg)
+		inTestbed := strings.HasPrefix(pkg, "internal/testbed/")
+		layer := layerOf(pkg)
+		if layer < 0 && !inTestbed && pkg != "internal/integration" && pkg != "internal/archtest" {
+			t.Errorf("%s is in no layer", pkg)
 		}
 		for _, i := range strings.Fields(imports) {
 			to, ours := strings.CutPrefix(i, module)
 			if strings.HasPrefix(pkg, "internal/decide/") && slices.Contains([]string{"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash"}, i) {
-				t.Errorf("%s imports %s: decisions do no I/O and draw no chance", pkg, i)
+				t.Errorf("%s imports %s: decisions do no I/O and have no random source", pkg, i)
 			}
 			switch {
 			case !ours:
-			case strings.HasPrefix(to, "internal/testbed/") && !lab && pkg != "cmd/testbed":
-				t.Errorf("%s imports %s: the laboratory is not for serving", pkg, to)
-			case lab && strings.HasPrefix(to, "cmd/"):
+			case strings.HasPrefix(to, "internal/testbed/") && !inTestbed && pkg != "cmd/testbed":
+				t.Errorf("%s imports %s: the testbed is not for serving", pkg, to)
+			case inTestbed && strings.HasPrefix(to, "cmd/"):
 				t.Errorf("%s imports %s", pkg, to)
-			case !lab && at >= 0 && floor(to) >= 0 && floor(to) < at:
-				t.Errorf("%s imports %s, which stands above it", pkg, to)
+			case !inTestbed && layer >= 0 && layerOf(to) >= 0 && layerOf(to) < layer:
+				t.Errorf("%s imports %s, which is in a layer above it", pkg, to)
 			}
 		}
 	}
