--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"os"
+	"time"
 
 	"gannetspur/internal/admin"
 	"gannetspur/internal/handover"
@@ -94,6 +95,8 @@
 
 // runUpgrade begins an upgrade and tells each phase of it.
 func (p *process) runUpgrade(request admin.Request, reply func(admin.Reply)) {
+	p.upgradeCalls.Add(1)
+	defer p.upgradeCalls.Add(-1)
 	replies := make(chan admin.Reply, upgradeReplies)
 	p.loop.Post(func() { p.beginUpgrade(request, replies) })
 	for r := range replies {
@@ -104,6 +107,20 @@
 	}
 }
 
+const (
+	lastReplyTimeout = 100 * time.Millisecond
+	lastReplyPoll    = time.Millisecond
+)
+
+// awaitUpgradeCalls waits, once the loop has ended, until operators have heard how their upgrade ended: a process that was
+// taken over from exits right after it.
+func (p *process) awaitUpgradeCalls() {
+	deadline := time.Now().Add(lastReplyTimeout)
+	for p.upgradeCalls.Load() > 0 && time.Now().Before(deadline) {
+		time.Sleep(lastReplyPoll)
+	}
+}
+
 func (p *process) beginUpgrade(request admin.Request, replies chan<- admin.Reply) {
 	if p.stopping {
 		replies <- admin.Reply{Problem: "a planned stop is under way", Done: true}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,6 +12,7 @@
 	"log/slog"
 	"os"
 	"os/signal"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -48,11 +49,12 @@
 	shapes   *queryshape.Service // the cost model; nil: off
 	control  string              // address of the control endpoint; "": there is none
 
-	sites       *remoteSites          // nil: there are none
-	members     *membershipNode       // nil: it is no member among other front ends
-	upgrades    *upgrades             // nil: off
-	target      *handover.Target      // in a process that was started by an upgrade
-	coordinator *takeover.Coordinator // where the platform holds the clients' socket
+	sites        *remoteSites          // nil: there are none
+	members      *membershipNode       // nil: it is no member among other front ends
+	upgrades     *upgrades             // nil: off
+	upgradeCalls atomic.Int32          // operators who wait for the end of an upgrade; for any goroutine
+	target       *handover.Target      // in a process that was started by an upgrade
+	coordinator  *takeover.Coordinator // where the platform holds the clients' socket
 
 	ready    bool  // it accepts clients
 	tookOver bool  // by an upgrade
@@ -106,6 +108,7 @@
 		p.coordinator.Close()
 	}
 	p.printCounters()
+	p.awaitUpgradeCalls()
 	return p.failed
 }
 
