--- a/cmd/gateway/completion.go
+++ b/cmd/gateway/completion.go
@@ -8,7 +8,7 @@
 )
 
 type completionCommand struct {
-	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
+	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}." name:"shell"`
 }
 
 // Run prints a script that is made from the grammar of the command line, so that the two can't differ.
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -21,28 +21,28 @@
 
 // cli is the grammar of the command line.
 type cli struct {
-	LogFormat string `enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}."`
+	LogFormat string `enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON." name:"log-format"`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}." name:"log-level"`
 
-	Serve      serveCommand      `cmd:"" default:"withargs" help:"Serve. This is what ringwood does without a command."`
-	Upgrade    upgradeCommand    `cmd:"" help:"Have a new version take over from a gateway that serves, without a request lost."`
-	Status     statusCommand     `cmd:"" help:"Show how a gateway that serves stands."`
-	Site       siteCommand       `cmd:"" help:"How other sites stand, and draining."`
-	Members    membersCommand    `cmd:"" help:"Show which other front ends serve, as one of them holds."`
-	Check      checkCommand      `cmd:"" help:"Read settings and deploy files and name every fault in them."`
-	Shapes     shapesCommand     `cmd:"" help:"What is known of the shapes of statements."`
-	Users      usersCommand      `cmd:"" help:"Users of the PostgreSQL front."`
-	Completion completionCommand `cmd:"" help:"Print a script that completes commands and flags in a shell."`
-	Version    versionCommand    `cmd:"" help:"Print the version."`
+	Serve      serveCommand      `cmd:"" default:"withargs" help:"Serve. This is what ringwood does without a command." name:"serve"`
+	Upgrade    upgradeCommand    `cmd:"" help:"Have a new version take over from a gateway that serves, without a request lost." name:"upgrade"`
+	Status     statusCommand     `cmd:"" help:"Show how a gateway that serves stands." name:"status"`
+	Site       siteCommand       `cmd:"" help:"How other sites stand, and draining." name:"site"`
+	Members    membersCommand    `cmd:"" help:"Show which other front ends serve, as one of them holds." name:"members"`
+	Check      checkCommand      `cmd:"" help:"Read settings and deploy files and name every fault in them." name:"check"`
+	Shapes     shapesCommand     `cmd:"" help:"What is known of the shapes of statements." name:"shapes"`
+	Users      usersCommand      `cmd:"" help:"Users of the PostgreSQL front." name:"users"`
+	Completion completionCommand `cmd:"" help:"Print a script that completes commands and flags in a shell." name:"completion"`
+	Version    versionCommand    `cmd:"" help:"Print the version." name:"version"`
 }
 
 type serveCommand struct {
-	Config   string `env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON."`
-	Postgres string `placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's."`
-	Shapes   string `placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file."`
-	Upgrade  string `placeholder:"FILE" help:"Open a socket for operators and let new versions take over, as this file says."`
-	Sites    string `placeholder:"FILE" help:"Work with gateways at other sites as this file says."`
-	Fleet    string `placeholder:"FILE" help:"Be a member among other front ends as this file says."`
+	Config   string `env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON." name:"config"`
+	Postgres string `placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's." name:"postgres"`
+	Shapes   string `placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file." name:"shapes"`
+	Upgrade  string `placeholder:"FILE" help:"Open a socket for operators and let new versions take over, as this file says." name:"upgrade"`
+	Sites    string `placeholder:"FILE" help:"Work with gateways at other sites as this file says." name:"sites"`
+	Fleet    string `placeholder:"FILE" help:"Be a member among other front ends as this file says." name:"fleet"`
 }
 
 // Run serves until the process is told to stop. Each fault of the files is one event in the log.
--- a/cmd/gateway/members.go
+++ b/cmd/gateway/members.go
@@ -15,9 +15,9 @@
 
 type membersCommand struct {
 	adminFlags
-	Fleet string        `placeholder:"FILE" help:"In place of --admin: the fleet's file that the gateway was started with, which names it."`
-	JSON  bool          `help:"Print all of it as JSON."`
-	Watch time.Duration `placeholder:"SPAN" help:"Print it again each SPAN, until interrupted."`
+	Fleet string        `placeholder:"FILE" help:"In place of --admin: the fleet's file that the gateway was started with, which names it." name:"fleet"`
+	JSON  bool          `help:"Print all of it as JSON." name:"json"`
+	Watch time.Duration `placeholder:"SPAN" help:"Print it again each SPAN, until interrupted." name:"watch"`
 }
 
 func (c *membersCommand) Run() error {
--- a/cmd/gateway/shapes.go
+++ b/cmd/gateway/shapes.go
@@ -8,9 +8,9 @@
 )
 
 type shapesCommand struct {
-	Explain explainCommand `cmd:"" help:"Show how a statement is read, classed and costed, and why."`
-	Top     topCommand     `cmd:"" help:"List the shapes of a snapshot that take the most work."`
-	Diff    diffCommand    `cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
+	Explain explainCommand `cmd:"" help:"Show how a statement is read, classed and costed, and why." name:"explain"`
+	Top     topCommand     `cmd:"" help:"List the shapes of a snapshot that take the most work." name:"top"`
+	Diff    diffCommand    `cmd:"" help:"List the shapes whose cost differs most between two snapshots." name:"diff"`
 }
 
 // meanWork is the work of a usual execution, in milliseconds; 0: none was observed.
--- a/cmd/gateway/shapes_diff.go
+++ b/cmd/gateway/shapes_diff.go
@@ -12,8 +12,8 @@
 )
 
 type diffCommand struct {
-	Old       string  `arg:"" help:"The older file."`
-	New       string  `arg:"" help:"The newer file."`
+	Old       string  `arg:"" help:"The older file." name:"old"`
+	New       string  `arg:"" help:"The newer file." name:"new"`
 	Limit     int     `name:"most" default:"20" help:"How many."`
 	MinFactor float64 `name:"over" default:"1.5" help:"The least factor between the two that is told."`
 }
--- a/cmd/gateway/shapes_explain.go
+++ b/cmd/gateway/shapes_explain.go
@@ -18,13 +18,13 @@
 )
 
 type explainCommand struct {
-	SQL      string    `arg:"" help:"The statement."`
-	Bind     []string  `sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again."`
-	Snapshot string    `placeholder:"FILE" help:"What is known; without it, only what the text shows."`
-	Hint     float64   `placeholder:"MS" help:"The client's estimate of the work."`
-	Known    int       `default:"-1" help:"Place of the class that is known already, from 0; -1: none."`
-	Bounds   []float64 `default:"800" help:"Where one class of reading statements ends and the next begins, in ms."`
-	Readers  []string  `help:"Functions that only read, beside PostgreSQL's own."`
+	SQL      string    `arg:"" help:"The statement." name:"sql"`
+	Bind     []string  `sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again." name:"bind"`
+	Snapshot string    `placeholder:"FILE" help:"What is known; without it, only what the text shows." name:"snapshot"`
+	Hint     float64   `placeholder:"MS" help:"The client's estimate of the work." name:"hint"`
+	Known    int       `default:"-1" help:"Place of the class that is known already, from 0; -1: none." name:"known"`
+	Bounds   []float64 `default:"800" help:"Where one class of reading statements ends and the next begins, in ms." name:"bounds"`
+	Readers  []string  `help:"Functions that only read, beside PostgreSQL's own." name:"readers"`
 }
 
 // Run prints what a gateway would make of the statement.
--- a/cmd/gateway/shapes_top.go
+++ b/cmd/gateway/shapes_top.go
@@ -10,7 +10,7 @@
 )
 
 type topCommand struct {
-	Snapshot string `arg:"" help:"The file."`
+	Snapshot string `arg:"" help:"The file." name:"snapshot"`
 	Limit    int    `name:"most" default:"20" help:"How many."`
 }
 
--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -37,14 +37,14 @@
 }
 
 type siteCommand struct {
-	Status  siteStatusCommand  `cmd:"" help:"Show how this site and the others stand, as a gateway sees them."`
-	Drain   siteDrainCommand   `cmd:"" help:"Send nothing new to a site; without one, take nothing new of others."`
-	Undrain siteUndrainCommand `cmd:"" help:"Take a drain back."`
+	Status  siteStatusCommand  `cmd:"" help:"Show how this site and the others stand, as a gateway sees them." name:"status"`
+	Drain   siteDrainCommand   `cmd:"" help:"Send nothing new to a site; without one, take nothing new of others." name:"drain"`
+	Undrain siteUndrainCommand `cmd:"" help:"Take a drain back." name:"undrain"`
 }
 
 type siteStatusCommand struct {
 	siteFlags
-	JSON bool `help:"Print all of it as JSON."`
+	JSON bool `help:"Print all of it as JSON." name:"json"`
 }
 
 func (c *siteStatusCommand) Run() error {
@@ -88,14 +88,14 @@
 
 type siteDrainCommand struct {
 	siteFlags
-	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site."`
+	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site." name:"site"`
 }
 
 func (c *siteDrainCommand) Run() error { return drain(&c.siteFlags, admin.CommandSiteDrain, c.Site) }
 
 type siteUndrainCommand struct {
 	siteFlags
-	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site."`
+	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site." name:"site"`
 }
 
 func (c *siteUndrainCommand) Run() error {
--- a/cmd/gateway/upgrade.go
+++ b/cmd/gateway/upgrade.go
@@ -38,8 +38,8 @@
 
 type upgradeCommand struct {
 	adminFlags
-	Program string `placeholder:"FILE" help:"What takes over; by default what the gateway's file names, else the program that runs, as it is on disk now."`
-	Check   bool   `help:"Only ask whether it would take over: it is started, reads its files, says what it is and ends."`
+	Program string `placeholder:"FILE" help:"What takes over; by default what the gateway's file names, else the program that runs, as it is on disk now." name:"program"`
+	Check   bool   `help:"Only ask whether it would take over: it is started, reads its files, says what it is and ends." name:"check"`
 }
 
 // Run has a new version take over. It waits, tells each phase, and ends with status 1 and
@@ -70,7 +70,7 @@
 
 type statusCommand struct {
 	adminFlags
-	JSON bool `help:"Print all of it as JSON, counters too."`
+	JSON bool `help:"Print all of it as JSON, counters too." name:"json"`
 }
 
 func (c *statusCommand) Run() error {
--- a/cmd/gateway/users.go
+++ b/cmd/gateway/users.go
@@ -11,7 +11,7 @@
 )
 
 type usersCommand struct {
-	Verifier verifierCommand `cmd:"" help:"Make the verifier of a password, for a file of users. The password is read from standard input, up to the line's end."`
+	Verifier verifierCommand `cmd:"" help:"Make the verifier of a password, for a file of users. The password is read from standard input, up to the line's end." name:"verifier"`
 }
 
 type verifierCommand struct{}
--- a/cmd/testbed/cluster.go
+++ b/cmd/testbed/cluster.go
@@ -15,34 +15,36 @@
 
 // clusterExperiment runs several gateway processes of one cluster, with faults between them. Its kind in a file is "tier".
 type clusterExperiment struct {
-	Kind, Name, Title string
-	Seeds             []uint64
-	Processes         int
-	Engines           int
-	Rate              float64
-	Plays             []clusterPlay `toml:"play"`
+	Kind      string        `toml:"kind"`
+	Name      string        `toml:"name"`
+	Title     string        `toml:"title"`
+	Seeds     []uint64      `toml:"seeds"`
+	Processes int           `toml:"processes"`
+	Engines   int           `toml:"engines"`
+	Rate      float64       `toml:"rate"`
+	Plays     []clusterPlay `toml:"play"`
 }
 
 type clusterPlay struct {
-	Name      string
-	Processes int            // 0: as many as the experiment says
+	Name      string         `toml:"name"`
+	Processes int            `toml:"processes"` // 0: as many as the experiment says
 	SpanS     float64        `toml:"span_s"`
-	Alone     bool           // without membership, to compare with
-	Drawn     int            // so many faults are drawn from the seed, beside those that are listed
+	Alone     bool           `toml:"alone"` // without membership, to compare with
+	Drawn     int            `toml:"drawn"` // so many faults are drawn from the seed, beside those that are listed
 	Faults    []clusterFault `toml:"fault"`
 }
 
 type clusterFault struct {
-	AtS            float64 `toml:"at_s"` // from when all have found each other
-	ForS           float64 `toml:"for_s"`
-	Do             cluster.Do
-	Who            []int           // front ends, from 1
-	To             []int           // of ways; none: all others
+	AtS            float64         `toml:"at_s"` // from when all have found each other
+	ForS           float64         `toml:"for_s"`
+	Do             cluster.Do      `toml:"do"`
+	Who            []int           `toml:"who"`   // front ends, from 1
+	To             []int           `toml:"to"`    // of ways; none: all others
 	BothDirections bool            `toml:"back"`  // and the way back
 	DroppedShare   float64         `toml:"share"` // of datagrams
 	SlowMS         float64         `toml:"slow_ms"`
-	Side           cluster.Side    // of "link": "engines" (To: their numbers, from 1; none: all), "bus" or "clients"
-	Kind           faultproxy.Kind // and what happens there, as upgrade experiments name it
+	Side           cluster.Side    `toml:"side"` // of "link": "engines" (To: their numbers, from 1; none: all), "bus" or "clients"
+	Kind           faultproxy.Kind `toml:"kind"` // and what happens there, as upgrade experiments name it
 }
 
 func readCluster(path string) (*clusterExperiment, error) {
--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -15,10 +15,10 @@
 )
 
 type compareCommand struct {
-	A  string   `arg:"" help:"Figures of one run, as testbed run keeps them (CSV)."`
-	B  string   `arg:"" help:"Figures of another."`
-	By []string `default:"front,connections,phase" help:"Columns whose values make a row."`
-	Of string   `default:"latency_ms" help:"Column that is compared."`
+	A  string   `arg:"" help:"Figures of one run, as testbed run keeps them (CSV)." name:"a"`
+	B  string   `arg:"" help:"Figures of another." name:"b"`
+	By []string `default:"front,connections,phase" help:"Columns whose values make a row." name:"by"`
+	Of string   `default:"latency_ms" help:"Column that is compared." name:"of"`
 }
 
 // Run sets two runs of an experiment side by side.
--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -17,11 +17,11 @@
 )
 
 type conformCommand struct {
-	Server string `arg:"" optional:"" help:"Address of a PostgreSQL front on loopback, before emulated engines; without it, this folder's is built and started before one."`
-	Engine string `placeholder:"ADDR" help:"With a server: an emulated engine to be asked the same by itself."`
-	Chains int    `default:"100" help:"Chains of twelve cases on one connection, drawn by chance; each is sent whole, byte by byte and in pieces."`
-	Seed   uint64 `default:"1" help:"Of what is drawn."`
-	Out    string `placeholder:"FILE" help:"Write the table there; without it, it is printed."`
+	Server string `arg:"" optional:"" help:"Address of a PostgreSQL front on loopback, before emulated engines; without it, this folder's is built and started before one." name:"server"`
+	Engine string `placeholder:"ADDR" help:"With a server: an emulated engine to be asked the same by itself." name:"engine"`
+	Chains int    `default:"100" help:"Chains of twelve cases on one connection, drawn by chance; each is sent whole, byte by byte and in pieces." name:"chains"`
+	Seed   uint64 `default:"1" help:"Of what is drawn." name:"seed"`
+	Out    string `placeholder:"FILE" help:"Write the table there; without it, it is printed." name:"out"`
 }
 
 // Run plays all cases, writes the table, and fails if anything came otherwise than expected.
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -21,25 +21,25 @@
 
 // multiSiteSettings are what experiments with several sites have in common.
 type multiSiteSettings struct {
-	Name            string
-	Title           string
-	Kind            string
-	Seeds           []uint64
-	Gateways        int // of a site
-	Engines         int // of a site
-	Rate            float64
-	Loads           float64
-	Reports         float64
-	Writes          float64
-	Elsewhere       float64
-	Estimates       bool
-	DelayMS         float64 `toml:"delay_ms"` // between sites, one way
-	Stall           float64
-	StallMS         float64 `toml:"stall_ms"`
-	MBps            float64 `toml:"mb_per_s"`
-	WarmS           float64 `toml:"warm_s"`
-	SpanS           float64 `toml:"span_s"`
-	NotifiedAfterMS float64 `toml:"told_after_ms"`
+	Name            string   `toml:"name"`
+	Title           string   `toml:"title"`
+	Kind            string   `toml:"kind"`
+	Seeds           []uint64 `toml:"seeds"`
+	Gateways        int      `toml:"gateways"` // of a site
+	Engines         int      `toml:"engines"`  // of a site
+	Rate            float64  `toml:"rate"`
+	Loads           float64  `toml:"loads"`
+	Reports         float64  `toml:"reports"`
+	Writes          float64  `toml:"writes"`
+	Elsewhere       float64  `toml:"elsewhere"`
+	Estimates       bool     `toml:"estimates"`
+	DelayMS         float64  `toml:"delay_ms"` // between sites, one way
+	Stall           float64  `toml:"stall"`
+	StallMS         float64  `toml:"stall_ms"`
+	MBps            float64  `toml:"mb_per_s"`
+	WarmS           float64  `toml:"warm_s"`
+	SpanS           float64  `toml:"span_s"`
+	NotifiedAfterMS float64  `toml:"told_after_ms"`
 }
 
 func (f *multiSiteSettings) check(require requireFunc) {
@@ -77,9 +77,9 @@
 
 type fleetExperiment struct {
 	multiSiteSettings
-	Sites      int
+	Sites      int      `toml:"sites"`
 	Strategies []string `toml:"ways"`
-	Scenarios  []string
+	Scenarios  []string `toml:"scenarios"`
 }
 
 // runJobs runs n jobs, at most parallel at a time, under a bar that shows how many are done.
@@ -212,11 +212,11 @@
 // growthExperiment asks how cost grows with the number of sites.
 type growthExperiment struct {
 	multiSiteSettings
-	Sites     []int
-	Neighbour int     // sites on each side, on a ring, that a site is linked to
-	DayS      float64 `toml:"day_s"` // length of a day, whose hours are a curve of load
-	Swing     float64 // of it, 0 to 1; each site's noon is at another time
-	Lose      float64 // part of a day after which a site in ten loses all its engines, for a tenth of a day
+	Sites     []int   `toml:"sites"`
+	Neighbour int     `toml:"neighbour"` // sites on each side, on a ring, that a site is linked to
+	DayS      float64 `toml:"day_s"`     // length of a day, whose hours are a curve of load
+	Swing     float64 `toml:"swing"`     // of it, 0 to 1; each site's noon is at another time
+	Lose      float64 `toml:"lose"`      // part of a day after which a site in ten loses all its engines, for a tenth of a day
 }
 
 // repeated names a second play of the first seed, which must give the same bytes.
--- a/cmd/testbed/keys.go
+++ b/cmd/testbed/keys.go
@@ -8,8 +8,8 @@
 )
 
 type keysCommand struct {
-	Folder   string   `arg:"" type:"existingdir" help:"Where the files go: authority.pem, revoked.pem, and GATEWAY.pem and GATEWAY.key of each."`
-	Gateways []string `arg:"" help:"Gateways, as SITE/GATEWAY."`
+	Folder   string   `arg:"" type:"existingdir" help:"Where the files go: authority.pem, revoked.pem, and GATEWAY.pem and GATEWAY.key of each." name:"folder"`
+	Gateways []string `arg:"" help:"Gateways, as SITE/GATEWAY." name:"gateways"`
 }
 
 // Run makes an authority that forgets its key, and keys for gateways that hold for a day.
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -11,17 +11,17 @@
 )
 
 type cli struct {
-	Traffic  trafficCommand  `cmd:"" help:"Recorded traffic: make it, look at it, sum it up."`
-	Shapes   shapesCommand   `cmd:"" help:"Evaluate the classifier of statements, and flood its cache."`
-	Run      runCommand      `cmd:"" help:"Play an experiment, and keep its table, figures and chart."`
-	Compare  compareCommand  `cmd:"" help:"Set the figures of two runs of an experiment side by side."`
-	Replace  replaceCommand  `cmd:"" help:"Hold a socket as the platform does, and replace the front end at it under calls."`
-	Conform  conformCommand  `cmd:"" help:"Try a PostgreSQL front against the protocol, message by message."`
-	Keys     keysCommand     `cmd:"" help:"Make keys for trials with several sites."`
-	Sitelink sitelinkCommand `cmd:"" help:"Measure the link between sites against a bare relay."`
-	Try      tryCommand      `cmd:"" help:"Start emulated engines, a bus, a Consul stand-in and both fronts on loopback, until Ctrl-C."`
+	Traffic  trafficCommand  `cmd:"" help:"Recorded traffic: make it, look at it, sum it up." name:"traffic"`
+	Shapes   shapesCommand   `cmd:"" help:"Evaluate the classifier of statements, and flood its cache." name:"shapes"`
+	Run      runCommand      `cmd:"" help:"Play an experiment, and keep its table, figures and chart." name:"run"`
+	Compare  compareCommand  `cmd:"" help:"Set the figures of two runs of an experiment side by side." name:"compare"`
+	Replace  replaceCommand  `cmd:"" help:"Hold a socket as the platform does, and replace the front end at it under calls." name:"replace"`
+	Conform  conformCommand  `cmd:"" help:"Try a PostgreSQL front against the protocol, message by message." name:"conform"`
+	Keys     keysCommand     `cmd:"" help:"Make keys for trials with several sites." name:"keys"`
+	Sitelink sitelinkCommand `cmd:"" help:"Measure the link between sites against a bare relay." name:"sitelink"`
+	Try      tryCommand      `cmd:"" help:"Start emulated engines, a bus, a Consul stand-in and both fronts on loopback, until Ctrl-C." name:"try"`
 
-	Scripted scriptedCommand `cmd:"" hidden:"" help:"Act as a process that was started to take over."`
+	Scripted scriptedCommand `cmd:"" hidden:"" help:"Act as a process that was started to take over." name:"scripted"`
 }
 
 func main() {
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -13,22 +13,24 @@
 
 // membersExperiment plays membership in virtual time: ours and baselines, on one network.
 type membersExperiment struct {
-	Kind, Name, Title string
-	Seeds             []uint64
-	Plays             []membersPlay `toml:"play"`
+	Kind  string        `toml:"kind"`
+	Name  string        `toml:"name"`
+	Title string        `toml:"title"`
+	Seeds []uint64      `toml:"seeds"`
+	Plays []membersPlay `toml:"play"`
 }
 
 type membersPlay struct {
-	Name            string
+	Name            string   `toml:"name"`
 	Protocols       []string `toml:"ways"` // names in membershipsim.Ways
-	Members         []int
-	Loss            float64
-	Seeds           int     // number of members that each knows at its start; 0: all
-	WarmS           float64 `toml:"warm_s"` // until all have found each other
-	RestS           float64 `toml:"rest_s"`
-	PauseS          float64 `toml:"pause_s"` // one process stops for a while
-	Crashes         int     // one after the other
-	FinalCrashShare float64 `toml:"most"` // share of the members that dies at once in the end
+	Members         []int    `toml:"members"`
+	Loss            float64  `toml:"loss"`
+	Seeds           int      `toml:"seeds"`  // number of members that each knows at its start; 0: all
+	WarmS           float64  `toml:"warm_s"` // until all have found each other
+	RestS           float64  `toml:"rest_s"`
+	PauseS          float64  `toml:"pause_s"` // one process stops for a while
+	Crashes         int      `toml:"crashes"` // one after the other
+	FinalCrashShare float64  `toml:"most"`    // share of the members that dies at once in the end
 }
 
 func readMembers(path string) (*membersExperiment, error) {
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -20,10 +20,10 @@
 )
 
 type replaceCommand struct {
-	Ringwood string        `default:"bin/gateway" help:"The program."`
-	Times    int           `default:"3" help:"How often the process is replaced."`
-	Rate     float64       `default:"100" help:"Calls a second, half of them on kept connections."`
-	For      time.Duration `default:"1s" help:"Time between two replacements."`
+	Ringwood string        `default:"bin/gateway" help:"The program." name:"ringwood"`
+	Times    int           `default:"3" help:"How often the process is replaced." name:"times"`
+	Rate     float64       `default:"100" help:"Calls a second, half of them on kept connections." name:"rate"`
+	For      time.Duration `default:"1s" help:"Time between two replacements." name:"for"`
 }
 
 // readyTimeout is how long the platform waits until a new process is ready.
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -32,29 +32,29 @@
 )
 
 type runCommand struct {
-	File     string   `arg:"" help:"The experiment, as in experiments/."`
-	Ringwood string   `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Out      string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, under the experiment's name."`
-	Log      string   `placeholder:"FILE" help:"Keep the gateways' events there."`
-	Seed     []uint64 `placeholder:"N" help:"Seeds in place of the file's; of experiments of kind tier and members."`
-	Quiet    bool     `help:"No bar of progress."`
+	File     string   `arg:"" help:"The experiment, as in experiments/." name:"file"`
+	Ringwood string   `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder." name:"ringwood"`
+	Out      string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, under the experiment's name." name:"out"`
+	Log      string   `placeholder:"FILE" help:"Keep the gateways' events there." name:"log"`
+	Seed     []uint64 `placeholder:"N" help:"Seeds in place of the file's; of experiments of kind tier and members." name:"seed"`
+	Quiet    bool     `help:"No bar of progress." name:"quiet"`
 }
 
 // upgradeExperiment is a file of an upgradeExperiment with upgrades.
 type upgradeExperiment struct {
-	Name          string
-	Title         string
-	Kind          string
-	Seeds         []uint64
-	Fronts        []string
-	Engines       int
-	WorkMS        float64 `toml:"work_ms"`
-	Connections   []int
-	Rate          float64
-	Loads         float64
-	Writes        float64
-	Churn         float64
-	Traffic       string   // file of recorded traffic (testbed traffic generate) that is played in place of the clients' own; "": none
+	Name          string   `toml:"name"`
+	Title         string   `toml:"title"`
+	Kind          string   `toml:"kind"`
+	Seeds         []uint64 `toml:"seeds"`
+	Fronts        []string `toml:"fronts"`
+	Engines       int      `toml:"engines"`
+	WorkMS        float64  `toml:"work_ms"`
+	Connections   []int    `toml:"connections"`
+	Rate          float64  `toml:"rate"`
+	Loads         float64  `toml:"loads"`
+	Writes        float64  `toml:"writes"`
+	Churn         float64  `toml:"churn"`
+	Traffic       string   `toml:"traffic"`    // file of recorded traffic (testbed traffic generate) that is played in place of the clients' own; "": none
 	ValidUpgrades int      `toml:"good"`       // upgrades that must go through
 	FaultyKinds   []string `toml:"broken"`     // and others, of these kinds
 	MayReturn     bool     `toml:"may_return"` // good ones may be returned from, as engines have troubles
@@ -64,13 +64,13 @@
 	JitterMS      float64  `toml:"jitter_ms"` // added to it
 	Events        []struct {
 		AtS    float64 `toml:"at_s"` // from the first upgrade
-		Do     string
-		Engine int // from 1
+		Do     string  `toml:"do"`
+		Engine int     `toml:"engine"` // from 1
 	} `toml:"event"`
 	LinkFaults []struct {
-		Kind  faultproxy.Kind
-		FromS float64 `toml:"from_s"` // from the start of the links, some 2 s before the first upgrade
-		ForS  float64 `toml:"for_s"`  // 0: to the end
+		Kind  faultproxy.Kind `toml:"kind"`
+		FromS float64         `toml:"from_s"` // from the start of the links, some 2 s before the first upgrade
+		ForS  float64         `toml:"for_s"`  // 0: to the end
 	} `toml:"link_fault"`
 }
 
@@ -186,7 +186,9 @@
 
 // Run runs the experiment that the file describes.
 func (c *runCommand) Run() error {
-	var header struct{ Kind string }
+	var header struct {
+		Kind string `toml:"kind"`
+	}
 	if _, err := toml.DecodeFile(c.File, &header); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
--- a/cmd/testbed/scripted.go
+++ b/cmd/testbed/scripted.go
@@ -15,8 +15,8 @@
 
 // scriptedCommand is a process that is started to take over and does something else.
 type scriptedCommand struct {
-	How  string   `arg:"" enum:"version,garbage,forget" help:"${enum}."`
-	Args []string `arg:"" optional:"" passthrough:"" help:"Of forget: the gateway's program and its arguments."`
+	How  string   `arg:"" enum:"version,garbage,forget" help:"${enum}." name:"how"`
+	Args []string `arg:"" optional:"" passthrough:"" help:"Of forget: the gateway's program and its arguments." name:"args"`
 }
 
 func (c *scriptedCommand) Run() error {
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -17,19 +17,19 @@
 
 // serviceExperiment is a file of an experiment on what an event costs the service.
 type serviceExperiment struct {
-	Name        string
-	Title       string
-	Kind        string
-	Seeds       []uint64
+	Name        string   `toml:"name"`
+	Title       string   `toml:"title"`
+	Kind        string   `toml:"kind"`
+	Seeds       []uint64 `toml:"seeds"`
 	Operations  []string `toml:"ways"`
-	Engines     int
-	Crowded     int
-	Share       float64
-	Rate        float64
-	Connections int
-	WarmS       float64 `toml:"warm_s"`
-	SpanS       float64 `toml:"span_s"`
-	Parallel    int     `toml:"at_once"` // rounds side by side
+	Engines     int      `toml:"engines"`
+	Crowded     int      `toml:"crowded"`
+	Share       float64  `toml:"share"`
+	Rate        float64  `toml:"rate"`
+	Connections int      `toml:"connections"`
+	WarmS       float64  `toml:"warm_s"`
+	SpanS       float64  `toml:"span_s"`
+	Parallel    int      `toml:"at_once"` // rounds side by side
 }
 
 func readService(path string) (*serviceExperiment, error) {
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -19,18 +19,18 @@
 )
 
 type shapesCommand struct {
-	Evaluate evaluateCommand `cmd:"" help:"Judge classes and estimates on recorded traffic, with each part switched off in turn."`
-	Flood    floodCommand    `cmd:"" help:"Flood the cache with shapes that come once while others recur."`
-	Cost     costCommand     `cmd:"" help:"Measure the CPU that reading shapes adds to a request through the PostgreSQL front."`
+	Evaluate evaluateCommand `cmd:"" help:"Judge classes and estimates on recorded traffic, with each part switched off in turn." name:"evaluate"`
+	Flood    floodCommand    `cmd:"" help:"Flood the cache with shapes that come once while others recur." name:"flood"`
+	Cost     costCommand     `cmd:"" help:"Measure the CPU that reading shapes adds to a request through the PostgreSQL front." name:"cost"`
 }
 
 type evaluateCommand struct {
 	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; without any, traffic is generated from the seeds."`
-	Seeds  []uint64 `default:"1,2,3,4,5" help:"Of traffic that is generated here."`
-	Number int      `default:"20000" help:"Statements of each seed."`
-	Train  float64  `default:"0.5" help:"Share of the records that is not judged."`
-	Kbytes int      `default:"2048" help:"Bound of the cache."`
-	Out    string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*."`
+	Seeds  []uint64 `default:"1,2,3,4,5" help:"Of traffic that is generated here." name:"seeds"`
+	Number int      `default:"20000" help:"Statements of each seed." name:"number"`
+	Train  float64  `default:"0.5" help:"Share of the records that is not judged." name:"train"`
+	Kbytes int      `default:"2048" help:"Bound of the cache." name:"kbytes"`
+	Out    string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*." name:"out"`
 }
 
 // medians of the results of one variant over all files, with the spread.
@@ -134,12 +134,12 @@
 }
 
 type floodCommand struct {
-	Seeds     []uint64 `default:"1,2,3,4,5" help:"One run each."`
-	Recurring int      `default:"200" help:"Shapes that come again."`
-	OneOff    int      `default:"1000000" help:"Shapes that come once."`
-	Share     float64  `default:"0.2" help:"Of statements that are of recurring shapes."`
-	Kbytes    int      `default:"1024" help:"Bound of the cache."`
-	Out       string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*."`
+	Seeds     []uint64 `default:"1,2,3,4,5" help:"One run each." name:"seeds"`
+	Recurring int      `default:"200" help:"Shapes that come again." name:"recurring"`
+	OneOff    int      `default:"1000000" help:"Shapes that come once." name:"one-off"`
+	Share     float64  `default:"0.2" help:"Of statements that are of recurring shapes." name:"share"`
+	Kbytes    int      `default:"1024" help:"Bound of the cache." name:"kbytes"`
+	Out       string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*." name:"out"`
 }
 
 func (c *floodCommand) Run() error {
@@ -170,13 +170,13 @@
 }
 
 type costCommand struct {
-	Ringwood string `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Clients  int    `default:"8" help:"Connections."`
-	Requests int    `default:"40000" help:"Of each round."`
-	Rounds   int    `default:"5" help:"Pairs of rounds, without and with."`
-	Prepared bool   `help:"Statements are prepared once and bound again, in place of a Query each."`
-	Seed     uint64 `default:"1" help:"Of the statements."`
-	Out      string `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
+	Ringwood string `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder." name:"ringwood"`
+	Clients  int    `default:"8" help:"Connections." name:"clients"`
+	Requests int    `default:"40000" help:"Of each round." name:"requests"`
+	Rounds   int    `default:"5" help:"Pairs of rounds, without and with." name:"rounds"`
+	Prepared bool   `help:"Statements are prepared once and bound again, in place of a Query each." name:"prepared"`
+	Seed     uint64 `default:"1" help:"Of the statements." name:"seed"`
+	Out      string `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*." name:"out"`
 }
 
 func (c *costCommand) Run() error {
--- a/cmd/testbed/sitelink.go
+++ b/cmd/testbed/sitelink.go
@@ -12,10 +12,10 @@
 )
 
 type sitelinkCommand struct {
-	Out     string        `placeholder:"FOLDER" help:"Keep table, figures and chart there, as site-link."`
-	For     time.Duration `default:"3s" help:"Length of each measurement, 100 ms to 1 min."`
-	Rounds  int           `default:"5" help:"Measurements of each, by turns; the median counts."`
-	Streams int           `default:"10000" help:"Streams that are opened at once."`
+	Out     string        `placeholder:"FOLDER" help:"Keep table, figures and chart there, as site-link." name:"out"`
+	For     time.Duration `default:"3s" help:"Length of each measurement, 100 ms to 1 min." name:"for"`
+	Rounds  int           `default:"5" help:"Measurements of each, by turns; the median counts." name:"rounds"`
+	Streams int           `default:"10000" help:"Streams that are opened at once." name:"streams"`
 }
 
 // Run measures the link between sites against a bare relay, by turns.
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -24,12 +24,12 @@
 // time besides where that is asked for.
 type sitesExperiment struct {
 	multiSiteSettings
-	Fronts      []string
+	Fronts      []string `toml:"fronts"`
 	Strategies  []string `toml:"ways"`
-	Scenarios   []string
-	Connections int
-	Virtual     bool // the same in virtual time, side by side
-	Parallel    int  `toml:"at_once"`
+	Scenarios   []string `toml:"scenarios"`
+	Connections int      `toml:"connections"`
+	Virtual     bool     `toml:"virtual"` // the same in virtual time, side by side
+	Parallel    int      `toml:"at_once"`
 }
 
 func readSites(path string) (*sitesExperiment, error) {
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -20,9 +20,9 @@
 )
 
 type trafficCommand struct {
-	Generate generateCommand `cmd:"" help:"Write a file of seeded traffic on the model of the register."`
-	Show     showCommand     `cmd:"" help:"Print records."`
-	Stats    statsCommand    `cmd:"" help:"Sum a file up."`
+	Generate generateCommand `cmd:"" help:"Write a file of seeded traffic on the model of the register." name:"generate"`
+	Show     showCommand     `cmd:"" help:"Print records." name:"show"`
+	Stats    statsCommand    `cmd:"" help:"Sum a file up." name:"stats"`
 }
 
 // workloadFlags are the flags that make a workloadFlags of the model.
@@ -48,8 +48,8 @@
 
 type generateCommand struct {
 	workloadFlags
-	File     string  `arg:"" help:"The file to write."`
-	Rate     float64 `default:"99" help:"Statements a second on average."`
+	File     string  `arg:"" help:"The file to write." name:"file"`
+	Rate     float64 `default:"99" help:"Statements a second on average." name:"rate"`
 	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
 }
 
@@ -104,10 +104,10 @@
 }
 
 type showCommand struct {
-	File string `arg:"" help:"The file."`
-	From int    `default:"0" help:"The first record to print, from 0."`
+	File string `arg:"" help:"The file." name:"file"`
+	From int    `default:"0" help:"The first record to print, from 0." name:"from"`
 	Max  int    `name:"most" default:"20" help:"How many."`
-	Hard bool   `help:"Only the hard cases."`
+	Hard bool   `help:"Only the hard cases." name:"hard"`
 }
 
 func (c *showCommand) Run() error {
@@ -134,7 +134,7 @@
 }
 
 type statsCommand struct {
-	File string `arg:"" help:"The file."`
+	File string `arg:"" help:"The file." name:"file"`
 }
 
 func (c *statsCommand) Run() error {
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -16,11 +16,11 @@
 )
 
 type tryCommand struct {
-	Ringwood string        `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Engines  int           `default:"3" help:"Emulated engines of each wire, 1 to 16."`
-	HTTP     string        `default:"127.0.0.1:9090" help:"Where the platform's front listens."`
-	Postgres string        `default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens."`
-	For      time.Duration `default:"1h" help:"Stop by itself after so long."`
+	Ringwood string        `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder." name:"ringwood"`
+	Engines  int           `default:"3" help:"Emulated engines of each wire, 1 to 16." name:"engines"`
+	HTTP     string        `default:"127.0.0.1:9090" help:"Where the platform's front listens." name:"http"`
+	Postgres string        `default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens." name:"postgres"`
+	For      time.Duration `default:"1h" help:"Stop by itself after so long." name:"for"`
 }
 
 // Run starts everything, prints lines to paste, and stops on Ctrl-C or once a part ends.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,11 +13,11 @@
 
 // Fleet says how this front end is a member among others: a file of its own.
 type Fleet struct {
-	Peers  string // "platform": as the platform's configuration says, where that allows messages among front ends; "file": as below
-	Listen string // with "file": own address, IPv4, as others reach it
-	Seeds  []string
+	Peers  string     `toml:"peers"`  // "platform": as the platform's configuration says, where that allows messages among front ends; "file": as below
+	Listen string     `toml:"listen"` // with "file": own address, IPv4, as others reach it
+	Seeds  []string   `toml:"seeds"`
 	Keys   []FleetKey `toml:"key"`
-	Admin  string     // the socket that operators speak to, where no other file names one; "": none
+	Admin  string     `toml:"admin"` // the socket that operators speak to, where no other file names one; "": none
 
 	HeartbeatMS    float64 `toml:"beat_ms"`     // 100 to 10,000
 	BytesPerSecond float64 `toml:"bytes_per_s"` // 100 to 1,000,000
@@ -26,8 +26,8 @@
 
 // FleetKey is a secret that members share, with its number.
 type FleetKey struct {
-	Number int    // 1 to 255
-	File   string // 16 to 1,024 bytes but for spaces around; a relative name counts from this file's folder
+	Number int    `toml:"number"` // 1 to 255
+	File   string `toml:"file"`   // 16 to 1,024 bytes but for spaces around; a relative name counts from this file's folder
 	Secret []byte `toml:"-"`
 }
 
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -12,19 +12,19 @@
 
 // Postgres is the deploy file of the PostgreSQL frontend.
 type Postgres struct {
-	Listen     string // where clients connect; "": the frontend is off
-	Settings   string // the settings, as JSON, in a file beside this one
+	Listen     string `toml:"listen"`   // where clients connect; "": the frontend is off
+	Settings   string `toml:"settings"` // the settings, as JSON, in a file beside this one
 	MemoryMB   int    `toml:"memory_mb"`
-	Sockets    int    // descriptor limit
+	Sockets    int    `toml:"sockets"` // descriptor limit
 	MaxClients int    `toml:"most_clients"`
-	Users      string // a file of those who may sign in, beside this one; "": everybody may, unasked
-	User       string // that engines are told
-	Database   string
-	Consul     Consul
-	TLS        TLS
-	Engine     Engine
-	Pool       Pool
-	Shapes     Shapes
+	Users      string `toml:"users"` // a file of those who may sign in, beside this one; "": everybody may, unasked
+	User       string `toml:"user"`  // that engines are told
+	Database   string `toml:"database"`
+	Consul     Consul `toml:"consul"`
+	TLS        TLS    `toml:"tls"`
+	Engine     Engine `toml:"engine"`
+	Pool       Pool   `toml:"pool"`
+	Shapes     Shapes `toml:"shapes"`
 
 	TransactionIdleSeconds float64 `toml:"transaction_idle_s"` // a client may be silent within a transaction for so long; 0: 10 s
 	TransactionMaxSeconds  float64 `toml:"transaction_most_s"` // a transaction may take so long; 0: 60 s
@@ -43,10 +43,10 @@
 // Statement gives a class to statements that begin with some words, and names
 // the parameter that holds their key.
 type Statement struct {
-	Starts   string
-	Class    string
-	Key      int
-	ReadOnly bool `toml:"read_only"`
+	Starts   string `toml:"starts"`
+	Class    string `toml:"class"`
+	Key      int    `toml:"key"`
+	ReadOnly bool   `toml:"read_only"`
 }
 
 // Pool bounds the connections to each engine. What is left out bounds nothing.
@@ -66,7 +66,13 @@
 }
 
 // Consul is where the list of engines is read.
-type Consul struct{ Address, Service, Token, Zone, Kind string }
+type Consul struct {
+	Address string `toml:"address"`
+	Service string `toml:"service"`
+	Token   string `toml:"token"`
+	Zone    string `toml:"zone"`
+	Kind    string `toml:"kind"`
+}
 
 // LoadPostgres reads the deploy file of the PostgreSQL frontend, and the settings that it names.
 // Its error lists all faults, each with its file, line and field (see FaultsOf).
--- a/internal/config/postgres_tls.go
+++ b/internal/config/postgres_tls.go
@@ -9,9 +9,9 @@
 
 // TLS is how clients' connections are encrypted. Files are in PEM, beside the deploy file.
 type TLS struct {
-	Certificate string // with what leads to its authority; "": encryption is declined
-	Key         string
-	Require     bool        // nobody is admitted without
+	Certificate string      `toml:"certificate"` // with what leads to its authority; "": encryption is declined
+	Key         string      `toml:"key"`
+	Require     bool        `toml:"require"` // nobody is admitted without
 	Config      *tls.Config `toml:"-"`
 }
 
@@ -37,9 +37,9 @@
 // Engine says how the gateway signs in to engines, beside user and database.
 type Engine struct {
 	PasswordFile string `toml:"password_file"` // one line, beside the deploy file; "": no password
-	TLS          bool   // connections are encrypted, or there are none
-	Authority    string // that engines' certificates are signed by, PEM; "": those of the system
-	ServerName   string `toml:"server_name"` // that they name; "": the authority alone is checked
+	TLS          bool   `toml:"tls"`           // connections are encrypted, or there are none
+	Authority    string `toml:"authority"`     // that engines' certificates are signed by, PEM; "": those of the system
+	ServerName   string `toml:"server_name"`   // that they name; "": the authority alone is checked
 
 	Password string      `toml:"-"`
 	Config   *tls.Config `toml:"-"`
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -49,31 +49,31 @@
 // profile is the settings object as the platform writes it; keys that it does not name are skipped.
 // A field without a tag has the name of its key, which the errors of the decoder show.
 type profile struct {
-	Balancers       int
-	Rank            *int // of this gateway, from 0
-	Zone            string
-	Classes         []profileClass
-	Kinds           []string
-	Zones           []string
-	Projects        []profileTenant
-	OverQuotaWeight float64 `json:"over-share-worth"`
-	MembershipMode  string  `json:"membership-mode"`
-	CallIntervalMS  float64 `json:"round-ms"`
-	Goal            profileObjective
-	Costs           profilePenalties
-	Report          profileReport
-	Contract        profileRules
-	Limits          profileLimits
-	Extra           profileEngines
+	Balancers       int              `json:"Balancers"`
+	Rank            *int             `json:"Rank"` // of this gateway, from 0
+	Zone            string           `json:"Zone"`
+	Classes         []profileClass   `json:"Classes"`
+	Kinds           []string         `json:"Kinds"`
+	Zones           []string         `json:"Zones"`
+	Projects        []profileTenant  `json:"Projects"`
+	OverQuotaWeight float64          `json:"over-share-worth"`
+	MembershipMode  string           `json:"membership-mode"`
+	CallIntervalMS  float64          `json:"round-ms"`
+	Goal            profileObjective `json:"Goal"`
+	Costs           profilePenalties `json:"Costs"`
+	Report          profileReport    `json:"Report"`
+	Contract        profileRules     `json:"Contract"`
+	Limits          profileLimits    `json:"Limits"`
+	Extra           profileEngines   `json:"Extra"`
 }
 
 type profileClass struct {
-	Name               string
-	LatencyObjectiveMS float64 `json:"aim-ms"`
-	ObjectiveStretch   float64 `json:"aim-stretch"`
-	TimeoutMS          float64 `json:"hard-limit-ms"`
-	Effect             string
-	Group              string
+	Name               string   `json:"Name"`
+	LatencyObjectiveMS float64  `json:"aim-ms"`
+	ObjectiveStretch   float64  `json:"aim-stretch"`
+	TimeoutMS          float64  `json:"hard-limit-ms"`
+	Effect             string   `json:"Effect"`
+	Group              string   `json:"Group"`
 	PriorityWeight     float64  `json:"importance"`
 	LateFraction       float64  `json:"late-share"`
 	Streaming          bool     `json:"streamed"`
@@ -84,13 +84,13 @@
 }
 
 type profileTenant struct {
-	Name  string
+	Name  string  `json:"Name"`
 	Quota float64 `json:"quota-per-s"`
-	Share float64
+	Share float64 `json:"Share"`
 }
 
 type profileObjective struct {
-	Whole       float64
+	Whole       float64 `json:"Whole"`
 	WorstClass  float64 `json:"worst-class"`
 	WorstTenant float64 `json:"worst-tenant"`
 	WorstWindow float64 `json:"worst-window"`
@@ -98,14 +98,14 @@
 
 type profilePenalties struct {
 	CrossZone   float64 `json:"cross-zone"`
-	Waste       float64
+	Waste       float64 `json:"Waste"`
 	LateFailure float64 `json:"late-fail"`
-	Probe       float64
+	Probe       float64 `json:"Probe"`
 }
 
 type profileReport struct {
-	How   string
-	Names []string
+	How   string   `json:"How"`
+	Names []string `json:"Names"`
 }
 
 type profileRules struct {
@@ -123,7 +123,7 @@
 }
 
 type profileLimits struct {
-	Cancel            bool
+	Cancel            bool    `json:"Cancel"`
 	AllowLoadRequests bool    `json:"may-probe"`
 	PeersAllowed      bool    `json:"may-tell"`
 	ConnectTimeoutMS  float64 `json:"connect-timeout-ms"`
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -14,19 +14,19 @@
 // Shapes says how statements are classed and costed by their shape: the table [shapes]
 // of the PostgreSQL front's deploy file, or a file of its own for the platform's front.
 type Shapes struct {
-	Enabled              bool         // off: classes and estimates are what clients and rules say
+	Enabled              bool         `toml:"enabled"`           // off: classes and estimates are what clients and rules say
 	MemoryKB             int          `toml:"memory_kb"`         // of records and their upkeep, 64 to a quarter of memory_mb; default: 2048
 	Hysteresis           float64      `toml:"hysteresis"`        // factor past the bound of a class before a shape changes over, 1 to 10; default: 1.3
 	CorrectEstimates     bool         `toml:"correct_estimates"` // the expected cost goes to the policy in place of the client's estimate
 	OnlyWithEstimate     bool         `toml:"only_told"`         // where clients give no estimate, the policy is given none
-	Snapshot             string       // file in which what was learned survives a restart; "": none
-	SnapshotEverySeconds float64      `toml:"snapshot_every_s"` // 10 to 86400; default: 300
-	Classes              []ShapeClass `toml:"class"`            // of reading statements, the cheapest first; none: classes are not decided
+	Snapshot             string       `toml:"snapshot"`          // file in which what was learned survives a restart; "": none
+	SnapshotEverySeconds float64      `toml:"snapshot_every_s"`  // 10 to 86400; default: 300
+	Classes              []ShapeClass `toml:"class"`             // of reading statements, the cheapest first; none: classes are not decided
 }
 
 // ShapeClass is a class that reading statements are sorted into.
 type ShapeClass struct {
-	Name   string
+	Name   string  `toml:"name"`
 	UpToMS float64 `toml:"up_to_ms"` // expected time; the last class has none
 }
 
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -12,13 +12,13 @@
 // Sites says which gateways at other sites this one works with: a file of its own, for both frontends. It is for installations
 // with several sites and a link between them.
 type Sites struct {
-	Site    string // where this gateway is
-	Gateway string // its name there
-	Listen  string // where gateways of other sites connect; "": it only dials
-	Admin   string // the socket that operators speak to, where no file of upgrades names one; "": none
-	Keys    SiteKeys
+	Site    string     `toml:"site"`    // where this gateway is
+	Gateway string     `toml:"gateway"` // its name there
+	Listen  string     `toml:"listen"`  // where gateways of other sites connect; "": it only dials
+	Admin   string     `toml:"admin"`   // the socket that operators speak to, where no file of upgrades names one; "": none
+	Keys    SiteKeys   `toml:"keys"`
 	Peers   []SitePeer `toml:"peer"`
-	Pack    bool       // bodies are packed by zstd where that pays
+	Pack    bool       `toml:"pack"` // bodies are packed by zstd where that pays
 
 	SharedDedup         bool    `toml:"keys_shared"`      // engines of all sites drop each other's repeats of a key
 	UnreachableAfterMS  float64 `toml:"silent_after_ms"`  // 300 to 60,000
@@ -39,17 +39,17 @@
 
 // SiteKeys are files in PEM; relative names count from this file's folder.
 type SiteKeys struct {
-	Certificate string // of this gateway, which names it by the URI ringwood://SITE/GATEWAY
-	Key         string
-	Authority   string // that peers' certificates are signed by
-	Revoked     string // the authority's list of revoked certificates; "": none
+	Certificate string `toml:"certificate"` // of this gateway, which names it by the URI ringwood://SITE/GATEWAY
+	Key         string `toml:"key"`
+	Authority   string `toml:"authority"` // that peers' certificates are signed by
+	Revoked     string `toml:"revoked"`   // the authority's list of revoked certificates; "": none
 }
 
 // SitePeer is a gateway at another site.
 type SitePeer struct {
-	Site    string
-	Gateway string
-	Address string // where it listens; it may be left out where it dials this one
+	Site    string `toml:"site"`
+	Gateway string `toml:"gateway"`
+	Address string `toml:"address"` // where it listens; it may be left out where it dials this one
 }
 
 // LoadSites reads the file. What the file leaves out is as remotesite.Defaults says.
--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -11,8 +11,8 @@
 // Upgrade says how a new version takes over: a file of its own, for both fronts. It is for
 // installations where one machine runs the old and the new process side by side.
 type Upgrade struct {
-	Admin   string // the socket that operators speak to, a path
-	Program string // what takes over; "": the program that runs, as it is on disk then
+	Admin   string `toml:"admin"`   // the socket that operators speak to, a path
+	Program string `toml:"program"` // what takes over; "": the program that runs, as it is on disk then
 
 	HelloTimeoutSeconds     float64 `toml:"greet_within_s"` // 0.1 to 600
 	WarmUpTimeoutSeconds    float64 `toml:"warm_within_s"`  // 0.1 to 600
--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -11,9 +11,9 @@
 // users is a file of users.
 type users struct {
 	Users []struct {
-		Name       string
-		Verifier   string   // as ringwood users verifier prints it
-		Classes    []string // that it may ask for; empty: all
+		Name       string   `toml:"name"`
+		Verifier   string   `toml:"verifier"`     // as ringwood users verifier prints it
+		Classes    []string `toml:"classes"`      // that it may ask for; empty: all
 		MaxClients int      `toml:"most_clients"` // 0: no limit of its own
 	} `toml:"user"`
 }
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -31,5 +31,5 @@
 // Engine is an entry of the endpoint list: the policy's part of it, and the address.
 type Engine struct {
 	policy.Engine
-	Addr string // where it listens
+	Addr string `cbor:"Addr"` // where it listens
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -12,8 +12,8 @@
 // Snapshot is what a core knows beside its requests. A live upgrade hands it to the core of the
 // next process, encoded as CBOR by the names of its fields.
 type Snapshot struct {
-	Engines   []Engine // as discovery reported them, in order of id
-	Learned   policy.Snapshot
+	Engines   []Engine             `cbor:"Engines"` // as discovery reported them, in order of id
+	Learned   policy.Snapshot      `cbor:"Learned"`
 	Overrides adminstate.Overrides `cbor:"Bans"`
 }
 
--- a/internal/decide/takeover/takeover.go
+++ b/internal/decide/takeover/takeover.go
@@ -15,9 +15,9 @@
 
 // Process is what a living process tells the others of itself. The names in the tags are stored.
 type Process struct {
-	ID             string
+	ID             string        `cbor:"ID"`
 	StartedAt      time.Duration `cbor:"Began"` // on a clock that all processes share
-	Ready          bool          // it serves
+	Ready          bool          `cbor:"Ready"` // it serves
 	ShuttingDown   bool          `cbor:"Stopping"`
 	KnownProcesses []string      `cbor:"Heard"` // the other processes that it has found
 	StateWritten   bool          `cbor:"Knows"` // it has written its state since it found them
--- a/internal/discovery/consul/entries.go
+++ b/internal/discovery/consul/entries.go
@@ -15,11 +15,14 @@
 
 // registration is what is read of one element of the catalogue's answer.
 type registration struct {
-	Node, Address, Datacenter string
-	NodeMeta                  map[string]string
-	ServiceID, ServiceAddress string
-	ServicePort               int
-	ServiceMeta               map[string]string
+	Node           string            `json:"Node"`
+	Address        string            `json:"Address"`
+	Datacenter     string            `json:"Datacenter"`
+	NodeMeta       map[string]string `json:"NodeMeta"`
+	ServiceID      string            `json:"ServiceID"`
+	ServiceAddress string            `json:"ServiceAddress"`
+	ServicePort    int               `json:"ServicePort"`
+	ServiceMeta    map[string]string `json:"ServiceMeta"`
 }
 
 func (r *registration) valid() bool {
@@ -49,12 +52,17 @@
 
 // healthEntry is what is read of one element of the health API's answer.
 type healthEntry struct {
-	Node    struct{ Node string }
+	Node struct {
+		Node string `json:"Node"`
+	} `json:"Node"`
 	Service struct {
-		ID   string
-		Meta map[string]string
-	}
-	Checks []struct{ CheckID, Status string }
+		ID   string            `json:"ID"`
+		Meta map[string]string `json:"Meta"`
+	} `json:"Service"`
+	Checks []struct {
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
+	} `json:"Checks"`
 }
 
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
--- a/internal/pgproto/statement.go
+++ b/internal/pgproto/statement.go
@@ -3,11 +3,11 @@
 // Statement is one bound execution, or a request to describe a statement. Other sites receive it
 // in CBOR under the names in the tags.
 type Statement struct {
-	Query string
+	Query string `cbor:"Query"`
 	// ParameterTypes is the count and the types of the parameters, as in Parse.
 	ParameterTypes []byte `cbor:"Types"`
 	// Bind is the body of a Bind past its two names: formats and values as they came.
-	Bind []byte
+	Bind []byte `cbor:"Bind"`
 	// DescribeOnly is set where nothing runs.
 	DescribeOnly bool `cbor:"Describe"`
 	// BeginQuery begins the transaction, ahead of its first statement.
@@ -15,7 +15,7 @@
 	// EndsTransaction is set where the statement ends its transaction.
 	EndsTransaction bool `cbor:"Ends"`
 	// Settings are those that the statement runs under, by name; others are as the engine has them.
-	Settings []Setting
+	Settings []Setting `cbor:"Settings"`
 	// ChangedSetting is the setting that the statement itself changes.
 	ChangedSetting string `cbor:"Sets"`
 	// TaintsSession is set where the statement may leave something in the engine's session.
@@ -29,8 +29,8 @@
 
 // Setting is one setting of a client.
 type Setting struct {
-	Name string
-	Text string // of the SET that made it
+	Name string `cbor:"Name"`
+	Text string `cbor:"Text"` // of the SET that made it
 }
 
 // Result is what an engine answered: the bodies of the messages as they came. Other sites
@@ -41,11 +41,11 @@
 	// RowDescription is nil where the engine answered NoData.
 	RowDescription []byte `cbor:"Fields"`
 	// Rows are complete DataRow messages in order.
-	Rows []byte
+	Rows []byte `cbor:"Rows"`
 	// RowCount is the number of rows.
 	RowCount int `cbor:"Count"`
 	// Tag is that of CommandComplete.
-	Tag string
+	Tag string `cbor:"Tag"`
 	// EmptyQuery is set where EmptyQueryResponse came in place of CommandComplete.
 	EmptyQuery bool `cbor:"Empty"`
 	// ParameterStatus holds complete ParameterStatus messages, of a SET.
--- a/internal/scramauth/users.go
+++ b/internal/scramauth/users.go
@@ -12,10 +12,10 @@
 
 // User is one user with its rights.
 type User struct {
-	Name       string
-	Verifier   Verifier
-	Classes    []string // that it may ask for; empty: all
-	MaxClients int      // connections at once; 0: no limit of its own
+	Name       string   `toml:"name"`
+	Verifier   Verifier `toml:"verifier"`
+	Classes    []string `toml:"classes"`    // that it may ask for; empty: all
+	MaxClients int      `toml:"maxclients"` // connections at once; 0: no limit of its own
 }
 
 // Users are those who may sign in.
--- a/policy/event.go
+++ b/policy/event.go
@@ -137,13 +137,13 @@
 
 // Engine is one entry of the list. It is stored by the names of its fields: tags keep those of renamed ones.
 type Engine struct {
-	ID         string
-	Zone       string
-	Kind       string
-	Cell       int64
-	State      EngineState
-	Started    time.Duration // instant of its latest start
-	StartKnown bool          `cbor:"Fresh" json:"Fresh"` // Started is set; false: it started long ago
+	ID         string        `cbor:"ID" json:"ID"`
+	Zone       string        `cbor:"Zone" json:"Zone"`
+	Kind       string        `cbor:"Kind" json:"Kind"`
+	Cell       int64         `cbor:"Cell" json:"Cell"`
+	State      EngineState   `cbor:"State" json:"State"`
+	Started    time.Duration `cbor:"Started" json:"Started"` // instant of its latest start
+	StartKnown bool          `cbor:"Fresh" json:"Fresh"`     // Started is set; false: it started long ago
 }
 
 func (QueryArrived) event()       {}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -13,8 +13,8 @@
 // A snapshot is passed on in CBOR, by the names in the tags, or of the fields without one: these must not
 // change.
 type Snapshot struct {
-	Classes              []ClassSnapshot
-	Engines              []EngineSnapshot
+	Classes              []ClassSnapshot    `cbor:"Classes"`
+	Engines              []EngineSnapshot   `cbor:"Engines"`
 	Aggregate            ControllerSnapshot `cbor:"Fleet"`
 	DataSetCounts        map[int64]float64  `cbor:"Sets"`
 	DataSetTotal         float64            `cbor:"SetSum"`
@@ -29,7 +29,7 @@
 
 // ClassSnapshot is what a gateway has learned of a class.
 type ClassSnapshot struct {
-	Name              string
+	Name              string  `cbor:"Name"`
 	ResponseCount     int     `cbor:"N"`
 	MeanLatencyMS     float64 `cbor:"Latency"`
 	BaselineLatencyMS float64 `cbor:"Quick"`
@@ -42,8 +42,8 @@
 
 // ControllerSnapshot is the state of one adaptive limit.
 type ControllerSnapshot struct {
-	Limit        float64 `cbor:"Bound"`
-	Alpha        float64
+	Limit        float64       `cbor:"Bound"`
+	Alpha        float64       `cbor:"Alpha"`
 	LoadLevel    float64       `cbor:"Level"`
 	Slowdown     float64       `cbor:"Slow"`
 	BindingUntil time.Duration `cbor:"Pressed"`
