--- a/internal/decide/adminstate/override.go
+++ b/internal/decide/adminstate/override.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Override is what operators said last of one engine. Processes exchange it, encoded as CBOR.
+// Override is the latest decision of an operator on one engine. Processes exchange it, encoded as CBOR.
 type Override struct {
-	Disabled bool `cbor:"1,keyasint"` // the engine gets nothing new
-	// At is when operators said it, on a clock that all processes which exchange overrides share.
+	Disabled bool `cbor:"1,keyasint"` // the engine gets no new queries
+	// At is the time of the decision, on a clock shared by all processes that exchange overrides.
 	At time.Duration `cbor:"2,keyasint"`
-	// DisabledSince is when the engine was disabled that is enabled again now; 0: it never was.
+	// DisabledSince is, for an engine that is enabled again, when it was disabled; 0 means never.
 	DisabledSince time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Overrides are what operators said, by the engine's id.
+// Overrides are the operators' overrides by the id of the engine.
 type Overrides map[string]Override
 
-// Merge returns the override that holds of two: the later one or, for two at the same time, the one
-// that disables, which is the cautious one. It is commutative, associative and idempotent, so
-// processes agree in whatever order and however often they merge.
+// Merge returns which of two overrides for an engine takes effect: the later one. Of two with the same
+// time it is the one that disables, as that is the cautious choice. Merge is commutative, associative
+// and idempotent, so processes agree in whatever order and however often they merge.
 func (o Override) Merge(other Override) Override {
 	if o.before(other) {
 		return other
@@ -24,6 +24,7 @@
 	return o
 }
 
+// before reports whether other takes effect rather than o.
 func (o Override) before(other Override) bool {
 	switch {
 	case o.At != other.At:
--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -54,7 +54,7 @@
 			say("hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.StartKnown)
 		case 3, 4, 5:
 			disable := random.IntN(2) == 0
-			changed, err := call(table, now, id, disable)
+			changed, err := setDisabled(table, now, id, disable)
 			say("call %s %t %t %t\n", id, disable, changed, err != nil)
 		case 6:
 			say("take %s\n", strings.Join(table.Merge(processes[1-process].Overrides()), " "))
--- a/internal/decide/adminstate/table.go
+++ b/internal/decide/adminstate/table.go
@@ -1,5 +1,5 @@
-// Package adminstate merges discovery's state of each engine with what operators said of it. It
-// does no I/O and reads no clock.
+// Package adminstate combines the state of each engine in service discovery with the operators'
+// decisions to disable and enable engines. It does no I/O and reads no clock.
 package adminstate
 
 import (
@@ -18,32 +18,32 @@
 )
 
 const (
-	// maxDisabled bounds the engines that are disabled at once, and so what a caller can make this
-	// program keep.
+	// maxDisabled bounds the number of engines that are disabled at the same time, and so the memory
+	// that callers can make this program use.
 	maxDisabled = 1024
-	// maxOverrides bounds the overrides taken from other processes.
+	// maxOverrides is the number of overrides from which Merge ignores overrides for further engines.
 	maxOverrides = 2 * maxDisabled
-	// keepEnabled is how long the override of an engine that was enabled again is kept: longer than
-	// a slow start takes, or two processes serve side by side.
-	keepEnabled = time.Hour
+	// enabledRetention is how long the override of an engine that was enabled again is kept. It is
+	// longer than the slow start of an engine, and than the time that two processes run side by side.
+	enabledRetention = time.Hour
 )
 
-// Table holds which engines discovery lists and what operators said of them. Use New.
+// Table holds the engines that discovery lists and the operators' overrides for them. Create it with New.
 type Table struct {
-	listed    map[string]bool // by discovery, not departed
+	listed    map[string]bool // ids of the engines that discovery lists and that have not departed
 	overrides Overrides
 }
 
 // New returns an empty table.
 func New() *Table { return &Table{listed: map[string]bool{}, overrides: Overrides{}} }
 
-// Clear forgets which engines are listed, as a full list follows. Overrides stay.
+// Clear removes all listed engines before a full list from discovery. Overrides stay.
 func (t *Table) Clear() { clear(t.listed) }
 
-// Update takes an entry of discovery and returns the effective one: a disabled engine that is live
-// counts as draining, and one that was enabled again counts as started at that time, unless
-// discovery knows of a start since it was disabled. Guards against sending an engine its full
-// share that was restarted while it was disabled: discovery need not tell of the restart.
+// Update records an engine's entry in discovery and returns the effective entry. A live engine that is
+// disabled counts as draining. An engine that was enabled again counts as started at that time, unless
+// discovery reports a start since it was disabled: the engine may have been restarted in the meantime
+// without a report from discovery, and must then not get its full share of queries at once.
 func (t *Table) Update(e policy.Engine) policy.Engine {
 	if e.State == policy.EngineDeparted {
 		delete(t.listed, e.ID)
@@ -66,14 +66,15 @@
 	return e
 }
 
-// Disabled tells whether operators have disabled an engine.
+// Disabled reports whether an engine is disabled by an operator.
 func (t *Table) Disabled(id string) bool { return t.overrides[id].Disabled }
 
-// ListedCount is the number of engines that discovery lists and that have not departed.
+// ListedCount returns the number of engines that discovery lists and that have not departed.
 func (t *Table) ListedCount() int { return len(t.listed) }
 
-// Disable takes an operator's call to take an engine out of use. It reports whether that changed
-// anything: disabling twice is disabling once.
+// Disable disables an engine for an operator. It reports whether that changed anything; an engine that
+// is already disabled stays as it is. It returns ErrUnknownEngine for an engine that discovery doesn't
+// list, and ErrTooManyDisabled if the limit is reached.
 func (t *Table) Disable(now time.Duration, id string) (changed bool, err error) {
 	switch {
 	case t.Disabled(id):
@@ -81,16 +82,16 @@
 	case !t.listed[id]:
 		return false, ErrUnknownEngine
 	}
-	t.dropOldEnabled(now)
+	t.dropExpiredEnables(now)
 	if t.disabledCount() >= maxDisabled {
 		return false, ErrTooManyDisabled
 	}
-	t.overrides[id] = Override{Disabled: true, At: t.after(now, id)}
+	t.overrides[id] = Override{Disabled: true, At: t.nextOverrideTime(now, id)}
 	return true, nil
 }
 
-// Enable takes an operator's call to use an engine again, also one that discovery no longer lists.
-// It reports whether that changed anything.
+// Enable enables an engine for an operator, even if discovery no longer lists it. It reports whether that
+// changed anything. It returns ErrUnknownEngine for an engine that is neither listed nor disabled.
 func (t *Table) Enable(now time.Duration, id string) (changed bool, err error) {
 	disabled := t.Disabled(id)
 	switch {
@@ -99,14 +100,14 @@
 	case !disabled:
 		return false, nil
 	}
-	t.dropOldEnabled(now)
-	t.overrides[id] = Override{At: t.after(now, id), DisabledSince: t.overrides[id].At}
+	t.dropExpiredEnables(now)
+	t.overrides[id] = Override{At: t.nextOverrideTime(now, id), DisabledSince: t.overrides[id].At}
 	return true, nil
 }
 
-// after is the time of a new override: later than the engine's last one, also where the clock stood
-// still.
-func (t *Table) after(now time.Duration, id string) time.Duration {
+// nextOverrideTime returns the time of a new override for an engine. It is later than that of the last
+// one even if the clock has not advanced.
+func (t *Table) nextOverrideTime(now time.Duration, id string) time.Duration {
 	last, ok := t.overrides[id]
 	if !ok {
 		return now
@@ -114,11 +115,11 @@
 	return max(now, last.At+1)
 }
 
-// Overrides is a copy of what operators said.
+// Overrides returns a copy of all overrides.
 func (t *Table) Overrides() Overrides { return maps.Clone(t.overrides) }
 
-// Merge merges another process's overrides in, and returns the ids of the engines for which another
-// one holds now, in order.
+// Merge merges the overrides of another process into the table. It returns the ids of the engines whose
+// override has changed, in sorted order. New overrides beyond the limit are ignored.
 func (t *Table) Merge(others Overrides) (changed []string) {
 	for id, other := range others {
 		own, known := t.overrides[id]
@@ -135,6 +136,7 @@
 	return changed
 }
 
+// disabledCount returns the number of disabled engines.
 func (t *Table) disabledCount() (n int) {
 	for _, override := range t.overrides {
 		if override.Disabled {
@@ -144,7 +146,8 @@
 	return n
 }
 
-// dropOldEnabled drops overrides of engines that were enabled long ago, which no longer matter.
-func (t *Table) dropOldEnabled(now time.Duration) {
-	maps.DeleteFunc(t.overrides, func(_ string, o Override) bool { return !o.Disabled && now-o.At > keepEnabled })
+// dropExpiredEnables drops the overrides of engines that were enabled again longer than enabledRetention
+// ago. They no longer have an effect.
+func (t *Table) dropExpiredEnables(now time.Duration) {
+	maps.DeleteFunc(t.overrides, func(_ string, o Override) bool { return !o.Disabled && now-o.At > enabledRetention })
 }
--- a/internal/decide/adminstate/table_test.go
+++ b/internal/decide/adminstate/table_test.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// call disables or enables an engine.
-func call(t *Table, now time.Duration, id string, disable bool) (changed bool, err error) {
+// setDisabled disables or enables an engine.
+func setDisabled(t *Table, now time.Duration, id string, disable bool) (changed bool, err error) {
 	byDisable := map[bool]func(time.Duration, string) (bool, error){true: t.Disable, false: t.Enable}
 	return byDisable[disable](now, id)
 }
@@ -46,7 +46,7 @@
 			table: New(), other: New(), now: 1,
 			listed: map[string]policy.Engine{}, disabled: map[string]bool{}, enabledAt: map[string]time.Duration{},
 		}
-		t.Repeat(map[string]func(*rapid.T){"discovery": m.discovery, "call": m.call, "share": m.share, "": m.check})
+		t.Repeat(map[string]func(*rapid.T){"discovery": m.discovery, "call": m.setDisabled, "share": m.exchangeOverrides, "": m.check})
 	})
 }
 
@@ -75,10 +75,10 @@
 	m.other.Update(e)
 }
 
-func (m *tableModel) call(t *rapid.T) {
+func (m *tableModel) setDisabled(t *rapid.T) {
 	id, disable := ids.Draw(t, "id"), rapid.Bool().Draw(t, "disable")
 	m.now++
-	changed, err := call(m.table, m.now, id, disable)
+	changed, err := setDisabled(m.table, m.now, id, disable)
 	if known := m.listed[id].State != policy.EngineDeparted || m.disabled[id]; (err == nil) != known {
 		t.Fatalf("engine %s known: %v, error of the call: %v", id, known, err)
 	}
@@ -94,7 +94,7 @@
 	m.disabled[id] = disable
 }
 
-func (m *tableModel) share(t *rapid.T) {
+func (m *tableModel) exchangeOverrides(t *rapid.T) {
 	m.other.Merge(m.table.Overrides())
 	if diff := cmp.Diff(m.table.Overrides(), m.other.Overrides()); diff != "" {
 		t.Fatalf("processes disagree: %s", diff)
@@ -143,7 +143,7 @@
 	if n := table.disabledCount(); n > 0 {
 		t.Fatalf("%d engines disabled, want none", n)
 	}
-	if _, err := table.Disable(time.Second+2*keepEnabled, nth(0)); err != nil || len(table.overrides) != 1 {
+	if _, err := table.Disable(time.Second+2*enabledRetention, nth(0)); err != nil || len(table.overrides) != 1 {
 		t.Fatalf("%d overrides kept, want 1; error %v", len(table.overrides), err)
 	}
 }
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -1,7 +1,10 @@
-// Package connpool decides which connection to an engine a statement gets, and which statements
-// wait for one: the limits that operators set on connections and on users, the order of those who
-// wait, who is rejected at once because it would wait in vain, and how long a connection lives. It
-// does no I/O and reads no clock; a Pool is one engine's and belongs to one goroutine.
+// Package connpool decides which statements get a connection to an engine, which wait for one and which
+// are rejected. It enforces the operators' limits on connections and users, orders the waiting
+// statements, rejects a statement at once if it would wait past its deadline, and says how long
+// connections stay open.
+//
+// The package does no I/O and reads no clock. Callers pass the current time as a duration since an
+// origin that they choose, and open and close the connections.
 package connpool
 
 import (
@@ -9,69 +12,71 @@
 	"time"
 )
 
-// Limits bound the connections to one engine. Zero values set no bound.
+// Limits are the limits on the connections to one engine. The zero value of each sets no limit.
 type Limits struct {
-	// MaxConnections counts those that are being opened too; too few: statements wait while the
-	// engine has capacity.
+	// MaxConnections bounds the number of connections, including those that are being opened. If it
+	// is too small, statements wait although the engine has capacity.
 	MaxConnections int
-	// MaxPerUser bounds the connections in use by one user; at MaxConnections or above it bounds
-	// nothing.
+	// MaxPerUser bounds the number of connections that one user uses at a time. It has no effect if it
+	// is not below MaxConnections.
 	MaxPerUser int
-	// MinConnections are opened ahead and stay open while idle; many take memory at the engine for
-	// nothing.
+	// MinConnections is the number of connections that are opened in advance and stay open while idle.
+	// Each takes memory at the engine.
 	MinConnections int
-	// IdleTimeout is after which a connection beyond MinConnections is closed while idle; too
-	// short: each statement pays for a sign-in.
+	// IdleTimeout is how long a connection beyond MinConnections stays open while idle. If it is too
+	// short, most statements need a new sign-in at the engine.
 	IdleTimeout time.Duration
-	// MaxLifetime is after which a connection is closed behind its statement; an engine's memory
-	// for it grows with age.
+	// MaxLifetime is the age at which a connection is closed once its statement has ended. It exists
+	// because an engine's memory for a connection grows with its age.
 	MaxLifetime time.Duration
 }
 
-// Decision is what becomes of a statement that wants a connection.
+// Decision says what a pool does with a statement that needs a connection.
 type Decision uint8
 
 // Decisions.
 const (
-	UseIdle  Decision = iota // it gets an idle connection
-	OpenNew                  // it gets a new connection
-	Queued                   // it waits until Next returns it
-	Rejected                 // it would wait past its time
+	UseIdle  Decision = iota // the statement gets an idle connection
+	OpenNew                  // the statement gets a connection that the caller must open
+	Queued                   // the statement waits until Next returns it
+	Rejected                 // the statement would wait past its deadline
 )
 
-// Ticket is one statement that waits for a connection or uses one.
+// Ticket represents a statement that waits for a connection or uses one.
 type Ticket struct {
-	user      string
-	startedAt time.Duration // of its use of the connection
+	user      string        // user of the statement
+	startedAt time.Duration // when it got its connection
 	state     ticketState
 }
 
+// ticketState is the state of a ticket.
 type ticketState uint8
 
 const (
-	waiting ticketState = iota
-	active
-	released
+	waiting  ticketState = iota // in the queue
+	active                      // has a connection
+	released                    // released by the caller, or rejected by Acquire
 )
 
-// Pool decides for one engine. Its zero value has no limits.
+// Pool makes the decisions for the connections to one engine. It must be used by one goroutine only.
+// The zero value is an empty pool without limits.
 type Pool struct {
-	Limits Limits
-
-	open            int            // connections, including those that are being opened
-	idle            int            // of these, ready for a statement
-	active          map[string]int // statements with a connection, by user
-	queue           []*Ticket      // in order of arrival
-	meanHoldSeconds float64        // how long a statement keeps its connection; 0: none has ended yet
-	dispatches      uint64
-	lastDispatch    map[string]uint64 // number of the latest dispatch of each user who waits or is active
+	Limits Limits // limits on its connections
+
+	open            int               // number of connections, including those that are being opened
+	idle            int               // number of open connections that are ready for a statement
+	active          map[string]int    // number of statements with a connection, by user
+	queue           []*Ticket         // waiting statements in order of arrival
+	meanHoldSeconds float64           // moving average of the time that a statement keeps its connection; 0 means unknown
+	dispatches      uint64            // number of statements that have got a connection
+	lastDispatch    map[string]uint64 // value of dispatches at the latest dispatch of each user with a ticket
 }
 
-// holdGain is the weight of one statement in the mean time that a connection is kept.
-const holdGain = 0.05
+// holdTimeGain is the weight of one statement in meanHoldSeconds.
+const holdTimeGain = 0.05
 
-// Acquire asks for a connection for a statement of a user, who waits for it until a deadline. The
-// ticket is to be given back by Release, however the statement ends.
+// Acquire requests a connection for a statement of a user that can wait until a deadline. The caller
+// must pass the ticket to Release when the statement ends, in whatever way.
 func (p *Pool) Acquire(now time.Duration, user string, deadline time.Duration) (*Ticket, Decision) {
 	t := &Ticket{user: user}
 	if (p.idle > 0 || p.canOpen()) && p.belowUserLimit(user) && !p.mustQueue(user) {
@@ -85,8 +90,9 @@
 	return t, Queued
 }
 
-// Release takes back the ticket of a statement that has ended. Its connection is reported by
-// AddIdle or ConnectionClosed. Releasing a ticket again does nothing.
+// Release releases the ticket of a statement that has ended or no longer waits. What becomes of its
+// connection is reported separately, by AddIdle or ConnectionClosed. Releasing a ticket a second time
+// has no effect.
 func (p *Pool) Release(now time.Duration, t *Ticket) {
 	switch t.state {
 	case waiting:
@@ -94,26 +100,27 @@
 			p.queue = slices.Delete(p.queue, i, i+1)
 		}
 	case active:
-		p.recordHold((now - t.startedAt).Seconds())
+		p.recordHoldTime((now - t.startedAt).Seconds())
 		p.active[t.user]--
 		if p.active[t.user] <= 0 {
 			delete(p.active, t.user)
 		}
 	}
 	t.state = released
-	if p.active[t.user] == 0 && !p.userWaits(t.user) {
+	if p.active[t.user] == 0 && !p.userIsQueued(t.user) {
 		delete(p.lastDispatch, t.user)
 	}
 }
 
-func (p *Pool) recordHold(seconds float64) {
+// recordHoldTime records how long a statement has kept its connection.
+func (p *Pool) recordHoldTime(seconds float64) {
 	if p.meanHoldSeconds == 0 {
 		p.meanHoldSeconds = seconds
 	}
-	p.meanHoldSeconds += (seconds - p.meanHoldSeconds) * holdGain
+	p.meanHoldSeconds += (seconds - p.meanHoldSeconds) * holdTimeGain
 }
 
-// assign gives a statement a connection: there is an idle one, or one may be opened.
+// assign gives a connection to a statement. The caller has checked that one is idle or may be opened.
 func (p *Pool) assign(now time.Duration, t *Ticket) Decision {
 	if p.active == nil {
 		p.active = map[string]int{}
@@ -132,10 +139,12 @@
 	return OpenNew
 }
 
+// canOpen reports whether MaxConnections permits another connection.
 func (p *Pool) canOpen() bool {
 	return p.Limits.MaxConnections <= 0 || p.open < p.Limits.MaxConnections
 }
 
+// belowUserLimit reports whether MaxPerUser permits the user another connection.
 func (p *Pool) belowUserLimit(user string) bool {
 	return p.Limits.MaxPerUser <= 0 || p.active[user] < p.Limits.MaxPerUser
 }
--- a/internal/decide/connpool/queue.go
+++ b/internal/decide/connpool/queue.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Next dispatches the next waiting statement, and returns how it gets its connection; ok is false
-// where none can be dispatched. The user with the fewest active statements goes first, then the one
-// whose latest dispatch is longest ago, so that a user who sends much does not hold up one who sends
-// little. Statements of one user go in their order.
+// Next gives a connection to the next waiting statement. It returns the statement's ticket and how it
+// gets the connection; ok is false if no statement can get one. The user with the fewest active
+// statements goes first and, among equals, the one whose latest dispatch is longest ago, so that a user
+// with many statements doesn't delay one with few. Statements of one user are dispatched in order of
+// arrival.
 func (p *Pool) Next(now time.Duration) (t *Ticket, d Decision, ok bool) {
 	if p.idle == 0 && !p.canOpen() {
 		return nil, 0, false
@@ -28,7 +29,7 @@
 	return t, p.assign(now, t), true
 }
 
-// hasPriority tells whether user a goes before user b.
+// hasPriority reports whether user a is dispatched before user b.
 func (p *Pool) hasPriority(a, b string) bool {
 	if p.active[a] != p.active[b] {
 		return p.active[a] < p.active[b]
@@ -36,19 +37,21 @@
 	return p.lastDispatch[a] < p.lastDispatch[b]
 }
 
-func (p *Pool) userWaits(user string) bool {
+// userIsQueued reports whether a statement of the user waits.
+func (p *Pool) userIsQueued(user string) bool {
 	return slices.ContainsFunc(p.queue, func(t *Ticket) bool { return t.user == user })
 }
 
-// mustQueue tells whether a new statement of the user may not pass one that waits: an earlier one of
-// the same user, or any that could be dispatched.
+// mustQueue reports whether a new statement of the user has to queue behind a waiting one: an earlier
+// statement of the same user, or one whose user is below the limit.
 func (p *Pool) mustQueue(user string) bool {
 	return slices.ContainsFunc(p.queue, func(t *Ticket) bool { return t.user == user || p.belowUserLimit(t.user) })
 }
 
-// estimateWait returns how long a new statement of the user would wait at the least: the user's
-// earlier ones go first, and of each other user as many, in turn. It is 0 while nothing is known of
-// how long connections are kept: nobody is rejected on a guess.
+// estimateWait returns a lower estimate of how long a new statement of the user would wait. All waiting
+// statements of the user are dispatched before it and, as users take turns, at most as many plus one of
+// each other user. It is 0 while the mean hold time is unknown, so that no statement is rejected on a
+// guess.
 func (p *Pool) estimateWait(user string) time.Duration {
 	own := 0
 	others := map[string]int{}
@@ -59,16 +62,16 @@
 			others[t.user]++
 		}
 	}
-	before := own
+	ahead := own
 	for _, n := range others {
-		before += min(n, own+1)
+		ahead += min(n, own+1)
 	}
 	connections := float64(max(p.Limits.MaxConnections, 1))
-	if !p.belowUserLimit(user) { // its own limit holds it up
-		before = own
+	if !p.belowUserLimit(user) { // it waits for the user's own connections only
+		ahead = own
 		connections = float64(p.Limits.MaxPerUser)
 	}
-	// With n connections one is released every meanHoldSeconds/n.
-	rounds := math.Floor(float64(before) / connections)
+	// With n connections, one is released every meanHoldSeconds/n.
+	rounds := math.Floor(float64(ahead) / connections)
 	return time.Duration((rounds*p.meanHoldSeconds + p.meanHoldSeconds/connections) * float64(time.Second))
 }
--- a/internal/decide/costmodel/classify.go
+++ b/internal/decide/costmodel/classify.go
@@ -2,11 +2,12 @@
 
 // Class is a class of reading statements.
 type Class struct {
-	Name      string
-	MaxWorkMS float64 // highest expected work of its statements; 0: unbounded
+	Name      string  // name in the configuration
+	MaxWorkMS float64 // largest expected work of its statements in ms; 0 means unbounded
 }
 
-// classIndex returns the class of an expected work without hysteresis.
+// classIndex returns the index of the class for an expected work, without hysteresis; -1 without
+// configured classes.
 func (m *Model) classIndex(workMS float64) int {
 	for i, c := range m.cfg.Classes {
 		if c.MaxWorkMS <= 0 || workMS <= c.MaxWorkMS {
@@ -16,8 +17,8 @@
 	return len(m.cfg.Classes) - 1
 }
 
-// classify returns the class of an expected work, or -1 without configured classes. A bucket
-// holds on to its class until the estimate is past the bound by the hysteresis.
+// classify returns the index of the class for an expected work, or -1 without configured classes. A
+// bucket keeps its class until the work is past the bound by Config.Hysteresis. bucket may be nil.
 func (m *Model) classify(workMS float64, bucket *Bucket) int {
 	if len(m.cfg.Classes) == 0 {
 		return -1
@@ -26,15 +27,15 @@
 	if bucket == nil {
 		return class
 	}
-	if held := int(bucket.HeldClass) - 1; m.holdsClass(held, class, workMS) {
+	if held := int(bucket.HeldClass) - 1; m.keepsClass(held, class, workMS) {
 		return held
 	}
 	bucket.HeldClass = uint8(class + 1)
 	return class
 }
 
-// holdsClass tells whether a held class stays although the work is that of another one.
-func (m *Model) holdsClass(held, class int, workMS float64) bool {
+// keepsClass reports whether a bucket keeps its class, held, although the work is in the range of class.
+func (m *Model) keepsClass(held, class int, workMS float64) bool {
 	if held < 0 || held >= len(m.cfg.Classes) {
 		return false
 	}
--- a/internal/decide/costmodel/estimate.go
+++ b/internal/decide/costmodel/estimate.go
@@ -3,54 +3,56 @@
 import "math"
 
 const (
-	// wellKnownSamples is how often a bucket must have run until its own history and the hint
-	// alone make the estimate. Most traffic is of such shapes; the other components are for the
-	// rest.
+	// wellKnownSamples is the number of samples of a bucket from which its estimate no longer uses the
+	// prior and the corrections for novel values. Most traffic has such buckets.
 	wellKnownSamples = 200
-	// minOwnSamples is how often values must have come to a shape before its own history of
-	// them counts without regard to errors on novel values.
+	// minOwnSamples is the number of samples of a bucket from which its values no longer count as novel
+	// to the shape.
 	minOwnSamples = 5
-	// settledSamples is how many samples of a bucket replace the errors made on similar values.
+	// settledSamples is the number of samples of a bucket from which the errors made on similar values
+	// are no longer used.
 	settledSamples = 10
-	// minErrorSamples is how many errors of one kind must be known to correct by them.
+	// minErrorSamples is the number of errors of one kind needed for a correction by them.
 	minErrorSamples = 2
-	// minHintSamples is how many errors of hints must be known to correct a hint by them.
+	// minHintSamples is the number of errors of hints needed to correct a hint by them.
 	minHintSamples = 3
-	// minMemorySamples is how many reports of a class stand for the memory of an unknown shape.
+	// minMemorySamples is the number of reports of a class needed to estimate the memory of an unknown
+	// shape by them.
 	minMemorySamples = 3
-	// defaultHintDeviation is the deviation of a hint of unknown accuracy, log2.
+	// defaultHintDeviation is the standard deviation assumed for a hint of unknown accuracy, log2.
 	defaultHintDeviation = 2
 	// p90Deviations is how many standard deviations the 90th percentile of a normal distribution
 	// lies above its mean.
 	p90Deviations = 1.28
 )
 
-// Component is one part of an estimate.
+// Component is one of the estimates that are combined into an Estimate.
 type Component struct {
-	Center, Deviation float64 // log2
-	Samples           float64 // observations that it rests on; 0: the component is absent
-	Weight            float64 // its share of the estimate
+	Center, Deviation float64 // median and standard deviation, log2
+	Samples           float64 // number of observations that it is based on; 0 means that it is absent
+	Weight            float64 // its weight in the combined estimate, 0 to 1
 }
 
 // Estimate is the expected cost of an execution.
 type Estimate struct {
-	Known     bool    // there is an estimate
-	Work      float64 // median, ms
-	P90Factor float64 // from the median to the 90th percentile
-	MemoryMB  float64 // 0: unknown
-	Class     int     // index among the configured classes; -1: not classified
+	Known     bool    // there is an estimate; if not, Class is -1 and all else means nothing
+	Work      float64 // median of the work, ms on one core
+	P90Factor float64 // ratio of the 90th percentile of the work to its median
+	MemoryMB  float64 // expected memory; 0 means unknown
+	Class     int     // index in Config.Classes, or -1 if not classified
 
-	History, SimilarValues, Prior, Hint Component
-	FrequentValue                       Component // offset of a frequent value with an unusual cost
+	History, SimilarValues, Prior, Hint Component // what Work is combined from
+	FrequentValue                       Component // offset added for a frequent value with an unusual cost
 }
 
-// Estimate returns the expected cost of an execution. The only state that it changes is the class
-// that the bucket holds on to.
+// Estimate returns the expected cost of an execution and stores it in q for Learn. In the model and
+// the shape's record it changes nothing but the current class of the bucket.
 func (m *Model) Estimate(q *Query) Estimate {
 	q.lastEstimate = m.estimate(q)
 	return q.lastEstimate
 }
 
+// estimate computes the expected cost of an execution.
 func (m *Model) estimate(q *Query) Estimate {
 	est := Estimate{Class: -1}
 	bucket := m.bucketOf(q)
@@ -58,9 +60,9 @@
 		est.History = componentOf(&bucket.Work, 0)
 	}
 	wellKnown := bucket != nil && bucket.Work.Samples >= wellKnownSamples
-	unusual := 0.0
+	predictionShift := 0.0
 	if !wellKnown {
-		est.Prior, unusual = m.priorComponent(q)
+		est.Prior, predictionShift = m.priorComponent(q)
 	}
 	est.Hint = m.hintComponent(q)
 	similar := m.similarValues(q)
@@ -68,7 +70,7 @@
 		est.SimilarValues = componentOf(&similar.Offset, float64(r.Work.Center))
 	}
 	if !wellKnown {
-		m.correctForNovelty(q, &est, bucket, similar, unusual)
+		m.correctForNovelty(q, &est, bucket, similar, predictionShift)
 	}
 	center, variance, ok := combineComponents(&est.History, &est.SimilarValues, &est.Prior, &est.Hint)
 	if !ok {
@@ -87,7 +89,7 @@
 	return est
 }
 
-// bucketOf returns the bucket of a query's values, or nil.
+// bucketOf returns the bucket for a query's values, or nil if there is none.
 func (m *Model) bucketOf(q *Query) *Bucket {
 	if q.Record == nil {
 		return nil
@@ -95,7 +97,7 @@
 	return q.Record.findBucket(m.bucketKey(q))
 }
 
-// similarValues returns what is known of values that look like those of the query, or nil.
+// similarValues returns what is known of values similar to those of the query, or nil.
 func (m *Model) similarValues(q *Query) *heavyHitter {
 	if m.cfg.NoParameters {
 		return nil
@@ -103,9 +105,9 @@
 	return m.SimilarValues.find(m.similarityKey(q))
 }
 
-// priorComponent returns the prior's prediction, corrected for the shape, and how far it lies
-// from the predictions for earlier executions of the shape (0: unknown).
-func (m *Model) priorComponent(q *Query) (c Component, unusual float64) {
+// priorComponent returns the prior's prediction, corrected by its errors for the shape. predictionShift
+// is the uncorrected prediction minus the prior's usual one for the shape, log2; 0 if that is unknown.
+func (m *Model) priorComponent(q *Query) (c Component, predictionShift float64) {
 	if m.cfg.NoPrior || !m.prior.ready() {
 		return Component{}, 0
 	}
@@ -117,7 +119,8 @@
 	return componentOf(&r.PriorError, prediction), prediction - float64(r.PriorPrediction.Center)
 }
 
-// hintComponent returns the client's hint, corrected by the errors of earlier hints.
+// hintComponent returns the client's hint, corrected by the errors of earlier hints for the shape, or
+// else for the class.
 func (m *Model) hintComponent(q *Query) Component {
 	if m.cfg.NoHint || !validWork(q.WorkHint) {
 		return Component{}
@@ -133,13 +136,14 @@
 	return Component{Center: hint, Deviation: defaultHintDeviation, Samples: 1}
 }
 
-// correctForNovelty widens prior and hint by the errors that they have made on such values.
-// How accurate a component has been for a shape says little of values unlike those before.
-// Guards against a broad report that has the shape of a lookup and is classified as one.
-func (m *Model) correctForNovelty(q *Query, est *Estimate, bucket *Bucket, similar *heavyHitter, unusual float64) {
-	prior, hint := &m.noErrors, &m.noErrors
+// correctForNovelty corrects and widens the prior and the hint of an estimate by the errors that they
+// have made on similar values, or else on values as novel to their shape. The accuracy for earlier
+// values of a shape says little about different ones: without the correction a broad report with the
+// shape of a lookup would be classified as a lookup.
+func (m *Model) correctForNovelty(q *Query, est *Estimate, bucket *Bucket, similar *heavyHitter, predictionShift float64) {
+	prior, hint := &m.emptyTracker, &m.emptyTracker
 	if q.Record != nil && (bucket == nil || bucket.Work.Samples < minOwnSamples) {
-		novel := &m.NovelValueErrors[noveltyLevel(unusual)]
+		novel := &m.NovelValueErrors[noveltyLevel(predictionShift)]
 		prior, hint = &novel.PriorError, &novel.HintError
 	}
 	settled := bucket != nil && bucket.Work.Samples >= settledSamples
@@ -151,12 +155,12 @@
 			hint = &similar.HintError
 		}
 	}
-	prior.widen(&est.Prior, unusual)
-	hint.widen(&est.Hint, unusual)
+	prior.widen(&est.Prior, predictionShift)
+	hint.widen(&est.Hint, predictionShift)
 }
 
-// estimateMemory returns the expected memory from the bucket's history and the corrected hint,
-// MB; 0: unknown.
+// estimateMemory returns the expected memory in MB from the history of the bucket, or else of the class,
+// and from the corrected hint; 0 means unknown.
 func (m *Model) estimateMemory(q *Query, bucket *Bucket) float64 {
 	var history, hint Component
 	class := m.classErrorsFor(q.KnownClass)
@@ -184,12 +188,14 @@
 	return math.Exp2(center)
 }
 
-// componentOf returns a component that lies at a base, corrected by a tracker.
+// componentOf returns a component with its center at base plus that of the tracker, log2, and with the
+// tracker's deviation.
 func componentOf(t *LogTracker, base float64) Component {
 	return Component{Center: base + float64(t.Center), Deviation: math.Sqrt(t.Variance()), Samples: float64(t.Samples)}
 }
 
-// combineComponents weights the components that are present by the inverse of their variances.
+// combineComponents returns the mean of the components weighted by the inverse of their variances, and
+// its variance. It sets their weights. ok is false if all components are absent.
 func combineComponents(components ...*Component) (center, variance float64, ok bool) {
 	sum := 0.0
 	for _, c := range components {
--- a/internal/decide/costmodel/explain.go
+++ b/internal/decide/costmodel/explain.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Explain describes what an estimate rests on, for operators.
+// Explain describes for operators how an estimate was made: its components with their weights.
 func (e Estimate) Explain() string {
 	if !e.Known {
 		return "nothing is known: no record, no hint, and the prior has seen too little"
 	}
-	var parts []string
+	var descriptions []string
 	for _, c := range []struct {
 		name string
 		Component
@@ -22,12 +22,12 @@
 		{"corrected hint", e.Hint},
 	} {
 		if c.Samples > 0 {
-			parts = append(parts, fmt.Sprintf("%s %.4g ms, within a factor of %.2g, from %.0f values: %.0f %%",
+			descriptions = append(descriptions, fmt.Sprintf("%s %.4g ms, within a factor of %.2g, from %.0f values: %.0f %%",
 				c.name, math.Exp2(c.Center), math.Exp2(c.Deviation), c.Samples, 100*c.Weight))
 		}
 	}
 	if e.FrequentValue.Samples > 0 {
-		parts = append(parts, fmt.Sprintf("its value is frequent and costs %.2g times the usual", math.Exp2(e.FrequentValue.Center)))
+		descriptions = append(descriptions, fmt.Sprintf("its value is frequent and costs %.2g times the usual", math.Exp2(e.FrequentValue.Center)))
 	}
-	return strings.Join(parts, "; ")
+	return strings.Join(descriptions, "; ")
 }
--- a/internal/decide/costmodel/heavy_hitters.go
+++ b/internal/decide/costmodel/heavy_hitters.go
@@ -1,42 +1,45 @@
 package costmodel
 
-// heavyHitters keeps the most frequent values, and how their cost differs, in bounded memory:
-// Space-Saving (Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k
-// Elements in Data Streams", 2005), in small sets so that a new value costs bounded time. Keys
-// are seeded hashes: an outsider can't choose which values share a set.
+// heavyHitters tracks the most frequent values, and how their cost differs, in bounded memory. It is the
+// Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k
+// Elements in Data Streams", 2005), divided into small sets so that adding a value takes bounded time.
+// The keys of frequent values are seeded hashes, so that clients can't choose which values share a set.
 type heavyHitters struct {
 	Sets [heavyHitterSets][heavyHitterWays]heavyHitter `cbor:"Sets"`
 }
 
 const (
-	heavyHitterSets = 64
-	heavyHitterWays = 8
-	// minHeavySamples is how often a value must have come before estimates are corrected by it.
+	heavyHitterSets = 64 // number of sets
+	heavyHitterWays = 8  // number of values in each set
+	// minHeavySamples is the number of executions with a value needed to correct estimates by it.
 	minHeavySamples = 6
-	// minHeavyOffset is by how much, log2, its cost must differ from the usual one.
+	// minHeavyOffset is the difference between the cost of a value and the usual cost, log2, from which
+	// estimates are corrected by it.
 	minHeavyOffset = 0.6
 	// maxHeavyCount bounds the count of a value.
 	maxHeavyCount = 1 << 31
 )
 
-// heavyHitter is one frequent value, or one kind of similar values.
+// heavyHitter is a frequent value or a group of similar values. Its trackers are of log2 values.
 type heavyHitter struct {
-	Key   uint64 `cbor:"Key"`
-	Count uint32 `cbor:"Count"`
-	// Offset is the cost relative to the estimate; of similar values, relative to what their
-	// shapes usually cost.
+	Key   uint64 `cbor:"Key"`   // 0 means that the entry is empty
+	Count uint32 `cbor:"Count"` // upper bound on the number of occurrences, up to maxHeavyCount
+	// Offset is the work relative to the estimate for a frequent value, and relative to the usual work
+	// of the shape for similar values.
 	Offset LogTracker `cbor:"Offset"`
-	// PriorError and HintError are the errors made on similar values.
+	// PriorError and HintError are the errors of the corrected prior and hint on similar values. They
+	// are empty for a frequent value.
 	PriorError LogTracker `cbor:"Prior"`
 	HintError  LogTracker `cbor:"Hint"`
 }
 
-// significant tells whether enough is known of the value to correct estimates by it.
+// significant reports whether estimates should be corrected by the value's offset: it is known well
+// enough and large enough.
 func (h *heavyHitter) significant() bool {
 	return h.Offset.Samples >= minHeavySamples && (h.Offset.Center > minHeavyOffset || h.Offset.Center < -minHeavyOffset)
 }
 
-// find returns the value of a key, or nil. No value has key 0.
+// find returns the entry with a key, or nil if there is none. No value has key 0.
 func (h *heavyHitters) find(key uint64) *heavyHitter {
 	if key == 0 {
 		return nil
@@ -50,7 +53,8 @@
 	return nil
 }
 
-// count counts a value. A new one replaces the least frequent of its set.
+// count counts an occurrence of a value and returns its entry. A new value replaces the least frequent
+// one of its set.
 func (h *heavyHitters) count(key uint64) *heavyHitter {
 	hitter := h.find(key)
 	if hitter == nil {
@@ -61,7 +65,7 @@
 				hitter = &set[i]
 			}
 		}
-		// It may have come as often as the value that it replaces.
+		// The new value inherits the count, as it may have occurred up to that often before.
 		*hitter = heavyHitter{Key: key, Count: hitter.Count}
 	}
 	if hitter.Count < maxHeavyCount {
@@ -70,15 +74,16 @@
 	return hitter
 }
 
-// similarityKey identifies values that look alike, whatever the shape, by their bucket and the
-// column of their longest list or widest range: all districts in an array mean the same to every
-// statement that takes one. It mixes the bits as the finalizer of SplitMix64 does, in part.
+// similarityKey returns the key of a group of values that are similar over all shapes: those with the
+// same bucket key and the same column of their longest list or widest range. An array of all districts,
+// for instance, has a similar effect in each statement that takes it. The bits are mixed by a part of
+// the SplitMix64 finalizer.
 func similarityKey(bucket, column uint32) uint64 {
 	h := uint64(bucket)<<32 | uint64(column)
 	h = (h ^ h>>31) * 0x9e3779b97f4a7c15
 	h ^= h >> 29
 	if h == 0 {
-		return 1 // 0 is no key
+		return 1 // 0 is reserved for empty entries
 	}
 	return h
 }
--- a/internal/decide/costmodel/learn.go
+++ b/internal/decide/costmodel/learn.go
@@ -3,37 +3,39 @@
 import "math"
 
 const (
-	// The prior serves new shapes and values, and learning costs it some microseconds: it takes
-	// each of the first executions of a shape, and one of so many later ones.
+	// The prior learns from each of the first priorLearnsFirst executions of a shape and from one in
+	// priorLearnsEvery of the later ones. It is needed for new shapes and values only, and learning
+	// takes it some microseconds.
 	priorLearnsFirst = 24
 	priorLearnsEvery = 16
-	// wellKnownLearnsEvery is how many executions of a well-known bucket there are for each that
-	// is learned from, as long as they cost what is expected.
+	// The model learns from one in wellKnownLearnsEvery executions of a well-known bucket, as long as
+	// their cost is as expected.
 	wellKnownLearnsEvery = 4
-	// maxSteadyRun is the longest run of errors on one side that counts as being as expected.
+	// maxSteadyRun is the longest run of errors on one side at which costs still count as expected.
 	maxSteadyRun = 1
 )
 
-// Learn takes the reported cost of an execution. Figures outside the bounds are ignored.
+// Learn updates the model and the shape's record with the reported cost of an execution. Values outside
+// the bounds are ignored, and so is a lower bound that is not above the estimate.
 func (m *Model) Learn(q *Query, outcome Outcome) {
 	r := q.Record
 	if r != nil && r.Executions < math.MaxUint32 {
 		r.Executions++
 	}
-	if !validWork(outcome.Work) || m.skips(q) {
+	if !validWork(outcome.Work) || m.skipsLearning(q) {
 		return
 	}
-	before := q.lastEstimate
-	if !before.Known {
-		before = m.estimate(q)
+	estimated := q.lastEstimate
+	if !estimated.Known {
+		estimated = m.estimate(q)
 	}
-	if outcome.LowerBound && before.Known && before.Work >= outcome.Work {
+	if outcome.LowerBound && estimated.Known && estimated.Work >= outcome.Work {
 		return
 	}
 	work := math.Log2(outcome.Work)
 	features := m.featuresOf(q)
 	if r != nil {
-		m.learnSimilar(q, features, work, before.History.Samples)
+		m.learnSimilar(q, features, work, estimated.History.Samples)
 		m.learnShape(q, features, work, outcome.MemoryMB)
 	}
 	if r == nil || r.Executions < priorLearnsFirst || r.Executions%priorLearnsEvery == 0 {
@@ -41,15 +43,15 @@
 	}
 	m.learnHint(q, work)
 	m.learnMemory(q, outcome.MemoryMB)
-	if before.Known && q.Profile.Key != 0 && !m.cfg.NoParameters {
-		usual := math.Log2(before.Work) - before.FrequentValue.Center
+	if estimated.Known && q.Profile.Key != 0 && !m.cfg.NoParameters {
+		usual := math.Log2(estimated.Work) - estimated.FrequentValue.Center
 		m.FrequentValues.count(q.Profile.Key).Offset.Add(work-usual, m.cfg.decay())
 	}
 }
 
-// skips tells whether an execution is not learned from: most of those of a well-known bucket
-// whose costs are as expected.
-func (m *Model) skips(q *Query) bool {
+// skipsLearning reports whether to learn nothing from an execution. That holds for most executions of a
+// well-known bucket whose costs are as expected.
+func (m *Model) skipsLearning(q *Query) bool {
 	if q.Record == nil || q.Record.Executions%wellKnownLearnsEvery == 0 {
 		return false
 	}
@@ -61,7 +63,7 @@
 	return run >= -maxSteadyRun && run <= maxSteadyRun
 }
 
-// learnShape takes a cost into the record of the query's shape.
+// learnShape adds a cost to the record of the query's shape. work is log2 of ms.
 func (m *Model) learnShape(q *Query, features *featureVector, work, memoryMB float64) {
 	r, decay := q.Record, m.cfg.decay()
 	if m.prior.ready() {
@@ -78,8 +80,9 @@
 	}
 }
 
-// learnSimilar takes the errors made on values that look alike, and on values that are novel to
-// their shape: those with few samples of their own.
+// learnSimilar records the errors made on values similar to those of the query. If the values are novel
+// to their shape, which means that their bucket had few samples, it also records the errors made on
+// such values. work is log2 of ms; ownSamples is the number of samples of the bucket.
 func (m *Model) learnSimilar(q *Query, features *featureVector, work, ownSamples float64) {
 	r, decay := q.Record, m.cfg.decay()
 	if r.Work.Samples < minErrorSamples {
@@ -108,7 +111,7 @@
 	}
 }
 
-// learnHint takes the error of the client's hint.
+// learnHint records the error of the client's hint. work is log2 of ms.
 func (m *Model) learnHint(q *Query, work float64) {
 	if !validWork(q.WorkHint) {
 		return
@@ -120,7 +123,7 @@
 	}
 }
 
-// learnMemory takes the reported memory and the error of its hint.
+// learnMemory records the reported memory and the error of its hint.
 func (m *Model) learnMemory(q *Query, memoryMB float64) {
 	if !validMemory(memoryMB) {
 		return
--- a/internal/decide/costmodel/log_tracker.go
+++ b/internal/decide/costmodel/log_tracker.go
@@ -2,49 +2,50 @@
 
 import "math"
 
-// LogTracker tracks the center of a positive quantity and the deviation of its values, as base-2
-// logarithms: costs spread over decades, and an error counts by its ratio. It is robust (one value
-// moves the center by a bounded step) and forgets (a changed table is followed within some ten
-// values), in 16 bytes. The update is a Robbins-Monro step on a clipped error (Huber, "Robust
-// Estimation of a Location Parameter", 1964); a run of errors on one side raises the step, as a
-// CUSUM chart would (Page, "Continuous Inspection Schemes", 1954).
+// LogTracker tracks the center of a positive quantity and the deviation of its values, both as base-2
+// logarithms, since costs span several orders of magnitude and the ratio of an error is what matters.
+// It takes 16 bytes. One value moves the center by a bounded step, and the center follows a shift, as
+// after a table has changed, within about ten values. The update is a Robbins-Monro step on a clipped
+// error (Huber, "Robust Estimation of a Location Parameter", 1964). A run of errors on one side
+// increases the step, similar to a CUSUM chart (Page, "Continuous Inspection Schemes", 1954).
 type LogTracker struct {
-	Center      float32 `cbor:"Mid"`
-	Deviation   float32 `cbor:"Dev"` // mean distance of the values from the center
-	Samples     float32 `cbor:"N"`   // at most maxTrackedSamples
-	SameSideRun int8    `cbor:"Run"` // consecutive errors on one side; its sign is the side
+	Center      float32 `cbor:"Mid"` // robust mean of the values, log2
+	Deviation   float32 `cbor:"Dev"` // mean absolute distance of the values from the center, log2
+	Samples     float32 `cbor:"N"`   // number of values, up to maxTrackedSamples; 0 means that the tracker is empty
+	SameSideRun int8    `cbor:"Run"` // number of consecutive errors on one side; negative for errors below the center
 }
 
-// Decay says whether older values lose weight.
+// Decay says whether older values lose weight as new ones are added.
 type Decay uint8
 
-// Decays.
+// Kinds of decay.
 const (
-	WithDecay Decay = iota
-	WithoutDecay
+	WithDecay    Decay = iota // the weight of older values decays exponentially
+	WithoutDecay              // all values have the same weight, up to maxTrackedSamples
 )
 
 const (
 	maxTrackedSamples = 1000
-	minGain           = 0.06 // step of an old tracker with decay: some 16 values count
-	minDeviationGain  = 0.03
-	shiftRun          = 5 // consecutive errors on one side that are a shift
-	shiftGain         = 0.35
-	shiftClip         = 4   // log2, largest step's error during a shift
-	maxRun            = 100 // bounds SameSideRun to its type
-	minDeviation      = 0.15
-	initialDeviation  = 1.5 // after one value
-	youngSamples      = 4   // below so many, errors are clipped at youngClip
-	youngClip         = 6   // log2
-	clipDeviations    = 3   // later, at so many deviations
-	// normalRatio is the ratio of the standard deviation of a normal distribution to its mean
-	// absolute deviation.
-	normalRatio = 1.25
-	// centerUncertainty widens the variance of a center that rests on few values.
+	minGain           = 0.06 // smallest weight of a new value with decay, so about the last 16 values count
+	minDeviationGain  = 0.03 // smallest weight of a new value in the deviation
+	shiftRun          = 5    // number of consecutive errors on one side that counts as a shift
+	shiftGain         = 0.35 // weight of a new value during a shift
+	shiftClip         = 4    // largest error during a shift, log2
+	maxRun            = 100  // bounds SameSideRun so that it fits its type
+	minDeviation      = 0.15 // smallest deviation used, log2
+	initialDeviation  = 1.5  // deviation after a single value, log2
+	fewSamples        = 4    // with fewer values, errors are clipped at fewSamplesClip
+	fewSamplesClip    = 6    // log2
+	clipDeviations    = 3    // with more values, errors are clipped at this many deviations
+	// stdDevPerMeanDeviation is the ratio of the standard deviation of a normal distribution to its
+	// mean absolute deviation.
+	stdDevPerMeanDeviation = 1.25
+	// centerUncertainty is the uncertainty of the center after one value, relative to the variance of a
+	// value. It is divided by the number of values.
 	centerUncertainty = 4
 )
 
-// Add takes one more value, log2.
+// Add adds a value, log2.
 func (t *LogTracker) Add(value float64, decay Decay) {
 	if t.Samples == 0 {
 		t.Center, t.Deviation, t.Samples = float32(value), initialDeviation, 1
@@ -54,12 +55,12 @@
 	deviation := max(float64(t.Deviation), minDeviation)
 	gain := 1 / (float64(t.Samples) + 1)
 	clip := clipDeviations * deviation
-	if t.Samples < youngSamples {
-		clip = youngClip
+	if t.Samples < fewSamples {
+		clip = fewSamplesClip
 	}
 	if decay == WithDecay {
 		gain = max(gain, minGain)
-		t.countRun(err, deviation)
+		t.updateRun(err, deviation)
 		if t.SameSideRun >= shiftRun || t.SameSideRun <= -shiftRun {
 			gain, clip = shiftGain, shiftClip
 			t.SameSideRun = max(min(t.SameSideRun, maxRun), -maxRun)
@@ -71,8 +72,9 @@
 	t.Samples = min(t.Samples+1, maxTrackedSamples)
 }
 
-// countRun continues or ends the run of errors on one side.
-func (t *LogTracker) countRun(err, deviation float64) {
+// updateRun continues, starts or ends the run of errors on one side. An error within the deviation ends
+// it.
+func (t *LogTracker) updateRun(err, deviation float64) {
 	switch {
 	case math.Abs(err) < deviation:
 		t.SameSideRun = 0
@@ -83,9 +85,9 @@
 	}
 }
 
-// Variance returns the variance of one value around the center, with the uncertainty of the
-// center itself.
+// Variance returns the variance of a value around the center, including the uncertainty of the center
+// itself. The tracker must not be empty.
 func (t *LogTracker) Variance() float64 {
-	d := normalRatio * max(float64(t.Deviation), minDeviation)
+	d := stdDevPerMeanDeviation * max(float64(t.Deviation), minDeviation)
 	return d * d * (1 + centerUncertainty/float64(t.Samples))
 }
--- a/internal/decide/costmodel/prior.go
+++ b/internal/decide/costmodel/prior.go
@@ -1,23 +1,24 @@
 package costmodel
 
-// priorModel predicts the cost of unknown shapes from their features: recursive least squares
-// with exponential forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with clipped
-// errors so that one outlier moves little.
+// priorModel predicts the work of unknown shapes from their features. It is a linear regression by
+// recursive least squares with exponential forgetting (Haykin, "Adaptive Filter Theory", chapter on
+// RLS). Errors are clipped so that a single outlier has little effect.
 type priorModel struct {
-	Weights    featureVector                       `cbor:"W"`
-	Covariance [featureCount][featureCount]float64 `cbor:"P"` // inverse correlation of the features
-	Samples    int                                 `cbor:"N"`
-	Error      LogTracker                          `cbor:"Track"` // of its predictions
+	Weights    featureVector                       `cbor:"W"`     // regression coefficients, log2 of ms
+	Covariance [featureCount][featureCount]float64 `cbor:"P"`     // inverse correlation matrix of the features
+	Samples    int                                 `cbor:"N"`     // number of executions learned from
+	Error      LogTracker                          `cbor:"Track"` // errors of its predictions, log2
 }
 
 const (
-	priorForgetting    = 0.9995 // weight of the past at each sample
-	priorRidge         = 0.05   // initial regularization
-	maxPriorError      = 3      // log2; larger errors are clipped
-	minPriorSamples    = 30     // before it predicts
-	maxCovarianceTrace = 1e4    // above it, nothing is forgotten
+	priorForgetting    = 0.9995 // factor on the weight of all earlier samples at each new one
+	priorRidge         = 0.05   // initial ridge regularization
+	maxPriorError      = 3      // errors are clipped to this, log2
+	minPriorSamples    = 30     // samples needed before its predictions are used
+	maxCovarianceTrace = 1e4    // trace of the covariance above which forgetting is suspended
 )
 
+// newPriorModel returns a model that has learned nothing.
 func newPriorModel() *priorModel {
 	p := &priorModel{}
 	for i := range featureCount {
@@ -26,9 +27,10 @@
 	return p
 }
 
+// ready reports whether the model has learned enough for its predictions to be used.
 func (p *priorModel) ready() bool { return p.Samples >= minPriorSamples }
 
-// predict returns the expected work of features, log2 of ms.
+// predict returns the expected work of a statement with features x, log2 of ms.
 func (p *priorModel) predict(x *featureVector) (y float64) {
 	for i := range x {
 		y += p.Weights[i] * x[i]
@@ -36,7 +38,7 @@
 	return y
 }
 
-// learn takes the work y, log2 of ms, of an execution with features x.
+// learn updates the model with an execution with features x and work y, log2 of ms.
 func (p *priorModel) learn(x *featureVector, y float64, decay Decay) {
 	err := y - p.predict(x)
 	if p.Samples > 0 {
@@ -59,7 +61,9 @@
 		scale += px[i] * x[i]
 		trace += p.Covariance[i][i]
 	}
-	if trace > maxCovarianceTrace { // guards against wind-up: forgetting what traffic no longer shows
+	if trace > maxCovarianceTrace {
+		// Prevents covariance wind-up: while traffic does not exercise some features, forgetting would
+		// let their entries grow without bound.
 		forgetting = 1
 	}
 	for i := range featureCount {
--- a/internal/decide/costmodel/shape_record.go
+++ b/internal/decide/costmodel/shape_record.go
@@ -1,32 +1,33 @@
 package costmodel
 
-// maxBuckets bounds the profiles of values that one shape keeps apart.
+// maxBuckets is the number of groups of value profiles that one shape distinguishes.
 const maxBuckets = 8
 
-// ShapeRecord is the cost history of one shape. Its size does not depend on the shape. It is
-// stored in snapshots under the names of its tags.
+// ShapeRecord is the cost history of one shape. All records have the same size. Snapshots store its
+// fields under the names in their tags. All trackers are of log2 values.
 type ShapeRecord struct {
-	Executions      uint32             `cbor:"Seen"`   // saturating
-	Work            LogTracker         `cbor:"All"`    // whatever the values
+	Executions      uint32             `cbor:"Seen"`   // number of executions; saturates at the maximum
+	Work            LogTracker         `cbor:"All"`    // work, over all values
 	PriorError      LogTracker         `cbor:"Offset"` // work relative to the prior's prediction
-	PriorPrediction LogTracker         `cbor:"Usual"`
+	PriorPrediction LogTracker         `cbor:"Usual"`  // the prior's predictions
 	HintError       LogTracker         `cbor:"Hint"`   // work relative to the hint
 	MemoryHintError LogTracker         `cbor:"Memory"` // memory relative to its hint
 	Buckets         [maxBuckets]Bucket `cbor:"Buckets"`
 }
 
-// Bucket is the cost history of the executions of one shape whose values have similar profiles.
+// Bucket is the cost history of the executions of one shape whose values have similar profiles. A bucket
+// without work samples is empty.
 type Bucket struct {
-	Key       uint32     `cbor:"Key"`
-	LastUsed  uint32     `cbor:"Used"` // ShapeRecord.Executions at the last use
-	Work      LogTracker `cbor:"Work"`
-	Memory    LogTracker `cbor:"Memory"`
-	HeldClass uint8      `cbor:"Class"` // index of the class last decided, plus 1; 0: none yet
+	Key       uint32     `cbor:"Key"`    // identifies the profiles
+	LastUsed  uint32     `cbor:"Used"`   // value of ShapeRecord.Executions at the last use
+	Work      LogTracker `cbor:"Work"`   // work, log2 of ms
+	Memory    LogTracker `cbor:"Memory"` // memory, log2 of MB
+	HeldClass uint8      `cbor:"Class"`  // index of the current class plus 1; 0 means none yet
 }
 
 func (b *Bucket) empty() bool { return b.Work.Samples == 0 }
 
-// findBucket returns the bucket of a profile, or nil.
+// findBucket returns the bucket with a key, or nil if there is none.
 func (r *ShapeRecord) findBucket(key uint32) *Bucket {
 	for i := range r.Buckets {
 		b := &r.Buckets[i]
@@ -37,8 +38,8 @@
 	return nil
 }
 
-// bucketFor returns the bucket of a profile. Where there is none, an empty bucket or the least
-// recently used one is reset and becomes it.
+// bucketFor returns the bucket with a key. If there is none, it resets an empty bucket, or else the
+// least recently used one, and gives it the key.
 func (r *ShapeRecord) bucketFor(key uint32) *Bucket {
 	if b := r.findBucket(key); b != nil {
 		return b
--- a/internal/decide/costmodel/shared_state.go
+++ b/internal/decide/costmodel/shared_state.go
@@ -2,24 +2,26 @@
 
 import "math"
 
-// sharedState is what a model has learned over all shapes, but for its prior.
+// sharedState is what a model has learned over all shapes, except for its prior.
 type sharedState struct {
-	ClassErrors      [trackedClasses]classErrors     `cbor:"All"` // by known class, for shapes without a record
+	ClassErrors      [trackedClasses]classErrors     `cbor:"All"` // by known class; used for shapes without enough history of their own
 	FrequentValues   heavyHitters                    `cbor:"Heavy"`
 	SimilarValues    heavyHitters                    `cbor:"Like"`
 	NovelValueErrors [noveltyLevels]novelValueErrors `cbor:"Fresh"`
 }
 
-// trackedClasses is how many classes have trackers of their own; the last is for all others.
+// trackedClasses is the number of groups that classes are tracked in: one for each of the first classes,
+// and the last one for all other classes and for statements whose class is not known.
 const trackedClasses = 5
 
-// classErrors holds the errors of hints, and the memory, of the queries of one class.
+// classErrors tracks the errors of hints and the memory of the queries of one class, log2.
 type classErrors struct {
-	HintError       LogTracker `cbor:"Hint"`
-	MemoryHintError LogTracker `cbor:"HintMB"`
-	Memory          LogTracker `cbor:"Memory"`
+	HintError       LogTracker `cbor:"Hint"`   // work relative to the hint
+	MemoryHintError LogTracker `cbor:"HintMB"` // memory relative to its hint
+	Memory          LogTracker `cbor:"Memory"` // reported memory
 }
 
+// classErrorsFor returns the errors of a class. knownClass is its index, or -1 if it is not known.
 func (m *Model) classErrorsFor(knownClass int) *classErrors {
 	if knownClass < 0 || knownClass >= trackedClasses-1 {
 		knownClass = trackedClasses - 1
@@ -27,25 +29,26 @@
 	return &m.ClassErrors[knownClass]
 }
 
-// novelValueErrors holds the errors made on values that were new to their shape.
+// novelValueErrors tracks the errors made on values that were new to their shape, log2, beyond the usual
+// errors for the shape.
 type novelValueErrors struct {
-	PriorError LogTracker `cbor:"Prior"`
-	HintError  LogTracker `cbor:"Hint"`
+	PriorError LogTracker `cbor:"Prior"` // work relative to the corrected prediction of the prior
+	HintError  LogTracker `cbor:"Hint"`  // work relative to the corrected hint
 }
 
-// noveltyLevels is how many levels noveltyLevel distinguishes.
+// noveltyLevels is the number of levels that noveltyLevel returns.
 const noveltyLevels = 3
 
-// Distances between predictions from which values are of the next novelty level, log2.
+// Distances from which values are of the next novelty level, log2.
 const (
 	mediumNovelty = 0.7
 	highNovelty   = 2
 )
 
-// noveltyLevel returns how novel values are for a shape, by the distance of the prior's
-// prediction from its usual one.
-func noveltyLevel(unusual float64) int {
-	switch distance := math.Abs(unusual); {
+// noveltyLevel returns how novel values are for a shape, from 0 to noveltyLevels-1. predictionShift is
+// the prior's prediction for them minus its usual prediction for the shape, log2.
+func noveltyLevel(predictionShift float64) int {
+	switch distance := math.Abs(predictionShift); {
 	case distance < mediumNovelty:
 		return 0
 	case distance < highNovelty:
@@ -54,15 +57,16 @@
 	return noveltyLevels - 1
 }
 
-// widen corrects a component by tracked errors, and widens its deviation to at least theirs.
-// Without tracked errors the distance from the usual prediction widens it.
-func (t *LogTracker) widen(c *Component, unusual float64) {
+// widen corrects the center of a component by the tracked errors and widens its deviation to at least
+// theirs. With too few tracked errors it widens the deviation by the shift of the prediction instead.
+// An absent component stays as it is.
+func (t *LogTracker) widen(c *Component, predictionShift float64) {
 	switch {
 	case c.Samples == 0:
 	case t.Samples >= minErrorSamples:
 		c.Center += float64(t.Center)
 		c.Deviation = math.Max(c.Deviation, math.Sqrt(t.Variance()))
 	default:
-		c.Deviation = math.Hypot(c.Deviation, unusual)
+		c.Deviation = math.Hypot(c.Deviation, predictionShift)
 	}
 }
--- a/internal/decide/loginlimit/limiter.go
+++ b/internal/decide/loginlimit/limiter.go
@@ -1,5 +1,5 @@
-// Package loginlimit decides how often an address may try to sign in. It does no I/O and reads no
-// clock: instants are the caller's, as durations since one origin.
+// Package loginlimit limits the rate of failed sign-ins per client address. It does no I/O and reads no
+// clock: callers pass the current time as a duration since an origin that they choose.
 package loginlimit
 
 import (
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// Config bounds the failed sign-ins of one address.
+// Config sets the limits. New raises Burst and MaxAddresses to at least 1.
 type Config struct {
-	Burst          int           // failures in a row before any wait; at least 1
-	RefillInterval time.Duration // after which one more failure is allowed
-	MaxAddresses   int           // that are remembered; beyond it those with the fewest failures are evicted
+	Burst          int           // number of failures in quick succession that are allowed without a wait
+	RefillInterval time.Duration // time after which one more failure is allowed; 0 means no limit
+	MaxAddresses   int           // number of addresses remembered; beyond it those with the fewest failures are evicted
 }
 
-// Defaults returns a configuration that lets a person mistype and makes a guesser wait.
+// Defaults returns a configuration that allows for typing errors and slows down password guessing.
 func Defaults() Config {
 	return Config{Burst: 10, RefillInterval: time.Second, MaxAddresses: 4096}
 }
 
-// maxLevelBursts bounds the level of a bucket, in bursts: a guesser can't lock an address out for
-// ever.
+// maxLevelBursts bounds the level of a bucket, in multiples of Config.Burst, so that password guessing
+// can't lock out an address for an unbounded time.
 const maxLevelBursts = 2
 
-// Limiter remembers the failures of addresses, each in a leaky bucket.
+// Limiter counts the failed sign-ins of each address in a leaky bucket. Create it with New.
 type Limiter struct {
 	cfg     Config
-	buckets map[string]*bucket
+	buckets map[string]*bucket // by address
 }
 
-// bucket holds the failures of an address. It leaks one each Config.RefillInterval.
+// bucket is the leaky bucket of an address. One failure leaks out in each Config.RefillInterval.
 type bucket struct {
-	level    float64
-	leakedAt time.Duration
+	level    float64       // number of failures that have not leaked out
+	leakedAt time.Duration // when level was last updated for the leak
 }
 
-// New returns a limiter that remembers nothing.
+// New returns a limiter without any recorded failures.
 func New(cfg Config) *Limiter {
 	cfg.Burst = max(cfg.Burst, 1)
 	cfg.MaxAddresses = max(cfg.MaxAddresses, 1)
 	return &Limiter{cfg: cfg, buckets: map[string]*bucket{}}
 }
 
-// RetryAfter returns how long an address has to wait before its next attempt; 0: it may try.
+// RetryAfter returns how long an address has to wait before its next attempt; 0 means that it may try
+// now.
 func (l *Limiter) RetryAfter(now time.Duration, addr string) time.Duration {
 	b := l.buckets[addr]
 	if b == nil {
@@ -56,7 +57,7 @@
 	return time.Duration(math.Ceil(excess * float64(l.cfg.RefillInterval)))
 }
 
-// RecordFailure counts a failed sign-in of an address.
+// RecordFailure counts a failed sign-in from an address.
 func (l *Limiter) RecordFailure(now time.Duration, addr string) {
 	b := l.buckets[addr]
 	if b == nil {
@@ -73,8 +74,9 @@
 // Len returns the number of addresses that are remembered.
 func (l *Limiter) Len() int { return len(l.buckets) }
 
-// evict removes the addresses whose buckets are empty. Where that is not enough it removes all up to
-// the mean level: a flood of addresses must not free the one that guesses.
+// evict removes the addresses with empty buckets. If that doesn't make room, it also removes those with a
+// level up to the mean. Addresses with many failures stay, so that a flood of other addresses doesn't
+// lift the limit for an address that guesses passwords.
 func (l *Limiter) evict(now time.Duration) {
 	sum := 0.0
 	for addr, b := range l.buckets {
@@ -96,7 +98,8 @@
 	}
 }
 
-// leak takes out what has leaked since the last call.
+// leak lowers the level by what has leaked out since the last call. Without an interval it empties the
+// bucket.
 func (b *bucket) leak(now, interval time.Duration) {
 	if interval > 0 {
 		b.level = max(b.level-float64(now-b.leakedAt)/float64(interval), 0)
--- a/internal/decide/remotesite/capacity_meter.go
+++ b/internal/decide/remotesite/capacity_meter.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// CapacityMeter measures the free capacity of this gateway's part of its own site, from the
-// threads that it uses there, what its policy rejects and what engines report.
+// CapacityMeter measures the free capacity of this gateway's site, as this gateway sees it: from the
+// engine threads that it uses, the queries that its policy rejects and the utilization that the
+// engines report.
 type CapacityMeter struct {
 	cfg           Config
-	gateways      float64 // of this site, which share its engines
-	engines       map[string]Engine
-	classes       map[string]*classLoad
-	threadsInUse  float64 // at engines, by this gateway
-	utilization   float64 // reported fraction of cores in use, smoothed
-	utilizationAt time.Duration
+	gateways      float64               // number of gateways that share the engines of this site; at least 1
+	engines       map[string]Engine     // live engines by id
+	classes       map[string]*classLoad // by name of the class
+	threadsInUse  float64               // engine threads in use by this gateway's attempts
+	utilization   float64               // smoothed fraction of cores in use as reported by engines
+	utilizationAt time.Duration         // when utilization was last reported; 0 means never
 }
 
-// Engine is an engine of this site.
+// Engine describes an engine of this site.
 type Engine struct {
-	Cores             float64
+	Cores             float64       // number of cores
 	Live              bool          // queries may be sent to it
-	WarmUpUntil       time.Duration // when it reaches its capacity
-	WarmUpPeriod      time.Duration
-	WarmUpMinCapacity float64 // fraction of its capacity at the start of the warm-up
+	WarmUpUntil       time.Duration // when its warm-up ends
+	WarmUpPeriod      time.Duration // length of its warm-up; 0 means none
+	WarmUpMinCapacity float64       // fraction of its capacity at the start of the warm-up
 }
 
-// availableCores returns the cores of an engine, of one in warm-up those that it offers by now.
+// availableCores returns the number of cores that an engine offers now. During the warm-up it grows
+// linearly from WarmUpMinCapacity to all cores.
 func (e *Engine) availableCores(now time.Duration) float64 {
 	left := e.WarmUpUntil - now
 	if left <= 0 || e.WarmUpPeriod <= 0 {
@@ -36,16 +38,16 @@
 }
 
 const (
-	utilizationExpiry = time.Second // in which a reported utilization fades to nothing
-	utilizationGain   = 10          // inverse weight of one report
+	utilizationExpiry = time.Second // time in which the weight of a reported utilization falls to 0
+	utilizationGain   = 10          // inverse weight of one report in the smoothed utilization
 )
 
-// NewCapacityMeter returns a meter for one of so many gateways of a site.
+// NewCapacityMeter returns a meter for a gateway of a site that has so many gateways in all.
 func NewCapacityMeter(cfg Config, gateways int) *CapacityMeter {
 	return &CapacityMeter{cfg: cfg, gateways: float64(max(gateways, 1)), engines: map[string]Engine{}, classes: map[string]*classLoad{}}
 }
 
-// UpdateEngine takes an engine of this site, or a change to it.
+// UpdateEngine adds or changes an engine of this site. An engine that isn't live is removed.
 func (m *CapacityMeter) UpdateEngine(id string, e Engine) {
 	if !e.Live {
 		delete(m.engines, id)
@@ -54,6 +56,7 @@
 	m.engines[id] = e
 }
 
+// class returns the load of a class, which it creates if needed.
 func (m *CapacityMeter) class(name string) *classLoad {
 	c := m.classes[name]
 	if c == nil {
@@ -70,14 +73,14 @@
 	c.arrivals++
 }
 
-// RecordRejection counts a query that this site's policy has rejected.
+// RecordRejection counts a query of a class that this site's policy has rejected.
 func (m *CapacityMeter) RecordRejection(now time.Duration, class string) {
 	c := m.class(class)
 	c.decay(now)
 	c.rejections++
 }
 
-// TypicalWork returns the typical work of a class in seconds of one core; 0: unknown.
+// TypicalWork returns the typical work of a query of a class in core-seconds; 0 means unknown.
 func (m *CapacityMeter) TypicalWork(class string) float64 {
 	if c := m.classes[class]; c != nil {
 		return c.typicalWork
@@ -85,21 +88,22 @@
 	return 0
 }
 
-// AttemptStarted counts the threads of an attempt at an engine.
+// AttemptStarted adds the engine threads that an attempt uses.
 func (m *CapacityMeter) AttemptStarted(threads float64) { m.threadsInUse += threads }
 
-// AttemptEnded takes back the threads of an attempt.
+// AttemptEnded subtracts the engine threads of an attempt that has ended.
 func (m *CapacityMeter) AttemptEnded(threads float64) {
 	m.threadsInUse = max(m.threadsInUse-threads, 0)
 }
 
-// RecordLatency takes how long an engine took to answer, and the query's work in seconds of one
-// core (0: unknown).
+// RecordLatency records how long an engine took to answer a query of a class, and the query's work in
+// core-seconds; a work of 0 means unknown.
 func (m *CapacityMeter) RecordLatency(class string, latency time.Duration, work float64) {
 	m.class(class).recordLatency(latency.Seconds(), work)
 }
 
-// RecordUtilization takes an engine's report of the fraction of its cores in use.
+// RecordUtilization records an engine's report of the fraction of its cores in use. NaN and negative
+// values are ignored.
 func (m *CapacityMeter) RecordUtilization(now time.Duration, utilization float64) {
 	if !(utilization >= 0) {
 		return
@@ -108,8 +112,8 @@
 	m.utilizationAt = now
 }
 
-// AvailableCores returns the cores of this site's engines, of those in warm-up what they offer by
-// now.
+// AvailableCores returns the number of cores that this site's engines offer now, with fewer for those
+// in warm-up.
 func (m *CapacityMeter) AvailableCores(now time.Duration) (cores float64) {
 	for _, e := range m.engines {
 		cores += e.availableCores(now)
@@ -117,9 +121,10 @@
 	return cores
 }
 
-// maxWarmUpWork returns the work of a query above which it is better not begun here while an engine
-// is in warm-up: what the weakest does in a second, divided among the gateways. Guards such an
-// engine against large queries of several gateways at once, which none of their policies sees.
+// maxWarmUpWork returns the largest work, in core-seconds, that a query started here should have while
+// an engine is in warm-up: what the weakest such engine does in a second, divided by the number of
+// gateways. It is infinite if no engine is in warm-up. The limit protects such an engine from large
+// queries of several gateways at once, which the policy of a single gateway can't see.
 func (m *CapacityMeter) maxWarmUpWork(now time.Duration) float64 {
 	work := math.Inf(1)
 	for _, e := range m.engines {
@@ -130,8 +135,8 @@
 	return work
 }
 
-// threads returns how many threads this site's engines have, and how many are in use, as this
-// gateway sees it.
+// threads returns how many threads this site's engines have, and an estimate of how many are in use:
+// this gateway's threads times the number of gateways, or more if the engines report more.
 func (m *CapacityMeter) threads(now time.Duration) (available, inUse float64) {
 	cores := m.AvailableCores(now)
 	available = cores * m.cfg.ThreadsPerCore
@@ -142,28 +147,29 @@
 	return available, inUse
 }
 
-// admission returns the fraction of a class that the policy admits, counted sharply.
-func (m *CapacityMeter) admission(now time.Duration, class string) float64 {
+// admittedFraction returns the fraction of a class that the policy admits, where each rejection counts
+// rejectionWeight times; 1 for an unknown class.
+func (m *CapacityMeter) admittedFraction(now time.Duration, class string) float64 {
 	c := m.classes[class]
 	if c == nil {
 		return 1
 	}
 	c.decay(now)
-	return c.admission()
+	return c.admittedFraction()
 }
 
-// FreeCapacity returns the free capacity of this site for a class, as a fraction.
+// FreeCapacity returns the free capacity of this site for a class, as a fraction; 0 without engines.
 func (m *CapacityMeter) FreeCapacity(now time.Duration, class string) float64 {
 	available, inUse := m.threads(now)
 	if available <= 0 {
 		return 0
 	}
-	return max(1-inUse/available, 0) * m.admission(now, class)
+	return max(1-inUse/available, 0) * m.admittedFraction(now, class)
 }
 
-// FreeCapacityFor returns the free capacity of this site for one of its own queries. It is none
-// where an engine is in warm-up and the query is larger than such a one should get, so that the
-// query goes where engines are warm, if anywhere accepts it.
+// FreeCapacityFor returns the free capacity of this site for one of its own queries, as a fraction. It
+// is 0 for a query that is too large for an engine in warm-up (see maxWarmUpWork), so that the query
+// is forwarded to a site with warm engines if one accepts it.
 func (m *CapacityMeter) FreeCapacityFor(now time.Duration, q *Query) float64 {
 	if q.Work > m.maxWarmUpWork(now) {
 		return 0
@@ -171,8 +177,9 @@
 	return m.FreeCapacity(now, q.Class)
 }
 
-// Accepts tells whether a query of another site is begun here: not where its answer could not be in
-// time, nor where capacity is reserved for this site's own clients. What it rejects never ran.
+// Accepts reports whether this site starts a query forwarded by another site. It doesn't if the answer
+// would be too late, if only the capacity reserved for its own clients is left, or if the query is too
+// large for an engine in warm-up. A query that is not accepted is sent to no engine.
 func (m *CapacityMeter) Accepts(now time.Duration, q *Query) bool {
 	if m.FreeCapacity(now, q.Class) <= m.cfg.LocalReserve || q.Remaining <= 0 || q.Work > m.maxWarmUpWork(now) {
 		return false
--- a/internal/decide/remotesite/key_history.go
+++ b/internal/decide/remotesite/key_history.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Origin says at which site an attempt was made.
+// Origin says which site made an attempt.
 type Origin uint8
 
 // Origins.
 const (
-	ThisSite Origin = iota
-	OtherSite
+	ThisSite  Origin = iota // this gateway's site
+	OtherSite               // a peer's site
 )
 
-// KeyHistory remembers when each idempotency key was first sent to an engine, at any site that has
-// reported it: the dedup window of a key counts from there, whichever gateway its client turns to
-// next.
+// KeyHistory remembers when each idempotency key was first sent to an engine at this site or at a site
+// that has reported it. The dedup window of a key starts then, whichever gateway its client uses for
+// the next request.
 type KeyHistory struct {
-	retention time.Duration
-	maxKeys   int
-	first     map[string]keySend
-	order     []string // of arrival; some may be retracted
+	retention time.Duration      // how long a key is remembered after its first send
+	maxKeys   int                // bound on the number of keys; at least 1
+	first     map[string]keySend // first send by key
+	order     []string           // keys in the order of their arrival, including retracted ones
 }
 
+// keySend is the first known send of a key to an engine.
 type keySend struct {
-	at     time.Duration
-	origin Origin
+	at     time.Duration // when the key was sent
+	origin Origin        // OtherSite if another site has sent the key, even if not first
 }
 
-// NewKeyHistory returns a history of at most maxKeys keys, each for the retention. Both bound what a
-// client or a peer can make it hold; a key that was evicted counts as new.
+// NewKeyHistory returns a history that holds at most maxKeys keys, each for the retention. The two
+// limits bound the memory that clients and peers can make it use. An evicted key counts as new.
 func NewKeyHistory(retention time.Duration, maxKeys int) *KeyHistory {
 	return &KeyHistory{retention: retention, maxKeys: max(maxKeys, 1), first: map[string]keySend{}}
 }
 
-// Record takes that a key was sent at an instant. It tells whether the key was unknown, or known
-// to be sent later.
+// Record records that a key was sent to an engine at a time. It reports whether that is the earliest
+// known send of the key. An empty or expired key is ignored.
 func (h *KeyHistory) Record(now time.Duration, key string, at time.Duration, origin Origin) bool {
 	if key == "" || now-at >= h.retention {
 		return false
@@ -53,7 +54,7 @@
 	return at < known.at
 }
 
-// evict removes the keys that came first, while they are expired or too many.
+// evict removes the oldest keys, in order of arrival, while they are retracted, expired or too many.
 func (h *KeyHistory) evict(now time.Duration) {
 	for len(h.order) > 0 {
 		oldest := h.order[0]
@@ -66,19 +67,19 @@
 	}
 }
 
-// FirstSend returns when a key was first sent, and whether another site sent it too; ok is false
-// for an unknown key.
+// FirstSend returns when a key was first sent; origin is OtherSite if another site has sent it. ok is
+// false for an unknown or expired key.
 func (h *KeyHistory) FirstSend(now time.Duration, key string) (at time.Duration, origin Origin, ok bool) {
 	send, known := h.first[key]
 	return send.at, send.origin, known && now-send.at < h.retention
 }
 
-// Retract takes back that a key was sent at an instant: that attempt never ran.
+// Retract removes a key if its first send was at this time, because that attempt never ran.
 func (h *KeyHistory) Retract(key string, at time.Duration) {
 	if send, known := h.first[key]; known && send.at == at {
 		delete(h.first, key)
 	}
 }
 
-// Len returns the number of keys.
+// Len returns the number of remembered keys.
 func (h *KeyHistory) Len() int { return len(h.first) }
--- a/internal/decide/remotesite/peer.go
+++ b/internal/decide/remotesite/peer.go
@@ -5,47 +5,54 @@
 	"time"
 )
 
-// Peer is a gateway at another site, as this one sees it. Its zero value is unreachable.
+// Peer holds what this gateway knows of a gateway at another site. The zero value is an unreachable
+// peer.
 type Peer struct {
-	lastReply    time.Duration // 0: never
-	reachedAt    time.Duration // first reply after it was unreachable
-	rtt          time.Duration // smoothed
-	rttDeviation time.Duration // mean
-	slow         bool
-	connected    bool
-	drainedHere  bool // by an operator at this site
-	departed     bool
-
-	digest   Digest
-	digestAt time.Duration
-	credit   float64 // of the acceptable work, not used yet; below 0 after one query larger than it
-
-	distrust   float64 // 0 to 1: of its digests, by recent failures
-	distrustAt time.Duration
-
-	reportedState State // by StateChange
-	wasReported   bool
+	lastReply         time.Duration // time of the last reply; 0 means never
+	reachableSince    time.Duration // time of the first reply after it was unreachable
+	rtt               time.Duration // smoothed round-trip time; 0 means not measured
+	rttDeviation      time.Duration // smoothed mean deviation of the round-trip time
+	slow              bool          // rtt has exceeded Config.SlowRTT and not fallen enough since
+	connected         bool          // there is a link to the peer
+	drainedByOperator bool          // an operator at this site has drained it
+	departed          bool          // it has reported that it leaves
+
+	digest   Digest        // the last one received
+	digestAt time.Duration // when digest was received
+	// credit is the work, in core-seconds, that may still be forwarded to the peer. It is negative
+	// after a query that was larger than the credit left.
+	credit float64
+
+	distrust   float64       // discount on its digests for recent failures, 0 to 1, as of distrustAt
+	distrustAt time.Duration // when distrust was last updated
+
+	reportedState State // the state that StateChange last reported
+	stateReported bool  // StateChange has reported a state
 }
 
 const (
-	// Gains of the round trip as in RFC 6298, inverse.
+	// rttGain and rttDeviationGain are the inverse gains of the smoothed round-trip time and of its
+	// deviation, as in RFC 6298.
 	rttGain          = 8
 	rttDeviationGain = 4
-	// Weights of one outcome in the distrust of a peer.
+	// distrustGain is the weight of one failure in the distrust of a peer, trustGain that of one
+	// success.
 	distrustGain = 0.15
 	trustGain    = 0.1
-	// distrustDecay is the time constant of distrust: a peer that fails is tried again now and then.
+	// distrustDecay is the time constant with which distrust decays, so that a peer that has failed is
+	// tried again now and then.
 	distrustDecay = 5 * time.Second
 )
 
-// RecordReply takes a reply of the peer, which proves both ways, with its round trip where one was
-// measured (0: none). What a peer sends by itself proves one way only, and not that it receives.
-// The first reply after the peer was unreachable begins the ramp: its engines may have restarted.
+// RecordReply records a reply of the peer to a message of this gateway, with its round-trip time; an
+// rtt of 0 means that none was measured. A reply proves that both directions of the link work; an
+// unsolicited message doesn't prove that the peer receives anything. The first reply after the peer
+// was unreachable starts the ramp, as its engines may have restarted.
 func (p *Peer) RecordReply(cfg Config, now, rtt time.Duration) {
 	if p.lastReply == 0 || now-p.lastReply >= cfg.UnreachableAfter {
-		p.reachedAt = now
-		p.digest = Digest{} // the earlier one may no longer hold
-		p.dropCredit()
+		p.reachableSince = now
+		p.digest = Digest{} // it dates from before the outage and may be wrong by now
+		p.dropUnusedCredit()
 	}
 	p.lastReply = now
 	p.departed = false
@@ -70,7 +77,7 @@
 	}
 }
 
-// RecordDigest takes the peer's report of itself.
+// RecordDigest records the peer's digest and replaces the unused credit by the work that it accepts.
 func (p *Peer) RecordDigest(cfg Config, now time.Duration, d Digest) {
 	p.digest = d
 	p.digestAt = now
@@ -78,49 +85,52 @@
 	if !(work > 0) || math.IsInf(work, 1) { // NaN, infinite or negative
 		work = 0
 	}
-	p.dropCredit()
+	p.dropUnusedCredit()
 	if !d.Draining {
 		p.credit += work * p.RampFraction(cfg, now)
 	}
 }
 
-// dropCredit drops what is left of the peer's credit, and keeps what one query took beyond it.
-// Guards against a peer that drains, leaves or becomes unreachable just behind a large query, and
-// is sent another on its first digest.
-func (p *Peer) dropCredit() { p.credit = min(p.credit, 0) }
+// dropUnusedCredit resets a positive credit to 0 and keeps a negative one. If the debt of a large query
+// were dropped when the peer drains, leaves or becomes unreachable, the peer would be sent another
+// such query on its next digest.
+func (p *Peer) dropUnusedCredit() { p.credit = min(p.credit, 0) }
 
-// RecordDeparture takes the peer's word that it has left: its digest holds no more.
+// RecordDeparture records that the peer has reported its departure. It gets no more work.
 func (p *Peer) RecordDeparture() {
 	p.departed = true
-	p.dropCredit()
+	p.dropUnusedCredit()
 }
 
-// SetDrained takes whether an operator at this site has drained the peer.
-func (p *Peer) SetDrained(drained bool) { p.drainedHere = drained }
+// SetDrained sets whether an operator at this site has drained the peer.
+func (p *Peer) SetDrained(drained bool) { p.drainedByOperator = drained }
 
-// SetConnected takes whether there is a link to the peer. Without one it is unreachable at once.
+// SetConnected sets whether there is a link to the peer. Without a link it is unreachable at once.
 func (p *Peer) SetConnected(connected bool) { p.connected = connected }
 
-// IsDrained tells whether an operator at this site has drained the peer.
-func (p *Peer) IsDrained() bool { return p.drainedHere }
+// IsDrained reports whether an operator at this site has drained the peer.
+func (p *Peer) IsDrained() bool { return p.drainedByOperator }
 
-// RampFraction returns the fraction of its acceptable work that the peer is sent.
+// RampFraction returns the fraction of its acceptable work that the peer may be sent. It grows
+// linearly from Config.RampStart to 1 during the ramp.
 func (p *Peer) RampFraction(cfg Config, now time.Duration) float64 {
-	age := now - p.reachedAt
+	age := now - p.reachableSince
 	if cfg.RampDuration <= 0 || age >= cfg.RampDuration {
 		return 1
 	}
 	return cfg.RampStart + (1-cfg.RampStart)*max(float64(age)/float64(cfg.RampDuration), 0)
 }
 
-// OneWayDelay returns the delay of one way to the peer with its usual deviation: half of the round
-// trip, which is all that can be known without trusting the peer's clock.
+// OneWayDelay returns a cautious estimate of the network delay to the peer: half of the round-trip
+// time, plus its mean deviation up to as much again. The delays of the two directions can't be told
+// apart without trusting the peer's clock.
 func (p *Peer) OneWayDelay() time.Duration { return p.rtt/2 + min(p.rttDeviation, p.rtt/2) }
 
-// RTT returns the smoothed round trip; 0: none was measured.
+// RTT returns the smoothed round-trip time; 0 means that none was measured.
 func (p *Peer) RTT() time.Duration { return p.rtt }
 
-// SinceReply returns how long ago the peer last replied; below 0: never.
+// SinceReply returns the time since the peer's last reply; a negative value means that it has never
+// replied.
 func (p *Peer) SinceReply(now time.Duration) time.Duration {
 	if p.lastReply == 0 {
 		return -1
@@ -128,20 +138,22 @@
 	return now - p.lastReply
 }
 
-// FreeCapacity returns the free capacity for a class in the peer's last digest.
+// FreeCapacity returns the free capacity for a class according to the peer's last digest, as a
+// fraction; 0 if the digest doesn't list the class.
 func (p *Peer) FreeCapacity(class string) float64 { return p.digest.FreeCapacity[class] }
 
-// Credit returns the work, in seconds of one core, that may still be forwarded until the peer's
-// next digest.
+// Credit returns the work, in core-seconds, that may still be forwarded before the peer's next digest.
+// It is negative after a query that was larger than the credit left.
 func (p *Peer) Credit() float64 { return p.credit }
 
-// RecordSuccess takes that a forwarded query was served.
+// RecordSuccess records that the peer has served a forwarded query.
 func (p *Peer) RecordSuccess(now time.Duration) {
 	p.decayDistrust(now)
 	p.distrust -= p.distrust * trustGain
 }
 
-// RecordFailure takes that a forwarded query was not served, although the digest accepted it.
+// RecordFailure records that the peer has not served a forwarded query although its digest offered
+// the capacity.
 func (p *Peer) RecordFailure(now time.Duration) {
 	p.decayDistrust(now)
 	p.distrust += (1 - p.distrust) * distrustGain
@@ -152,13 +164,14 @@
 	p.distrustAt = now
 }
 
-// Distrust returns the fraction of the peer's digest that is not believed.
+// Distrust returns the fraction, 0 to 1, by which the offered capacity of the peer is reduced because
+// of recent failures.
 func (p *Peer) Distrust(now time.Duration) float64 {
 	return p.distrust * math.Exp(-float64(max(now-p.distrustAt, 0))/float64(distrustDecay))
 }
 
-// offeredCapacity returns the free capacity for a class that the peer is believed to have: that of
-// its digest, less for the digest's age and for recent failures.
+// offeredCapacity returns the free capacity for a class that this gateway expects the peer to have: the
+// one in its digest, reduced by the digest's age and by recent failures. It is 0 without credit.
 func (p *Peer) offeredCapacity(cfg Config, now time.Duration, class string) float64 {
 	age := now - p.digestAt
 	if age >= cfg.DigestMaxAge || p.credit <= 0 {
--- a/internal/decide/remotesite/peer_state.go
+++ b/internal/decide/remotesite/peer_state.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// State is the state that a peer is believed to be in.
+// State is the state of a peer as this gateway sees it.
 type State uint8
 
-// States. Queries are sent only in Up, Slow and RampingUp.
+// States of a peer. Queries are forwarded only to peers that are Up, Slow or RampingUp.
 const (
-	Unreachable State = iota // it does not reply: what is there is in doubt
-	Up                       // it replies in time
-	Slow                     // it replies, and the round trip takes long
-	RampingUp                // it is back after it was unreachable
-	Draining                 // it accepts nothing new, by its own word or an operator's here
-	Departed                 // it has left, by its own word
+	Unreachable State = iota // no reply for too long, or no link; queries sent to it are in doubt
+	Up                       // replies in time
+	Slow                     // replies, with a long round-trip time
+	RampingUp                // replies again after it was unreachable and gets a reduced share of work
+	Draining                 // gets no new queries, by its own report or an operator's action at this site
+	Departed                 // has left, by its own report
 )
 
-// stateNames appear in events, counters and the overview of operators.
+// stateNames are the names of the states in events, counters and the operators' overview.
 var stateNames = [...]string{
 	Unreachable: "silent",
 	Up:          "up",
@@ -28,20 +28,21 @@
 	Departed:    "gone",
 }
 
+// String returns the name of the state in events and counters.
 func (s State) String() string { return stateNames[s] }
 
 func (s State) acceptsQueries() bool { return s == Up || s == Slow || s == RampingUp }
 
-// State returns the state that the peer is believed to be in.
+// State returns the current state of the peer.
 func (p *Peer) State(cfg Config, now time.Duration) State {
 	switch {
 	case p.departed:
 		return Departed
 	case !p.connected || p.lastReply == 0 || now-p.lastReply >= cfg.UnreachableAfter:
 		return Unreachable
-	case p.drainedHere || p.digest.Draining:
+	case p.drainedByOperator || p.digest.Draining:
 		return Draining
-	case now-p.reachedAt < cfg.RampDuration:
+	case now-p.reachableSince < cfg.RampDuration:
 		return RampingUp
 	case p.slow:
 		return Slow
@@ -52,29 +53,29 @@
 // Change is a change of a peer's state.
 type Change struct {
 	From, To State
-	Reason   Reason
+	Reason   Reason // why the state is To
 }
 
-// ReasonKind is the kind of evidence for a change of state.
+// ReasonKind is the kind of reason for a change of state.
 type ReasonKind uint8
 
 // Kinds of reasons.
 const (
-	NoReply ReasonKind = iota + 1
-	LinkDown
-	Recovered
-	HighRTT
-	FirstReply
-	ReplyAfterOutage
-	DrainedByOperator
-	PeerRequest // the peer has said so
+	NoReply           ReasonKind = iota + 1 // no reply for Config.UnreachableAfter
+	LinkDown                                // the link to the peer is down
+	Recovered                               // the peer has replied in time since it recovered
+	HighRTT                                 // the round-trip time is above Config.SlowRTT
+	FirstReply                              // the peer has replied for the first time
+	ReplyAfterOutage                        // the peer replies again, or accepts queries again
+	DrainedByOperator                       // an operator at this site has drained the peer
+	ReportedByPeer                          // the peer has reported the state itself
 )
 
-// Reason is the evidence for a change of state.
+// Reason is the reason for a change of state, with the measured values that its kind needs.
 type Reason struct {
-	Kind ReasonKind
-	For  time.Duration // without a reply, or with replies since the peer recovered
-	RTT  time.Duration
+	Kind     ReasonKind
+	Duration time.Duration // time without a reply (NoReply), or since the peer became reachable (Recovered)
+	RTT      time.Duration // smoothed round-trip time (Recovered, HighRTT)
 }
 
 // String describes the reason for operators.
@@ -82,11 +83,11 @@
 	rtt := r.RTT.Round(time.Millisecond)
 	switch r.Kind {
 	case NoReply:
-		return fmt.Sprintf("no reply for %v", r.For.Round(time.Millisecond))
+		return fmt.Sprintf("no reply for %v", r.Duration.Round(time.Millisecond))
 	case LinkDown:
 		return "its link is down"
 	case Recovered:
-		return fmt.Sprintf("heard for %v since its silence; round trip %v", r.For.Round(time.Second), rtt)
+		return fmt.Sprintf("heard for %v since its silence; round trip %v", r.Duration.Round(time.Second), rtt)
 	case HighRTT:
 		return fmt.Sprintf("round trip %v", rtt)
 	case FirstReply:
@@ -95,14 +96,14 @@
 		return "heard again after a silence"
 	case DrainedByOperator:
 		return "drained by an operator here"
-	case PeerRequest:
+	case ReportedByPeer:
 		return "by its own word"
 	}
 	return ""
 }
 
-// StateChange returns the change of state since its last call, if there is one. Its first call
-// reports the state at the start, unless that is Unreachable.
+// StateChange returns the change of the peer's state since the last call; changed is false if there is
+// none. The first call compares with Unreachable.
 func (p *Peer) StateChange(cfg Config, now time.Duration) (c Change, changed bool) {
 	c = Change{From: p.reportedState, To: p.State(cfg, now)}
 	if c.From == c.To {
@@ -110,30 +111,31 @@
 	}
 	c.Reason = p.reasonFor(c.To, now)
 	p.reportedState = c.To
-	p.wasReported = true
+	p.stateReported = true
 	return c, true
 }
 
+// reasonFor returns the reason why the peer is in a state that it has just changed to.
 func (p *Peer) reasonFor(s State, now time.Duration) Reason {
 	switch s {
 	case Unreachable:
 		if !p.connected {
 			return Reason{Kind: LinkDown}
 		}
-		return Reason{Kind: NoReply, For: now - p.lastReply}
+		return Reason{Kind: NoReply, Duration: now - p.lastReply}
 	case Up:
-		return Reason{Kind: Recovered, For: now - p.reachedAt, RTT: p.rtt}
+		return Reason{Kind: Recovered, Duration: now - p.reachableSince, RTT: p.rtt}
 	case Slow:
 		return Reason{Kind: HighRTT, RTT: p.rtt}
 	case RampingUp:
-		if !p.wasReported {
+		if !p.stateReported {
 			return Reason{Kind: FirstReply}
 		}
 		return Reason{Kind: ReplyAfterOutage}
 	case Draining:
-		if p.drainedHere {
+		if p.drainedByOperator {
 			return Reason{Kind: DrainedByOperator}
 		}
 	}
-	return Reason{Kind: PeerRequest}
+	return Reason{Kind: ReportedByPeer}
 }
--- a/internal/decide/remotesite/remotesite.go
+++ b/internal/decide/remotesite/remotesite.go
@@ -1,37 +1,65 @@
-// Package remotesite decides, for a gateway at one site, whether a query runs here, at another site
-// or nowhere, and what state the gateways at other sites are in. Which engine runs a query is
-// decided by each site's own policy. It does no I/O and reads no clock: instants are the caller's,
-// as durations since one origin. Clocks of other sites are never used, only how long things took
-// here.
+// Package remotesite decides whether a gateway runs a query at its own site, forwards it to another
+// site or rejects it, and tracks the state of the gateways at other sites. Which engine runs a query
+// is left to the policy of the site that runs it.
 //
-// Peers are gateways at other sites. Each reports its own part of its site's free capacity, so that
-// a site with several gateways is several peers.
+// A peer is a gateway at another site. Each peer reports only its own share of its site's free
+// capacity, so a site with several gateways appears as several peers.
+//
+// The package does no I/O and reads no clock. Callers pass the current time as a duration since an
+// origin that they choose. Clocks of other sites are never used: only durations measured at this
+// gateway count.
 package remotesite
 
 import "time"
 
-// Config configures the decisions. Fractions of capacity are from 0 to 1.
+// Config configures the decisions. Capacities are fractions of a site's capacity, from 0 to 1.
 type Config struct {
-	UnreachableAfter  time.Duration // without a reply; too short: a pause is taken for a loss
-	SlowRTT           time.Duration // round trip above which a peer is slow, until it is below three quarters
-	RampDuration      time.Duration // of the recovery ramp of a peer; at least as long as engines need
-	RampStart         float64       // fraction of the acceptable work that is sent at the ramp's start
-	HopSlack          time.Duration // kept of a query's time at each hop, for the answer's way back
-	SpillBelow        float64       // free capacity here below which queries may be forwarded
-	StopSpillAbove    float64       // and above which they stay again; above SpillBelow
-	MinPeerCapacity   float64       // free capacity that a peer must have
-	LocalReserve      float64       // capacity that is kept for this site's own clients
-	ThreadsPerCore    float64       // at which a site has no free capacity
-	DigestMaxAge      time.Duration // after which a peer's digest counts for nothing
-	DigestInterval    time.Duration // between digests of a gateway
-	MaxAttempts       int           // of one query over all sites together
-	MinPriorityWeight float64       // queries of a lower weight are never forwarded
-	AffinityBonus     float64       // capacity that a peer must have more where a query's tables are warm here
-	HedgeRatio        float64       // hedged requests per forwarded one, at most
-	SharedDedup       bool          // engines of all sites drop each other's duplicates of a key
+	// UnreachableAfter is the time without a reply after which a peer is unreachable. If it is too
+	// short, a pause of the peer is mistaken for an outage.
+	UnreachableAfter time.Duration
+	// SlowRTT is the smoothed round-trip time above which a peer is slow. It stays slow until the
+	// round-trip time is below three quarters of SlowRTT.
+	SlowRTT time.Duration
+	// RampDuration is how long a peer that has become reachable gets a reduced share of the work that
+	// it accepts. It should be at least as long as the warm-up of its engines. 0 means no ramp.
+	RampDuration time.Duration
+	// RampStart is the fraction of the acceptable work that a peer is sent at the start of the ramp.
+	RampStart float64
+	// HopSlack is subtracted from a query's remaining time at each hop, as a reserve for sending the
+	// answer back.
+	HopSlack time.Duration
+	// SpillBelow is the free capacity of this site below which it starts to forward queries.
+	SpillBelow float64
+	// StopSpillAbove is the free capacity of this site above which it stops forwarding queries. It is
+	// larger than SpillBelow.
+	StopSpillAbove float64
+	// MinPeerCapacity is the free capacity that a peer needs to be sent a query.
+	MinPeerCapacity float64
+	// LocalReserve is the capacity that is reserved for this site's own clients.
+	LocalReserve float64
+	// ThreadsPerCore is the number of engine threads in use per core at which a site has no free
+	// capacity.
+	ThreadsPerCore float64
+	// DigestMaxAge is the age from which a peer's digest is ignored.
+	DigestMaxAge time.Duration
+	// DigestInterval is the time between two digests of a gateway.
+	DigestInterval time.Duration
+	// MaxAttempts bounds the attempts at one query, counted over all sites.
+	MaxAttempts int
+	// MinPriorityWeight is the priority weight below which queries are never forwarded.
+	MinPriorityWeight float64
+	// AffinityBonus is added to the offered capacity of a peer where the tables of the query's data
+	// set are warm. If they are warm at this site, a peer needs this much more free capacity instead.
+	AffinityBonus float64
+	// HedgeRatio bounds the hedged requests, as a fraction of the forwarded queries.
+	HedgeRatio float64
+	// SharedDedup says that the engines of all sites recognize each other's duplicates of an
+	// idempotency key.
+	SharedDedup bool
 }
 
-// Defaults returns a configuration for two sites some tens of milliseconds apart.
+// Defaults returns a configuration for two sites with a round-trip time of some tens of
+// milliseconds.
 func Defaults() Config {
 	return Config{
 		UnreachableAfter: 1500 * time.Millisecond,
