--- a/internal/decide/adminstate/replay_test.go
+++ b/internal/decide/adminstate/replay_test.go
@@ -16,8 +16,9 @@
 	"gannetspur/policy"
 )
 
-// TestReplay feeds seeded discovery entries and operators' calls to two processes that exchange
-// their overrides now and then. Every result goes into a digest that version c18a9bd wrote.
+// TestReplay applies seeded pseudorandom discovery entries and operators' calls to the tables of two
+// processes that exchange their overrides now and then. It compares the digest of all results with the
+// one recorded at version c18a9bd, so that a change of any result is noticed.
 func TestReplay(t *testing.T) {
 	const digestFile = "testdata/replay.sha256"
 	want, err := os.ReadFile(digestFile)
@@ -33,40 +34,41 @@
 	}
 }
 
-// replay writes the results of one seeded run. Its wording does not depend on identifiers.
+// replay writes the results of one seeded run. The digest covers the text written, so its wording must
+// not change.
 func replay(out io.Writer, seed uint64) {
-	say := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) } // a hash never fails
-	random := rand.New(rand.NewPCG(seed, 1))
-	processes := []*Table{New(), New()}
+	write := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) } // writing to a hash never fails
+	rng := rand.New(rand.NewPCG(seed, 1))
+	tables := []*Table{New(), New()}
 	now := time.Duration(1)
 	for range 2000 {
-		now += time.Duration(random.IntN(3)) * 40 * time.Second
-		process := random.IntN(2)
-		table := processes[process]
-		id := fmt.Sprintf("e%d", random.IntN(12))
-		switch random.IntN(8) {
+		now += time.Duration(rng.IntN(3)) * 40 * time.Second
+		process := rng.IntN(2)
+		table := tables[process]
+		id := fmt.Sprintf("e%d", rng.IntN(12))
+		switch rng.IntN(8) {
 		case 0, 1, 2:
-			e := policy.Engine{ID: id, Zone: "z", Kind: "k", Cell: 7, State: policy.EngineState(random.IntN(3))}
-			if random.IntN(2) == 0 {
-				e.StartKnown, e.Started = true, now-time.Duration(random.IntN(100))*time.Second
+			e := policy.Engine{ID: id, Zone: "z", Kind: "k", Cell: 7, State: policy.EngineState(rng.IntN(3))}
+			if rng.IntN(2) == 0 {
+				e.StartKnown, e.Started = true, now-time.Duration(rng.IntN(100))*time.Second
 			}
 			e = table.Update(e)
-			say("hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.StartKnown)
+			write("hear %s %s %s %d %d %d %t\n", e.ID, e.Zone, e.Kind, e.Cell, int(e.State), int64(e.Started), e.StartKnown)
 		case 3, 4, 5:
-			disable := random.IntN(2) == 0
+			disable := rng.IntN(2) == 0
 			changed, err := setDisabled(table, now, id, disable)
-			say("call %s %t %t %t\n", id, disable, changed, err != nil)
+			write("call %s %t %t %t\n", id, disable, changed, err != nil)
 		case 6:
-			say("take %s\n", strings.Join(table.Merge(processes[1-process].Overrides()), " "))
+			write("take %s\n", strings.Join(table.Merge(tables[1-process].Overrides()), " "))
 		default:
-			if random.IntN(20) == 0 {
+			if rng.IntN(20) == 0 {
 				table.Clear()
 			}
 		}
-		say("state %d %t\n", table.ListedCount(), table.Disabled(id))
+		write("state %d %t\n", table.ListedCount(), table.Disabled(id))
 		overrides := table.Overrides()
 		for _, name := range slices.Sorted(maps.Keys(overrides)) {
-			say("ban %s %t %d %d\n", name, overrides[name].Disabled, int64(overrides[name].At), int64(overrides[name].DisabledSince))
+			write("ban %s %t %d %d\n", name, overrides[name].Disabled, int64(overrides[name].At), int64(overrides[name].DisabledSince))
 		}
 	}
 }
--- a/internal/decide/adminstate/stored_test.go
+++ b/internal/decide/adminstate/stored_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestStoredOverrides reads the overrides as version c18a9bd wrote them into takeover
-// files and handover frames.
+// TestStoredOverrides checks that overrides are read from, and written as, the bytes that version c18a9bd
+// wrote into takeover files and handover frames, and that truncated or corrupt bytes cause no panic.
 func TestStoredOverrides(t *testing.T) {
 	stored, err := os.ReadFile("testdata/bans.cbor")
 	if err != nil {
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(storedOverrides(), got); diff != "" {
-		t.Errorf("stored overrides (-want +got):\n%s", diff)
+		t.Errorf("overrides read (-want +got):\n%s", diff)
 	}
 	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
@@ -36,16 +36,17 @@
 	}
 	for n := range stored {
 		if err := cbor.Unmarshal(stored[:n], new(Overrides)); err == nil {
-			t.Errorf("the first %d of %d bytes were read without an error", n, len(stored))
+			t.Errorf("reading the first %d of %d bytes: no error, want one", n, len(stored))
 		}
 	}
 	for i := range stored {
 		corrupt := append([]byte{}, stored...)
 		corrupt[i] ^= 0xff
-		_ = cbor.Unmarshal(corrupt, new(Overrides)) // an error or other values, never a panic
+		_ = cbor.Unmarshal(corrupt, new(Overrides)) // may return an error or other values, but must not panic
 	}
 }
 
+// storedOverrides returns the overrides in the stored bytes.
 func storedOverrides() Overrides {
 	return Overrides{
 		"s-00c41f7a": {Disabled: true, At: 1_700_000_000 * time.Second},
--- a/internal/decide/connpool/pool_test.go
+++ b/internal/decide/connpool/pool_test.go
@@ -10,26 +10,28 @@
 	"pgregory.net/rapid"
 )
 
+// ms makes durations in the tests short to write.
 const ms = time.Millisecond
 
+// decisionNames are the names of the decisions in expected values and messages.
 var decisionNames = [...]string{UseIdle: "use", OpenNew: "open", Queued: "wait", Rejected: "reject"}
 
-// TestAcquire runs sequences of events at one engine: each step is the user of a new statement, or
-// "-N", the end of the N-th active one.
+// TestAcquire checks the decisions of sequences of steps. A step is the user of a new statement, or "-N",
+// the end of the statement that was the N-th to get a connection, from 0.
 func TestAcquire(t *testing.T) {
 	for name, tt := range map[string]struct {
 		limits Limits
 		steps  []string
 		want   []string
 	}{
-		"no limits":      {Limits{}, []string{"a", "a", "b"}, []string{"open", "open", "open"}},
-		"used again":     {Limits{}, []string{"a", "-0", "b"}, []string{"open", "", "use"}},
-		"full":           {Limits{MaxConnections: 2}, []string{"a", "a", "b", "-0"}, []string{"open", "open", "wait", "b: use"}},
-		"limit per user": {Limits{MaxConnections: 3, MaxPerUser: 1}, []string{"a", "a", "b", "-0"}, []string{"open", "wait", "open", "a: use"}},
-		"fewest active first": {Limits{MaxConnections: 2}, []string{"a", "a", "a", "b", "-0", "-1"},
+		"no limits":                 {Limits{}, []string{"a", "a", "b"}, []string{"open", "open", "open"}},
+		"idle connection is reused": {Limits{}, []string{"a", "-0", "b"}, []string{"open", "", "use"}},
+		"all connections in use":    {Limits{MaxConnections: 2}, []string{"a", "a", "b", "-0"}, []string{"open", "open", "wait", "b: use"}},
+		"limit per user":            {Limits{MaxConnections: 3, MaxPerUser: 1}, []string{"a", "a", "b", "-0"}, []string{"open", "wait", "open", "a: use"}},
+		"user with fewest active statements first": {Limits{MaxConnections: 2}, []string{"a", "a", "a", "b", "-0", "-1"},
 			[]string{"open", "open", "wait", "wait", "b: use", "a: use"}},
-		"no overtaking": {Limits{MaxConnections: 1}, []string{"a", "b", "-0", "c"}, []string{"open", "wait", "b: use", "wait"}},
-		"user at its limit holds nobody up": {Limits{MaxConnections: 2, MaxPerUser: 1}, []string{"a", "a", "b", "c", "-1"},
+		"new statement does not overtake": {Limits{MaxConnections: 1}, []string{"a", "b", "-0", "c"}, []string{"open", "wait", "b: use", "wait"}},
+		"user at the limit does not delay others": {Limits{MaxConnections: 2, MaxPerUser: 1}, []string{"a", "a", "b", "c", "-1"},
 			[]string{"open", "wait", "open", "wait", "c: use"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -40,34 +42,35 @@
 	}
 }
 
-// runSteps returns the decision of each step; of an end, that of the statement dispatched by it.
+// runSteps runs the steps of TestAcquire and returns the decision for each. For the end of a statement it
+// is the user and the decision of the statement dispatched by it, or "".
 func runSteps(limits Limits, steps []string) (decisions []string) {
 	p := Pool{Limits: limits}
-	var active []*Ticket
+	var dispatched []*Ticket // all tickets that have got a connection, in order
 	for _, step := range steps {
 		var ended int
 		if n, _ := fmt.Sscanf(step, "-%d", &ended); n == 0 {
 			ticket, decision := p.Acquire(0, step, time.Hour)
 			decisions = append(decisions, decisionNames[decision])
 			if decision != Queued {
-				active = append(active, ticket)
+				dispatched = append(dispatched, ticket)
 			}
 			continue
 		}
-		p.Release(ms, active[ended])
+		p.Release(ms, dispatched[ended])
 		p.AddIdle()
-		dispatched := ""
+		next := ""
 		for ticket, decision, ok := p.Next(ms); ok; ticket, decision, ok = p.Next(ms) {
-			dispatched = ticket.user + ": " + decisionNames[decision]
-			active = append(active, ticket)
+			next = ticket.user + ": " + decisionNames[decision]
+			dispatched = append(dispatched, ticket)
 		}
-		decisions = append(decisions, dispatched)
+		decisions = append(decisions, next)
 	}
 	return decisions
 }
 
-// TestRejectedAtOnce checks that a statement that would wait past its deadline is rejected at once,
-// by how long connections were kept, and that none is on a guess.
+// TestRejectedAtOnce checks that a statement that would wait past its deadline, judged by how long earlier
+// statements kept their connections, is rejected at once. While that time is unknown none is rejected.
 func TestRejectedAtOnce(t *testing.T) {
 	p := Pool{Limits: Limits{MaxConnections: 1}}
 	first, _ := p.Acquire(0, "a", time.Second)
@@ -77,44 +80,44 @@
 	p.Release(100*ms, first) // it took 100 ms
 	p.AddIdle()
 	if _, _, ok := p.Next(100 * ms); !ok {
-		t.Fatal("no statement was dispatched")
+		t.Fatal("Next after a connection became idle: ok = false, want true")
 	}
 	for deadline, want := range map[time.Duration]Decision{150 * ms: Rejected, 250 * ms: Queued} {
 		if _, decision := p.Acquire(100*ms, "b", deadline); decision != want {
 			t.Errorf("decision with deadline %v = %s, want %s", deadline, decisionNames[decision], decisionNames[want])
 		}
 	}
-	// Behind three of its own a user waits for all of them; another user behind one of them at most.
+	// A user with three waiting statements waits for all of them, another user for at most one of them.
 	p = Pool{Limits: Limits{MaxConnections: 1}, meanHoldSeconds: 0.1}
 	p.Acquire(0, "a", time.Hour)
 	for range 3 {
 		p.Acquire(0, "a", time.Hour)
 	}
 	if _, decision := p.Acquire(0, "a", 300*ms); decision != Rejected {
-		t.Errorf("decision on a user's fourth with deadline 300 ms = %s, want reject", decisionNames[decision])
+		t.Errorf("decision on a user's fourth waiting statement with deadline 300 ms = %s, want reject", decisionNames[decision])
 	}
 	if _, decision := p.Acquire(0, "b", 300*ms); decision != Queued {
-		t.Errorf("decision on another user's first with deadline 300 ms = %s, want wait", decisionNames[decision])
+		t.Errorf("decision on another user's first statement with deadline 300 ms = %s, want wait", decisionNames[decision])
 	}
 }
 
-// TestLifecycle checks that connections are opened ahead one at a time, that the minimum stays open,
-// and that others are closed when idle or old.
+// TestLifecycle checks that connections are opened in advance one at a time, that MinConnections of them
+// stay open, and that others are closed when they have been idle for too long or are too old.
 func TestLifecycle(t *testing.T) {
 	p := Pool{Limits: Limits{MaxConnections: 3, MinConnections: 2, IdleTimeout: time.Second, MaxLifetime: 10 * time.Second}}
 	if !p.OpenAhead(0) || p.OpenAhead(1) || !p.OpenAhead(0) || p.OpenAhead(0) {
-		t.Error("connections opened ahead: want two, one at a time")
+		t.Error("OpenAhead: want true for two connections, false while one is being opened and for a third")
 	}
 	p.AddIdle()
 	p.AddIdle()
 	if p.IdleExpired(time.Hour, 0) {
-		t.Error("one of the minimum of connections has expired")
+		t.Error("IdleExpired with MinConnections connections = true, want false")
 	}
 	p.Acquire(0, "a", time.Hour)
 	p.Acquire(0, "a", time.Hour)
-	p.Acquire(0, "a", time.Hour) // a third is open
+	p.Acquire(0, "a", time.Hour) // opens a third connection
 	if p.IdleExpired(900*ms, 0) || !p.IdleExpired(time.Second, 0) {
-		t.Error("a third connection must expire after one second of idling")
+		t.Error("IdleExpired with a third connection: want false after 900 ms and true after 1 s")
 	}
 	for random, want := range map[float64]time.Duration{0: 10 * time.Second, 0.5: 9500 * ms, 1: 9 * time.Second} {
 		if got := p.Lifetime(random); got != want {
@@ -122,28 +125,31 @@
 		}
 	}
 	if (&Pool{}).Lifetime(1) != 0 || (&Pool{}).IdleExpired(time.Hour, 0) || (&Pool{}).OpenAhead(0) {
-		t.Error("without limits a connection expires or is opened ahead")
+		t.Error("pool without limits: want Lifetime 0, IdleExpired false and OpenAhead false")
 	}
 }
 
-// TestInvariants checks, for any order of events, that the limits hold, that no statement waits that
-// could be dispatched, that each ticket is dispatched once, that a user's own go in their order, and
-// that a user with fewer active statements goes before one with more.
+// TestInvariants checks for any order of events:
+//   - the limits hold;
+//   - no statement waits that could be dispatched;
+//   - each ticket is dispatched at most once, and those of one user in order of arrival;
+//   - a user with fewer active statements goes before one with more;
+//   - nothing is kept of users without tickets.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Pool{Limits: Limits{MaxConnections: rapid.IntRange(0, 5).Draw(t, "max connections"), MaxPerUser: rapid.IntRange(0, 3).Draw(t, "max per user"), MinConnections: rapid.IntRange(0, 2).Draw(t, "min connections")}}
 		var active, waiting []*Ticket
-		free, opening, conns, now := 0, 0, 0, time.Duration(0)
-		take := func(ticket *Ticket, decision Decision) {
+		idle, opening, open, now := 0, 0, 0, time.Duration(0)
+		dispatch := func(ticket *Ticket, decision Decision) {
 			if active = append(active, ticket); decision == UseIdle {
-				free--
+				idle--
 			} else {
-				conns++
+				open++
 			}
 		}
-		of := func(list []*Ticket, user string) (n int) {
-			for _, o := range list {
-				if o.user == user {
+		countOf := func(list []*Ticket, user string) (n int) {
+			for _, ticket := range list {
+				if ticket.user == user {
 					n++
 				}
 			}
@@ -151,95 +157,95 @@
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
+			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1, 2:
-				ticket, decision := p.Acquire(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "user"), now+time.Duration(rapid.IntRange(0, 300).Draw(t, "for"))*ms)
+				ticket, decision := p.Acquire(now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "user"), now+time.Duration(rapid.IntRange(0, 300).Draw(t, "wait limit"))*ms)
 				switch decision {
 				case Queued:
 					waiting = append(waiting, ticket)
 				case UseIdle, OpenNew:
-					take(ticket, decision)
+					dispatch(ticket, decision)
 				case Rejected:
 					p.Release(now, ticket)
 				}
-			case 3: // an active one ends, and its connection is idle, or ends too
+			case 3: // an active statement ends; its connection becomes idle or is closed
 				if len(active) == 0 {
 					break
 				}
 				i := rapid.IntRange(0, len(active)-1).Draw(t, "who")
 				p.Release(now, active[i])
-				p.Release(now, active[i]) // a second time does nothing
+				p.Release(now, active[i]) // a second release has no effect
 				active = slices.Delete(active, i, i+1)
-				if rapid.Bool().Draw(t, "connection lives") {
+				if rapid.Bool().Draw(t, "connection stays open") {
 					p.AddIdle()
-					free++
+					idle++
 				} else {
 					p.ConnectionClosed()
-					conns--
+					open--
 				}
-			case 4: // a waiting one is cancelled
+			case 4: // a waiting statement is cancelled
 				if len(waiting) == 0 {
 					break
 				}
 				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "who")
 				p.Release(now, waiting[i])
 				waiting = slices.Delete(waiting, i, i+1)
-			case 5: // an idle connection ends
-				if free > 0 {
+			case 5: // an idle connection is closed
+				if idle > 0 {
 					p.RemoveIdle()
 					p.ConnectionClosed()
-					free--
-					conns--
+					idle--
+					open--
 				}
-			default:
+			default: // a connection is opened in advance, or is ready
 				if opening > 0 {
 					opening--
 					p.AddIdle()
-					free++
+					idle++
 				} else if p.OpenAhead(0) {
 					opening++
-					conns++
+					open++
 				}
 			}
 			for ticket, decision, ok := p.Next(now); ok; ticket, decision, ok = p.Next(now) {
 				i := slices.Index(waiting, ticket)
 				if i < 0 {
-					t.Fatal("a ticket was dispatched that does not wait")
+					t.Fatal("Next returned a ticket that does not wait")
 				}
-				if of(waiting[:i], ticket.user) > 0 {
-					t.Fatalf("user %s: a later ticket is dispatched first", ticket.user)
+				if countOf(waiting[:i], ticket.user) > 0 {
+					t.Fatalf("Next returned a ticket of user %s, want an earlier one of the same user", ticket.user)
 				}
-				for _, o := range waiting {
-					if n := of(active, o.user); n < of(active, ticket.user) && (p.Limits.MaxPerUser == 0 || n < p.Limits.MaxPerUser) {
-						t.Fatalf("user %s is dispatched before %s, who has fewer active statements", ticket.user, o.user)
+				for _, other := range waiting {
+					if n := countOf(active, other.user); n < countOf(active, ticket.user) && (p.Limits.MaxPerUser == 0 || n < p.Limits.MaxPerUser) {
+						t.Fatalf("Next returned a ticket of user %s, want one of %s, who has fewer active statements", ticket.user, other.user)
 					}
 				}
 				waiting = slices.Delete(waiting, i, i+1)
-				take(ticket, decision)
+				dispatch(ticket, decision)
 			}
-			if p.Limits.MaxConnections > 0 && conns > p.Limits.MaxConnections || free < 0 {
-				t.Fatalf("%d connections, %d free", conns, free)
+			if p.Limits.MaxConnections > 0 && open > p.Limits.MaxConnections || idle < 0 {
+				t.Fatalf("open connections = %d, idle = %d, want at most %d open (0: no limit) and at least 0 idle", open, idle, p.Limits.MaxConnections)
 			}
-			available := free > 0 || p.Limits.MaxConnections == 0 || conns < p.Limits.MaxConnections
-			for _, o := range append(slices.Clone(active), waiting...) {
-				if n := of(active, o.user); p.Limits.MaxPerUser > 0 && n > p.Limits.MaxPerUser {
-					t.Fatalf("%d active statements of user %s", n, o.user)
+			available := idle > 0 || p.Limits.MaxConnections == 0 || open < p.Limits.MaxConnections
+			for _, other := range append(slices.Clone(active), waiting...) {
+				if n := countOf(active, other.user); p.Limits.MaxPerUser > 0 && n > p.Limits.MaxPerUser {
+					t.Fatalf("active statements of user %s = %d, want at most %d", other.user, n, p.Limits.MaxPerUser)
 				}
 			}
-			for _, o := range waiting {
-				if available && (p.Limits.MaxPerUser == 0 || of(active, o.user) < p.Limits.MaxPerUser) {
-					t.Fatalf("user %s waits, and could be dispatched", o.user)
+			for _, other := range waiting {
+				if available && (p.Limits.MaxPerUser == 0 || countOf(active, other.user) < p.Limits.MaxPerUser) {
+					t.Fatalf("user %s waits, want dispatched", other.user)
 				}
 			}
-			if got, want := p.Stats(), (Stats{Open: conns, Idle: free, Waiting: len(waiting)}); got != want {
+			if got, want := p.Stats(), (Stats{Open: open, Idle: idle, Waiting: len(waiting)}); got != want {
 				t.Fatalf("stats = %+v, want %+v", got, want)
 			}
 		}
-		for _, o := range append(active, waiting...) {
-			p.Release(now, o)
+		for _, ticket := range append(active, waiting...) {
+			p.Release(now, ticket)
 		}
 		if len(p.active)+len(p.lastDispatch)+len(p.queue) > 0 {
-			t.Fatalf("entries of departed users = %d, %d, %d, want none", len(p.active), len(p.lastDispatch), len(p.queue))
+			t.Fatalf("entries in active, lastDispatch and queue after all tickets were released = %d, %d, %d, want none", len(p.active), len(p.lastDispatch), len(p.queue))
 		}
 	})
 }
--- a/internal/decide/connpool/replay_test.go
+++ b/internal/decide/connpool/replay_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// TestReplay feeds seeded events to pools and compares the digest of all decisions with the
-// one recorded before the package was reworked.
+// TestReplay applies seeded pseudorandom events to pools with different limits. It compares the digest of
+// all decisions with a recorded one, so that a change of any decision is noticed.
 func TestReplay(t *testing.T) {
 	want, err := os.ReadFile("testdata/replay.sha256")
 	if err != nil {
@@ -36,17 +36,18 @@
 	}
 }
 
-// replay writes each decision of one seeded stream of events.
+// replay writes each decision on one seeded stream of events. The digest covers the text written, so its
+// wording must not change.
 func replay(w *bytes.Buffer, seed uint64, limits Limits) {
 	rng := rand.New(rand.NewPCG(31, seed))
 	p := Pool{Limits: limits}
 	users := []string{"a", "b", "c", "d"}
 	var active, waiting []*Ticket
-	free, opening, now := 0, 0, time.Duration(0)
-	take := func(ticket *Ticket, decision Decision) {
+	idle, opening, now := 0, 0, time.Duration(0)
+	dispatch := func(ticket *Ticket, decision Decision) {
 		active = append(active, ticket)
 		if decision == UseIdle {
-			free--
+			idle--
 		}
 	}
 	for range 4000 {
@@ -60,7 +61,7 @@
 			case Queued:
 				waiting = append(waiting, ticket)
 			case UseIdle, OpenNew:
-				take(ticket, decision)
+				dispatch(ticket, decision)
 			case Rejected:
 				p.Release(now, ticket)
 			}
@@ -73,7 +74,7 @@
 			active = slices.Delete(active, i, i+1)
 			if rng.IntN(4) > 0 {
 				p.AddIdle()
-				free++
+				idle++
 			} else {
 				p.ConnectionClosed()
 			}
@@ -84,22 +85,22 @@
 				waiting = slices.Delete(waiting, i, i+1)
 			}
 		case 6:
-			stale := p.IdleExpired(now, now-time.Duration(rng.IntN(2000))*time.Millisecond)
-			fmt.Fprintf(w, "stale %t lives for %d\n", stale, int64(p.Lifetime(rng.Float64())))
-			if stale && free > 0 {
+			expired := p.IdleExpired(now, now-time.Duration(rng.IntN(2000))*time.Millisecond)
+			fmt.Fprintf(w, "stale %t lives for %d\n", expired, int64(p.Lifetime(rng.Float64())))
+			if expired && idle > 0 {
 				p.RemoveIdle()
 				p.ConnectionClosed()
-				free--
+				idle--
 			}
 		default:
 			if opening > 0 && rng.IntN(2) == 0 {
 				opening--
 				p.AddIdle()
-				free++
+				idle++
 			}
-			ahead := p.OpenAhead(opening)
-			fmt.Fprintf(w, "ahead %t\n", ahead)
-			if ahead {
+			openAhead := p.OpenAhead(opening)
+			fmt.Fprintf(w, "ahead %t\n", openAhead)
+			if openAhead {
 				opening++
 			}
 		}
@@ -107,13 +108,14 @@
 			i := slices.Index(waiting, ticket)
 			fmt.Fprintf(w, "next %d: %d\n", i, uint8(decision))
 			waiting = slices.Delete(waiting, i, i+1)
-			take(ticket, decision)
+			dispatch(ticket, decision)
 		}
 		stats := p.Stats()
 		fmt.Fprintf(w, "counts %d %d %d\n", stats.Open, stats.Idle, stats.Waiting)
 	}
 }
 
+// digest returns the SHA-256 digest of b in hexadecimal.
 func digest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
--- a/internal/decide/costmodel/model_test.go
+++ b/internal/decide/costmodel/model_test.go
@@ -10,14 +10,16 @@
 	"pgregory.net/rapid"
 )
 
+// classes returns two classes with their bound at 800 ms.
 func classes() []Class { return []Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}} }
 
-// workload runs executions of one shape and profile through a model.
+// workload runs executions of one shape with one profile of values through a model.
 type workload struct {
 	model *Model
-	query Query
+	query Query // template of each execution
 }
 
+// newWorkload returns a workload for a model that has learned nothing.
 func newWorkload(cfg Config) *workload {
 	return &workload{
 		model: New(cfg),
@@ -25,6 +27,7 @@
 	}
 }
 
+// learn reports n executions with the same work in ms.
 func (w *workload) learn(n int, work float64) {
 	for range n {
 		q := w.query
@@ -32,58 +35,61 @@
 	}
 }
 
+// estimate returns the estimate for the next execution.
 func (w *workload) estimate() Estimate {
 	q := w.query
 	return w.model.Estimate(&q)
 }
 
+// checkEstimate checks that the numbers of a known estimate are within bounds, that its class is one of
+// classes, and that it can be explained.
 func checkEstimate(t *rapid.T, e Estimate) {
 	t.Helper()
 	if !e.Known {
 		return
 	}
 	if !(e.Work >= minWorkMS*0.99 && e.Work <= maxWorkMS*1.01) || !(e.P90Factor >= 1) || math.IsInf(e.P90Factor, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
-		t.Fatalf("estimate out of bounds: %+v", e)
+		t.Fatalf("estimate = %+v, want work from %g to %g ms, a 90th percentile factor of at least 1 and memory of at least 0, all finite", e, minWorkMS, maxWorkMS)
 	}
 	if e.Class < 0 || e.Class > 1 || e.Explain() == "" {
-		t.Fatalf("class = %d, explanation = %q", e.Class, e.Explain())
+		t.Fatalf("class = %d, explanation = %q, want class 0 or 1 and a non-empty explanation", e.Class, e.Explain())
 	}
 }
 
-// TestEstimateWithinBounds checks, whatever engines report, that an estimate is a number within
-// bounds, that its class is a configured one, and that an invalid figure changes nothing.
+// TestEstimateWithinBounds checks for arbitrary reported costs that an estimate is within bounds and has a
+// configured class, that an invalid cost changes nothing, and that the state can be restored.
 func TestEstimateWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorkload(Config{Classes: classes()})
-		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)}))
-		for range rapid.IntRange(1, 60).Draw(t, "n") {
+		anyCost := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)}))
+		for range rapid.IntRange(1, 60).Draw(t, "executions") {
 			q := w.query
-			q.WorkHint = figure.Draw(t, "hint")
+			q.WorkHint = anyCost.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"), Span: rapid.Float64Range(0, 1e12).Draw(t, "span"),
 				Limit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
 			}
-			outcome := Outcome{Work: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), LowerBound: rapid.Bool().Draw(t, "lower bound")}
-			before := *w.query.Record
+			outcome := Outcome{Work: anyCost.Draw(t, "work"), MemoryMB: anyCost.Draw(t, "memory"), LowerBound: rapid.Bool().Draw(t, "lower bound")}
+			want := *w.query.Record
 			w.model.Learn(&q, outcome)
 			if !(outcome.Work >= minWorkMS && outcome.Work <= maxWorkMS) {
-				before.Executions++
-				if before != *w.query.Record {
-					t.Fatalf("a cost of %g was learned", outcome.Work)
+				want.Executions++
+				if got := *w.query.Record; got != want {
+					t.Fatalf("record after an invalid cost of %g = %+v, want %+v", outcome.Work, got, want)
 				}
 			}
 			checkEstimate(t, w.model.Estimate(&q))
 		}
 		if err := w.query.Record.Validate(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Validate of the record: %v, want no error", err)
 		}
 		if _, err := Restore(Config{}, w.model.State()); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Restore of the state: %v, want no error", err)
 		}
 	})
 }
 
-// TestDeterministic checks that the same calls give the same estimates.
+// TestDeterministic checks that two models give the same estimate after the same calls.
 func TestDeterministic(t *testing.T) {
 	run := func() Estimate {
 		w := newWorkload(Config{Classes: classes()})
@@ -98,65 +104,65 @@
 		return w.model.Estimate(&q)
 	}
 	if a, b := run(), run(); a != b {
-		t.Errorf("estimates of two equal runs: %+v and %+v", a, b)
+		t.Errorf("estimates after the same calls = %+v and %+v, want equal ones", a, b)
 	}
 }
 
-// TestCostShiftIsFollowed checks that a cost that shifts by a factor of ten is followed within
-// some ten values, and that it is not without forgetting.
+// TestCostShiftIsFollowed checks that the estimate follows a shift of the cost by a factor of ten within 25
+// executions, and that it doesn't without forgetting.
 func TestCostShiftIsFollowed(t *testing.T) {
 	for _, forget := range []bool{true, false} {
 		w := newWorkload(Config{Classes: classes(), NoForgetting: !forget})
 		w.learn(200, 150)
 		w.learn(25, 1500)
 		if got := w.estimate().Work; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
-			t.Errorf("forgetting %v: %.0f ms after the cost went from 150 to 1500", forget, got)
+			t.Errorf("forgetting %v: estimate after the cost went from 150 to 1500 ms = %.0f ms, want 1000 to 2000 with forgetting and at most 1000 without", forget, got)
 		}
 	}
 }
 
-// TestOutlierMovesLittle checks that one engine that reports nonsense, or one plan that went
-// wrong, moves the estimate little.
+// TestOutlierMovesLittle checks that a single extreme cost changes the estimate little. Such a cost comes
+// from an engine that reports wrong numbers or from a single bad query plan.
 func TestOutlierMovesLittle(t *testing.T) {
-	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
+	for _, outlier := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
 		w := newWorkload(Config{Classes: classes()})
 		w.learn(40, 200)
 		before := w.estimate().Work
-		w.learn(1, odd)
+		w.learn(1, outlier)
 		if got := w.estimate().Work; math.Abs(math.Log2(got/before)) > 0.25 {
-			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", odd, before, got)
+			t.Errorf("estimate after one cost of %g ms = %.0f ms, want about %.0f as before", outlier, got, before)
 		}
 	}
 }
 
-// TestHintIsCorrected checks that a hint that is wrong by a factor of ten is corrected.
+// TestHintIsCorrected checks that hints that are too low by a factor of ten are corrected.
 func TestHintIsCorrected(t *testing.T) {
 	m := New(Config{Classes: classes()})
 	rng := rand.New(rand.NewPCG(3, 4))
 	f := &sqltext.Features{Command: sqltext.CommandSelect, Tables: 1}
 	for range 300 {
-		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint knows of it
+		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint follows it
 		m.Learn(&Query{Features: f, KnownClass: 0, WorkHint: work / 10}, Outcome{Work: work})
 	}
 	e := m.Estimate(&Query{Features: f, KnownClass: 0, WorkHint: 50})
 	if e.Work < 350 || e.Work > 700 {
-		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.Work, e.Explain())
+		t.Errorf("estimate with a hint of 50 ms that is a tenth of the work = %.0f ms, want 350 to 700: %s", e.Work, e.Explain())
 	}
 }
 
-// TestHysteresis checks that a shape whose cost lies at a bound keeps its class until the cost is
-// well past it.
+// TestHysteresis checks that a shape with a cost near the bound between two classes keeps its class until
+// the cost is well past the bound.
 func TestHysteresis(t *testing.T) {
 	w := newWorkload(Config{Classes: classes(), Hysteresis: 1.3})
 	rng := rand.New(rand.NewPCG(5, 6))
 	w.learn(20, 700)
-	changes, last := 0, -1
+	changes, lastClass := 0, -1
 	for range 500 {
 		w.learn(1, 800*math.Exp(0.1*rng.NormFloat64()))
 		q := w.query
-		if c := w.model.Estimate(&q).Class; c != last {
+		if class := w.model.Estimate(&q).Class; class != lastClass {
 			changes++
-			last = c
+			lastClass = class
 		}
 	}
 	if changes > 2 {
@@ -165,11 +171,12 @@
 	w.learn(60, 2500)
 	q := w.query
 	if e := w.model.Estimate(&q); e.Class != 1 {
-		t.Errorf("class = %d at %.0f ms, want 1", e.Class, e.Work)
+		t.Errorf("class with an estimate of %.0f ms = %d, want 1", e.Work, e.Class)
 	}
 }
 
-// TestLowerBoundOutcome checks that cancelled executions teach that they cost more, and only that.
+// TestLowerBoundOutcome checks that a cancelled execution raises an estimate that is below its work so far,
+// and doesn't lower one that is above.
 func TestLowerBoundOutcome(t *testing.T) {
 	w := newWorkload(Config{Classes: classes()})
 	w.learn(30, 200)
@@ -178,19 +185,19 @@
 		w.model.Learn(&q, Outcome{Work: 100, LowerBound: true})
 	}
 	if got := w.estimate().Work; got < 150 {
-		t.Errorf("%.0f ms after bounds below the cost", got)
+		t.Errorf("estimate after 20 executions of 200 ms were cancelled at 100 ms = %.0f ms, want at least 150", got)
 	}
 	for range 30 {
 		q := w.query
 		w.model.Learn(&q, Outcome{Work: 6000, LowerBound: true})
 	}
 	if got := w.estimate().Work; got < 2000 {
-		t.Errorf("%.0f ms after 30 executions were cancelled at 6000", got)
+		t.Errorf("estimate after 30 executions were cancelled at 6000 ms = %.0f ms, want at least 2000", got)
 	}
 }
 
-// TestFrequentValue checks that a frequent value that costs ten times the usual is estimated by
-// itself.
+// TestFrequentValue checks that a frequent value that costs ten times as much as others gets an estimate
+// of its own, which doesn't affect other values.
 func TestFrequentValue(t *testing.T) {
 	w := newWorkload(Config{Classes: classes()})
 	for i := range 3000 {
@@ -205,10 +212,10 @@
 	q := w.query
 	q.Profile.Key = 42
 	if e := w.model.Estimate(&q); e.Work < 900 {
-		t.Errorf("%.0f ms for the frequent value: %s", e.Work, e.Explain())
+		t.Errorf("estimate for the frequent value = %.0f ms, want at least 900: %s", e.Work, e.Explain())
 	}
 	q.Profile.Key = 7
 	if e := w.model.Estimate(&q); e.Work > 300 {
-		t.Errorf("%.0f ms for another: %s", e.Work, e.Explain())
+		t.Errorf("estimate for another value = %.0f ms, want at most 300: %s", e.Work, e.Explain())
 	}
 }
--- a/internal/decide/costmodel/replay_test.go
+++ b/internal/decide/costmodel/replay_test.go
@@ -14,7 +14,7 @@
 	"gannetspur/internal/sqltext"
 )
 
-// replayDigests reads the digests that the code before the renames produced, by case.
+// replayDigests returns the recorded digests by the name of the case.
 func replayDigests(t *testing.T) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/replay.sha256")
@@ -32,8 +32,8 @@
 	return digests
 }
 
-// TestReplay feeds seeded executions to the model and compares the digest of all
-// estimates with the one recorded before the package was reworked.
+// TestReplay applies seeded pseudorandom executions to models with different configurations. It compares
+// the digest of all estimates with a recorded one, so that a change of any estimate is noticed.
 func TestReplay(t *testing.T) {
 	want := replayDigests(t)
 	for name, cfg := range map[string]Config{
@@ -55,12 +55,13 @@
 	}
 }
 
-// replay writes each estimate of a seeded stream of executions.
+// replay writes each estimate of a seeded stream of executions. The digest covers the text written, so its
+// wording must not change.
 func replay(w *bytes.Buffer, cfg Config) {
 	const shapes, executions = 40, 6000
 	m := New(cfg)
 	rng := rand.New(rand.NewPCG(11, 12))
-	entries := make([]ShapeRecord, shapes)
+	records := make([]ShapeRecord, shapes)
 	statements := make([]sqltext.Features, shapes)
 	for i := range statements {
 		statements[i] = sqltext.Features{
@@ -81,7 +82,7 @@
 		}
 		q := Query{Features: &statements[shape], Profile: profile, KnownClass: rng.IntN(7) - 1}
 		if rng.IntN(10) > 0 {
-			q.Record = &entries[shape]
+			q.Record = &records[shape]
 		}
 		work := math.Exp2(4+float64(shape)/6) * (1 + float64(profile.Alternatives)/100) * math.Exp(0.3*rng.NormFloat64())
 		if profile.Key == 7 {
@@ -94,21 +95,21 @@
 			q.WorkHint = work * (0.2 + rng.Float64()*0.2)
 			q.MemoryHint = 20 * rng.Float64()
 		}
-		truth := Outcome{Work: work, MemoryMB: 30 * rng.Float64(), LowerBound: rng.IntN(15) == 0}
+		outcome := Outcome{Work: work, MemoryMB: 30 * rng.Float64(), LowerBound: rng.IntN(15) == 0}
 		switch rng.IntN(200) {
 		case 0:
-			truth.Work = math.NaN()
+			outcome.Work = math.NaN()
 		case 1:
-			truth.Work = 1e12
+			outcome.Work = 1e12
 		case 2:
-			truth.MemoryMB = -1
+			outcome.MemoryMB = -1
 		case 3:
 			q.WorkHint = math.Inf(1)
 		}
 		if rng.IntN(5) > 0 {
 			writeEstimate(w, m.Estimate(&q))
 		}
-		m.Learn(&q, truth)
+		m.Learn(&q, outcome)
 		if i%500 == 499 {
 			restored, err := Restore(cfg, m.State())
 			if err != nil {
@@ -118,19 +119,21 @@
 			m = restored
 		}
 	}
-	for i := range entries {
-		fmt.Fprintf(w, "entry %d: %d seen, valid %t\n", i, entries[i].Executions, entries[i].Validate() == nil)
+	for i := range records {
+		fmt.Fprintf(w, "entry %d: %d seen, valid %t\n", i, records[i].Executions, records[i].Validate() == nil)
 	}
 }
 
+// writeEstimate writes an estimate and its components.
 func writeEstimate(w *bytes.Buffer, e Estimate) {
 	fmt.Fprintf(w, "%t %.12g %.12g %.12g %d", e.Known, e.Work, e.P90Factor, e.MemoryMB, e.Class)
-	for _, v := range []Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
-		fmt.Fprintf(w, " %.12g/%.12g/%.12g/%.12g", v.Center, v.Deviation, v.Samples, v.Weight)
+	for _, c := range []Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
+		fmt.Fprintf(w, " %.12g/%.12g/%.12g/%.12g", c.Center, c.Deviation, c.Samples, c.Weight)
 	}
 	fmt.Fprintln(w)
 }
 
+// digest returns the SHA-256 digest of b in hexadecimal.
 func digest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
--- a/internal/decide/loginlimit/replay_test.go
+++ b/internal/decide/loginlimit/replay_test.go
@@ -13,9 +13,10 @@
 	"time"
 )
 
-// TestReplay feeds seeded failures to throttles and compares the digest of all decisions with
-// the one recorded before the package was reworked. Instants are multiples of an eighth of a
-// second: the levels are exact, whatever order a map is read in.
+// TestReplay applies seeded pseudorandom failures to limiters with different configurations. It compares
+// the digest of all decisions with a recorded one, so that a change of any decision is noticed. The digest
+// covers the text written, so its wording must not change. All times are multiples of 125 ms, so that the
+// levels are exact and their sums don't depend on the iteration order of a map.
 func TestReplay(t *testing.T) {
 	want, err := os.ReadFile("testdata/replay.sha256")
 	if err != nil {
@@ -44,6 +45,7 @@
 	}
 }
 
+// digest returns the SHA-256 digest of b in hexadecimal.
 func digest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
--- a/internal/decide/remotesite/choose_test.go
+++ b/internal/decide/remotesite/choose_test.go
@@ -8,43 +8,43 @@
 	"pgregory.net/rapid"
 )
 
-// TestChoose checks the destinations of single queries.
+// TestChoose checks the destination of a single query with one peer.
 func TestChoose(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	cfg.MinPriorityWeight = 0.5
-	usual := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: 2 * time.Second}
-	change := func(f func(*Query)) Query { q := usual; f(&q); return q }
-	keyed := func(ago time.Duration) Query {
-		return change(func(q *Query) {
-			q.Idempotency, q.Attempts, q.MayHaveRun, q.DedupWindow, q.SinceFirstAttempt = IdempotentWithKey, 1, true, 12*time.Second, ago
+	baseQuery := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: 2 * time.Second}
+	modified := func(modify func(*Query)) Query { q := baseQuery; modify(&q); return q }
+	retryWithKey := func(sinceFirst time.Duration) Query {
+		return modified(func(q *Query) {
+			q.Idempotency, q.Attempts, q.MayHaveRun, q.DedupWindow, q.SinceFirstAttempt = IdempotentWithKey, 1, true, 12*time.Second, sinceFirst
 		})
 	}
-	near := func() *Peer { return newTestPeer(cfg, now, 40*ms, 10, 0.8) }
-	forwarded := Choice{Remote, 0}
+	nearPeer := func() *Peer { return newTestPeer(cfg, now, 40*ms, 10, 0.8) }
+	forward := Choice{Remote, 0}
 	for name, tt := range map[string]struct {
 		q            Query
 		freeCapacity float64
 		peer         *Peer
 		want         Choice
 	}{
-		"capacity here":                 {usual, 0.5, near(), Choice{}},
-		"none here, much there":         {usual, 0.05, near(), forwarded},
-		"rejected here":                 {change(func(q *Query) { q.RejectedLocally = true }), 0.9, near(), forwarded},
-		"none anywhere":                 {usual, 0.05, newTestPeer(cfg, now, 40*ms, 10, 0.05), Choice{}},
-		"peer accepts no more work":     {usual, 0.05, newTestPeer(cfg, now, 40*ms, 0, 0.8), Choice{}},
-		"forwarded already":             {change(func(q *Query) { q.Forwarded = true }), 0.05, near(), Choice{}},
-		"priority weight too low":       {change(func(q *Query) { q.PriorityWeight = 0.4 }), 0.05, near(), Choice{}},
-		"too late for the delay":        {change(func(q *Query) { q.Remaining = 50 * ms }), 0.05, near(), Choice{}},
-		"unreachable":                   {usual, 0.05, &Peer{}, Choice{}},
-		"no attempts left":              {change(func(q *Query) { q.Attempts = 3 }), 0.05, near(), Choice{Destination: Reject}},
-		"in doubt, not idempotent":      {change(func(q *Query) { q.Attempts, q.MayHaveRun, q.Idempotency = 1, true, NotIdempotent }), 0.5, near(), Choice{Destination: Reject}},
-		"in doubt, idempotent with key": {keyed(time.Second), 0.05, near(), forwarded},
-		"dedup window ends on the way":  {keyed(11940 * ms), 0.05, near(), Choice{}},
-		"dedup window over":             {keyed(11960 * ms), 0.5, near(), Choice{Destination: Reject}},
-		"dedup not shared": {change(func(q *Query) {
+		"free capacity here":                     {baseQuery, 0.5, nearPeer(), Choice{}},
+		"no free capacity here":                  {baseQuery, 0.05, nearPeer(), forward},
+		"rejected here":                          {modified(func(q *Query) { q.RejectedLocally = true }), 0.9, nearPeer(), forward},
+		"no free capacity anywhere":              {baseQuery, 0.05, newTestPeer(cfg, now, 40*ms, 10, 0.05), Choice{}},
+		"peer accepts no more work":              {baseQuery, 0.05, newTestPeer(cfg, now, 40*ms, 0, 0.8), Choice{}},
+		"already forwarded":                      {modified(func(q *Query) { q.Forwarded = true }), 0.05, nearPeer(), Choice{}},
+		"priority weight too low":                {modified(func(q *Query) { q.PriorityWeight = 0.4 }), 0.05, nearPeer(), Choice{}},
+		"remaining time too short for the delay": {modified(func(q *Query) { q.Remaining = 50 * ms }), 0.05, nearPeer(), Choice{}},
+		"peer unreachable":                       {baseQuery, 0.05, &Peer{}, Choice{}},
+		"no attempts left":                       {modified(func(q *Query) { q.Attempts = 3 }), 0.05, nearPeer(), Choice{Destination: Reject}},
+		"in doubt, not idempotent":               {modified(func(q *Query) { q.Attempts, q.MayHaveRun, q.Idempotency = 1, true, NotIdempotent }), 0.5, nearPeer(), Choice{Destination: Reject}},
+		"in doubt, idempotent with key":          {retryWithKey(time.Second), 0.05, nearPeer(), forward},
+		"dedup window ends before arrival":       {retryWithKey(11940 * ms), 0.05, nearPeer(), Choice{}},
+		"dedup window expired":                   {retryWithKey(11960 * ms), 0.5, nearPeer(), Choice{Destination: Reject}},
+		"dedup not shared": {modified(func(q *Query) {
 			q.Idempotency, q.Attempts, q.MayHaveRun, q.DedupWindow, q.DedupNotShared = IdempotentWithKey, 1, true, 12*time.Second, true
-		}), 0.5, near(), Choice{Destination: Reject}},
-		"never sent, not idempotent": {change(func(q *Query) { q.Idempotency = NotIdempotent }), 0.05, near(), forwarded},
+		}), 0.5, nearPeer(), Choice{Destination: Reject}},
+		"first attempt, not idempotent": {modified(func(q *Query) { q.Idempotency = NotIdempotent }), 0.05, nearPeer(), forward},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var c Chooser
@@ -59,29 +59,29 @@
 func TestChoosePeer(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	query := Query{Class: "lookup", Idempotency: Idempotent, Work: 0.2, PriorityWeight: 1, Remaining: 2 * time.Second}
-	near := func() *Peer { return newTestPeer(cfg, now, 40*ms, 10, 0.8) }
-	far := newTestPeer(cfg, now, 300*ms, 10, 0.8)
+	nearPeer := func() *Peer { return newTestPeer(cfg, now, 40*ms, 10, 0.8) }
+	farPeer := newTestPeer(cfg, now, 300*ms, 10, 0.8)
 	var c Chooser
-	if got, want := c.Choose(cfg, now, &query, 0, []*Peer{far, near()}), (Choice{Remote, 1}); got != want {
-		t.Errorf("choice of two with equal capacity = %+v, want the nearer, %+v", got, want)
+	if got, want := c.Choose(cfg, now, &query, 0, []*Peer{farPeer, nearPeer()}), (Choice{Remote, 1}); got != want {
+		t.Errorf("choice between two peers with equal capacity = %+v, want the nearer one, %+v", got, want)
 	}
-	failing := near()
+	failingPeer := nearPeer()
 	for range 20 {
-		failing.RecordFailure(now)
+		failingPeer.RecordFailure(now)
 	}
-	if got := c.Choose(cfg, now, &query, 0, []*Peer{failing}); got.Destination != Local {
-		t.Errorf("choice with a peer that rejected all = %+v, want a local one", got)
+	if got := c.Choose(cfg, now, &query, 0, []*Peer{failingPeer}); got.Destination != Local {
+		t.Errorf("choice with a peer that has failed 20 times = %+v, want a local one", got)
 	}
-	if distrust := failing.Distrust(now + 20*time.Second); distrust > 0.1 {
+	if distrust := failingPeer.Distrust(now + 20*time.Second); distrust > 0.1 {
 		t.Errorf("distrust after 20 s = %g, want at most 0.1", distrust)
 	}
-	if got := c.Choose(cfg, now+cfg.DigestMaxAge, &query, 0, []*Peer{near()}); got.Destination != Local {
-		t.Errorf("choice on an expired digest = %+v, want a local one", got)
+	if got := c.Choose(cfg, now+cfg.DigestMaxAge, &query, 0, []*Peer{nearPeer()}); got.Destination != Local {
+		t.Errorf("choice with an expired digest = %+v, want a local one", got)
 	}
 }
 
-// TestSpillHysteresis checks that forwarding goes on until there is clearly free capacity here, and
-// does not flap at one figure.
+// TestSpillHysteresis checks that forwarding continues until this site clearly has free capacity, so that
+// it doesn't switch on and off around a single threshold.
 func TestSpillHysteresis(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	var c Chooser
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestDataSetAffinity checks that a data set stays where it is warm, and that what is
-// remembered is bounded.
+// TestDataSetAffinity checks that a query goes to the peer where its data set is warm, and that the
+// number of remembered data sets is bounded.
 func TestDataSetAffinity(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	var c Chooser
@@ -107,18 +107,19 @@
 	if got, want := c.Choose(cfg, now, &q, 0, []*Peer{warm, larger}), (Choice{Remote, 0}); got != want {
 		t.Errorf("choice for a data set that is warm at the first peer = %+v, want %+v", got, want)
 	}
-	for g := range int64(3 * maxAffinityDataSets) {
-		c.affinity.record(now, g+1, localSite)
+	for i := range int64(3 * maxAffinityDataSets) {
+		c.affinity.record(now, i+1, localSite)
 	}
 	if n := len(c.affinity.lastRuns); n > maxAffinityDataSets {
-		t.Errorf("data sets remembered = %d, want at most %d", n, maxAffinityDataSets)
+		t.Errorf("remembered data sets = %d, want at most %d", n, maxAffinityDataSets)
 	}
 }
 
-// TestChooseInvariants checks, for any order of events, that nothing is forwarded to a peer that is
-// unreachable, draining or gone, nor a forwarded query; that over any time no more work is
-// forwarded than the peer accepts, but for one query at a time; and that nothing that may have run
-// is attempted against its idempotency or window, nor more often than all sites together may.
+// TestChooseInvariants checks for any order of events:
+//   - no query is forwarded to a peer that is unreachable, draining or departed, and none twice;
+//   - no more work is forwarded to a peer than it has accepted, beyond one query;
+//   - a query that may have run is attempted again only if its idempotency and dedup window permit it;
+//   - the sites together make no more than Config.MaxAttempts attempts at a query.
 func TestChooseInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg, now := Defaults(), time.Hour
@@ -127,18 +128,18 @@
 		forwarded, accepted, largest := []float64{0, 0}, []float64{0, 0}, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
-			i := rapid.IntRange(0, 1).Draw(t, "site")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			i := rapid.IntRange(0, 1).Draw(t, "peer")
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				peers[i].SetConnected(rapid.IntRange(0, 9).Draw(t, "linked") > 0)
+				peers[i].SetConnected(rapid.IntRange(0, 9).Draw(t, "connected") > 0)
 				peers[i].RecordReply(cfg, now, time.Duration(rapid.IntRange(0, 900).Draw(t, "rtt"))*ms)
 			case 1, 2, 3:
-				d := Digest{FreeCapacity: map[string]float64{"lookup": rapid.Float64Range(-1, 2).Draw(t, "free capacity there")}, AcceptableWork: rapid.Float64Range(-1, 5).Draw(t, "acceptable work"),
+				d := Digest{FreeCapacity: map[string]float64{"lookup": rapid.Float64Range(-1, 2).Draw(t, "free capacity of the peer")}, AcceptableWork: rapid.Float64Range(-1, 5).Draw(t, "acceptable work"),
 					Draining: rapid.IntRange(0, 9).Draw(t, "draining") == 0}
 				peers[i].RecordDigest(cfg, now, d)
 				accepted[i] += max(d.AcceptableWork, 0)
 			case 4:
-				if rapid.IntRange(0, 5).Draw(t, "end") == 0 {
+				if rapid.IntRange(0, 5).Draw(t, "departs") == 0 {
 					peers[i].RecordDeparture()
 				}
 				if rapid.Bool().Draw(t, "served") {
@@ -156,24 +157,24 @@
 					break
 				}
 				if q.Attempts >= cfg.MaxAttempts || q.MayHaveRun && (q.Idempotency == NotIdempotent || q.Idempotency == IdempotentWithKey && (q.DedupNotShared || q.SinceFirstAttempt >= q.DedupWindow)) {
-					t.Fatalf("%+v is attempted again: %+v", q, choice)
+					t.Fatalf("choice for %+v = %+v, want no further attempt", q, choice)
 				}
 				if n := AttemptGrant(cfg, &q); n < 1 || n+q.Attempts > cfg.MaxAttempts {
-					t.Fatalf("%+v: attempts granted to the other site = %d", q, n)
+					t.Fatalf("AttemptGrant(%+v) = %d, want at least 1 and at most %d attempts in all", q, n, cfg.MaxAttempts)
 				}
 				if choice.Destination != Remote {
 					break
 				}
 				p := peers[choice.Peer]
 				if s := p.State(cfg, now); q.Forwarded || s == Unreachable || s == Draining || s == Departed {
-					t.Fatalf("%+v is forwarded to a peer that is %v", q, s)
+					t.Fatalf("%+v is forwarded to a peer in state %v, want an available peer and a query not forwarded before", q, s)
 				}
-				if left, ok := RemainingAfter(cfg, q.Remaining, p.OneWayDelay()); !ok || left > q.Remaining {
-					t.Fatalf("remaining after the delay = %v of %v", left, q.Remaining)
+				if remaining, ok := RemainingAfter(cfg, q.Remaining, p.OneWayDelay()); !ok || remaining > q.Remaining {
+					t.Fatalf("RemainingAfter = %v, %v, want true and at most %v", remaining, ok, q.Remaining)
 				}
 				largest = max(largest, q.Work)
 				if forwarded[choice.Peer] += q.Work; forwarded[choice.Peer] > accepted[choice.Peer]+largest+1e-9 {
-					t.Fatalf("work forwarded = %g s, accepted %g", forwarded[choice.Peer], accepted[choice.Peer])
+					t.Fatalf("forwarded work = %g core-seconds, want at most %g and one query", forwarded[choice.Peer], accepted[choice.Peer])
 				}
 			}
 		}
--- a/internal/decide/remotesite/hedger_test.go
+++ b/internal/decide/remotesite/hedger_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestHedger checks that hedged requests are of idempotent queries that are late, where there is
-// free capacity, and within the budget.
+// TestHedger checks that only idempotent queries with attempts left are hedged, only with free capacity
+// at this site, and only within the budget.
 func TestHedger(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	var h Hedger
 	if _, ok := h.Delay("lookup"); ok {
-		t.Error("a delay is known before any latency")
+		t.Error("Delay before any latency: ok = true, want false")
 	}
 	for range 30 {
 		h.RecordLatency("lookup", 200*ms)
@@ -32,10 +32,10 @@
 	now += 10 * time.Minute
 	for _, q := range []*Query{{Idempotency: IdempotentWithKey}, {Idempotency: NotIdempotent}, {Idempotency: Idempotent, Attempts: 3}} {
 		if h.Allow(cfg, now, q, 0.5) {
-			t.Errorf("%+v is hedged, want not", q)
+			t.Errorf("Allow(%+v) = true, want false", q)
 		}
 	}
 	if h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01) || !h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5) {
-		t.Error("a hedged request must depend on free capacity here")
+		t.Error("Allow: want false with free capacity 0.01 and true with 0.5")
 	}
 }
--- a/internal/decide/remotesite/key_history_test.go
+++ b/internal/decide/remotesite/key_history_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// TestKeyHistory checks that the earliest send of a key counts, whoever reports it, and that the
-// history is bounded.
+// TestKeyHistory checks that the earliest send of a key counts, whichever site reports it, and that the
+// size of the history and the age of its keys are bounded.
 func TestKeyHistory(t *testing.T) {
 	now := time.Hour
-	k := NewKeyHistory(time.Minute, 3)
-	k.Record(now, "a", now, ThisSite)
-	k.Record(now, "a", now-2*time.Second, OtherSite)
-	if k.Record(now, "a", now, ThisSite) {
-		t.Error("a later send is reported as new")
+	h := NewKeyHistory(time.Minute, 3)
+	h.Record(now, "a", now, ThisSite)
+	h.Record(now, "a", now-2*time.Second, OtherSite)
+	if h.Record(now, "a", now, ThisSite) {
+		t.Error("Record of a later send = true, want false")
 	}
-	if at, origin, ok := k.FirstSend(now, "a"); !ok || at != now-2*time.Second || origin != OtherSite {
-		t.Errorf("first send = %v, %v, %v, want %v at the other site", at, origin, ok, now-2*time.Second)
+	if at, origin, ok := h.FirstSend(now, "a"); !ok || at != now-2*time.Second || origin != OtherSite {
+		t.Errorf("FirstSend = %v, %v, %v, want %v, OtherSite, true", at, origin, ok, now-2*time.Second)
 	}
-	k.Retract("a", now)
-	if _, _, ok := k.FirstSend(now, "a"); !ok {
-		t.Error("retracting another send removed the key")
+	h.Retract("a", now)
+	if _, _, ok := h.FirstSend(now, "a"); !ok {
+		t.Error("key after Retract of a send that was not its first: unknown, want known")
 	}
-	k.Retract("a", now-2*time.Second)
-	if _, _, ok := k.FirstSend(now, "a"); ok {
-		t.Error("a retracted key is known")
+	h.Retract("a", now-2*time.Second)
+	if _, _, ok := h.FirstSend(now, "a"); ok {
+		t.Error("key after Retract of its first send: known, want unknown")
 	}
-	if k.Record(now, "old", now-time.Hour, OtherSite) || k.Record(now, "", now, OtherSite) {
-		t.Error("an expired or empty key is reported as new")
+	if h.Record(now, "old", now-time.Hour, OtherSite) || h.Record(now, "", now, OtherSite) {
+		t.Error("Record of an expired or empty key = true, want false")
 	}
 	for _, key := range []string{"b", "c", "d", "e"} {
-		k.Record(now, key, now, ThisSite)
+		h.Record(now, key, now, ThisSite)
 	}
-	if _, _, ok := k.FirstSend(now, "b"); ok || k.Len() != 3 {
-		t.Errorf("keys = %d, want 3 without the oldest", k.Len())
+	if _, _, ok := h.FirstSend(now, "b"); ok || h.Len() != 3 {
+		t.Errorf("Len = %d, oldest key known: %v, want 3, false", h.Len(), ok)
 	}
-	if _, _, ok := k.FirstSend(now+time.Minute, "e"); ok {
-		t.Error("a key is known past its retention")
+	if _, _, ok := h.FirstSend(now+time.Minute, "e"); ok {
+		t.Error("key past its retention: known, want unknown")
 	}
 }
--- a/internal/decide/remotesite/peer_test.go
+++ b/internal/decide/remotesite/peer_test.go
@@ -7,10 +7,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// ms makes durations in the tests short to write.
 const ms = time.Millisecond
 
-// newTestPeer returns a peer that has been up for long, accepts so much work and has so much free
-// capacity.
+// newTestPeer returns a peer past its ramp with the given acceptable work, in core-seconds, and free
+// capacity for the class "lookup".
 func newTestPeer(cfg Config, now, rtt time.Duration, work, freeCapacity float64) *Peer {
 	p := &Peer{}
 	p.SetConnected(true)
@@ -21,7 +22,7 @@
 	return p
 }
 
-// TestPeerStateChanges checks the states of a peer over its life, with the reason for each change.
+// TestPeerStateChanges checks the states that a peer goes through, with the reason for each change.
 func TestPeerStateChanges(t *testing.T) {
 	cfg := Defaults()
 	p := &Peer{}
@@ -40,18 +41,18 @@
 		observe()
 	}
 	observe()
-	p.RecordReply(cfg, now, 40*ms) // without a link it is unreachable all the same
+	p.RecordReply(cfg, now, 40*ms) // it stays unreachable without a link
 	observe()
 	p.SetConnected(true)
 	observe()
 	reply(40, 40*ms)
 	reply(40, 600*ms)
-	p.RecordDigest(cfg, now+cfg.UnreachableAfter, Digest{AcceptableWork: 5}) // a digest proves one way only
+	p.RecordDigest(cfg, now+cfg.UnreachableAfter, Digest{AcceptableWork: 5}) // a digest is no reply: it proves one direction only
 	now += cfg.UnreachableAfter
 	observe()
 	reply(1, 0)
-	if r := p.RampFraction(cfg, now+cfg.RampDuration/2); r < 0.55 || r > 0.65 {
-		t.Errorf("ramp fraction at half of the ramp = %g, want 0.6", r)
+	if got := p.RampFraction(cfg, now+cfg.RampDuration/2); got < 0.55 || got > 0.65 {
+		t.Errorf("ramp fraction after half of the ramp = %g, want 0.55 to 0.65", got)
 	}
 	p.RecordDigest(cfg, now, Digest{Draining: true})
 	observe()
@@ -71,23 +72,23 @@
 		{"draining", "drained by an operator here"}, {"gone", "by its own word"}, {"cold", "heard again after a silence"}, {"silent", "its link is down"},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("changes (-want +got):\n%s", diff)
+		t.Errorf("states and reasons (-want +got):\n%s", diff)
 	}
 }
 
-// TestCreditDebtIsKept checks that what one large query took beyond a peer's credit is kept when the
-// peer drains, leaves or becomes unreachable and reports anew: another query would be forwarded
-// on next to nothing.
+// TestCreditDebtIsKept checks that a peer keeps the negative credit left by a large query when it drains,
+// leaves or becomes unreachable and then sends a digest. Otherwise a second large query would be
+// forwarded although the peer accepts almost no work.
 func TestCreditDebtIsKept(t *testing.T) {
 	cfg := Defaults()
 	for name, tt := range map[string]struct {
-		between func(p *Peer, now time.Duration)
-		gap     time.Duration
+		event func(p *Peer, now time.Duration) // what happens after the first query
+		gap   time.Duration                    // time until the next reply
 	}{
-		"next digest": {func(*Peer, time.Duration) {}, 400 * ms},
-		"drains":      {func(p *Peer, now time.Duration) { p.RecordDigest(cfg, now, Digest{Draining: true}) }, 400 * ms},
-		"leaves":      {func(p *Peer, _ time.Duration) { p.RecordDeparture() }, 400 * ms},
-		"unreachable": {func(*Peer, time.Duration) {}, cfg.UnreachableAfter},
+		"sends the next digest": {func(*Peer, time.Duration) {}, 400 * ms},
+		"drains":                {func(p *Peer, now time.Duration) { p.RecordDigest(cfg, now, Digest{Draining: true}) }, 400 * ms},
+		"leaves":                {func(p *Peer, _ time.Duration) { p.RecordDeparture() }, 400 * ms},
+		"becomes unreachable":   {func(*Peer, time.Duration) {}, cfg.UnreachableAfter},
 	} {
 		now := time.Hour
 		p := newTestPeer(cfg, now, 40*ms, 0.25, 0.9)
@@ -96,13 +97,13 @@
 		for range 2 {
 			q := Query{Class: "lookup", Idempotency: Idempotent, Work: 2, PriorityWeight: 1, Remaining: 3 * time.Second}
 			got = append(got, c.Choose(cfg, now, &q, 0, []*Peer{p}).Destination)
-			tt.between(p, now)
+			tt.event(p, now)
 			now += tt.gap
 			p.RecordReply(cfg, now, 40*ms)
 			p.RecordDigest(cfg, now, Digest{FreeCapacity: map[string]float64{"lookup": 0.9}, AcceptableWork: 0.25})
 		}
 		if diff := cmp.Diff([]Destination{Remote, Local}, got); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", name, diff)
+			t.Errorf("peer that %s: destinations (-want +got):\n%s", name, diff)
 		}
 	}
 }
--- a/internal/decide/remotesite/replay_test.go
+++ b/internal/decide/remotesite/replay_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// TestReplay feeds seeded events to a chooser, its peers, a meter, a hedge budget and a key
-// memory, and compares the digest of all decisions with the one recorded before the package
-// was reworked.
+// TestReplay applies seeded pseudorandom events to a chooser, its peers, a capacity meter, a hedger and a
+// key history. It compares the digest of all decisions with a recorded one, so that a change of any
+// decision is noticed.
 func TestReplay(t *testing.T) {
 	want, err := os.ReadFile("testdata/replay.sha256")
 	if err != nil {
@@ -30,7 +30,8 @@
 	}
 }
 
-// replay writes each decision of one seeded stream of events.
+// replay writes each decision on one seeded stream of events. The digest covers the text written, so its
+// wording must not change.
 func replay(w *bytes.Buffer, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	cfg, now := Defaults(), time.Hour
@@ -38,7 +39,7 @@
 	cfg.SharedDedup = seed%2 == 0
 	classes := []string{"lookup", "report", "load"}
 	var chooser Chooser
-	var hedge Hedger
+	var hedger Hedger
 	meter := NewCapacityMeter(cfg, 2)
 	keys := NewKeyHistory(12*time.Second, 20)
 	peers := []*Peer{{}, {}, {}}
@@ -79,19 +80,19 @@
 			fmt.Fprintf(w, "distrust %.12g\n", p.Distrust(now))
 		case 10:
 			name := []string{"a", "b"}[rng.IntN(2)]
-			s := Engine{Cores: float64(4 + rng.IntN(12)), Live: rng.IntN(5) > 0}
+			engine := Engine{Cores: float64(4 + rng.IntN(12)), Live: rng.IntN(5) > 0}
 			if rng.IntN(3) == 0 {
-				s.WarmUpUntil, s.WarmUpPeriod, s.WarmUpMinCapacity = now+5*time.Second, 10*time.Second, 0.25
+				engine.WarmUpUntil, engine.WarmUpPeriod, engine.WarmUpMinCapacity = now+5*time.Second, 10*time.Second, 0.25
 			}
-			meter.UpdateEngine(name, s)
+			meter.UpdateEngine(name, engine)
 		case 11:
 			meter.RecordUtilization(now, rng.Float64()*1.2-0.1)
 			meter.RecordRejection(now, class)
 		case 12, 13:
 			meter.RecordLatency(class, time.Duration(rng.IntN(900))*time.Millisecond, rng.Float64())
-			hedge.RecordLatency(class, time.Duration(50+rng.IntN(400))*time.Millisecond)
-			after, ok := hedge.Delay(class)
-			fmt.Fprintf(w, "hedge after %d %t\n", int64(after), ok)
+			hedger.RecordLatency(class, time.Duration(50+rng.IntN(400))*time.Millisecond)
+			delay, ok := hedger.Delay(class)
+			fmt.Fprintf(w, "hedge after %d %t\n", int64(delay), ok)
 		case 14:
 			meter.AttemptStarted(float64(rng.IntN(6)))
 		case 15:
@@ -113,7 +114,7 @@
 			}
 		default:
 			meter.RecordArrival(now, class)
-			replayQuery(w, rng, cfg, now, class, &chooser, &hedge, meter, peers)
+			replayQuery(w, rng, cfg, now, class, &chooser, &hedger, meter, peers)
 		}
 		c, changed := p.StateChange(cfg, now)
 		fmt.Fprintf(w, "peer %d %t %d %d way %d rtt %d age %d credit %.12g ramp %.12g room %.12g shut %t\n", i, changed, uint8(c.From), uint8(c.To),
@@ -121,27 +122,28 @@
 	}
 }
 
-// replayQuery writes what is decided of one query.
-func replayQuery(w *bytes.Buffer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedge *Hedger, meter *CapacityMeter, peers []*Peer) {
+// replayQuery writes the decisions on one pseudorandom query.
+func replayQuery(w *bytes.Buffer, rng *rand.Rand, cfg Config, now time.Duration, class string, chooser *Chooser, hedger *Hedger, meter *CapacityMeter, peers []*Peer) {
 	q := Query{
 		Class: class, Idempotency: Idempotency(rng.IntN(3)), Work: rng.Float64() * 2, PriorityWeight: rng.Float64(), DataSet: int64(rng.IntN(6)),
 		Remaining: time.Duration(rng.IntN(4000)) * time.Millisecond, Forwarded: rng.IntN(8) == 0, RejectedLocally: rng.IntN(4) == 0, Attempts: rng.IntN(4),
 		MayHaveRun: rng.IntN(3) == 0, SinceFirstAttempt: time.Duration(rng.IntN(14000)) * time.Millisecond, DedupWindow: 12 * time.Second, DedupNotShared: rng.IntN(6) == 0,
 	}
-	room := meter.FreeCapacityFor(now, &q)
+	freeCapacity := meter.FreeCapacityFor(now, &q)
 	accepted := meter.Accepts(now, &q)
-	choice := chooser.Choose(cfg, now, &q, room, peers)
-	fmt.Fprintf(w, "room %.12g %.12g capacity %.12g usual %.12g accepted %t choice %d %d grant %d again %t\n", room, meter.FreeCapacity(now, class),
+	choice := chooser.Choose(cfg, now, &q, freeCapacity, peers)
+	fmt.Fprintf(w, "room %.12g %.12g capacity %.12g usual %.12g accepted %t choice %d %d grant %d again %t\n", freeCapacity, meter.FreeCapacity(now, class),
 		meter.AvailableCores(now), meter.TypicalWork(class), accepted, uint8(choice.Destination), choice.Peer, AttemptGrant(cfg, &q), MayAttempt(cfg, &q, 30*time.Millisecond))
 	if choice.Destination == Remote {
-		left, ok := RemainingAfter(cfg, q.Remaining, peers[choice.Peer].OneWayDelay())
-		hedge.RecordForward(now)
-		fmt.Fprintf(w, "left %d %t hedged %t\n", int64(left), ok, hedge.Allow(cfg, now, &q, room))
-		end := Failure(rng.IntN(2))
-		fmt.Fprintf(w, "next %d doubt %t\n", uint8(AfterFailure(cfg, &q, end)), q.MayHaveRun)
+		remaining, ok := RemainingAfter(cfg, q.Remaining, peers[choice.Peer].OneWayDelay())
+		hedger.RecordForward(now)
+		fmt.Fprintf(w, "left %d %t hedged %t\n", int64(remaining), ok, hedger.Allow(cfg, now, &q, freeCapacity))
+		failure := Failure(rng.IntN(2))
+		fmt.Fprintf(w, "next %d doubt %t\n", uint8(AfterFailure(cfg, &q, failure)), q.MayHaveRun)
 	}
 }
 
+// digest returns the SHA-256 digest of b in hexadecimal.
 func digest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
