--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -76,7 +76,7 @@
 const holdTimeGain = 0.05
 
 // Acquire requests a connection for a statement of a user that can wait until a deadline. The caller
-// must pass the ticket to Release when the statement ends, in whatever way.
+// must pass the ticket to Release when the statement has ended, been cancelled or failed.
 func (p *Pool) Acquire(now time.Duration, user string, deadline time.Duration) (*Ticket, Decision) {
 	t := &Ticket{user: user}
 	if (p.idle > 0 || p.canOpen()) && p.belowUserLimit(user) && !p.mustQueue(user) {
--- a/internal/decide/costmodel/estimate.go
+++ b/internal/decide/costmodel/estimate.go
@@ -35,7 +35,7 @@
 
 // Estimate is the expected cost of an execution.
 type Estimate struct {
-	Known     bool    // there is an estimate; if not, Class is -1 and all else means nothing
+	Known     bool    // there is an estimate; if false, Class is -1 and the other fields are meaningless
 	Work      float64 // median of the work, ms on one core
 	P90Factor float64 // ratio of the 90th percentile of the work to its median
 	MemoryMB  float64 // expected memory; 0 means unknown
@@ -171,14 +171,14 @@
 		history = componentOf(&class.Memory, 0)
 	}
 	if !m.cfg.NoHint && validMemory(q.MemoryHint) {
-		y := math.Log2(q.MemoryHint)
+		hinted := math.Log2(q.MemoryHint)
 		switch {
 		case q.Record != nil && q.Record.MemoryHintError.Samples >= minHintSamples:
-			hint = componentOf(&q.Record.MemoryHintError, y)
+			hint = componentOf(&q.Record.MemoryHintError, hinted)
 		case class.MemoryHintError.Samples >= minHintSamples:
-			hint = componentOf(&class.MemoryHintError, y)
+			hint = componentOf(&class.MemoryHintError, hinted)
 		default:
-			hint = Component{Center: y, Deviation: defaultHintDeviation, Samples: 1}
+			hint = Component{Center: hinted, Deviation: defaultHintDeviation, Samples: 1}
 		}
 	}
 	center, _, ok := combineComponents(&history, &hint)
--- a/internal/decide/costmodel/model.go
+++ b/internal/decide/costmodel/model.go
@@ -87,9 +87,9 @@
 
 // Model estimates costs and learns from reported ones. It must be used by one goroutine only.
 type Model struct {
-	cfg   Config
-	prior *priorModel
-	sharedState
+	cfg          Config
+	prior        *priorModel
+	sharedState             // learned over all shapes
 	emptyTracker LogTracker // never added to; a correction by it has no effect
 }
 
--- a/internal/decide/costmodel/shape_record.go
+++ b/internal/decide/costmodel/shape_record.go
@@ -6,13 +6,13 @@
 // ShapeRecord is the cost history of one shape. All records have the same size. Snapshots store its
 // fields under the names in their tags. All trackers are of log2 values.
 type ShapeRecord struct {
-	Executions      uint32             `cbor:"Seen"`   // number of executions; saturates at the maximum
-	Work            LogTracker         `cbor:"All"`    // work, over all values
-	PriorError      LogTracker         `cbor:"Offset"` // work relative to the prior's prediction
-	PriorPrediction LogTracker         `cbor:"Usual"`  // the prior's predictions
-	HintError       LogTracker         `cbor:"Hint"`   // work relative to the hint
-	MemoryHintError LogTracker         `cbor:"Memory"` // memory relative to its hint
-	Buckets         [maxBuckets]Bucket `cbor:"Buckets"`
+	Executions      uint32             `cbor:"Seen"`    // number of executions; saturates at the maximum
+	Work            LogTracker         `cbor:"All"`     // work, over all values
+	PriorError      LogTracker         `cbor:"Offset"`  // work relative to the prior's prediction
+	PriorPrediction LogTracker         `cbor:"Usual"`   // the prior's predictions
+	HintError       LogTracker         `cbor:"Hint"`    // work relative to the hint
+	MemoryHintError LogTracker         `cbor:"Memory"`  // memory relative to its hint
+	Buckets         [maxBuckets]Bucket `cbor:"Buckets"` // cost by profile of values
 }
 
 // Bucket is the cost history of the executions of one shape whose values have similar profiles. A bucket
@@ -25,6 +25,7 @@
 	HeldClass uint8      `cbor:"Class"`  // index of the current class plus 1; 0 means none yet
 }
 
+// empty reports whether the bucket is unused.
 func (b *Bucket) empty() bool { return b.Work.Samples == 0 }
 
 // findBucket returns the bucket with a key, or nil if there is none.
--- a/internal/decide/costmodel/shared_state.go
+++ b/internal/decide/costmodel/shared_state.go
@@ -4,10 +4,11 @@
 
 // sharedState is what a model has learned over all shapes, except for its prior.
 type sharedState struct {
-	ClassErrors      [trackedClasses]classErrors     `cbor:"All"` // by known class; used for shapes without enough history of their own
-	FrequentValues   heavyHitters                    `cbor:"Heavy"`
-	SimilarValues    heavyHitters                    `cbor:"Like"`
-	NovelValueErrors [noveltyLevels]novelValueErrors `cbor:"Fresh"`
+	// ClassErrors is indexed by the known class. It is used for shapes with too little history.
+	ClassErrors      [trackedClasses]classErrors     `cbor:"All"`
+	FrequentValues   heavyHitters                    `cbor:"Heavy"` // by sqltext.Profile.Key
+	SimilarValues    heavyHitters                    `cbor:"Like"`  // by similarityKey
+	NovelValueErrors [noveltyLevels]novelValueErrors `cbor:"Fresh"` // by novelty level
 }
 
 // trackedClasses is the number of groups that classes are tracked in: one for each of the first classes,
--- a/internal/decide/remotesite/peer.go
+++ b/internal/decide/remotesite/peer.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// recordRTT updates the smoothed round-trip time and whether the peer is slow.
 func (p *Peer) recordRTT(cfg Config, rtt time.Duration) {
 	if p.rtt == 0 {
 		p.rtt = rtt
@@ -77,7 +78,8 @@
 	}
 }
 
-// RecordDigest records the peer's digest and replaces the unused credit by the work that it accepts.
+// RecordDigest records the peer's digest and replaces the unused credit by the work that the peer accepts,
+// times the ramp fraction. A draining peer gets no credit.
 func (p *Peer) RecordDigest(cfg Config, now time.Duration, d Digest) {
 	p.digest = d
 	p.digestAt = now
@@ -96,7 +98,8 @@
 // such query on its next digest.
 func (p *Peer) dropUnusedCredit() { p.credit = min(p.credit, 0) }
 
-// RecordDeparture records that the peer has reported its departure. It gets no more work.
+// RecordDeparture records that the peer has reported its departure. It gets no queries until it replies
+// again.
 func (p *Peer) RecordDeparture() {
 	p.departed = true
 	p.dropUnusedCredit()
@@ -159,6 +162,7 @@
 	p.distrust += (1 - p.distrust) * distrustGain
 }
 
+// decayDistrust brings the stored distrust up to date.
 func (p *Peer) decayDistrust(now time.Duration) {
 	p.distrust = p.Distrust(now)
 	p.distrustAt = now
--- a/internal/decide/remotesite/peer_state.go
+++ b/internal/decide/remotesite/peer_state.go
@@ -31,6 +31,7 @@
 // String returns the name of the state in events and counters.
 func (s State) String() string { return stateNames[s] }
 
+// acceptsQueries reports whether queries are forwarded to a peer in this state.
 func (s State) acceptsQueries() bool { return s == Up || s == Slow || s == RampingUp }
 
 // State returns the current state of the peer.
@@ -53,7 +54,7 @@
 // Change is a change of a peer's state.
 type Change struct {
 	From, To State
-	Reason   Reason // why the state is To
+	Reason   Reason // why the peer is now in state To
 }
 
 // ReasonKind is the kind of reason for a change of state.
@@ -73,7 +74,7 @@
 
 // Reason is the reason for a change of state, with the measured values that its kind needs.
 type Reason struct {
-	Kind     ReasonKind
+	Kind     ReasonKind    // what caused the change
 	Duration time.Duration // time without a reply (NoReply), or since the peer became reachable (Recovered)
 	RTT      time.Duration // smoothed round-trip time (Recovered, HighRTT)
 }
--- a/internal/decide/remotesite/remotesite.go
+++ b/internal/decide/remotesite/remotesite.go
@@ -25,8 +25,8 @@
 	RampDuration time.Duration
 	// RampStart is the fraction of the acceptable work that a peer is sent at the start of the ramp.
 	RampStart float64
-	// HopSlack is subtracted from a query's remaining time at each hop, as a reserve for sending the
-	// answer back.
+	// HopSlack is subtracted from a query's remaining time at each hop, in addition to the network
+	// delay, so that the answer is back in time.
 	HopSlack time.Duration
 	// SpillBelow is the free capacity of this site below which it starts to forward queries.
 	SpillBelow float64
