--- a/internal/decide/adminstate/override.go
+++ b/internal/decide/adminstate/override.go
@@ -15,8 +15,9 @@
 type Overrides map[string]Override
 
 // Merge returns which of two overrides for an engine takes effect: the later one. Of two with the same
-// time it is the one that disables, as that is the cautious choice. Merge is commutative, associative
-// and idempotent, so processes agree in whatever order and however often they merge.
+// time it is the one that disables, as that is the cautious choice, and if both or neither disable, the
+// one with the later DisabledSince. Merge is commutative, associative and idempotent, so processes agree
+// in whatever order and however often they merge.
 func (o Override) Merge(other Override) Override {
 	if o.before(other) {
 		return other
--- a/internal/decide/adminstate/table_test.go
+++ b/internal/decide/adminstate/table_test.go
@@ -25,8 +25,14 @@
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := anyOverride.Draw(t, "a"), anyOverride.Draw(t, "b"), anyOverride.Draw(t, "c")
-		if a.Merge(b) != b.Merge(a) || a.Merge(a) != a || a.Merge(b).Merge(c) != a.Merge(b.Merge(c)) {
-			t.Fatalf("merging %v, %v and %v: result depends on the order, want the same one", a, b, c)
+		if ab, ba := a.Merge(b), b.Merge(a); ab != ba {
+			t.Fatalf("merge of %v and %v = %v, in the other order %v, want the same", a, b, ab, ba)
+		}
+		if got := a.Merge(a); got != a {
+			t.Fatalf("merge of %v with itself = %v, want it unchanged", a, got)
+		}
+		if left, right := a.Merge(b).Merge(c), a.Merge(b.Merge(c)); left != right {
+			t.Fatalf("merge of %v, %v and %v = %v if the first two are merged first, else %v, want the same", a, b, c, left, right)
 		}
 		if a.At == b.At && a.Disabled && !a.Merge(b).Disabled {
 			t.Fatalf("merge of %v and %v with the same time = %v, want the one that disables", a, b, a.Merge(b))
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Limits are the limits on the connections to one engine. The zero value of each sets no limit.
+// Limits are the limits on the connections to one engine. A field that is 0 sets no limit.
 type Limits struct {
 	// MaxConnections bounds the number of connections, including those that are being opened. If it
 	// is too small, statements wait although the engine has capacity.
 	MaxConnections int
-	// MaxPerUser bounds the number of connections that one user uses at a time. It has no effect if it
-	// is not below MaxConnections.
+	// MaxPerUser bounds the number of connections that one user uses at a time. It has no effect if
+	// MaxConnections is set and not larger.
 	MaxPerUser int
 	// MinConnections is the number of connections that are opened in advance and stay open while idle.
-	// Each takes memory at the engine.
+	// Each takes memory at the engine, even if it is never used.
 	MinConnections int
 	// IdleTimeout is how long a connection beyond MinConnections stays open while idle. If it is too
 	// short, most statements need a new sign-in at the engine.
--- a/internal/decide/connpool/pool_test.go
+++ b/internal/decide/connpool/pool_test.go
@@ -105,8 +105,9 @@
 // stay open, and that others are closed when they have been idle for too long or are too old.
 func TestLifecycle(t *testing.T) {
 	p := Pool{Limits: Limits{MaxConnections: 3, MinConnections: 2, IdleTimeout: time.Second, MaxLifetime: 10 * time.Second}}
-	if !p.OpenAhead(0) || p.OpenAhead(1) || !p.OpenAhead(0) || p.OpenAhead(0) {
-		t.Error("OpenAhead: want true for two connections, false while one is being opened and for a third")
+	opened := []bool{p.OpenAhead(0), p.OpenAhead(1), p.OpenAhead(0), p.OpenAhead(0)}
+	if diff := cmp.Diff([]bool{true, false, true, false}, opened); diff != "" {
+		t.Errorf("OpenAhead for a first connection, while one is being opened, for a second and for a third (-want +got):\n%s", diff)
 	}
 	p.AddIdle()
 	p.AddIdle()
@@ -116,16 +117,17 @@
 	p.Acquire(0, "a", time.Hour)
 	p.Acquire(0, "a", time.Hour)
 	p.Acquire(0, "a", time.Hour) // opens a third connection
-	if p.IdleExpired(900*ms, 0) || !p.IdleExpired(time.Second, 0) {
-		t.Error("IdleExpired with a third connection: want false after 900 ms and true after 1 s")
+	if early, late := p.IdleExpired(900*ms, 0), p.IdleExpired(time.Second, 0); early || !late {
+		t.Errorf("IdleExpired with a third connection = %v after 900 ms and %v after 1 s, want false and true", early, late)
 	}
 	for random, want := range map[float64]time.Duration{0: 10 * time.Second, 0.5: 9500 * ms, 1: 9 * time.Second} {
 		if got := p.Lifetime(random); got != want {
 			t.Errorf("Lifetime(%g) = %v, want %v", random, got, want)
 		}
 	}
-	if (&Pool{}).Lifetime(1) != 0 || (&Pool{}).IdleExpired(time.Hour, 0) || (&Pool{}).OpenAhead(0) {
-		t.Error("pool without limits: want Lifetime 0, IdleExpired false and OpenAhead false")
+	var unlimited Pool
+	if lifetime, expired, open := unlimited.Lifetime(1), unlimited.IdleExpired(time.Hour, 0), unlimited.OpenAhead(0); lifetime != 0 || expired || open {
+		t.Errorf("pool without limits: Lifetime = %v, IdleExpired = %v, OpenAhead = %v, want 0s, false, false", lifetime, expired, open)
 	}
 }
 
@@ -172,7 +174,7 @@
 				if len(active) == 0 {
 					break
 				}
-				i := rapid.IntRange(0, len(active)-1).Draw(t, "who")
+				i := rapid.IntRange(0, len(active)-1).Draw(t, "active statement")
 				p.Release(now, active[i])
 				p.Release(now, active[i]) // a second release has no effect
 				active = slices.Delete(active, i, i+1)
@@ -187,7 +189,7 @@
 				if len(waiting) == 0 {
 					break
 				}
-				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "who")
+				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "waiting statement")
 				p.Release(now, waiting[i])
 				waiting = slices.Delete(waiting, i, i+1)
 			case 5: // an idle connection is closed
@@ -210,7 +212,7 @@
 			for ticket, decision, ok := p.Next(now); ok; ticket, decision, ok = p.Next(now) {
 				i := slices.Index(waiting, ticket)
 				if i < 0 {
-					t.Fatal("Next returned a ticket that does not wait")
+					t.Fatalf("Next returned a ticket of user %s that does not wait, want one of the %d that wait", ticket.user, len(waiting))
 				}
 				if countOf(waiting[:i], ticket.user) > 0 {
 					t.Fatalf("Next returned a ticket of user %s, want an earlier one of the same user", ticket.user)
--- a/internal/decide/connpool/queue.go
+++ b/internal/decide/connpool/queue.go
@@ -43,7 +43,7 @@
 }
 
 // mustQueue reports whether a new statement of the user has to queue behind a waiting one: an earlier
-// statement of the same user, or one whose user is below the limit.
+// statement of the same user, or one whose user is below MaxPerUser.
 func (p *Pool) mustQueue(user string) bool {
 	return slices.ContainsFunc(p.queue, func(t *Ticket) bool { return t.user == user || p.belowUserLimit(t.user) })
 }
--- a/internal/decide/costmodel/classify.go
+++ b/internal/decide/costmodel/classify.go
@@ -18,7 +18,8 @@
 }
 
 // classify returns the index of the class for an expected work, or -1 without configured classes. A
-// bucket keeps its class until the work is past the bound by Config.Hysteresis. bucket may be nil.
+// bucket keeps its class until the work is past the bound by the factor Config.Hysteresis. If bucket is
+// nil there is no hysteresis.
 func (m *Model) classify(workMS float64, bucket *Bucket) int {
 	if len(m.cfg.Classes) == 0 {
 		return -1
--- a/internal/decide/costmodel/estimate.go
+++ b/internal/decide/costmodel/estimate.go
@@ -41,8 +41,11 @@
 	MemoryMB  float64 // expected memory; 0 means unknown
 	Class     int     // index in Config.Classes, or -1 if not classified
 
-	History, SimilarValues, Prior, Hint Component // what Work is combined from
-	FrequentValue                       Component // offset added for a frequent value with an unusual cost
+	// History, SimilarValues, Prior and Hint are the components that Work is combined from.
+	History, SimilarValues, Prior, Hint Component
+	// FrequentValue is the offset added for a frequent value with an unusual cost. Unlike that of the
+	// others, its Deviation is a mean absolute one.
+	FrequentValue Component
 }
 
 // Estimate returns the expected cost of an execution and stores it in q for Learn. In the model and
@@ -137,7 +140,8 @@
 }
 
 // correctForNovelty corrects and widens the prior and the hint of an estimate by the errors that they
-// have made on similar values, or else on values as novel to their shape. The accuracy for earlier
+// have made on similar values, or else on values as novel to their shape. If no such errors are known
+// or the values are no longer novel, it only widens them by predictionShift. The accuracy for earlier
 // values of a shape says little about different ones: without the correction a broad report with the
 // shape of a lookup would be classified as a lookup.
 func (m *Model) correctForNovelty(q *Query, est *Estimate, bucket *Bucket, similar *heavyHitter, predictionShift float64) {
@@ -189,7 +193,7 @@
 }
 
 // componentOf returns a component with its center at base plus that of the tracker, log2, and with the
-// tracker's deviation.
+// standard deviation of the tracker's values. The tracker must not be empty.
 func componentOf(t *LogTracker, base float64) Component {
 	return Component{Center: base + float64(t.Center), Deviation: math.Sqrt(t.Variance()), Samples: float64(t.Samples)}
 }
--- a/internal/decide/costmodel/learn.go
+++ b/internal/decide/costmodel/learn.go
@@ -16,7 +16,8 @@
 )
 
 // Learn updates the model and the shape's record with the reported cost of an execution. Values outside
-// the bounds are ignored, and so is a lower bound that is not above the estimate.
+// the bounds are ignored, and so is a lower bound that is not above the estimate. The record counts the
+// execution in any case.
 func (m *Model) Learn(q *Query, outcome Outcome) {
 	r := q.Record
 	if r != nil && r.Executions < math.MaxUint32 {
--- a/internal/decide/costmodel/model.go
+++ b/internal/decide/costmodel/model.go
@@ -90,7 +90,7 @@
 	cfg          Config
 	prior        *priorModel
 	sharedState             // learned over all shapes
-	emptyTracker LogTracker // never added to; a correction by it has no effect
+	emptyTracker LogTracker // never added to; stands for errors that are not known
 }
 
 // New returns a model that has learned nothing.
--- a/internal/decide/remotesite/capacity_meter.go
+++ b/internal/decide/remotesite/capacity_meter.go
@@ -42,7 +42,8 @@
 	utilizationGain   = 10          // inverse weight of one report in the smoothed utilization
 )
 
-// NewCapacityMeter returns a meter for a gateway of a site that has so many gateways in all.
+// NewCapacityMeter returns a meter for one gateway of a site. gateways is the number of gateways of the
+// site; less than 1 counts as 1.
 func NewCapacityMeter(cfg Config, gateways int) *CapacityMeter {
 	return &CapacityMeter{cfg: cfg, gateways: float64(max(gateways, 1)), engines: map[string]Engine{}, classes: map[string]*classLoad{}}
 }
@@ -122,9 +123,10 @@
 }
 
 // maxWarmUpWork returns the largest work, in core-seconds, that a query started here should have while
-// an engine is in warm-up: what the weakest such engine does in a second, divided by the number of
-// gateways. It is infinite if no engine is in warm-up. The limit protects such an engine from large
-// queries of several gateways at once, which the policy of a single gateway can't see.
+// an engine is in warm-up: what the weakest such engine does in a second at the start of its warm-up,
+// divided by the number of gateways. It is infinite if no engine is in warm-up. The limit protects such
+// an engine from large queries of several gateways at once, which the policy of a single gateway can't
+// see.
 func (m *CapacityMeter) maxWarmUpWork(now time.Duration) float64 {
 	work := math.Inf(1)
 	for _, e := range m.engines {
@@ -136,7 +138,8 @@
 }
 
 // threads returns how many threads this site's engines have, and an estimate of how many are in use:
-// this gateway's threads times the number of gateways, or more if the engines report more.
+// this gateway's threads times the number of gateways or, if that is more, the number of cores that the
+// engines report to be in use. The weight of the report falls linearly to 0 within utilizationExpiry.
 func (m *CapacityMeter) threads(now time.Duration) (available, inUse float64) {
 	cores := m.AvailableCores(now)
 	available = cores * m.cfg.ThreadsPerCore
@@ -147,8 +150,8 @@
 	return available, inUse
 }
 
-// admittedFraction returns the fraction of a class that the policy admits, where each rejection counts
-// rejectionWeight times; 1 for an unknown class.
+// admittedFraction returns the fraction of the recent queries of a class that the policy has admitted,
+// where each rejection counts rejectionWeight times; 1 for an unknown class.
 func (m *CapacityMeter) admittedFraction(now time.Duration, class string) float64 {
 	c := m.classes[class]
 	if c == nil {
@@ -158,7 +161,8 @@
 	return c.admittedFraction()
 }
 
-// FreeCapacity returns the free capacity of this site for a class, as a fraction; 0 without engines.
+// FreeCapacity returns the free capacity of this site for a class, as a fraction: the fraction of the
+// engine threads that is not in use, reduced by recent rejections of the class. It is 0 without engines.
 func (m *CapacityMeter) FreeCapacity(now time.Duration, class string) float64 {
 	available, inUse := m.threads(now)
 	if available <= 0 {
--- a/internal/decide/remotesite/capacity_meter_test.go
+++ b/internal/decide/remotesite/capacity_meter_test.go
@@ -20,8 +20,11 @@
 	if got := m.AvailableCores(now); got != 10 {
 		t.Errorf("available cores with one of two engines in warm-up = %g, want 10", got)
 	}
-	if m.Accepts(now, &Query{Class: "lookup", Work: 2, Remaining: time.Second}) || !m.Accepts(now, &Query{Class: "lookup", Work: 0.5, Remaining: time.Second}) {
-		t.Error("Accepts during a warm-up: want false for work of 2 and true for work of 0.5")
+	accepts := func(work float64, remaining time.Duration) bool {
+		return m.Accepts(now, &Query{Class: "lookup", Work: work, Remaining: remaining})
+	}
+	if large, small := accepts(2, time.Second), accepts(0.5, time.Second); large || !small {
+		t.Errorf("Accepts during a warm-up = %v for a work of 2 and %v for 0.5, want false and true", large, small)
 	}
 	now += 10 * time.Second
 	m.AttemptStarted(8)
@@ -45,9 +48,8 @@
 	for range 20 {
 		m.RecordLatency("lookup", 300*ms, 0.2)
 	}
-	if m.Accepts(now, &Query{Class: "lookup", Work: 0.2, Remaining: 150 * ms}) || !m.Accepts(now, &Query{Class: "lookup", Work: 0.2, Remaining: 400 * ms}) ||
-		m.Accepts(now, &Query{Class: "lookup", Work: 2, Remaining: 400 * ms}) {
-		t.Error("Accepts: want true only for a query that can be answered in its remaining time")
+	if late, inTime, lateByWork := accepts(0.2, 150*ms), accepts(0.2, 400*ms), accepts(2, 400*ms); late || !inTime || lateByWork {
+		t.Errorf("Accepts = %v for a work of 0.2 in 150 ms, %v for 0.2 in 400 ms and %v for 2 in 400 ms, want false, true and false", late, inTime, lateByWork)
 	}
 	m.UpdateEngine("a", Engine{})
 	m.UpdateEngine("b", Engine{})
--- a/internal/decide/remotesite/choose_test.go
+++ b/internal/decide/remotesite/choose_test.go
@@ -174,7 +174,7 @@
 				}
 				largest = max(largest, q.Work)
 				if forwarded[choice.Peer] += q.Work; forwarded[choice.Peer] > accepted[choice.Peer]+largest+1e-9 {
-					t.Fatalf("forwarded work = %g core-seconds, want at most %g and one query", forwarded[choice.Peer], accepted[choice.Peer])
+					t.Fatalf("forwarded work = %g core-seconds, want at most the accepted %g and one query of up to %g", forwarded[choice.Peer], accepted[choice.Peer], largest)
 				}
 			}
 		}
--- a/internal/decide/remotesite/class_load.go
+++ b/internal/decide/remotesite/class_load.go
@@ -9,7 +9,7 @@
 type classLoad struct {
 	arrivals, rejections float64       // numbers of recent queries, decayed exponentially
 	decayedAt            time.Duration // when arrivals and rejections were last decayed
-	fastLatency          float64       // latency of the fastest answers, in seconds for typicalWork
+	fastLatency          float64       // latency of fast answers in seconds, scaled to a query of typicalWork
 	typicalWork          float64       // moving average of the work of a query, in core-seconds; 0 means unknown
 	samples              int           // number of latencies recorded
 }
@@ -18,7 +18,8 @@
 	loadDecay       = 2 * time.Second // time constant of arrivals and rejections
 	rejectionWeight = 2.0             // with half of the queries rejected there is no free capacity
 	// fasterGain is the weight in fastLatency of an answer that was faster than it, slowerGain that of
-	// a slower one. With a ratio of ten to one, about a tenth of all answers are faster.
+	// a slower one. With this ratio of ten to one, fastLatency follows the expectile of the latencies at
+	// 1/11, which is below their mean.
 	fasterGain      = 0.2
 	slowerGain      = 0.02
 	typicalWorkGain = 20 // inverse weight of one query in typicalWork
--- a/internal/decide/remotesite/digest.go
+++ b/internal/decide/remotesite/digest.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Digest is the load report that a gateway sends to its peers.
+// Digest is the load report that a gateway sends to its peers every Config.DigestInterval.
 type Digest struct {
 	FreeCapacity   map[string]float64 // free capacity by class, as a fraction
 	AcceptableWork float64            // work accepted until the next digest, in core-seconds
@@ -11,17 +11,17 @@
 
 // Digest returns this gateway's load report for its peers. AcceptableWork is what it accepts from all
 // other sites together until its next digest: its share of the engine capacity that is free beyond
-// Config.LocalReserve.
+// Config.LocalReserve, reduced if its policy has recently rejected queries of every class.
 func (m *CapacityMeter) Digest(now time.Duration, classes []string) Digest {
 	d := Digest{FreeCapacity: make(map[string]float64, len(classes))}
-	maxAdmission := 0.0
+	maxAdmitted := 0.0
 	for _, name := range classes {
 		d.FreeCapacity[name] = m.FreeCapacity(now, name)
-		maxAdmission = max(maxAdmission, m.admittedFraction(now, name))
+		maxAdmitted = max(maxAdmitted, m.admittedFraction(now, name))
 	}
 	available, inUse := m.threads(now)
 	spare := max(available*(1-m.cfg.LocalReserve)-inUse, 0) / m.gateways
-	d.AcceptableWork = spare * maxAdmission * m.cfg.DigestInterval.Seconds()
+	d.AcceptableWork = spare * maxAdmitted * m.cfg.DigestInterval.Seconds()
 	return d
 }
 
--- a/internal/decide/remotesite/hedger.go
+++ b/internal/decide/remotesite/hedger.go
@@ -23,7 +23,7 @@
 
 const (
 	hedgeDecay        = 30 * time.Second // time constant of the counts that make up the budget
-	hedgeBudgetBase   = 1.1              // hedged requests that are allowed however few queries were forwarded
+	hedgeBudgetBase   = 1.1              // part of the budget that doesn't depend on the forwarded queries; allows one hedged request
 	hedgeDeviations   = 4.0              // number of mean deviations above the mean latency from which a query is late
 	minLatencySamples = 8                // latencies of a class needed before its estimate is used
 	latencyGain       = 20               // inverse weight of one latency in the estimate
--- a/internal/decide/remotesite/hedger_test.go
+++ b/internal/decide/remotesite/hedger_test.go
@@ -18,7 +18,7 @@
 		h.RecordForward(now)
 	}
 	if d, ok := h.Delay("lookup"); !ok || d < 200*ms || d > 500*ms {
-		t.Errorf("delay = %v, want 200 to 500 ms", d)
+		t.Errorf("Delay = %v, %v, want 200 to 500 ms, true", d, ok)
 	}
 	n := 0
 	for range 20 {
@@ -35,7 +35,8 @@
 			t.Errorf("Allow(%+v) = true, want false", q)
 		}
 	}
-	if h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01) || !h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5) {
-		t.Error("Allow: want false with free capacity 0.01 and true with 0.5")
+	overloaded := h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01)
+	if free := h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5); overloaded || !free {
+		t.Errorf("Allow = %v with free capacity 0.01 and %v with 0.5, want false and true", overloaded, free)
 	}
 }
--- a/internal/decide/remotesite/key_history_test.go
+++ b/internal/decide/remotesite/key_history_test.go
@@ -26,8 +26,8 @@
 	if _, _, ok := h.FirstSend(now, "a"); ok {
 		t.Error("key after Retract of its first send: known, want unknown")
 	}
-	if h.Record(now, "old", now-time.Hour, OtherSite) || h.Record(now, "", now, OtherSite) {
-		t.Error("Record of an expired or empty key = true, want false")
+	if expired, empty := h.Record(now, "old", now-time.Hour, OtherSite), h.Record(now, "", now, OtherSite); expired || empty {
+		t.Errorf("Record = %v for an expired key and %v for an empty one, want false for both", expired, empty)
 	}
 	for _, key := range []string{"b", "c", "d", "e"} {
 		h.Record(now, key, now, ThisSite)
--- a/internal/decide/remotesite/peer.go
+++ b/internal/decide/remotesite/peer.go
@@ -39,8 +39,8 @@
 	// success.
 	distrustGain = 0.15
 	trustGain    = 0.1
-	// distrustDecay is the time constant with which distrust decays, so that a peer that has failed is
-	// tried again now and then.
+	// distrustDecay is the time constant with which distrust decays by itself, so that a peer that has
+	// failed is tried again now and then.
 	distrustDecay = 5 * time.Second
 )
 
@@ -78,8 +78,9 @@
 	}
 }
 
-// RecordDigest records the peer's digest and replaces the unused credit by the work that the peer accepts,
-// times the ramp fraction. A draining peer gets no credit.
+// RecordDigest records the peer's digest and replaces the unused credit by the work that the peer
+// accepts, times the ramp fraction. A debt left by a large query is subtracted from it. A draining peer
+// gets no credit.
 func (p *Peer) RecordDigest(cfg Config, now time.Duration, d Digest) {
 	p.digest = d
 	p.digestAt = now
@@ -174,8 +175,9 @@
 	return p.distrust * math.Exp(-float64(max(now-p.distrustAt, 0))/float64(distrustDecay))
 }
 
-// offeredCapacity returns the free capacity for a class that this gateway expects the peer to have: the
-// one in its digest, reduced by the digest's age and by recent failures. It is 0 without credit.
+// offeredCapacity returns the free capacity for a class that this gateway expects the peer to have, as a
+// fraction: the one in its digest, reduced by the digest's age and by recent failures. It is 0 without
+// credit and once the digest is Config.DigestMaxAge old.
 func (p *Peer) offeredCapacity(cfg Config, now time.Duration, class string) float64 {
 	age := now - p.digestAt
 	if age >= cfg.DigestMaxAge || p.credit <= 0 {
--- a/internal/decide/remotesite/peer_state.go
+++ b/internal/decide/remotesite/peer_state.go
@@ -64,7 +64,7 @@
 const (
 	NoReply           ReasonKind = iota + 1 // no reply for Config.UnreachableAfter
 	LinkDown                                // the link to the peer is down
-	Recovered                               // the peer has replied in time since it recovered
+	Recovered                               // the peer has been reachable for the whole ramp and isn't slow
 	HighRTT                                 // the round-trip time is above Config.SlowRTT
 	FirstReply                              // the peer has replied for the first time
 	ReplyAfterOutage                        // the peer replies again, or accepts queries again
--- a/internal/decide/remotesite/query.go
+++ b/internal/decide/remotesite/query.go
@@ -18,7 +18,7 @@
 	Class             string        // class of the query, such as "lookup"
 	Idempotency       Idempotency   // whether it may be executed more than once
 	Work              float64       // expected work in core-seconds; 0 means unknown
-	PriorityWeight    float64       // value of an answer in time, relative to other queries
+	PriorityWeight    float64       // value of answering it in time, relative to other queries
 	DataSet           int64         // id of the data set that it uses; 0 means unknown
 	Remaining         time.Duration // time until its client gives up
 	Forwarded         bool          // it came from another site; it is never forwarded a second time
--- a/internal/decide/remotesite/remotesite.go
+++ b/internal/decide/remotesite/remotesite.go
@@ -2,8 +2,8 @@
 // site or rejects it, and tracks the state of the gateways at other sites. Which engine runs a query
 // is left to the policy of the site that runs it.
 //
-// A peer is a gateway at another site. Each peer reports only its own share of its site's free
-// capacity, so a site with several gateways appears as several peers.
+// A peer is a gateway at another site. Each peer reports, in its Digest, only its own share of its
+// site's free capacity, so a site with several gateways appears as several peers.
 //
 // The package does no I/O and reads no clock. Callers pass the current time as a duration since an
 // origin that they choose. Clocks of other sites are never used: only durations measured at this
@@ -46,12 +46,14 @@
 	DigestInterval time.Duration
 	// MaxAttempts bounds the attempts at one query, counted over all sites.
 	MaxAttempts int
-	// MinPriorityWeight is the priority weight below which queries are never forwarded.
+	// MinPriorityWeight is the priority weight below which queries are never forwarded; 0 excludes none.
 	MinPriorityWeight float64
 	// AffinityBonus is added to the offered capacity of a peer where the tables of the query's data
-	// set are warm. If they are warm at this site, a peer needs this much more free capacity instead.
+	// set are warm, that is, held in memory by the engines. If they are warm at this site, a peer needs
+	// this much more free capacity instead.
 	AffinityBonus float64
-	// HedgeRatio bounds the hedged requests, as a fraction of the forwarded queries.
+	// HedgeRatio bounds the hedged requests, as a fraction of the recently forwarded queries. A single
+	// recent one is allowed in addition.
 	HedgeRatio float64
 	// SharedDedup says that the engines of all sites recognize each other's duplicates of an
 	// idempotency key.
