--- a/internal/decide/remotesite/hedger_test.go
+++ b/internal/decide/remotesite/hedger_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// TestHedger checks that hedged requests are of idempotent queries that are late, where there is
-// free capacity, and within the budget.
+// TestHedger checks that only idempotent queries with attempts left are hedged, only with free capacity
+// at this site, and only within the budget.
 func TestHedger(t *testing.T) {
 	cfg, now := Defaults(), time.Hour
 	var h Hedger
 	if _, ok := h.Delay("lookup"); ok {
-		t.Error("a delay is known before any latency")
+		t.Error("Delay before any latency: ok = true, want false")
 	}
 	for range 30 {
 		h.RecordLatency("lookup", 200*ms)
 		h.RecordForward(now)
 	}
 	if d, ok := h.Delay("lookup"); !ok || d < 200*ms || d > 500*ms {
-		t.Errorf("delay = %v, want 200 to 500 ms", d)
+		t.Errorf("Delay = %v, %v, want 200 to 500 ms, true", d, ok)
 	}
 	n := 0
 	for range 20 {
@@ -32,10 +32,11 @@
 	now += 10 * time.Minute
 	for _, q := range []*Query{{Idempotency: IdempotentWithKey}, {Idempotency: NotIdempotent}, {Idempotency: Idempotent, Attempts: 3}} {
 		if h.Allow(cfg, now, q, 0.5) {
-			t.Errorf("%+v is hedged, want not", q)
+			t.Errorf("Allow(%+v) = true, want false", q)
 		}
 	}
-	if h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01) || !h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5) {
-		t.Error("a hedged request must depend on free capacity here")
+	overloaded := h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.01)
+	if free := h.Allow(cfg, now, &Query{Idempotency: Idempotent}, 0.5); overloaded || !free {
+		t.Errorf("Allow = %v with free capacity 0.01 and %v with 0.5, want false and true", overloaded, free)
 	}
 }
