--- a/policy/action.go
+++ b/policy/action.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Action is what the caller must do, in the order given: Send, Grant, Cancel, RequestLoadReport, Reject,
-// Fail, SetTimer, Subscribe or Log.
+// Action is an instruction to the caller: Send, Grant, Cancel, RequestLoadReport, Reject, Fail, SetTimer,
+// Subscribe or Log. The caller must carry out actions in the order in which they are returned.
 type Action interface{ action() }
 
 // Send starts the next attempt of a query at an engine.
@@ -13,41 +13,42 @@
 	Timeout time.Duration // of the attempt; above 0
 }
 
-// Grant sets the memory and the priority of a query's later attempts, and the priority of those in flight.
+// Grant sets the memory and the priority for the attempts of a query that are sent after it. The priority
+// also applies to attempts in flight.
 type Grant struct {
 	Query    uint64
 	MemoryMB float64 // 0: the engine chooses
-	Priority int     // 0 to 3; 1 is usual
+	Priority int     // 0 to 3 (highest); 1 is the default
 }
 
-// Cancel cancels one attempt. Its AttemptEnded follows.
+// Cancel cancels one attempt. An AttemptEnded for the attempt follows.
 type Cancel struct {
 	Query   uint64
 	Attempt int
 }
 
-// RequestLoadReport asks an engine for its load. A LoadReportReceived follows.
+// RequestLoadReport requests a load report from an engine. A LoadReportReceived follows.
 type RequestLoadReport struct{ Engine string }
 
-// Reject is a final answer which says that a retry is harmless.
+// Reject is a final answer to the client which says that the query may safely be retried.
 type Reject struct {
 	Query      uint64
-	RetryAfter time.Duration // from now; 0: not given
+	RetryAfter time.Duration // from now; 0: the client is not told when to retry
 }
 
-// Fail is a final answer that promises nothing: the query may have been executed.
+// Fail is a final answer to the client that makes no such promise: the query may have been executed.
 type Fail struct{ Query uint64 }
 
-// SetTimer asks for a TimerFired with the same token.
+// SetTimer requests a TimerFired event with the same token after the given time.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// Subscribe asks for the engine list and its changes.
+// Subscribe requests a subscription to the engine list and its changes.
 type Subscribe struct{}
 
-// Log is a message for the log.
+// Log is a message for the process log.
 type Log struct{ Text string }
 
 func (Send) action()              {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,15 +3,16 @@
 import "math"
 
 const (
-	valueSamples      = 50   // queries that the usual value over work is averaged over
+	valueSamples      = 50   // arrivals over which meanLogValue is averaged
 	minPriorityWeight = 1e-9 // keeps the logarithm finite
-	minThreadsRatio   = 0.25 // of its class's threads that a query counts for
-	maxThreadsRatio   = 2
-	logValueDivisor   = 4 // a doubled value over work opens 1/4 more of a limit
+	minThreadsRatio   = 0.25 // least weight of a query in a backlog, over the threads of its class
+	maxThreadsRatio   = 2    // largest weight of a query in a backlog, over the threads of its class
+	logValueDivisor   = 4    // doubling value over work adds 1/4 to the usable fraction of a limit
 )
 
-// arrive admits a query or rejects it at once.
-func (g *Gateway) arrive(ev QueryArrived) {
+// handleArrival admits a new query, rejects it, or queues it until its turn among the queries of its
+// ordering key.
+func (g *Gateway) handleArrival(ev QueryArrived) {
 	if g.queries[ev.Query] != nil {
 		return
 	}
@@ -20,7 +21,7 @@
 	}
 	g.retries.recordArrival(g.now)
 	c := g.classes[ev.Class]
-	if c == nil { // an unknown class: nothing was sent, so that a retry is harmless
+	if c == nil { // unknown class: nothing was sent, so a retry by the client is safe
 		g.emit(Reject{Query: ev.Query, RetryAfter: g.retryAfter()})
 		return
 	}
@@ -34,11 +35,12 @@
 	if g.orderedKeys.isTurn(q, g.now) {
 		g.admit(q)
 	} else {
-		g.orderedKeys.wait(q)
+		g.orderedKeys.addWaiting(q)
 	}
 }
 
-// newQuery weighs a query by its class and its estimate.
+// newQuery computes the expected work, the threads and the usable fraction of the limits for a query, from
+// its class, its estimate and its tenant's quota.
 func (g *Gateway) newQuery(c *class, ev QueryArrived) *query {
 	q := &query{
 		id: ev.Query, class: c, key: ev.Key, dataSet: ev.DataSet, deadline: ev.Deadline,
@@ -55,7 +57,7 @@
 	}
 	g.meanLogValue += (logValue - g.meanLogValue) / valueSamples
 	q.logValue = logValue - g.meanLogValue
-	if ev.Work > 0 { // without estimates, all queries of a class would be shed together
+	if ev.Work > 0 { // without estimates all queries of a class rank alike and would be shed together
 		q.limitFraction = min(max(1+q.logValue/logValueDivisor, overQuotaFraction), 2-overQuotaFraction)
 	}
 	if g.tenants.isOverQuota(ev.Tenant, g.traffic.share(), g.now) {
@@ -64,7 +66,7 @@
 	return q
 }
 
-// admit sends the query to an engine where it fits, or rejects it at once.
+// admit sends the query to an engine where it fits. If there is none, it ends the query without a result.
 func (g *Gateway) admit(q *query) {
 	e := g.chooseEngine(q)
 	if e == nil {
@@ -74,13 +76,14 @@
 	g.send(q, e)
 }
 
-// queryLimit is the fraction of a limit that the query may use, in threads.
+// queryLimit returns the part of a controller's limit that the query may use, in threads.
 func (g *Gateway) queryLimit(q *query, c *controller) float64 {
 	return c.currentLimit(g.now) * q.limitFraction
 }
 
-// fits is the paper's test. A query with more threads than the limit is admitted by chance where this gateway
-// has nothing in flight.
+// fits is the admission test of the paper: the backlog and the query together must not exceed the limit. A
+// query that has more threads than the limit would never pass, so with an empty backlog it is admitted at
+// random, with a probability of the limit over its threads.
 func (g *Gateway) fits(q *query, c *controller, limit float64) bool {
 	if c.backlog == 0 && q.threads > limit {
 		return g.random.Float64() < limit/q.threads
@@ -88,8 +91,9 @@
 	return c.backlog+q.threads <= limit
 }
 
-// fitsAggregate applies the same test to all engines together. Guards against an overload that this gateway
-// sees at no single engine. What hangs at an ejected engine takes no room of the others.
+// fitsAggregate applies the same test to all engines in service together. It prevents an overload that
+// shows at no single engine of this gateway. Attempts that hang at an ejected engine do not reduce the
+// capacity of the others.
 func (g *Gateway) fitsAggregate(q *query) bool {
 	g.aggregate.backlog = 0
 	for _, e := range g.engines {
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// answerWithoutResult is the only place where a query gets its final answer from the gateway: a rejection
-// where a retry is harmless, else a failure.
+// answerWithoutResult gives a query its final answer from the gateway: a rejection if the client can safely
+// retry, otherwise a failure. No other function answers an admitted query.
 func (g *Gateway) answerWithoutResult(q *query) {
 	if q.answered {
 		return
@@ -16,7 +16,8 @@
 	g.endQuery(q)
 }
 
-// mayReject tells whether a retry by the client is harmless.
+// mayReject reports whether the client can safely retry the query: either a repeat does no harm, or no
+// attempt has run.
 func (g *Gateway) mayReject(q *query) bool {
 	c := q.class
 	isRepeatable := c.Idempotency == Idempotent ||
@@ -24,17 +25,18 @@
 	return isRepeatable || !q.mayHaveRun()
 }
 
-// retryAfter spreads the retries of rejected clients over the time that they honor.
+// retryAfter returns a random time after which the client should retry. It spreads the retries of rejected
+// clients over the upper half of the time that clients honor.
 func (g *Gateway) retryAfter() time.Duration {
-	half := g.settings.Limits.MaxRetryAfter / 2
-	if !g.settings.Limits.SendRetryAfter || half <= 0 {
+	minimum := g.settings.Limits.MaxRetryAfter / 2
+	if !g.settings.Limits.SendRetryAfter || minimum <= 0 {
 		return 0
 	}
-	return half + time.Duration(g.random.Int64N(int64(half)))
+	return minimum + time.Duration(g.random.Int64N(int64(minimum)))
 }
 
-// endQuery ends a query for its client. It is kept while attempts are in flight, for the backlog and the
-// order.
+// endQuery ends a query for its client and cancels its attempts. The query is kept until the attempts in
+// flight have ended, as they count for the backlog and for the order of its key.
 func (g *Gateway) endQuery(q *query) {
 	q.answered = true
 	for _, a := range q.attempts {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -3,12 +3,17 @@
 import "slices"
 
 const (
-	maxErrors          = 2 // errors after which a query is not retried: the fault is its own
+	// maxErrors is the number of errors after which a query is not retried: the query itself is then
+	// taken to be the cause.
+	maxErrors = 2
+	// meanThreadsSamples is the number of attempts over which Gateway.meanThreads is averaged.
 	meanThreadsSamples = 20
-	minRetryTimeRatio  = 1.0 / 4 // of the usual latency that must be left for a retry
+	// minRetryTimeRatio is the fraction of the class's usual latency that must remain until the deadline
+	// for a retry.
+	minRetryTimeRatio = 1.0 / 4
 )
 
-// send is the only place where an attempt starts.
+// send starts an attempt of the query at the engine. No other function starts attempts.
 func (g *Gateway) send(q *query, e *engine) {
 	if !g.maySend(q, e) {
 		g.answerWithoutResult(q)
@@ -26,7 +31,7 @@
 	g.emit(Send{Query: q.id, Engine: e.id, Timeout: q.deadline - g.now})
 }
 
-// endAttempt takes the end of an attempt and, where the client still waits, decides on a retry.
+// endAttempt processes the end of an attempt and, if the client is still waiting, decides on a retry.
 func (g *Gateway) endAttempt(ev AttemptEnded) {
 	a := g.attempt(ev.Query, ev.Attempt)
 	if a == nil || a.ended {
@@ -39,7 +44,7 @@
 	g.recordResult(a, ev)
 	g.recordLoad(a.engine, ev.Load)
 	switch ev.Result {
-	case ResultTimeout, ResultConnectionLost, ResultCancelled, ResultUnknown: // it may still run
+	case ResultTimeout, ResultConnectionLost, ResultCancelled, ResultUnknown: // may still be running
 		g.orderedKeys.pause(q, g.now+g.settings.Rules.SettleTime+g.settings.CallInterval)
 	default:
 	}
@@ -47,7 +52,7 @@
 	switch {
 	case ev.Final || q.answered:
 		g.endQuery(q)
-	case q.hasAttemptInFlight(): // its end will decide
+	case q.hasAttemptInFlight(): // decided when that attempt ends
 	case isTooLate, q.errorCount() >= maxErrors:
 		g.answerWithoutResult(q)
 	default:
@@ -55,7 +60,7 @@
 	}
 }
 
-// recordResult learns from the end of an attempt.
+// recordResult updates the engine's limit and health from the result of an attempt.
 func (g *Gateway) recordResult(a *attempt, ev AttemptEnded) {
 	e := a.engine
 	switch ev.Result {
@@ -64,7 +69,7 @@
 	case ResultTimeout:
 		g.recordTimeout(a, milliseconds(ev.Elapsed))
 	case ResultRejected:
-		e.bindingUntil = g.now + rejectedBindingTime
+		e.bindingUntil = g.now + rejectionBindingTime
 		e.health.lastHeard = g.now
 	case ResultConnectFailed, ResultConnectTimeout, ResultConnectionLost:
 		g.recordConnectionFailure(e, ev.Result)
@@ -75,7 +80,7 @@
 	}
 }
 
-// recordSuccess learns from a complete response.
+// recordSuccess updates the statistics of the class and the engine from a complete response.
 func (g *Gateway) recordSuccess(a *attempt, ev AttemptEnded) {
 	e := a.engine
 	latencyMS := milliseconds(ev.Elapsed)
@@ -86,7 +91,8 @@
 	e.health.lastHeard = g.now
 	e.health.ejectedForFaults = false
 	g.recordContact(a)
-	// An error may be the query's own fault; it is the engine's where another one serves the query.
+	// An error may be caused by the query itself. It counts against an engine only once another engine has
+	// served the same query.
 	for _, other := range a.query.attempts {
 		if other.failed && other.engine != e {
 			g.recordFault(other.engine, errorWeight, ejectedForErrors)
@@ -94,7 +100,8 @@
 	}
 }
 
-// mayRetry tells whether the rules leave the query another attempt once those in flight have ended.
+// mayRetry reports whether the rules permit another attempt of the query once its attempts in flight have
+// ended.
 func (g *Gateway) mayRetry(q *query) bool {
 	if q.answered || len(q.attempts) >= max(g.settings.Limits.MaxAttempts, 1) {
 		return false
@@ -105,7 +112,8 @@
 	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return g.forbidsRetry(a) })
 }
 
-// forbidsRetry tells whether the query may not be executed again after this attempt.
+// forbidsRetry reports whether the query may not be executed again after this attempt, by the idempotency
+// of its class.
 func (g *Gateway) forbidsRetry(a *attempt) bool {
 	switch a.query.class.Idempotency {
 	case NotIdempotent:
@@ -117,11 +125,13 @@
 	return false
 }
 
-// retryElsewhere cancels an attempt where the rules leave its query another.
+// retryElsewhere cancels an attempt if the rules permit the query another one, and reports whether it did.
+// The retry follows when the cancelled attempt ends.
 func (g *Gateway) retryElsewhere(a *attempt) bool { return g.mayRetry(a.query) && g.cancel(a) }
 
-// moveAttempt does so for an attempt that may yet succeed, where another engine may have the query, or the
-// same one again. Guards against rejecting what the only engine is about to answer.
+// moveAttempt is retryElsewhere for an attempt that may yet succeed. It cancels only if another engine is
+// suitable for the query, or the same engine with hedging, so that a query is not rejected just before its
+// only engine responds.
 func (g *Gateway) moveAttempt(a *attempt) bool {
 	hasTarget := slices.ContainsFunc(g.engines, func(e *engine) bool {
 		return (e != a.engine || g.settings.Limits.AllowHedging) && g.isSuitable(a.query, e)
@@ -129,7 +139,7 @@
 	return hasTarget && g.retryElsewhere(a)
 }
 
-// cancel cancels an attempt and tells whether it did.
+// cancel requests the cancellation of an attempt and reports whether it did.
 func (g *Gateway) cancel(a *attempt) bool {
 	if a.cancelled || a.ended || a.streaming || !g.settings.Limits.AllowCancel {
 		return false
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// Weights of an engine's score, in multiples of the query's threads.
+// Weights in the score of an engine, in multiples of the query's threads.
 const (
-	warmUpPreference = 2 // for an engine that warms up
-	chancePenalty    = 3 // for one where the query fits by chance alone
+	warmUpBonus            = 2 // added for an engine that is warming up
+	randomAdmissionPenalty = 3 // subtracted if the query fits only by random admission
 )
 
-// chooseEngine returns the engine with the most room where the query fits, or nil.
+// chooseEngine returns the engine with the highest score among those where the query fits, or nil if there
+// is none. An ejected engine that is due for a trial is chosen at once.
 func (g *Gateway) chooseEngine(q *query) *engine {
 	if !g.fitsAggregate(q) {
 		return nil
 	}
 	var best *engine
 	bestScore := math.Inf(-1)
-	nearest := g.minNearAffinity(q.dataSet)
+	minAffinity := g.minNearAffinity(q.dataSet)
 	for _, e := range g.engines {
 		limit := g.queryLimit(q, &e.controller) + g.reportedFreeThreads(e)
 		if e.health.ejected {
-			if g.takeTrial(q, e) {
+			if g.startTrial(q, e) {
 				return e
 			}
 			continue
@@ -30,54 +31,56 @@
 		if g.isBlocked(e, q.class) || !g.fits(q, &e.controller, limit) || !g.maySend(q, e) {
 			continue
 		}
-		if score := g.score(q, e, limit, nearest); score > bestScore {
+		if score := g.score(q, e, limit, minAffinity); score > bestScore {
 			best, bestScore = e, score
 		}
 	}
 	return best
 }
 
-// score is the room that the query finds at an engine, in threads, with what else speaks for it and against
-// it.
-func (g *Gateway) score(q *query, e *engine, limit float64, nearest uint64) float64 {
-	score := limit - e.backlog + g.localityBonus(q, e, nearest)
-	score += math.Log(1-g.random.Float64()) * q.threads / e.cores // breaks ties at random, by cores
+// score is the capacity, in threads, that is left for the query at an engine, adjusted by bonuses and
+// penalties.
+func (g *Gateway) score(q *query, e *engine, limit float64, minAffinity uint64) float64 {
+	score := limit - e.backlog + g.localityBonus(q, e, minAffinity)
+	score += math.Log(1-g.random.Float64()) * q.threads / e.cores // breaks ties at random, weighted by cores
 	score += g.reportedLoadBonus(e) - e.health.faultRate*e.ceiling
-	if g.slowStart.isNearStart(e, g.now) { // its budget limits it, and is lost if it is not used
-		score += warmUpPreference * q.threads
+	if g.slowStart.isNearStart(e, g.now) { // the warm-up budget limits its load, and unused budget is lost
+		score += warmUpBonus * q.threads
 	}
 	if q.wasSentTo(e) {
 		score -= e.ceiling
 	}
-	if q.threads > limit { // admitted by chance: any engine where it fits is better
-		score -= chancePenalty * q.threads
+	if q.threads > limit { // random admission: any engine where the query fits is better
+		score -= randomAdmissionPenalty * q.threads
 	}
 	return score
 }
 
-// localityBonus breaks near-ties: it prefers engines of the gateway's own zone, and among these the ones that
-// all its gateways choose for the data set, so that each engine reads few data sets.
-func (g *Gateway) localityBonus(q *query, e *engine, nearest uint64) float64 {
+// localityBonus breaks near-ties. It prefers engines in the gateway's own zone, and among these the ones
+// that all gateways of the zone choose for the data set, so that each engine reads few data sets. It also
+// keeps data loads and the queries that wait for them away from an engine where a data load locks the data
+// set.
+func (g *Gateway) localityBonus(q *query, e *engine, minAffinity uint64) float64 {
 	bonus := 0.0
-	isNear := affinity(e.hash, q.dataSet) >= nearest
+	isNear := affinity(e.hash, q.dataSet) >= minAffinity
 	if e.zone == g.settings.Zone {
 		bonus += q.threads
 		if isNear && q.class.DataLoad {
-			bonus -= q.threads // it would hold the readers up
+			bonus -= q.threads // a data load would block the readers of the data set
 		} else if isNear {
 			bonus += q.threads
 		}
 	}
-	isHeldUp := q.class.DataLoad || q.class.WaitsForDataLoad
-	if isHeldUp && e.hasDataLoad(q.dataSet, g.now) {
+	conflictsWithLoad := q.class.DataLoad || q.class.WaitsForDataLoad
+	if conflictsWithLoad && e.hasDataLoad(q.dataSet, g.now) {
 		bonus -= e.baseline
 	}
 	return bonus
 }
 
-// minNearAffinity is the least affinity to the data set with which an engine of the zone counts as near: one
-// engine does, and more as the data set's fraction of the traffic grows. Guards against a hot data set
-// crowding the same few engines.
+// minNearAffinity returns the lowest affinity to the data set at which an engine of the gateway's zone
+// counts as near. One engine is near, and more as the data set's fraction of the traffic grows, so that a
+// hot data set does not overload the same few engines.
 func (g *Gateway) minNearAffinity(dataSet int64) uint64 {
 	g.affinities = g.affinities[:0]
 	for _, e := range g.engines {
@@ -86,7 +89,7 @@
 		}
 	}
 	engines := len(g.affinities)
-	near := 1 + int(math.Ceil(hotDataSetSpread*g.dataSets.fraction(dataSet)*float64(engines)))
+	near := 1 + int(math.Ceil(nearEngineFactor*g.dataSets.fraction(dataSet)*float64(engines)))
 	if near > engines {
 		return 0
 	}
@@ -94,16 +97,18 @@
 	return g.affinities[engines-near]
 }
 
-// maySend holds the rules on attempts: deadline, retries, placement, hedging, order and slow start.
+// maySend reports whether the rules permit an attempt of the query at the engine now: deadline, retries,
+// placement, hedging, ordering and slow start.
 func (g *Gateway) maySend(q *query, e *engine) bool {
 	return g.now < q.deadline && g.mayRetry(q) && g.isSuitable(q, e) &&
 		(g.settings.Limits.AllowHedging || !q.hasAttemptInFlight()) &&
 		g.orderedKeys.isTurn(q, g.now) && g.slowStart.allows(q, e, g.now)
 }
 
-// isSuitable holds the rules on where a query may go: to a live engine in the places of its class, and after
-// an attempt that may have run, only where its repeat is dropped. Where hedging is not allowed it also goes
-// nowhere that it was cancelled, as the cancel may arrive there later.
+// isSuitable reports whether the query may be placed on the engine: the engine must be live and in a zone
+// and of a machine kind that the class allows. After an attempt that may have run, a query with an
+// idempotency key may only go where its repeat is deduplicated. Without hedging, a query does not return to
+// an engine where it was cancelled, as the cancel request may arrive there later than the new attempt.
 func (g *Gateway) isSuitable(q *query, e *engine) bool {
 	c := q.class
 	if e.state != EngineLive || !isAllowed(c.Zones, e.zone) || !isAllowed(c.Kinds, e.kind) {
@@ -111,13 +116,14 @@
 	}
 	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool {
 		isCancelledThere := a.cancelled && a.engine == e && !g.settings.Limits.AllowHedging
-		isDedupedThere := c.Idempotency != IdempotentWithKey || sharesDedup(c.DedupScope, a.engine, e)
-		return isCancelledThere || a.mayHaveRun && !isDedupedThere
+		inDedupScope := c.Idempotency != IdempotentWithKey || sharesDeduplication(c.DedupScope, a.engine, e)
+		return isCancelledThere || a.mayHaveRun && !inDedupScope
 	})
 }
 
-// sharesDedup tells whether two engines drop each other's repeats.
-func sharesDedup(scope DedupScope, a, b *engine) bool {
+// sharesDeduplication reports whether two engines drop each other's repeats of a query with an idempotency
+// key.
+func sharesDeduplication(scope DedupScope, a, b *engine) bool {
 	switch {
 	case a == b || scope == DedupAll:
 		return true
@@ -128,7 +134,7 @@
 	}
 }
 
-// isAllowed tells whether a place is in the list; an empty list allows all.
-func isAllowed(list []string, place string) bool {
-	return len(list) == 0 || slices.Contains(list, place)
+// isAllowed reports whether the name of a zone or machine kind is in the list. An empty list allows all.
+func isAllowed(allowed []string, name string) bool {
+	return len(allowed) == 0 || slices.Contains(allowed, name)
 }
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -5,58 +5,87 @@
 	"time"
 )
 
-// The period and the pole are the paper's.
+// Parameters of the controllers. The control period and the closed-loop pole are those of the paper.
 const (
-	controlPeriod       = 500 * time.Millisecond
-	ticksPerPeriod      = 5
-	tickInterval        = controlPeriod / ticksPerPeriod
-	closedLoopPole      = 0.3
-	newestPeriodWeight  = 0.3 // in alpha
-	minAlpha            = 1e-6
-	minLimit            = 0.5 // threads
-	bindingLatencyRatio = 0.8 // mean latency over objective from which a limit binds
-	bindingTime         = 2 * controlPeriod
-	rejectedBindingTime = 4 * controlPeriod // after an engine has rejected an attempt
-	ceilingFactor       = 1.2               // a limit stays under this many baselines
-	saturationSlowdown  = 1.6               // slowdown from which the ceiling shrinks
-	maxSlowdown         = 4 * saturationSlowdown
-	slowdownSamples     = 20  // responses
-	ceilingDeviations   = 2.0 // of the threads in flight by chance, within the aggregate's ceiling
+	controlPeriod = 500 * time.Millisecond
+	// ticksPerPeriod is the number of ticks in a control period.
+	ticksPerPeriod = 5
+	tickInterval   = controlPeriod / ticksPerPeriod
+	// closedLoopPole sets how fast the limit converges: 0 within one period, 1 never.
+	closedLoopPole = 0.3
+	// newestPeriodWeight is the weight of the newest period in the moving average alpha.
+	newestPeriodWeight = 0.3
+	// minAlpha keeps the step of the limit finite.
+	minAlpha = 1e-6
+	// minLimit is the smallest limit, in threads.
+	minLimit = 0.5
+	// bindingLatencyRatio is the ratio of mean latency to latency objective above which a limit binds, for
+	// bindingTime.
+	bindingLatencyRatio = 0.8
+	// bindingTime is how long a limit binds after a period of high latency.
+	bindingTime = 2 * controlPeriod
+	// rejectionBindingTime is how long the limit binds after the engine has rejected an attempt.
+	rejectionBindingTime = 4 * controlPeriod
+	// ceilingFactor is the multiple of the baseline on which a limit's ceiling is based.
+	ceilingFactor = 1.2
+	// saturationSlowdown is the slowdown above which the ceiling shrinks.
+	saturationSlowdown = 1.6
+	// maxSlowdown bounds the slowdown that one response counts for.
+	maxSlowdown = 4 * saturationSlowdown
+	// slowdownSamples is the number of responses over which the slowdown is averaged.
+	slowdownSamples = 20
+	// ceilingDeviations is the headroom of the aggregate ceiling for random variation, in standard
+	// deviations of the number of threads in flight.
+	ceilingDeviations = 2.0
 )
 
-// Threads per core that an engine should hold.
+// Target load of an engine, and thresholds and initial values of the measured load.
 const (
-	threadsPerCore     = 2.0
-	swapThreadsFactor  = 0.85 // of that, where a shortage of memory slows the whole engine down
-	queueThreadsFactor = 1.5  // where the engine's queue for memory holds an excess, by priority
-	loadLevelSlack     = 0.3  // load level under 1 at which engines count as having room
-	initialLoadLevel   = 1 - loadLevelSlack
-	initialSlowdown    = 1.0
+	targetThreadsPerCore = 2.0
+	swapThreadsFactor    = 0.85 // where memory is swapped: a shortage slows the whole engine down
+	queueThreadsFactor   = 1.5  // where queries wait for memory: the engine queues the excess by priority
+	// loadLevelHeadroom is how far the load level must be below 1 for engines to count as having full
+	// headroom.
+	loadLevelHeadroom = 0.3
+	// initialLoadLevel is the load level that is assumed before the first load report.
+	initialLoadLevel = 1 - loadLevelHeadroom
+	initialSlowdown  = 1.0
 )
 
-// controller is the paper's adaptive limit on concurrency: one for each engine, and one for all together.
-// Limits and backlogs are counted in threads, this gateway's alone.
+// controller is the adaptive concurrency limit of the paper. Each engine has one, and there is one for all
+// engines together. Limits and backlogs are counted in threads, for this gateway's queries only.
 type controller struct {
-	baseline     float64 // this gateway's share of the threads that should be held; the limit at the start
-	ceiling      float64 // of the limit; also the limit that applies while it doesn't bind
-	limit        float64
-	alpha        float64 // estimated latency ratio per thread of the limit
-	backlog      float64 // threads of the attempts in flight
-	loadLevel    float64 // reported load; 1: the engines have all that they should
-	slowdown     float64 // latencies of late over the baselines of their classes
-	latencySum   float64 // latencies over objectives, of this period
-	responses    int     // of this period
+	// baseline is this gateway's share of the threads that the engine should run. It is also the initial
+	// limit.
+	baseline float64
+	// ceiling is the upper bound of the limit, and applies in its place while the limit does not bind.
+	ceiling float64
+	limit   float64 // current adaptive limit
+	// alpha is the estimated increase of the latency ratio (latency over objective) per thread of the
+	// limit.
+	alpha   float64
+	backlog float64 // threads of the attempts in flight
+	// loadLevel is the reported load over the target load; at 1 the engines have all the work that they
+	// should. Only the aggregate controller uses it.
+	loadLevel float64
+	// slowdown is the moving average of latency over the baseline latency of the class.
+	slowdown float64
+	// latencySum is the sum of latency over objective, for the responses of this control period.
+	latencySum float64
+	responses  int // in this control period
+	// bindingUntil is the instant until which the limit binds because of high latency or a rejection.
 	bindingUntil time.Duration
 }
 
-// recordLatency takes the latency of one response over its objective, and over its class's baseline.
+// recordLatency records one response, by its latency over its objective and its latency over the class's
+// baseline.
 func (c *controller) recordLatency(ratio, slowdown float64) {
 	c.latencySum += ratio
 	c.responses++
 	c.slowdown += (min(slowdown, maxSlowdown) - c.slowdown) / slowdownSamples
 }
 
-// adjust ends a control period.
+// adjust ends a control period and updates the limit. A period without responses leaves it unchanged.
 func (c *controller) adjust(now time.Duration) {
 	if c.responses == 0 {
 		return
@@ -71,15 +100,16 @@
 	}
 }
 
-// nextLimit is one step of the paper's equations 14 and 13, with the latency as a ratio to its set-point.
+// nextLimit performs one step of equations 14 (limit) and 13 (alpha) of the paper, with the latency
+// expressed as a ratio to its set-point.
 func nextLimit(limit, alpha, latencyRatio float64) (newLimit, newAlpha float64) {
 	deviation := 1 - latencyRatio
 	newAlpha = max(newestPeriodWeight*(latencyRatio/limit)+(1-newestPeriodWeight)*alpha, minAlpha)
 	return limit + (1-closedLoopPole)/newAlpha*deviation, newAlpha
 }
 
-// currentLimit is the limit where it binds: under pressure, and while it is under its baseline. Else it is
-// the ceiling.
+// currentLimit returns the adaptive limit where it binds: after a period of high latency or a rejection,
+// and while it is below the baseline. Otherwise it returns the ceiling.
 func (c *controller) currentLimit(now time.Duration) float64 {
 	if now < c.bindingUntil || c.limit < c.baseline {
 		return c.limit
@@ -87,7 +117,8 @@
 	return c.ceiling
 }
 
-// recordResponse gives a latency to the controllers of the engine and of all.
+// recordResponse records the latency of a response in the controller of the engine and in the aggregate
+// one.
 func (g *Gateway) recordResponse(a *attempt, latencyMS float64) {
 	ratio := latencyMS / a.query.latencyObjective()
 	slowdown := latencyMS / a.query.class.baselineMS
@@ -95,18 +126,18 @@
 	g.aggregate.recordLatency(ratio, slowdown)
 }
 
-// recordTimeout does the same for an attempt that timed out: its latency is a lower bound, so that it says
-// nothing of the slowdown.
+// recordTimeout records an attempt that timed out in both controllers. Its latency is only a lower bound,
+// so it does not change the slowdown.
 func (g *Gateway) recordTimeout(a *attempt, elapsedMS float64) {
 	ratio := elapsedMS / a.query.latencyObjective()
 	a.engine.recordLatency(ratio, a.engine.slowdown)
 	g.aggregate.recordLatency(ratio, g.aggregate.slowdown)
 }
 
-// engineThreadsPerCore is the threads per core that an engine should hold, by what it does when memory is
-// short.
+// engineThreadsPerCore returns the target threads per core of an engine, given what the engine does when
+// memory is short.
 func engineThreadsPerCore(shortage MemoryShortage) float64 {
-	threads := threadsPerCore
+	threads := targetThreadsPerCore
 	switch shortage {
 	case ShortageSwap:
 		threads *= swapThreadsFactor
@@ -117,53 +148,57 @@
 	return threads
 }
 
-// runControllers ends a control period for all controllers.
+// runControllers ends a control period: it updates the bounds and the limits of all controllers and drops
+// obsolete state.
 func (g *Gateway) runControllers() {
 	for _, e := range g.engines {
-		g.resize(e)
+		g.updateBounds(e)
 		e.adjust(g.now)
 	}
 	g.prune()
-	g.resizeAggregate()
+	g.updateAggregateBounds()
 	g.aggregate.adjust(g.now)
 }
 
-// resize sets an engine's baseline and ceiling by this gateway's share of the traffic.
-func (g *Gateway) resize(e *engine) {
+// updateBounds recomputes an engine's baseline and ceiling from this gateway's share of the traffic, and
+// lets the engine's fault rate decay.
+func (g *Gateway) updateBounds(e *engine) {
 	share := g.traffic.share()
-	e.health.fade()
-	e.baseline = g.threadsPerCore * e.cores * share
-	knee := min(1, saturationSlowdown/max(e.slowdown, 1))
-	e.ceiling = (ceilingFactor*e.baseline + g.maxThreads*(1-share)) * knee * g.slowStart.capacity(e, g.now)
+	e.health.decayFaultRate()
+	e.baseline = g.targetThreadsPerCore * e.cores * share
+	saturationFactor := min(1, saturationSlowdown/max(e.slowdown, 1))
+	e.ceiling = (ceilingFactor*e.baseline + g.maxThreads*(1-share)) *
+		saturationFactor * g.slowStart.capacityFraction(e, g.now)
 }
 
-// resizeAggregate does so for all engines together, with room for the chance in a gateway's few queries: more
-// where the engines report little load, as the other gateways leave room.
-func (g *Gateway) resizeAggregate() {
+// updateAggregateBounds recomputes the baseline and the ceiling of the aggregate controller. The ceiling
+// has headroom for random variation, as the queries of one gateway are few. The headroom is larger while
+// the engines report little load, since the other gateways then leave capacity unused.
+func (g *Gateway) updateAggregateBounds() {
 	all := &g.aggregate
-	isFirst := all.baseline == 0
+	isFirstUpdate := all.baseline == 0
 	all.baseline = 0
 	for _, e := range g.engines {
 		if e.isInService() {
-			all.baseline += e.baseline * g.slowStart.capacity(e, g.now)
+			all.baseline += e.baseline * g.slowStart.capacityFraction(e, g.now)
 		}
 	}
-	if isFirst {
+	if isFirstUpdate {
 		all.limit = all.baseline
 		all.alpha = 1 / max(all.baseline, minLimit)
 		all.slowdown = initialSlowdown
 		all.loadLevel = initialLoadLevel
 	}
-	room := g.maxThreads + ceilingDeviations*math.Sqrt(all.baseline*g.maxThreads)
-	room *= max((1-all.loadLevel)/loadLevelSlack, 0)
+	headroom := g.maxThreads + ceilingDeviations*math.Sqrt(all.baseline*g.maxThreads)
+	headroom *= max((1-all.loadLevel)/loadLevelHeadroom, 0)
 	overload := max(all.slowdown/saturationSlowdown, all.loadLevel, 1)
-	all.ceiling = (ceilingFactor*all.baseline + room/overload) / overload
+	all.ceiling = (ceilingFactor*all.baseline + headroom/overload) / overload
 }
 
-// restartController gives an engine the values that a controller begins with.
-func (g *Gateway) restartController(e *engine, kind string) {
-	e.cores = max(g.kinds[kind].Cores, 1) // an unknown kind is taken as the smallest
-	g.resize(e)
+// resetController sets an engine's controller to its initial values, for a machine kind.
+func (g *Gateway) resetController(e *engine, kind string) {
+	e.cores = max(g.kinds[kind].Cores, 1) // an unknown kind counts as the smallest
+	g.updateBounds(e)
 	e.limit = e.baseline
 	e.alpha = 1 / e.baseline
 	e.slowdown = initialSlowdown
--- a/policy/data_sets.go
+++ b/policy/data_sets.go
@@ -1,20 +1,26 @@
 package policy
 
 const (
-	dataSetWindow     = 256 // queries over which the data sets' parts of the traffic are counted
-	unseenDataSet     = 2.0 // queries that each data set counts for beyond those seen
-	dataSetsAssumed   = 10  // data sets that this is done for
-	hotDataSetSpread  = 2.0 // engines near a data set for each engine's worth of its traffic
+	// dataSetWindow is the number of queries after which all counts are halved.
+	dataSetWindow = 256
+	// The counts are smoothed as if each of priorDataSets data sets had received priorDataSetCount queries.
+	priorDataSetCount = 2.0
+	priorDataSets     = 10
+	// nearEngineFactor is the number of engines that are near a data set, in multiples of its fraction of
+	// the traffic times the number of engines.
+	nearEngineFactor = 2.0
+	// affinityHashPrime is the 64-bit FNV prime.
 	affinityHashPrime = 0x100000001b3
 )
 
-// dataSetCounts counts the queries of late for each data set.
+// dataSetCounts counts the recent queries of each data set.
 type dataSetCounts struct {
 	counts map[int64]float64
 	total  float64
 }
 
-// record counts a query, and halves all counts once they are many.
+// record counts a query. It halves all counts once they reach dataSetWindow, so that old queries lose
+// weight.
 func (d *dataSetCounts) record(dataSet int64) {
 	d.counts[dataSet]++
 	d.total++
@@ -31,12 +37,13 @@
 	d.total /= 2
 }
 
-// fraction is the data set's fraction of the traffic.
+// fraction returns the smoothed fraction of the traffic that goes to the data set.
 func (d *dataSetCounts) fraction(dataSet int64) float64 {
-	return (d.counts[dataSet] + unseenDataSet) / (d.total + dataSetsAssumed*unseenDataSet)
+	return (d.counts[dataSet] + priorDataSetCount) / (d.total + priorDataSets*priorDataSetCount)
 }
 
-// hashEngineID is FNV-1a from 0: all gateways must agree on it, also across versions.
+// hashEngineID returns the FNV-1a hash of the ID, with an offset basis of 0. All gateways must compute the
+// same value, also across versions.
 func hashEngineID(id string) (hash uint64) {
 	for _, b := range []byte(id) {
 		hash = (hash ^ uint64(b)) * affinityHashPrime
@@ -44,7 +51,8 @@
 	return hash
 }
 
-// affinity ranks an engine for a data set. All gateways compute the same order (rendezvous hashing).
+// affinity returns the rank of an engine for a data set; higher is preferred. All gateways compute the same
+// order (rendezvous hashing).
 func affinity(engineHash uint64, dataSet int64) uint64 {
 	x := (engineHash ^ uint64(dataSet)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	return (x ^ x>>29) * 0x94d049bb133111eb
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,10 +1,12 @@
-// Package policy decides, for one gateway, when and on which analytic engine each query runs: admission,
-// load balancing, retries, cancellation, memory grants, slow start and outlier ejection.
+// Package policy decides, for one gateway process, when each query runs and on which analytic engine. It
+// covers admission control, load balancing, retries, cancellation, memory grants, slow start and outlier
+// ejection.
 //
-// A Gateway is a pure state machine. It takes an Event with the time and returns the Actions that the caller
-// must carry out; it reads no clock, does no I/O and starts no goroutine. One goroutine at a time may call
-// it. The adaptive limit on concurrency follows the paper of the project's documents (controller.go).
+// A Gateway is a pure state machine: it takes an Event and the current time, and returns the Actions that
+// the caller must carry out. It reads no clock, performs no I/O and starts no goroutine. Only one goroutine
+// at a time may call it. The adaptive concurrency limit (controller.go) implements the paper that the
+// project's documents cite.
 //
-// All instants are durations since one arbitrary origin of the caller's choosing. The clock that is given to
-// Handle must never go back.
+// All instants are durations since one arbitrary origin, which the caller chooses. The time that is passed
+// to Handle must never go backwards.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// updateEngines takes the engine list or a change to it.
+// updateEngines applies an engine list or a change to it. It renews a lost subscription.
 func (g *Gateway) updateEngines(ev EngineList) {
 	if ev.Mode == ListFailed && g.settings.SubscribeToList {
 		g.emit(Subscribe{})
 	}
 	if ev.Mode == ListFull || ev.Mode == ListCached {
 		for _, e := range g.engines {
-			e.state = EngineDeparted // unless the list has it, below
+			e.state = EngineDeparted // reset below for the engines in the list
 		}
 	}
 	for _, entry := range ev.Engines {
 		g.updateEngine(entry)
 	}
-	g.resizeAggregate()
+	g.updateAggregateBounds()
 }
 
-// updateEngine takes one entry of the list, and returns its engine.
+// updateEngine applies one entry of the list and returns its engine. A new start of the engine resets what
+// was learned of it, and begins a warm-up.
 func (g *Gateway) updateEngine(entry Engine) *engine {
 	e := g.enginesByID[entry.ID]
 	if e == nil {
@@ -35,7 +36,7 @@
 		g.resetEngine(e, entry.Kind)
 		e.lastStart = entry.Started
 		e.warmUp.restartPresumed = false
-		e.warmUp.until = 0 // a new warm-up: the turns of an earlier one have passed
+		e.warmUp.until = 0 // so that begin restarts the turns, even during an earlier warm-up
 		g.slowStart.begin(e, entry.Started, entry.Started+g.slowStart.period, g.now, g.random.Float64)
 	}
 	e.zone = entry.Zone
@@ -45,15 +46,15 @@
 	return e
 }
 
-// resetEngine forgets what was learned of an engine before its start.
+// resetEngine discards what was learned of an engine before its latest start.
 func (g *Gateway) resetEngine(e *engine, kind string) {
-	g.restartController(e, kind)
+	g.resetController(e, kind)
 	e.health.ejected = false
 	e.health.ejectedForFaults = false
 	e.health.faultRate = 0
 }
 
-// prune drops what a gateway that runs for months would else keep for ever.
+// prune drops expired state, which would otherwise accumulate in a gateway that runs for months.
 func (g *Gateway) prune() {
 	g.retries.prune(g.now)
 	g.orderedKeys.prune(g.now)
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// engine is what a gateway knows of one engine.
+// engine is the state that a gateway keeps of one engine. The embedded controller is the engine's own
+// concurrency limit.
 type engine struct {
 	id, zone, kind string
 	cell           int64
-	hash           uint64 // of its id, for affinity
+	hash           uint64 // hash of the ID, for affinity
 	cores          float64
 	state          EngineState
-	lastStart      time.Duration // where known, else math.MinInt64
-	inFlight       []*attempt
-	// lockedUntil has the data sets that were seen to be locked by a data load.
+	lastStart      time.Duration // latest start, as listed; math.MinInt64: unknown
+	inFlight       []*attempt    // in the order of sending
+	// lockedUntil holds the data sets that queries reported as locked by a data load, each with the time
+	// until which it counts as locked.
 	lockedUntil map[int64]time.Duration
 	controller
 	health health
@@ -30,7 +32,8 @@
 	}
 }
 
-// isInService tells whether the engine is among those that the aggregate controller is made of.
+// isInService reports whether the engine is live and not ejected. Only such engines count for the aggregate
+// controller.
 func (e *engine) isInService() bool { return e.state == EngineLive && !e.health.ejected }
 
 func (e *engine) addAttempt(a *attempt) {
@@ -42,12 +45,12 @@
 	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *attempt) bool { return other == a })
 	e.backlog -= a.query.threads
 	if len(e.inFlight) == 0 {
-		e.backlog = 0 // floating-point sums drift
+		e.backlog = 0 // discards the accumulated floating-point error
 	}
 }
 
-// hasDataLoad tells whether a data load locks the data set there, one of this gateway or one that was seen to
-// be waited for.
+// hasDataLoad reports whether a data load locks the data set on the engine: either one that this gateway
+// has in flight there, or one that a query there was recently reported to wait for.
 func (e *engine) hasDataLoad(dataSet int64, now time.Duration) bool {
 	return now < e.lockedUntil[dataSet] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.query.class.DataLoad && a.query.dataSet == dataSet
--- a/policy/event.go
+++ b/policy/event.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// Event is an input of a gateway: QueryArrived, AttemptEnded, LoadReportReceived, AttemptProgress,
+// Event is an input of a Gateway: QueryArrived, AttemptEnded, LoadReportReceived, AttemptProgress,
 // StreamStarted, ClientDisconnected, TimerFired or EngineList.
 type Event interface{ event() }
 
-// QueryArrived is a new query. One final answer is owed from here on: the AttemptEnded with Final set, a
-// Reject or a Fail.
+// QueryArrived reports a new query. The client must then get exactly one final answer: a response
+// (AttemptEnded with Final set), a Reject or a Fail.
 type QueryArrived struct {
-	Query    uint64 // unique, also among a client's retries
+	Query    uint64 // ID; a client's retry has a new one
 	Class    string
 	Tenant   string        // empty: none
-	Key      string        // ordering key of its class; empty: none
-	DataSet  int64         // data set that it reads or writes
+	Key      string        // ordering key within the class; empty: none
+	DataSet  int64         // data set that the query reads or writes
 	Deadline time.Duration // instant at which the client stops waiting
-	Work     time.Duration // estimated work of all its threads; 0: no estimate
+	Work     time.Duration // estimated work, summed over its threads; 0: no estimate
 	MemoryMB float64       // estimated memory; 0: no estimate
-	Repeat   bool          // the client marks it as a retry of its own
+	Repeat   bool          // the client marks the query as its own retry
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result uint8
 
-// The results of an attempt. ResultUnknown, the zero value, is taken as one that may have been executed.
+// The results of an attempt. ResultUnknown, the zero value, is treated as an attempt that may have been
+// executed.
 const (
 	ResultUnknown        Result = iota
 	ResultSuccess               // complete response; the first one goes to the client
 	ResultError                 // the engine returned an error; may have been executed
 	ResultRejected              // rejected by the engine; not executed
-	ResultTimeout               // no response in time; may still be executed
-	ResultConnectFailed         // the engine was not reached; not executed
+	ResultTimeout               // no response in time; may still be running
+	ResultConnectFailed         // the engine could not be reached; not executed
 	ResultConnectionLost        // the connection broke; may have been executed
 	ResultCancelled             // cancelled by Cancel; may have been executed
 	ResultNotSent               // not sent; not executed
-	ResultConnectTimeout        // the connection was not up in time; not executed
+	ResultConnectTimeout        // no connection was established in time; not executed
 )
 
-// NeverRan tells whether the result proves that the attempt was not executed.
+// NeverRan reports whether the result proves that the attempt was not executed.
 func (r Result) NeverRan() bool {
 	switch r {
 	case ResultRejected, ResultConnectFailed, ResultNotSent, ResultConnectTimeout:
@@ -47,75 +48,75 @@
 	}
 }
 
-// AttemptEnded ends one attempt. Each Send gets exactly one.
+// AttemptEnded reports the end of an attempt. Each Send is followed by exactly one.
 type AttemptEnded struct {
 	Query    uint64
-	Attempt  int // counted from 0
+	Attempt  int // number of the attempt, counted from 0
 	Result   Result
 	Elapsed  time.Duration // since the Send
-	Final    bool          // the client has its answer: nothing more is owed
-	Work     time.Duration // that the query needed, where reported; else 0
-	MemoryMB float64       // that it needed, where reported; else 0
-	Load     LoadReport
+	Final    bool          // the client has its final answer
+	Work     time.Duration // work that the query needed, summed over its threads; 0: not reported
+	MemoryMB float64       // memory that the query needed; 0: not reported
+	Load     LoadReport    // load report that came with the response
 }
 
-// LoadReport is an engine's report of its load, late and noisy. Reported is false where there was none; a
-// field that the deployment does not report is -1.
+// LoadReport is an engine's report of its own load, which is delayed and noisy. A figure that the
+// deployment does not report is -1.
 type LoadReport struct {
-	Reported          bool
+	Reported          bool    // false: there is no report, and the other fields are meaningless
 	CPUUtilization    float64 // fraction of its cores in use
-	InFlight          float64 // queries on the engine, of all gateways
+	InFlight          float64 // queries on the engine, from all gateways
 	WaitingForMemory  float64 // queries that wait for memory
 	MemoryUtilization float64 // fraction of its memory granted
-	DiskUtilization   float64 // fraction of its disks' time in use
+	DiskUtilization   float64 // fraction of time in which its disks are busy
 }
 
-// LoadReportReceived ends a RequestLoadReport, with a report or without.
+// LoadReportReceived is the outcome of a RequestLoadReport.
 type LoadReportReceived struct {
 	Engine string
-	Result Result // ResultSuccess where the engine answered
+	Result Result // ResultSuccess if the engine responded
 	Load   LoadReport
 }
 
-// ProgressKind is what an AttemptProgress tells.
+// ProgressKind is the kind of an AttemptProgress.
 type ProgressKind uint8
 
-// The kinds of progress.
+// The kinds of progress. The comments give the meaning of Value.
 const (
-	ProgressFraction           ProgressKind = iota + 1 // Value: part done, roughly
-	ProgressSpilled                                    // Value: MB of memory missing
-	ProgressWaitingForMemory                           // Value is not used
-	ProgressWaitingForDataLoad                         // Value is not used
+	ProgressFraction           ProgressKind = iota + 1 // approximate fraction of the work that is done
+	ProgressSpilled                                    // missing memory in MB; the query spilled to disk
+	ProgressWaitingForMemory                           // not used
+	ProgressWaitingForDataLoad                         // not used; a data load locks the data set
 )
 
-// AttemptProgress is an engine's report on a running attempt.
+// AttemptProgress is an engine's progress report on a running attempt.
 type AttemptProgress struct {
 	Query   uint64
 	Attempt int
 	Kind    ProgressKind
-	Value   float64
+	Value   float64 // its meaning depends on Kind
 }
 
-// StreamStarted says that a streamed response has started: its deadline no longer applies.
+// StreamStarted reports that a streamed response has started. The query's deadline no longer applies.
 type StreamStarted struct {
 	Query   uint64
 	Attempt int
 }
 
-// ClientDisconnected says that the client has left: nothing more is owed.
+// ClientDisconnected reports that the client has disconnected. It needs no final answer.
 type ClientDisconnected struct{ Query uint64 }
 
-// TimerFired is a SetTimer that is due.
+// TimerFired reports that the timer of a SetTimer is due.
 type TimerFired struct{ Token uint64 }
 
-// ListMode says how the entries of an EngineList are to be read.
+// ListMode is how the entries of an EngineList are to be applied.
 type ListMode uint8
 
 // The modes of an EngineList.
 const (
-	ListFailed  ListMode = iota // the poll failed or the subscription broke: no entries
+	ListFailed  ListMode = iota // the poll failed or the subscription broke; there are no entries
 	ListChanges                 // changed entries only
-	ListFull                    // all engines: others have departed
+	ListFull                    // all engines; any other engine has departed
 	ListCached                  // all engines as last known, possibly stale
 )
 
@@ -125,24 +126,26 @@
 	Engines []Engine
 }
 
-// EngineState is the state of an engine in the list.
+// EngineState is the state of an engine according to the engine list.
 type EngineState uint8
 
-// The states of an engine. EngineDeparted is the zero value, as it is the most cautious.
+// The states of an engine. EngineDeparted is the zero value because it is the safest: the engine gets no
+// attempts.
 const (
-	EngineDeparted EngineState = iota
-	EngineDraining
-	EngineLive
+	EngineDeparted EngineState = iota // gone, or left out of a full list
+	EngineDraining                    // gets no new attempts
+	EngineLive                        // gets attempts
 )
 
-// Engine is one entry of the list. It is stored by the names of its fields: tags keep those of renamed ones.
+// Engine is one entry of the engine list. It is encoded, in CBOR and JSON, under the names in the tags,
+// which must not change.
 type Engine struct {
 	ID         string        `cbor:"ID" json:"ID"`
 	Zone       string        `cbor:"Zone" json:"Zone"`
-	Kind       string        `cbor:"Kind" json:"Kind"`
-	Cell       int64         `cbor:"Cell" json:"Cell"`
+	Kind       string        `cbor:"Kind" json:"Kind"` // name of its machine kind
+	Cell       int64         `cbor:"Cell" json:"Cell"` // engines of one cell deduplicate together (DedupCell)
 	State      EngineState   `cbor:"State" json:"State"`
-	Started    time.Duration `cbor:"Started" json:"Started"` // instant of its latest start
+	Started    time.Duration `cbor:"Started" json:"Started"` // instant of its latest start, if known
 	StartKnown bool          `cbor:"Fresh" json:"Fresh"`     // Started is set; false: it started long ago
 }
 
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -6,80 +6,93 @@
 	"time"
 )
 
-// Gateway makes the decisions of one gateway process. It is not safe for concurrent use.
+// Gateway holds the state of one gateway process and makes its decisions. It is not safe for concurrent
+// use.
 type Gateway struct {
 	settings Settings
-	classes  map[string]*class
-	kinds    map[string]Kind
-	random   *rand.Rand
+	// classes and kinds hold the query classes and the machine kinds of the settings by name.
+	classes map[string]*class
+	kinds   map[string]Kind
+	random  *rand.Rand
 
-	// now and actions are those of the call of Handle that is under way.
+	// now and actions are the time and the collected actions of the current call of Handle.
 	now     time.Duration
 	actions []Action
 	ticker  ticker
 
-	engines     []*engine // in the order of their first sight
+	engines     []*engine // in the order in which they were first listed
 	enginesByID map[string]*engine
 	queries     map[uint64]*query
 	orderedKeys orderedKeys
 
-	aggregate controller // over all engines
+	aggregate controller // the limit over all engines together
 	slowStart slowStart
 	tenants   tenantQuotas
 	traffic   trafficShare
 	retries   retryBudget
 	dataSets  dataSetCounts
 
-	threadsPerCore float64 // that an engine should hold
-	maxThreads     float64 // of the class with the most
-	meanThreads    float64 // of the attempts sent
-	meanLogValue   float64 // binary logarithm of priority weight over expected work, of arrivals
-	meanLoad       float64 // reported threads per core
+	// targetThreadsPerCore is the number of threads per core that an engine should run.
+	targetThreadsPerCore float64
+	// maxThreads is the thread count of the class that has the most threads.
+	maxThreads float64
+	// meanThreads is the moving average of the threads of the attempts sent.
+	meanThreads float64
+	// meanLogValue is the moving average, over arrivals, of the binary logarithm of priority weight over
+	// expected work.
+	meanLogValue float64
+	// meanLoad is the moving average of the reported load of engines, in threads per core.
+	meanLoad float64
+	// silenceTimeout is the time without progress after which an attempt counts as silent. Where engines
+	// report no progress, it is the longest latency objective and only sets the interval of trials.
 	silenceTimeout time.Duration
 	affinities     []uint64 // scratch space of minNearAffinity
 }
 
-// ticker keeps the time of the gateway's own timer.
+// ticker is the state of the gateway's periodic timer.
 type ticker struct {
 	isRunning bool
-	count     int
-	latest    time.Duration
-	// resumedAt is the end of this gateway's own latest pause, as a late tick shows it.
+	count     int           // ticks so far
+	lastTick  time.Duration // time of the latest tick; 0: none
+	// resumedAt is the end of the latest pause of the gateway process itself, detected by a late tick; 0:
+	// none.
 	resumedAt time.Duration
 }
 
-// tickToken is the token of the timer that ticks.
+// tickToken is the token of the periodic timer.
 const tickToken = 0
 
-// queryToken is the token of the timer that ends a query before its deadline.
+// queryToken returns the token of the timer that ends a query shortly before its deadline.
 func queryToken(id uint64) uint64 { return id + 1 }
 
-func queryOfToken(token uint64) (id uint64) { return token - 1 }
+// queryFromToken is the inverse of queryToken.
+func queryFromToken(token uint64) (id uint64) { return token - 1 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// New returns a gateway for the settings, or a *SettingsError. The seed is that of its random choices.
+// New returns a gateway for the settings, or an error that wraps a *SettingsError. The seed initializes the
+// generator of the gateway's random choices.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := validate(&s); err != nil {
-		return nil, fmt.Errorf("policy: settings: %w", err)
+		return nil, fmt.Errorf("policy: invalid settings: %w", err)
 	}
-	s.HonorsGrants = honorsGrants(&s)
+	s.HonorsGrants = canUseGrants(&s)
 	g := &Gateway{
-		settings:       s,
-		random:         rand.New(rand.NewPCG(seed, seed)),
-		classes:        map[string]*class{},
-		kinds:          map[string]Kind{},
-		enginesByID:    map[string]*engine{},
-		queries:        map[uint64]*query{},
-		orderedKeys:    orderedKeys{queues: map[string]*keyQueue{}},
-		slowStart:      newSlowStart(&s),
-		tenants:        newTenantQuotas(s.Tenants),
-		traffic:        newTrafficShare(&s),
-		retries:        newRetryBudget(&s.Rules),
-		dataSets:       dataSetCounts{counts: map[int64]float64{}},
-		threadsPerCore: engineThreadsPerCore(s.MemoryShortage),
-		meanThreads:    1,
-		silenceTimeout: time.Duration(silenceIntervals * float64(s.ProgressInterval)),
+		settings:             s,
+		random:               rand.New(rand.NewPCG(seed, seed)),
+		classes:              map[string]*class{},
+		kinds:                map[string]Kind{},
+		enginesByID:          map[string]*engine{},
+		queries:              map[uint64]*query{},
+		orderedKeys:          orderedKeys{queues: map[string]*keyQueue{}},
+		slowStart:            newSlowStart(&s),
+		tenants:              newTenantQuotas(s.Tenants),
+		traffic:              newTrafficShare(&s),
+		retries:              newRetryBudget(&s.Rules),
+		dataSets:             dataSetCounts{counts: map[int64]float64{}},
+		targetThreadsPerCore: engineThreadsPerCore(s.MemoryShortage),
+		meanThreads:          1,
+		silenceTimeout:       time.Duration(silenceIntervals * float64(s.ProgressInterval)),
 	}
 	for _, settings := range s.Classes {
 		c := newClass(settings)
@@ -95,14 +108,14 @@
 	return g, nil
 }
 
-// Handle takes one event and appends the actions that it leads to.
+// Handle processes one event at the given time and appends the resulting actions to actions.
 func (g *Gateway) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	g.now = max(now, g.now)
 	g.actions = actions
-	g.begin(now)
+	g.startTicker(now)
 	switch ev := ev.(type) {
 	case QueryArrived:
-		g.arrive(ev)
+		g.handleArrival(ev)
 	case AttemptEnded:
 		g.endAttempt(ev)
 	case LoadReportReceived:
@@ -130,8 +143,9 @@
 	return actions
 }
 
-// begin starts the ticker with the first event.
-func (g *Gateway) begin(now time.Duration) {
+// startTicker starts the periodic timer with the first event, and subscribes to the engine list if the
+// deployment requires it.
+func (g *Gateway) startTicker(now time.Duration) {
 	if g.ticker.isRunning {
 		return
 	}
@@ -145,25 +159,27 @@
 
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// fireTimer ticks, or ends a query before its deadline.
+// fireTimer runs a tick, or ends the query whose deadline is near unless a response is already being
+// streamed to its client.
 func (g *Gateway) fireTimer(token uint64) {
 	if token == tickToken {
 		g.tick()
 		return
 	}
-	q := g.queries[queryOfToken(token)]
+	q := g.queries[queryFromToken(token)]
 	if q != nil && !q.hasStreamInFlight() {
 		g.answerWithoutResult(q)
 	}
 }
 
-// tick checks the engines' health and, once in a control period, runs the controllers.
+// tick checks the health of all engines and admits queries whose turn has come. At the end of each control
+// period it also runs the concurrency controllers.
 func (g *Gateway) tick() {
 	g.emit(SetTimer{After: tickInterval, Token: tickToken})
-	if g.now-g.ticker.latest > 2*tickInterval {
+	if g.now-g.ticker.lastTick > 2*tickInterval {
 		g.ticker.resumedAt = g.now
 	}
-	g.ticker.latest = g.now
+	g.ticker.lastTick = g.now
 	for _, e := range g.engines {
 		g.detectSilence(e)
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -6,21 +6,33 @@
 	"time"
 )
 
+// Parameters of outlier detection.
 const (
-	silenceIntervals       = 2.6  // progress intervals without progress after which an engine is silent
-	lostResponseIntervals  = 2.2  // the same for one attempt, while others make progress
-	lostWaitingIntervals   = 13.0 // the same for an attempt that waits, of which engines report less often
-	lostResponsesToBlock   = 2    // lost responses of a class that block it on an engine
-	failedConnectionWeight = 0.4  // in the fault rate
+	// silenceIntervals is the number of progress intervals without progress after which an engine counts as
+	// silent.
+	silenceIntervals = 2.6
+	// lostResponseIntervals is the same for one attempt while others on the engine make progress.
+	lostResponseIntervals = 2.2
+	// lostWaitingIntervals is the same for an attempt that waits: engines report less often on these.
+	lostWaitingIntervals = 13.0
+	// lostResponsesToBlock is the number of lost responses of a class that block the class on an engine.
+	lostResponsesToBlock = 2
+	// The weights are those of one failure in the fault rate, from 0 to 1.
+	failedConnectionWeight = 0.4
 	errorWeight            = failedConnectionWeight / 2
 	overdueWeight          = failedConnectionWeight / 4
-	ejectionFaultRate      = 0.6
-	faultFadeTicks         = 40 // resizes over which a fault rate fades
-	trialIntervalFactor    = 2  // silence timeouts between the trials of an ejected engine
-	readmittedLimitDivisor = 4  // of the baseline
+	// ejectionFaultRate is the fault rate above which an engine is ejected.
+	ejectionFaultRate = 0.6
+	// faultDecayPeriods is the number of control periods over which a fault rate decays.
+	faultDecayPeriods = 40
+	// trialIntervalFactor is the time between the trials of an ejected engine, in multiples of the silence
+	// timeout.
+	trialIntervalFactor = 2
+	// readmittedLimitDivisor divides the baseline to give the limit of a readmitted engine.
+	readmittedLimitDivisor = 4
 )
 
-// ejectionReason is why an engine was ejected, for the log.
+// ejectionReason is the reason for an ejection, as it is logged.
 type ejectionReason string
 
 const (
@@ -30,24 +42,31 @@
 	ejectedForOverdue     ejectionReason = "responses are overdue"
 )
 
-// health is the outlier detection of one engine. An ejected engine gets trials alone.
+// health is the outlier detection state of one engine. An ejected engine receives only trial queries.
 type health struct {
-	lastHeard        time.Duration // latest message from it
-	connectionLostAt time.Duration // 0: never
-	faultRate        float64       // fraction of its latest attempts that failed
+	lastHeard        time.Duration // time of the latest message from the engine
+	connectionLostAt time.Duration // time of the latest failed connection; 0: never
+	faultRate        float64       // fraction of recent attempts that failed
 	ejected          bool
-	ejectedForFaults bool // not for silence: it must serve before it is readmitted
-	nextTrialAt      time.Duration
-	lostResponses    map[*class]int           // since the latest progress or response of the class
-	blockedUntil     map[*class]time.Duration // for classes that are blocked, the time of the next trial
+	// ejectedForFaults is set if faults, not silence, caused the ejection. The engine must then serve a
+	// query before it is readmitted.
+	ejectedForFaults bool
+	nextTrialAt      time.Duration // earliest time of the next trial of an ejected engine
+	// lostResponses counts the lost responses of each class since the latest progress or response of the
+	// class.
+	lostResponses map[*class]int
+	// blockedUntil holds, for each blocked class, the earliest time of the next trial.
+	blockedUntil map[*class]time.Duration
 }
 
-// fade lowers the fault rate with time: an engine that is avoided for its faults would be so for ever.
-func (h *health) fade() { h.faultRate -= h.faultRate / faultFadeTicks }
+// decayFaultRate lowers the fault rate by one control period. Without decay, an engine that is avoided
+// because of its faults would be avoided forever.
+func (h *health) decayFaultRate() { h.faultRate -= h.faultRate / faultDecayPeriods }
 
-// detectSilence ejects an engine when all its attempts have gone silent, a single one for twice as long.
-// Guards against hung engines and broken network paths. Time in which this gateway itself was paused doesn't
-// count, as it silences all engines at once.
+// detectSilence ejects an engine when all of its attempts have been silent for the silence timeout, or for
+// twice as long if there is only one. It detects hung engines and broken network paths. Time in which the
+// gateway process itself was paused does not count, as a pause makes all engines appear silent at once.
+// Where engines report no progress, it checks for overdue attempts instead.
 func (g *Gateway) detectSilence(e *engine) {
 	if len(e.inFlight) == 0 {
 		return
@@ -77,8 +96,8 @@
 	}
 }
 
-// checkLostResponse retries a query whose engine reports progress of others and has long reported none of it.
-// Guards against responses that never arrive, and against an engine where one class is stuck while others
+// checkLostResponse retries a query if its engine has long reported no progress of it but still reports on
+// other queries. It detects responses that never arrive, and engines where one class is stuck while others
 // run.
 func (g *Gateway) checkLostResponse(a *attempt) {
 	e, c := a.engine, a.query.class
@@ -90,7 +109,7 @@
 	if silence < intervals*float64(g.settings.ProgressInterval) || a.lostResponse || a.cancelled {
 		return
 	}
-	if g.now-e.health.lastHeard > g.silenceTimeout { // the whole engine is silent
+	if g.now-e.health.lastHeard > g.silenceTimeout { // handled by detectSilence: the whole engine is silent
 		return
 	}
 	a.lostResponse = true
@@ -103,9 +122,9 @@
 	}
 }
 
-// checkOverdue stands in for progress where engines report none: an attempt that takes longer than responses
-// scatter is moved while a new one can meet the objective. Guards against lost responses, bad plans and hung
-// engines.
+// checkOverdue replaces the checks of progress where engines report none. It moves an attempt that has
+// taken longer than the usual variation of the latency explains, provided that a new attempt can still meet
+// the latency objective. It detects lost responses, bad plans and hung engines.
 func (g *Gateway) checkOverdue(a *attempt) {
 	q := a.query
 	elapsed := milliseconds(g.now - max(a.sentAt, g.ticker.resumedAt))
@@ -120,7 +139,8 @@
 	}
 }
 
-// isBlocked tells whether a class is stuck on the engine. After a while one query at a time is a trial.
+// isBlocked reports whether a class is blocked on the engine because it is stuck there. After a while, one
+// query of the class at a time may run as a trial.
 func (g *Gateway) isBlocked(e *engine, c *class) bool {
 	h := &e.health
 	if h.lostResponses[c] < lostResponsesToBlock {
@@ -131,15 +151,17 @@
 	})
 }
 
-// recordContact notes progress or a response of an attempt: the engine is up, and the class runs on it.
+// recordContact records progress or a response of an attempt, which shows that the engine is up and that
+// the class runs on it.
 func (g *Gateway) recordContact(a *attempt) {
 	delete(a.engine.health.lostResponses, a.query.class)
 	g.readmit(a.engine)
 	g.disproveRestart(a)
 }
 
-// recordFault counts an error or a failed connection; a single one ejects nobody. Guards against crashed
-// engines and against those that fail fast, which would look like the ones with the most room.
+// recordFault adds an error or a failed connection to the engine's fault rate, and ejects the engine if the
+// rate is too high. A single fault ejects no engine. The rate catches crashed engines and those that fail
+// fast, which would otherwise seem to have the most free capacity.
 func (g *Gateway) recordFault(e *engine, weight float64, reason ejectionReason) {
 	h := &e.health
 	h.faultRate += (1 - h.faultRate) * weight
@@ -159,8 +181,8 @@
 	g.emit(Log{Text: text})
 }
 
-// readmit ends an ejection on a message from the engine, with a small limit. An engine that was ejected for
-// faults must serve a query first.
+// readmit ends the ejection of an engine that has sent a message, and starts it with a low limit. An engine
+// that was ejected for faults must serve a query first.
 func (g *Gateway) readmit(e *engine) {
 	if !e.health.ejected || e.health.ejectedForFaults {
 		return
@@ -170,8 +192,9 @@
 	g.emit(Log{Text: fmt.Sprintf("engine %s readmitted", e.id)})
 }
 
-// takeTrial lets an ejected engine have one idempotent query now and then, to find out whether it is back.
-func (g *Gateway) takeTrial(q *query, e *engine) bool {
+// startTrial reports whether an ejected engine may get the query as a trial, which shows whether the engine
+// has recovered, and schedules the next trial. Only a first attempt of an idempotent query is a trial.
+func (g *Gateway) startTrial(q *query, e *engine) bool {
 	isIdle := len(e.inFlight)+len(q.attempts) == 0
 	if q.class.Idempotency != Idempotent || !isIdle || g.now < e.health.nextTrialAt || !g.maySend(q, e) {
 		return false
@@ -180,14 +203,14 @@
 	return true
 }
 
-// recordConnectionFailure counts a connection that failed or broke. Attempts that end together on one broken
-// connection are one fault.
+// recordConnectionFailure records a connection that failed or broke. Attempts that end together because one
+// connection broke count as a single fault.
 func (g *Gateway) recordConnectionFailure(e *engine, result Result) {
 	isNewFault := g.now-e.health.connectionLostAt >= tickInterval || result != ResultConnectionLost
 	if isNewFault {
 		g.recordFault(e, failedConnectionWeight, ejectedForConnections)
 	}
-	// Where the engine has just spoken on another connection, this one alone is late.
+	// If the engine has just sent a message on another connection, only the new connection is slow.
 	if result == ResultConnectTimeout && g.now-e.health.lastHeard < minRestartTime {
 		return
 	}
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -2,29 +2,35 @@
 
 import "math"
 
+// Parameters of memory grants.
 const (
-	swapGrantFactor = 3.0  // times the usual need granted without an estimate, where memory is swapped
-	grantCoverage   = 0.87 // fraction of its queries whose need a class's grant should cover
-	grantStep       = 10   // divisor of a step of the grant's multiple
+	// swapGrantFactor is the default grant in multiples of the usual need, for queries without an estimate
+	// where memory is swapped.
+	swapGrantFactor = 3.0
+	// grantCoverage is the fraction of a class's queries whose need its grant should cover.
+	grantCoverage = 0.87
+	// grantStepDivisor divides the relative steps by which a class's grant multiple changes.
+	grantStepDivisor = 10
 )
 
-// Priorities, from 0. Twice the value over the work is one step.
+// Priorities, from 0 to maxPriority. Twice the value over work is one step.
 const (
-	unrankedPriority = 1   // where engines don't honor priorities
-	meanPriority     = 2.5 // of a query of the usual value over its work
-	maxPriority      = 3
+	defaultPriority = 1   // of every query where engines don't honor priorities
+	meanPriority    = 2.5 // of a query of average value over work, before rounding
+	maxPriority     = 3
 )
 
-// honorsGrants tells whether grants are of use: an engine that trims them does not show what a query would
-// have needed, unless it reports the cost.
-func honorsGrants(s *Settings) bool {
+// canUseGrants reports whether memory grants are useful. An engine that trims grants does not show what a
+// query would have needed, unless it reports the cost of queries.
+func canUseGrants(s *Settings) bool {
 	return s.HonorsGrants && (s.ReportsCost || s.MemoryShortage != ShortageTrim)
 }
 
-// grantResources gives the query's next attempt its memory and priority, where engines honor these.
+// grantResources sets the memory and the priority of an attempt that is about to be sent, as far as engines
+// honor them.
 func (g *Gateway) grantResources(a *attempt) {
 	q := a.query
-	grant := Grant{Query: q.id, Priority: unrankedPriority}
+	grant := Grant{Query: q.id, Priority: defaultPriority}
 	if g.settings.HonorsGrants {
 		a.grantMB = g.memoryToGrant(q, a.engine)
 		grant.MemoryMB = a.grantMB
@@ -37,17 +43,19 @@
 	}
 }
 
+// memoryToGrant returns the memory to grant to the query at the engine, in MB; 0 lets the engine choose.
 func (g *Gateway) memoryToGrant(q *query, e *engine) float64 {
 	grantMB := math.Ceil(max(q.memoryMB*q.class.grantMultiple, q.class.defaultGrantMB))
-	largest := math.Floor(g.settings.MaxGrantFraction * g.kinds[e.kind].MemoryMB)
-	if largest > 0 {
-		grantMB = min(grantMB, largest)
+	maxGrantMB := math.Floor(g.settings.MaxGrantFraction * g.kinds[e.kind].MemoryMB)
+	if maxGrantMB > 0 {
+		grantMB = min(grantMB, maxGrantMB)
 	}
 	return grantMB
 }
 
-// priority ranks a query by its value over its expected work. What is short and valuable overtakes what is
-// long, which loses little by it. A data load holds its readers up, so that it comes first.
+// priority ranks a query by its value over its expected work. Short and valuable queries overtake long
+// ones, which lose little by it. A data load has the highest priority, as it blocks the readers of its data
+// set.
 func (q *query) priority() int {
 	if q.class.DataLoad {
 		return maxPriority
@@ -55,7 +63,7 @@
 	return int(min(max(math.Round(meanPriority+q.logValue), 0), maxPriority))
 }
 
-// recordCost learns from the cost that a response reports.
+// recordCost updates the class's usual work and its memory grants from the cost that a response reports.
 func (g *Gateway) recordCost(a *attempt, ev AttemptEnded) {
 	c := a.query.class
 	if ev.Work > 0 {
@@ -64,31 +72,32 @@
 		c.workMS = c.baselineMS * c.Threads
 	}
 	estimateMB := a.query.memoryMB
-	// Where memory is swapped, a grant beyond the need takes nothing from other queries.
+	// Where memory is swapped, a grant beyond the need does not reduce the memory of other queries.
 	if g.settings.MemoryShortage == ShortageSwap && estimateMB == 0 {
 		samples := min(float64(c.responses), c.samples())
 		c.defaultGrantMB += (swapGrantFactor*ev.MemoryMB - c.defaultGrantMB) / samples
 	}
-	// The steps up and down balance where the grant covers grantCoverage of the queries.
+	// The steps up and down are in balance when the grant covers grantCoverage of the queries.
 	switch {
 	case estimateMB > 0 && ev.MemoryMB > c.grantMultiple*estimateMB:
-		c.grantMultiple *= 1 + grantCoverage/grantStep
+		c.grantMultiple *= 1 + grantCoverage/grantStepDivisor
 	case estimateMB > 0 && !a.spilled:
-		c.grantMultiple *= 1 - (1-grantCoverage)/grantStep
+		c.grantMultiple *= 1 - (1-grantCoverage)/grantStepDivisor
 	}
 }
 
-// recordSpill raises the class's grants after a spill, where responses don't report the need. A spill of an
-// attempt whose grant was capped says nothing of the class.
+// recordSpill raises the grants of the class after a query has spilled to disk, where responses do not
+// report the memory that was needed. It ignores an attempt whose grant was capped at the largest permitted
+// one, as that spill does not show that the class's grants are too small.
 func (g *Gateway) recordSpill(a *attempt, missingMB float64) {
 	q := a.query
 	c := q.class
 	isUncapped := 2*a.grantMB >= c.grantMultiple*q.memoryMB
-	tellsNeed := q.memoryMB > 0 && isUncapped && !g.settings.ReportsCost
-	if a.spilled || !tellsNeed {
+	showsNeed := q.memoryMB > 0 && isUncapped && !g.settings.ReportsCost
+	if a.spilled || !showsNeed {
 		return
 	}
 	a.spilled = true
 	needed := (a.grantMB + missingMB) / q.memoryMB
-	c.grantMultiple = max(c.grantMultiple*(1+grantCoverage/grantStep), (c.grantMultiple+needed)/2)
+	c.grantMultiple = max(c.grantMultiple*(1+grantCoverage/grantStepDivisor), (c.grantMultiple+needed)/2)
 }
--- a/policy/ordered_keys.go
+++ b/policy/ordered_keys.go
@@ -6,16 +6,20 @@
 	"time"
 )
 
-// orderedKeys makes the queries of an ordered class run one at a time for each key, in the order of arrival.
+// orderedKeys serializes the queries of ordered classes: the queries of one key run one at a time, in the
+// order of arrival.
 type orderedKeys struct {
-	queues  map[string]*keyQueue
-	waiting []*query // queries whose turn has not come, of all keys, in the order of arrival
+	// queues holds the queue of each key.
+	queues map[string]*keyQueue
+	// waiting holds the queries of all keys that wait for their turn, in the order of arrival.
+	waiting []*query
 }
 
-// keyQueue holds the queries of one key that are not over.
+// keyQueue holds the queries of one key that have not ended, in the order of arrival.
 type keyQueue struct {
 	queries []*query
-	// pausedUntil holds the next query back while an attempt of an earlier one may still run.
+	// pausedUntil is the time before which the next query must not start, as an attempt of an earlier one
+	// may still be running.
 	pausedUntil time.Duration
 }
 
@@ -39,7 +43,8 @@
 	queue.queries = slices.DeleteFunc(queue.queries, func(other *query) bool { return other == q })
 }
 
-// isTurn tells whether all earlier queries of the key are over and, before the first attempt, its pause too.
+// isTurn reports whether the query may run: all earlier queries of its key have ended and, for a first
+// attempt, the pause of the key is over.
 func (o *orderedKeys) isTurn(q *query, now time.Duration) bool {
 	if !isOrdered(q) {
 		return true
@@ -48,24 +53,24 @@
 	return queue.queries[0] == q && (now >= queue.pausedUntil || len(q.attempts) > 0)
 }
 
-// pause holds the key's next query back after an attempt of q that may still run.
+// pause delays the next query of the key of q, after an attempt of q that may still be running.
 func (o *orderedKeys) pause(q *query, until time.Duration) {
 	if queue := o.queues[q.key]; queue != nil && q.class.Ordered {
 		queue.pausedUntil = max(queue.pausedUntil, until)
 	}
 }
 
-// wait keeps a query until its turn has come.
-func (o *orderedKeys) wait(q *query) { o.waiting = append(o.waiting, q) }
+// addWaiting adds a query that must wait for its turn.
+func (o *orderedKeys) addWaiting(q *query) { o.waiting = append(o.waiting, q) }
 
-// prune drops the queues of keys that have neither a query nor a pause.
+// prune drops the queues of keys that have neither queries nor a pause.
 func (o *orderedKeys) prune(now time.Duration) {
 	maps.DeleteFunc(o.queues, func(_ string, queue *keyQueue) bool {
 		return len(queue.queries) == 0 && now >= queue.pausedUntil
 	})
 }
 
-// admitWaiting admits the queries whose turn has come, in the order of their arrival.
+// admitWaiting admits the waiting queries whose turn has come, in the order of arrival.
 func (g *Gateway) admitWaiting() {
 	waiting := g.orderedKeys.waiting
 	g.orderedKeys.waiting = nil
@@ -75,7 +80,7 @@
 		case g.orderedKeys.isTurn(q, g.now):
 			g.admit(q)
 		default:
-			g.orderedKeys.wait(q)
+			g.orderedKeys.addWaiting(q)
 		}
 	}
 }
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -1,15 +1,26 @@
 package policy
 
 const (
-	badPlanRatio          = 5.0   // over its expected latency from which an attempt counts as badly planned
-	earlyEndRatio         = 0.7   // of the time left; an attempt that needs more is ended early
-	moveTimeRatio         = 1.5   // expected latencies that must be left for a move
-	slowMoveSamples       = 10    // weight of an attempt moved as slow in its engine's slowdown
-	minProgressFraction   = 0.001 // keeps the projection finite
-	dataLoadLockIntervals = 2     // progress intervals that a data set counts as locked after each report
+	// badPlanRatio is the ratio of the projected remaining time to the expected latency above which the
+	// plan of an attempt counts as bad.
+	badPlanRatio = 5.0
+	// earlyEndRatio is the fraction of the time until the deadline above which the projected remaining time
+	// of an attempt ends its query early.
+	earlyEndRatio = 0.7
+	// moveTimeRatio is the time that must remain until the deadline for a move, in multiples of the
+	// expected latency.
+	moveTimeRatio = 1.5
+	// slowMoveSamples is the inverse weight, in its engine's slowdown, of an attempt that was moved as
+	// slow.
+	slowMoveSamples     = 10
+	minProgressFraction = 0.001 // keeps the projected remaining time finite
+	// dataLoadLockIntervals is the number of progress intervals for which a data set counts as locked after
+	// each report that a query waits for its data load.
+	dataLoadLockIntervals = 2
 )
 
-// recordProgress takes progress of a running attempt, and moves the query or ends it where that helps.
+// recordProgress processes a progress report of a running attempt. It moves the query to another engine, or
+// ends it, if that helps.
 func (g *Gateway) recordProgress(ev AttemptProgress) {
 	a := g.attempt(ev.Query, ev.Attempt)
 	if a == nil || a.ended {
@@ -38,12 +49,14 @@
 	}
 }
 
-// moveWaiting moves an attempt that is stalled: elsewhere it would run. A retry budget is kept for failures.
-// Where memory is short on two engines, or all are full, the query would only lose its place in the queue.
+// moveWaiting moves an attempt that waits for memory or a data load, as it may run at once on another
+// engine. With a retry budget nothing is moved, so that the budget remains for failures. A query that waits
+// for memory is moved only once and only while the engines have headroom: if memory is short on two
+// engines, or all are full, it would only lose its place in the queue.
 func (g *Gateway) moveWaiting(a *attempt, kind ProgressKind) {
 	q := a.query
-	hasRoomElsewhere := len(q.attempts) == 1 && g.aggregate.loadLevel <= initialLoadLevel
-	if kind != ProgressWaitingForDataLoad && !hasRoomElsewhere {
+	hasHeadroomElsewhere := len(q.attempts) == 1 && g.aggregate.loadLevel <= initialLoadLevel
+	if kind != ProgressWaitingForDataLoad && !hasHeadroomElsewhere {
 		return
 	}
 	meetsObjective := milliseconds(g.now-a.sentAt)+q.expectedLatency() < q.latencyObjective()
@@ -52,25 +65,27 @@
 	}
 }
 
-// projectEnd moves or ends an attempt by its projected end. Guards against bad plans and slow engines.
+// projectEnd moves an attempt to another engine, or ends its query early, by the projected remaining time.
+// It detects bad plans and slow engines.
 func (g *Gateway) projectEnd(a *attempt, fraction float64) {
 	q := a.query
 	expected := q.expectedLatency()
 	elapsed := milliseconds(g.now - a.sentAt)
 	untilDeadline := milliseconds(q.deadline - g.now)
-	done := min(max(fraction, minProgressFraction), 1)
-	left := elapsed * (1 - done) / done
-	isLate := left > untilDeadline
-	// A new attempt that would miss the objective too is not worth it.
-	isSlow := left > badPlanRatio*expected && elapsed+expected < q.latencyObjective()
-	// A second attempt as slow as the first shows that the query itself is heavy.
+	completed := min(max(fraction, minProgressFraction), 1)
+	remaining := elapsed * (1 - completed) / completed
+	isLate := remaining > untilDeadline
+	// An attempt is not moved for slowness if a new one would miss the latency objective, too.
+	isSlow := remaining > badPlanRatio*expected && elapsed+expected < q.latencyObjective()
+	// Only a first attempt is moved: if a second one is as slow, the query itself is expensive.
 	mayMove := len(q.attempts) == 1 && (isSlow || isLate) && expected*moveTimeRatio < untilDeadline
 	if mayMove && g.moveAttempt(a) {
 		e := a.engine
-		e.slowdown += (maxSlowdown - e.slowdown) / slowMoveSamples // the engine may be the cause
+		e.slowdown += (maxSlowdown - e.slowdown) / slowMoveSamples // the engine may be slow
 		return
 	}
-	if left > earlyEndRatio*untilDeadline && g.mayReject(q) { // it would hold its place until the deadline
+	// The attempt would use the engine until the deadline without a result.
+	if remaining > earlyEndRatio*untilDeadline && g.mayReject(q) {
 		g.answerWithoutResult(q)
 	}
 }
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// retryBudget limits the retries within a sliding window: a base plus a fraction of the arrivals.
+// retryBudget limits the retries within a sliding window to a base plus a fraction of the arrivals. The
+// times in arrivals and retries are in ascending order.
 type retryBudget struct {
 	base     float64
 	ratio    float64
-	window   time.Duration // 0: unlimited
+	window   time.Duration // 0: retries are not limited
 	arrivals []time.Duration
 	retries  []time.Duration
 }
@@ -32,7 +33,7 @@
 	}
 }
 
-// allows tells whether one more retry is within the budget.
+// allows reports whether the budget permits one more retry now.
 func (b *retryBudget) allows(now time.Duration) bool {
 	if !b.isLimited() {
 		return true
@@ -41,8 +42,8 @@
 	return float64(len(b.retries)+1) <= b.base+b.ratio*float64(len(b.arrivals))
 }
 
-// prune drops what is older than the window. At its very edge an arrival no longer counts and a retry still
-// does.
+// prune drops entries that are older than the window. An arrival at the very start of the window is dropped
+// and a retry is kept, which is the stricter choice in both cases.
 func (b *retryBudget) prune(now time.Duration) {
 	start := now - b.window
 	b.arrivals = slices.DeleteFunc(b.arrivals, func(at time.Duration) bool { return at <= start })
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,35 +5,45 @@
 	"time"
 )
 
+// Parameters of slow start.
 const (
-	warmUpBudgetMargin = 0.7             // fraction of an engine's budget that is used while it warms up
-	warmUpBurst        = 0.5             // fraction of an overload window's budget that may go at once
-	warmUpCostFactor   = 1.3             // a query counts this much over its expected work
-	minRestartTime     = 2 * time.Second // in which no engine ends and serves again
+	// warmUpBudgetMargin is the fraction of an engine's budget that is used while it warms up.
+	warmUpBudgetMargin = 0.7
+	// warmUpBurst is the fraction of an overload window's budget that may be sent at once.
+	warmUpBurst = 0.5
+	// warmUpCostFactor is the cost of a query to the budget, in multiples of its expected work.
+	warmUpCostFactor = 1.3
+	// minRestartTime is the shortest time in which an engine process can end and serve again.
+	minRestartTime = 2 * time.Second
 )
 
-// warmUp is what a gateway knows of an engine's slow start.
+// warmUp is the slow-start state of one engine.
 type warmUp struct {
-	until            time.Duration
-	turnsSince       time.Duration // instant from which turns to send it wide queries are counted
+	until time.Duration // end of the warm-up; in the past: the engine is warm
+	// turnsSince is the instant from which the gateways' turns to send wide queries are counted.
+	turnsSince time.Duration
+	// budgetSpentUntil is the instant until which the budget of the overload windows is spent.
 	budgetSpentUntil time.Duration
-	turnOffset       float64 // this gateway's place among the turns, 0 to 1
-	// restartPresumed is set while only a broken connection speaks for a restart; untilBefore is the value of
-	// until before it.
+	// turnOffset is this gateway's position in the cycle of turns, from 0 to 1.
+	turnOffset float64
+	// restartPresumed is set while a connection that broke or timed out is the only sign of a restart.
+	// previousUntil is the value of until before that restart was presumed.
 	restartPresumed bool
-	untilBefore     time.Duration
+	previousUntil   time.Duration
 }
 
-// slowStart holds the rule on engines that warm up: all gateways together must not overload one, so that each
-// may send an equal share of what the engine bears.
+// slowStart limits the load on engines that are warming up. All gateways together must not overload such an
+// engine, so each may send an equal share of what the engine can take.
 type slowStart struct {
-	minCapacity      float64
-	period           time.Duration
+	minCapacity float64       // smallest fraction of an engine's capacity after a start
+	period      time.Duration // an engine is warm no later than this after a start
+	// An engine that is warming up fails when it is sent overloadMultiple times its capacity for window. A
+	// window of 0 means that engines do not fail.
 	overloadMultiple float64
 	window           time.Duration
-	gateways         int
-	rank             int
-	startedAt        time.Duration // when this gateway took its first event
+	gateways         int           // number of gateways, including this one
+	rank             int           // position of this gateway, from 1; 0: unknown
+	startedAt        time.Duration // time of this gateway's first event
 }
 
 func newSlowStart(s *Settings) slowStart {
@@ -44,20 +54,20 @@
 	}
 }
 
-// capacity is the smallest fraction of its full capacity that an engine has now: one that warms up would
-// stall under the load of a warm one.
-func (s *slowStart) capacity(e *engine, now time.Duration) float64 {
-	left := float64(e.warmUp.until-now) / float64(max(s.period, 1))
-	return 1 - (1-s.minCapacity)*min(max(left, 0), 1)
+// capacityFraction returns a lower bound of the fraction of its full capacity that an engine has now. An
+// engine that is warming up would stall under the load of a warm one.
+func (s *slowStart) capacityFraction(e *engine, now time.Duration) float64 {
+	remaining := float64(e.warmUp.until-now) / float64(max(s.period, 1))
+	return 1 - (1-s.minCapacity)*min(max(remaining, 0), 1)
 }
 
-// isNearStart tells whether the list says that the engine started within the warm-up period.
+// isNearStart reports whether the engine list shows a start of the engine within the last warm-up period.
 func (s *slowStart) isNearStart(e *engine, now time.Duration) bool {
 	return now < e.lastStart+s.period
 }
 
-// begin takes an engine as warming up. Its turns are counted from an instant that all gateways know, or
-// nearly so; with a rank, no two gateways have the same turn.
+// begin marks an engine as warming up until the given instant. Turns are counted from since, an instant
+// that is the same, or nearly so, at all gateways. With a rank, no two gateways have the same turn.
 func (s *slowStart) begin(e *engine, since, until, now time.Duration, random func() float64) {
 	w := &e.warmUp
 	if now >= w.until {
@@ -66,36 +76,38 @@
 		w.turnOffset = random()
 		if s.rank > 0 {
 			gateways := uint64(s.gateways)
-			place := (affinity(e.hash, 0) + uint64(s.rank)) % gateways
-			w.turnOffset = float64(place) / float64(gateways)
+			turn := (affinity(e.hash, 0) + uint64(s.rank)) % gateways
+			w.turnOffset = float64(turn) / float64(gateways)
 		}
 	}
 	w.until = until
 }
 
-// budgetMS is the work that this gateway may send an engine that warms up within an overload window.
+// budgetMS returns the work that this gateway may send to a warming engine within one overload window, in
+// milliseconds of thread time.
 func (s *slowStart) budgetMS(e *engine) float64 {
 	overload := warmUpBudgetMargin * s.overloadMultiple * s.minCapacity * e.cores * milliseconds(s.window)
 	return overload / float64(s.gateways)
 }
 
-// windows is the number of overload windows whose budget the query takes.
-func (s *slowStart) windows(q *query, e *engine) float64 {
+// windowsNeeded returns the number of overload windows whose budget the query needs.
+func (s *slowStart) windowsNeeded(q *query, e *engine) float64 {
 	return warmUpCostFactor * q.workMS / s.budgetMS(e)
 }
 
-// allows tells whether the query is within the budget. One that takes more than half of a window's budget
-// goes once in the windows that pay for it, in this gateway's turn, which lasts until the next gateway's, or
-// longer for small ones: budgets that pile up over the windows would be spent by all gateways at once.
+// allows reports whether the query is within the engine's warm-up budget. A query that needs more than
+// warmUpBurst of a window's budget may be sent once in as many windows as pay for it, and only during this
+// gateway's turn. A turn lasts until that of the next gateway, or longer for small queries. Without turns,
+// all gateways would spend the budgets that accumulate over these windows at the same time.
 func (s *slowStart) allows(q *query, e *engine, now time.Duration) bool {
 	w := &e.warmUp
 	switch {
 	case now >= w.until || s.window <= 0:
 		return true
-	case now < s.startedAt+s.window: // what was sent before a restart of this gateway is unknown
+	case now < s.startedAt+s.window: // work sent before a restart of this gateway is unknown
 		return false
 	}
-	windows := s.windows(q, e)
+	windows := s.windowsNeeded(q, e)
 	if windows <= warmUpBurst {
 		return w.budgetSpentUntil <= now+time.Duration((warmUpBurst-windows)*float64(s.window))
 	}
@@ -105,38 +117,39 @@
 	return w.budgetSpentUntil <= now && isTurn
 }
 
-// spend takes the query's cost from the budget.
+// spend deducts the query's cost from the engine's warm-up budget.
 func (s *slowStart) spend(q *query, e *engine, now time.Duration) {
 	w := &e.warmUp
 	if now >= w.until {
 		return
 	}
-	w.budgetSpentUntil = max(w.budgetSpentUntil, now) + time.Duration(s.windows(q, e)*float64(s.window))
+	w.budgetSpentUntil = max(w.budgetSpentUntil, now) + time.Duration(s.windowsNeeded(q, e)*float64(s.window))
 }
 
-// presumeRestart takes an engine as restarted after a failed connection: the list reports a restart only
-// seconds later.
+// presumeRestart treats an engine as restarted after a failed connection, since the engine list reports a
+// restart only seconds later.
 func (g *Gateway) presumeRestart(e *engine, result Result) {
 	w := &e.warmUp
 	e.health.connectionLostAt = g.now
 	if result == ResultConnectFailed {
-		w.restartPresumed = false // a refused connection is proof enough
+		w.restartPresumed = false // a refused connection proves the restart
 	} else if !w.restartPresumed {
 		w.restartPresumed = true
-		w.untilBefore = w.until
+		w.previousUntil = w.until
 	}
 	until := max(w.until, g.now+g.slowStart.period)
 	g.slowStart.begin(e, g.now, until, g.now, g.random.Float64)
 }
 
-// disproveRestart takes that back, on contact about an attempt that was sent after the connection broke,
-// sooner than a process restarts. Guards against starving an engine that only lost a connection.
+// disproveRestart withdraws a presumed restart when the engine responds to an attempt that was sent after
+// the connection broke, sooner than a process can restart. It prevents an engine that only lost a
+// connection from being starved of queries.
 func (g *Gateway) disproveRestart(a *attempt) {
 	e := a.engine
 	w := &e.warmUp
 	lostAt := e.health.connectionLostAt
 	if w.restartPresumed && a.sentAt > lostAt && g.now < lostAt+minRestartTime {
 		w.restartPresumed = false
-		w.until = w.untilBefore
+		w.until = w.previousUntil
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -5,72 +5,91 @@
 	"time"
 )
 
-// Snapshot is what a gateway has learned of its engines and classes, for another one of the same settings
-// that takes its place. It holds no query: those in flight stay with the gateway that admitted them. Both
-// must use one clock. The time of the gateway's start is not in it: what the other still has in flight at an
-// engine that warms up is unknown here, so that the new one waits as after a restart.
+// Snapshot is what a gateway has learned of its engines and classes. It is passed to a gateway with the
+// same settings that takes the first one's place. Both must use the same clock. A snapshot contains no
+// queries: those in flight stay with the gateway that admitted them. Nor does it contain the time of the
+// gateway's start: the new gateway does not know what the other one still has in flight at a warming
+// engine, so it waits as after a restart.
 //
-// A snapshot is passed on in CBOR, by the names in the tags, or of the fields without one: these must not
-// change.
+// A snapshot is encoded in CBOR, under the names in the tags, or under the field name where there is no
+// tag. These names must not change.
 type Snapshot struct {
-	Classes              []ClassSnapshot    `cbor:"Classes"`
-	Engines              []EngineSnapshot   `cbor:"Engines"`
-	Aggregate            ControllerSnapshot `cbor:"Fleet"`
-	DataSetCounts        map[int64]float64  `cbor:"Sets"`
-	DataSetTotal         float64            `cbor:"SetSum"`
-	MeanLogValue         float64            `cbor:"Dear"`
-	MeanLoad             float64            `cbor:"Load"`
-	MeanOwnInFlight      float64            `cbor:"Mine"`
-	MeanReportedInFlight float64            `cbor:"Theirs"`
-	ArrivalRate          float64            `cbor:"Rate"`
-	MeanThreads          float64            `cbor:"Width"`
-	TickCount            int                `cbor:"Ticked"`
+	Classes       []ClassSnapshot    `cbor:"Classes"`
+	Engines       []EngineSnapshot   `cbor:"Engines"`
+	Aggregate     ControllerSnapshot `cbor:"Fleet"`  // limit over all engines together
+	DataSetCounts map[int64]float64  `cbor:"Sets"`   // recent queries of each data set
+	DataSetTotal  float64            `cbor:"SetSum"` // sum of DataSetCounts
+	// MeanLogValue is the moving average of the binary logarithm of priority weight over expected work.
+	MeanLogValue float64 `cbor:"Dear"`
+	// MeanLoad is the moving average of the engines' reported load, in threads per core.
+	MeanLoad float64 `cbor:"Load"`
+	// MeanOwnInFlight and MeanReportedInFlight are the mean numbers of queries in flight per engine, from
+	// this gateway and, as reported, from all gateways. 0 reported means that engines do not report it.
+	MeanOwnInFlight      float64 `cbor:"Mine"`
+	MeanReportedInFlight float64 `cbor:"Theirs"`
+	// ArrivalRate is in queries per second.
+	ArrivalRate float64 `cbor:"Rate"`
+	// MeanThreads is the moving average of the threads of the attempts sent.
+	MeanThreads float64 `cbor:"Width"`
+	// TickCount is the number of ticks of the periodic timer.
+	TickCount int `cbor:"Ticked"`
 }
 
-// ClassSnapshot is what a gateway has learned of a class.
+// ClassSnapshot is what a gateway has learned of a class; latencies and work are in milliseconds.
 type ClassSnapshot struct {
 	Name              string  `cbor:"Name"`
 	ResponseCount     int     `cbor:"N"`
 	MeanLatencyMS     float64 `cbor:"Latency"`
 	BaselineLatencyMS float64 `cbor:"Quick"`
 	MeanWorkMS        float64 `cbor:"Work"`
-	LatencyDeviation  float64 `cbor:"Spread"`
-	MeanEstimateMS    float64 `cbor:"Guess"`
-	GrantMultiple     float64 `cbor:"Grant"`
-	DefaultGrantMB    float64 `cbor:"Ample"`
+	LatencyDeviation  float64 `cbor:"Spread"` // mean, as a fraction of the expected latency
+	MeanEstimateMS    float64 `cbor:"Guess"`  // 0: no estimate so far
+	GrantMultiple     float64 `cbor:"Grant"`  // memory granted, as a multiple of the estimate
+	DefaultGrantMB    float64 `cbor:"Ample"`  // without an estimate; 0: the engine chooses
 }
 
-// ControllerSnapshot is the state of one adaptive limit.
+// ControllerSnapshot is the state of one adaptive concurrency limit.
 type ControllerSnapshot struct {
-	Limit        float64       `cbor:"Bound"`
-	Alpha        float64       `cbor:"Alpha"`
-	LoadLevel    float64       `cbor:"Level"`
-	Slowdown     float64       `cbor:"Slow"`
-	BindingUntil time.Duration `cbor:"Pressed"`
+	Limit        float64       `cbor:"Bound"`   // in threads
+	Alpha        float64       `cbor:"Alpha"`   // estimated latency ratio per thread
+	LoadLevel    float64       `cbor:"Level"`   // reported load over the target load
+	Slowdown     float64       `cbor:"Slow"`    // latency over the baseline latency of the class
+	BindingUntil time.Duration `cbor:"Pressed"` // instant until which the limit binds
 }
 
-// EngineSnapshot is what a gateway has learned of an engine of the list.
+// EngineSnapshot is what a gateway has learned of a listed engine. Its times are instants on the gateways'
+// common clock.
 type EngineSnapshot struct {
 	Engine
-	Controller         ControllerSnapshot       `cbor:"Loop"`
-	LastStart          time.Duration            `cbor:"Begun"`
-	WarmUpUntil        time.Duration            `cbor:"ColdUntil"`
-	TurnsSince         time.Duration            `cbor:"ColdTold"`
-	BudgetSpentUntil   time.Duration            `cbor:"ColdNext"`
-	WarmUpUntilBefore  time.Duration            `cbor:"ColdWas"`
-	LastHeard          time.Duration            `cbor:"Heard"`
-	ReportedAt         time.Duration            `cbor:"ToldAt"`
-	ConnectionLostAt   time.Duration            `cbor:"LostAt"`
-	NextTrialAt        time.Duration            `cbor:"TrialAt"`
-	TurnOffset         float64                  `cbor:"Draw"`
-	ReportedLoad       float64                  `cbor:"Load"`
-	FaultRate          float64                  `cbor:"Faults"`
-	RestartPresumed    bool                     `cbor:"Doubted"`
-	EjectedForFaults   bool                     `cbor:"Erring"`
-	Ejected            bool                     `cbor:"Suspected"`
-	ClassBlockedUntil  map[string]time.Duration `cbor:"Mute"`
-	DataSetLockedUntil map[int64]time.Duration  `cbor:"Held"`
-	LostResponses      map[string]int           `cbor:"Lost"`
+	Controller ControllerSnapshot `cbor:"Loop"`
+	LastStart  time.Duration      `cbor:"Begun"` // latest start; math.MinInt64: unknown
+	// WarmUpUntil is the end of the warm-up; in the past, the engine is warm.
+	WarmUpUntil time.Duration `cbor:"ColdUntil"`
+	// TurnsSince is the instant from which the gateways' turns to send wide queries are counted.
+	TurnsSince time.Duration `cbor:"ColdTold"`
+	// BudgetSpentUntil is the instant until which the warm-up budget is spent.
+	BudgetSpentUntil time.Duration `cbor:"ColdNext"`
+	// WarmUpUntilBefore is the value of WarmUpUntil before a restart was presumed.
+	WarmUpUntilBefore time.Duration `cbor:"ColdWas"`
+	LastHeard         time.Duration `cbor:"Heard"`   // latest message from the engine
+	ReportedAt        time.Duration `cbor:"ToldAt"`  // latest load report; 0: none
+	ConnectionLostAt  time.Duration `cbor:"LostAt"`  // latest failed connection; 0: never
+	NextTrialAt       time.Duration `cbor:"TrialAt"` // earliest next trial while it is ejected
+	// TurnOffset is the position of the gateway in the cycle of turns, from 0 to 1.
+	TurnOffset   float64 `cbor:"Draw"`
+	ReportedLoad float64 `cbor:"Load"`   // threads per core
+	FaultRate    float64 `cbor:"Faults"` // fraction of recent attempts that failed
+	// RestartPresumed is set while a failed connection is the only sign of a restart.
+	RestartPresumed bool `cbor:"Doubted"`
+	// EjectedForFaults is set if faults, not silence, caused the ejection.
+	EjectedForFaults bool `cbor:"Erring"`
+	Ejected          bool `cbor:"Suspected"`
+	// ClassBlockedUntil holds the earliest time of the next trial of each blocked class, by class name.
+	ClassBlockedUntil map[string]time.Duration `cbor:"Mute"`
+	// DataSetLockedUntil holds the time until which each data set counts as locked by a data load.
+	DataSetLockedUntil map[int64]time.Duration `cbor:"Held"`
+	// LostResponses counts recent lost responses by class name.
+	LostResponses map[string]int `cbor:"Lost"`
 }
 
 // Snapshot returns a copy of what the gateway has learned.
@@ -98,8 +117,9 @@
 	return s
 }
 
-// Restore takes what another gateway has learned, before the first event. It skips what these settings have
-// no class or machine kind for.
+// Restore sets what another gateway has learned. It must be called before the first event. Classes that
+// these settings do not have are skipped, and an engine of an unknown machine kind counts as one with a
+// single core.
 func (g *Gateway) Restore(now time.Duration, s Snapshot) {
 	g.now = max(g.now, now)
 	g.ticker.count = s.TickCount
@@ -112,13 +132,14 @@
 		e := g.updateEngine(s.Engines[i].Engine)
 		e.restore(&s.Engines[i], g.classes)
 	}
-	// The first call of resizeAggregate initializes the aggregate controller: it must precede its restore.
-	g.resizeAggregate()
+	// The first call of updateAggregateBounds initializes the aggregate controller, so it must precede the
+	// restore of that controller.
+	g.updateAggregateBounds()
 	for i := range s.Engines {
 		e := g.enginesByID[s.Engines[i].ID]
-		g.resize(e)
+		g.updateBounds(e)
 		e.controller.restore(s.Engines[i].Controller)
-		e.health.faultRate = s.Engines[i].FaultRate // which resize lets fade
+		e.health.faultRate = s.Engines[i].FaultRate // updateBounds has lowered it
 	}
 	g.aggregate.restore(s.Aggregate)
 	maps.Copy(g.dataSets.counts, s.DataSetCounts)
@@ -131,7 +152,8 @@
 	g.meanThreads = s.MeanThreads
 }
 
-// IsEjected tells whether the gateway sends an engine nothing but trials, as it seems hung or failing.
+// IsEjected reports whether the gateway has ejected the engine because it seems hung or failing. An ejected
+// engine receives only trial queries.
 func (g *Gateway) IsEjected(id string) bool {
 	e := g.enginesByID[id]
 	return e != nil && e.health.ejected
@@ -188,7 +210,7 @@
 		WarmUpUntil:        e.warmUp.until,
 		TurnsSince:         e.warmUp.turnsSince,
 		BudgetSpentUntil:   e.warmUp.budgetSpentUntil,
-		WarmUpUntilBefore:  e.warmUp.untilBefore,
+		WarmUpUntilBefore:  e.warmUp.previousUntil,
 		LastHeard:          e.health.lastHeard,
 		ReportedAt:         e.report.at,
 		ConnectionLostAt:   e.health.connectionLostAt,
@@ -212,12 +234,12 @@
 	return s
 }
 
-// restore takes all but the controller, which follows once all engines are known.
+// restore sets all state but the controller, which is restored once all engines are known.
 func (e *engine) restore(s *EngineSnapshot, classes map[string]*class) {
 	e.lastStart = s.LastStart
 	e.warmUp = warmUp{
 		until: s.WarmUpUntil, turnsSince: s.TurnsSince, budgetSpentUntil: s.BudgetSpentUntil,
-		turnOffset: s.TurnOffset, restartPresumed: s.RestartPresumed, untilBefore: s.WarmUpUntilBefore,
+		turnOffset: s.TurnOffset, restartPresumed: s.RestartPresumed, previousUntil: s.WarmUpUntilBefore,
 	}
 	e.report.at = s.ReportedAt
 	e.report.load = s.ReportedLoad
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -6,22 +6,31 @@
 )
 
 const (
-	overQuotaFraction   = 0.5 // of a limit, for queries beyond their tenant's quota
-	bucketDeviations    = 2.0 // of a second's queries that a tenant's bucket forgives
-	maxShareFactor      = 2.0 // equal shares that a gateway takes at most while it can't see the others
-	trafficSamples      = 40  // reports or control periods that queries in flight are averaged over
-	maxArrivalPeriods   = 80  // control periods that the arrival rate is averaged over
-	firstArrivalPeriods = 4
+	// overQuotaFraction is the fraction of a limit that queries beyond their tenant's quota may use.
+	overQuotaFraction = 0.5
+	// bucketDeviations is the extra size of a tenant's token bucket, in standard deviations of the number
+	// of queries in a second.
+	bucketDeviations = 2.0
+	// maxShareFactor is the largest share of a gateway, in equal shares, while no engine reports the
+	// queries of the other gateways.
+	maxShareFactor = 2.0
+	// trafficSamples is the number of reports, or control periods, over which queries in flight are
+	// averaged.
+	trafficSamples = 40
+	// maxArrivalPeriods and initialArrivalPeriods are the largest and the initial number of control periods
+	// over which the arrival rate is averaged.
+	maxArrivalPeriods     = 80
+	initialArrivalPeriods = 4
 )
 
-// tokenBucket limits a tenant to its quota.
+// tokenBucket limits a tenant to its quota. One token admits one query.
 type tokenBucket struct {
-	quota    float64 // queries per second, over all gateways
+	quota    float64 // queries per second, summed over all gateways
 	tokens   float64
-	filledAt time.Duration
+	filledAt time.Duration // time of the latest refill
 }
 
-// tenantQuotas has the bucket of each tenant.
+// tenantQuotas holds the token bucket of each tenant, by name.
 type tenantQuotas map[string]*tokenBucket
 
 func newTenantQuotas(tenants []Tenant) tenantQuotas {
@@ -32,15 +41,16 @@
 	return quotas
 }
 
-// isOverQuota takes one token of the tenant's, for this gateway's share of all traffic. Unknown tenants count
-// as beyond their quota.
+// isOverQuota takes a token from the tenant's bucket and reports whether there was none. The bucket is
+// refilled in proportion to this gateway's share of all traffic. An unknown tenant is always beyond its
+// quota, unless there are no tenants at all.
 func (t tenantQuotas) isOverQuota(tenant string, share float64, now time.Duration) bool {
 	bucket := t[tenant]
 	if bucket == nil {
 		return len(t) > 0
 	}
 	perSecond := bucket.quota * share
-	// A quota of few queries a second needs more room for chance.
+	// A quota of few queries per second needs a relatively larger bucket for random variation.
 	size := perSecond + bucketDeviations*math.Sqrt(perSecond) + 1
 	bucket.tokens = min(bucket.tokens+perSecond*(now-bucket.filledAt).Seconds(), size)
 	bucket.filledAt = now
@@ -51,14 +61,14 @@
 	return false
 }
 
-// trafficShare estimates this gateway's share of all traffic.
+// trafficShare estimates the fraction of all traffic that arrives at this gateway.
 type trafficShare struct {
 	gateways         int
-	totalQuota       float64 // of all tenants, queries per second; 0: there are none
+	totalQuota       float64 // of all tenants, queries per second; 0: no tenants
 	arrivalRate      float64 // queries per second, without the clients' retries
-	arrivals         int     // of this control period
-	ownInFlight      float64 // queries of this gateway for each engine, averaged
-	reportedInFlight float64 // queries of all gateways on an engine, averaged; 0: not reported
+	arrivals         int     // in this control period, without the clients' retries
+	ownInFlight      float64 // mean queries in flight per engine, from this gateway
+	reportedInFlight float64 // the same from all gateways; 0: not reported
 }
 
 func newTrafficShare(s *Settings) trafficShare {
@@ -74,9 +84,9 @@
 	t.reportedInFlight += (inFlight - t.reportedInFlight) / trafficSamples
 }
 
-// endPeriod takes the arrivals of a control period and the queries in flight at its end.
+// endPeriod ends a control period with the given number of queries in flight and updates the averages.
 func (t *trafficShare) endPeriod(tickCount, queries, engines int) {
-	periods := min(firstArrivalPeriods+tickCount/ticksPerPeriod, maxArrivalPeriods)
+	periods := min(initialArrivalPeriods+tickCount/ticksPerPeriod, maxArrivalPeriods)
 	rate := float64(t.arrivals) / controlPeriod.Seconds()
 	t.arrivalRate += (rate - t.arrivalRate) / float64(periods)
 	t.arrivals = 0
@@ -84,21 +94,22 @@
 	t.ownInFlight += (perEngine - t.ownInFlight) / trafficSamples
 }
 
-// share is an equal one at the least: with quotas, the arrivals over the quotas; else this gateway's queries
-// over those that the engines report.
+// share returns the estimated share, at least an equal one. With quotas it is the arrival rate over the
+// total quota; otherwise it is this gateway's queries in flight over those that the engines report.
 func (t *trafficShare) share() float64 {
-	equal := 1 / float64(t.gateways)
+	equalShare := 1 / float64(t.gateways)
 	if t.totalQuota <= 0 {
-		return min(max(t.ownInFlight/max(t.reportedInFlight, 1), equal), t.maxShareOfInFlight(equal))
+		share := max(t.ownInFlight/max(t.reportedInFlight, 1), equalShare)
+		return min(share, t.maxShareOfInFlight(equalShare))
 	}
-	return min(max(t.arrivalRate/t.totalQuota, equal), 1)
+	return min(max(t.arrivalRate/t.totalQuota, equalShare), 1)
 }
 
-// maxShareOfInFlight bounds the share where no engine reports what the other gateways have in flight: it may
-// be as much.
-func (t *trafficShare) maxShareOfInFlight(equal float64) float64 {
+// maxShareOfInFlight returns the largest share that may be estimated from queries in flight. While no
+// engine reports the queries of the other gateways, these may have as many in flight as this one.
+func (t *trafficShare) maxShareOfInFlight(equalShare float64) float64 {
 	if t.reportedInFlight == 0 {
-		return min(maxShareFactor*equal, 1)
+		return min(maxShareFactor*equalShare, 1)
 	}
 	return 1
 }
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -5,21 +5,21 @@
 	"math"
 )
 
-// SettingsError says which of the settings no gateway can work with.
+// SettingsError reports a setting with which no gateway can work.
 type SettingsError struct {
-	Key     string // its path in the deployment's settings file, which operators edit
-	Problem string
+	Key     string // path in the deployment's settings file, which operators edit
+	Problem string // what is wrong with the value
 }
 
 func (e *SettingsError) Error() string { return e.Key + ": " + e.Problem }
 
-// validate returns a *SettingsError for the first setting at fault.
+// validate returns a *SettingsError for the first invalid setting, or nil.
 func validate(s *Settings) error {
 	if s.Gateways < 1 {
-		return &SettingsError{"balancers", fmt.Sprintf("%d is under 1", s.Gateways)}
+		return &SettingsError{"balancers", fmt.Sprintf("must be at least 1, got %d", s.Gateways)}
 	}
 	if len(s.Classes) == 0 {
-		return &SettingsError{"classes", "none"}
+		return &SettingsError{"classes", "must have at least one class"}
 	}
 	for i := range s.Classes {
 		if err := validateClass(&s.Classes[i], i); err != nil {
@@ -27,7 +27,9 @@
 		}
 	}
 	if s.ProgressInterval < 0 {
-		return &SettingsError{"extra.tells-every-ms", fmt.Sprintf("%v is under 0", s.ProgressInterval)}
+		return &SettingsError{
+			"extra.tells-every-ms", fmt.Sprintf("must not be negative, got %v", s.ProgressInterval),
+		}
 	}
 	return validateRules(&s.Rules)
 }
@@ -36,18 +38,20 @@
 	key := func(name string) string { return fmt.Sprintf("classes[%d].%s", index, name) }
 	switch {
 	case c.Name == "":
-		return &SettingsError{key("name"), "empty"}
+		return &SettingsError{key("name"), "must not be empty"}
 	case c.LatencyObjective <= 0:
-		return &SettingsError{key("aim-ms"), fmt.Sprintf("%v is not above 0", c.LatencyObjective)}
+		return &SettingsError{key("aim-ms"), fmt.Sprintf("must be above 0, got %v", c.LatencyObjective)}
 	case c.Timeout <= 0:
-		return &SettingsError{key("hard-limit-ms"), fmt.Sprintf("%v is not above 0", c.Timeout)}
-	case !isFiniteFromZero(c.Threads):
+		return &SettingsError{key("hard-limit-ms"), fmt.Sprintf("must be above 0, got %v", c.Timeout)}
+	case !isFiniteNonNegative(c.Threads):
 		key := fmt.Sprintf("extra.parallelism[%d]", index)
-		return &SettingsError{key, fmt.Sprintf("%v is not a count", c.Threads)}
-	case !isFiniteFromZero(c.PriorityWeight):
-		return &SettingsError{key("importance"), fmt.Sprintf("%v is not a weight", c.PriorityWeight)}
+		return &SettingsError{key, fmt.Sprintf("must be finite and not negative, got %v", c.Threads)}
+	case !isFiniteNonNegative(c.PriorityWeight):
+		return &SettingsError{
+			key("importance"), fmt.Sprintf("must be finite and not negative, got %v", c.PriorityWeight),
+		}
 	case c.Idempotency == IdempotentWithKey && c.DedupWindow < 0:
-		return &SettingsError{key("window-ms"), fmt.Sprintf("%v is under 0", c.DedupWindow)}
+		return &SettingsError{key("window-ms"), fmt.Sprintf("must not be negative, got %v", c.DedupWindow)}
 	}
 	return nil
 }
@@ -55,13 +59,19 @@
 func validateRules(r *Rules) error {
 	switch {
 	case !(r.RetryBudgetBase >= 0): // false for NaN
-		return &SettingsError{"contract.extra-free", fmt.Sprintf("%v is under 0", r.RetryBudgetBase)}
+		return &SettingsError{
+			"contract.extra-free", fmt.Sprintf("must not be negative, got %v", r.RetryBudgetBase),
+		}
 	case !(r.RetryBudgetRatio >= 0):
-		return &SettingsError{"contract.resend-ratio", fmt.Sprintf("%v is under 0", r.RetryBudgetRatio)}
+		return &SettingsError{
+			"contract.resend-ratio", fmt.Sprintf("must not be negative, got %v", r.RetryBudgetRatio),
+		}
 	case r.RetryBudgetWindow < 0:
-		return &SettingsError{"contract.look-back-ms", fmt.Sprintf("%v is under 0", r.RetryBudgetWindow)}
+		return &SettingsError{
+			"contract.look-back-ms", fmt.Sprintf("must not be negative, got %v", r.RetryBudgetWindow),
+		}
 	}
 	return nil
 }
 
-func isFiniteFromZero(f float64) bool { return f >= 0 && !math.IsInf(f, 0) }
+func isFiniteNonNegative(f float64) bool { return f >= 0 && !math.IsInf(f, 0) }
