--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -10,31 +10,32 @@
 		ResultRejected: true, ResultConnectFailed: true, ResultConnectTimeout: true, ResultNotSent: true,
 		ResultError: false, ResultTimeout: false, ResultConnectionLost: false, ResultCancelled: false, ResultUnknown: false,
 	} {
-		d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+		d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 		d.arrive(1, "non-idempotent")
 		actions := d.endAttempt(1, 0, result)
 		if (len(sendsIn(actions)) == 1) != wantRetry || contains[Reject](actions) || contains[Fail](actions) == wantRetry {
-			t.Errorf("actions after result %d = %+v, want a retry: %v", result, actions, wantRetry)
+			t.Errorf("actions after result %d = %+v, want retry = %v", result, actions, wantRetry)
 		}
 	}
 }
 
 func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 2))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 2))
 	first := sendsIn(d.arrive(1, "keyed"))[0].Engine
 	d.wantSend(d.endAttempt(1, 0, ResultError), first)
 	d.advance(1100 * time.Millisecond)
 	actions := d.endAttempt(1, 1, ResultError)
 	if len(sendsIn(actions)) != 0 || !contains[Fail](actions) {
-		t.Fatalf("actions beyond the deduplication window = %+v, want a failure", actions)
+		t.Fatalf("actions after the deduplication window = %+v, want a Fail and no send", actions)
 	}
 }
 
-// TestCancelledQueryReturnsOnlyWithHedging cancels an attempt at the only engine. Without hedging the query must not
-// return there: another connection may be faster than the cancel, so that two attempts would run at once.
+// TestCancelledQueryReturnsOnlyWithHedging cancels an attempt at the only engine. Without hedging the query
+// must not be sent there again: the new attempt may use another connection and overtake the cancel request,
+// so that two attempts would run at once.
 func TestCancelledQueryReturnsOnlyWithHedging(t *testing.T) {
 	for _, hedging := range []bool{false, true} {
-		s := settings()
+		s := testSettings()
 		s.Limits.AllowHedging = hedging
 		d := newDriver(t, s, liveEngine("e", "a", 1))
 		d.advance(3 * time.Second).handle(TimerFired{})
@@ -43,14 +44,15 @@
 			t.Fatal("cancel() = false, want true")
 		}
 		if again := len(sendsIn(d.endAttempt(1, 0, ResultCancelled))) > 0; again != hedging {
-			t.Errorf("hedging %v: retried there = %v, want %v", hedging, again, hedging)
+			t.Errorf("hedging %v: retried on the same engine = %v, want %v", hedging, again, hedging)
 		}
 	}
 }
 
-// TestMoveNeedsSuitableEngine has an overdue attempt, which must be moved only where another engine may run it: not to
-// the same engine without hedging, not to one that drains, not to one outside the places of its class.
-func TestMoveNeedsSuitableEngine(t *testing.T) {
+// TestOverdueAttemptMovesOnlyToSuitableEngine checks that an overdue attempt is cancelled only if another
+// engine may run the query. The same engine does not count without hedging, nor does one that is draining
+// or outside the zones of the class.
+func TestOverdueAttemptMovesOnlyToSuitableEngine(t *testing.T) {
 	draining := liveEngine("e2", "a", 1)
 	draining.State = EngineDraining
 	for name, c := range map[string]struct {
@@ -59,18 +61,18 @@
 		others  []Engine
 		moved   bool
 	}{
-		"no other engine":               {false, "idempotent", nil, false},
-		"no other engine, with hedging": {true, "idempotent", nil, true},
-		"another engine":                {false, "idempotent", []Engine{liveEngine("e2", "a", 1)}, true},
-		"another that drains":           {false, "idempotent", []Engine{draining}, false},
-		"another outside its places":    {false, "placed", []Engine{liveEngine("e2", "a", 1)}, false},
-		"another within its places":     {false, "placed", []Engine{liveEngine("e2", "b", 1)}, true},
+		"no other engine":                  {false, "idempotent", nil, false},
+		"no other engine, with hedging":    {true, "idempotent", nil, true},
+		"another engine":                   {false, "idempotent", []Engine{liveEngine("e2", "a", 1)}, true},
+		"another engine, draining":         {false, "idempotent", []Engine{draining}, false},
+		"another engine outside its zones": {false, "placed", []Engine{liveEngine("e2", "a", 1)}, false},
+		"another engine within its zones":  {false, "placed", []Engine{liveEngine("e2", "b", 1)}, true},
 	} {
-		s := settings()
+		s := testSettings()
 		s.ProgressInterval = 0
 		s.Limits.AllowHedging = c.hedging
 		for i := range s.Classes {
-			s.Classes[i].ObjectiveStretch = 2 // else a new attempt would miss the objective
+			s.Classes[i].ObjectiveStretch = 2 // otherwise a new attempt would miss the objective
 		}
 		first := liveEngine("e1", "a", 1)
 		if c.class == "placed" {
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestPlacementHoldsWithoutAllowedEngines(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 	d.wantNoSend(d.arrive(1, "placed"))
 	d.handle(EngineList{Mode: ListChanges, Engines: []Engine{liveEngine("f", "b", 1)}})
 	d.wantSend(d.arrive(2, "placed"), "f")
@@ -14,7 +14,7 @@
 }
 
 func TestReadersAvoidLockedDataSet(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Classes[2].DataLoad, s.Classes[0].WaitsForDataLoad = true, true
 	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	ask := func(id uint64, class string) string {
@@ -24,7 +24,7 @@
 	loading := ask(1, "non-idempotent")
 	for id := uint64(2); id < 5; id++ {
 		if got := ask(id, "idempotent"); got == loading {
-			t.Fatalf("query %d went to %s, where a data load locks its data set", id, got)
+			t.Fatalf("query %d went to %s, where a data load locks its data set, want the other engine", id, got)
 		}
 	}
 }
@@ -44,18 +44,18 @@
 		}
 	}
 	if len(chosen) < 12 {
-		t.Fatalf("the first queries of 59 gateways went to %d of 20 engines, want 12 at least", len(chosen))
+		t.Fatalf("the first queries of 59 gateways went to %d of 20 engines, want at least 12", len(chosen))
 	}
 }
 
-func TestChanceAdmissionsSpreadOverEngines(t *testing.T) {
+func TestRandomAdmissionsSpreadOverEngines(t *testing.T) {
 	s, list := manyGateways(30)
 	chosen := map[string]int{}
 	for seed := uint64(1); seed < 90; seed++ {
 		g, _ := New(s, seed)
 		g.Handle(0, EngineList{Mode: ListFull, Engines: list}, nil)
 		for _, e := range g.engines {
-			e.ceiling = 3 // under the query's four threads
+			e.ceiling = 3 // less than the query's four threads
 		}
 		for _, a := range sendsIn(g.Handle(0, QueryArrived{Query: 1, Class: "wide", DataSet: int64(seed), Deadline: time.Second}, nil)) {
 			chosen[a.Engine]++
@@ -63,15 +63,15 @@
 	}
 	for id, n := range chosen {
 		if n > 12 {
-			t.Fatalf("%d of 89 queries admitted by chance went to %s, want 12 at most", n, id)
+			t.Fatalf("%d of 89 randomly admitted queries went to %s, want at most 12", n, id)
 		}
 	}
 	if len(chosen) < 15 {
-		t.Fatalf("queries admitted by chance went to %d of 30 engines, want 15 at least", len(chosen))
+		t.Fatalf("randomly admitted queries went to %d of 30 engines, want at least 15", len(chosen))
 	}
 }
 
-func TestFitPrecedesChanceAdmission(t *testing.T) {
+func TestFittingEngineIsPreferredToRandomAdmission(t *testing.T) {
 	s, list := manyGateways(2)
 	for seed := uint64(1); seed < 60; seed++ {
 		g, _ := New(s, seed)
@@ -80,10 +80,11 @@
 		if affinity(near.hash, 7) < affinity(far.hash, 7) {
 			near, far = far, near
 		}
-		near.ceiling, far.zone = 3.9, "b" // under the query's four threads; yet near and in its zone
+		// The near engine, in the gateway's zone, has a ceiling below the query's four threads.
+		near.ceiling, far.zone = 3.9, "b"
 		for _, a := range sendsIn(g.Handle(0, QueryArrived{Query: 1, Class: "wide", DataSet: 7, Deadline: time.Second}, nil)) {
 			if a.Engine != far.id {
-				t.Fatalf("seed %d: admitted by chance at %s, want %s, where it fits", seed, near.id, far.id)
+				t.Fatalf("seed %d: sent to %s by random admission, want %s, where the query fits", seed, near.id, far.id)
 			}
 		}
 	}
--- a/policy/class_test.go
+++ b/policy/class_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// TestUnreportedWorkIsLearnedFromBaseline has engines that report no cost: the work of a class must follow its lowest
-// latencies. Those under load would stretch the objectives that they are measured by, and hide the load.
+// TestUnreportedWorkIsLearnedFromBaseline has engines that report no cost, so the work of a class is
+// estimated from its baseline latency. If latencies under load raised the estimate, they would also extend
+// the latency objective that they are compared with, and hide the load.
 func TestUnreportedWorkIsLearnedFromBaseline(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.ReportsCost = false
 	d := newDriver(t, s, liveEngine("e", "a", 1))
 	for id := range uint64(300) {
@@ -22,6 +23,6 @@
 		}
 	}
 	if w := d.g.classes["idempotent"].workMS; w > 150 {
-		t.Errorf("work = %.0f ms, want 150 at most for queries that take 100 ms on an idle engine", w)
+		t.Errorf("work = %.0f ms, want at most 150 for queries that take 100 ms on an idle engine", w)
 	}
 }
--- a/policy/controller_test.go
+++ b/policy/controller_test.go
@@ -8,7 +8,7 @@
 
 func TestNextLimitMatchesEquations(t *testing.T) {
 	for _, c := range []struct{ limit, alpha, ratio, wantLimit, wantAlpha float64 }{
-		{10, 0.1, 1, 10, 0.1},                 // on the set-point: alpha = .3*.1+.7*.1, nothing moves
+		{10, 0.1, 1, 10, 0.1},                 // at the set-point: alpha = .3*.1+.7*.1, no change
 		{10, 0.1, 2, 10 - 0.7/0.13, 0.13},     // alpha = .3*.2+.7*.1
 		{8, 0.05, 0.4, 8 + 0.7/0.05*0.6, .05}, // alpha = .3*.05+.7*.05
 	} {
@@ -20,7 +20,7 @@
 }
 
 func TestControllerKeepsLimitWhenIdleAndAboveMinimum(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 	e := d.g.enginesByID["e"]
 	limit, alpha := e.limit, e.alpha
 	e.adjust(d.now)
@@ -32,12 +32,12 @@
 		e.adjust(d.now)
 	}
 	if e.limit <= 0 || e.limit >= 1 {
-		t.Fatalf("limit = %v, want it above 0 and under one thread", e.limit)
+		t.Fatalf("limit = %v, want more than 0 and less than one thread", e.limit)
 	}
 }
 
 func TestCeilingFollowsTrafficShare(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Tenants = []Tenant{{Name: "t", Quota: 40, Share: 1}}
 	busy, idle := newDriver(t, s, liveEngine("e", "a", 1)), newDriver(t, s, liveEngine("e", "a", 1))
 	for id := uint64(1); id < 800; id++ {
@@ -50,15 +50,15 @@
 	}
 	busyCeiling, idleCeiling := busy.g.enginesByID["e"].ceiling, idle.g.enginesByID["e"].ceiling
 	if equalShare := ceilingFactor * targetThreadsPerCore * 8 / 2; idleCeiling < equalShare {
-		t.Fatalf("ceiling of the idle gateway = %v, want its equal share, %v, at least", idleCeiling, equalShare)
+		t.Fatalf("ceiling of the idle gateway = %v, want at least its equal share, %v", idleCeiling, equalShare)
 	}
 	if busyCeiling < 1.3*idleCeiling {
-		t.Fatalf("ceiling of the busy gateway = %v, want 1.3 of the idle one's at least, %v", busyCeiling, idleCeiling)
+		t.Fatalf("ceiling of the busy gateway = %v, want at least 1.3 times that of the idle one, %v", busyCeiling, idleCeiling)
 	}
 }
 
 func TestCeilingShrinksAboveSaturation(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 	e := d.g.enginesByID["e"]
 	serve := func(from uint64, latency time.Duration) {
 		for id := from; id < from+200; id++ {
@@ -71,6 +71,6 @@
 	before := e.ceiling
 	serve(1000, 200*time.Millisecond) // still within the objective of 300 ms
 	if e.ceiling > 0.7*before {
-		t.Fatalf("ceiling = %v after latencies of ten times the baseline, want 0.7 of %v at most", e.ceiling, before)
+		t.Fatalf("ceiling = %v after latencies of ten times the baseline, want at most 0.7 of %v", e.ceiling, before)
 	}
 }
--- a/policy/data_sets_test.go
+++ b/policy/data_sets_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestAffinityIsStable holds the values of commit c18a9bd: gateways of several versions run side by side, and must choose
-// the same engines for a data set.
+// TestAffinityIsStable compares hashes and affinities with those of commit c18a9bd. Gateways of several
+// versions run side by side and must choose the same engines for a data set.
 func TestAffinityIsStable(t *testing.T) {
 	for _, c := range []struct {
 		id            string
@@ -29,22 +29,22 @@
 	}
 }
 
-func TestDataSetCountsForgetByHalves(t *testing.T) {
+func TestDataSetCountsHalveAtWindow(t *testing.T) {
 	d := dataSetCounts{counts: map[int64]float64{}}
 	d.record(1)
 	for range dataSetWindow - 1 {
 		d.record(2)
 	}
 	if d.total != dataSetWindow/2 {
-		t.Errorf("total = %v after a full window, want half of it", d.total)
+		t.Errorf("total = %v after a full window, want %v", d.total, dataSetWindow/2)
 	}
 	if _, ok := d.counts[1]; ok {
-		t.Error("data set with a single query is still counted")
+		t.Error("data set with a single query is still counted after the halving, want it dropped")
 	}
 	if got, want := d.counts[2], float64(dataSetWindow-1)/2; got != want {
 		t.Errorf("count of the other data set = %v, want %v", got, want)
 	}
 	if hot, unseen := d.fraction(2), d.fraction(3); hot <= unseen || unseen <= 0 {
-		t.Errorf("fractions of a hot and an unseen data set = %v, %v, want both above 0 and the first larger", hot, unseen)
+		t.Errorf("fractions of a hot and an unseen data set = %v, %v, want hot > unseen > 0", hot, unseen)
 	}
 }
--- a/policy/driver_test.go
+++ b/policy/driver_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// driver feeds one gateway with events, on a clock of its own.
+// driver feeds events to one gateway, with a clock of its own.
 type driver struct {
 	t       *testing.T
 	g       *Gateway
@@ -14,8 +14,9 @@
 	actions []Action // of the latest event
 }
 
-// settings has a class of each kind, for two gateways and engines of eight cores.
-func settings() Settings {
+// testSettings returns settings for two gateways and engines of eight cores, with one query class for each
+// combination of rules that the tests need.
+func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zone: "a", ProgressInterval: 500 * time.Millisecond, CallInterval: 5 * time.Millisecond,
 		Kinds: []Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
@@ -42,10 +43,10 @@
 	}
 }
 
-// manyGateways returns the settings and engines of a deployment with so many gateways that an equal share of an
-// engine is far narrower than one query.
+// manyGateways returns the settings and engines of a deployment with so many gateways that an equal share
+// of an engine is much less than one query.
 func manyGateways(engines int) (Settings, []Engine) {
-	s := settings()
+	s := testSettings()
 	s.Gateways = 200
 	list := make([]Engine, engines)
 	for i := range list {
@@ -79,7 +80,7 @@
 	return d
 }
 
-// runTicks lets the gateway tick for a while and gathers its actions.
+// runTicks fires the periodic timer for the given time and returns all actions of the gateway.
 func (d *driver) runTicks(duration time.Duration) (all []Action) {
 	for end := d.now + duration; d.now < end; {
 		all = append(all, d.advance(tickInterval).handle(TimerFired{})...)
@@ -100,7 +101,7 @@
 func (d *driver) wantSend(actions []Action, engine string) {
 	d.t.Helper()
 	if sends := sendsIn(actions); len(sends) != 1 || engine != "" && sends[0].Engine != engine {
-		d.t.Fatalf("actions = %+v, want one send to %q", actions, engine)
+		d.t.Fatalf("actions = %+v, want exactly one send to %q (empty: any engine)", actions, engine)
 	}
 }
 
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestDrainingAndDepartedEnginesGetNoAttempts(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	e := liveEngine("e", "a", 1)
 	e.State = EngineDraining
 	d.handle(EngineList{Mode: ListChanges, Engines: []Engine{e}})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"gannetspur/policy"
 )
 
-// A gateway process embeds one Gateway, hands it each event and carries out the actions that it returns.
+// A gateway process embeds one Gateway, passes it every event and carries out the actions that it returns.
 func Example() {
 	gateway, err := policy.New(policy.Settings{
 		Gateways: 1,
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestStateIsBoundedOverLongRun(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Classes[0].WaitsForDataLoad = true
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = time.Second, 3, 0.1
 	d := newDriver(t, s)
@@ -37,7 +37,7 @@
 		"queries": len(g.queries), "waiting queries": len(g.orderedKeys.waiting), "locked data sets": locked,
 	} {
 		if n > 300 {
-			t.Errorf("%s: %d kept after 5000 queries and engines, want 300 at most", what, n)
+			t.Errorf("%s: %d kept after 5000 queries and engines, want at most 300", what, n)
 		}
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSilentEngineIsEjectedAndItsQueriesRetried(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("hung", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("hung", "a", 1))
 	d.arrive(1, "wide")
 	d.arrive(2, "idempotent")
 	d.handle(EngineList{Mode: ListChanges, Engines: []Engine{liveEngine("good", "a", 1)}})
@@ -14,20 +14,20 @@
 	if !contains[Cancel](actions) || !contains[Log](actions) {
 		t.Fatalf("actions = %+v, want cancels and a log message", actions)
 	}
-	d.wantNoSend(actions) // never two attempts at once
+	d.wantNoSend(actions) // no second attempt before the first one has ended
 	d.wantSend(d.endAttempt(1, 0, ResultCancelled), "good")
 }
 
 func TestOneSilentAttemptEjectsNoEngine(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 	d.arrive(1, "wide")
 	if actions := d.runTicks(1500 * time.Millisecond); contains[Cancel](actions) {
 		t.Fatalf("actions after one silent attempt = %+v, want no cancel", actions)
 	}
 }
 
-func TestOwnPauseEjectsNoEngine(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1))
+func TestGatewayPauseEjectsNoEngine(t *testing.T) {
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 	d.handle(TimerFired{})
 	for id := uint64(1); id < 4; id++ {
 		d.arrive(id, "wide")
@@ -39,7 +39,7 @@
 }
 
 func TestEngineThatFailsFastIsEjected(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("bad", "a", 1), liveEngine("good", "b", 2))
+	d := newDriver(t, testSettings(), liveEngine("bad", "a", 1), liveEngine("good", "b", 2))
 	sent := 0
 	for id := uint64(1); id < 40; id++ {
 		d.arrive(id, "idempotent")
@@ -57,19 +57,20 @@
 		}
 	}
 	if sent == 0 || sent > 8 {
-		t.Fatalf("%d attempts went to the engine that fails, want 1 to 8", sent)
+		t.Fatalf("%d attempts went to the failing engine, want 1 to 8", sent)
 	}
 }
 
-// TestBrokenConnectionIsOneFault ends several attempts with one broken connection: that is one fault, and progress of a
-// later attempt, sooner than a process restarts, disproves a restart. A refused connection proves one.
+// TestBrokenConnectionIsOneFault ends several attempts with one broken connection. That must count as a
+// single fault, and progress of a later attempt, sooner than a process can restart, must disprove the
+// presumed restart. A refused connection proves a restart.
 func TestBrokenConnectionIsOneFault(t *testing.T) {
 	for _, c := range []struct {
 		result    Result
 		ejected   bool
 		warmingUp bool
 	}{{ResultConnectionLost, false, false}, {ResultConnectFailed, true, true}} {
-		d := newDriver(t, settings(), liveEngine("e", "a", 1))
+		d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 		d.advance(3 * time.Second).handle(TimerFired{})
 		for id := uint64(1); id <= 4; id++ {
 			d.arrive(id, "idempotent")
@@ -94,37 +95,39 @@
 	}
 }
 
-// TestErrorsCountOnlyWhenAnotherEngineServes has errors that may be the query's own fault: they count against an engine
-// once another one has served the query. What failed at two engines is not sent to a third.
+// TestErrorsCountOnlyWhenAnotherEngineServes has queries that end with errors, which the queries themselves
+// may cause. An error must count against an engine only once another engine has served the query. A query
+// that failed at two engines must not be sent to a third.
 func TestErrorsCountOnlyWhenAnotherEngineServes(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1), liveEngine("g", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1), liveEngine("g", "a", 1))
 	for id := uint64(1); id < 20; id++ {
 		d.arrive(id, "idempotent")
 		d.endAttempt(id, 0, ResultError)
 		if actions := d.endAttempt(id, 1, ResultError); len(sendsIn(actions)) > 0 || !contains[Reject](actions) {
-			t.Fatalf("actions after two errors = %+v, want a rejection", actions)
+			t.Fatalf("actions after two errors = %+v, want a rejection and no send", actions)
 		}
 	}
 	for _, e := range d.g.engines {
 		if e.health.faultRate > 0 {
-			t.Errorf("engine %s: fault rate = %v, want 0 for queries that no engine serves", e.id, e.health.faultRate)
+			t.Errorf("engine %s: fault rate = %v, want 0 after errors on queries that no engine serves", e.id, e.health.faultRate)
 		}
 	}
 	first := d.g.enginesByID[sendsIn(d.arrive(20, "idempotent"))[0].Engine]
 	d.endAttempt(20, 0, ResultError)
 	if d.endAttempt(20, 1, ResultSuccess); first.health.faultRate == 0 {
-		t.Error("fault rate = 0, want more for an error on a query that another engine served")
+		t.Error("fault rate = 0, want more than 0 after an error on a query that another engine served")
 	}
 }
 
-// TestLostResponseIsRetried has an attempt without progress while its engine reports another one: its response is lost,
-// and it is retried where its class allows that. Of one that waits, engines report less often.
+// TestLostResponseIsRetried has an attempt without progress while its engine reports progress of another
+// one. Its response counts as lost, and the query is retried if its class allows that. Engines report less
+// often on an attempt that waits, so that one must not be retried as early.
 func TestLostResponseIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		class       string
 		waits, lost bool
 	}{{"idempotent", false, true}, {"keyed", false, true}, {"non-idempotent", false, false}, {"idempotent", true, false}} {
-		s := settings()
+		s := testSettings()
 		s.Classes[3].DedupWindow = 5 * time.Second
 		d := newDriver(t, s, liveEngine("e", "a", 1))
 		d.arrive(1, c.class)
@@ -143,10 +146,11 @@
 	}
 }
 
-// TestStalledClassIsBlockedOnEngine has a class that stands still on an engine while another one runs there. The engine
-// gets one query of the class at a time, as a trial, until one makes progress.
+// TestStalledClassIsBlockedOnEngine has a class that makes no progress on an engine while another class
+// runs there. The engine must then get one query of the stalled class at a time, as a trial, until one
+// makes progress.
 func TestStalledClassIsBlockedOnEngine(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	e := d.g.enginesByID["e"]
 	sendsToE := func(class string) (n int) {
 		for id := uint64(100); id < 110; id++ {
@@ -174,10 +178,10 @@
 	}
 	for range 4 {
 		d.runTicks(300 * time.Millisecond)
-		e.health.lastHeard = d.now // through other classes
+		e.health.lastHeard = d.now // messages about other classes
 	}
 	if !d.g.isBlocked(e, d.g.classes["idempotent"]) || d.g.isBlocked(e, d.g.classes["non-idempotent"]) {
-		t.Fatalf("lost responses = %v, want the class with them blocked, and no other", e.health.lostResponses)
+		t.Fatalf("lost responses = %v, want class idempotent blocked, and class non-idempotent not", e.health.lostResponses)
 	}
 	if n := sendsToE("idempotent"); n > 0 {
 		t.Errorf("%d queries of the blocked class were sent, want none", n)
@@ -186,24 +190,24 @@
 	other.State = EngineDraining
 	d.handle(EngineList{Mode: ListChanges, Engines: []Engine{other}})
 	if n := sendsToE("non-idempotent"); n == 0 {
-		t.Error("no query of the class that runs was sent")
+		t.Error("no query of the running class was sent, want at least one")
 	}
 	d.advance(3 * d.g.silenceTimeout)
 	for id := uint64(200); id < 220 && !d.g.isBlocked(e, d.g.classes["idempotent"]); id++ {
 		d.arrive(id, "idempotent")
 	}
 	if !d.g.isBlocked(e, d.g.classes["idempotent"]) {
-		t.Error("no trial was sent, or more than one")
+		t.Error("class is not blocked after 20 queries, want it blocked by exactly one trial in flight")
 	}
 	trial := e.inFlight[len(e.inFlight)-1]
 	d.handle(AttemptProgress{Query: trial.query.id, Attempt: trial.number, Kind: ProgressFraction, Value: 0.5})
 	if d.g.isBlocked(e, d.g.classes["idempotent"]) {
-		t.Error("class is blocked after progress of the trial")
+		t.Error("class is still blocked after progress of the trial, want it unblocked")
 	}
 }
 
 func TestOverdueAttemptIsRetriedElsewhereWithoutProgress(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.ProgressInterval, s.Limits.MaxAttempts, s.Classes[1].ObjectiveStretch = 0, 2, 2.5
 	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 2))
 	first := sendsIn(d.arrive(1, "wide"))
@@ -213,7 +217,7 @@
 	if actions := d.runTicks(1500 * time.Millisecond); contains[Cancel](actions) {
 		t.Fatalf("actions within the usual deviation = %+v, want no cancel", actions)
 	}
-	// The usual latency is 1 s, twice that is overdue, and the objective is 5.5 s.
+	// The usual latency is 1 s, an attempt is overdue after 2 s, and the latency objective is 5.5 s.
 	if actions := d.runTicks(700 * time.Millisecond); !contains[Cancel](actions) {
 		t.Fatalf("actions after twice the usual latency = %+v, want a cancel", actions)
 	}
@@ -222,6 +226,6 @@
 		t.Fatalf("sends = %+v, want one to another engine than %q", retries, first[0].Engine)
 	}
 	if actions := d.runTicks(5 * time.Second); contains[Cancel](actions) {
-		t.Fatalf("actions at the last attempt = %+v, want no cancel", actions)
+		t.Fatalf("actions during the last permitted attempt = %+v, want no cancel", actions)
 	}
 }
--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -15,8 +15,8 @@
 		d.handle(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * time.Millisecond, Final: true, Load: LoadReport{Reported: true, CPUUtilization: 1, InFlight: -1}})
 	}
 	d.runTicks(time.Second)
-	if got := d.g.aggregate.ceiling; got > ceilingFactor*d.g.aggregate.baseline+0.05*free {
-		t.Fatalf("aggregate ceiling = %v with all engines reported busy, %v without reports", got, free)
+	if got, want := d.g.aggregate.ceiling, ceilingFactor*d.g.aggregate.baseline+0.05*free; got > want {
+		t.Fatalf("aggregate ceiling = %v with all engines reported busy, want at most %v; %v without reports", got, want, free)
 	}
 }
 
@@ -29,12 +29,12 @@
 		d.handle(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: 50 * time.Millisecond, Final: true, Load: LoadReport{Reported: true, CPUUtilization: 0.2, InFlight: -1}})
 	}
 	if d.runTicks(time.Second); d.g.aggregate.ceiling < 1.5*before {
-		t.Fatalf("aggregate ceiling = %v with all engines reported idle, %v without reports", d.g.aggregate.ceiling, before)
+		t.Fatalf("aggregate ceiling = %v with all engines reported idle, want at least 1.5 times the %v without reports", d.g.aggregate.ceiling, before)
 	}
 }
 
 func TestLoadReportsSteerQueries(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 2))
 	if actions := d.arrive(1, "idempotent"); contains[RequestLoadReport](actions) {
 		t.Fatalf("actions = %+v, want no request for a load report where none is permitted", actions)
@@ -53,7 +53,7 @@
 		d.endAttempt(id, 0, ResultSuccess)
 	}
 	if requests < 28 {
-		t.Fatalf("%d requests with 40 queries while an engine is busy, want 28 at least", requests)
+		t.Fatalf("%d requests with 40 queries while an engine is busy, want at least 28", requests)
 	}
 	requests = 0
 	for id := uint64(100); id < 200; id++ {
@@ -64,13 +64,13 @@
 		}
 		d.endAttempt(id, 0, ResultSuccess)
 	}
-	if requests < 20 || requests > 70 { // some must go on, to find out when the load is back
+	if requests < 20 || requests > 70 { // some must continue, to detect when the load returns
 		t.Fatalf("%d requests with 100 queries while all are idle, want 20 to 70", requests)
 	}
 }
 
 func TestInvalidLoadReportsAreHarmless(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Limits.AllowLoadRequests, s.ReportsLoad = true, true
 	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 2))
 	for id, invalid := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
@@ -92,15 +92,15 @@
 		"reported in flight": d.g.traffic.reportedInFlight, "share": d.g.traffic.share(),
 	} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			t.Errorf("%s = %v, want a finite number from 0", name, v)
+			t.Errorf("%s = %v, want a finite number of at least 0", name, v)
 		}
 	}
 }
 
-// TestReportedFreeThreadsAreUsed has a gateway whose own share of an engine is full: it sends on while the engine
-// reports free threads, never more than a part of these, and less once the report is old.
+// TestReportedFreeThreadsAreUsed has a gateway that uses its whole share of an engine. It must send more
+// while the engine reports free threads, but only a part of these, and less once the report is old.
 func TestReportedFreeThreadsAreUsed(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Gateways, s.ProgressInterval, s.ReportsLoad = 8, 0, true
 	sent := func(inFlight float64, age time.Duration) (n int) {
 		d := newDriver(t, s, liveEngine("e", "a", 1))
@@ -118,7 +118,8 @@
 	old := sent(0, 5*time.Second)
 	followsReport := empty > half && half > unknown && old < half && old >= unknown && full <= unknown
 	if !followsReport {
-		t.Errorf("sent %d without a report, %d to an empty engine, %d to a half full one, %d on an old report, %d to a full one",
+		t.Errorf("sent %d without a report, %d to an empty engine, %d to a half full one, %d on an old report, %d to a full one; "+
+			"want empty > half full > no report, half full > old >= no report, full <= no report",
 			unknown, empty, half, old, full)
 	}
 	if empty >= 16 { // two threads for each of eight cores
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -13,7 +13,7 @@
 	grantStepDivisor = 10
 )
 
-// Priorities, from 0 to maxPriority. Twice the value over work is one step.
+// Priorities, from 0 to maxPriority. Doubling value over work raises the priority by one.
 const (
 	defaultPriority = 1   // of every query where engines don't honor priorities
 	meanPriority    = 2.5 // of a query of average value over work, before rounding
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestGrantFollowsReportedNeedOverBiasedEstimate(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.HonorsGrants, s.ReportsCost = true, true
 	d := newDriver(t, s, liveEngine("e", "a", 1))
 	var grant float64
@@ -35,29 +35,29 @@
 }
 
 func TestPriorityFollowsValueOverWork(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.HonorsPriority = true
 	d := newDriver(t, s, liveEngine("e", "a", 1))
 	id := uint64(0)
-	rank := func(work time.Duration) int {
+	priority := func(work time.Duration) int {
 		id++
 		actions := d.handle(QueryArrived{Query: id, Class: "idempotent", Work: work, Deadline: d.now + time.Second})
 		d.endAttempt(id, 0, ResultSuccess)
 		return grantIn(actions).Priority
 	}
 	for range 50 {
-		rank(100 * time.Millisecond)
+		priority(100 * time.Millisecond)
 	}
-	short := rank(40 * time.Millisecond)
-	usual := rank(100 * time.Millisecond)
-	long := rank(800 * time.Millisecond)
+	short := priority(40 * time.Millisecond)
+	usual := priority(100 * time.Millisecond)
+	long := priority(800 * time.Millisecond)
 	if short <= usual || usual <= long {
-		t.Fatalf("priorities of a short, a usual and a long query = %d, %d, %d, want them to fall", short, usual, long)
+		t.Fatalf("priorities of a short, a usual and a long query = %d, %d, %d, want them in descending order", short, usual, long)
 	}
 }
 
 func TestSpillsRaiseGrantsWithoutReportedCost(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.HonorsGrants = true
 	d := newDriver(t, s, liveEngine("e", "a", 1))
 	var grant float64
@@ -73,11 +73,12 @@
 	}
 }
 
-// TestDefaultGrantsWhereMemoryIsSwapped has no estimates. Where memory is swapped, the grant follows the reported need,
-// far beyond it: the rest costs nobody anything, and a query that gets less spills. Elsewhere the engine chooses.
+// TestDefaultGrantsWhereMemoryIsSwapped has queries without estimates. Where memory is swapped, the grant
+// must follow the reported need, far above it: the excess costs other queries nothing, and a query that
+// gets too little spills. Elsewhere the engine chooses.
 func TestDefaultGrantsWhereMemoryIsSwapped(t *testing.T) {
 	for shortage, want := range map[MemoryShortage]float64{ShortageSwap: swapGrantFactor * 100, ShortageQueue: 0, ShortageTrim: 0} {
-		s := settings()
+		s := testSettings()
 		s.MemoryShortage = shortage
 		s.HonorsGrants, s.ReportsCost = true, true
 		d := newDriver(t, s, liveEngine("e", "a", 1))
@@ -95,11 +96,12 @@
 	}
 }
 
-// TestGrantsAreBounded has queries that spill often and much: grants stay within the largest that one query gets. Where
-// engines trim grants and report no cost, a spill says nothing of the need, and the engine chooses.
+// TestGrantsAreBounded has queries that spill often and much. Grants must stay within the largest that one
+// query may get. Where engines trim grants and report no cost, a spill does not show the need, and the
+// engine chooses.
 func TestGrantsAreBounded(t *testing.T) {
 	for shortage, want := range map[MemoryShortage]float64{ShortageQueue: 3276, ShortageSwap: 3276, ShortageTrim: 0} {
-		s := settings()
+		s := testSettings()
 		s.HonorsGrants = true
 		s.MaxGrantFraction = 0.4
 		s.MemoryShortage = shortage
--- a/policy/ordered_keys_property_test.go
+++ b/policy/ordered_keys_property_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// TestOrderHoldsOverManyKeys has ordered queries that are not idempotent, over many keys, with results of every kind,
-// cancels whose end comes late or never, clients that disconnect, and engines that restart, drain and depart. Of a key,
-// no two queries may be in flight, none may go out of turn or within the pause after one that may still run, each is
-// answered by its deadline, and the next of a free key is sent or answered with the next tick.
+// TestOrderHoldsOverManyKeys runs ordered queries that are not idempotent over many keys, with results of
+// every kind, cancelled attempts that end late or never, clients that disconnect, and engines that restart,
+// drain and depart. For each key, no two queries may be in flight at once, and none may be sent out of
+// order or within the pause after an attempt that may still be running. Every query must be answered by its
+// deadline, and the next query of a free key must be sent or answered by the next tick.
 func TestOrderHoldsOverManyKeys(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		checkOrder(t, seed)
@@ -20,7 +21,7 @@
 
 func checkOrder(t *testing.T, seed uint64) {
 	t.Helper()
-	s := settings()
+	s := testSettings()
 	s.Classes = []Class{{Name: "load", LatencyObjective: time.Second, Timeout: 5 * time.Second, PriorityWeight: 5,
 		Threads: 1, Idempotency: NotIdempotent, Ordered: true}}
 	s.Gateways = 1
@@ -32,7 +33,7 @@
 	m := newRulesModel(t, s)
 	list := func(e Engine) {
 		m.state[e.ID], m.entries[e.ID] = e.State, e
-		m.apply(g.Handle(m.now, EngineList{Mode: ListChanges, Engines: []Engine{e}}, nil))
+		m.check(g.Handle(m.now, EngineList{Mode: ListChanges, Engines: []Engine{e}}, nil))
 	}
 	for n := range 4 {
 		list(liveEngine(fmt.Sprintf("e%d", n), "a", 0))
@@ -40,44 +41,45 @@
 	keys := 1 + rng.IntN(30)
 	for step := range 1500 {
 		m.now += time.Duration(rng.IntN(25)) * time.Millisecond
-		for _, q := range m.queries { // as the query's timer would
+		for _, q := range m.queries { // as the query's own timer does
 			if !q.answered && m.now >= q.deadline-s.CallInterval {
-				m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
+				m.check(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
 				if !q.answered {
-					m.failf("query %d is unanswered at its deadline", q.id)
+					m.failf("query %d has no final answer at its deadline, want one", q.id)
 				}
 			}
 		}
-		switch k := rng.IntN(20); {
-		case k < 7:
+		switch choice := rng.IntN(20); {
+		case choice < 7:
 			c := s.Classes[0]
-			patience := time.Duration(1+rng.IntN(int(c.Timeout/time.Millisecond))) * time.Millisecond
-			q := &modelQuery{id: uint64(step + 1), class: c, deadline: m.now + patience, key: strconv.Itoa(rng.IntN(keys))}
+			timeout := time.Duration(1+rng.IntN(int(c.Timeout/time.Millisecond))) * time.Millisecond
+			q := &modelQuery{id: uint64(step + 1), class: c, deadline: m.now + timeout, key: strconv.Itoa(rng.IntN(keys))}
 			m.add(q)
-			m.apply(g.Handle(m.now, QueryArrived{Query: q.id, Class: c.Name, Key: q.key, Deadline: q.deadline}, nil))
-		case k < 15 && len(m.queries) > 0:
+			m.check(g.Handle(m.now, QueryArrived{Query: q.id, Class: c.Name, Key: q.key, Deadline: q.deadline}, nil))
+		case choice < 15 && len(m.queries) > 0:
 			m.endAttempt(g, rng)
-		case k < 16 && len(m.queries) > 0:
+		case choice < 16 && len(m.queries) > 0:
 			if q := m.queries[rng.IntN(len(m.queries))]; !q.answered {
 				q.answered = true
-				m.apply(g.Handle(m.now, ClientDisconnected{Query: q.id}, nil))
+				m.check(g.Handle(m.now, ClientDisconnected{Query: q.id}, nil))
 			}
-		case k < 17:
+		case choice < 17:
 			e := liveEngine(fmt.Sprintf("e%d", rng.IntN(4)), "a", 0)
 			e.State = EngineState(rng.IntN(3))
 			e.StartKnown, e.Started = rng.IntN(2) == 0, m.now
 			list(e)
 		default:
-			m.apply(g.Handle(m.now, TimerFired{}, nil))
-			m.checkProgress()
+			m.check(g.Handle(m.now, TimerFired{}, nil))
+			m.checkNextOfKeys()
 		}
 	}
 	m.finish(g)
 }
 
-// checkProgress fails where the next query of a free key has not been sent: no earlier one of the key is unanswered, in
-// flight, or within the pause after one that may still run.
-func (m *rulesModel) checkProgress() {
+// checkNextOfKeys fails if the first query of a free key was neither sent nor answered. A key is free if no
+// earlier query of it is unanswered, in flight, or within the pause after an attempt that may still be
+// running.
+func (m *rulesModel) checkNextOfKeys() {
 	isHeld := map[string]bool{}
 	pause := m.settings.Rules.SettleTime + m.settings.CallInterval
 	for _, q := range m.queries {
@@ -85,7 +87,7 @@
 			continue
 		}
 		if !q.answered && len(q.attempts) == 0 {
-			m.failf("query %d is next of its key, and was neither sent nor answered", q.id)
+			m.failf("query %d is the next one of its key and was neither sent nor answered", q.id)
 		}
 		isHeld[q.key] = !q.answered
 		for _, attempt := range q.attempts {
--- a/policy/ordered_keys_test.go
+++ b/policy/ordered_keys_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestOrderedQueryWaitsForPredecessorToSettle(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 	arrive := func(id uint64) []Action {
 		return d.handle(QueryArrived{Query: id, Class: "ordered", Key: "x", Deadline: d.now + 5*time.Second})
 	}
--- a/policy/progress_test.go
+++ b/policy/progress_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestBadPlanIsCancelledOnce(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	d.handle(QueryArrived{Query: 1, Class: "wide", Deadline: d.now + 15*time.Second})
 	d.advance(time.Second)
 	if actions := d.handle(AttemptProgress{Query: 1, Kind: ProgressFraction, Value: 0.01}); !contains[Cancel](actions) {
@@ -20,7 +20,7 @@
 }
 
 func TestQueryProjectedPastDeadlineIsEndedEarly(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	d.arrive(1, "wide")
 	d.advance(time.Second).handle(AttemptProgress{Query: 1, Kind: ProgressFraction, Value: 0.01})
 	d.endAttempt(1, 0, ResultCancelled)
@@ -32,7 +32,7 @@
 }
 
 func TestLateQueryIsKeptWhenRetryWouldBeLate(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	d.arrive(1, "idempotent")
 	actions := d.advance(500 * time.Millisecond).handle(AttemptProgress{Query: 1, Kind: ProgressFraction, Value: 0.4})
 	if contains[Cancel](actions) {
@@ -50,11 +50,11 @@
 		{"wide", 2500 * time.Millisecond, false},
 		{"non-idempotent", 500 * time.Millisecond, false},
 	} {
-		d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
+		d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 		first := sendsIn(d.arrive(1, c.class))[0].Engine
 		actions := d.advance(c.after).handle(AttemptProgress{Query: 1, Kind: ProgressWaitingForDataLoad})
 		if contains[Cancel](actions) != c.moves {
-			t.Fatalf("class %s after %v: actions = %+v, want a cancel: %v", c.class, c.after, actions, c.moves)
+			t.Fatalf("class %s after %v: actions = %+v, want cancel = %v", c.class, c.after, actions, c.moves)
 		}
 		if c.moves {
 			if actions = d.endAttempt(1, 0, ResultCancelled); len(sendsIn(actions)) != 1 || sendsIn(actions)[0].Engine == first {
@@ -64,10 +64,11 @@
 	}
 }
 
-// TestQueryWaitingForMemoryMovesOnce moves a query that waits for memory a single time: where all engines are short of
-// it, each query would use up its attempts at once, and have none left for faults.
+// TestQueryWaitingForMemoryMovesOnce checks that a query that waits for memory is moved only once.
+// Otherwise, when all engines are short of memory, each query would use up its attempts at once and have
+// none left for faults.
 func TestQueryWaitingForMemoryMovesOnce(t *testing.T) {
-	d := newDriver(t, settings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1), liveEngine("g", "a", 1))
+	d := newDriver(t, testSettings(), liveEngine("e", "a", 1), liveEngine("f", "a", 1), liveEngine("g", "a", 1))
 	d.arrive(1, "wide")
 	if actions := d.handle(AttemptProgress{Query: 1, Kind: ProgressWaitingForMemory}); !contains[Cancel](actions) {
 		t.Fatalf("actions = %+v, want a cancel", actions)
@@ -78,28 +79,28 @@
 	}
 }
 
-func TestQueryWaitsWhenAllEnginesAreFull(t *testing.T) {
-	s := settings()
+func TestWaitingQueryStaysWhenAllEnginesAreFull(t *testing.T) {
+	s := testSettings()
 	s.ReportsLoad = true
 	for utilization, moves := range map[float64]bool{0.1: true, 1: false} {
 		d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 		d.arrive(1, "wide")
 		d.arrive(2, "idempotent")
-		for range 60 { // each report counts a fifth
+		for range 60 { // each report has a weight of 1/5 in the load level
 			d.handle(LoadReportReceived{Engine: "e", Result: ResultSuccess, Load: LoadReport{Reported: true, CPUUtilization: utilization, InFlight: -1}})
 		}
 		if actions := d.handle(AttemptProgress{Query: 1, Kind: ProgressWaitingForMemory}); contains[Cancel](actions) != moves {
-			t.Errorf("all engines at %v: actions = %+v, want a cancel: %v", utilization, actions, moves)
+			t.Errorf("all engines at utilization %v: actions = %+v, want cancel = %v", utilization, actions, moves)
 		}
 	}
 }
 
 func TestSlowCancelledAttemptsShrinkCeiling(t *testing.T) {
-	s := settings()
-	s.Limits.AllowHedging = true // else the attempt stays at the only engine
+	s := testSettings()
+	s.Limits.AllowHedging = true // otherwise the attempt stays at the only engine
 	d := newDriver(t, s, liveEngine("e", "a", 1))
 	before := d.g.enginesByID["e"].ceiling
-	for id := uint64(1); id < 9; id++ { // none of them ends with a response
+	for id := uint64(1); id < 9; id++ { // no attempt ends with a response
 		d.arrive(id, "wide")
 		d.advance(500 * time.Millisecond).handle(AttemptProgress{Query: id, Kind: ProgressFraction, Value: 0.01})
 		d.endAttempt(id, 0, ResultCancelled)
@@ -107,13 +108,13 @@
 		d.endAttempt(id, 1, ResultCancelled)
 	}
 	if d.runTicks(time.Second); d.g.enginesByID["e"].ceiling > 0.8*before {
-		t.Fatalf("ceiling = %v after eight attempts cancelled as slow, want less than 0.8 of %v", d.g.enginesByID["e"].ceiling, before)
+		t.Fatalf("ceiling = %v after eight attempts cancelled as slow, want at most 0.8 of %v", d.g.enginesByID["e"].ceiling, before)
 	}
 }
 
 func TestRetryBudgetIsNotSpentOnWaitingQueries(t *testing.T) {
 	for _, window := range []time.Duration{0, 10 * time.Second} {
-		s := settings()
+		s := testSettings()
 		s.Rules.RetryBudgetWindow = window
 		s.Rules.RetryBudgetBase = 5
 		d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 2))
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -16,7 +16,8 @@
 	"gannetspur/policy"
 )
 
-// analytics resembles a deployment of fast lookups, reports and loads whose engines tell much.
+// analytics returns the settings of a deployment with fast lookups, reports and data loads, whose engines
+// report their load, the cost of queries and their progress.
 func analytics() policy.Settings {
 	return policy.Settings{
 		Gateways: 3, Rank: 2, Zone: "a", OverQuotaWeight: 0.2, ProgressInterval: 500 * time.Millisecond,
@@ -43,7 +44,7 @@
 	}
 }
 
-// orders resembles a deployment of keyed and ordered writes whose engines tell nothing.
+// orders returns the settings of a deployment with keyed and ordered writes, whose engines report nothing.
 func orders() policy.Settings {
 	return policy.Settings{
 		Gateways: 6, Zone: "b", CallInterval: 10 * time.Millisecond, MemoryShortage: policy.ShortageTrim, SubscribeToList: true,
@@ -61,77 +62,79 @@
 	}
 }
 
-func changed(s policy.Settings, change func(*policy.Settings)) policy.Settings {
+// modified returns a copy of the settings after a change.
+func modified(s policy.Settings, change func(*policy.Settings)) policy.Settings {
 	change(&s)
 	return s
 }
 
+// scenarios returns the scenarios of the replay. Their names are those in testdata/replay.txt.
 func scenarios() []scenario {
-	fourWays, fiveWays := []float64{0.7, 0.15, 0.1, 0.05}, []float64{0.45, 0.15, 0.15, 0.15, 0.1}
+	analyticsMix, ordersMix := []float64{0.7, 0.15, 0.1, 0.05}, []float64{0.45, 0.15, 0.15, 0.15, 0.1}
 	return []scenario{
-		{name: "analytics", seed: 1, settings: analytics(), engines: 9, duration: 150 * time.Second, rate: 50, classMix: fourWays, estimate: 0.9, held: true, faults: 1},
-		{name: "analytics-no-notes", seed: 2, engines: 9, duration: 120 * time.Second, rate: 50, classMix: fourWays, estimate: 0.9, held: true, faults: 1,
-			settings: changed(analytics(), func(s *policy.Settings) { s.ProgressInterval, s.Rules.RetryBudgetWindow = 0, 0 })},
-		{name: "analytics-trim", seed: 3, engines: 9, duration: 100 * time.Second, rate: 60, classMix: fourWays, estimate: 0.7, faults: 2,
-			settings: changed(analytics(), func(s *policy.Settings) {
+		{name: "analytics", seed: 1, settings: analytics(), engines: 9, duration: 150 * time.Second, arrivalRate: 50, classMix: analyticsMix, estimateFraction: 0.9, reportsInFlight: true, faultFactor: 1},
+		{name: "analytics-no-notes", seed: 2, engines: 9, duration: 120 * time.Second, arrivalRate: 50, classMix: analyticsMix, estimateFraction: 0.9, reportsInFlight: true, faultFactor: 1,
+			settings: modified(analytics(), func(s *policy.Settings) { s.ProgressInterval, s.Rules.RetryBudgetWindow = 0, 0 })},
+		{name: "analytics-trim", seed: 3, engines: 9, duration: 100 * time.Second, arrivalRate: 60, classMix: analyticsMix, estimateFraction: 0.7, faultFactor: 2,
+			settings: modified(analytics(), func(s *policy.Settings) {
 				s.MemoryShortage, s.Limits.AllowLoadRequests, s.Limits.AllowHedging, s.Rules.RetryBudgetWindow = policy.ShortageTrim, false, false, 0
 			})},
-		{name: "analytics-swap", seed: 4, engines: 5, duration: 100 * time.Second, rate: 40, classMix: fourWays, estimate: 0.4, held: true, faults: 1,
-			settings: changed(analytics(), func(s *policy.Settings) { s.MemoryShortage, s.Rank, s.Tenants = policy.ShortageSwap, 0, nil })},
-		{name: "analytics-untold", seed: 5, engines: 12, duration: 100 * time.Second, rate: 70, classMix: fourWays, estimate: 0.5, faults: 1,
-			settings: changed(analytics(), func(s *policy.Settings) {
+		{name: "analytics-swap", seed: 4, engines: 5, duration: 100 * time.Second, arrivalRate: 40, classMix: analyticsMix, estimateFraction: 0.4, reportsInFlight: true, faultFactor: 1,
+			settings: modified(analytics(), func(s *policy.Settings) { s.MemoryShortage, s.Rank, s.Tenants = policy.ShortageSwap, 0, nil })},
+		{name: "analytics-untold", seed: 5, engines: 12, duration: 100 * time.Second, arrivalRate: 70, classMix: analyticsMix, estimateFraction: 0.5, faultFactor: 1,
+			settings: modified(analytics(), func(s *policy.Settings) {
 				s.ReportsCost, s.ReportsLoad, s.HonorsGrants, s.Limits.AllowCancel = false, false, true, false
 			})},
-		{name: "analytics-alone", seed: 6, engines: 4, duration: 100 * time.Second, rate: 90, classMix: fourWays, held: true, faults: 0.2,
-			settings: changed(analytics(), func(s *policy.Settings) { s.Gateways, s.Rank, s.HonorsPriority = 1, 1, false })},
-		{name: "analytics-many-gateways", seed: 7, engines: 30, duration: 100 * time.Second, rate: 20, classMix: fourWays, estimate: 1, held: true, faults: 1,
-			settings: changed(analytics(), func(s *policy.Settings) { s.Gateways, s.Rank, s.Limits.AllowHedging = 100, 37, false })},
-		{name: "orders", seed: 8, settings: orders(), engines: 12, duration: 150 * time.Second, rate: 60, classMix: fiveWays, faults: 1},
-		{name: "orders-notes", seed: 9, engines: 12, duration: 120 * time.Second, rate: 50, classMix: fiveWays, faults: 2, held: true,
-			settings: changed(orders(), func(s *policy.Settings) {
+		{name: "analytics-alone", seed: 6, engines: 4, duration: 100 * time.Second, arrivalRate: 90, classMix: analyticsMix, reportsInFlight: true, faultFactor: 0.2,
+			settings: modified(analytics(), func(s *policy.Settings) { s.Gateways, s.Rank, s.HonorsPriority = 1, 1, false })},
+		{name: "analytics-many-gateways", seed: 7, engines: 30, duration: 100 * time.Second, arrivalRate: 20, classMix: analyticsMix, estimateFraction: 1, reportsInFlight: true, faultFactor: 1,
+			settings: modified(analytics(), func(s *policy.Settings) { s.Gateways, s.Rank, s.Limits.AllowHedging = 100, 37, false })},
+		{name: "orders", seed: 8, settings: orders(), engines: 12, duration: 150 * time.Second, arrivalRate: 60, classMix: ordersMix, faultFactor: 1},
+		{name: "orders-notes", seed: 9, engines: 12, duration: 120 * time.Second, arrivalRate: 50, classMix: ordersMix, faultFactor: 2, reportsInFlight: true,
+			settings: modified(orders(), func(s *policy.Settings) {
 				s.ProgressInterval, s.MemoryShortage, s.ReportsLoad, s.Rules.RetryBudgetWindow = 250*time.Millisecond, policy.ShortageQueue, true, 0
 			})},
-		{name: "orders-never-cold", seed: 10, engines: 6, duration: 100 * time.Second, rate: 50, classMix: fiveWays, faults: 3,
-			settings: changed(orders(), func(s *policy.Settings) {
+		{name: "orders-never-cold", seed: 10, engines: 6, duration: 100 * time.Second, arrivalRate: 50, classMix: ordersMix, faultFactor: 3,
+			settings: modified(orders(), func(s *policy.Settings) {
 				s.Rules.OverloadWindow, s.Limits.AllowHedging, s.Limits.MaxAttempts, s.Limits.SendRetryAfter = 0, true, 0, false
 			})},
 	}
 }
 
-// writeSnapshot writes a snapshot to the journal, with its maps in the order of their keys.
-func (w *replayWorld) writeSnapshot(l policy.Snapshot) {
-	loop := func(k policy.ControllerSnapshot) string {
-		return fmt.Sprintf("%s %s %s %s %d", number(k.Limit), number(k.Alpha), number(k.LoadLevel), number(k.Slowdown), int64(k.BindingUntil))
+// writeSnapshot records a snapshot, with its maps in the order of their keys. The digest covers the text.
+func (sim *replaySimulation) writeSnapshot(s policy.Snapshot) {
+	formatController := func(k policy.ControllerSnapshot) string {
+		return fmt.Sprintf("%s %s %s %s %d", formatFloat(k.Limit), formatFloat(k.Alpha), formatFloat(k.LoadLevel), formatFloat(k.Slowdown), int64(k.BindingUntil))
 	}
-	w.journal(fmt.Sprintf("all %s %s %s %s %s %s %s %s %d", loop(l.Aggregate), number(l.DataSetTotal), number(l.MeanLogValue), number(l.MeanLoad),
-		number(l.MeanOwnInFlight), number(l.MeanReportedInFlight), number(l.ArrivalRate), number(l.MeanThreads), l.TickCount))
-	for _, set := range slices.Sorted(maps.Keys(l.DataSetCounts)) {
-		w.journal(fmt.Sprintf("set %d %s", set, number(l.DataSetCounts[set])))
+	sim.record(fmt.Sprintf("all %s %s %s %s %s %s %s %s %d", formatController(s.Aggregate), formatFloat(s.DataSetTotal), formatFloat(s.MeanLogValue), formatFloat(s.MeanLoad),
+		formatFloat(s.MeanOwnInFlight), formatFloat(s.MeanReportedInFlight), formatFloat(s.ArrivalRate), formatFloat(s.MeanThreads), s.TickCount))
+	for _, set := range slices.Sorted(maps.Keys(s.DataSetCounts)) {
+		sim.record(fmt.Sprintf("set %d %s", set, formatFloat(s.DataSetCounts[set])))
 	}
-	for _, c := range l.Classes {
-		w.journal(fmt.Sprintf("class %s %d %s %s %s %s %s %s %s", c.Name, c.ResponseCount, number(c.MeanLatencyMS), number(c.BaselineLatencyMS), number(c.MeanWorkMS),
-			number(c.LatencyDeviation), number(c.MeanEstimateMS), number(c.GrantMultiple), number(c.DefaultGrantMB)))
+	for _, c := range s.Classes {
+		sim.record(fmt.Sprintf("class %s %d %s %s %s %s %s %s %s", c.Name, c.ResponseCount, formatFloat(c.MeanLatencyMS), formatFloat(c.BaselineLatencyMS), formatFloat(c.MeanWorkMS),
+			formatFloat(c.LatencyDeviation), formatFloat(c.MeanEstimateMS), formatFloat(c.GrantMultiple), formatFloat(c.DefaultGrantMB)))
 	}
-	for _, e := range l.Engines {
-		w.journal(fmt.Sprintf("engine %s %s %s %d %d %s %d %d %d %d %d %d %d %d %d", e.ID, e.Zone, e.Kind, e.Cell, e.State, loop(e.Controller),
+	for _, e := range s.Engines {
+		sim.record(fmt.Sprintf("engine %s %s %s %d %d %s %d %d %d %d %d %d %d %d %d", e.ID, e.Zone, e.Kind, e.Cell, e.State, formatController(e.Controller),
 			int64(e.LastStart), int64(e.WarmUpUntil), int64(e.TurnsSince), int64(e.BudgetSpentUntil), int64(e.WarmUpUntilBefore), int64(e.LastHeard), int64(e.ReportedAt),
 			int64(e.ConnectionLostAt), int64(e.NextTrialAt)))
-		w.journal(fmt.Sprintf("%s %s %s %t %t %t %t", number(e.TurnOffset), number(e.ReportedLoad), number(e.FaultRate), e.RestartPresumed, e.EjectedForFaults, e.Ejected,
-			w.gateway.IsEjected(e.ID)))
+		sim.record(fmt.Sprintf("%s %s %s %t %t %t %t", formatFloat(e.TurnOffset), formatFloat(e.ReportedLoad), formatFloat(e.FaultRate), e.RestartPresumed, e.EjectedForFaults, e.Ejected,
+			sim.gateway.IsEjected(e.ID)))
 		for _, class := range slices.Sorted(maps.Keys(e.ClassBlockedUntil)) {
-			w.journal(fmt.Sprintf("mute %s %d", class, int64(e.ClassBlockedUntil[class])))
+			sim.record(fmt.Sprintf("mute %s %d", class, int64(e.ClassBlockedUntil[class])))
 		}
 		for _, set := range slices.Sorted(maps.Keys(e.DataSetLockedUntil)) {
-			w.journal(fmt.Sprintf("held %d %d", set, int64(e.DataSetLockedUntil[set])))
+			sim.record(fmt.Sprintf("held %d %d", set, int64(e.DataSetLockedUntil[set])))
 		}
 		for _, class := range slices.Sorted(maps.Keys(e.LostResponses)) {
-			w.journal(fmt.Sprintf("lost %s %d", class, e.LostResponses[class]))
+			sim.record(fmt.Sprintf("lost %s %d", class, e.LostResponses[class]))
 		}
 	}
 }
 
-// TestReplay plays seeded scenarios and compares a digest of all actions with the one that commit
-// c18a9bd gave: a change of structure must not change one decision.
+// TestReplay runs seeded scenarios and compares the digest of all actions with the one that commit c18a9bd
+// produced, as refactoring must not change any decision.
 func TestReplay(t *testing.T) {
 	t.Parallel()
 	file, err := os.Open("testdata/replay.txt")
@@ -151,9 +154,9 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			digest := sha256.New()
-			w := newReplayWorld(s, func(line string) { _, _ = io.WriteString(digest, line+"\n") })
-			w.run()
-			got := fmt.Sprintf("%d events, %d actions, %s", w.events, w.actions, hex.EncodeToString(digest.Sum(nil)))
+			sim := newReplaySimulation(s, func(line string) { _, _ = io.WriteString(digest, line+"\n") })
+			sim.run()
+			got := fmt.Sprintf("%d events, %d actions, %s", sim.events, sim.actions, hex.EncodeToString(digest.Sum(nil)))
 			if got != want[s.name] {
 				t.Errorf("replay = %s, want %s", got, want[s.name])
 			}
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestRetryBudgetLimitsRetries(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = time.Second, 1, 0.1
 	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 1))
 	d.arrive(1, "idempotent")
@@ -25,10 +25,10 @@
 		after time.Duration
 		want  bool
 	}{
-		{0, true},                             // one of two
+		{0, true},                             // one retry of two permitted
 		{time.Second - 1, true},               // the same
-		{time.Second, false},                  // the arrivals are out of the window, the retry is not
-		{time.Second + time.Nanosecond, true}, // the retry is out, too
+		{time.Second, false},                  // the arrivals are out of the window, but not the retry
+		{time.Second + time.Nanosecond, true}, // the retry is out of the window, too
 	} {
 		if got := b.allows(now + c.after); got != c.want {
 			t.Errorf("allows() after %v = %v, want %v", c.after, got, c.want)
--- a/policy/rules_property_test.go
+++ b/policy/rules_property_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// rulesModel checks the actions of a gateway against the rules, with a record of its own.
+// rulesModel checks the actions of a gateway against the rules, using its own record of events and actions.
 type rulesModel struct {
 	t        *testing.T
 	settings Settings
@@ -36,7 +36,7 @@
 	endedAt     time.Duration
 	inFlight    bool
 	mayHaveRun  bool
-	mayStillRun bool // ended without word of the engine
+	mayStillRun bool // ended without a message from the engine
 }
 
 func newRulesModel(t *testing.T, s Settings) *rulesModel {
@@ -55,18 +55,18 @@
 	m.t.Fatalf("at %v: %s", m.now, fmt.Sprintf(format, args...))
 }
 
-func (m *rulesModel) apply(actions []Action) {
+func (m *rulesModel) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			m.send(a)
 		case Grant:
 			if a.Priority < 0 || a.Priority > 3 || !(a.MemoryMB >= 0) {
-				m.failf("query %d: priority %d, grant %v", a.Query, a.Priority, a.MemoryMB)
+				m.failf("query %d: priority %d, grant %v MB, want a priority from 0 to 3 and a grant of at least 0", a.Query, a.Priority, a.MemoryMB)
 			}
 		case RequestLoadReport:
 			if !m.settings.Limits.AllowLoadRequests || m.state[a.Engine] != EngineLive {
-				m.failf("request for a load report of %s, want none", a.Engine)
+				m.failf("load report requested from %s, want none: not permitted or not live", a.Engine)
 			}
 		case Reject:
 			q := m.endQuery(a.Query)
@@ -74,7 +74,7 @@
 				q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == DedupAll
 			for _, attempt := range q.attempts {
 				if attempt.mayHaveRun && !isRepeatable {
-					m.failf("query %d rejected though it may have run", q.id)
+					m.failf("query %d rejected, want a Fail: an attempt may have run", q.id)
 				}
 			}
 		case Fail:
@@ -86,7 +86,7 @@
 func (m *rulesModel) endQuery(id uint64) *modelQuery {
 	q := m.byID[id]
 	if q == nil || q.answered {
-		m.failf("query %d has a second final answer", id)
+		m.failf("query %d has a second final answer or is unknown, want exactly one answer", id)
 	}
 	q.answered = true
 	return q
@@ -95,21 +95,21 @@
 func (m *rulesModel) send(a Send) {
 	q := m.byID[a.Query]
 	if q == nil || q.answered {
-		m.failf("query %d sent after its end", a.Query)
+		m.failf("query %d sent after its final answer", a.Query)
 	}
 	if m.state[a.Engine] != EngineLive {
 		m.failf("query %d sent to %s, which is not live", a.Query, a.Engine)
 	}
 	e := m.entries[a.Engine]
 	if !isAllowed(q.class.Zones, e.Zone) {
-		m.failf("query %d sent outside its zones", a.Query)
+		m.failf("query %d sent to %s, outside its zones", a.Query, a.Engine)
 	}
 	for _, attempt := range q.attempts {
 		if attempt.inFlight {
-			m.failf("query %d has two attempts in flight", a.Query)
+			m.failf("query %d has two attempts in flight, want at most one", a.Query)
 		}
 		if attempt.mayHaveRun && q.class.Idempotency == NotIdempotent {
-			m.failf("query %d sent again, though not idempotent", a.Query)
+			m.failf("query %d sent again, want a single attempt that runs: it is not idempotent", a.Query)
 		}
 		isDeduped := m.entries[attempt.engine].Cell == e.Cell && m.now-attempt.sentAt <= q.class.DedupWindow
 		if attempt.mayHaveRun && q.class.Idempotency == IdempotentWithKey && !isDeduped {
@@ -122,7 +122,7 @@
 		m.checkRetryBudget()
 	}
 	if len(q.attempts) >= m.settings.Limits.MaxAttempts {
-		m.failf("query %d has too many attempts", a.Query)
+		m.failf("query %d has more than %d attempts", a.Query, m.settings.Limits.MaxAttempts)
 	}
 	q.attempts = append(q.attempts, modelAttempt{engine: a.Engine, sentAt: m.now, inFlight: true, mayHaveRun: true})
 }
@@ -133,7 +133,7 @@
 	retries := count(m.retries, since)
 	allowed := rules.RetryBudgetBase + rules.RetryBudgetRatio*float64(count(m.arrivals, since))
 	if float64(retries) > allowed {
-		m.failf("%d retries within the window, want %v at most", retries, allowed)
+		m.failf("%d retries within the window, want at most %v", retries, allowed)
 	}
 }
 
@@ -158,18 +158,18 @@
 			continue
 		}
 		if !other.answered {
-			m.failf("query %d sent before query %d was over", q.id, other.id)
+			m.failf("query %d sent before earlier query %d of its key was answered", q.id, other.id)
 		}
 		for _, attempt := range other.attempts {
 			if attempt.inFlight || attempt.mayStillRun && m.now-attempt.endedAt < m.settings.Rules.SettleTime {
-				m.failf("query %d sent while query %d may run", q.id, other.id)
+				m.failf("query %d sent while earlier query %d of its key may still run", q.id, other.id)
 			}
 		}
 	}
 }
 
-// TestRulesHoldOnRandomEvents gives valid events in random order, with stale and repeated ones among them, and checks
-// the actions against each rule.
+// TestRulesHoldOnRandomEvents feeds valid events in random order, including stale and repeated ones, and
+// checks the actions against each rule.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		checkRules(t, seed)
@@ -178,9 +178,9 @@
 
 func checkRules(t *testing.T, seed uint64) {
 	t.Helper()
-	s := settings()
+	s := testSettings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetBase, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
-	if seed%2 == 0 { // no progress and reported load: retries come in bursts, at ticks and after pauses
+	if seed%2 == 0 { // without progress but with load reports, retries come in bursts, at ticks and after pauses
 		s.ProgressInterval, s.HonorsPriority, s.HonorsGrants = 0, true, true
 		s.Limits.AllowLoadRequests, s.ReportsLoad = true, true
 	}
@@ -197,7 +197,7 @@
 		for _, e := range engines {
 			m.state[e.ID], m.entries[e.ID] = e.State, e
 		}
-		m.apply(g.Handle(m.now, EngineList{Mode: mode, Engines: engines}, nil))
+		m.check(g.Handle(m.now, EngineList{Mode: mode, Engines: engines}, nil))
 	}
 	engine := func() Engine {
 		n := rng.IntN(5)
@@ -216,25 +216,25 @@
 		if rng.IntN(100) == 0 {
 			m.now += time.Duration(rng.IntN(3000)) * time.Millisecond
 		}
-		switch k := rng.IntN(10); {
-		case k < 4:
+		switch choice := rng.IntN(10); {
+		case choice < 4:
 			c := s.Classes[rng.IntN(len(s.Classes))]
 			q := &modelQuery{id: next, class: c, deadline: m.now + c.Timeout, key: string(rune('x' + rng.IntN(2)))}
 			m.add(q)
 			m.arrivals = append(m.arrivals, m.now)
-			m.apply(g.Handle(m.now, QueryArrived{Query: next, Class: c.Name, Key: q.key, Deadline: q.deadline,
+			m.check(g.Handle(m.now, QueryArrived{Query: next, Class: c.Name, Key: q.key, Deadline: q.deadline,
 				Work: time.Duration(rng.IntN(3000)) * time.Millisecond, MemoryMB: rng.Float64() * 500}, nil))
 			next++
-		case k < 7 && len(m.queries) > 0:
+		case choice < 7 && len(m.queries) > 0:
 			m.endAttempt(g, rng)
-		case k < 8:
-			m.apply(g.Handle(m.now, TimerFired{}, nil))
-			m.apply(g.Handle(m.now, TimerFired{Token: rng.Uint64N(next + 2)}, nil))
-		case k < 9 && len(m.queries) > 0:
+		case choice < 8:
+			m.check(g.Handle(m.now, TimerFired{}, nil))
+			m.check(g.Handle(m.now, TimerFired{Token: rng.Uint64N(next + 2)}, nil))
+		case choice < 9 && len(m.queries) > 0:
 			q := m.queries[rng.IntN(len(m.queries))]
-			m.apply(g.Handle(m.now, AttemptProgress{Query: q.id, Attempt: rng.IntN(3),
+			m.check(g.Handle(m.now, AttemptProgress{Query: q.id, Attempt: rng.IntN(3),
 				Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
-			m.apply(g.Handle(m.now, LoadReportReceived{Engine: fmt.Sprintf("e%d", rng.IntN(7)),
+			m.check(g.Handle(m.now, LoadReportReceived{Engine: fmt.Sprintf("e%d", rng.IntN(7)),
 				Load: LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUUtilization: 1}}, nil))
 		case rng.IntN(3) == 0:
 			list(ListFull, engine(), engine())
@@ -245,7 +245,7 @@
 	m.finish(g)
 }
 
-// endAttempt ends one attempt that is in flight, or repeats the end of another.
+// endAttempt ends one attempt that is in flight, or repeats the end of one that has ended.
 func (m *rulesModel) endAttempt(g *Gateway, rng *rand.Rand) {
 	q := m.queries[rng.IntN(len(m.queries))]
 	if len(q.attempts) == 0 {
@@ -265,18 +265,18 @@
 			q.answered = true
 		}
 	}
-	m.apply(g.Handle(m.now, AttemptEnded{Query: q.id, Attempt: n, Result: result, Elapsed: m.now - attempt.sentAt, Final: q.answered}, nil))
+	m.check(g.Handle(m.now, AttemptEnded{Query: q.id, Attempt: n, Result: result, Elapsed: m.now - attempt.sentAt, Final: q.answered}, nil))
 }
 
-// finish lets all deadlines pass: each query must then have its final answer.
+// finish advances past all deadlines, after which each query must have its final answer.
 func (m *rulesModel) finish(g *Gateway) {
 	for _, q := range m.queries {
 		m.now = max(m.now, q.deadline)
 	}
 	for _, q := range m.queries {
-		m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
+		m.check(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
 		if !q.answered {
-			m.failf("query %d has no final answer", q.id)
+			m.failf("query %d has no final answer after its deadline, want one", q.id)
 		}
 	}
 }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -15,7 +15,8 @@
 	maxLineWidth = 110 // characters, with a tab as four
 )
 
-// TestDeployFileNamesAllFiles compares the files of the package with those that the deploy file names as the decisions.
+// TestDeployFileNamesAllFiles checks that the deploy file lists exactly the source files of this package
+// under the key policy.
 func TestDeployFileNamesAllFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -23,27 +24,27 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml has no line policy = [...], want one that lists the files")
 	}
 	var named []string
 	for _, path := range regexp.MustCompile(`"policy/([^"]+)"`).FindAllSubmatch(line[1], -1) {
 		named = append(named, string(path[1]))
 	}
 	if want := programFiles(t); !slices.Equal(named, want) {
-		t.Errorf("the deploy file names %v, want %v", named, want)
+		t.Errorf("the deploy file lists %v, want %v", named, want)
 	}
 }
 
-// TestFilesStaySmall holds the size of each file, and the width of its lines.
+// TestFilesStaySmall limits the length of each source file and the width of its lines.
 func TestFilesStaySmall(t *testing.T) {
 	for _, name := range programFiles(t) {
 		if lines := countLines(t, name); lines > maxFileLines {
-			t.Errorf("%s has %d lines, want %d at most", name, lines, maxFileLines)
+			t.Errorf("%s has %d lines, want at most %d", name, lines, maxFileLines)
 		}
 	}
 }
 
-// programFiles returns the names of the package's files but for its tests, in order.
+// programFiles returns the names of the package's source files in order, without the tests.
 func programFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -53,7 +54,7 @@
 	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// countLines returns the number of lines, and reports those that are too wide.
+// countLines returns the number of lines of a file, and fails the test for each line that is too wide.
 func countLines(t *testing.T, name string) (count int) {
 	t.Helper()
 	file, err := os.Open(name)
@@ -65,7 +66,7 @@
 		count++
 		text := lines.Text()
 		if width := len(strings.ReplaceAll(text, "\t", "    ")); width > maxLineWidth {
-			t.Errorf("%s: a line of %d characters, want %d at most: %s", name, width, maxLineWidth, text)
+			t.Errorf("%s: a line of %d characters, want at most %d: %s", name, width, maxLineWidth, text)
 		}
 	}
 	return count
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWarmUpBudgetLimitsWork(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	d := newDriver(t, s, liveEngine("warm", "a", 1))
 	cold := liveEngine("cold", "a", 1)
 	cold.Started, cold.StartKnown = d.now+5*time.Second, true
@@ -23,16 +23,16 @@
 	}
 }
 
-// TestWarmUpBudgetOfManyGateways adds up what all gateways together send one engine that warms up within any overload
-// window, with much to send and of all sizes. Where the engine was down before, a failed connection began a warm-up at
-// each gateway, and the start that the list reports must begin another.
+// TestWarmUpBudgetOfManyGateways sums what all gateways send to one warming engine within any overload
+// window, with plenty of queries of all sizes. If the engine was down before, a failed connection has
+// already begun a warm-up at each gateway, and the start that the list reports must begin a new one.
 func TestWarmUpBudgetOfManyGateways(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
 		wasDown  bool
 	}{{2, false}, {9, false}, {40, false}, {200, false}, {9, true}, {40, true}, {200, true}} {
 		n, down := c.gateways, c.wasDown
-		s := settings()
+		s := testSettings()
 		s.Gateways = n
 		cold := liveEngine("cold", "a", 1)
 		cold.Started, cold.StartKnown = time.Minute, true
@@ -77,7 +77,7 @@
 		}
 		limit := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * milliseconds(s.Rules.OverloadWindow)
 		if largest > limit || total < 0.1*limit*float64(s.Rules.WarmUpPeriod/s.Rules.OverloadWindow) {
-			t.Errorf("%d gateways: %.0f ms of work within a window, %.0f in all; the limit of a window is %.0f", n, largest, total, limit)
+			t.Errorf("%d gateways: %.0f ms of work within a window, %.0f in all, want at most %.0f in any window and at least a tenth of that on average", n, largest, total, limit)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	d.arrive(1, "idempotent")
 	d.endAttempt(1, 0, ResultConnectionLost)
 	work := 0.0
-	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may have restarted
+	for id := uint64(2); id < 200; id++ { // all at once, while the engine may have restarted
 		for range sendsIn(d.arrive(id, "idempotent")) {
 			work += d.g.classes["idempotent"].workMS
 			d.endAttempt(id, 0, ResultSuccess)
@@ -97,15 +97,15 @@
 	}
 	budget := s.Rules.OverloadMultiple * s.Rules.WarmUpMinCapacity * 8 * 2000 / 200
 	if work > budget+d.g.classes["idempotent"].workMS {
-		t.Fatalf("%v ms of work after a broken connection, want this gateway's part of the warm-up budget, %v", work, budget)
+		t.Fatalf("sent %v ms of work after a broken connection, want at most this gateway's part of the warm-up budget, %v, and one query", work, budget)
 	}
 }
 
-// TestConnectTimeoutPresumesNoRestartAfterContact has a connection that is not up in time: its engine may have
-// restarted, unless it has just responded on another connection.
+// TestConnectTimeoutPresumesNoRestartAfterContact has a connection that times out while being established.
+// The engine may have restarted, unless it has just responded on another connection.
 func TestConnectTimeoutPresumesNoRestartAfterContact(t *testing.T) {
 	for silence, want := range map[time.Duration]bool{500 * time.Millisecond: false, 3 * time.Second: true} {
-		d := newDriver(t, settings(), liveEngine("e", "a", 1))
+		d := newDriver(t, testSettings(), liveEngine("e", "a", 1))
 		d.advance(3 * time.Second).handle(TimerFired{})
 		d.arrive(1, "idempotent")
 		d.endAttempt(1, 0, ResultSuccess)
--- a/policy/snapshot_encoding_test.go
+++ b/policy/snapshot_encoding_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// encodedSnapshot is what testdata/snapshot-c18a9bd.hex holds: every field has a value of its own, and
-// each map one entry, as maps are encoded in no fixed order.
+// encodedSnapshot returns the content of testdata/snapshot-c18a9bd.hex. Every field has a different value,
+// and each map has a single entry, since maps are encoded in no fixed order.
 func encodedSnapshot() policy.Snapshot {
 	return policy.Snapshot{
 		Classes: []policy.ClassSnapshot{{Name: "lookup", ResponseCount: 101, MeanLatencyMS: 102.5, BaselineLatencyMS: 103.5, MeanWorkMS: 104.5, LatencyDeviation: 0.105, MeanEstimateMS: 106.5,
@@ -50,7 +50,8 @@
 	return b
 }
 
-// TestDecodeSnapshotOfEarlierVersion decodes what commit c18a9bd encoded, and encodes it to the same bytes.
+// TestDecodeSnapshotOfEarlierVersion decodes the snapshot that commit c18a9bd encoded, and encodes it to
+// the same bytes.
 func TestDecodeSnapshotOfEarlierVersion(t *testing.T) {
 	b := encodedFixture(t)
 	var got policy.Snapshot
@@ -69,14 +70,14 @@
 	}
 }
 
-// TestDecodeDamagedSnapshot cuts the snapshot short at each length, which is an error, and flips each bit: what still
-// decodes must not make a gateway panic.
+// TestDecodeDamagedSnapshot truncates the snapshot at each length, which must be an error, and flips each
+// bit. A damaged snapshot that still decodes must not make a gateway panic.
 func TestDecodeDamagedSnapshot(t *testing.T) {
 	b := encodedFixture(t)
 	for n := range b {
 		var l policy.Snapshot
 		if err := cbor.Unmarshal(b[:n], &l); err == nil {
-			t.Errorf("snapshot cut to %d of %d bytes decoded without an error", n, len(b))
+			t.Errorf("snapshot truncated to %d of %d bytes decoded without an error, want one", n, len(b))
 		}
 	}
 	for bit := range 8 * len(b) {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,15 +7,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// snapshotFleet drives several gateways of the same settings on one clock. Engine good serves at once, and engine bad
-// breaks every connection.
-type snapshotFleet struct {
+// snapshotFixture runs several gateways of the same settings on one clock. Engine "good" serves every query
+// at once, and engine "bad" breaks every connection.
+type snapshotFixture struct {
 	settings Settings
 	now      time.Duration
 }
 
-func newSnapshotFleet() *snapshotFleet {
-	return &snapshotFleet{now: time.Hour, settings: Settings{
+func newSnapshotFixture() *snapshotFixture {
+	return &snapshotFixture{now: time.Hour, settings: Settings{
 		Gateways: 1, CallInterval: 5 * time.Millisecond, ReportsLoad: true,
 		Classes: []Class{{Name: "lookup", LatencyObjective: time.Second, Timeout: 6 * time.Second,
 			PriorityWeight: 1, Threads: 1, Idempotency: Idempotent}},
@@ -24,7 +24,7 @@
 	}}
 }
 
-func (f *snapshotFleet) newGateway(t *testing.T, seed uint64) *Gateway {
+func (f *snapshotFixture) newGateway(t *testing.T, seed uint64) *Gateway {
 	t.Helper()
 	g, err := New(f.settings, seed)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return g
 }
 
-func (f *snapshotFleet) list(g *Gateway) {
+func (f *snapshotFixture) list(g *Gateway) {
 	f.handle(g, EngineList{Mode: ListFull, Engines: []Engine{
 		{ID: "good", Kind: "std", State: EngineLive},
 		{ID: "bad", Kind: "std", State: EngineLive},
@@ -41,17 +41,17 @@
 	}})
 }
 
-func (f *snapshotFleet) handle(g *Gateway, ev Event) []Action {
+func (f *snapshotFixture) handle(g *Gateway, ev Event) []Action {
 	f.now += 5 * time.Millisecond
 	return g.Handle(f.now, ev, nil)
 }
 
-func (f *snapshotFleet) arrive(g *Gateway, id uint64) []Action {
+func (f *snapshotFixture) arrive(g *Gateway, id uint64) []Action {
 	return f.handle(g, QueryArrived{Query: id, Class: "lookup", Deadline: f.now + 6*time.Second})
 }
 
-// serve has a query arrive and ends its attempts until it is answered.
-func (f *snapshotFleet) serve(g *Gateway, id uint64) {
+// serve handles the arrival of a query and ends its attempts until it is answered.
+func (f *snapshotFixture) serve(g *Gateway, id uint64) {
 	sends := sendsIn(f.arrive(g, id))
 	for attempt := 0; len(sends) > 0; attempt++ {
 		ev := AttemptEnded{Query: id, Attempt: attempt, Result: ResultSuccess, Final: true, Elapsed: 50 * time.Millisecond}
@@ -62,8 +62,8 @@
 	}
 }
 
-// sendsToBad counts how many of ten queries go to the engine that breaks connections.
-func (f *snapshotFleet) sendsToBad(g *Gateway) (count int) {
+// sendsToBad returns how many of ten queries go to the engine that breaks connections.
+func (f *snapshotFixture) sendsToBad(g *Gateway) (count int) {
 	for id := uint64(1000); id < 1010; id++ {
 		for _, send := range sendsIn(f.arrive(g, id)) {
 			if send.Engine == "bad" {
@@ -75,10 +75,11 @@
 	return count
 }
 
-// TestSnapshotRestoresLearnedState restores the snapshot of one gateway in another: its own snapshot must be the same,
-// and it must choose engines as the first would. Classes that it has no settings for are skipped.
+// TestSnapshotRestoresLearnedState restores the snapshot of one gateway in another. The second gateway must
+// then return the same snapshot, and avoid the bad engine as the first one does. Classes that it has no
+// settings for must be skipped.
 func TestSnapshotRestoresLearnedState(t *testing.T) {
-	f := newSnapshotFleet()
+	f := newSnapshotFixture()
 	first := f.newGateway(t, 1)
 	f.list(first)
 	for id := uint64(1); id < 200; id++ {
@@ -99,6 +100,6 @@
 	f.list(fresh)
 	with, without := f.sendsToBad(restored), f.sendsToBad(fresh)
 	if with >= without || without == 0 {
-		t.Errorf("of ten queries, %d went to the bad engine with a snapshot, want fewer than the %d without", with, without)
+		t.Errorf("of ten queries, %d went to the bad engine with a snapshot, want fewer than the %d without one", with, without)
 	}
 }
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestValidateNamesSettingsKey checks that an error says which key of the settings file is at fault.
+// TestValidateNamesSettingsKey checks that the error for an invalid setting names its key in the settings
+// file.
 func TestValidateNamesSettingsKey(t *testing.T) {
 	for want, damage := range map[string]func(*Settings){
 		"balancers":                func(s *Settings) { s.Gateways = 0 },
@@ -23,7 +24,7 @@
 		"contract.extra-free":      func(s *Settings) { s.Rules.RetryBudgetBase = -1 },
 		"contract.resend-ratio":    func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
 	} {
-		s := settings()
+		s := testSettings()
 		damage(&s)
 		_, err := New(s, 1)
 		var got *SettingsError
--- a/policy/warmup_simulation_test.go
+++ b/policy/warmup_simulation_test.go
@@ -14,49 +14,50 @@
 	simWarmEngines    = 8
 	simWarmingEngines = 4
 	simCores          = 8
-	simCapacityPart   = 0.85 // of its cores that an engine's capacity counts
-	simBegin          = time.Hour
-	simDeparture      = simBegin + 10*time.Second
+	simCapacityFactor = 0.85 // fraction of its cores that makes up an engine's capacity
+	simStart          = time.Hour
+	simDeparture      = simStart + 10*time.Second
 	simReturn         = simDeparture + 8*time.Second
 	simEnd            = simReturn + 12*time.Second
-	simListDelay      = 1500 * time.Millisecond // until a gateway knows of a change, at most
+	simListDelay      = 1500 * time.Millisecond // longest delay until a gateway learns of a change
 	simMinCapacity    = 0.33
-	simTraffic        = 1.1 // of what all engines bear, so that all that may go to a warming engine does
+	simTrafficFactor  = 1.1 // over the capacity of all engines, so that each warming engine gets all that the gateways may send it
 	simWorkVariation  = 1.2 // coefficient of variation of a query's work
 	simDataSets       = 20
 )
 
-// simClass is a class's part of the traffic and its mean work.
+// simClass is one query class of the simulated traffic.
 type simClass struct {
 	name   string
-	share  float64
-	workMS float64
+	share  float64 // relative part of the traffic
+	workMS float64 // mean work, summed over the threads of a query
 }
 
 func simClasses() []simClass {
 	return []simClass{{"lookup", 14, 220}, {"report", 2.4, 3000}, {"load", 0.9, 3000}}
 }
 
-// warmUpSimulation is a fleet of gateways in virtual time. Some engines depart and return together while traffic goes
-// on, and warm up. Each gateway knows what the list tells it, and what becomes of its own queries.
+// warmUpSimulation runs a group of gateways in virtual time. Some engines depart and return together under
+// continuing traffic, and warm up. Each gateway knows only what the engine list and its own queries tell
+// it.
 type warmUpSimulation struct {
-	seed           uint64
-	gatewayCount   int
-	restartedPart  float64 // of the gateways, which restart with nothing learned while the engines are away
-	skew           float64 // the busiest gateways' traffic over the mean
-	overloadWindow time.Duration
+	seed              uint64
+	gatewayCount      int
+	restartedFraction float64 // of the gateways; they restart without a snapshot while the engines are away
+	skew              float64 // traffic of the busiest gateways over the mean
+	overloadWindow    time.Duration
 
 	settings   Settings
 	random     *rand.Rand
 	now        time.Duration
 	events     simEvents
 	gateways   []*Gateway
-	weights    []float64 // of the gateways in the traffic
+	weights    []float64 // relative traffic of each gateway
 	weightSum  float64
 	shareSum   float64
 	meanWorkMS float64
 	queries    []simQuery
-	deliveries [][]simDelivery // to each engine, since the return
+	deliveries [][]simDelivery // queries sent to each engine since the return
 }
 
 type simQuery struct {
@@ -64,7 +65,7 @@
 	workMS float64
 }
 
-// simDelivery is a query that was sent to an engine, in queries of mean work.
+// simDelivery is a query that was sent to an engine. Its weight is in queries of mean work.
 type simDelivery struct {
 	at     time.Duration
 	weight float64
@@ -92,10 +93,10 @@
 	heap.Push(&s.events, simEvent{s.now + d, run})
 }
 
-// run plays the simulation to its end.
+// run runs the simulation to its end.
 func (s *warmUpSimulation) run() {
 	s.random = rand.New(rand.NewPCG(s.seed, 7))
-	s.now = simBegin
+	s.now = simStart
 	s.deliveries = make([][]simDelivery, simWarmEngines+simWarmingEngines)
 	for _, c := range simClasses() {
 		s.shareSum += c.share
@@ -135,7 +136,7 @@
 	}
 }
 
-// startGateway starts a gateway, and plans what it will be told of the engines.
+// startGateway starts a gateway and schedules the engine lists that it will receive.
 func (s *warmUpSimulation) startGateway(i int) {
 	settings := s.settings
 	settings.Rank = i + 1
@@ -145,7 +146,7 @@
 	s.list(i, EngineLive, 0)
 	s.after(time.Duration(s.random.Int64N(int64(tickInterval))), func() { s.tick(i) })
 	s.after(simDeparture-s.now+s.listDelay(), func() {
-		if s.random.Float64() < s.restartedPart {
+		if s.random.Float64() < s.restartedFraction {
 			s.gateways[i], _ = New(settings, s.seed<<10+uint64(i)+1<<40)
 		}
 		s.list(i, EngineDeparted, 0)
@@ -157,7 +158,7 @@
 	return time.Duration(s.random.Int64N(int64(simListDelay)))
 }
 
-// list tells a gateway of all engines, with the state and the start of those that warm up.
+// list sends a gateway the list of all engines, with the given state and start time of the warming ones.
 func (s *warmUpSimulation) list(i int, state EngineState, started time.Duration) {
 	ev := EngineList{Mode: ListFull}
 	for e := range simWarmEngines + simWarmingEngines {
@@ -177,7 +178,7 @@
 	s.after(tickInterval, func() { s.tick(i) })
 }
 
-// arrive gives a query to one of the gateways, and draws the time of the next.
+// arrive sends a query to one of the gateways and schedules the next one.
 func (s *warmUpSimulation) arrive() {
 	gateway := s.drawGateway()
 	class := s.drawClass()
@@ -190,7 +191,7 @@
 			s.handle(gateway, QueryArrived{Query: id, Class: c.Name, DataSet: int64((id + 1) % simDataSets), Deadline: s.now + c.Timeout})
 		}
 	}
-	perSecond := simTraffic * simCapacityPart * simCores * (simWarmEngines + simWarmingEngines) * 1000 / s.meanWorkMS
+	perSecond := simTrafficFactor * simCapacityFactor * simCores * (simWarmEngines + simWarmingEngines) * 1000 / s.meanWorkMS
 	s.after(time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second)), s.arrive)
 }
 
@@ -213,7 +214,7 @@
 	return class
 }
 
-// handle gives an event to a gateway, and plans the end of each attempt.
+// handle passes an event to a gateway and schedules the end of each attempt that it sends.
 func (s *warmUpSimulation) handle(i int, ev Event) {
 	g := s.gateways[i]
 	for _, a := range g.Handle(s.now, ev, nil) {
@@ -234,7 +235,7 @@
 		s.deliveries[engine] = append(s.deliveries[engine], simDelivery{s.now, q.class.workMS / s.meanWorkMS})
 	}
 	elapsed := time.Duration(q.workMS / g.classes[q.class.name].Threads * float64(time.Millisecond))
-	if engine >= simWarmEngines && s.now >= simReturn { // it runs at a part of its speed
+	if engine >= simWarmEngines && s.now >= simReturn { // a warming engine is slower
 		elapsed = time.Duration(float64(elapsed) / simMinCapacity)
 	}
 	work := time.Duration(q.workMS * float64(time.Millisecond))
@@ -245,11 +246,11 @@
 	})
 }
 
-// worstOverload is the most that an engine that warms up was sent within an overload window, over what it bears:
-// N + 2 sqrt(N) + 2 queries of mean work, N being what the settings allow at its start. It returns too how many
-// queries all these engines were sent.
+// worstOverload returns the largest load that a warming engine was sent within an overload window, over
+// what it can take: N + 2 sqrt(N) + 2 queries of mean work, where N is what the settings allow at its
+// start. It also returns how many queries all warming engines were sent.
 func (s *warmUpSimulation) worstOverload() (overload float64, sent int) {
-	allowed := s.settings.Rules.OverloadMultiple * simMinCapacity * simCapacityPart * simCores * milliseconds(s.overloadWindow) / s.meanWorkMS
+	allowed := s.settings.Rules.OverloadMultiple * simMinCapacity * simCapacityFactor * simCores * milliseconds(s.overloadWindow) / s.meanWorkMS
 	bearable := allowed + 2*math.Sqrt(allowed) + 2
 	for _, all := range s.deliveries[simWarmEngines:] {
 		sent += len(all)
@@ -266,16 +267,16 @@
 	return overload, sent
 }
 
-// TestWarmUpBudgetInSimulation checks that all gateways together, two or three hundred, overload no engine that warms
-// up: with even traffic and with a few times the mean at some, with queries far larger than the mean, and where most
-// gateways have just started and know no cost.
+// TestWarmUpBudgetInSimulation checks that 2 to 300 gateways together overload no warming engine: with even
+// and with uneven traffic, with queries far larger than the mean, and when most gateways have just started
+// and know no cost.
 func TestWarmUpBudgetInSimulation(t *testing.T) {
 	for _, gateways := range []int{2, 3, 6, 12, 30, 100, 300} {
-		for _, restartedPart := range []float64{0, 0.7} {
+		for _, restartedFraction := range []float64{0, 0.7} {
 			worst, sent := 0.0, 0
 			for seed := range uint64(4 - min(gateways/100, 1)*2) {
 				s := warmUpSimulation{
-					seed: seed, gatewayCount: gateways, restartedPart: restartedPart, skew: []float64{1, 4}[seed%2],
+					seed: seed, gatewayCount: gateways, restartedFraction: restartedFraction, skew: []float64{1, 4}[seed%2],
 					overloadWindow: []time.Duration{time.Second, 3 * time.Second}[seed/2%2],
 				}
 				s.run()
@@ -284,8 +285,8 @@
 				sent += count
 			}
 			if worst > 1 || sent == 0 {
-				t.Errorf("%d gateways, %.1f of them restarted: worst overload = %.2f after %d queries, want 1 at most after some",
-					gateways, restartedPart, worst, sent)
+				t.Errorf("%d gateways, %.1f of them restarted: worst overload = %.2f after %d queries, want at most 1 after more than 0",
+					gateways, restartedFraction, worst, sent)
 			}
 		}
 	}
