--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -117,7 +117,7 @@
 	}
 	for _, e := range s.Engines {
 		sim.record(fmt.Sprintf("engine %s %s %s %d %d %s %d %d %d %d %d %d %d %d %d", e.ID, e.Zone, e.Kind, e.Cell, e.State, formatController(e.Controller),
-			int64(e.LastStart), int64(e.WarmUpUntil), int64(e.TurnsSince), int64(e.BudgetSpentUntil), int64(e.WarmUpUntilBefore), int64(e.LastHeard), int64(e.ReportedAt),
+			int64(e.LastStart), int64(e.WarmUpUntil), int64(e.TurnsSince), int64(e.BudgetSpentUntil), int64(e.PreviousWarmUpUntil), int64(e.LastHeard), int64(e.ReportedAt),
 			int64(e.ConnectionLostAt), int64(e.NextTrialAt)))
 		sim.record(fmt.Sprintf("%s %s %s %t %t %t %t", formatFloat(e.TurnOffset), formatFloat(e.ReportedLoad), formatFloat(e.FaultRate), e.RestartPresumed, e.EjectedForFaults, e.Ejected,
 			sim.gateway.IsEjected(e.ID)))
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -69,12 +69,12 @@
 	TurnsSince time.Duration `cbor:"ColdTold"`
 	// BudgetSpentUntil is the instant until which the warm-up budget is spent.
 	BudgetSpentUntil time.Duration `cbor:"ColdNext"`
-	// WarmUpUntilBefore is the value of WarmUpUntil before a restart was presumed.
-	WarmUpUntilBefore time.Duration `cbor:"ColdWas"`
-	LastHeard         time.Duration `cbor:"Heard"`   // latest message from the engine
-	ReportedAt        time.Duration `cbor:"ToldAt"`  // latest load report; 0: none
-	ConnectionLostAt  time.Duration `cbor:"LostAt"`  // latest failed connection; 0: never
-	NextTrialAt       time.Duration `cbor:"TrialAt"` // earliest next trial while it is ejected
+	// PreviousWarmUpUntil is the value of WarmUpUntil before a restart was presumed.
+	PreviousWarmUpUntil time.Duration `cbor:"ColdWas"`
+	LastHeard           time.Duration `cbor:"Heard"`   // latest message from the engine
+	ReportedAt          time.Duration `cbor:"ToldAt"`  // latest load report; 0: none
+	ConnectionLostAt    time.Duration `cbor:"LostAt"`  // latest failed connection; 0: never
+	NextTrialAt         time.Duration `cbor:"TrialAt"` // earliest next trial while it is ejected
 	// TurnOffset is the position of the gateway in the cycle of turns, from 0 to 1.
 	TurnOffset   float64 `cbor:"Draw"`
 	ReportedLoad float64 `cbor:"Load"`   // threads per core
@@ -204,26 +204,26 @@
 
 func (e *engine) snapshot() EngineSnapshot {
 	s := EngineSnapshot{
-		Engine:             Engine{ID: e.id, Zone: e.zone, Kind: e.kind, Cell: e.cell, State: e.state},
-		Controller:         e.controller.snapshot(),
-		LastStart:          e.lastStart,
-		WarmUpUntil:        e.warmUp.until,
-		TurnsSince:         e.warmUp.turnsSince,
-		BudgetSpentUntil:   e.warmUp.budgetSpentUntil,
-		WarmUpUntilBefore:  e.warmUp.previousUntil,
-		LastHeard:          e.health.lastHeard,
-		ReportedAt:         e.report.at,
-		ConnectionLostAt:   e.health.connectionLostAt,
-		NextTrialAt:        e.health.nextTrialAt,
-		TurnOffset:         e.warmUp.turnOffset,
-		ReportedLoad:       e.report.load,
-		FaultRate:          e.health.faultRate,
-		RestartPresumed:    e.warmUp.restartPresumed,
-		EjectedForFaults:   e.health.ejectedForFaults,
-		Ejected:            e.health.ejected,
-		ClassBlockedUntil:  map[string]time.Duration{},
-		DataSetLockedUntil: maps.Clone(e.lockedUntil),
-		LostResponses:      map[string]int{},
+		Engine:              Engine{ID: e.id, Zone: e.zone, Kind: e.kind, Cell: e.cell, State: e.state},
+		Controller:          e.controller.snapshot(),
+		LastStart:           e.lastStart,
+		WarmUpUntil:         e.warmUp.until,
+		TurnsSince:          e.warmUp.turnsSince,
+		BudgetSpentUntil:    e.warmUp.budgetSpentUntil,
+		PreviousWarmUpUntil: e.warmUp.previousUntil,
+		LastHeard:           e.health.lastHeard,
+		ReportedAt:          e.report.at,
+		ConnectionLostAt:    e.health.connectionLostAt,
+		NextTrialAt:         e.health.nextTrialAt,
+		TurnOffset:          e.warmUp.turnOffset,
+		ReportedLoad:        e.report.load,
+		FaultRate:           e.health.faultRate,
+		RestartPresumed:     e.warmUp.restartPresumed,
+		EjectedForFaults:    e.health.ejectedForFaults,
+		Ejected:             e.health.ejected,
+		ClassBlockedUntil:   map[string]time.Duration{},
+		DataSetLockedUntil:  maps.Clone(e.lockedUntil),
+		LostResponses:       map[string]int{},
 	}
 	for c, until := range e.health.blockedUntil {
 		s.ClassBlockedUntil[c.Name] = until
@@ -239,7 +239,7 @@
 	e.lastStart = s.LastStart
 	e.warmUp = warmUp{
 		until: s.WarmUpUntil, turnsSince: s.TurnsSince, budgetSpentUntil: s.BudgetSpentUntil,
-		turnOffset: s.TurnOffset, restartPresumed: s.RestartPresumed, previousUntil: s.WarmUpUntilBefore,
+		turnOffset: s.TurnOffset, restartPresumed: s.RestartPresumed, previousUntil: s.PreviousWarmUpUntil,
 	}
 	e.report.at = s.ReportedAt
 	e.report.load = s.ReportedLoad
--- a/policy/snapshot_encoding_test.go
+++ b/policy/snapshot_encoding_test.go
@@ -24,7 +24,7 @@
 				Started: 202 * time.Second, StartKnown: true},
 			Controller: policy.ControllerSnapshot{Limit: 211.5, Alpha: 0.0212, LoadLevel: 0.213, Slowdown: 2.14, BindingUntil: 215 * time.Second},
 			LastStart:  221 * time.Second, WarmUpUntil: 222 * time.Second, TurnsSince: 223 * time.Second, BudgetSpentUntil: 224 * time.Second,
-			WarmUpUntilBefore: 225 * time.Second, LastHeard: 226 * time.Second, ReportedAt: 227 * time.Second, ConnectionLostAt: 228 * time.Second,
+			PreviousWarmUpUntil: 225 * time.Second, LastHeard: 226 * time.Second, ReportedAt: 227 * time.Second, ConnectionLostAt: 228 * time.Second,
 			NextTrialAt: 229 * time.Second,
 			TurnOffset:  0.231, ReportedLoad: 2.32, FaultRate: 0.233, RestartPresumed: true, EjectedForFaults: true, Ejected: true,
 			ClassBlockedUntil:  map[string]time.Duration{"lookup": 241 * time.Second},
