--- a/policy/action.go
+++ b/policy/action.go
@@ -10,7 +10,7 @@
 type Send struct {
 	Query   uint64
 	Engine  string
-	Timeout time.Duration // of the attempt; above 0
+	Timeout time.Duration // time from now after which the attempt times out; above 0
 }
 
 // Grant sets the memory and the priority for the attempts of a query that are sent after it. The priority
@@ -41,7 +41,7 @@
 
 // SetTimer requests a TimerFired event with the same token after the given time.
 type SetTimer struct {
-	After time.Duration
+	After time.Duration // from now
 	Token uint64
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,8 +2,9 @@
 
 import "math"
 
+// Parameters of admission. The value of a query is the priority weight of its class.
 const (
-	valueSamples      = 50   // arrivals over which meanLogValue is averaged
+	valueSamples      = 50   // arrivals over which the logarithm of value over work is averaged
 	minPriorityWeight = 1e-9 // keeps the logarithm finite
 	minThreadsRatio   = 0.25 // least weight of a query in a backlog, over the threads of its class
 	maxThreadsRatio   = 2    // largest weight of a query in a backlog, over the threads of its class
@@ -83,7 +84,7 @@
 
 // fits is the admission test of the paper: the backlog and the query together must not exceed the limit. A
 // query that has more threads than the limit would never pass, so with an empty backlog it is admitted at
-// random, with a probability of the limit over its threads.
+// random, with probability limit/threads.
 func (g *Gateway) fits(q *query, c *controller, limit float64) bool {
 	if c.backlog == 0 && q.threads > limit {
 		return g.random.Float64() < limit/q.threads
@@ -91,9 +92,9 @@
 	return c.backlog+q.threads <= limit
 }
 
-// fitsAggregate applies the same test to all engines in service together. It prevents an overload that
-// shows at no single engine of this gateway. Attempts that hang at an ejected engine do not reduce the
-// capacity of the others.
+// fitsAggregate applies the same test to all engines in service together. It prevents an overload that the
+// backlogs of single engines at this gateway do not show. Attempts that hang at an ejected engine do not
+// reduce the capacity of the others.
 func (g *Gateway) fitsAggregate(q *query) bool {
 	g.aggregate.backlog = 0
 	for _, e := range g.engines {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -20,7 +20,7 @@
 		}
 		t.Fatalf("query %d: actions = %+v, want a send or a rejection with RetryAfter of at most 1s", id, actions)
 	}
-	t.Fatal("no query was rejected")
+	t.Fatal("none of 99 queries was rejected, want at least one")
 }
 
 func TestManyGatewaysStayNearEngineCapacity(t *testing.T) {
--- a/policy/answer.go
+++ b/policy/answer.go
@@ -26,7 +26,8 @@
 }
 
 // retryAfter returns a random time after which the client should retry. It spreads the retries of rejected
-// clients over the upper half of the time that clients honor.
+// clients over the upper half of the time that clients honor. It returns 0 where rejections do not tell
+// clients when to retry.
 func (g *Gateway) retryAfter() time.Duration {
 	minimum := g.settings.Limits.MaxRetryAfter / 2
 	if !g.settings.Limits.SendRetryAfter || minimum <= 0 {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -7,7 +7,7 @@
 
 // Weights in the score of an engine, in multiples of the query's threads.
 const (
-	warmUpBonus            = 2 // added for an engine that is warming up
+	warmUpBonus            = 2 // added for an engine that started within the last warm-up period
 	randomAdmissionPenalty = 3 // subtracted if the query fits only by random admission
 )
 
@@ -79,8 +79,8 @@
 }
 
 // minNearAffinity returns the lowest affinity to the data set at which an engine of the gateway's zone
-// counts as near. One engine is near, and more as the data set's fraction of the traffic grows, so that a
-// hot data set does not overload the same few engines.
+// counts as near. At least two engines are near, and more as the data set's fraction of the traffic grows,
+// so that a hot data set does not overload the same few engines. With fewer engines, all are near.
 func (g *Gateway) minNearAffinity(dataSet int64) uint64 {
 	g.affinities = g.affinities[:0]
 	for _, e := range g.engines {
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -17,13 +17,13 @@
 	s := testSettings()
 	s.Classes[2].DataLoad, s.Classes[0].WaitsForDataLoad = true, true
 	d := newDriver(t, s, liveEngine("e", "a", 1), liveEngine("f", "a", 1))
-	ask := func(id uint64, class string) string {
+	sendTo := func(id uint64, class string) string {
 		actions := d.handle(QueryArrived{Query: id, Class: class, DataSet: 7, Deadline: d.now + 9*time.Second})
 		return sendsIn(actions)[0].Engine
 	}
-	loading := ask(1, "non-idempotent")
+	loading := sendTo(1, "non-idempotent")
 	for id := uint64(2); id < 5; id++ {
-		if got := ask(id, "idempotent"); got == loading {
+		if got := sendTo(id, "idempotent"); got == loading {
 			t.Fatalf("query %d went to %s, where a data load locks its data set, want the other engine", id, got)
 		}
 	}
--- a/policy/class.go
+++ b/policy/class.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// deviationsUntilOverdue is the number of mean deviations over the expected latency at which an attempt
-	// is overdue.
+	// deviationsUntilOverdue is the number of mean deviations above the expected latency at which an
+	// attempt is overdue.
 	deviationsUntilOverdue = 3.0
 	// maxLatencyDeviation bounds the deviation that one response counts for, as a multiple of the expected
 	// latency.
@@ -12,8 +12,8 @@
 	// initialLatencyDivisor divides the latency objective of a class to give its usual latency before the
 	// first response.
 	initialLatencyDivisor = 3
-	// initialClassSamples and maxClassSamples are the least and the largest number of responses over which
-	// the figures of a class are averaged.
+	// initialClassSamples and maxClassSamples are the smallest and the largest number of responses over
+	// which the statistics of a class are averaged.
 	initialClassSamples = 10
 	maxClassSamples     = 50
 	// baselineGrowth is the factor by which the baseline latency grows with each response, so that it
--- a/policy/class_test.go
+++ b/policy/class_test.go
@@ -22,7 +22,7 @@
 			d.handle(AttemptEnded{Query: id, Result: ResultSuccess, Elapsed: latency, Final: true})
 		}
 	}
-	if w := d.g.classes["idempotent"].workMS; w > 150 {
-		t.Errorf("work = %.0f ms, want at most 150 for queries that take 100 ms on an idle engine", w)
+	if got := d.g.classes["idempotent"].workMS; got > 150 {
+		t.Errorf("work = %.0f ms, want at most 150 for queries that take 100 ms on an idle engine", got)
 	}
 }
--- a/policy/controller.go
+++ b/policy/controller.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// Parameters of the controllers. The control period and the closed-loop pole are those of the paper.
+// Parameters of the controllers. The control period and the closed-loop pole are those of the paper. A
+// limit binds while it applies in place of its ceiling. Slowdown is the latency of a response over the
+// baseline latency of its class.
 const (
 	controlPeriod = 500 * time.Millisecond
-	// ticksPerPeriod is the number of ticks in a control period.
+	// ticksPerPeriod is the number of ticks of the gateway's timer in a control period.
 	ticksPerPeriod = 5
 	tickInterval   = controlPeriod / ticksPerPeriod
 	// closedLoopPole sets how fast the limit converges: 0 within one period, 1 never.
@@ -41,9 +43,14 @@
 
 // Target load of an engine, and thresholds and initial values of the measured load.
 const (
-	targetThreadsPerCore = 2.0
-	swapThreadsFactor    = 0.85 // where memory is swapped: a shortage slows the whole engine down
-	queueThreadsFactor   = 1.5  // where queries wait for memory: the engine queues the excess by priority
+	// baseThreadsPerCore is the target where engines trim grants when memory is short.
+	baseThreadsPerCore = 2.0
+	// swapThreadsFactor multiplies baseThreadsPerCore where memory is swapped, as a shortage then slows the
+	// whole engine down.
+	swapThreadsFactor = 0.85
+	// queueThreadsFactor multiplies baseThreadsPerCore where queries wait for memory, as the engine then
+	// queues the excess by priority.
+	queueThreadsFactor = 1.5
 	// loadLevelHeadroom is how far the load level must be below 1 for engines to count as having full
 	// headroom.
 	loadLevelHeadroom = 0.3
@@ -61,8 +68,7 @@
 	// ceiling is the upper bound of the limit, and applies in its place while the limit does not bind.
 	ceiling float64
 	limit   float64 // current adaptive limit
-	// alpha is the estimated increase of the latency ratio (latency over objective) per thread of the
-	// limit.
+	// alpha is the estimated latency ratio (latency over objective) per thread of the limit.
 	alpha   float64
 	backlog float64 // threads of the attempts in flight
 	// loadLevel is the reported load over the target load; at 1 the engines have all the work that they
@@ -137,7 +143,7 @@
 // engineThreadsPerCore returns the target threads per core of an engine, given what the engine does when
 // memory is short.
 func engineThreadsPerCore(shortage MemoryShortage) float64 {
-	threads := targetThreadsPerCore
+	threads := baseThreadsPerCore
 	switch shortage {
 	case ShortageSwap:
 		threads *= swapThreadsFactor
--- a/policy/controller_test.go
+++ b/policy/controller_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	busyCeiling, idleCeiling := busy.g.enginesByID["e"].ceiling, idle.g.enginesByID["e"].ceiling
-	if equalShare := ceilingFactor * targetThreadsPerCore * 8 / 2; idleCeiling < equalShare {
+	if equalShare := ceilingFactor * baseThreadsPerCore * 8 / 2; idleCeiling < equalShare {
 		t.Fatalf("ceiling of the idle gateway = %v, want at least its equal share, %v", idleCeiling, equalShare)
 	}
 	if busyCeiling < 1.3*idleCeiling {
--- a/policy/data_sets.go
+++ b/policy/data_sets.go
@@ -6,8 +6,8 @@
 	// The counts are smoothed as if each of priorDataSets data sets had received priorDataSetCount queries.
 	priorDataSetCount = 2.0
 	priorDataSets     = 10
-	// nearEngineFactor is the number of engines that are near a data set, in multiples of its fraction of
-	// the traffic times the number of engines.
+	// nearEngineFactor times a data set's fraction of the traffic times the number of engines is the
+	// number of engines, beyond the first, that are near the data set.
 	nearEngineFactor = 2.0
 	// affinityHashPrime is the 64-bit FNV prime.
 	affinityHashPrime = 0x100000001b3
@@ -52,7 +52,7 @@
 }
 
 // affinity returns the rank of an engine for a data set; higher is preferred. All gateways compute the same
-// order (rendezvous hashing).
+// order (rendezvous hashing). The constants are the increment and the multipliers of SplitMix64.
 func affinity(engineHash uint64, dataSet int64) uint64 {
 	x := (engineHash ^ uint64(dataSet)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	return (x ^ x>>29) * 0x94d049bb133111eb
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -60,10 +60,10 @@
 	g.orderedKeys.prune(g.now)
 	g.engines = slices.DeleteFunc(g.engines, func(e *engine) bool {
 		maps.DeleteFunc(e.lockedUntil, func(_ int64, until time.Duration) bool { return g.now >= until })
-		isOver := e.state == EngineDeparted && len(e.inFlight) == 0 && g.now >= e.warmUp.until
-		if isOver {
+		isObsolete := e.state == EngineDeparted && len(e.inFlight) == 0 && g.now >= e.warmUp.until
+		if isObsolete {
 			delete(g.enginesByID, e.id)
 		}
-		return isOver
+		return isObsolete
 	})
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -10,7 +10,7 @@
 // concurrency limit.
 type engine struct {
 	id, zone, kind string
-	cell           int64
+	cell           int64  // engines of one cell deduplicate together (DedupCell)
 	hash           uint64 // hash of the ID, for affinity
 	cores          float64
 	state          EngineState
--- a/policy/event.go
+++ b/policy/event.go
@@ -61,7 +61,7 @@
 }
 
 // LoadReport is an engine's report of its own load, which is delayed and noisy. A figure that the
-// deployment does not report is -1.
+// deployment does not report is -1. No decision reads the last three figures.
 type LoadReport struct {
 	Reported          bool    // false: there is no report, and the other fields are meaningless
 	CPUUtilization    float64 // fraction of its cores in use
@@ -81,12 +81,12 @@
 // ProgressKind is the kind of an AttemptProgress.
 type ProgressKind uint8
 
-// The kinds of progress. The comments give the meaning of Value.
+// The kinds of progress, with the meaning of AttemptProgress.Value.
 const (
-	ProgressFraction           ProgressKind = iota + 1 // approximate fraction of the work that is done
-	ProgressSpilled                                    // missing memory in MB; the query spilled to disk
-	ProgressWaitingForMemory                           // not used
-	ProgressWaitingForDataLoad                         // not used; a data load locks the data set
+	ProgressFraction           ProgressKind = iota + 1 // Value is the approximate fraction of work done
+	ProgressSpilled                                    // spilled to disk; Value is the missing memory in MB
+	ProgressWaitingForMemory                           // waits for memory; Value has no meaning
+	ProgressWaitingForDataLoad                         // a data load locks its data set; no Value
 )
 
 // AttemptProgress is an engine's progress report on a running attempt.
@@ -146,7 +146,7 @@
 	Cell       int64         `cbor:"Cell" json:"Cell"` // engines of one cell deduplicate together (DedupCell)
 	State      EngineState   `cbor:"State" json:"State"`
 	Started    time.Duration `cbor:"Started" json:"Started"` // instant of its latest start, if known
-	StartKnown bool          `cbor:"Fresh" json:"Fresh"`     // Started is set; false: it started long ago
+	StartKnown bool          `cbor:"Fresh" json:"Fresh"`     // Started is known; false: long ago
 }
 
 func (QueryArrived) event()       {}
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -31,13 +31,13 @@
 	for _, e := range g.engines {
 		locked += len(e.lockedUntil)
 	}
-	for what, n := range map[string]int{
+	for name, n := range map[string]int{
 		"arrivals": len(g.retries.arrivals), "retries": len(g.retries.retries), "engines": len(g.engines),
 		"engine ids": len(g.enginesByID), "ordering keys": len(g.orderedKeys.queues), "data sets": len(g.dataSets.counts),
 		"queries": len(g.queries), "waiting queries": len(g.orderedKeys.waiting), "locked data sets": locked,
 	} {
 		if n > 300 {
-			t.Errorf("%s: %d kept after 5000 queries and engines, want at most 300", what, n)
+			t.Errorf("%s: %d kept after 5000 queries and engines, want at most 300", name, n)
 		}
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -17,13 +17,13 @@
 	lostWaitingIntervals = 13.0
 	// lostResponsesToBlock is the number of lost responses of a class that block the class on an engine.
 	lostResponsesToBlock = 2
-	// The weights are those of one failure in the fault rate, from 0 to 1.
+	// The following are the weights of one failure in the fault rate, which is from 0 to 1.
 	failedConnectionWeight = 0.4
 	errorWeight            = failedConnectionWeight / 2
 	overdueWeight          = failedConnectionWeight / 4
 	// ejectionFaultRate is the fault rate above which an engine is ejected.
 	ejectionFaultRate = 0.6
-	// faultDecayPeriods is the number of control periods over which a fault rate decays.
+	// faultDecayPeriods is the number of control periods in which a fault rate decays to 1/e.
 	faultDecayPeriods = 40
 	// trialIntervalFactor is the time between the trials of an ejected engine, in multiples of the silence
 	// timeout.
@@ -63,10 +63,11 @@
 // because of its faults would be avoided forever.
 func (h *health) decayFaultRate() { h.faultRate -= h.faultRate / faultDecayPeriods }
 
-// detectSilence ejects an engine when all of its attempts have been silent for the silence timeout, or for
-// twice as long if there is only one. It detects hung engines and broken network paths. Time in which the
-// gateway process itself was paused does not count, as a pause makes all engines appear silent at once.
-// Where engines report no progress, it checks for overdue attempts instead.
+// detectSilence ejects an engine that has sent no message for the silence timeout while at least two of its
+// attempts are silent, or for twice as long while only one is. Attempts that stream do not count. It detects
+// hung engines and broken network paths. Time in which the gateway process itself was paused does not count,
+// as a pause makes all engines appear silent at once. Where engines report no progress, it checks for
+// overdue attempts instead.
 func (g *Gateway) detectSilence(e *engine) {
 	if len(e.inFlight) == 0 {
 		return
@@ -193,10 +194,11 @@
 }
 
 // startTrial reports whether an ejected engine may get the query as a trial, which shows whether the engine
-// has recovered, and schedules the next trial. Only a first attempt of an idempotent query is a trial.
+// has recovered, and schedules the next trial. A trial is the first attempt of an idempotent query, and the
+// only attempt in flight at the engine.
 func (g *Gateway) startTrial(q *query, e *engine) bool {
-	isIdle := len(e.inFlight)+len(q.attempts) == 0
-	if q.class.Idempotency != Idempotent || !isIdle || g.now < e.health.nextTrialAt || !g.maySend(q, e) {
+	isOnly := len(e.inFlight)+len(q.attempts) == 0
+	if q.class.Idempotency != Idempotent || !isOnly || g.now < e.health.nextTrialAt || !g.maySend(q, e) {
 		return false
 	}
 	e.health.nextTrialAt = g.now + trialIntervalFactor*g.silenceTimeout
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -35,8 +35,8 @@
 }
 
 // recordLoad records an engine's load report. It estimates the load of the engine, and from it the load
-// level of all engines, by the threads in flight from all gateways, or by the utilization of the cores if
-// the former are not reported.
+// level of all engines, by the threads in flight from all gateways, or by the utilization of the cores
+// where the queries in flight are not reported.
 func (g *Gateway) recordLoad(e *engine, report LoadReport) {
 	isUsable := max(report.InFlight, report.CPUUtilization) >= 0 // false for NaN
 	if !report.Reported || !isUsable {
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -13,7 +13,7 @@
 	grantStepDivisor = 10
 )
 
-// Priorities, from 0 to maxPriority. Doubling value over work raises the priority by one.
+// Priorities, from 0 to maxPriority. Doubling value (priority weight) over work raises the priority by one.
 const (
 	defaultPriority = 1   // of every query where engines don't honor priorities
 	meanPriority    = 2.5 // of a query of average value over work, before rounding
@@ -87,8 +87,8 @@
 }
 
 // recordSpill raises the grants of the class after a query has spilled to disk, where responses do not
-// report the memory that was needed. It ignores an attempt whose grant was capped at the largest permitted
-// one, as that spill does not show that the class's grants are too small.
+// report the memory that was needed. It ignores an attempt whose grant was capped to less than half of what
+// the class's grant multiple gives, as its spill does not show that the multiple is too small.
 func (g *Gateway) recordSpill(a *attempt, missingMB float64) {
 	q := a.query
 	c := q.class
--- a/policy/ordered_keys_property_test.go
+++ b/policy/ordered_keys_property_test.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		if !q.answered && len(q.attempts) == 0 {
-			m.failf("query %d is the next one of its key and was neither sent nor answered", q.id)
+			m.failf("query %d is the next one of its key and was neither sent nor answered, want one of these", q.id)
 		}
 		isHeld[q.key] = !q.answered
 		for _, attempt := range q.attempts {
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -10,8 +10,8 @@
 	// moveTimeRatio is the time that must remain until the deadline for a move, in multiples of the
 	// expected latency.
 	moveTimeRatio = 1.5
-	// slowMoveSamples is the inverse weight, in its engine's slowdown, of an attempt that was moved as
-	// slow.
+	// An attempt that is moved as slow has the weight 1/slowMoveSamples in the moving average of its
+	// engine's slowdown.
 	slowMoveSamples     = 10
 	minProgressFraction = 0.001 // keeps the projected remaining time finite
 	// dataLoadLockIntervals is the number of progress intervals for which a data set counts as locked after
@@ -52,7 +52,8 @@
 // moveWaiting moves an attempt that waits for memory or a data load, as it may run at once on another
 // engine. With a retry budget nothing is moved, so that the budget remains for failures. A query that waits
 // for memory is moved only once and only while the engines have headroom: if memory is short on two
-// engines, or all are full, it would only lose its place in the queue.
+// engines, or all are full, it would only lose its place in the queue. Only an idempotent query that can
+// still meet its latency objective is moved.
 func (g *Gateway) moveWaiting(a *attempt, kind ProgressKind) {
 	q := a.query
 	hasHeadroomElsewhere := len(q.attempts) == 1 && g.aggregate.loadLevel <= initialLoadLevel
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -103,8 +103,8 @@
 
 // writeSnapshot records a snapshot, with its maps in the order of their keys. The digest covers the text.
 func (sim *replaySimulation) writeSnapshot(s policy.Snapshot) {
-	formatController := func(k policy.ControllerSnapshot) string {
-		return fmt.Sprintf("%s %s %s %s %d", formatFloat(k.Limit), formatFloat(k.Alpha), formatFloat(k.LoadLevel), formatFloat(k.Slowdown), int64(k.BindingUntil))
+	formatController := func(c policy.ControllerSnapshot) string {
+		return fmt.Sprintf("%s %s %s %s %d", formatFloat(c.Limit), formatFloat(c.Alpha), formatFloat(c.LoadLevel), formatFloat(c.Slowdown), int64(c.BindingUntil))
 	}
 	sim.record(fmt.Sprintf("all %s %s %s %s %s %s %s %s %d", formatController(s.Aggregate), formatFloat(s.DataSetTotal), formatFloat(s.MeanLogValue), formatFloat(s.MeanLoad),
 		formatFloat(s.MeanOwnInFlight), formatFloat(s.MeanReportedInFlight), formatFloat(s.ArrivalRate), formatFloat(s.MeanThreads), s.TickCount))
--- a/policy/rules_property_test.go
+++ b/policy/rules_property_test.go
@@ -95,14 +95,14 @@
 func (m *rulesModel) send(a Send) {
 	q := m.byID[a.Query]
 	if q == nil || q.answered {
-		m.failf("query %d sent after its final answer", a.Query)
+		m.failf("query %d sent after its final answer, want no send", a.Query)
 	}
 	if m.state[a.Engine] != EngineLive {
-		m.failf("query %d sent to %s, which is not live", a.Query, a.Engine)
+		m.failf("query %d sent to %s in state %d, want only live engines (%d)", a.Query, a.Engine, m.state[a.Engine], EngineLive)
 	}
 	e := m.entries[a.Engine]
 	if !isAllowed(q.class.Zones, e.Zone) {
-		m.failf("query %d sent to %s, outside its zones", a.Query, a.Engine)
+		m.failf("query %d sent to %s in zone %q, want one of %q", a.Query, a.Engine, e.Zone, q.class.Zones)
 	}
 	for _, attempt := range q.attempts {
 		if attempt.inFlight {
@@ -113,7 +113,7 @@
 		}
 		isDeduped := m.entries[attempt.engine].Cell == e.Cell && m.now-attempt.sentAt <= q.class.DedupWindow
 		if attempt.mayHaveRun && q.class.Idempotency == IdempotentWithKey && !isDeduped {
-			m.failf("query %d with a key sent again outside its deduplication scope or window", a.Query)
+			m.failf("query %d with a key sent again outside its deduplication scope or window, want no send", a.Query)
 		}
 	}
 	m.checkOrder(q)
@@ -122,7 +122,7 @@
 		m.checkRetryBudget()
 	}
 	if len(q.attempts) >= m.settings.Limits.MaxAttempts {
-		m.failf("query %d has more than %d attempts", a.Query, m.settings.Limits.MaxAttempts)
+		m.failf("query %d has %d attempts, want at most %d", a.Query, len(q.attempts)+1, m.settings.Limits.MaxAttempts)
 	}
 	q.attempts = append(q.attempts, modelAttempt{engine: a.Engine, sentAt: m.now, inFlight: true, mayHaveRun: true})
 }
@@ -158,11 +158,11 @@
 			continue
 		}
 		if !other.answered {
-			m.failf("query %d sent before earlier query %d of its key was answered", q.id, other.id)
+			m.failf("query %d sent before earlier query %d of its key was answered, want it to wait", q.id, other.id)
 		}
 		for _, attempt := range other.attempts {
 			if attempt.inFlight || attempt.mayStillRun && m.now-attempt.endedAt < m.settings.Rules.SettleTime {
-				m.failf("query %d sent while earlier query %d of its key may still run", q.id, other.id)
+				m.failf("query %d sent while earlier query %d of its key may still run, want it to wait", q.id, other.id)
 			}
 		}
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,7 +2,9 @@
 
 import "time"
 
-// Settings describes the deployment of a gateway. It does not change while the gateway runs.
+// Settings describes the deployment of a gateway. It does not change while the gateway runs. No decision
+// reads OverQuotaWeight, Objective, Penalties, Class.LateFraction, Class.Streaming, Tenant.Share,
+// Rules.AnswerSlack, Rules.DrainGrace, Rules.ResubscribeWithin or Limits.ConnectTimeout.
 type Settings struct {
 	// Gateways is the number of gateways that share the engines, including this one; at least 1.
 	Gateways         int
@@ -91,7 +93,7 @@
 type Tenant struct {
 	Name  string
 	Quota float64 // queries per second, summed over all gateways
-	Share float64 // its fraction of the service
+	Share float64 // fraction of the service; no decision reads it
 }
 
 // Rules holds the parameters of the rules that every attempt and every final answer must obey.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -20,7 +20,8 @@
 // warmUp is the slow-start state of one engine.
 type warmUp struct {
 	until time.Duration // end of the warm-up; in the past: the engine is warm
-	// turnsSince is the instant from which the gateways' turns to send wide queries are counted.
+	// turnsSince is the instant from which the gateways' turns are counted. The gateways take turns to send
+	// wide queries, which need more than warmUpBurst of an overload window's budget.
 	turnsSince time.Duration
 	// budgetSpentUntil is the instant until which the budget of the overload windows is spent.
 	budgetSpentUntil time.Duration
@@ -86,8 +87,8 @@
 // budgetMS returns the work that this gateway may send to a warming engine within one overload window, in
 // milliseconds of thread time.
 func (s *slowStart) budgetMS(e *engine) float64 {
-	overload := warmUpBudgetMargin * s.overloadMultiple * s.minCapacity * e.cores * milliseconds(s.window)
-	return overload / float64(s.gateways)
+	allGateways := warmUpBudgetMargin * s.overloadMultiple * s.minCapacity * e.cores * milliseconds(s.window)
+	return allGateways / float64(s.gateways)
 }
 
 // windowsNeeded returns the number of overload windows whose budget the query needs.
@@ -141,8 +142,8 @@
 	g.slowStart.begin(e, g.now, until, g.now, g.random.Float64)
 }
 
-// disproveRestart withdraws a presumed restart when the engine responds to an attempt that was sent after
-// the connection broke, sooner than a process can restart. It prevents an engine that only lost a
+// disproveRestart withdraws a presumed restart after progress or a response of an attempt that was sent
+// after the connection broke, sooner than a process can restart. It prevents an engine that only lost a
 // connection from being starved of queries.
 func (g *Gateway) disproveRestart(a *attempt) {
 	e := a.engine
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -65,7 +65,8 @@
 	LastStart  time.Duration      `cbor:"Begun"` // latest start; math.MinInt64: unknown
 	// WarmUpUntil is the end of the warm-up; in the past, the engine is warm.
 	WarmUpUntil time.Duration `cbor:"ColdUntil"`
-	// TurnsSince is the instant from which the gateways' turns to send wide queries are counted.
+	// TurnsSince is the instant from which the gateways' turns to send wide queries to the warming engine
+	// are counted.
 	TurnsSince time.Duration `cbor:"ColdTold"`
 	// BudgetSpentUntil is the instant until which the warm-up budget is spent.
 	BudgetSpentUntil time.Duration `cbor:"ColdNext"`
--- a/policy/snapshot_encoding_test.go
+++ b/policy/snapshot_encoding_test.go
@@ -75,16 +75,16 @@
 func TestDecodeDamagedSnapshot(t *testing.T) {
 	b := encodedFixture(t)
 	for n := range b {
-		var l policy.Snapshot
-		if err := cbor.Unmarshal(b[:n], &l); err == nil {
+		var got policy.Snapshot
+		if err := cbor.Unmarshal(b[:n], &got); err == nil {
 			t.Errorf("snapshot truncated to %d of %d bytes decoded without an error, want one", n, len(b))
 		}
 	}
 	for bit := range 8 * len(b) {
 		damaged := append([]byte{}, b...)
 		damaged[bit/8] ^= 1 << (bit % 8)
-		var l policy.Snapshot
-		if cbor.Unmarshal(damaged, &l) != nil {
+		var snapshot policy.Snapshot
+		if cbor.Unmarshal(damaged, &snapshot) != nil {
 			continue
 		}
 		g, err := policy.New(analytics(), 1)
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		now := 200 * time.Second
-		g.Restore(now, l)
+		g.Restore(now, snapshot)
 		g.Handle(now, policy.EngineList{Mode: policy.ListFull, Engines: []policy.Engine{{ID: "engine-1", Zone: "a", Kind: "std-8", State: policy.EngineLive}}}, nil)
 		for id := uint64(1); id < 5; id++ {
 			g.Handle(now, policy.QueryArrived{Query: id, Class: "lookup", Deadline: now + 6*time.Second}, nil)
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -97,12 +97,11 @@
 // share returns the estimated share, at least an equal one. With quotas it is the arrival rate over the
 // total quota; otherwise it is this gateway's queries in flight over those that the engines report.
 func (t *trafficShare) share() float64 {
-	equalShare := 1 / float64(t.gateways)
+	equal := 1 / float64(t.gateways)
 	if t.totalQuota <= 0 {
-		share := max(t.ownInFlight/max(t.reportedInFlight, 1), equalShare)
-		return min(share, t.maxShareOfInFlight(equalShare))
+		return min(max(t.ownInFlight/max(t.reportedInFlight, 1), equal), t.maxShareOfInFlight(equal))
 	}
-	return min(max(t.arrivalRate/t.totalQuota, equalShare), 1)
+	return min(max(t.arrivalRate/t.totalQuota, equal), 1)
 }
 
 // maxShareOfInFlight returns the largest share that may be estimated from queries in flight. While no
--- a/policy/warmup_simulation_test.go
+++ b/policy/warmup_simulation_test.go
@@ -57,7 +57,7 @@
 	shareSum   float64
 	meanWorkMS float64
 	queries    []simQuery
-	deliveries [][]simDelivery // queries sent to each engine since the return
+	deliveries [][]simDelivery // queries sent to each engine since simReturn
 }
 
 type simQuery struct {
@@ -247,11 +247,11 @@
 }
 
 // worstOverload returns the largest load that a warming engine was sent within an overload window, over
-// what it can take: N + 2 sqrt(N) + 2 queries of mean work, where N is what the settings allow at its
+// the tolerable load: N + 2 sqrt(N) + 2 queries of mean work, where N is what the settings allow at its
 // start. It also returns how many queries all warming engines were sent.
 func (s *warmUpSimulation) worstOverload() (overload float64, sent int) {
 	allowed := s.settings.Rules.OverloadMultiple * simMinCapacity * simCapacityFactor * simCores * milliseconds(s.overloadWindow) / s.meanWorkMS
-	bearable := allowed + 2*math.Sqrt(allowed) + 2
+	tolerable := allowed + 2*math.Sqrt(allowed) + 2
 	for _, all := range s.deliveries[simWarmEngines:] {
 		sent += len(all)
 		for i, first := range all {
@@ -261,7 +261,7 @@
 					within += d.weight
 				}
 			}
-			overload = max(overload, within/bearable)
+			overload = max(overload, within/tolerable)
 		}
 	}
 	return overload, sent
