--- a/policy/snapshot_encoding_test.go
+++ b/policy/snapshot_encoding_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// encodedSnapshot is what testdata/snapshot-c18a9bd.hex holds: every field has a value of its own, and
-// each map one entry, as maps are encoded in no fixed order.
+// encodedSnapshot returns the content of testdata/snapshot-c18a9bd.hex. Every field has a different value,
+// and each map has a single entry, since maps are encoded in no fixed order.
 func encodedSnapshot() policy.Snapshot {
 	return policy.Snapshot{
 		Classes: []policy.ClassSnapshot{{Name: "lookup", ResponseCount: 101, MeanLatencyMS: 102.5, BaselineLatencyMS: 103.5, MeanWorkMS: 104.5, LatencyDeviation: 0.105, MeanEstimateMS: 106.5,
@@ -24,7 +24,7 @@
 				Started: 202 * time.Second, StartKnown: true},
 			Controller: policy.ControllerSnapshot{Limit: 211.5, Alpha: 0.0212, LoadLevel: 0.213, Slowdown: 2.14, BindingUntil: 215 * time.Second},
 			LastStart:  221 * time.Second, WarmUpUntil: 222 * time.Second, TurnsSince: 223 * time.Second, BudgetSpentUntil: 224 * time.Second,
-			WarmUpUntilBefore: 225 * time.Second, LastHeard: 226 * time.Second, ReportedAt: 227 * time.Second, ConnectionLostAt: 228 * time.Second,
+			PreviousWarmUpUntil: 225 * time.Second, LastHeard: 226 * time.Second, ReportedAt: 227 * time.Second, ConnectionLostAt: 228 * time.Second,
 			NextTrialAt: 229 * time.Second,
 			TurnOffset:  0.231, ReportedLoad: 2.32, FaultRate: 0.233, RestartPresumed: true, EjectedForFaults: true, Ejected: true,
 			ClassBlockedUntil:  map[string]time.Duration{"lookup": 241 * time.Second},
@@ -50,7 +50,8 @@
 	return b
 }
 
-// TestDecodeSnapshotOfEarlierVersion decodes what commit c18a9bd encoded, and encodes it to the same bytes.
+// TestDecodeSnapshotOfEarlierVersion decodes the snapshot that commit c18a9bd encoded, and encodes it to
+// the same bytes.
 func TestDecodeSnapshotOfEarlierVersion(t *testing.T) {
 	b := encodedFixture(t)
 	var got policy.Snapshot
@@ -69,21 +70,21 @@
 	}
 }
 
-// TestDecodeDamagedSnapshot cuts the snapshot short at each length, which is an error, and flips each bit: what still
-// decodes must not make a gateway panic.
+// TestDecodeDamagedSnapshot truncates the snapshot at each length, which must be an error, and flips each
+// bit. A damaged snapshot that still decodes must not make a gateway panic.
 func TestDecodeDamagedSnapshot(t *testing.T) {
 	b := encodedFixture(t)
 	for n := range b {
-		var l policy.Snapshot
-		if err := cbor.Unmarshal(b[:n], &l); err == nil {
-			t.Errorf("snapshot cut to %d of %d bytes decoded without an error", n, len(b))
+		var got policy.Snapshot
+		if err := cbor.Unmarshal(b[:n], &got); err == nil {
+			t.Errorf("snapshot truncated to %d of %d bytes decoded without an error, want one", n, len(b))
 		}
 	}
 	for bit := range 8 * len(b) {
 		damaged := append([]byte{}, b...)
 		damaged[bit/8] ^= 1 << (bit % 8)
-		var l policy.Snapshot
-		if cbor.Unmarshal(damaged, &l) != nil {
+		var snapshot policy.Snapshot
+		if cbor.Unmarshal(damaged, &snapshot) != nil {
 			continue
 		}
 		g, err := policy.New(analytics(), 1)
@@ -91,7 +92,7 @@
 			t.Fatal(err)
 		}
 		now := 200 * time.Second
-		g.Restore(now, l)
+		g.Restore(now, snapshot)
 		g.Handle(now, policy.EngineList{Mode: policy.ListFull, Engines: []policy.Engine{{ID: "engine-1", Zone: "a", Kind: "std-8", State: policy.EngineLive}}}, nil)
 		for id := uint64(1); id < 5; id++ {
 			g.Handle(now, policy.QueryArrived{Query: id, Class: "lookup", Deadline: now + 6*time.Second}, nil)
