--- a/internal/decide/membership/config.go
+++ b/internal/decide/membership/config.go
@@ -2,33 +2,50 @@
 
 import "time"
 
-// ID names a member and its address, and is the same after a restart. The caller chooses IDs of up to MaxID; small
-// ones take fewer bytes in datagrams.
+// ID identifies a member by its address and stays the same across restarts. The caller chooses IDs of at most MaxID;
+// small IDs take fewer bytes in datagrams.
 type ID uint64
 
-// MaxID is the largest ID: it has 48 bits, as many as an IPv4 address with its port.
+// MaxID is the largest ID. It has 48 bits, the size of an IPv4 address with a port.
 const MaxID = 1<<48 - 1
 
-// hashKey folds the ID to 32 bits. It is the same at all members.
+// hashKey folds the ID to 32 bits. All members compute the same value.
 func (id ID) hashKey() uint32 { return uint32(id) ^ uint32(id>>32)*0x9e3779b1 }
 
-// Config holds the settings of a member. They are the same at all members of an installation.
+// Config holds the settings of a member. All members of an installation must use the same values.
 type Config struct {
-	HeartbeatInterval   time.Duration
-	RingCount           int           // monitors of each member
-	Quorum              int           // monitors that must not hear a member before it is declared dead or unreachable
-	MaxMissedHeartbeats int           // in a row on a path without loss, before the member is pinged
-	MaxUnansweredPings  int           // before a member is reported as not heard
-	SuspicionTimeout    time.Duration // for which a quorum against a member must last
-	MaxViewDelay        time.Duration // for which a view change waits for other changes in progress
-	BytesPerSecond      float64       // sent on average, whatever the size of the fleet
-	BurstBytes          float64       // saved up while there is little to send
-	FrameOverheadBytes  int           // that the sender adds to each datagram; they count against the budget
-	MaxDatagramBytes    int           // without the sender's overhead
-	Closed              bool          // only members that the settings name are accepted
+	// HeartbeatInterval is the time between two rounds of heartbeats.
+	HeartbeatInterval time.Duration
+	// RingCount is the number of rings, and so the number of members that monitor each member.
+	RingCount int
+	// Quorum is the number of monitors that must report a member as not heard before it is declared dead or
+	// unreachable. Fewer suffice where fewer members are able to report.
+	Quorum int
+	// MaxMissedHeartbeats is the number of consecutive heartbeats that may be missed on a path without loss before the
+	// member is pinged. Paths with loss allow more.
+	MaxMissedHeartbeats int
+	// MaxUnansweredPings is the number of pings that may go unanswered on a path without loss before the member is
+	// reported as not heard.
+	MaxUnansweredPings int
+	// SuspicionTimeout is how long a quorum of Quorum reports against a member must last before the member is declared
+	// failed.
+	SuspicionTimeout time.Duration
+	// MaxViewDelay is the longest time that a view change waits for other changes in progress.
+	MaxViewDelay time.Duration
+	// BytesPerSecond is the average rate at which a member may send, whatever the size of the fleet.
+	BytesPerSecond float64
+	// BurstBytes is the most unused budget that a member accumulates while it sends little.
+	BurstBytes float64
+	// FrameOverheadBytes is the number of bytes that the caller adds to each datagram. They count against the budget.
+	FrameOverheadBytes int
+	// MaxDatagramBytes is the largest datagram, without the caller's overhead.
+	MaxDatagramBytes int
+	// Closed restricts the membership to the members that the settings name. False also accepts members discovered from
+	// records.
+	Closed bool
 }
 
-// DefaultConfig returns settings for front ends of one installation within 20 ms of each other.
+// DefaultConfig returns settings for an installation whose front ends are within 20 ms of each other.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:   500 * time.Millisecond,
@@ -44,7 +61,7 @@
 	}
 }
 
-// RandomSource is a source of random numbers; *rand.Rand is one.
+// RandomSource is a source of random numbers. *rand.Rand implements it.
 type RandomSource interface {
 	IntN(n int) int
 	Shuffle(n int, swap func(i, j int))
--- a/internal/decide/membership/evaluation.go
+++ b/internal/decide/membership/evaluation.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// recentMemory is how long a failed member counts among those of whom a majority must be here.
-const recentMemory = 30 * time.Second
+// recentFailureWindow is how long a member that was declared dead still counts in the fleet size of which a majority
+// must be present.
+const recentFailureWindow = 30 * time.Second
 
-// statementTally is what all records state of one member.
+// statementTally lists the authors of all current statements about one member, by what they state.
 type statementTally struct{ notHeardBy, notHeardButAliveBy, heardBy []ID }
 
-// tallyStatements collects from all records what they state of each member.
+// tallyStatements collects the statements about each member from all records, if any record has changed. Statements
+// about an earlier incarnation of a member are ignored.
 func (n *Node) tallyStatements() {
 	if !n.recordsChanged {
 		return
@@ -45,7 +47,8 @@
 	}
 }
 
-// add counts one statement. An author that suspects itself is no witness against anybody.
+// add counts one statement. A report of not hearing the member counts as a vote only if its author does not suspect
+// itself.
 func (t *statementTally) add(author *peer, observation observation) {
 	switch {
 	case observation == notHeard && !author.record.SuspectsItself:
@@ -57,20 +60,21 @@
 	}
 }
 
-// requiredWitnesses is how many members must not hear a peer: less than the quorum only where no more are able to
-// state so.
+// requiredWitnesses returns how many members must report that they do not hear p: the configured quorum, or fewer if
+// fewer members are able to report. A member that two or more others do not hear is not considered able.
 func (n *Node) requiredWitnesses(p *peer) int {
-	able := 0
+	ableMembers := 0
 	for _, other := range n.topology.inView {
 		if other != p && len(other.notHeardBy) < 2 {
-			able++
+			ableMembers++
 		}
 	}
-	return min(n.config.Quorum, max(able, 1))
+	return min(n.config.Quorum, max(ableMembers, 1))
 }
 
-// countWitnesses is how many of the members that don't hear a peer count at present. One that has just come back may
-// still state what it observed on its side of a partition, and one that has failed can't withdraw its statement.
+// countWitnesses returns how many of the members that report not hearing p count as witnesses now. This member always
+// counts. A member that has just re-entered the view does not, as it may still report what it observed on its side of a
+// network partition. Nor does a member outside the view, as it cannot withdraw its statement.
 func (n *Node) countWitnesses(p *peer) (count int) {
 	for _, id := range p.notHeardBy {
 		witness := n.members.byID[id]
@@ -81,21 +85,21 @@
 	return count
 }
 
-// suspicionTimeout is how long a quorum must have stood against a peer: the shorter, the more members don't hear it.
+// suspicionTimeout returns how long a quorum against p must last. It is shorter the more members do not hear p.
 func (n *Node) suspicionTimeout(p *peer) time.Duration {
 	return n.config.SuspicionTimeout * time.Duration(n.config.Quorum) / time.Duration(max(n.config.Quorum, len(p.notHeardBy)))
 }
 
-// evaluate settles the state of each member, and the view.
+// evaluate updates the state of each member and the view, if anything relevant has changed.
 func (n *Node) evaluate() {
-	if !n.recordsChanged && !n.unsettled && !n.topology.stale {
+	if !n.recordsChanged && !n.needsReevaluation && !n.topology.stale {
 		return
 	}
 	n.tallyStatements()
 	n.rebuildRings()
 	var failed []*peer
 	suspects := 0
-	unconfirmed := false // one is partly reachable, and no record states who hears it
+	unconfirmed := false // whether a member is partly reachable although no record states who hears it
 	for _, p := range n.members.sorted {
 		if p == n.self || !p.known {
 			continue
@@ -114,12 +118,13 @@
 	n.refute()
 	n.declareFailed(failed, suspects)
 	n.installView(suspects)
-	n.unsettled = suspects > 0 || unconfirmed || len(failed) > 0 || n.views.pendingSince > 0 || n.recordsChanged
+	n.needsReevaluation = suspects > 0 || unconfirmed || len(failed) > 0 || n.views.pendingSince > 0 || n.recordsChanged
 }
 
-// assess concludes the state of a peer from all records, or that it has failed.
+// assess derives the state of p from all records. hasFailed means that the quorum against p is established and
+// declareFailed has to choose the state.
 func (n *Node) assess(p *peer) (state State, reason Reason, hasFailed bool) {
-	// Skip the quorum count for members nobody suspects: it visits all members.
+	// Count the quorum only for suspected members: the count visits all members.
 	hasQuorum := len(p.notHeardBy) > 0 && len(p.heardBy) == 0 && !n.isHeard(p) && len(p.notHeardBy) >= n.requiredWitnesses(p)
 	switch {
 	case !hasQuorum:
@@ -142,7 +147,7 @@
 	return Suspect, reasonSuspect, false
 }
 
-// isQuorumEstablished tells whether the quorum against a peer consists of current witnesses and has stood long enough.
+// isQuorumEstablished reports whether the quorum against p consists of current witnesses and has lasted long enough.
 func (n *Node) isQuorumEstablished(p *peer) bool {
 	return n.countWitnesses(p) >= n.requiredWitnesses(p) &&
 		n.now-p.quorumSince >= n.suspicionTimeout(p) &&
@@ -150,6 +155,7 @@
 		n.now >= p.graceUntil
 }
 
+// setState changes the state of p and reports the change. A change into or out of the view starts a grace period.
 func (n *Node) setState(p *peer, state State, reason Reason) {
 	if p.state == state {
 		return
@@ -160,7 +166,7 @@
 		p.graceUntil = n.now + n.config.MaxViewDelay
 	}
 	if !p.state.InView() || !state.InView() {
-		n.recordsChanged = true // its statements count differently
+		n.recordsChanged = true // its statements now count differently
 	}
 	p.state = state
 	p.stateIncarnation = p.record.Incarnation
@@ -171,9 +177,11 @@
 	n.report(MemberReport{Member: p.id, State: state, Reason: reason, Witnesses: witnesses})
 }
 
-// declareFailed gives all failed members their state at once. While others are suspected it waits, as the same event
-// may have hit them. Where failed and suspected members are half of those that were here recently, it can't be known
-// whether they have failed or this part of the fleet is partitioned.
+// declareFailed sets the state of all failed members together. It waits while other members are suspected, for at most
+// MaxViewDelay, as one event may have hit them all. A failed member is declared dead only if the quorum against it is
+// credible and the members that remain present, without the failed and suspected ones, are a majority of the recent
+// fleet. Without a majority this member cannot tell a failure of the others from a network partition that separates it
+// from them. The failed members are then declared unreachable.
 func (n *Node) declareFailed(failed []*peer, suspects int) {
 	if len(failed) == 0 {
 		n.views.failuresPendingSince = 0
@@ -186,8 +194,8 @@
 		return
 	}
 	n.views.failuresPendingSince = 0
-	here, recent := n.countRecentMembers()
-	hasMajority := 2*(here-len(failed)-suspects) > recent
+	present, recent := n.countRecentMembers()
+	hasMajority := 2*(present-len(failed)-suspects) > recent
 	for _, p := range failed {
 		if hasMajority && n.hasCredibleQuorum(p, recent) {
 			n.setState(p, Dead, reasonDead)
@@ -197,8 +205,8 @@
 	}
 }
 
-// hasCredibleQuorum tells whether a quorum of the members that don't hear a peer hear most others. Guards against
-// members that were partitioned and return with what they observed there.
+// hasCredibleQuorum reports whether a quorum of the members that do not hear p do hear most other members. This
+// excludes members that were cut off by a partition and return with reports from that time.
 func (n *Node) hasCredibleQuorum(p *peer, recent int) bool {
 	credible := 0
 	for _, id := range p.notHeardBy {
@@ -215,21 +223,22 @@
 	return credible >= n.requiredWitnesses(p)
 }
 
-// countRecentMembers counts the members that are here, and those that were recently.
-func (n *Node) countRecentMembers() (here, recent int) {
+// countRecentMembers returns the number of members in the view, and the size of the recent fleet: these members, the
+// unreachable ones and those declared dead within recentFailureWindow.
+func (n *Node) countRecentMembers() (present, recent int) {
 	for _, p := range n.members.sorted {
 		switch {
 		case p.state.InView():
-			here++
+			present++
 			recent++
-		case p.state == Unreachable, p.state == Dead && n.now-p.viewChangedAt < recentMemory:
+		case p.state == Unreachable, p.state == Dead && n.now-p.viewChangedAt < recentFailureWindow:
 			recent++
 		}
 	}
-	return here, recent
+	return present, recent
 }
 
-// refute answers statements that this member is not heard by a new incarnation, which makes them void.
+// refute reacts to reports that this member is not heard by starting a new incarnation, which invalidates them.
 func (n *Node) refute() {
 	if len(n.self.notHeardBy) == 0 || n.leaving {
 		return
--- a/internal/decide/membership/event.go
+++ b/internal/decide/membership/event.go
@@ -1,48 +1,49 @@
 package membership
 
-// Event is something that happens to a Node: a Tick, a DatagramReceived or a Leave.
+// Event is an input of a Node: a Tick, a DatagramReceived or a Leave.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed. One is due every TickInterval.
+// Tick signals that time has passed. The caller delivers one every TickInterval.
 type Tick struct{}
 
-// DatagramReceived is a datagram that came from the address of a member.
+// DatagramReceived is a datagram that arrived from the address of the member From.
 type DatagramReceived struct {
 	From    ID
 	Payload []byte
 }
 
-// Leave is a graceful shutdown of this member.
+// Leave requests a graceful shutdown of this member.
 type Leave struct{}
 
 func (Tick) isEvent()             {}
 func (DatagramReceived) isEvent() {}
 func (Leave) isEvent()            {}
 
-// Action is what the caller of a Node has to carry out: a Send, or a ViewChanged or MemberReport to publish.
+// Action is an output of a Node for its caller to carry out: a Send, or a ViewChanged or MemberReport to publish.
 type Action interface{ isAction() }
 
-// Send asks for a datagram to be sent to a member.
+// Send asks the caller to send a datagram to a member.
 type Send struct {
 	To      ID
 	Payload []byte
 }
 
-// ViewChanged reports that this member has installed another view.
+// ViewChanged reports that this member has installed a new view.
 type ViewChanged struct {
+	// View is the installed view.
 	View View
-	// Majority tells whether the view holds more than half of the members that were in a view recently. Without a
-	// majority either this member is in the smaller part of a partitioned fleet or most others have failed; it can't
-	// tell which.
+	// Majority reports whether the view holds more than half of the recent fleet: the members in the view, the
+	// unreachable ones and those declared dead recently. Without a majority, either this member is in the smaller part
+	// of a partitioned fleet or most other members have failed; it cannot tell which.
 	Majority bool
 }
 
-// MemberReport reports a change of one member to operators.
+// MemberReport reports a state change, a refutation or a self-suspicion of one member to operators.
 type MemberReport struct {
 	Member    ID
 	State     State
 	Reason    Reason
-	Witnesses []ID // members that don't hear it
+	Witnesses []ID // members that do not hear it
 }
 
 func (Send) isAction()         {}
--- a/internal/decide/membership/failure_detector.go
+++ b/internal/decide/membership/failure_detector.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// relayCount is how many other members are asked to ping one that has not answered.
+	// relayCount is the number of other members that are asked to ping a member that does not answer.
 	relayCount = 2
-	// relayAfterPings is the number of unanswered pings after which they are asked.
+	// relayAfterPings is the number of unanswered pings after which the relays are asked.
 	relayAfterPings = 2
-	// repeatPingInterval is how often, in heartbeat intervals, a member that is not heard is pinged.
+	// repeatPingInterval is the initial interval, in heartbeat intervals, between pings of a member already reported as
+	// not heard.
 	repeatPingInterval = 4
-	// maxRepeatPingDoublings bounds the backoff of these pings.
+	// maxRepeatPingDoublings limits how often the exponential backoff doubles that interval.
 	maxRepeatPingDoublings = 4
 )
 
-// monitor is the set of members that this one observes.
+// monitor is the set of members that this member observes.
 type monitor struct {
-	peers        []*peer // monitored ones, and others about which the own record may have to state something
-	stale        bool    // the set may have changed
-	pendingPings int     // members that were pinged and have not answered yet
+	// peers are the monitored members and those that this member's own record may have to state something about.
+	peers        []*peer
+	stale        bool // whether the set must be recomputed
+	pendingPings int  // number of members that were pinged and have not answered yet
 }
 
-// selectMonitored updates the set of monitored members: the predecessors on the rings, and members whom others don't
-// hear where this one is an arbiter or has confirmed that it hears them.
+// selectMonitored updates the set of observed members. Monitored are the predecessors on the rings, members that this
+// member has confirmed to hear, and members that others do not hear if this member is an arbiter for them.
 func (n *Node) selectMonitored() {
 	n.rebuildRings()
 	if !n.monitor.stale {
@@ -54,8 +56,8 @@
 	}
 }
 
-// monitoredPredecessors returns the predecessor on each ring and, where that is not heard, four more for each silent
-// one, as many may have failed at once. The search on a ring ends at one that was heard recently.
+// monitoredPredecessors returns the predecessor on each ring. Since many members may fail at once, four more
+// predecessors are added for each one reported as not heard, until the walk reaches a member that was heard recently.
 func (n *Node) monitoredPredecessors() map[*peer]bool {
 	set := map[*peer]bool{}
 	for _, ring := range n.topology.rings {
@@ -73,7 +75,8 @@
 	return set
 }
 
-// startMonitoring begins to monitor a member. It had no reason to send this one anything, so it is pinged at once.
+// startMonitoring adds p to the monitored members. p had no reason to send datagrams to this member until now, so its
+// silence timeout counts as expired and it is pinged at once.
 func (n *Node) startMonitoring(p *peer) {
 	p.silentSince = max(p.silentSince, n.now-n.silenceTimeout(p))
 	p.monitored = true
@@ -91,24 +94,25 @@
 	p.repeatedPings = 0
 }
 
-// shouldArbitrate tells whether a peer's witnesses are too few and this member should look for itself.
+// shouldArbitrate reports whether p has reports against it from too few witnesses, so that this member should monitor p
+// itself.
 func (n *Node) shouldArbitrate(p *peer) bool {
 	return len(p.notHeardBy) > 0 && n.countWitnesses(p) < n.config.Quorum && n.isArbiter(p)
 }
 
-// isArbiter tells whether this member is one of those that look for themselves where somebody does not hear a peer.
-// They are drawn by hash, the same at all members, so there are enough witnesses even where those on the rings may
+// isArbiter reports whether this member is among those that monitor p when another member does not hear it. Arbiters
+// are selected by a hash that is the same at all members, so there are enough witnesses even if the ring neighbors of p
 // have failed too.
 func (n *Node) isArbiter(p *peer) bool {
-	own := mixHash(p.id.hashKey(), n.self.id.hashKey())
-	ahead := 0
+	ownRank := mixHash(p.id.hashKey(), n.self.id.hashKey())
+	rankedBefore := 0
 	for _, other := range n.topology.inView {
 		if other == p || other == n.self || len(other.notHeardBy) > 0 {
 			continue
 		}
-		if mixHash(p.id.hashKey(), other.id.hashKey()) < own {
-			ahead++
-			if ahead >= n.config.RingCount {
+		if mixHash(p.id.hashKey(), other.id.hashKey()) < ownRank {
+			rankedBefore++
+			if rankedBefore >= n.config.RingCount {
 				return false
 			}
 		}
@@ -116,21 +120,22 @@
 	return true
 }
 
-// isSubstituteWitness tells whether too few living members state that they don't hear a failed one: witnesses leave, or
-// their processes are replaced and state nothing that they have not observed. Arbiters then state it in their place.
-// Guards against a member that learns of the failed one later and would take it for alive, with nobody to correct it.
+// isSubstituteWitness reports whether too few present members state that they do not hear a failed member. Witnesses
+// may leave, or their processes may be replaced and state nothing that they have not observed themselves. Arbiters then
+// make the statement in their place. Otherwise a member that learns of the failed one later would consider it alive,
+// and no record would correct that.
 func (n *Node) isSubstituteWitness(p *peer) bool {
 	return p.state.hasFailed() && p.ownObservation == noObservation && n.countWitnesses(p) < n.config.Quorum && !n.isHeard(p)
 }
 
-// pingSilentMembers pings monitored members that are silent, first directly and then by way of others.
+// pingSilentMembers pings monitored members that are silent, first directly and then through relays.
 func (n *Node) pingSilentMembers() {
 	n.selectMonitored()
 	for _, p := range n.monitor.peers {
 		if !p.monitored || n.now < p.nextPingAt || n.now-p.silentSince < n.silenceTimeout(p) {
 			continue
 		}
-		if p.hasOwnComplaint() {
+		if p.ownRecordSaysNotHeard() {
 			n.repeatPing(p)
 		} else if p.pingsSent < n.maxPings(p) {
 			n.ping(p)
@@ -138,7 +143,8 @@
 	}
 }
 
-// ping sends one round of pings to a silent member, and asks others to ping it where a round went unanswered.
+// ping sends one round of pings to a silent member. When relayAfterPings rounds were sent, it also asks other members
+// to ping it.
 func (n *Node) ping(p *peer) {
 	if n.sendRecords(kindPing, p, 0, nil) < 0 {
 		return
@@ -159,7 +165,7 @@
 	}
 }
 
-// repeatPing pings a member that was reported as not heard, more rarely the longer it is silent.
+// repeatPing pings a member that was reported as not heard, with exponential backoff.
 func (n *Node) repeatPing(p *peer) {
 	interval := n.heartbeats(repeatPingInterval)
 	p.nextPingAt = n.now + interval
@@ -170,10 +176,11 @@
 	n.sendRecords(kindPing, p, 0, nil)
 }
 
-// pingsExhausted tells whether a member has left all pings unanswered.
+// pingsExhausted reports whether a member has left all pings unanswered.
 func (n *Node) pingsExhausted(p *peer) bool {
 	return p.pingsSent >= n.maxPings(p) && n.now >= p.nextPingAt
 }
 
-// isLongSince tells whether a time lies more than a few heartbeats back, so that others must have learned of it.
-func (n *Node) isLongSince(at time.Duration) bool { return n.now-at > n.heartbeats(4) }
+// hasPropagated reports whether a change at the given time is more than four heartbeat intervals old, so that the other
+// members must have learned of it.
+func (n *Node) hasPropagated(at time.Duration) bool { return n.now-at > n.heartbeats(4) }
--- a/internal/decide/membership/gossip_message.go
+++ b/internal/decide/membership/gossip_message.go
@@ -8,32 +8,40 @@
 )
 
 const (
-	// MaxGossipBody is the size of the body of a gossip message, in bytes.
+	// MaxGossipBody is the largest body of a gossip message in bytes.
 	MaxGossipBody = 96
-	// MaxGossipPerOwner is how many gossip messages one member may publish.
+	// MaxGossipPerOwner is the largest number of gossip messages that one member may have published.
 	MaxGossipPerOwner = 16
-	// MaxGossipMessages is how many of all members are kept.
+	// MaxGossipMessages is the largest number of gossip messages that a member stores, of all owners together.
 	MaxGossipMessages = 1024
 )
 
-// Errors of Publish.
+// Errors that Publish returns.
 var (
-	ErrGossipBodyTooLong     = errors.New("membership: gossip message longer than 96 bytes")
-	ErrTooManyGossipMessages = errors.New("membership: more than 16 gossip messages of one member")
+	// ErrGossipBodyTooLong reports a body of more than MaxGossipBody bytes.
+	ErrGossipBodyTooLong = errors.New("membership: gossip message body exceeds 96 bytes")
+	// ErrTooManyGossipMessages reports that the member already has MaxGossipPerOwner messages published.
+	ErrTooManyGossipMessages = errors.New("membership: member already has 16 published gossip messages")
 )
 
-// GossipMessage is a small message of another subsystem that all members learn. Only its owner changes it. Of two with
-// the same owner, topic and key the newer one holds.
+// GossipMessage is a small message of another subsystem that is distributed to all members. Only its owner changes it.
+// Of two messages with the same owner, topic and key, the newer one replaces the other.
 type GossipMessage struct {
-	Topic       uint8
-	Key         uint32
-	Owner       ID
-	Incarnation uint32 // of the owner when it published the message
-	Version     uint32
-	Body        []byte // empty: withdrawn
+	// Topic separates the messages of different subsystems.
+	Topic uint8
+	// Key distinguishes the messages of an owner within a topic.
+	Key uint32
+	// Owner is the member that published the message.
+	Owner ID
+	// Incarnation is that of the owner's process when it published the message.
+	Incarnation uint32
+	// Version increases with each change of the message.
+	Version uint32
+	// Body is the content. An empty body marks a withdrawn message.
+	Body []byte
 }
 
-// gossipKey identifies a gossip message in all its versions.
+// gossipKey identifies a gossip message across all its versions.
 type gossipKey struct {
 	owner ID
 	topic uint8
@@ -42,15 +50,17 @@
 
 func (g GossipMessage) id() gossipKey { return gossipKey{g.Owner, g.Topic, g.Key} }
 
-// isNewerThan orders the versions of one message.
+// isNewerThan reports whether g is a newer version of the same message than other.
 func (g GossipMessage) isNewerThan(other GossipMessage) bool {
 	return cmp.Or(cmp.Compare(g.Incarnation, other.Incarnation), cmp.Compare(g.Version, other.Version)) > 0
 }
 
+// hash returns a hash of the key that is the same at all members.
 func (k gossipKey) hash() uint32 {
 	return mixHash(mixHash(k.owner.hashKey(), uint32(k.topic)), k.key)
 }
 
+// hash returns a hash of the key and the version, without the body.
 func (g GossipMessage) hash() uint32 {
 	return mixHash(mixHash(g.id().hash(), g.Incarnation), g.Version)
 }
--- a/internal/decide/membership/gossip_store.go
+++ b/internal/decide/membership/gossip_store.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Gossip messages are passed on with what the budget leaves beside heartbeats, pings and records. What is lost is found
-// by digests and requested.
+// Gossip messages are forwarded with the budget that heartbeats, pings and records leave. Lost messages are detected by
+// comparing digests, and requested.
 
-// gossipExpiryInterval is how often messages of members long gone are looked for.
+// gossipExpiryInterval is how often the store is searched for messages whose owners have been gone for long.
 const gossipExpiryInterval = time.Second
 
-// gossipDigestMask covers the byte of a datagram's digest that is of the gossip.
+// gossipDigestMask selects the byte of a datagram's records digest that holds part of the gossip digest.
 const gossipDigestMask uint32 = 0xff
 
 // gossipStore holds the gossip messages that this member knows.
 type gossipStore struct {
 	messages    map[gossipKey]GossipMessage
-	pending     map[gossipKey]int // how many more times the message is sent
-	digest      uint32            // of all messages
-	requestedAt time.Duration     // the last request for what differs
-	expireAt    time.Duration     // next look for expired messages
+	pending     map[gossipKey]int // how many more times each message is sent
+	digest      uint32            // XOR of the hashes of all messages
+	requestedAt time.Duration     // time of the last request for missing messages
+	expireAt    time.Duration     // time of the next search for expired messages
 }
 
+// toggleDigest adds a message to the digest, or removes it.
 func (s *gossipStore) toggleDigest(g GossipMessage) { s.digest ^= g.hash() }
 
-// put stores a message in place of its previous version.
+// put stores a message, replacing its previous version.
 func (s *gossipStore) put(g GossipMessage) {
 	if previous, ok := s.messages[g.id()]; ok {
 		s.toggleDigest(previous)
@@ -35,12 +36,14 @@
 	s.toggleDigest(g)
 }
 
+// remove deletes a message.
 func (s *gossipStore) remove(key gossipKey) {
 	s.toggleDigest(s.messages[key])
 	delete(s.messages, key)
 	delete(s.pending, key)
 }
 
+// markSent records that a message was sent once.
 func (s *gossipStore) markSent(key gossipKey) {
 	s.pending[key]--
 	if s.pending[key] <= 0 {
@@ -48,20 +51,20 @@
 	}
 }
 
-// count is how many messages of an owner meet a condition.
-func (s *gossipStore) count(owner ID, meets func(GossipMessage) bool) (count int) {
+// count returns how many messages of an owner match.
+func (s *gossipStore) count(owner ID, matches func(GossipMessage) bool) (count int) {
 	for key, g := range s.messages {
-		if key.owner == owner && meets(g) {
+		if key.owner == owner && matches(g) {
 			count++
 		}
 	}
 	return count
 }
 
-// published returns the messages that meet a condition and are not withdrawn, by owner, topic and key.
-func (s *gossipStore) published(meets func(gossipKey) bool) (all []GossipMessage) {
+// published returns the matching messages that are not withdrawn, sorted by owner, topic and key.
+func (s *gossipStore) published(matches func(gossipKey) bool) (all []GossipMessage) {
 	for key, g := range s.messages {
-		if len(g.Body) > 0 && meets(key) {
+		if len(g.Body) > 0 && matches(key) {
 			all = append(all, g)
 		}
 	}
@@ -71,7 +74,7 @@
 	return all
 }
 
-// Publish makes a gossip message of this member known to all. An empty body withdraws the message.
+// Publish distributes a gossip message of this member to all members. An empty body withdraws the message.
 func (n *Node) Publish(topic uint8, key uint32, body []byte) error {
 	if len(body) > MaxGossipBody {
 		return ErrGossipBodyTooLong
@@ -90,12 +93,12 @@
 	return nil
 }
 
-// GossipMessages returns all known messages of a topic, by owner and key.
+// GossipMessages returns all known messages of a topic that are not withdrawn, sorted by owner and key.
 func (n *Node) GossipMessages(topic uint8) []GossipMessage {
 	return n.gossip.published(func(k gossipKey) bool { return k.topic == topic })
 }
 
-// addGossip stores a new message and has it passed on.
+// addGossip stores a new message and schedules it to be forwarded.
 func (n *Node) addGossip(g GossipMessage) {
 	n.gossip.put(g)
 	n.gossip.pending[g.id()] = n.config.RingCount
@@ -104,12 +107,12 @@
 	}
 }
 
-// receiveGossip takes a message from a peer. A newer version replaces the one here; messages beyond the bounds are
+// receiveGossip handles a message from a peer. A newer version replaces the stored one. Messages beyond the limits are
 // rejected and counted.
 func (n *Node) receiveGossip(g GossipMessage) {
 	owner := n.members.byID[g.Owner]
 	if owner == nil || !owner.known || !owner.state.InView() {
-		return // it expires with its owner
+		return // it would expire with its owner
 	}
 	previous, exists := n.gossip.messages[g.id()]
 	switch {
@@ -119,7 +122,8 @@
 			n.gossip.pending[g.id()]--
 		}
 	case g.Owner == n.self.id:
-		// It is of an earlier process, or forged: publish what this member knows, as a newer version.
+		// The message is from an earlier process of this member, or forged. Publish the content that this member knows
+		// as a newer version.
 		g.Version++
 		g.Body = previous.Body
 		g.Incarnation = max(g.Incarnation, n.self.record.Incarnation)
@@ -131,14 +135,14 @@
 	}
 }
 
-// mayAddGossip tells whether there is capacity for another message of an owner. Withdrawn ones count too, so an owner
-// has twice as many as it may publish.
+// mayAddGossip reports whether the store has room for another message of an owner. Withdrawn messages count too, so the
+// limit is twice the number that an owner may publish.
 func (n *Node) mayAddGossip(owner ID) bool {
 	ofOwner := n.gossip.count(owner, func(GossipMessage) bool { return true })
 	return ofOwner < 2*MaxGossipPerOwner && len(n.gossip.messages) < MaxGossipMessages
 }
 
-// expireGossip removes messages whose owners have been out of the view for a while.
+// expireGossip removes messages whose owners have been out of the view for longer than recentFailureWindow.
 func (n *Node) expireGossip() {
 	if n.now < n.gossip.expireAt {
 		return
@@ -146,17 +150,17 @@
 	n.gossip.expireAt = n.now + gossipExpiryInterval
 	for key := range n.gossip.messages {
 		owner := n.members.byID[key.owner]
-		if owner == nil || !owner.state.InView() && n.now-owner.viewChangedAt > recentMemory {
+		if owner == nil || !owner.state.InView() && n.now-owner.viewChangedAt > recentFailureWindow {
 			n.gossip.remove(key)
 		}
 	}
 }
 
-// sendGossip sends as many as fit of the messages that meet a condition, the least often sent first.
-func (n *Node) sendGossip(p *peer, meets func(gossipKey) bool) {
+// sendGossip sends as many of the matching messages as fit one datagram, those with the most pending sends first.
+func (n *Node) sendGossip(p *peer, matches func(gossipKey) bool) {
 	var keys []gossipKey
 	for key := range n.gossip.messages {
-		if meets(key) {
+		if matches(key) {
 			keys = append(keys, key)
 		}
 	}
@@ -183,8 +187,8 @@
 	}
 }
 
-// gossipDigestByte is a byte of the gossip's digest, another one with each heartbeat, so that a difference shows soon
-// although a byte is little.
+// gossipDigestByte returns one byte derived from the gossip digest. It differs for each heartbeat sequence number, so
+// that a difference that one byte misses shows in a later heartbeat.
 func (n *Node) gossipDigestByte(sequence uint16) uint32 {
 	return mixHash(n.gossip.digest, uint32(sequence)) & gossipDigestMask
 }
--- a/internal/decide/membership/gossip_store_test.go
+++ b/internal/decide/membership/gossip_store_test.go
@@ -55,7 +55,7 @@
 	f.checkGossip(t, "after changes", "1.0 second", "1.1 first", "2.0 first", "3.0 first", "3.1 first")
 
 	f.nodes = f.nodes[1:]
-	f.run(recentMemory+15*time.Second, reliable)
+	f.run(recentFailureWindow+15*time.Second, reliable)
 	f.checkGossip(t, "without the first member", "2.0 first", "3.0 first", "3.1 first")
 }
 
--- a/internal/decide/membership/health.go
+++ b/internal/decide/membership/health.go
@@ -3,44 +3,49 @@
 import "time"
 
 const (
-	// maxContradictions by others, within contradictionWindow of each other, make this member suspect itself.
+	// maxContradictions is the number of contradictions by other members, each within contradictionWindow of the
+	// previous one, at which this member suspects itself.
 	maxContradictions = 2
-	// contradictionWindow is in heartbeat intervals.
+	// contradictionWindow is the longest time between two contradictions, in heartbeat intervals, after which the count
+	// continues. Later ones start a new count.
 	contradictionWindow = 20
-	// pauseSuspicion is in heartbeat intervals: for so long this member suspects itself after its process paused.
+	// pauseSuspicion is how long this member suspects itself after its process was paused, in heartbeat intervals.
 	pauseSuspicion = 4
 )
 
-// localHealth is what this member knows of its own ability to hear others. While it suspects itself its statements
-// don't count against anybody.
+// localHealth is this member's assessment of its own ability to receive datagrams. While a member suspects itself, its
+// statements do not count against other members.
 type localHealth struct {
-	suspectUntil   time.Duration
-	reason         Reason        // of the last self-suspicion
-	lastHeardAny   time.Duration // a datagram of any member was received
-	nextSearchAt   time.Duration // while nobody is heard: the next pings of random members
-	lossRate       float64       // share of all heartbeats to this member that are lost
-	contradictions int           // recent statements of this member that others have contradicted
-	contradictedAt time.Duration // the last one; 0: never
+	suspectUntil         time.Duration // end of the self-suspicion; 0: there was none
+	reason               Reason        // reason of the last self-suspicion
+	lastHeardAny         time.Duration // when a datagram of any member was last received
+	nextIsolationProbeAt time.Duration // when random members are pinged next while none is heard
+	lossRate             float64       // fraction of all heartbeats to this member that are lost
+	contradictions       int           // number of recent statements of this member that others have contradicted
+	contradictedAt       time.Duration // time of the last contradiction; 0: there was none
 }
 
-// isSuspect tells whether this member suspects itself at present.
+// isSuspect reports whether this member suspects itself at the given time.
 func (h *localHealth) isSuspect(now time.Duration) bool { return now < h.suspectUntil }
 
-// SelfSuspicion tells whether this member doubts its own hearing at present, and why.
+// SelfSuspicion returns whether this member suspects itself now, and the reason of the current or last self-suspicion.
+// An empty reason means that there was none.
 func (n *Node) SelfSuspicion() (reason Reason, active bool) {
 	return n.health.reason, n.health.isSuspect(n.now)
 }
 
-func (n *Node) suspectSelf(reason Reason, span time.Duration) {
+// suspectSelf starts a self-suspicion or extends the current one.
+func (n *Node) suspectSelf(reason Reason, duration time.Duration) {
 	if !n.health.isSuspect(n.now) {
 		n.report(MemberReport{Member: n.self.id, State: n.self.state, Reason: reasonSuspectsItself(reason)})
 	}
-	n.health.suspectUntil = max(n.health.suspectUntil, n.now+span)
+	n.health.suspectUntil = max(n.health.suspectUntil, n.now+duration)
 	n.health.reason = reason
 }
 
-// recoverFromPause restarts all silence timers after this process stood still: the members it monitors had no chance
-// to be heard. Guards against a process that is stopped, or gets no processor time, and then reports all others silent.
+// recoverFromPause restarts all silence timers after this process did not run for a while. During the pause it could
+// not receive datagrams from the members that it monitors. Without this, a process that was stopped or got no CPU time
+// would report all other members as not heard.
 func (n *Node) recoverFromPause(pause time.Duration) {
 	for _, p := range n.members.sorted {
 		p.silentSince = n.now
@@ -50,26 +55,27 @@
 	n.suspectSelf(reasonPaused(pause), n.heartbeats(pauseSuspicion))
 }
 
-// checkIsolation suspects this member itself while it hears nobody. Guards against a member that is partitioned from
-// all others and takes that for their failure.
+// checkIsolation makes this member suspect itself while it hears no other member. Otherwise a member that a network
+// partition separates from all others would conclude that they have failed.
 func (n *Node) checkIsolation() {
 	if len(n.topology.inView) < 2 || n.now-n.health.lastHeardAny <= n.heartbeats(n.config.MaxMissedHeartbeats) {
 		return
 	}
 	n.suspectSelf(reasonIsolated, n.heartbeats(1))
-	if n.now < n.health.nextSearchAt {
+	if n.now < n.health.nextIsolationProbeAt {
 		return
 	}
-	n.health.nextSearchAt = n.now + n.heartbeats(1)
-	// Its neighbours on the rings may have failed while others have not.
+	n.health.nextIsolationProbeAt = n.now + n.heartbeats(1)
+	// Ping random members: the ring neighbors may have failed while other members have not.
 	for _, p := range n.randomPeers(n.config.RingCount, func(*peer) bool { return true }) {
 		n.sendRecords(kindPing, p, 0, nil)
 	}
 }
 
-// noteContradiction counts that others hear a member that this one does not. Guards against a member that receives
-// badly: it goes on to state whom it does not hear, and this counts for nothing.
-func (n *Node) noteContradiction() {
+// countContradiction records that other members hear a member that this one does not. A member that receives poorly
+// contradicts others repeatedly and then suspects itself: it still states which members it does not hear, but these
+// statements no longer count.
+func (n *Node) countContradiction() {
 	window := n.heartbeats(contradictionWindow)
 	if n.health.contradictedAt == 0 || n.now-n.health.contradictedAt > window {
 		n.health.contradictions = 0
--- a/internal/decide/membership/link.go
+++ b/internal/decide/membership/link.go
@@ -8,33 +8,38 @@
 const (
 	// lossWindow is the number of heartbeats over which the loss rate of a path is averaged.
 	lossWindow = 16
-	// totalLossWindow is the same for all paths to this member together.
+	// totalLossWindow is the number of heartbeats over which the loss rate of all paths to this member together is
+	// averaged.
 	totalLossWindow = 4 * lossWindow
-	// initialLossRate is assumed for all paths until something was measured. Guards against a start amid loss, whose
-	// first seconds would bring more wrong statements than can be withdrawn in a minute.
+	// initialLossRate is assumed for all paths until the loss has been measured. Without it, a start on lossy paths
+	// would produce more wrong statements in its first seconds than could be withdrawn in a minute.
 	initialLossRate = 0.3
-	// minLossRate is assumed of any path.
+	// minLossRate is the lowest loss rate assumed for any path.
 	minLossRate = 0.05
-	// maxFalseSilence is the tolerated probability that loss alone makes a path silent for the silence timeout.
+	// maxFalseSilence is the accepted probability that loss alone makes a path silent for the silence timeout.
 	maxFalseSilence = 0.005
-	// maxFalseReport is the tolerated probability that loss alone leaves all pings unanswered.
+	// maxFalseReport is the accepted probability that loss alone leaves all pings unanswered.
 	maxFalseReport = 0.002
-	// maxSilentHeartbeats and maxPingRounds bound the time to detection on paths with much loss.
+	// maxSilentHeartbeats and maxPingRounds limit the detection time on paths with high loss.
 	maxSilentHeartbeats = 10
 	maxPingRounds       = 8
 	// duplicatePingsAbove is the loss rate above which each ping is sent twice.
 	duplicatePingsAbove = 0.1
 )
 
-// linkQuality measures the loss of heartbeats on the path from a peer to this member.
+// linkQuality measures the heartbeat loss on the path from a peer to this member.
 type linkQuality struct {
-	lossRate          float64
-	lastHeartbeat     uint16 // its sequence number; 0: none yet
-	heartbeatsCounted int    // up to lossWindow
+	// lossRate is the fraction of heartbeats lost, an exponentially weighted average.
+	lossRate float64
+	// lastHeartbeat is the sequence number of the last heartbeat received; 0: none yet.
+	lastHeartbeat uint16
+	// heartbeatsCounted is the number of heartbeats in the average, at most lossWindow.
+	heartbeatsCounted int
 }
 
-// noteHeartbeat counts a heartbeat and those that must have been lost before it, here and in the loss rate of all paths.
-func (q *linkQuality) noteHeartbeat(sequence uint16, totalLossRate *float64) {
+// countHeartbeat updates the loss rate of the path, and that of all paths together, with a received heartbeat and the
+// ones that its sequence number shows to be lost before it. Gaps of lossWindow or more are not counted.
+func (q *linkQuality) countHeartbeat(sequence uint16, totalLossRate *float64) {
 	gap := sequence - q.lastHeartbeat
 	if q.lastHeartbeat != 0 && gap >= 1 && gap < lossWindow {
 		for i := range gap {
@@ -50,9 +55,10 @@
 	q.lastHeartbeat = sequence
 }
 
-// estimatedLoss is the loss rate to assume of the path from a peer: the measured one, or, where few heartbeats were
-// counted and nobody else misses the peer, at least that of all paths. Guards against a start amid loss, in which
-// members that don't know yet whom to send heartbeats to would be pinged too few times.
+// estimatedLoss returns the loss rate to assume for the path from p. This is the measured rate. While few heartbeats
+// were counted and no other member reports p as not heard, it is at least the rate of all paths together. This matters
+// at a start on lossy paths: members that do not know yet whom to send heartbeats to would otherwise be pinged too few
+// times.
 func (n *Node) estimatedLoss(p *peer) float64 {
 	if p.heartbeatsCounted < lossWindow && len(p.notHeardBy) == 0 {
 		return max(p.lossRate, n.health.lossRate)
@@ -60,26 +66,28 @@
 	return p.lossRate
 }
 
-// silenceTimeout is how long a peer may be silent before it is pinged: the number of heartbeats that are hardly ever
-// lost in a row on its path.
+// silenceTimeout returns how long p may be silent before it is pinged. It covers as many heartbeats as are lost in a
+// row on the path from p with a probability of at most maxFalseSilence.
 func (n *Node) silenceTimeout(p *peer) time.Duration {
-	unlikely := math.Ceil(math.Log(maxFalseSilence) / math.Log(max(n.estimatedLoss(p), minLossRate)))
-	missed := min(max(unlikely, float64(n.config.MaxMissedHeartbeats)), maxSilentHeartbeats)
+	lostInRow := math.Ceil(math.Log(maxFalseSilence) / math.Log(max(n.estimatedLoss(p), minLossRate)))
+	missed := min(max(lostInRow, float64(n.config.MaxMissedHeartbeats)), maxSilentHeartbeats)
 	return time.Duration(missed*float64(n.config.HeartbeatInterval)) + n.config.HeartbeatInterval/4
 }
 
-// isHeard tells whether this member hears a peer at present.
+// isHeard reports whether a datagram from p arrived within its silence timeout. In this package a member "hears"
+// another one while this is so.
 func (n *Node) isHeard(p *peer) bool {
 	return p.lastHeard > 0 && n.now-p.lastHeard <= n.silenceTimeout(p)
 }
 
-// wasHeardRecently tells whether a peer was heard not long ago; it may have no reason to send this member anything.
+// wasHeardRecently is like isHeard with two more heartbeat intervals of tolerance, as p may have no reason to send
+// datagrams to this member.
 func (n *Node) wasHeardRecently(p *peer) bool {
 	return p.lastHeard > 0 && n.now-p.lastHeard <= n.silenceTimeout(p)+n.heartbeats(2)
 }
 
-// pingCopies is how many times each ping is sent. A wrong statement costs far more than a second ping, as it goes to
-// all members and so does its withdrawal.
+// pingCopies returns how many times each ping is sent. A wrong statement costs far more than a second ping, since the
+// statement and its withdrawal are each sent to all members.
 func (n *Node) pingCopies(p *peer) int {
 	if n.estimatedLoss(p) > duplicatePingsAbove {
 		return 2
@@ -87,10 +95,10 @@
 	return 1
 }
 
-// maxPings is how many pings may go unanswered before the peer is reported as not heard, with the loss of its path in
-// both directions.
+// maxPings returns how many pings may go unanswered before p is reported as not heard. It accounts for the loss of its
+// path in both directions.
 func (n *Node) maxPings(p *peer) int {
 	roundTripLoss := 1 - (1-n.estimatedLoss(p))*(1-n.estimatedLoss(p))
-	unlikely := math.Ceil(math.Log(maxFalseReport) / (float64(n.pingCopies(p)) * math.Log(max(roundTripLoss, minLossRate))))
-	return int(min(max(unlikely, float64(n.config.MaxUnansweredPings)), maxPingRounds))
+	pings := math.Ceil(math.Log(maxFalseReport) / (float64(n.pingCopies(p)) * math.Log(max(roundTripLoss, minLossRate))))
+	return int(min(max(pings, float64(n.config.MaxUnansweredPings)), maxPingRounds))
 }
--- a/internal/decide/membership/member_table.go
+++ b/internal/decide/membership/member_table.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// maxMembers bounds the known members, including those long gone. Guards against a peer that invents members without
-// end: each takes some 300 bytes here, and a position on the rings.
+// maxMembers limits the known members, including those that left long ago. A faulty peer could otherwise invent members
+// without limit, each of which takes about 300 bytes here and a position on the rings.
 const maxMembers = 4096
 
-// memberTable holds all members that this one knows of, itself included.
+// memberTable holds all members that this member knows of, including itself.
 type memberTable struct {
 	byID   map[ID]*peer
-	sorted []*peer // by ID, so that iteration has the same order in each run
-	known  int     // members of which there is a record
-	digest uint32  // of all records
+	sorted []*peer // by ID, so that the iteration order is deterministic
+	known  int     // number of members whose record is known
+	digest uint32  // XOR of the hashes of all records
 }
 
-// getOrAdd returns a member, which is added where it was not known.
+// getOrAdd returns the member with the given ID and adds it if it is missing.
 func (t *memberTable) getOrAdd(id ID) *peer {
 	p := t.byID[id]
 	if p == nil {
@@ -33,12 +33,13 @@
 	t.sorted = slices.Insert(t.sorted, i, p)
 }
 
-// toggleDigest takes a record into the digest, or out of it.
+// toggleDigest adds a record to the digest, or removes it.
 func (t *memberTable) toggleDigest(r record) { t.digest ^= r.hash() }
 
 func comparePeers(a, b *peer) int { return cmp.Compare(a.id, b.id) }
 
-// mayAdd tells whether a member is known or may be added. Members that the settings name are always known.
+// mayAdd reports whether a member is in the table or may be added. Members that the settings name are always in the
+// table.
 func (n *Node) mayAdd(id ID) bool {
 	if n.members.byID[id] != nil {
 		return true
--- a/internal/decide/membership/message.go
+++ b/internal/decide/membership/message.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// A datagram is a header and as many records as fit. Numbers are big-endian.
+// A datagram is a header followed by as many records as fit. Integers of fixed size are big-endian.
 //
 //	version and kind:1 from:uvarint incarnation:4 sequence:2 records digest:4 known members:uvarint
 //	view number:uvarint view digest:4 argument:uvarint
 //
-// Its last four bytes are a checksum (CRC-32C) of all before. Guards against datagrams that were corrupted in transit,
-// also where nothing is signed.
+// The last four bytes are a checksum (CRC-32C) of all bytes before them. It detects datagrams that were corrupted in
+// transit, including those that are not signed.
 //
-// A request (kindRecordsRequest, kindGossipRequest) has a Bloom filter before the records, behind a byte with its
-// length. A kindGossip has gossip messages in place of records.
+// A request (kindRecordsRequest, kindGossipRequest) has a Bloom filter between the header and the records, prefixed by
+// one byte with its length. A kindGossip datagram has gossip messages in place of records.
 const wireVersion = 2 << 4
 
-// kind is the kind of a datagram, in the low bits of its first byte.
+// kind is the type of a datagram, encoded in the low bits of its first byte.
 type kind byte
 
 const (
 	kindHeartbeat      kind = 1
-	kindPing           kind = 2 // answer with a kindAck
-	kindAck            kind = 3 // the argument is the sequence of the ping
-	kindPingRequest    kind = 4 // ping the member of the argument; its answer is reported in records
-	kindRecordsRequest kind = 5 // send the records that are not in the filter, of the partition in the argument
-	kindRecords        kind = 6 // the argument is answerArgument in the answer to a kindRecordsRequest
+	kindPing           kind = 2 // the receiver answers with a kindAck
+	kindAck            kind = 3 // the argument is the sequence number of the ping
+	kindPingRequest    kind = 4 // the receiver pings the member in the argument and reports the result in its record
+	kindRecordsRequest kind = 5 // asks for the records that the filter lacks, of the partition in the argument
+	kindRecords        kind = 6 // the argument is answerArgument in an answer to a kindRecordsRequest
 	kindGossip         kind = 7
-	kindGossipRequest  kind = 8 // send the gossip that is not in the filter, of the partition in the argument
+	kindGossipRequest  kind = 8 // asks for the gossip messages that the filter lacks, of the partition in the argument
 )
 
 const (
@@ -37,24 +37,26 @@
 	versionMask = 0xf0
 )
 
-// answerArgument marks a kindRecords as the answer to a request.
+// answerArgument is the argument of a kindRecords datagram that answers a request.
 const answerArgument = 1
 
-// maxHeaderBytes bounds the header of a datagram.
+// maxHeaderBytes is the largest header of a datagram in bytes.
 const maxHeaderBytes = 39
 
+// message is the decoded form of a datagram.
 type message struct {
 	Kind          kind
 	From          ID
 	Incarnation   uint32
 	Sequence      uint16
-	RecordsDigest uint32 // its lowest byte is of the gossip
-	KnownMembers  uint32 // of which the sender has a record
-	View          View   // without its size
-	Argument      uint64
-	Filter        bloomFilter
-	Records       []record
-	Gossip        []GossipMessage
+	RecordsDigest uint32 // digest of the sender's records, with a byte of its gossip digest in the low bits
+	KnownMembers  uint32 // number of members whose record the sender has
+	View          View   // the sender's view; its Size is not transmitted
+	// Argument has a meaning that depends on Kind.
+	Argument uint64
+	Filter   bloomFilter // what the sender of a request has
+	Records  []record
+	Gossip   []GossipMessage
 }
 
 func (m message) deltaBase() deltaBase { return deltaBase{m.From, m.Incarnation} }
@@ -91,11 +93,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// appendChecksum appends the checksum of b to b.
 func appendChecksum(b []byte) []byte {
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// verifyChecksum returns a datagram without its checksum.
+// verifyChecksum checks the checksum of a datagram and returns the bytes before it.
 func verifyChecksum(b []byte) ([]byte, error) {
 	size := len(b) - checksumBytes
 	if size < 0 || binary.BigEndian.Uint32(b[size:]) != crc32.Checksum(b[:size], castagnoli) {
@@ -104,6 +107,7 @@
 	return b[:size], nil
 }
 
+// decodeMessage decodes a datagram without its checksum.
 func decodeMessage(b []byte) (m message, err error) {
 	b, err = m.decodeHeader(b)
 	if err != nil {
@@ -136,7 +140,7 @@
 	return m, nil
 }
 
-// decodeHeader reads the header of a datagram and returns what follows it.
+// decodeHeader decodes the header of a datagram and returns the bytes that follow it.
 func (m *message) decodeHeader(b []byte) (rest []byte, err error) {
 	if len(b) < 1 || b[0]&versionMask != wireVersion {
 		return nil, errMalformed
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -104,11 +104,11 @@
 }
 
 func (m *model) newNode(i int) *Node {
-	var named []ID
+	var configured []ID
 	for other := range m.isAlive {
-		named = append(named, ID(other+1))
+		configured = append(configured, ID(other+1))
 	}
-	return New(m.config, ID(i+1), m.incarnation, named, m.now, &copyableRandom{uint64(i) + uint64(m.incarnation)<<32})
+	return New(m.config, ID(i+1), m.incarnation, configured, m.now, &copyableRandom{uint64(i) + uint64(m.incarnation)<<32})
 }
 
 func (m *model) clone() *model {
--- a/internal/decide/membership/node.go
+++ b/internal/decide/membership/node.go
@@ -1,11 +1,14 @@
-// Package membership decides which front ends of an installation serve: which members get the heartbeats of this one,
-// which ones it monitors, what it concludes from their silence, and which view of the fleet follows. It does no I/O
-// and reads no clock; the caller passes in time, datagrams and a random source, and carries out the returned actions.
+// Package membership decides which front ends of an installation serve: to which members this one sends heartbeats,
+// which members it monitors, what it concludes from missing heartbeats, and which view of the fleet results. It does no
+// I/O and reads no clock. The caller passes in the time, datagrams and a random source, and carries out the returned
+// actions.
 //
-// It is a SWIM-like failure detector with gossip. Each member is the only author of one record: its incarnation,
-// whether it has departed, whether it suspects itself, and which members it does not hear. Records are ordered by
-// their author's own numbers, so they may arrive late, twice or in any order. All members conclude the state of a
-// member from all records by the same rules; there is no leader. docs/design/members.md has the alternatives.
+// The protocol is a SWIM-like failure detector with gossip. Each member is the only author of one record, which states
+// its incarnation, whether it has departed, whether it suspects itself, and which members it does not hear. A member
+// hears another one while datagrams from that one arrive in time. Records are ordered by numbers that their author
+// assigns, so they may arrive late, more than once or in any order. All members derive the state of a member from all
+// records by the same rules; there is no leader. docs/design/members.md describes the alternatives that were
+// considered.
 package membership
 
 import (
@@ -30,32 +33,38 @@
 	gossip        gossipStore
 	views         viewTracker
 
-	now             time.Duration
-	startedAt       time.Duration
-	nextTickAt      time.Duration
-	nextHeartbeatAt time.Duration
-	sequence        uint32 // of heartbeats
-	leaving         bool
-	recordsChanged  bool // since states were last evaluated
-	unsettled       bool // a state or a view waits for its time
-
-	actions []Action
-
-	DroppedDatagrams int // unreadable, or not from the member that they name
-	RejectedMembers  int // members beyond maxMembers
-	RejectedGossip   int // gossip messages beyond their bounds
+	now               time.Duration // time of the current event, as passed to Handle
+	startedAt         time.Duration
+	nextTickAt        time.Duration // when the next Tick is due
+	nextHeartbeatAt   time.Duration
+	sequence          uint32 // of heartbeats; its low 16 bits are sent, and are never 0
+	leaving           bool   // whether this member has announced its shutdown
+	recordsChanged    bool   // whether a record has changed since the states were last evaluated
+	needsReevaluation bool   // whether a state or a view depends on the passing of time
+
+	actions []Action // results of the current event
+
+	// DroppedDatagrams counts datagrams that were malformed or too long, that named another sender than their source,
+	// or whose sender was not accepted.
+	DroppedDatagrams int
+	// RejectedMembers counts rejections of members beyond maxMembers.
+	RejectedMembers int
+	// RejectedGossip counts rejections of gossip messages beyond the limits.
+	RejectedGossip int
 }
 
-// New returns a member. incarnation must be higher than that of any earlier process of this member that others may
-// remember: the Unix second of the start will do, as the others correct one that is not. named are the members that
-// the settings name, perhaps including this one; more are discovered by their records.
-func New(config Config, self ID, incarnation uint32, named []ID, now time.Duration, random RandomSource) *Node {
-	n := newNode(config, self, incarnation, named, now, random)
+// New returns a member without any saved state. incarnation must be higher than that of any earlier process of this
+// member that others may remember. The Unix time of the start in seconds is suitable, as the other members correct a
+// value that is too low. configured are the members that the settings name, which may include this one; further members
+// are discovered from records.
+func New(config Config, self ID, incarnation uint32, configured []ID, now time.Duration, random RandomSource) *Node {
+	n := newNode(config, self, incarnation, configured, now, random)
 	n.evaluate()
 	return n
 }
 
-func newNode(config Config, self ID, incarnation uint32, named []ID, now time.Duration, random RandomSource) *Node {
+// newNode returns a member that has not evaluated the states yet.
+func newNode(config Config, self ID, incarnation uint32, configured []ID, now time.Duration, random RandomSource) *Node {
 	n := &Node{
 		config:          config,
 		random:          random,
@@ -72,7 +81,7 @@
 		nextHeartbeatAt: now,
 	}
 	n.members.add(n.self)
-	for _, id := range named {
+	for _, id := range configured {
 		n.members.getOrAdd(id)
 	}
 	n.members.toggleDigest(n.self.record)
@@ -80,19 +89,19 @@
 	return n
 }
 
-// TickInterval is how often a Tick is due.
+// TickInterval returns the time between two Ticks.
 func (n *Node) TickInterval() time.Duration { return n.config.HeartbeatInterval / 10 }
 
-// heartbeats is the length of so many heartbeat intervals.
+// heartbeats returns the duration of the given number of heartbeat intervals.
 func (n *Node) heartbeats(count int) time.Duration {
 	return time.Duration(count) * n.config.HeartbeatInterval
 }
 
-// View returns the installed view, and whether it holds more than half of the fleet.
+// View returns the installed view and whether it holds more than half of the recent fleet.
 func (n *Node) View() (view View, majority bool) { return n.views.current, n.views.hasMajority }
 
-// State returns what this member concludes about another one, with the members that do not hear it and, where there
-// are any, those that do.
+// State returns the state of a member, the members that report not hearing it and those that report hearing it despite
+// such reports. The state of an ID that is not in the member table is Unknown.
 func (n *Node) State(id ID) (state State, notHeardBy, heardBy []ID) {
 	p := n.members.byID[id]
 	if p == nil {
@@ -101,7 +110,7 @@
 	return p.state, slices.Clone(p.notHeardBy), slices.Clone(p.heardBy)
 }
 
-// Handle takes one event and returns the actions to carry out, in order. Time must not go back between calls.
+// Handle processes one event and returns the actions to carry out, in order. now must not decrease between calls.
 func (n *Node) Handle(now time.Duration, event Event) []Action {
 	n.actions = nil
 	n.budget.refill(n.config, now)
@@ -119,11 +128,13 @@
 
 func (n *Node) report(report MemberReport) { n.actions = append(n.actions, report) }
 
+// tick runs the periodic work: failure detection, evaluation of the states, heartbeats. A tick that comes late by more
+// than a heartbeat interval indicates that the process was paused.
 func (n *Node) tick() {
-	late := n.now - n.nextTickAt
+	delay := n.now - n.nextTickAt
 	n.nextTickAt = n.now + n.TickInterval()
-	if late > n.config.HeartbeatInterval {
-		n.recoverFromPause(late)
+	if delay > n.config.HeartbeatInterval {
+		n.recoverFromPause(delay)
 	}
 	if n.leaving {
 		return
@@ -142,7 +153,7 @@
 	}
 }
 
-// leave announces the shutdown of this member to its monitors and to some others, as datagrams may be lost.
+// leave announces the shutdown of this member to its monitors and, as datagrams may be lost, to some random members.
 func (n *Node) leave() {
 	n.leaving = true
 	targets := n.heartbeatTargets()
@@ -154,11 +165,11 @@
 	}
 }
 
-// randomPeers draws up to limit other members of the view that meet a condition, each once.
-func (n *Node) randomPeers(limit int, meets func(*peer) bool) []*peer {
+// randomPeers returns up to limit distinct random members of the view that match, without this member.
+func (n *Node) randomPeers(limit int, matches func(*peer) bool) []*peer {
 	var candidates []*peer
 	for _, p := range n.topology.inView {
-		if p != n.self && meets(p) {
+		if p != n.self && matches(p) {
 			candidates = append(candidates, p)
 		}
 	}
--- a/internal/decide/membership/outbox.go
+++ b/internal/decide/membership/outbox.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// maxPendingRecords bounds the records considered for one datagram.
+// maxPendingRecords limits the records considered for one datagram.
 const maxPendingRecords = 24
 
-// recordOutbox holds the records to pass on.
+// recordOutbox schedules the records that this member forwards.
 type recordOutbox struct {
-	pending map[ID]int    // by author: how many more times the record is sent
-	flushAt time.Duration // when records are sent other than with heartbeats; 0: none wait
-	recent  int           // records queued recently: in about two heartbeats
+	pending map[ID]int    // how many more times the record of each author is sent
+	flushAt time.Duration // when records are sent independently of heartbeats; 0: nothing is scheduled
+	recent  int           // number of records queued recently, halved with each heartbeat
 }
 
-// markSent counts that a record was sent, or is known to one more member.
+// markSent records that the author's record was sent once, or that one more member is known to have it.
 func (o *recordOutbox) markSent(author ID) {
 	o.pending[author]--
 	if o.pending[author] <= 0 {
@@ -24,14 +24,14 @@
 	}
 }
 
-// flushBy has the records sent at a time, or earlier if that was planned.
+// flushBy schedules a flush at the given time unless an earlier one is scheduled.
 func (o *recordOutbox) flushBy(at time.Duration) {
 	if o.flushAt == 0 || o.flushAt > at {
 		o.flushAt = at
 	}
 }
 
-// updateOwnRecord changes this member's own record and queues it.
+// updateOwnRecord applies a change to this member's own record and queues the record.
 func (n *Node) updateOwnRecord(change func(*record)) {
 	previous := n.self.record
 	n.members.toggleDigest(previous)
@@ -43,7 +43,7 @@
 	n.queueRecord(n.self.id)
 }
 
-// startIncarnation begins another incarnation of this member.
+// startIncarnation starts a new incarnation of this member.
 func (n *Node) startIncarnation(incarnation uint32) {
 	n.updateOwnRecord(func(r *record) {
 		r.Incarnation = incarnation
@@ -51,22 +51,22 @@
 	})
 }
 
-// queueRecord has a record passed on, once on each ring, and sooner and more often where others wait for it. The more
-// records are new, the fewer times each is sent: what is lost or left out is found by digests and requested by those
-// who lack it. Guards against a start or failure of hundreds, of which each member would send all of it to others that
-// know it already.
+// queueRecord schedules a record to be forwarded, usually RingCount times. Urgent records are sent sooner and, while
+// few records are new, more often. The more records are new, the fewer times each is sent: members detect missing
+// records by comparing digests, and request them. Otherwise, when hundreds of members start or fail at once, each
+// member would send all their records to others that already have them.
 func (n *Node) queueRecord(author ID) {
 	n.outbox.recent++
 	delay := n.config.HeartbeatInterval/16 + n.config.HeartbeatInterval/8*time.Duration(n.random.IntN(64))/64
-	isQuiet := n.outbox.recent <= 2*n.config.RingCount
+	fewQueued := n.outbox.recent <= 2*n.config.RingCount
 	isUrgent := n.members.byID[author].urgent
 	switch {
-	case isUrgent && isQuiet:
+	case isUrgent && fewQueued:
 		n.outbox.pending[author] = n.config.RingCount + 2
 		delay = 0
 	case isUrgent:
 		n.outbox.pending[author] = max(n.config.RingCount/2, 1)
-	case isQuiet || author == n.self.id:
+	case fewQueued || author == n.self.id:
 		n.outbox.pending[author] = n.config.RingCount
 	default:
 		return
@@ -74,20 +74,22 @@
 	n.outbox.flushBy(n.now + delay)
 }
 
-// pendingRecords returns the records to pass on, the least often sent first.
+// pendingRecords returns records to forward, those with the most pending sends first.
 func (n *Node) pendingRecords() []record {
 	return n.pendingRecordsOf(func(*peer) bool { return true })
 }
 
-// urgentRecords returns those of them that others wait for.
+// urgentRecords returns the urgent ones among the pending records.
 func (n *Node) urgentRecords() []record {
 	return n.pendingRecordsOf(func(p *peer) bool { return p.urgent })
 }
 
-func (n *Node) pendingRecordsOf(meets func(*peer) bool) (records []record) {
+// pendingRecordsOf returns up to maxPendingRecords pending records of the matching authors, those with the most pending
+// sends first. Ties are broken by a hash that changes with each heartbeat.
+func (n *Node) pendingRecordsOf(matches func(*peer) bool) (records []record) {
 	authors := make([]ID, 0, len(n.outbox.pending))
 	for id := range n.outbox.pending {
-		if meets(n.members.byID[id]) {
+		if matches(n.members.byID[id]) {
 			authors = append(authors, id)
 		}
 	}
@@ -103,7 +105,7 @@
 	return records
 }
 
-// flushPending sends new records and gossip without waiting for the next heartbeat, as far as the budget allows.
+// flushPending sends new records and gossip before the next heartbeat, as far as the budget allows.
 func (n *Node) flushPending() {
 	n.outbox.flushAt = 0
 	for _, p := range n.gossipTargets() {
--- a/internal/decide/membership/reason.go
+++ b/internal/decide/membership/reason.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reason says to operators why a state has changed, or why a member suspects itself. Its text is part of logs.
+// Reason explains to operators why a state has changed or why a member suspects itself. Its text appears in logs.
 type Reason string
 
 func (r Reason) String() string { return string(r) }
@@ -24,10 +24,10 @@
 	reasonContradicted Reason = "others hear whom it does not"
 )
 
-// reasonPaused is the reason for a member to suspect itself after a pause of its process.
+// reasonPaused returns the reason for a member to suspect itself after its process was paused.
 func reasonPaused(pause time.Duration) Reason {
 	return Reason("stood still for " + pause.Round(time.Millisecond).String())
 }
 
-// reasonSuspectsItself is the reason of the report that a member suspects itself.
+// reasonSuspectsItself returns the reason for the report that a member suspects itself.
 func reasonSuspectsItself(because Reason) Reason { return "doubts itself: " + because }
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -1,17 +1,17 @@
 package membership
 
 const (
-	// arbitrateHeartbeats is how long, in heartbeat intervals, this member observes one that it was asked to ping.
+	// arbitrateHeartbeats is how long this member observes a member that it was asked to ping, in heartbeat intervals.
 	arbitrateHeartbeats = 6
-	// gossipSyncHeartbeats is how long, in heartbeat intervals, gossip must differ before it is requested, and how
-	// long one request waits after another.
+	// gossipSyncHeartbeats is how long gossip must differ before it is requested, and the shortest time between two
+	// requests, in heartbeat intervals.
 	gossipSyncHeartbeats = 3
-	// maxWitnessesSent bounds the witnesses' records that an excluded member is sent.
+	// maxWitnessesSent limits how many witnesses' records are sent to a member that was excluded from the view.
 	maxWitnessesSent = 3
 )
 
-// receive reads a datagram. One that names another sender than the member at its source address is dropped: guards
-// against a member that poses as others.
+// receive processes a datagram. It drops one whose sender field does not match the member at the source address, so
+// that a member cannot impersonate others.
 func (n *Node) receive(from ID, datagram []byte) {
 	body, err := verifyChecksum(datagram)
 	var m message
@@ -44,7 +44,7 @@
 	}
 }
 
-// noteHeard notes that a peer is alive and what its datagram's header reports.
+// noteHeard records that p is alive, and what the datagram header reports about it.
 func (n *Node) noteHeard(p *peer, m message) {
 	p.lastHeard = n.now
 	p.silentSince = n.now
@@ -58,7 +58,7 @@
 	n.views.highestNumber = max(n.views.highestNumber, m.View.Number)
 }
 
-// compareDigests notes since when a peer's records and gossip differ from this member's.
+// compareDigests tracks since when the records and the gossip of p differ from this member's.
 func (n *Node) compareDigests(p *peer, m message) {
 	switch {
 	case m.RecordsDigest&^gossipDigestMask == n.members.digest&^gossipDigestMask:
@@ -77,12 +77,12 @@
 	}
 }
 
-// respond does what a datagram asks for. It returns false after a request for records or gossip, whose answer is all
-// that the sender gets.
+// respond carries out the request in a datagram. It returns false after a request for records or gossip, whose sender
+// gets nothing but the answer.
 func (n *Node) respond(p *peer, m message) bool {
 	switch m.Kind {
 	case kindHeartbeat:
-		p.noteHeartbeat(m.Sequence, &n.health.lossRate)
+		p.countHeartbeat(m.Sequence, &n.health.lossRate)
 	case kindPing:
 		n.sendRecords(kindAck, p, uint64(m.Sequence), nil)
 	case kindPingRequest:
@@ -97,7 +97,7 @@
 	return true
 }
 
-// pingForOther pings a member for another one that got no answer from it.
+// pingForOther pings a member on behalf of another one that got no answer from it.
 func (n *Node) pingForOther(id ID) {
 	p := n.members.byID[id]
 	if p == nil || p == n.self || !p.known {
@@ -108,7 +108,7 @@
 	n.sendRecords(kindPing, p, 0, nil)
 }
 
-// synchronize sends a peer what it visibly lacks, or requests from it what this member lacks.
+// synchronize sends p what it evidently lacks, or requests what this member lacks.
 func (n *Node) synchronize(p *peer, m message) {
 	if n.now-p.syncedAt >= n.config.HeartbeatInterval && !n.leaving {
 		n.synchronizeRecords(p, m)
@@ -120,14 +120,15 @@
 	}
 }
 
+// synchronizeRecords sends or requests at most one set of records, depending on what the datagram shows about p.
 func (n *Node) synchronizeRecords(p *peer, m message) {
 	switch {
-	case m.Incarnation < p.record.Incarnation: // it has started anew, or did not learn what was stated of it
+	case m.Incarnation < p.record.Incarnation: // p has restarted, or does not know the statements about it
 		p.syncedAt = n.now
 		n.sendRecords(kindRecords, p, 0, []record{p.record})
-	case m.Incarnation > p.record.Incarnation && p.known: // its answer to what was stated of it was lost
+	case m.Incarnation > p.record.Incarnation && p.known: // the record that refutes statements about p was lost
 		n.requestRecords(p)
-	case p.known && !p.state.InView(): // it learns that it is excluded, and by whom
+	case p.known && !p.state.InView(): // tell p that it is excluded, and by whom
 		p.syncedAt = n.now
 		records := []record{p.record}
 		for _, id := range p.notHeardBy[:min(maxWitnessesSent, len(p.notHeardBy))] {
@@ -139,30 +140,31 @@
 	}
 }
 
-// mergeRecord takes a record of another member, or what others remember of this one. A new one is passed on.
+// mergeRecord handles a received record of another member, or an earlier record of this one that others remember. A new
+// record is forwarded.
 func (n *Node) mergeRecord(r record) {
 	if p := n.storeRecord(r); p != nil {
 		n.queueRecord(r.Author)
 	}
 }
 
-// mergeAnswer takes a record that came in the answer to a request. Others know it already, so it is passed on only
-// where some wait for it.
+// mergeAnswer handles a record from the answer to a request. Other members already have it, so it is forwarded only if
+// it is urgent.
 func (n *Node) mergeAnswer(r record) {
 	p := n.storeRecord(r)
 	if p == nil {
 		return
 	}
-	n.sync.gained++
+	n.sync.newRecords++
 	if p.urgent {
 		n.queueRecord(r.Author)
 	}
 }
 
-// storeRecord keeps a record and returns its author's peer, or nil where the record is not new.
+// storeRecord stores a record and returns its author's peer, or nil if the record is not new.
 func (n *Node) storeRecord(r record) *peer {
 	if r.Author == n.self.id {
-		if n.isObsolete(r) {
+		if n.isSupersededBy(r) {
 			n.startIncarnation(r.Incarnation + 1)
 		}
 		return nil
@@ -173,7 +175,7 @@
 	p := n.members.getOrAdd(r.Author)
 	if p.known && !r.isNewerThan(p.record) {
 		if r.Incarnation == p.record.Incarnation && r.Sequence == p.record.Sequence && n.outbox.pending[r.Author] > 0 {
-			n.outbox.markSent(r.Author) // the sender knows it
+			n.outbox.markSent(r.Author) // the sender has it
 		}
 		return nil
 	}
@@ -188,15 +190,15 @@
 	n.recordsChanged = true
 	n.members.toggleDigest(r)
 	if isNewIncarnation {
-		n.observeAnew(p)
+		n.restartObservation(p)
 	}
 	p.known = true
 	return p
 }
 
-// isObsolete tells whether others remember a record of this member that is newer than its own, or another one with the
-// same numbers: of an earlier process, or a forged one.
-func (n *Node) isObsolete(remembered record) bool {
+// isSupersededBy reports whether others remember a record of this member that is newer than its own one, or a different
+// one with the same numbers. Such a record is from an earlier process of this member, or forged.
+func (n *Node) isSupersededBy(remembered record) bool {
 	own := n.self.record
 	if remembered.Incarnation != own.Incarnation {
 		return remembered.Incarnation > own.Incarnation
@@ -207,15 +209,16 @@
 	return remembered.Sequence == own.Sequence && remembered.hash() != own.hash()
 }
 
-// observeAnew starts the observation of a peer's new incarnation.
-func (n *Node) observeAnew(p *peer) {
+// restartObservation starts observing p again after its incarnation has changed.
+func (n *Node) restartObservation(p *peer) {
 	n.monitor.stale = true
 	n.ownStatements.stale = true
-	if p.known && p.state.InView() && p.hasOwnComplaint() && p.lastHeard < n.now {
-		// It has learned that it is not heard, and others report that it is alive. A failed one is observed from the
-		// beginning, as those who could report so may have lost it meanwhile.
+	if p.known && p.state.InView() && p.ownRecordSaysNotHeard() && p.lastHeard < n.now {
+		// p has learned that it is not heard, and other members relay its new record, so it is alive. A failed member
+		// is observed from the start instead, as those who could relay its record may have lost contact with it
+		// meanwhile.
 		if p.ownObservation == notHeard {
-			n.noteContradiction()
+			n.countContradiction()
 		}
 		p.ownObservation = notHeardButAlive
 	} else {
--- a/internal/decide/membership/record.go
+++ b/internal/decide/membership/record.go
@@ -2,54 +2,57 @@
 
 import "cmp"
 
-// observation is what a member states of another one. The values are part of the wire form.
+// observation is what a member states about another one. The values are part of the wire format.
 type observation uint8
 
 const (
-	noObservation    observation = iota
-	notHeard                     // the author does not hear it
-	notHeardButAlive             // the author does not hear it, but knows from others that it is alive
-	heardDirectly                // the author hears it, although others don't
+	noObservation    observation = iota // nothing is stated
+	notHeard                            // the author does not hear it
+	notHeardButAlive                    // the author does not hear it but knows from others that it is alive
+	heardDirectly                       // the author hears it although others do not
 )
 
-// statement is what a record states of another member, in one of its incarnations.
+// statement is what the author of a record states about another member in one of its incarnations.
 type statement struct {
 	Member         ID
-	IncarnationTag uint8 // low byte of the incarnation
+	IncarnationTag uint8 // lowest byte of the member's incarnation
 	Observation    observation
 }
 
-// record is all that a member states of itself and others. Of two records of one author the newer one holds.
+// record is everything that a member states about itself and others. Of two records of one author, the newer one
+// replaces the other.
 type record struct {
 	Author         ID
-	Incarnation    uint32 // rises with each start, and where the author learns that it is not heard
-	Sequence       uint16 // rises with each change within the incarnation
-	Departed       bool
-	SuspectsItself bool        // its statements don't count against anybody
-	Statements     []statement // by member
+	Incarnation    uint32      // increases with each start, and when the author learns that it is not heard
+	Sequence       uint16      // increases with each change within the incarnation
+	Departed       bool        // whether the author has announced its shutdown
+	SuspectsItself bool        // whether its statements do not count against other members
+	Statements     []statement // sorted by member
 }
 
-// maxStatements bounds the statements of a record, as does the size of a datagram. A member with more to state should
-// suspect itself.
+// maxStatements limits the statements of a record, in addition to the size of a datagram. A member with more statements
+// should suspect itself.
 const maxStatements = 60
 
-// isNewerThan orders the records of one author.
+// isNewerThan reports whether r is newer than another record of the same author.
 func (r record) isNewerThan(other record) bool {
 	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Sequence, other.Sequence)) > 0
 }
 
-// isUrgent tells whether others wait for the record: it states something of members, or that its author departs. Other
-// records can be requested.
+// isUrgent reports whether other members wait for the record because it contains statements or announces a shutdown.
+// They can request any other record.
 func (r record) isUrgent() bool { return r.Departed || len(r.Statements) > 0 }
 
-// isUrgentAfter tells whether members with the previous record wait for this one, also because it withdraws statements
-// or answers those on its author. Guards against disputes that go on because nobody learns that they are settled.
+// isUrgentAfter reports whether members that have the previous record wait for this one. Besides urgent records, these
+// are records that withdraw statements or refute statements about their author. Otherwise disputes would continue
+// because no member learns that they are settled.
 func (r record) isUrgentAfter(previous record) bool {
 	return r.isUrgent() || previous.isUrgent() || r.Incarnation != previous.Incarnation
 }
 
-// hash is the same for equal records. It covers the statements, as a process that starts in the second up to which the
-// incarnation of its predecessor had risen may write another record with the same numbers.
+// hash returns the same value for equal records. It covers the statements, as two records with the same numbers may
+// differ: the Unix second in which a process starts can be an incarnation that its predecessor reached by refuting
+// statements.
 func (r record) hash() uint32 {
 	h := mixHash(mixHash(r.Author.hashKey()*2654435761, r.Incarnation), uint32(r.Sequence))
 	if r.Departed {
@@ -64,7 +67,7 @@
 	return h
 }
 
-// mixHash combines two words (the finalizer of MurmurHash3, which is in the public domain).
+// mixHash combines two words with the finalizer of MurmurHash3, which is in the public domain.
 func mixHash(a, b uint32) uint32 {
 	h := a ^ (b*0x9e3779b1 + a<<6)
 	h ^= h >> 16
--- a/internal/decide/membership/record_test.go
+++ b/internal/decide/membership/record_test.go
@@ -49,12 +49,12 @@
 	config := DefaultConfig()
 	config.MaxDatagramBytes -= 25 // as where datagrams are signed
 	address := func(host int) ID { return ID(10<<40 | host<<16 | 7946) }
-	var named []ID
+	var configured []ID
 	for host := range 300 {
-		named = append(named, address(host))
+		configured = append(configured, address(host))
 	}
-	n := New(config, address(0), 1_800_000_000, named, time.Hour, rand.New(rand.NewPCG(1, 1)))
-	for _, id := range named[1:] {
+	n := New(config, address(0), 1_800_000_000, configured, time.Hour, rand.New(rand.NewPCG(1, 1)))
+	for _, id := range configured[1:] {
 		n.mergeAnswer(record{Author: id, Incarnation: 1_800_000_000})
 		n.members.byID[id].ownObservation = notHeard
 	}
--- a/internal/decide/membership/record_wire.go
+++ b/internal/decide/membership/record_wire.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// errMalformed says that bytes are no datagram of this package.
+// errMalformed reports bytes that are not a datagram of this protocol version.
 var errMalformed = errors.New("membership: malformed datagram")
 
-// Flags of an encoded record, below the count of its statements.
+// Flags of an encoded record, in the bits below its number of statements.
 const (
 	flagDeparted       = 1
 	flagSuspectsItself = 2
@@ -16,14 +16,15 @@
 	flagMask           = 1<<flagBits - 1
 )
 
-// observationBits is the width of an observation, below the member that it is about.
+// observationBits is the width of an observation, in the bits below the member that it is about.
 const (
 	observationBits = 2
 	observationMask = 1<<observationBits - 1
 )
 
-// deltaBase is what the numbers of a record are encoded relative to: the sender's, then those of the record before. The
-// front ends of an installation have adjacent addresses and starts within days, so most records take half the bytes.
+// deltaBase holds the ID and incarnation that those of a record are encoded relative to. They are the sender's for the
+// first record of a datagram, then those of the preceding record. As the front ends of an installation have adjacent
+// addresses and start within days of each other, this halves the size of most records.
 type deltaBase struct {
 	id          ID
 	incarnation uint32
@@ -31,6 +32,7 @@
 
 func (r record) deltaBase() deltaBase { return deltaBase{r.Author, r.Incarnation} }
 
+// appendTo appends the encoded record to b.
 func (r record) appendTo(b []byte, base deltaBase) []byte {
 	b = binary.AppendUvarint(b, zigzagEncode(int64(r.Author)-int64(base.id)))
 	b = binary.AppendUvarint(b, zigzagEncode(int64(int32(r.Incarnation-base.incarnation))))
@@ -44,7 +46,7 @@
 	}
 	b = binary.AppendUvarint(b, uint64(len(r.Statements))<<flagBits|flags)
 	previous := r.Author
-	for i, s := range r.Statements { // sorted, so that only the first difference needs a sign
+	for i, s := range r.Statements { // sorted, so only the first difference can be negative
 		delta := uint64(s.Member - previous)
 		if i == 0 {
 			delta = zigzagEncode(int64(s.Member) - int64(previous))
@@ -56,22 +58,23 @@
 	return b
 }
 
+// decodeRecord decodes a record from the start of b and returns the bytes that follow it.
 func decodeRecord(b []byte, base deltaBase) (r record, rest []byte, err error) {
-	var head [4]uint64 // author, incarnation, sequence, count of statements and flags
-	for i := range head {
-		if head[i], b, err = readUvarint(b); err != nil {
+	var fields [4]uint64 // author, incarnation, sequence, number of statements with flags
+	for i := range fields {
+		if fields[i], b, err = readUvarint(b); err != nil {
 			return r, nil, err
 		}
 	}
-	count, flags := head[3]>>flagBits, head[3]&flagMask
-	if head[1] > 1<<32-1 || head[2] > 1<<16-1 || count > maxStatements {
+	count, flags := fields[3]>>flagBits, fields[3]&flagMask
+	if fields[1] > 1<<32-1 || fields[2] > 1<<16-1 || count > maxStatements {
 		return r, nil, errMalformed
 	}
-	if r.Author, err = applyDelta(base.id, head[0]); err != nil {
+	if r.Author, err = applyDelta(base.id, fields[0]); err != nil {
 		return r, nil, err
 	}
-	r.Incarnation = base.incarnation + uint32(zigzagDecode(head[1]))
-	r.Sequence = uint16(head[2])
+	r.Incarnation = base.incarnation + uint32(zigzagDecode(fields[1]))
+	r.Sequence = uint16(fields[2])
 	r.Departed = flags&flagDeparted != 0
 	r.SuspectsItself = flags&flagSuspectsItself != 0
 	previous := r.Author
@@ -80,7 +83,7 @@
 		if s, b, err = decodeStatement(b, previous, i); err != nil {
 			return r, nil, err
 		}
-		if s.Member == previous || s.Member == r.Author { // twice, or of itself
+		if s.Member == previous || s.Member == r.Author { // a duplicate, or about the author itself
 			return r, nil, errMalformed
 		}
 		previous = s.Member
@@ -89,8 +92,8 @@
 	return r, b, nil
 }
 
-// decodeStatement reads a statement whose member is encoded relative to the previous one. Only the difference of the
-// first one, at index 0, has a sign.
+// decodeStatement decodes a statement whose member is encoded relative to the previous one. Only the difference at
+// index 0 is signed.
 func decodeStatement(b []byte, previous ID, index uint64) (s statement, rest []byte, err error) {
 	word, b, err := readUvarint(b)
 	if err != nil {
@@ -114,12 +117,13 @@
 	return s, b[1:], nil
 }
 
-// zigzagEncode and zigzagDecode map numbers of either sign to ones that are small where they are near 0.
+// zigzagEncode maps signed integers to unsigned ones that are small for values near 0.
 func zigzagEncode(v int64) uint64 { return uint64(v<<1 ^ v>>63) }
 
+// zigzagDecode reverses zigzagEncode.
 func zigzagDecode(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
 
-// readUvarint reads a number that is encoded in the fewest bytes, as all here are.
+// readUvarint reads an integer and rejects encodings that are longer than necessary.
 func readUvarint(b []byte) (v uint64, rest []byte, err error) {
 	v, size := binary.Uvarint(b)
 	if size <= 0 || size > 1 && b[size-1] == 0 {
@@ -128,7 +132,7 @@
 	return v, b[size:], nil
 }
 
-// applyDelta adds an encoded difference to an ID.
+// applyDelta adds a zigzag-encoded difference to an ID. It rejects results that are not valid IDs.
 func applyDelta(id ID, delta uint64) (ID, error) {
 	sum := int64(id) + zigzagDecode(delta)
 	if delta > 2*MaxID+1 || sum < 0 || sum > MaxID {
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -22,7 +22,7 @@
 type replayScenario struct {
 	name    string
 	members int
-	seeds   int // so many members are named to each at its start; 0: all
+	seeds   int // so many members are configured to each at its start; 0: all
 	span    time.Duration
 	loss    float64
 	delay   time.Duration // of a datagram, at most
@@ -103,7 +103,7 @@
 	return time.Duration(float64(r.now)*n.rate) + n.ahead
 }
 
-func (r *replay) named() (ids []ID) {
+func (r *replay) configured() (ids []ID) {
 	count := r.members
 	if r.seeds > 0 {
 		count = r.seeds
@@ -116,7 +116,7 @@
 
 func (r *replay) start(n *replayNode) {
 	n.inc++
-	n.machine = New(r.cfg, n.id, n.inc, r.named(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
+	n.machine = New(r.cfg, n.id, n.inc, r.configured(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
 	n.alive, n.paused, n.due = true, 0, 0
 }
 
@@ -124,7 +124,7 @@
 func (r *replay) replaceProcess(n *replayNode) {
 	carried := n.machine.SaveState()
 	n.inc++
-	m, err := Resume(r.cfg, carried, n.inc, r.named(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
+	m, err := Resume(r.cfg, carried, n.inc, r.configured(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
 	if err != nil {
 		r.write("resume failed")
 		return
--- a/internal/decide/membership/rings.go
+++ b/internal/decide/membership/rings.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Members are arranged on rings, each in its own order that follows from their IDs alone. A member sends heartbeats to
-// its successors and monitors its predecessors. So all members with the same view know who monitors whom, each member
-// is monitored by several others that have nothing else in common, and the time to detection does not depend on chance.
+// Members are arranged on rings, each in an order derived from the IDs alone. A member sends heartbeats to its
+// successors and monitors its predecessors. All members with the same view therefore agree on who monitors whom. Each
+// member is monitored by several unrelated others, and the detection time does not depend on chance.
 
-// heartbeatToSuspectedEvery is how often, in heartbeats, a suspected successor gets one nevertheless.
+// heartbeatToSuspectedEvery is how often, in heartbeats, a suspected nearest successor still gets one.
 const heartbeatToSuspectedEvery = 4
 
-// topology is the members of the view and their order on the rings.
+// topology holds the members of the view and their order on the rings.
 type topology struct {
-	inView []*peer // by ID
-	rings  [][]*peer
-	stale  bool // members have entered or left the view since the rings were built
+	inView []*peer   // sorted by ID
+	rings  [][]*peer // one per ring number, each with all members of the view
+	stale  bool      // whether members have entered or left the view since the rings were built
 }
 
-// rebuildRings brings the rings up to date after members entered or left the view.
+// rebuildRings rebuilds the rings if members have entered or left the view.
 func (n *Node) rebuildRings() {
 	if !n.topology.stale {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-// direction is a way around a ring.
+// direction is a direction along a ring.
 type direction int
 
 const (
@@ -56,7 +56,7 @@
 	predecessors direction = -1
 )
 
-// walkRing visits the other members of a ring in one direction, nearest first, while visit returns true.
+// walkRing visits the other members of a ring in one direction, nearest first, until visit returns false.
 func (n *Node) walkRing(ring []*peer, toward direction, visit func(*peer) bool) {
 	position := slices.Index(ring, n.self)
 	for distance := 1; distance < len(ring); distance++ {
@@ -67,15 +67,16 @@
 	}
 }
 
-// heartbeatTargets returns the members that get heartbeats of this one: on each ring the first successor that is not
-// suspected, and now and then the suspected ones' first.
+// heartbeatTargets returns the members to send heartbeats to: on each ring the first successor that is not suspected.
+// With every heartbeatToSuspectedEvery-th heartbeat it also returns the nearest successor on each ring if that is
+// suspected.
 func (n *Node) heartbeatTargets() (targets []*peer) {
 	n.rebuildRings()
 	for _, ring := range n.topology.rings {
 		isFirst := true
 		n.walkRing(ring, successors, func(p *peer) bool {
-			isDue := !p.isSuspected() || isFirst && n.sequence%heartbeatToSuspectedEvery == 0
-			if isDue && !slices.Contains(targets, p) {
+			isTarget := !p.isSuspected() || isFirst && n.sequence%heartbeatToSuspectedEvery == 0
+			if isTarget && !slices.Contains(targets, p) {
 				targets = append(targets, p)
 			}
 			isFirst = false
@@ -85,14 +86,14 @@
 	return targets
 }
 
-// gossipTargets returns the members that new records and gossip go to: as many as there are rings, half of them
-// members that are heard and so certainly alive, the rest successors on the rings.
+// gossipTargets returns the members to forward new records and gossip to, at most RingCount. Half of them are random
+// members that this one hears, which are alive. The others are successors on the rings.
 func (n *Node) gossipTargets() []*peer {
-	certain := n.config.RingCount / 2
-	if len(n.self.record.Statements) > 1 { // many may have failed, successors too
-		certain = n.config.RingCount - 1
+	aliveCount := n.config.RingCount / 2
+	if len(n.self.record.Statements) > 1 { // many members may have failed, including successors
+		aliveCount = n.config.RingCount - 1
 	}
-	targets := n.randomPeers(certain, func(p *peer) bool { return n.isHeard(p) && !p.isSuspected() })
+	targets := n.randomPeers(aliveCount, func(p *peer) bool { return n.isHeard(p) && !p.isSuspected() })
 	next := n.heartbeatTargets()
 	n.random.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
 	for _, p := range next {
--- a/internal/decide/membership/saved_state.go
+++ b/internal/decide/membership/saved_state.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// SavedState is what one process of a member knows of the fleet, for the process that replaces it, so that to all
-// others the member goes on. What changes between it and the first Tick of the other process is found by digests, as
-// after a pause. The CBOR keys are the stored form.
+// SavedState is what a process of a member knows about the fleet. The process that replaces it resumes from this state,
+// so that to all other members the member continues to run. Changes between SaveState and the first Tick of the new
+// process are detected by comparing digests, as after a pause. The CBOR keys are the storage format.
 type SavedState struct {
 	Self        ID            `cbor:"Self"`
-	Incarnation uint32        `cbor:"Inc"`
+	Incarnation uint32        `cbor:"Inc"` // incarnation of the saved process
 	View        View          `cbor:"View"`
-	HasMajority bool          `cbor:"Major"`
-	HighestView uint32        `cbor:"Seen"`
-	Members     []SavedMember `cbor:"Members"`
-	Gossip      []byte        `cbor:"Talk"` // encoded messages, one after another
+	HasMajority bool          `cbor:"Major"`   // whether View holds more than half of the recent fleet
+	HighestView uint32        `cbor:"Seen"`    // highest view number that any member has reported
+	Members     []SavedMember `cbor:"Members"` // all known members except Self
+	// Gossip holds the encoded gossip messages, without separators.
+	Gossip []byte `cbor:"Talk"`
 }
 
-// SavedMember is what was known of another member.
+// SavedMember is what the process knows about another member.
 type SavedMember struct {
 	ID       ID            `cbor:"ID"`
-	Record   []byte        `cbor:"Record"` // empty: named and not heard of
+	Record   []byte        `cbor:"Record"` // encoded record; empty: none was received
 	State    State         `cbor:"State"`
-	ViewAge  time.Duration `cbor:"Ago"` // since the member entered or left the view
-	LossRate float64       `cbor:"Loss"`
+	ViewAge  time.Duration `cbor:"Ago"`  // time since the member entered or left the view
+	LossRate float64       `cbor:"Loss"` // fraction of heartbeats lost on the path from the member, 0 to 1
 }
 
-// isValid tells whether the values are ones that SaveState returns.
+// isValid reports whether the values are in the ranges that SaveState produces.
 func (m SavedMember) isValid() bool {
 	return m.ID <= MaxID && m.State <= Departed && m.LossRate >= 0 && m.LossRate <= 1 && m.ViewAge >= 0
 }
 
-// ErrInvalidSavedState says that what another process saved is of no use: it is corrupt, or of another member. The
-// caller starts anew.
+// ErrInvalidSavedState reports a saved state that is corrupt or belongs to another member. The caller starts without a
+// saved state instead.
 var ErrInvalidSavedState = errors.New("membership: invalid saved state")
 
-// SaveState returns what this member knows now.
+// SaveState returns the current state for the process that replaces this one.
 func (n *Node) SaveState() SavedState {
 	saved := SavedState{
 		Self:        n.self.id,
@@ -61,11 +62,11 @@
 	return saved
 }
 
-// Resume returns the member that a previous process of it was, in a new incarnation, which makes statements on the old
-// one void. It has heard nobody yet, so all silence counts from now on; the previous process's own statements are
-// dropped, as this process has not observed what they report.
-func Resume(config Config, saved SavedState, incarnation uint32, named []ID, now time.Duration, random RandomSource) (*Node, error) {
-	n := newNode(config, saved.Self, max(incarnation, saved.Incarnation+1), named, now, random)
+// Resume returns a member that continues from the state of its previous process. It starts a new incarnation, which
+// invalidates statements about the old one. All silence timers start now, as the new process has not heard any member
+// yet. The statements of the previous process are dropped, as this process has not observed what they report.
+func Resume(config Config, saved SavedState, incarnation uint32, configured []ID, now time.Duration, random RandomSource) (*Node, error) {
+	n := newNode(config, saved.Self, max(incarnation, saved.Incarnation+1), configured, now, random)
 	for _, member := range saved.Members {
 		if err := n.resumeMember(member); err != nil {
 			return nil, err
@@ -83,6 +84,7 @@
 	return n, nil
 }
 
+// resumeMember restores another member.
 func (n *Node) resumeMember(saved SavedMember) error {
 	if !saved.isValid() || saved.ID == n.self.id || len(n.members.sorted) > maxMembers {
 		return ErrInvalidSavedState
@@ -107,6 +109,7 @@
 	return nil
 }
 
+// resumeGossip restores the gossip messages, except those of unknown owners.
 func (n *Node) resumeGossip(encoded []byte) error {
 	for len(encoded) > 0 {
 		g, rest, err := decodeGossip(encoded)
@@ -115,7 +118,7 @@
 		}
 		encoded = rest
 		switch {
-		case g.Owner == n.self.id: // published anew, so that no earlier version of this member's is newer
+		case g.Owner == n.self.id: // republish it, so that no version of the earlier incarnation is newer
 			g.Incarnation = n.self.record.Incarnation
 			n.addGossip(g)
 		case n.members.byID[g.Owner] != nil:
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -1,23 +1,24 @@
 package membership
 
 const (
-	// announceHeartbeats is how long after a view change, in heartbeat intervals, this member's own record is added to
-	// datagrams for members with another view.
+	// announceHeartbeats is how long after a view change this member's own record is added to datagrams for members
+	// with another view, in heartbeat intervals.
 	announceHeartbeats = 8
-	// searchEvery is how often, in heartbeats, a member that is not in the view gets one.
-	searchEvery = 4
-	// startSearchHeartbeats is how long after the start, in heartbeat intervals, that happens at each heartbeat.
-	startSearchHeartbeats = 8
+	// probeAbsentEvery is how often, in heartbeats, a member outside the view is contacted.
+	probeAbsentEvery = 4
+	// startupProbeHeartbeats is how long after the start this happens with each heartbeat, in heartbeat intervals.
+	startupProbeHeartbeats = 8
 )
 
-// reservedBytes is the part of the budget that is kept for heartbeats and pings: those of two heartbeat intervals.
+// reservedBytes returns the part of the budget that is reserved for the heartbeats and pings of two heartbeat
+// intervals.
 func (n *Node) reservedBytes() float64 {
 	return float64(2 * n.config.RingCount * (2*maxHeaderBytes + n.config.FrameOverheadBytes))
 }
 
-// reservedAfter is how much of the budget must be left after a datagram: a ping may not use up the bytes of the next
-// heartbeats, nor records those of pings. Guards against members that ask so much that they no longer send heartbeats,
-// and so have to be pinged.
+// reservedAfter returns how much of the budget must remain after a datagram of the given kind. Pings must leave enough
+// for the next heartbeats, and records enough for pings. Otherwise members that send many requests could run out of
+// budget for heartbeats, and would then have to be pinged.
 func (n *Node) reservedAfter(kind kind) float64 {
 	switch kind {
 	case kindHeartbeat:
@@ -30,16 +31,17 @@
 	return n.reservedBytes()
 }
 
-// sendRecords sends a datagram with as many of the records as fit and the budget allows, and returns how many, or -1
-// where the budget does not allow the datagram.
+// sendRecords sends a datagram with as many of the records as fit and the budget allows. It returns their number, or -1
+// if the budget does not allow the datagram.
 func (n *Node) sendRecords(kind kind, to *peer, argument uint64, records []record) int {
 	return n.send(message{Kind: kind, Argument: argument, Records: records}, to)
 }
 
-// send completes a message and sends it, with as many of its records as fit. It returns how many, or -1.
+// send fills in the header of a message and sends it with as many of its records as fit. It returns their number, or -1
+// if the message was not sent because it is too long or the budget does not allow it.
 func (n *Node) send(m message, to *peer) (sent int) {
 	records := m.Records
-	if len(records) == 0 && n.shouldIntroduce(m.Kind, to) {
+	if len(records) == 0 && n.shouldIncludeOwnRecord(m.Kind, to) {
 		records = []record{n.self.record}
 	}
 	m.Records = nil
@@ -72,42 +74,43 @@
 	return sent
 }
 
-// shouldIntroduce tells whether the receiver of a datagram may not know this member, and so not send it heartbeats.
-func (n *Node) shouldIntroduce(kind kind, to *peer) bool {
+// shouldIncludeOwnRecord reports whether the receiver of a datagram may not know this member yet, and so would not send
+// it heartbeats.
+func (n *Node) shouldIncludeOwnRecord(kind kind, to *peer) bool {
 	if to.viewDigest == n.views.current.Digest || n.now-n.views.installedAt >= n.heartbeats(announceHeartbeats) {
 		return false
 	}
 	return kind == kindHeartbeat || kind == kindPing || kind == kindAck
 }
 
-// sendHeartbeats sends this member's heartbeats, and now and then one to a member that may have come back.
+// sendHeartbeats sends this member's heartbeats, and occasionally contacts a member that may have come back.
 func (n *Node) sendHeartbeats() {
 	n.sequence++
-	if uint16(n.sequence) == 0 { // 0 means none in datagrams
+	if uint16(n.sequence) == 0 { // in datagrams 0 means that there is no heartbeat yet
 		n.sequence++
 	}
 	n.outbox.recent /= 2
 	if n.now-n.sync.requestedAt > n.config.HeartbeatInterval/2 {
-		// A member that knows many more may have no reason to send this one anything.
-		for _, p := range n.randomPeers(1, n.knowsManyMore) {
+		// A peer that knows many more members may have no reason to send this one anything, so ask it.
+		for _, p := range n.randomPeers(1, n.knowsManyMoreMembers) {
 			n.requestRecords(p)
 		}
 	}
-	// The search on a ring may end at a member that has answered meanwhile.
+	// Walking a ring for predecessors may end at a member that has answered meanwhile.
 	n.monitor.stale = n.monitor.stale || len(n.self.record.Statements) > 0
 	for _, p := range n.heartbeatTargets() {
 		n.sendRecords(kindHeartbeat, p, 0, n.urgentRecords())
 	}
 	isAlone := len(n.topology.inView) <= 1
-	isStarting := n.now-n.startedAt <= n.heartbeats(startSearchHeartbeats)
-	if n.sequence%searchEvery == 1 || isStarting || isAlone {
-		n.searchAbsent()
+	isStarting := n.now-n.startedAt <= n.heartbeats(startupProbeHeartbeats)
+	if n.sequence%probeAbsentEvery == 1 || isStarting || isAlone {
+		n.probeAbsentMember()
 	}
 }
 
-// searchAbsent sends a datagram to a random member that is not in the view. A departed one counts too, as others may
-// have said so of it.
-func (n *Node) searchAbsent() {
+// probeAbsentMember contacts a random member outside the view. Departed members are included, as a forged record may
+// have stated the departure.
+func (n *Node) probeAbsentMember() {
 	var absent []*peer
 	for _, p := range n.members.sorted {
 		if !p.state.InView() {
--- a/internal/decide/membership/state.go
+++ b/internal/decide/membership/state.go
@@ -1,20 +1,20 @@
 package membership
 
-// State is what this member concludes about another one.
+// State is what this member concludes about a member.
 type State uint8
 
 // Member states. The values are part of SavedState.
 const (
-	Unknown         State = iota // named by the settings and not heard of since the start
-	Alive                        // every member that should hear it does
-	Suspect                      // some don't hear it, and it is not yet known why
-	PartlyReachable              // some don't hear it and others do, or it hears nobody itself
+	Unknown         State = iota // configured, but no record was received since the start
+	Alive                        // no member reports that it does not hear it
+	Suspect                      // some members do not hear it, and the cause is not known yet
+	PartlyReachable              // some members do not hear it while others do, or it does not hear others itself
 	Dead                         // none of its monitors hears it, and this side has a majority of the fleet
-	Unreachable                  // none of its monitors hears it, but it may be with a majority of the fleet elsewhere
+	Unreachable                  // none of its monitors hears it, but it may be on the side of a partition that has the majority
 	Departed                     // it announced its shutdown
 )
 
-// stateNames are the texts of logs, counters, and the operators' overview.
+// stateNames are the names in logs, counters and the operators' overview.
 var stateNames = [...]string{
 	Unknown:         "unknown",
 	Alive:           "alive",
@@ -27,16 +27,17 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// InView tells whether members in this state belong to the view.
+// InView reports whether members in this state belong to the view.
 func (s State) InView() bool { return s == Alive || s == Suspect || s == PartlyReachable }
 
-// hasFailed tells whether the state is one that a quorum of witnesses brought about.
+// hasFailed reports whether the state results from a quorum of witnesses.
 func (s State) hasFailed() bool { return s == Dead || s == Unreachable }
 
-// View is the set of serving members as one member sees it. Equal sets have equal digests. Number orders the views of
-// one member and is raised to those of others. The CBOR keys are those of SavedState.
+// View identifies the set of serving members as one member sees it. Equal sets have equal digests. Number increases
+// with each view that a member installs and is raised to the numbers that others report. The CBOR keys are those of
+// SavedState.
 type View struct {
 	Number uint32 `cbor:"Number"`
 	Digest uint32 `cbor:"Digest"`
-	Size   int    `cbor:"Size"`
+	Size   int    `cbor:"Size"` // number of members
 }
--- a/internal/decide/membership/statements.go
+++ b/internal/decide/membership/statements.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// maxConfirmations is how many members state that they hear one that others don't. One is enough and may fail
-	// itself; more would send more records to all members for each wrong statement.
+	// maxConfirmations is how many members state that they hear a member that others do not. One statement is enough,
+	// but its author may fail. More statements would send more records to all members for each wrong report.
 	maxConfirmations = 2
-	// minPendingPings is the number of members with unanswered pings from which on an update waits for all of them, as
-	// each record goes to all members.
+	// minPendingPings is the number of members with unanswered pings at which an update of the own record waits for all
+	// of them, as each record goes to all members.
 	minPendingPings = 2
-	// maxUpdateDelay bounds that wait, in heartbeat intervals.
+	// maxUpdateDelay limits that wait, in heartbeat intervals.
 	maxUpdateDelay = 3
 )
 
 // statementWriter schedules updates of the statements in this member's own record.
 type statementWriter struct {
-	stale        bool          // observations have changed since the record was written
-	writtenAt    time.Duration // the last update
-	pendingSince time.Duration // an update waits for unanswered pings; 0: none does
+	stale        bool          // whether observations have changed since the record was written
+	writtenAt    time.Duration // time of the last update
+	pendingSince time.Duration // since when an update is pending; 0: none is
 }
 
-// updateStatements observes all monitored members and brings this member's own record up to date. Changes soon after
-// one another, or that may concern many members, are written together.
+// updateStatements updates the observations of all observed members and this member's own record. Changes that follow
+// each other closely, or may concern many members, are combined into one update.
 func (n *Node) updateStatements() {
 	n.observeMonitored()
 	writer := &n.ownStatements
@@ -51,7 +51,7 @@
 	})
 }
 
-// observeMonitored updates the observations of all monitored members.
+// observeMonitored updates this member's observations of all peers in the monitor set.
 func (n *Node) observeMonitored() {
 	changed := false
 	n.monitor.pendingPings = 0
@@ -67,7 +67,7 @@
 	n.ownStatements.stale = n.ownStatements.stale || changed || n.health.isSuspect(n.now) != n.self.record.SuspectsItself
 }
 
-// statementsThatFit returns the statements on all observed members, or as many as fit a datagram.
+// statementsThatFit returns the statements about all observed members, or as many as fit a datagram.
 func (n *Node) statementsThatFit() (statements []statement) {
 	for _, p := range n.members.sorted {
 		if p.ownObservation != noObservation && p != n.self && len(statements) < maxStatements {
@@ -85,7 +85,7 @@
 	return statements
 }
 
-// observe settles what this member's record states of another one.
+// observe updates what this member's record will state about p.
 func (n *Node) observe(p *peer) {
 	trustsItself := !n.health.isSuspect(n.now)
 	if n.isSubstituteWitness(p) {
@@ -104,24 +104,24 @@
 			p.ownObservation = noObservation
 		} else if len(p.heardBy) > 0 {
 			p.ownObservation = notHeardButAlive
-			n.noteContradiction()
+			n.countContradiction()
 		}
 	case notHeardButAlive:
 		if isHeardAgain {
 			p.ownObservation = noObservation
-		} else if n.isConfirmationGone(p) && trustsItself {
+		} else if n.isConfirmationWithdrawn(p) && trustsItself {
 			p.ownObservation = noObservation
 			p.pingsSent = 0
 			p.nextPingAt = 0
 		}
 	case heardDirectly:
-		if n.endsConfirmation(p, isHeard) {
+		if n.shouldEndConfirmation(p, isHeard) {
 			p.ownObservation = noObservation
 		}
 	}
 }
 
-// observeUnreported settles what to state of a member of which this one's record states nothing yet.
+// observeUnreported is observe for a member about which this member states nothing yet.
 func (n *Node) observeUnreported(p *peer) {
 	switch {
 	case n.pingsExhausted(p) && !n.health.isSuspect(n.now):
@@ -135,16 +135,16 @@
 	}
 }
 
-// isConfirmationGone tells whether no member states that it hears the peer, and some don't hear it or it has been
-// silent for long.
-func (n *Node) isConfirmationGone(p *peer) bool {
+// isConfirmationWithdrawn reports whether no member states any more that it hears p, and either some do not hear p or p
+// has been silent for long.
+func (n *Node) isConfirmationWithdrawn(p *peer) bool {
 	if len(p.heardBy) > 0 {
 		return false
 	}
-	return len(p.notHeardBy) > 0 || n.isLongSince(p.statementsChangedAt) && n.isLongSince(p.silentSince)
+	return len(p.notHeardBy) > 0 || n.hasPropagated(p.statementsChangedAt) && n.hasPropagated(p.silentSince)
 }
 
-// shouldConfirm tells whether this member, which hears the peer, should state so because others don't.
+// shouldConfirm reports whether this member, which hears p, should state so because others do not hear p.
 func (n *Node) shouldConfirm(p *peer) bool {
 	if !p.isDisputed() || p.lastHeard <= p.statementsChangedAt || len(p.heardBy) >= maxConfirmations {
 		return false
@@ -152,8 +152,8 @@
 	return p.monitored || n.now < p.arbitrateUntil || n.now-p.statementsChangedAt > n.config.HeartbeatInterval
 }
 
-// endsConfirmation tells whether this member should no longer state that it hears the peer: nobody disputes it any
-// more, or the peer does not answer any more.
-func (n *Node) endsConfirmation(p *peer, isHeard bool) bool {
-	return !p.isDisputed() && n.isLongSince(p.statementsChangedAt) || !isHeard && n.pingsExhausted(p)
+// shouldEndConfirmation reports whether this member should no longer state that it hears p, because no member disputes
+// it any more or because p no longer answers.
+func (n *Node) shouldEndConfirmation(p *peer, isHeard bool) bool {
+	return !p.isDisputed() && n.hasPropagated(p.statementsChangedAt) || !isHeard && n.pingsExhausted(p)
 }
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// MemberStatus is what operators are shown of one member.
+// MemberStatus is what operators see of one member.
 type MemberStatus struct {
 	ID                 ID
 	State              State
 	Incarnation        uint32
-	SinceHeard         time.Duration // by this member itself; negative: not since its start
-	LossRate           float64       // of heartbeats on the path to this member
-	SuspectsItself     bool          // it states that its hearing may be impaired
-	SameView           bool          // its view was this member's when it was last heard
-	Monitored          bool          // by this member
-	NotHeardBy         []ID
-	NotHeardButAliveBy []ID // members that don't hear it and know from others that it is alive
-	HeardBy            []ID // members that hear it although others don't
+	SinceHeard         time.Duration // time since this member last received a datagram from it; negative: never since the start
+	LossRate           float64       // fraction of heartbeats lost on the path to this member, 0 to 1
+	SuspectsItself     bool          // whether it states that it may not receive datagrams reliably
+	SameView           bool          // whether its last datagram had the digest of this member's view
+	Monitored          bool          // whether this member monitors it
+	NotHeardBy         []ID          // members that report not hearing it
+	NotHeardButAliveBy []ID          // members that do not hear it but know from others that it is alive
+	HeardBy            []ID          // members that state that they hear it although others do not
 }
 
-// Snapshot returns the status of all members, this one first and the others by ID.
+// Snapshot returns the status of all members, this one first and the others sorted by ID.
 func (n *Node) Snapshot(now time.Duration) []MemberStatus {
 	all := []MemberStatus{n.status(n.self, now)}
 	for _, p := range n.members.sorted {
@@ -51,8 +51,8 @@
 	return status
 }
 
-// ViewAgreement counts the members that this one has heard recently, and those of them that have the same view. It
-// can't know whether others agree.
+// ViewAgreement returns how many members of the view this one hears, and how many of these have the same view. Whether
+// other members agree with each other is not known here.
 func (n *Node) ViewAgreement() (heard, sameView int) {
 	for _, p := range n.topology.inView {
 		if p == n.self || !n.isHeard(p) {
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -6,59 +6,66 @@
 	"time"
 )
 
-// Records and gossip that were lost, or not passed on, are found by the digests in each datagram and requested: a
-// member sends a filter of what it has, and the other answers with what it has besides. So the answer is new, whether
-// much differs (a start of hundreds) or one record of a thousand.
+// Records and gossip that were lost, or not forwarded, are detected by the digests in each datagram and requested. The
+// requesting member sends a Bloom filter of what it has, and the other one answers with items that the filter lacks.
+// The answer thus contains only new items, whether much differs (when hundreds of members start) or only one record of
+// a thousand.
 
 const (
-	// answerBudgetDivisor is the part of the saved-up bytes that one answer may use. Guards against a start in which
-	// the first few members to ask use up all that a seed may send.
+	// answerBudgetDivisor sets the share of the available budget that one answer may use, 1/answerBudgetDivisor.
+	// Without the limit, the first few members to ask at a start would use up everything that a seed may send.
 	answerBudgetDivisor = 8
-	// maxAnswerDatagrams bounds the datagrams of one answer.
+	// maxAnswerDatagrams limits the datagrams of one answer.
 	maxAnswerDatagrams = 3
-	// recordsPerAnswer is how many records an answer has at most, approximately. Where more are missing, a partition
-	// of them is requested, with a smaller filter.
+	// recordsPerAnswer is the approximate number of records in a full answer. If more are missing, only a partition of
+	// them is requested, with a smaller filter.
 	recordsPerAnswer = 40
-	// bootstrapRecords is how many members one that knows nobody is told of; it asks these next.
+	// bootstrapRecords is the number of records sent to a member that knows no other member. It asks these members
+	// next.
 	bootstrapRecords = 4
-	// ownRecordBytes is the space in a request for this member's own record.
+	// ownRecordBytes is the space in a request that is reserved for this member's own record.
 	ownRecordBytes = 24
-	// maxPartitions fits the byte of a partition.
+	// maxPartitions is the largest number of partitions that fits its byte in the argument.
 	maxPartitions = 255
 	// partitionSalt makes partitions independent of other uses of the hash.
 	partitionSalt = 7
-	// idleSyncHeartbeats is how long, in heartbeat intervals, one request waits after another that brought little.
+	// idleSyncHeartbeats is the shortest time between two requests while answers bring little, in heartbeat intervals.
 	idleSyncHeartbeats = 3
 )
 
 // antiEntropy is the progress of this member's requests for records.
 type antiEntropy struct {
-	requestedAt    time.Duration // the last request
-	gained         int           // records that it brought
-	previousGained int           // records that the request before it brought
+	requestedAt        time.Duration // time of the last request
+	newRecords         int           // number of new records since the last request
+	previousNewRecords int           // the same for the request before it
 }
 
-// partition is a share of all items, by the hash of their keys: one of so many. It is encoded in the argument of a
+// partition is the share of all items whose key hash modulo count equals number. It is encoded in the argument of a
 // request.
 type partition struct{ number, count uint64 }
 
+// argument returns the encoded partition.
 func (p partition) argument() uint64 { return p.number<<8 | p.count }
 
+// partitionOf decodes a partition. A count of 0 is read as 1.
 func partitionOf(argument uint64) partition { return partition{argument >> 8, max(argument&0xff, 1)} }
 
+// contains reports whether items with the given key hash are in the partition.
 func (p partition) contains(key uint32) bool {
 	return uint64(mixHash(key, partitionSalt))%p.count == p.number
 }
 
-// excludes tells whether a request does not ask for an item: its sender has it, or asks for another partition.
+// excludes reports whether a request does not ask for an item, because its sender seems to have the item or asks for
+// another partition.
 func (m message) excludes(key, hash uint32) bool {
 	return !partitionOf(m.Argument).contains(key) || m.Filter.contains(hash, uint32(m.Sequence))
 }
 
-// syncItem is a record or a gossip message: the hash of its key, and that of this version of it.
+// syncItem is a record or a gossip message: the hash of its key, and the hash of this version of it.
 type syncItem struct{ key, hash uint32 }
 
-// sendSyncRequest requests what is not among the items of this member, or a partition of it where there are many.
+// sendSyncRequest requests items that are not among the given ones of this member. If there are too many for one
+// filter, or minPartitions is greater than 1, it requests a random partition.
 func (n *Node) sendSyncRequest(kind kind, p *peer, items []syncItem, minPartitions int, records []record) {
 	capacity := n.config.MaxDatagramBytes - checksumBytes - maxHeaderBytes - 1 - ownRecordBytes
 	partitions := min(max(len(items)*minBitsPerItem/(8*capacity)+1, minPartitions), maxPartitions)
@@ -77,22 +84,22 @@
 	}
 }
 
-// canSendSyncRequest tells whether the budget allows another request.
+// canSendSyncRequest reports whether the budget allows another request.
 func (n *Node) canSendSyncRequest() bool {
 	return n.budget.syncAvailable >= float64(n.config.MaxDatagramBytes+n.config.FrameOverheadBytes)
 }
 
-// requestRecords requests from a peer the records that it has and this member has not.
+// requestRecords requests the records that p has and this member lacks.
 func (n *Node) requestRecords(p *peer) {
 	p.syncedAt = n.now
 	n.sync.requestedAt = n.now
-	n.sync.previousGained = n.sync.gained
-	n.sync.gained = 0
+	n.sync.previousNewRecords = n.sync.newRecords
+	n.sync.newRecords = 0
 	if !n.canSendSyncRequest() {
 		return
 	}
 	var own []record
-	if p.lastHeard == 0 || !p.known { // it may not know this member
+	if p.lastHeard == 0 || !p.known { // p may not know this member
 		own = []record{n.self.record}
 	}
 	var items []syncItem
@@ -102,13 +109,13 @@
 		}
 	}
 	partitions := (p.knownMembers-n.members.known)/recordsPerAnswer + 1
-	if n.sync.previousGained >= recordsPerAnswer/2 { // the last answer was not complete
+	if n.sync.previousNewRecords >= recordsPerAnswer/2 { // the last answer was probably incomplete
 		partitions *= 2
 	}
 	n.sendSyncRequest(kindRecordsRequest, p, items, partitions, own)
 }
 
-// requestGossip requests from a peer the gossip that it has and this member has not.
+// requestGossip requests the gossip messages that p has and this member lacks.
 func (n *Node) requestGossip(p *peer) {
 	n.gossip.requestedAt = n.now
 	if !n.canSendSyncRequest() {
@@ -121,11 +128,13 @@
 	n.sendSyncRequest(kindGossipRequest, p, items, 1, nil)
 }
 
-// knowsManyMore tells whether a peer knows many more members than this one.
-func (n *Node) knowsManyMore(p *peer) bool { return p.knownMembers > n.members.known+bootstrapRecords }
+// knowsManyMoreMembers reports whether p knows more than bootstrapRecords more members than this one.
+func (n *Node) knowsManyMoreMembers(p *peer) bool {
+	return p.knownMembers > n.members.known+bootstrapRecords
+}
 
-// shouldRequestRecords tells whether a peer should be asked for records: it is not known, or its records have differed
-// for a while and are not so many fewer that it will ask itself.
+// shouldRequestRecords reports whether p should be asked for records. This is so if its own record is unknown, or if
+// its records have differed for a while and p does not know so many fewer members that it will ask itself.
 func (n *Node) shouldRequestRecords(p *peer) bool {
 	if !p.known {
 		return true
@@ -133,23 +142,23 @@
 	if p.recordsDifferSince == 0 || p.knownMembers+bootstrapRecords < n.members.known {
 		return false
 	}
-	return n.now-p.recordsDifferSince >= n.syncInterval(p) || n.knowsManyMore(p)
+	return n.now-p.recordsDifferSince >= n.syncInterval(p) || n.knowsManyMoreMembers(p)
 }
 
-// syncInterval is how long one request for records waits after another. Much that is missing is requested quickly, as
-// long as answers bring something.
+// syncInterval returns the shortest time between two requests for records. It is short while many records are missing
+// and answers bring new ones.
 func (n *Node) syncInterval(p *peer) time.Duration {
 	switch {
-	case n.sync.gained >= bootstrapRecords, n.knowsManyMore(p) && n.sync.gained > 0:
+	case n.sync.newRecords >= bootstrapRecords, n.knowsManyMoreMembers(p) && n.sync.newRecords > 0:
 		return n.config.HeartbeatInterval / 2
-	case n.knowsManyMore(p):
+	case n.knowsManyMoreMembers(p):
 		return n.config.HeartbeatInterval
 	}
 	return n.heartbeats(idleSyncHeartbeats)
 }
 
-// answerRecordsRequest sends records that a peer lacks, or has in another version, as many as its part of the budget
-// allows. It gets the rest when it asks again, or asks others.
+// answerRecordsRequest sends as many of the records that p lacks, or has in another version, as one answer may use of
+// the budget. p gets the others when it asks again or asks other members.
 func (n *Node) answerRecordsRequest(p *peer, request message) {
 	var records []record
 	for _, other := range n.members.sorted {
@@ -161,12 +170,12 @@
 	isBootstrap := request.KnownMembers <= 1
 	if isBootstrap {
 		if n.budget.available < n.config.BurstBytes/2 {
-			return // others that the peer is told of will find it
+			return // the peer learns of other members that it can ask
 		}
 		records = records[:min(len(records), bootstrapRecords)]
 	}
 	records = n.withinAnswerBudget(records, request.deltaBase())
-	// Neighbouring IDs take fewer bytes.
+	// Sort the records, as adjacent IDs take fewer bytes.
 	slices.SortFunc(records, func(a, b record) int { return cmp.Compare(a.Author, b.Author) })
 	for range maxAnswerDatagrams {
 		sent := n.sendRecords(kindRecords, p, answerArgument, records)
@@ -177,11 +186,11 @@
 	}
 }
 
-// withinAnswerBudget cuts records to what one answer may use of the budget: at least a full datagram, as the header
-// costs the same each time.
+// withinAnswerBudget truncates records to what one answer may use of the budget. It allows at least a full datagram, as
+// the header costs the same for any number of records.
 func (n *Node) withinAnswerBudget(records []record, base deltaBase) []record {
-	spare := n.budget.available - n.reservedBytes()
-	quota := max(spare/answerBudgetDivisor, float64(n.config.MaxDatagramBytes-checksumBytes-maxHeaderBytes))
+	available := n.budget.available - n.reservedBytes()
+	quota := max(available/answerBudgetDivisor, float64(n.config.MaxDatagramBytes-checksumBytes-maxHeaderBytes))
 	for i, r := range records {
 		quota -= float64(len(r.appendTo(nil, base)))
 		if quota < 0 {
--- a/internal/decide/membership/view.go
+++ b/internal/decide/membership/view.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// viewSeed starts a view's digest, so that an empty view has one.
-const viewSeed = 1
+// viewDigestSeed is the initial value of a view's digest, so that an empty view has a digest other than 0.
+const viewDigestSeed = 1
 
-// viewTracker holds the installed view and the changes that wait to become the next one.
+// viewTracker holds the installed view and the pending changes to it.
 type viewTracker struct {
 	current       View
-	installedAt   time.Duration
-	hasMajority   bool
-	highestNumber uint32 // of a view that any member has reported
+	installedAt   time.Duration // when the view was installed
+	hasMajority   bool          // whether the view holds more than half of the recent fleet
+	highestNumber uint32        // highest view number that any member has reported
 
-	pendingSince         time.Duration // a view change waits; 0: none does
-	pendingDigest        uint32
-	pendingStableSince   time.Duration // pendingDigest has not changed
-	failuresPendingSince time.Duration // members have failed and have not been declared so; 0: none
+	pendingSince         time.Duration // since when a view change is pending; 0: none is
+	pendingDigest        uint32        // digest of the pending view
+	pendingStableSince   time.Duration // since when pendingDigest has not changed
+	failuresPendingSince time.Duration // since when failed members wait to be declared so; 0: none do
 }
 
-// installView installs the view of those that are here once it has been stable for a moment, so that an event that hits
-// many members is one view change.
+// installView installs the view of the present members once it has been stable for a while, so that an event that
+// affects many members causes one view change. suspects is the number of suspected members.
 func (n *Node) installView(suspects int) {
 	n.rebuildRings()
-	next := View{Digest: viewSeed, Size: len(n.topology.inView)}
+	next := View{Digest: viewDigestSeed, Size: len(n.topology.inView)}
 	for _, p := range n.topology.inView {
 		next.Digest = mixHash(next.Digest, p.id.hashKey())
 	}
@@ -43,20 +43,20 @@
 		return
 	}
 	next.Number = max(views.highestNumber, views.current.Number) + 1
-	here, recent := n.countRecentMembers()
+	present, recent := n.countRecentMembers()
 	views.current = next
-	views.hasMajority = 2*here > recent
+	views.hasMajority = 2*present > recent
 	views.pendingSince = 0
 	views.installedAt = n.now
 	n.actions = append(n.actions, ViewChanged{next, views.hasMajority})
 }
 
-// isViewDue tells whether the pending view has been stable for long enough, or has waited for as long as it may.
+// isViewDue reports whether the pending view has been stable for long enough, or has waited for MaxViewDelay.
 func (n *Node) isViewDue(next View, suspects int) bool {
-	stableFor := n.config.HeartbeatInterval / 2
-	if next.Size > n.views.current.Size { // where one returns others may, with their next heartbeats
-		stableFor = n.heartbeats(2)
+	requiredStability := n.config.HeartbeatInterval / 2
+	if next.Size > n.views.current.Size { // when one member returns, others may return with their next heartbeats
+		requiredStability = n.heartbeats(2)
 	}
-	isStable := suspects == 0 && n.now-n.views.pendingStableSince >= stableFor
+	isStable := suspects == 0 && n.now-n.views.pendingStableSince >= requiredStability
 	return isStable || n.now-n.views.pendingSince >= n.config.MaxViewDelay
 }
--- a/internal/membership/overview.go
+++ b/internal/membership/overview.go
@@ -6,23 +6,23 @@
 	decide "gannetspur/internal/decide/membership"
 )
 
-// Stats are the figures at the control endpoint. Members are counted by state.
+// Stats are the numbers that the control endpoint reports. Members are counted by state.
 type Stats struct {
-	Live            int // in the view
-	Named           int // known, in any state
-	Suspect         int
-	PartlyReachable int
-	Dead            int
-	Unreachable     int
+	Live            int // members in the view
+	Named           int // known members in any state, including this one
+	Suspect         int // members that some others do not hear, for a cause not known yet
+	PartlyReachable int // members that some others hear and some do not
+	Dead            int // failed members
+	Unreachable     int // members that have failed or are on the other side of a network partition
 
-	View          decide.View
-	Majority      bool   // more than half of the recent members are in the view
-	HeardMembers  int    // members heard recently
-	SameView      int    // of these, those with the same view
-	SelfSuspicion string // why this member suspects itself; "": it does not
+	View          decide.View // the installed view
+	Majority      bool        // whether the view holds more than half of the recent fleet
+	HeardMembers  int         // members of the view heard recently
+	SameView      int         // members of these with the same view
+	SelfSuspicion string      // why this member suspects itself; "": it does not
 }
 
-// Stats returns the current figures.
+// Stats returns the current numbers.
 func (s *Service) Stats() Stats {
 	var stats Stats
 	stats.View, stats.Majority = s.node.View()
@@ -42,47 +42,47 @@
 			stats.Dead++
 		case decide.Unreachable:
 			stats.Unreachable++
-		default: // alive members are those of the view, others are not counted
+		default: // alive members are counted by the view, unknown and departed ones only in Named
 		}
 	}
 	return stats
 }
 
-// Overview is all that a member knows of the fleet, for operators.
+// Overview is everything that a member knows about the fleet, for operators.
 type Overview struct {
 	Self          uint64           `json:"self"`
 	Addr          string           `json:"address"`
 	View          ViewOverview     `json:"view"`
-	SelfSuspicion string           `json:"doubt,omitempty"`
+	SelfSuspicion string           `json:"doubt,omitempty"` // why this member suspects itself; empty: it does not
 	Members       []MemberOverview `json:"members"`
 }
 
-// ViewOverview is the view of a member.
+// ViewOverview describes the view of a member.
 type ViewOverview struct {
 	Number       uint32 `json:"number"`
-	Digest       string `json:"digest"`
-	Size         int    `json:"size"`
-	Majority     bool   `json:"majority"` // more than half of the recent members are in it
-	HeardMembers int    `json:"heard"`    // members heard recently
-	SameView     int    `json:"same"`     // of these, those with the same view
+	Digest       string `json:"digest"`   // eight hexadecimal digits; equal views have equal digests
+	Size         int    `json:"size"`     // number of members
+	Majority     bool   `json:"majority"` // whether it holds more than half of the recent fleet
+	HeardMembers int    `json:"heard"`    // members of the view heard recently
+	SameView     int    `json:"same"`     // members of these with the same view
 }
 
-// MemberOverview is what a member knows of one member.
+// MemberOverview is what a member knows about one member.
 type MemberOverview struct {
 	ID                 uint64      `json:"id"`
-	Address            string      `json:"address"`
+	Address            string      `json:"address"` // empty: not known
 	State              string      `json:"state"`
 	Incarnation        uint32      `json:"incarnation"`
-	HeardMS            float64     `json:"heard_ms"` // ago; -1: not since the start
-	LossRate           float64     `json:"loss"`
-	SuspectsItself     bool        `json:"doubts_itself,omitempty"`
-	Monitored          bool        `json:"watched,omitempty"`
-	NotHeardBy         []decide.ID `json:"not_heard_by,omitempty"`
-	NotHeardButAliveBy []decide.ID `json:"not_heard_by_but_alive,omitempty"`
-	HeardBy            []decide.ID `json:"heard_by,omitempty"`
+	HeardMS            float64     `json:"heard_ms"`                         // milliseconds since it was last heard; -1: never since the start
+	LossRate           float64     `json:"loss"`                             // fraction of its heartbeats that are lost, 0 to 1
+	SuspectsItself     bool        `json:"doubts_itself,omitempty"`          // whether it states that it may not receive datagrams reliably
+	Monitored          bool        `json:"watched,omitempty"`                // whether this member monitors it
+	NotHeardBy         []decide.ID `json:"not_heard_by,omitempty"`           // members that report not hearing it
+	NotHeardButAliveBy []decide.ID `json:"not_heard_by_but_alive,omitempty"` // members that do not hear it but know from others that it is alive
+	HeardBy            []decide.ID `json:"heard_by,omitempty"`               // members that state that they hear it although others do not
 }
 
-// Overview returns all that this member knows now.
+// Overview returns the current overview.
 func (s *Service) Overview() Overview {
 	stats := s.Stats()
 	overview := Overview{
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -1,6 +1,6 @@
-// Package membership runs a member as internal/decide/membership decides: it passes datagrams to and from the network,
-// signs them where there are keys, and turns actions into log events and counters. Except for a Keyring all of it
-// belongs to the goroutine of the loop.
+// Package membership runs the member that internal/decide/membership implements: it passes datagrams to and from the
+// network, signs them if keys are configured, and turns actions into log events and counters. Everything except a
+// Keyring must be used on the goroutine of the event loop only.
 package membership
 
 import (
@@ -18,20 +18,29 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Options say who this member is and how others are reached.
+// Options are the settings of a member and how to reach the others.
 type Options struct {
-	Listen     string
-	Self       decide.ID
-	Named      []decide.ID                                  // members that the settings name
-	AddressOf  func(decide.ID) (netip.AddrPort, bool)       // of a member; false: it has none
-	MemberAt   func(netip.AddrPort) (id decide.ID, ok bool) // the member at an address; false: nobody
-	Config     decide.Config
-	Keys       *Keyring // nil: datagrams are not signed
-	Random     decide.RandomSource
-	SavedState []byte // of the process before this one, by SaveState; nil: there was none
+	// Listen is the UDP address to receive datagrams at.
+	Listen string
+	// Self is the ID of this member.
+	Self decide.ID
+	// Named are the members that the settings name.
+	Named []decide.ID
+	// AddressOf returns the address of a member, and false if it has none.
+	AddressOf func(decide.ID) (netip.AddrPort, bool)
+	// MemberAt returns the member at an address, and false if there is none.
+	MemberAt func(netip.AddrPort) (id decide.ID, ok bool)
+	// Config holds the protocol settings, without the overhead of signatures.
+	Config decide.Config
+	// Keys signs and verifies datagrams. Nil: datagrams are not signed.
+	Keys *Keyring
+	// Random is the source of random numbers. It must not be nil.
+	Random decide.RandomSource
+	// SavedState is what SaveState returned in the previous process. Empty: start without it.
+	SavedState []byte
 }
 
-// Service is one member.
+// Service is a running member.
 type Service struct {
 	loop     *netio.Loop
 	options  Options
@@ -40,7 +49,7 @@
 	counters *metrics.Counters
 	log      *slog.Logger
 	ticker   *timerqueue.Entry
-	stopped  bool // it has left, or another process is the member
+	stopped  bool // whether it has left or another process has taken over the member
 }
 
 // Start opens the socket and joins the other members.
@@ -56,7 +65,7 @@
 	now := loop.Now()
 	if len(options.SavedState) > 0 {
 		if s.node, err = s.resume(now); err != nil {
-			log.Warn("members.carried", "error", err, "then", "it begins as after a restart")
+			log.Warn("members.carried", "error", err, "then", "starting without the saved state")
 		}
 	}
 	if s.node == nil {
@@ -66,17 +75,17 @@
 	return s, nil
 }
 
-// incarnationAt is the incarnation of a process that starts now: the Unix second.
+// incarnationAt returns the incarnation of a process that starts now, the Unix time in seconds.
 func incarnationAt(now time.Duration) uint32 { return uint32(now / time.Second) }
 
-// configWithSignatures returns settings under which datagrams with their signatures are no longer than without.
+// configWithSignatures returns settings with which signed datagrams are no longer than unsigned ones would be.
 func configWithSignatures(config decide.Config) decide.Config {
 	config.FrameOverheadBytes += signedOverhead
 	config.MaxDatagramBytes -= signedOverhead
 	return config
 }
 
-// savedStateDecoding bounds what is read of another process.
+// savedStateDecoding limits the size of what is decoded from another process.
 var savedStateDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 16, MaxMapPairs: 64}.DecMode()
 	if err != nil { // impossible with constant options
@@ -85,27 +94,28 @@
 	return mode
 }()
 
+// resume returns a member that continues from the saved state in the options.
 func (s *Service) resume(now time.Duration) (*decide.Node, error) {
 	var saved decide.SavedState
 	if err := savedStateDecoding.Unmarshal(s.options.SavedState, &saved); err != nil {
 		return nil, fmt.Errorf("membership: decode saved state: %w", err)
 	}
 	if saved.Self != s.options.Self {
-		return nil, fmt.Errorf("membership: saved state of member %d, this is member %d", saved.Self, s.options.Self)
+		return nil, fmt.Errorf("membership: saved state belongs to member %d, not to this member %d", saved.Self, s.options.Self)
 	}
 	return decide.Resume(s.options.Config, saved, incarnationAt(now), s.options.Named, now, s.options.Random)
 }
 
-// SaveState returns what this process knows of the fleet, for the process that replaces it.
+// SaveState returns the encoded state for the process that replaces this one.
 func (s *Service) SaveState() ([]byte, error) {
 	b, err := cbor.Marshal(s.node.SaveState())
 	if err != nil {
-		return nil, fmt.Errorf("membership: encode state: %w", err)
+		return nil, fmt.Errorf("membership: encode saved state: %w", err)
 	}
 	return b, nil
 }
 
-// HandOver releases the address without notifying anybody: another process goes on as this member.
+// HandOver closes the socket without notifying other members, as another process continues as this member.
 func (s *Service) HandOver() {
 	if s.stopped {
 		return
@@ -115,7 +125,7 @@
 	s.log.Info("members.handed-on")
 }
 
-// Leave announces to others that this member ends.
+// Leave announces the shutdown of this member to others.
 func (s *Service) Leave() {
 	if s.stopped {
 		return
@@ -130,9 +140,10 @@
 	s.ticker.Stop()
 }
 
-// Addr is the address that datagrams are received at.
+// Addr returns the address at which datagrams are received.
 func (s *Service) Addr() string { return s.socket.Addr().String() }
 
+// tick handles a Tick and schedules the next one.
 func (s *Service) tick() {
 	if s.stopped {
 		return
@@ -141,7 +152,8 @@
 	s.handle(decide.Tick{})
 }
 
-// receive passes on a datagram of a member. Others are counted and dropped.
+// receive verifies a datagram and passes it to the node. Datagrams that fail the check, or that do not come from a
+// member, are counted and dropped.
 func (s *Service) receive(from netip.AddrPort, datagram []byte) {
 	if s.stopped {
 		return
@@ -163,6 +175,7 @@
 	s.handle(decide.DatagramReceived{From: id, Payload: payload})
 }
 
+// countRejection counts a datagram that the keyring rejected.
 func (s *Service) countRejection(err error) {
 	var reason rejection
 	if errors.As(err, &reason) {
@@ -170,6 +183,7 @@
 	}
 }
 
+// handle passes an event to the node and carries out the resulting actions.
 func (s *Service) handle(event decide.Event) {
 	for _, action := range s.node.Handle(s.loop.Now(), event) {
 		switch action := action.(type) {
@@ -188,6 +202,7 @@
 	s.counters.Set("members.dropped.flood", s.socket.Dropped())
 }
 
+// send sends a datagram, signed if there are keys.
 func (s *Service) send(action decide.Send) {
 	to, ok := s.options.AddressOf(action.To)
 	if !ok {
@@ -200,9 +215,10 @@
 	}
 	s.counters.Add("members.datagrams-out")
 	s.counters.AddN("members.bytes-out", int64(len(datagram)))
-	if err := s.socket.Send(to, datagram); err != nil { // the same as one lost in transit
+	if err := s.socket.Send(to, datagram); err != nil { // equivalent to a datagram lost in transit
 		s.counters.Add("members.unsent")
 	}
 }
 
+// formatDigest returns the digest of a view as eight hexadecimal digits.
 func formatDigest(view decide.View) string { return fmt.Sprintf("%08x", view.Digest) }
