--- a/internal/decide/membership/budget_test.go
+++ b/internal/decide/membership/budget_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever arrives, no more is sent than the budget allows, nothing longer than a datagram may be, and nothing to
-// itself. What names another sender than its address is dropped.
-func TestBudgetHolds(t *testing.T) {
+// For any received datagrams, a member sends no more bytes than the budget allows, no datagram longer than the limit,
+// and none to itself. Datagrams whose sender field differs from their source are among the input.
+func TestSendBudgetIsRespected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newTestNode(1, rapid.Uint64().Draw(t, "seed"))
 		startedAt := time.Hour
@@ -29,17 +29,17 @@
 				}
 				sent += float64(len(s.Payload))
 				if len(s.Payload) > n.config.MaxDatagramBytes || s.To == 1 {
-					t.Fatalf("datagram of %d bytes to member %d, want at most %d to another one", len(s.Payload), s.To, n.config.MaxDatagramBytes)
+					t.Fatalf("sent a datagram of %d bytes to member %d, want at most %d bytes to another member", len(s.Payload), s.To, n.config.MaxDatagramBytes)
 				}
 			}
 			if allowed := n.config.BurstBytes + n.config.BytesPerSecond*(now-startedAt).Seconds(); sent > allowed+1 {
-				t.Fatalf("%f bytes are sent, want at most %f", sent, allowed)
+				t.Fatalf("sent %f bytes, want at most %f", sent, allowed)
 			}
 		}
 	})
 }
 
-// drawDatagram draws a datagram of a member, in one of ten cases with another sender than its address.
+// drawDatagram draws a datagram of a member. In one of ten cases its sender field differs from its source.
 func drawDatagram(t *rapid.T) DatagramReceived {
 	from := ID(rapid.Uint32Range(2, 300).Draw(t, "from"))
 	m := message{Kind: drawKind(t, kindHeartbeat, kindAck), From: from, Incarnation: 1, Sequence: 1, Records: []record{drawRecord(t, from)}}
--- a/internal/decide/membership/faulty_member_test.go
+++ b/internal/decide/membership/faulty_member_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A member that accuses all others changes no view, and all is as before once it stops.
-func TestAccuserOfAllChangesNoView(t *testing.T) {
+// A faulty member that reports all others as not heard must not change any view. After it stops, all members agree as
+// before.
+func TestReportsAgainstAllMembersChangeNoView(t *testing.T) {
 	f := newTestFleet(5)
 	f.checkAgreement(t)
 	f.run(30*time.Second, func(n *Node, s Send) []DatagramReceived {
@@ -19,60 +20,61 @@
 				r.Statements = append(r.Statements, statement{other.self.id, uint8(other.self.record.Incarnation), notHeard})
 			}
 		}
-		accusation := message{Kind: kindRecords, From: 2, Incarnation: r.Incarnation, Records: []record{r}}
-		return []DatagramReceived{{2, appendChecksum(accusation.appendTo(nil))}, {2, s.Payload}}
+		reports := message{Kind: kindRecords, From: 2, Incarnation: r.Incarnation, Records: []record{r}}
+		return []DatagramReceived{{2, appendChecksum(reports.appendTo(nil))}, {2, s.Payload}}
 	})
 	for _, report := range f.reports {
 		if !report.State.InView() {
-			t.Errorf("report %+v, want all members in the view", report)
+			t.Errorf("report %+v, want every member in the view", report)
 		}
 	}
 	f.run(20*time.Second, reliable)
 	f.checkAgreement(t)
 }
 
-// A member that poses as all others is not heard. Forged records that others have departed are answered by these, and
-// in the end all are in the view.
+// A faulty member sends datagrams with the senders of all other members and forged records that these have departed.
+// The former are dropped. The other members refute the latter, and in the end all are in the view.
 func TestForgedSendersAndDepartures(t *testing.T) {
 	f := newTestFleet(5)
 	f.run(10*time.Second, func(n *Node, s Send) []DatagramReceived {
-		arriving := reliable(n, s)
+		delivered := reliable(n, s)
 		if n.self.id != 2 {
-			return arriving
+			return delivered
 		}
 		for _, other := range f.nodes {
 			forged := other.self.record
 			forged.Sequence++
 			forged.Departed = true
-			posing := message{Kind: kindHeartbeat, From: other.self.id, Incarnation: 1 << 30}
-			slander := message{Kind: kindRecords, From: 2, Incarnation: n.self.record.Incarnation, Records: []record{forged}}
-			arriving = append(arriving, DatagramReceived{2, appendChecksum(posing.appendTo(nil))}, DatagramReceived{2, appendChecksum(slander.appendTo(nil))})
+			spoofed := message{Kind: kindHeartbeat, From: other.self.id, Incarnation: 1 << 30}
+			forgedDeparture := message{Kind: kindRecords, From: 2, Incarnation: n.self.record.Incarnation, Records: []record{forged}}
+			delivered = append(delivered, DatagramReceived{2, appendChecksum(spoofed.appendTo(nil))}, DatagramReceived{2, appendChecksum(forgedDeparture.appendTo(nil))})
 		}
-		return arriving
+		return delivered
 	})
 	for _, n := range f.nodes {
 		if n.self.id != 2 && n.DroppedDatagrams == 0 {
-			t.Errorf("member %d dropped no datagram of one that poses as others", n.self.id)
+			t.Errorf("member %d dropped no datagrams, want those with a spoofed sender dropped", n.self.id)
 		}
 	}
 	f.run(20*time.Second, reliable)
 	f.checkAgreement(t)
 }
 
-// A member that hears nobody accuses nobody, and suspects itself.
+// A member that hears no other one must not report the others as failed, and must suspect itself.
 func TestIsolatedMemberSuspectsItself(t *testing.T) {
 	f := newTestFleet(2)
 	f.nodes = f.nodes[:1]
 	f.run(20*time.Second, reliable)
 	reason, active := f.nodes[0].SelfSuspicion()
 	if state, _, _ := f.nodes[0].State(2); !state.InView() || !active {
-		t.Errorf("state of the other = %s, self-suspicion %t %q; want it in the view and a suspicion", state, active, reason)
+		t.Errorf("state of member 2 = %s, self-suspicion = %t %q; want a state in the view and an active self-suspicion", state, active, reason)
 	}
 }
 
-// A process that starts under the incarnation up to which its predecessor had risen, and writes as often, learns so from
-// those who remember that one, and takes up the next. Otherwise its record and theirs would differ for good under one
-// number, as the model check found.
+// A process may start with an incarnation that its predecessor reached by refuting statements, and its record may have
+// the same sequence number. It must learn of the conflict from members that remember the earlier record, and start a
+// new incarnation. Otherwise its own record and the remembered one would differ permanently under the same numbers. The
+// model check found this failure.
 func TestConflictingRecordsWithOneNumber(t *testing.T) {
 	f := newTestFleet(5)
 	n, other := f.nodes[0], f.nodes[1]
@@ -80,7 +82,7 @@
 	remembered := own
 	remembered.Statements = []statement{{4, 1, notHeard}}
 	if own.hash() == remembered.hash() {
-		t.Error("the hash of a record does not cover its statements")
+		t.Error("records with different statements have equal hashes")
 	}
 	p := other.members.byID[1]
 	other.members.toggleDigest(p.record)
@@ -88,16 +90,16 @@
 	other.members.toggleDigest(p.record)
 	f.run(20*time.Second, reliable)
 	if n.self.record.Incarnation == own.Incarnation {
-		t.Errorf("incarnation = %d, want a new one", own.Incarnation)
+		t.Errorf("incarnation is still %d, want a higher one", own.Incarnation)
 	}
 	for _, o := range f.nodes {
 		if o.members.digest != n.members.digest {
-			t.Errorf("member %d has other records than the first", o.self.id)
+			t.Errorf("records digest of member %d differs from that of member 1", o.self.id)
 		}
 	}
 }
 
-// A peer that invents members without end has so many known, and no more.
+// A faulty peer that invents members without limit must not make a member store more than maxMembers.
 func TestMembersAreBounded(t *testing.T) {
 	f := newTestFleet(2)
 	f.run(2*time.Second, reliable)
@@ -108,6 +110,6 @@
 	unknown := from + 50000
 	n.Handle(f.now, DatagramReceived{From: unknown, Payload: appendChecksum(message{Kind: kindHeartbeat, From: unknown}.appendTo(nil))})
 	if len(n.members.sorted) != maxMembers || n.RejectedMembers < maxMembers || n.RejectedMembers > maxMembers+10 {
-		t.Errorf("%d members are known and %d rejected, want %d and at least as many", len(n.members.sorted), n.RejectedMembers, maxMembers)
+		t.Errorf("%d members are known and %d were rejected, want %d known and as many rejected, or up to 10 more", len(n.members.sorted), n.RejectedMembers, maxMembers)
 	}
 }
--- a/internal/decide/membership/fixture_test.go
+++ b/internal/decide/membership/fixture_test.go
@@ -12,9 +12,10 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// testdata/datagrams.txt has a datagram of each kind, as the version before the names of this package changed wrote
-// it: a name and the bytes in hexadecimal on each line.
+// testdata/datagrams.txt has one datagram of each kind, encoded by the version before the identifiers of this package
+// were renamed. Each line has a name and the bytes in hexadecimal.
 
+// datagramFixture is a line of testdata/datagrams.txt: its name and the message that it encodes.
 type datagramFixture struct {
 	name    string
 	message message
@@ -75,7 +76,7 @@
 		}
 	}
 	if len(stored) != len(datagramFixtures()) {
-		t.Errorf("%d datagrams are stored, want %d", len(stored), len(datagramFixtures()))
+		t.Errorf("testdata has %d datagrams, want %d", len(stored), len(datagramFixtures()))
 	}
 	for _, c := range datagramFixtures() {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,44 +90,44 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(c.message, got, cmpopts.EquateEmpty()); diff != "" {
-				t.Error(diff)
+				t.Errorf("decoded message (-want +got):\n%s", diff)
 			}
-			if again := appendChecksum(got.appendTo(nil)); !slices.Equal(again, b) {
-				t.Errorf("written anew as %x, want %x", again, b)
+			if encoded := appendChecksum(got.appendTo(nil)); !slices.Equal(encoded, b) {
+				t.Errorf("re-encoded as %x, want %x", encoded, b)
 			}
 			checkDamaged(t, b, body)
 		})
 	}
 }
 
-// checkDamaged reads a datagram that is cut short or of which a bit was changed: it is refused by its checksum, and
-// what comes past that is either refused or written again as it was read.
+// checkDamaged checks truncated copies of a datagram and copies with one flipped bit. The checksum must reject all of
+// them. Without the checksum, each is either rejected or decoded to a message that encodes to the same bytes.
 func checkDamaged(t *testing.T, b, body []byte) {
 	t.Helper()
 	for n := range b {
 		if _, err := verifyChecksum(b[:n]); err == nil {
-			t.Errorf("%d of %d bytes are taken", n, len(b))
+			t.Errorf("the first %d of %d bytes were accepted, want an error", n, len(b))
 		}
 	}
 	for i := range len(b) * 8 {
 		flipped := slices.Clone(b)
 		flipped[i/8] ^= 1 << (i % 8)
 		if _, err := verifyChecksum(flipped); err == nil {
-			t.Errorf("bit %d is changed and the datagram is taken", i)
+			t.Errorf("datagram with bit %d flipped was accepted, want an error", i)
 		}
 	}
-	readOrRefuse := func(what string, n int, b []byte) {
+	checkRejectedOrSame := func(what string, n int, b []byte) {
 		got, err := decodeMessage(b)
 		if err == nil && !slices.Equal(got.appendTo(nil), b) {
-			t.Errorf("%s %d: read and written otherwise", what, n)
+			t.Errorf("%s %d: %x was decoded and re-encoded as %x, want an error or the same bytes", what, n, b, got.appendTo(nil))
 		}
 	}
 	for n := range body {
-		readOrRefuse("length", n, body[:n])
+		checkRejectedOrSame("length", n, body[:n])
 	}
 	for i := range len(body) * 8 {
 		flipped := slices.Clone(body)
 		flipped[i/8] ^= 1 << (i % 8)
-		readOrRefuse("bit", i, flipped)
+		checkRejectedOrSame("bit", i, flipped)
 	}
 }
--- a/internal/decide/membership/fleet_test.go
+++ b/internal/decide/membership/fleet_test.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
+// newTestNode returns a member with members 1 to 5 configured.
 func newTestNode(id ID, seed uint64) *Node {
 	return New(DefaultConfig(), id, 1, []ID{1, 2, 3, 4, 5}, time.Hour, rand.New(rand.NewPCG(seed, 1)))
 }
 
-// testFleet is members whose datagrams arrive at the next step.
+// testFleet is a fleet in virtual time. Datagrams arrive in the step after the one in which they were sent.
 type testFleet struct {
 	nodes   []*Node
 	now     time.Duration
-	reports []MemberReport // of other members than the reporting one
+	reports []MemberReport // reports about members other than the reporting one
 }
 
-// transport decides what arrives of a datagram: nothing, others, or more.
+// transport returns the datagrams that arrive when one is sent: none, the same one, or different ones.
 type transport func(from *Node, s Send) []DatagramReceived
 
-// reliable is a transport that loses nothing.
+// reliable is a transport that delivers each datagram once, unchanged.
 func reliable(from *Node, s Send) []DatagramReceived {
 	return []DatagramReceived{{from.self.id, s.Payload}}
 }
 
-// newTestFleet returns so many members that have found each other.
+// newTestFleet returns a fleet of the given size whose members have discovered each other.
 func newTestFleet(size int) *testFleet {
 	f := &testFleet{now: time.Hour}
 	for id := ID(1); int(id) <= size; id++ {
@@ -36,10 +37,10 @@
 	return f
 }
 
-// run plays a span.
-func (f *testFleet) run(span time.Duration, transport transport) {
+// run advances the fleet by a duration.
+func (f *testFleet) run(duration time.Duration, transport transport) {
 	inTransit := map[ID][]DatagramReceived{}
-	for end := f.now + span; f.now < end; f.now += 50 * time.Millisecond {
+	for end := f.now + duration; f.now < end; f.now += 50 * time.Millisecond {
 		for _, n := range f.nodes {
 			actions := n.Handle(f.now, Tick{})
 			for _, d := range inTransit[n.self.id] {
@@ -60,13 +61,13 @@
 	}
 }
 
-// checkAgreement checks that all members have the view of just these.
+// checkAgreement checks that all members have the same view, of as many members as the fleet has.
 func (f *testFleet) checkAgreement(t *testing.T) {
 	t.Helper()
 	for _, n := range f.nodes {
 		view := n.views.current
 		if view.Size != len(f.nodes) || view.Digest != f.nodes[0].views.current.Digest {
-			t.Errorf("view of member %d = %+v, want one of %d members as at the first", n.self.id, view, len(f.nodes))
+			t.Errorf("view of member %d = %+v, want %d members and the digest of the first member", n.self.id, view, len(f.nodes))
 		}
 	}
 }
--- a/internal/decide/membership/message_test.go
+++ b/internal/decide/membership/message_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawRecord draws a record of an author, with valid statements sorted by member.
 func drawRecord(t *rapid.T, author ID) record {
 	r := record{
 		Author:         author,
@@ -26,10 +27,12 @@
 	return r
 }
 
+// drawKind draws a kind from first to last.
 func drawKind(t *rapid.T, first, last kind) kind {
 	return kind(rapid.IntRange(int(first), int(last)).Draw(t, "kind"))
 }
 
+// drawMessage draws a valid message of any kind.
 func drawMessage(t *rapid.T) message {
 	m := message{
 		Kind:          drawKind(t, kindHeartbeat, kindGossipRequest),
@@ -71,7 +74,7 @@
 	})
 }
 
-// What can be decoded has one encoding.
+// Every datagram that can be decoded must encode to the same bytes.
 func FuzzDecodeMessage(f *testing.F) {
 	f.Add(message{Kind: kindHeartbeat, From: 300, Records: []record{{Author: 3, Statements: []statement{{4, 1, notHeard}}}}}.appendTo(nil))
 	f.Add(message{Kind: kindRecordsRequest, Argument: 2, Filter: bloomFilter{1, 2, 3}, Records: []record{{Author: 3}}}.appendTo(nil))
@@ -82,14 +85,14 @@
 		if err != nil {
 			return
 		}
-		if again := m.appendTo(nil); !slices.Equal(again, b) {
-			t.Errorf("%x is encoded as %x", b, again)
+		if encoded := m.appendTo(nil); !slices.Equal(encoded, b) {
+			t.Errorf("%x was decoded and re-encoded as %x, want the same bytes", b, encoded)
 		}
 	})
 }
 
-// A datagram of which one byte was changed in transit is refused.
-func TestCorruptDatagramIsRefused(t *testing.T) {
+// A datagram with one flipped bit must be rejected.
+func TestCorruptDatagramIsRejected(t *testing.T) {
 	valid := appendChecksum(message{Kind: kindRecords, From: 3, Records: []record{{Author: 3}, {Author: 4, Departed: true}}}.appendTo(nil))
 	if _, err := verifyChecksum(valid); err != nil {
 		t.Fatal(err)
@@ -98,7 +101,7 @@
 		corrupt := slices.Clone(valid)
 		corrupt[i] ^= 1 << (i % 8)
 		if _, err := verifyChecksum(corrupt); err == nil {
-			t.Errorf("byte %d is changed and the datagram accepted", i)
+			t.Errorf("datagram with a flipped bit in byte %d was accepted, want an error", i)
 		}
 	}
 }
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// The model check plays all schedules of a few steps of 1.5 s, each with one fault of every kind for every member and
-// pair, on 3 and on 4 members that had found each other, and then plays on without faults. A state is all that the
-// members hold at the end of a step. MEMBERS_STEPS=3 goes deeper than CI does.
+// The model check runs all schedules of a few steps of 1.5 s on fleets of 3 and 4 members that have discovered each
+// other. Each step has one fault: every kind of fault is tried for every member and every pair. After the steps each
+// schedule continues without faults. A state is everything that the members hold at the end of a step. With
+// MEMBERS_STEPS=3 in the environment, the schedules are longer than in CI.
 
 const (
 	modelStep  = 1500 * time.Millisecond
 	modelTick  = 10 * time.Millisecond
-	modelDelay = 10 * time.Millisecond // of a datagram
-	slowDelay  = 500 * time.Millisecond
+	modelDelay = 10 * time.Millisecond  // delay of a datagram
+	slowDelay  = 500 * time.Millisecond // delay of a datagram on a path with the slow fault
 )
 
-// copyableRandom is a random source that can be copied.
+// copyableRandom is a random source that can be copied: a linear congruential generator.
 type copyableRandom struct{ state uint64 }
 
 func (r *copyableRandom) IntN(n int) int {
@@ -36,7 +37,7 @@
 	}
 }
 
-// clone copies a member with all that it holds.
+// clone returns a deep copy of a member.
 func (n *Node) clone() *Node {
 	c := *n
 	copies := map[*peer]*peer{}
@@ -74,21 +75,23 @@
 	config        Config
 	now           time.Duration
 	nodes         []*Node
-	isAlive       []bool
+	isAlive       []bool // by member index, as are the slices below; false after a crash
 	pausedUntil   []time.Duration
-	lastAbsent    []time.Duration   // the last time that a member was paused or crashed
-	lastDisturbed [][]time.Duration // [a][b]: when a datagram from a to b was last lost or slow
+	lastAbsent    []time.Duration   // when a member was last paused or crashed
+	lastDisturbed [][]time.Duration // [from][to]: when a datagram on this path was last lost or slow
 	incarnation   uint32
 	inTransit     []modelDatagram
-	broken        string // the first thing that went wrong
+	violation     string // the first violated property, with members given by their index; empty: none
 }
 
+// modelDatagram is a datagram in transit between members given by their index.
 type modelDatagram struct {
 	arrivesAt time.Duration
 	to, from  int
 	payload   []byte
 }
 
+// newModel returns a fleet whose members have discovered each other and measured the loss rates.
 func newModel(size int, config Config) *model {
 	m := &model{
 		config: config, now: time.Hour, incarnation: 1,
@@ -99,10 +102,11 @@
 		m.nodes = append(m.nodes, m.newNode(i))
 		m.lastDisturbed = append(m.lastDisturbed, make([]time.Duration, size))
 	}
-	m.run(16*time.Second, fault{}) // until the loss of each path is measured
+	m.run(16*time.Second, fault{}) // until the loss rate of each path is measured
 	return m
 }
 
+// newNode returns a newly started process of member i.
 func (m *model) newNode(i int) *Node {
 	var configured []ID
 	for other := range m.isAlive {
@@ -111,6 +115,7 @@
 	return New(m.config, ID(i+1), m.incarnation, configured, m.now, &copyableRandom{uint64(i) + uint64(m.incarnation)<<32})
 }
 
+// clone returns a copy of the model that can run independently.
 func (m *model) clone() *model {
 	c := *m
 	c.nodes = nil
@@ -127,20 +132,21 @@
 	return &c
 }
 
-// pathFilter selects paths by their sender and receiver.
+// pathFilter selects paths by the indexes of sender and receiver.
 type pathFilter func(from, to int) bool
 
-// fault is what happens in one step. Members count from 1; 0 is none.
+// fault is what happens in one step. The integer fields are member IDs; 0 means no member.
 type fault struct {
 	name                  string
 	loses, slows          pathFilter
 	pause, restart, crash int
 }
 
+// faults returns all faults for a fleet of the given size. Their names give members by their index.
 func faults(size int) []fault {
-	all := []fault{{name: "nothing"}}
+	all := []fault{{name: "no fault"}}
 	addPaths := func(name string, paths pathFilter) {
-		all = append(all, fault{name: name, loses: paths}, fault{name: "slow: " + name, slows: paths})
+		all = append(all, fault{name: "loss " + name, loses: paths}, fault{name: "slow " + name, slows: paths})
 	}
 	for x := range size {
 		all = append(all,
@@ -149,25 +155,25 @@
 			fault{name: fmt.Sprint("crash ", x), crash: x + 1})
 		addPaths(fmt.Sprint("to ", x), func(_, to int) bool { return to == x })
 		addPaths(fmt.Sprint("from ", x), func(from, _ int) bool { return from == x })
-		addPaths(fmt.Sprint("round ", x), func(from, to int) bool { return from == x || to == x })
+		addPaths(fmt.Sprint("to and from ", x), func(from, to int) bool { return from == x || to == x })
 		for y := range size {
 			if x != y {
-				addPaths(fmt.Sprint(x, " to ", y), func(from, to int) bool { return from == x && to == y })
+				addPaths(fmt.Sprint("from ", x, " to ", y), func(from, to int) bool { return from == x && to == y })
 			}
 		}
 	}
 	for x := 1; x < size && size == 4; x++ {
 		isFirstHalf := func(i int) bool { return i == 0 || i == x }
-		addPaths(fmt.Sprint("0 and ", x, " from the rest"), func(from, to int) bool { return isFirstHalf(from) != isFirstHalf(to) })
+		addPaths(fmt.Sprint("between 0 and ", x, " and the others"), func(from, to int) bool { return isFirstHalf(from) != isFirstHalf(to) })
 	}
 	return all
 }
 
-// run plays a fault for a span. Datagrams that have not arrived at its end are lost.
-func (m *model) run(span time.Duration, f fault) {
-	m.begin(span, f)
+// run runs the fleet with a fault for a duration. Datagrams that have not arrived at the end are lost.
+func (m *model) run(duration time.Duration, f fault) {
+	m.startFault(duration, f)
 	m.inTransit = nil
-	for end := m.now + span; m.now < end; m.now += modelTick {
+	for end := m.now + duration; m.now < end; m.now += modelTick {
 		m.deliver(f)
 		for i, n := range m.nodes {
 			switch {
@@ -181,11 +187,11 @@
 	m.inTransit = nil
 }
 
-// begin does what a fault does at its beginning.
-func (m *model) begin(span time.Duration, f fault) {
+// startFault applies the effects that a fault has at the start of its step.
+func (m *model) startFault(duration time.Duration, f fault) {
 	switch {
 	case f.pause > 0 && m.isAlive[f.pause-1]:
-		m.pausedUntil[f.pause-1] = m.now + span
+		m.pausedUntil[f.pause-1] = m.now + duration
 	case f.restart > 0:
 		m.incarnation++
 		m.isAlive[f.restart-1] = true
@@ -196,9 +202,10 @@
 	}
 }
 
+// isRunning reports whether member i is neither crashed nor paused.
 func (m *model) isRunning(i int) bool { return m.isAlive[i] && m.now >= m.pausedUntil[i] }
 
-// deliver hands over the datagrams that are due; members that don't run lose them.
+// deliver delivers the datagrams that are due. Members that are not running lose them.
 func (m *model) deliver(f fault) {
 	due := m.inTransit
 	m.inTransit = nil
@@ -212,6 +219,7 @@
 	}
 }
 
+// handle passes an event to member i and carries out the resulting actions.
 func (m *model) handle(i int, e Event, f fault) {
 	for _, a := range m.nodes[i].Handle(m.now, e) {
 		switch a := a.(type) {
@@ -223,6 +231,7 @@
 	}
 }
 
+// send puts a datagram in transit, unless the fault loses it.
 func (m *model) send(from int, s Send, f fault) {
 	to := int(s.To) - 1
 	delay := modelDelay
@@ -237,32 +246,34 @@
 	m.inTransit = append(m.inTransit, modelDatagram{m.now + delay, to, from, s.Payload})
 }
 
-// checkReport holds what a member reports of another against what was done: one that more than half of the fleet has
-// heard, both ways, for 5 s is not called dead, and one that was paused calls nobody dead when it goes on.
-func (m *model) checkReport(by int, report MemberReport) {
-	of := int(report.Member) - 1
-	if report.State != Dead || of == by || m.broken != "" {
+// checkReport checks a report about another member against the injected faults. A member must not be declared dead if
+// more than half of the fleet could exchange datagrams with it for the last 5 s. A member that was paused within the
+// last second must not declare any running member dead.
+func (m *model) checkReport(reporter int, report MemberReport) {
+	subject := int(report.Member) - 1
+	if report.State != Dead || subject == reporter || m.violation != "" {
 		return
 	}
 	const recently = 5 * time.Second
-	if m.isAlive[of] && m.now-m.lastAbsent[of] > recently {
+	if m.isAlive[subject] && m.now-m.lastAbsent[subject] > recently {
 		connected := 1
 		for i := range m.nodes {
-			isUndisturbed := m.now-m.lastDisturbed[of][i] > recently && m.now-m.lastDisturbed[i][of] > recently
-			if i != of && isUndisturbed && m.isAlive[i] {
+			isUndisturbed := m.now-m.lastDisturbed[subject][i] > recently && m.now-m.lastDisturbed[i][subject] > recently
+			if i != subject && isUndisturbed && m.isAlive[i] {
 				connected++
 			}
 		}
 		if 2*connected > len(m.nodes) {
-			m.broken = fmt.Sprintf("%d calls %d dead, whom most hear: %v", by, of, report.Witnesses)
+			m.violation = fmt.Sprintf("member %d declares member %d dead although most members hear it; witnesses %v", reporter, subject, report.Witnesses)
 		}
 	}
-	if m.now-m.lastAbsent[by] < time.Second && m.isAlive[of] {
-		m.broken = fmt.Sprintf("%d was paused and calls %d dead", by, of)
+	if m.now-m.lastAbsent[reporter] < time.Second && m.isAlive[subject] {
+		m.violation = fmt.Sprintf("member %d declares running member %d dead after a pause", reporter, subject)
 	}
 }
 
-// settle plays on without faults, and tells what is wrong in the end: all living members have the view of just these.
+// settle runs the fleet without faults and returns the violation, if any. In the end, all running members must have a
+// view of exactly the running members.
 func (m *model) settle() string {
 	m.run(14*time.Second, fault{})
 	live := 0
@@ -272,17 +283,17 @@
 		}
 	}
 	for i, n := range m.nodes {
-		if view, _ := n.View(); m.isAlive[i] && m.broken == "" && live > 1 && view.Size != live {
-			m.broken = fmt.Sprintf("in the end %d has a view of %d, %d live", i, view.Size, live)
+		if view, _ := n.View(); m.isAlive[i] && m.violation == "" && live > 1 && view.Size != live {
+			m.violation = fmt.Sprintf("view of member %d has %d members in the end, want %d", i, view.Size, live)
 		}
 	}
-	return m.broken
+	return m.violation
 }
 
-// stateHash is the hash of all that the members hold.
+// stateHash returns a hash of everything that the members hold.
 func (m *model) stateHash() uint64 {
 	h := fnv.New64a()
-	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // a hash never fails
+	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // writing to a hash never fails
 	for i, n := range m.nodes {
 		write(m.isAlive[i], n.views.current, n.views.hasMajority, n.self.record, m.now-n.health.suspectUntil > 0)
 		for _, p := range n.members.sorted {
@@ -292,19 +303,19 @@
 	return h.Sum64()
 }
 
-// explorer visits all schedules of a model. It is safe for concurrent use.
+// explorer runs all schedules of a model. It is safe for concurrent use.
 type explorer struct {
 	faults []fault
 
 	mu        sync.Mutex
-	seen      map[uint64]bool
-	schedules int
-	found     string // the first schedule that breaks something
+	states    map[uint64]bool // hashes of all states reached
+	schedules int             // number of schedules completed
+	violation string          // the first schedule that violates a property, with the violation; empty: none
 }
 
-// explore plays all schedules of so many steps.
+// explore runs all schedules of the given number of steps.
 func explore(size, steps int, config Config) *explorer {
-	e := &explorer{faults: faults(size), seen: map[uint64]bool{}}
+	e := &explorer{faults: faults(size), states: map[uint64]bool{}}
 	start := newModel(size, config)
 	slots := make(chan struct{}, 4)
 	var wait sync.WaitGroup
@@ -313,7 +324,7 @@
 		wait.Go(func() {
 			m := start.clone()
 			m.run(modelStep, f)
-			e.walk(m, f.name, steps-1)
+			e.exploreFrom(m, f.name, steps-1)
 			<-slots
 		})
 	}
@@ -321,43 +332,46 @@
 	return e
 }
 
-func (e *explorer) walk(m *model, path string, steps int) {
+// exploreFrom runs all schedules that continue from m with the given number of steps.
+func (e *explorer) exploreFrom(m *model, schedule string, steps int) {
 	if steps == 0 {
-		e.finish(m, path)
+		e.finish(m, schedule)
 		return
 	}
 	for _, f := range e.faults {
-		if e.hasFound() {
+		if e.hasViolation() {
 			return
 		}
 		next := m.clone()
 		next.run(modelStep, f)
-		e.see(next)
-		e.walk(next, path+", "+f.name, steps-1)
+		e.addState(next)
+		e.exploreFrom(next, schedule+", "+f.name, steps-1)
 	}
 }
 
-func (e *explorer) hasFound() bool {
+// hasViolation reports whether a schedule has violated a property.
+func (e *explorer) hasViolation() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.found != ""
+	return e.violation != ""
 }
 
-func (e *explorer) see(m *model) {
+// addState counts the state of m.
+func (e *explorer) addState(m *model) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen[m.stateHash()] = true
+	e.states[m.stateHash()] = true
 }
 
-// finish plays on without faults.
-func (e *explorer) finish(m *model, path string) {
-	broken := m.settle()
+// finish runs a completed schedule on without faults and checks the result.
+func (e *explorer) finish(m *model, schedule string) {
+	violation := m.settle()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.schedules++
-	e.seen[m.stateHash()] = true
-	if broken != "" && e.found == "" {
-		e.found = path + ": " + broken
+	e.states[m.stateHash()] = true
+	if violation != "" && e.violation == "" {
+		e.violation = schedule + ": " + violation
 	}
 }
 
@@ -368,21 +382,22 @@
 	}
 	for _, size := range []int{3, 4} {
 		e := explore(size, steps[size], DefaultConfig())
-		if e.found != "" {
-			t.Errorf("%d members: %s", size, e.found)
+		if e.violation != "" {
+			t.Errorf("%d members: %s", size, e.violation)
 		}
-		t.Logf("%d members, %d steps: %d schedules, %d states", size, steps[size], e.schedules, len(e.seen))
+		t.Logf("%d members, %d steps: %d schedules, %d states", size, steps[size], e.schedules, len(e.states))
 	}
 }
 
-// The check finds a defect that is put in on purpose: a member that does not hear another has it called dead at once.
+// The model check must find a deliberate defect: with these settings a single member can have another one declared dead
+// without delay.
 func TestModelFindsDefect(t *testing.T) {
 	config := DefaultConfig()
 	config.Quorum = 1
 	config.SuspicionTimeout = 0
 	e := explore(3, 2, config)
-	if e.found == "" {
-		t.Error("nothing found")
+	if e.violation == "" {
+		t.Error("the model check found no violation, want one")
 	}
-	t.Log(e.found)
+	t.Log(e.violation)
 }
--- a/internal/decide/membership/record_test.go
+++ b/internal/decide/membership/record_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Records that arrive in any order, twice or late leave the same behind.
+// Merging records late, twice or in any order must give the same result.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []record
@@ -22,7 +22,7 @@
 			hasSameNumber := func(o record) bool {
 				return o.Author == r.Author && o.Incarnation == r.Incarnation && o.Sequence == r.Sequence
 			}
-			if !slices.ContainsFunc(records, hasSameNumber) { // an author writes one record under one number
+			if !slices.ContainsFunc(records, hasSameNumber) { // an author writes only one record with the same numbers
 				records = append(records, r)
 			}
 		}
@@ -34,20 +34,21 @@
 			b.mergeRecord(r)
 		}
 		if a.members.digest != b.members.digest {
-			t.Fatal("the digest depends on the order")
+			t.Fatal("records digests differ, want the same one for any order")
 		}
 		for id, p := range a.members.byID {
 			if diff := cmp.Diff(p.record, b.members.byID[id].record, cmpopts.EquateEmpty()); diff != "" {
-				t.Fatal(diff)
+				t.Fatalf("record of member %d (-in order +in another order):\n%s", id, diff)
 			}
 		}
 	})
 }
 
-// Whatever a member has to state of members whose IDs are addresses, its record fits a datagram beside a header.
+// A record with as many statements as possible, about members whose IDs are addresses, must fit a datagram together
+// with the largest header.
 func TestRecordFitsDatagram(t *testing.T) {
 	config := DefaultConfig()
-	config.MaxDatagramBytes -= 25 // as where datagrams are signed
+	config.MaxDatagramBytes -= 25 // what remains in a signed datagram
 	address := func(host int) ID { return ID(10<<40 | host<<16 | 7946) }
 	var configured []ID
 	for host := range 300 {
@@ -62,13 +63,13 @@
 	n.now += time.Minute
 	n.updateStatements()
 	if count := len(n.self.record.Statements); count < 30 {
-		t.Errorf("%d statements, want at least 30", count)
+		t.Errorf("record has %d statements, want at least 30", count)
 	}
 	m := message{
 		Kind: kindRecords, From: address(0), Incarnation: 1, Sequence: 1<<16 - 1, RecordsDigest: 1<<32 - 1, KnownMembers: maxMembers,
 		View: View{Number: 1<<32 - 1, Digest: 1<<32 - 1}, Records: []record{n.self.record},
 	}
 	if size := len(appendChecksum(m.appendTo(nil))); size > config.MaxDatagramBytes {
-		t.Errorf("the datagram has %d bytes, want at most %d", size, config.MaxDatagramBytes)
+		t.Errorf("datagram has %d bytes, want at most %d", size, config.MaxDatagramBytes)
 	}
 }
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -14,84 +14,92 @@
 	"time"
 )
 
-// testdata/replay.txt has, for each scenario and seed, the digest of all actions and of all that a member reports of
-// the fleet. It was written by the version before the names of this package changed, so a difference is a change of
-// behaviour. The digest is taken over fixed strings and numbers, so that it does not depend on any Go identifier.
+// testdata/replay.txt has one digest for each scenario and seed, over all actions and over what the members report
+// about the fleet. It was written by the version before the identifiers of this package were renamed, so any difference
+// is a change of behavior. The digest covers fixed strings and numbers, so it does not depend on any Go identifier.
 
-// replayScenario is one kind of fleet that is played.
+// replayScenario is one kind of simulated fleet.
 type replayScenario struct {
-	name    string
+	name string
+	// members is the size of the fleet.
 	members int
-	seeds   int // so many members are configured to each at its start; 0: all
-	span    time.Duration
-	loss    float64
-	delay   time.Duration // of a datagram, at most
-	config  func(*Config)
+	// seeds is the number of members that are configured at each member's start; 0: all.
+	seeds    int
+	duration time.Duration
+	// loss is the fraction of datagrams that are lost.
+	loss  float64
+	delay time.Duration // upper limit of a datagram's delay
+	// config changes the default settings; nil: no change.
+	config func(*Config)
 }
 
 var replayScenarios = []replayScenario{
-	{name: "small", members: 5, span: 70 * time.Second, delay: 20 * time.Millisecond},
-	{name: "lossy", members: 9, span: 60 * time.Second, loss: 0.3, delay: 40 * time.Millisecond},
-	{name: "slow", members: 7, span: 60 * time.Second, loss: 0.05, delay: 900 * time.Millisecond},
-	{name: "closed", members: 6, span: 60 * time.Second, delay: 20 * time.Millisecond, config: func(c *Config) { c.Closed = true }},
-	{name: "signed", members: 8, span: 60 * time.Second, loss: 0.1, delay: 20 * time.Millisecond, config: func(c *Config) {
+	{name: "small", members: 5, duration: 70 * time.Second, delay: 20 * time.Millisecond},
+	{name: "lossy", members: 9, duration: 60 * time.Second, loss: 0.3, delay: 40 * time.Millisecond},
+	{name: "slow", members: 7, duration: 60 * time.Second, loss: 0.05, delay: 900 * time.Millisecond},
+	{name: "closed", members: 6, duration: 60 * time.Second, delay: 20 * time.Millisecond, config: func(c *Config) { c.Closed = true }},
+	{name: "signed", members: 8, duration: 60 * time.Second, loss: 0.1, delay: 20 * time.Millisecond, config: func(c *Config) {
 		c.FrameOverheadBytes += 25
 		c.MaxDatagramBytes -= 25
 	}},
-	{name: "discovered by two seeds", members: 60, seeds: 2, span: 25 * time.Second, loss: 0.05, delay: 20 * time.Millisecond},
-	{name: "quick", members: 6, span: 30 * time.Second, loss: 0.05, delay: 20 * time.Millisecond, config: func(c *Config) {
+	{name: "discovered by two seeds", members: 60, seeds: 2, duration: 25 * time.Second, loss: 0.05, delay: 20 * time.Millisecond},
+	{name: "quick", members: 6, duration: 30 * time.Second, loss: 0.05, delay: 20 * time.Millisecond, config: func(c *Config) {
 		c.HeartbeatInterval, c.SuspicionTimeout, c.MaxViewDelay, c.BytesPerSecond = 200*time.Millisecond, 400*time.Millisecond, 1600*time.Millisecond, 1000
 	}},
 }
 
+// replaySeeds is the number of runs of each scenario, with different random seeds.
 const replaySeeds = 4
 
-// replayNode is a member of the played fleet.
+// replayNode is a member of the simulated fleet.
 type replayNode struct {
-	machine *Node
-	id      ID
-	inc     uint32
-	rate    float64 // of its clock
-	ahead   time.Duration
-	alive   bool
-	paused  time.Duration
-	due     time.Duration
+	node        *Node
+	id          ID
+	incarnation uint32
+	clockRate   float64       // relative to simulated time
+	clockOffset time.Duration // its clock is ahead by this much
+	isAlive     bool
+	pausedUntil time.Duration
+	nextTickAt  time.Duration
 }
 
+// replayDatagram is a datagram in transit.
 type replayDatagram struct {
-	at       time.Duration
-	from, to ID
-	b        []byte
+	arrivesAt time.Duration
+	from, to  ID
+	payload   []byte
 }
 
-// replay plays a scenario in virtual time.
+// replay runs a scenario in virtual time.
 type replay struct {
 	replayScenario
-	cfg           Config
-	now           time.Duration
-	rng           *rand.Rand
-	nodes         []*replayNode
-	inTransit     []replayDatagram
-	isPartitioned func(from, to ID) bool
-	loss          float64
-	digest        hash.Hash
-	actions       int
+	nodeConfig Config
+	now        time.Duration
+	random     *rand.Rand
+	nodes      []*replayNode
+	inTransit  []replayDatagram
+	isBlocked  func(from, to ID) bool
+	loss       float64
+	digest     hash.Hash
+	actions    int
 }
 
+// newReplay returns a replay with all members started.
 func newReplay(s replayScenario, seed uint64) *replay {
-	r := &replay{replayScenario: s, cfg: DefaultConfig(), now: time.Hour, rng: rand.New(rand.NewPCG(seed, 77)), loss: s.loss, digest: sha256.New()}
+	r := &replay{replayScenario: s, nodeConfig: DefaultConfig(), now: time.Hour, random: rand.New(rand.NewPCG(seed, 77)), loss: s.loss, digest: sha256.New()}
 	if s.config != nil {
-		s.config(&r.cfg)
+		s.config(&r.nodeConfig)
 	}
 	for i := range s.members {
-		n := &replayNode{id: r.id(i), inc: 100 + uint32(i%3), rate: 1 + 0.002*(2*r.rng.Float64()-1), ahead: time.Duration(r.rng.IntN(1000)) * time.Millisecond}
+		n := &replayNode{id: r.id(i), incarnation: 100 + uint32(i%3), clockRate: 1 + 0.002*(2*r.random.Float64()-1), clockOffset: time.Duration(r.random.IntN(1000)) * time.Millisecond}
 		r.nodes = append(r.nodes, n)
 		r.start(n)
 	}
 	return r
 }
 
-// id is an IPv4 address with its port, or a small number: both are in use.
+// id returns the ID of member i. Fleets of even size use IPv4 addresses with ports, the others small numbers, as both
+// are used in practice.
 func (r *replay) id(i int) ID {
 	if r.members%2 == 0 {
 		return ID(10<<40 | i<<16 | 7946)
@@ -99,10 +107,12 @@
 	return ID(i + 1)
 }
 
+// clock returns the time on the clock of a member.
 func (r *replay) clock(n *replayNode) time.Duration {
-	return time.Duration(float64(r.now)*n.rate) + n.ahead
+	return time.Duration(float64(r.now)*n.clockRate) + n.clockOffset
 }
 
+// configured returns the members that are configured at each member's start.
 func (r *replay) configured() (ids []ID) {
 	count := r.members
 	if r.seeds > 0 {
@@ -114,26 +124,28 @@
 	return ids
 }
 
+// start starts a new process of a member without any saved state.
 func (r *replay) start(n *replayNode) {
-	n.inc++
-	n.machine = New(r.cfg, n.id, n.inc, r.configured(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
-	n.alive, n.paused, n.due = true, 0, 0
+	n.incarnation++
+	n.node = New(r.nodeConfig, n.id, n.incarnation, r.configured(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.incarnation))))
+	n.isAlive, n.pausedUntil, n.nextTickAt = true, 0, 0
 }
 
-// replaceProcess has another process resume what the one before carried.
+// replaceProcess replaces the process of a member by one that resumes from its saved state.
 func (r *replay) replaceProcess(n *replayNode) {
-	carried := n.machine.SaveState()
-	n.inc++
-	m, err := Resume(r.cfg, carried, n.inc, r.configured(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.inc))))
+	saved := n.node.SaveState()
+	n.incarnation++
+	node, err := Resume(r.nodeConfig, saved, n.incarnation, r.configured(), r.clock(n), rand.New(rand.NewPCG(uint64(n.id), uint64(n.incarnation))))
 	if err != nil {
 		r.write("resume failed")
 		return
 	}
-	n.machine, n.alive, n.paused, n.due = m, true, 0, 0
+	n.node, n.isAlive, n.pausedUntil, n.nextTickAt = node, true, 0, 0
 }
 
+// write adds a line to the digest.
 func (r *replay) write(parts ...string) {
-	_, _ = fmt.Fprintln(r.digest, strings.Join(parts, " ")) // a hash never fails
+	_, _ = fmt.Fprintln(r.digest, strings.Join(parts, " ")) // writing to a hash never fails
 }
 
 func replayIDs(ids []ID) string {
@@ -152,25 +164,25 @@
 
 func replayUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// handle gives a member an event, writes down what it does and sends its datagrams.
+// handle passes an event to a member, adds the resulting actions to the digest and puts the datagrams in transit.
 func (r *replay) handle(n *replayNode, event Event) {
-	for _, a := range n.machine.Handle(r.clock(n), event) {
+	for _, a := range n.node.Handle(r.clock(n), event) {
 		r.actions++
 		at := replayUint(uint64(r.now)) + " " + replayUint(uint64(n.id))
 		switch a := a.(type) {
 		case Send:
 			r.write(at, "send", replayUint(uint64(a.To)), hex.EncodeToString(a.Payload))
-			copies := 1 + r.rng.IntN(30)/29
+			copies := 1 + r.random.IntN(30)/29
 			for range copies {
-				late := time.Duration(r.rng.Int64N(int64(r.delay))) + time.Millisecond
-				lost := r.rng.Float64() < r.loss || r.isPartitioned != nil && r.isPartitioned(n.id, a.To)
+				delay := time.Duration(r.random.Int64N(int64(r.delay))) + time.Millisecond
+				lost := r.random.Float64() < r.loss || r.isBlocked != nil && r.isBlocked(n.id, a.To)
 				b := a.Payload
-				if r.rng.IntN(400) == 0 { // it is corrupted in transit
+				if r.random.IntN(400) == 0 { // corrupt it in transit
 					b = append([]byte(nil), b...)
-					b[r.rng.IntN(len(b))] ^= 4
+					b[r.random.IntN(len(b))] ^= 4
 				}
 				if !lost {
-					r.inTransit = append(r.inTransit, replayDatagram{r.now + late, n.id, a.To, b})
+					r.inTransit = append(r.inTransit, replayDatagram{r.now + delay, n.id, a.To, b})
 				}
 			}
 		case ViewChanged:
@@ -183,123 +195,123 @@
 	}
 }
 
-// report writes down what a member tells of the fleet.
-func (r *replay) report(n *replayNode) {
-	m := n.machine
-	view, majority := m.View()
-	reason, doubts := m.SelfSuspicion()
-	heard, same := m.ViewAgreement()
-	r.write("report", replayUint(uint64(n.id)), replayView(view), strconv.FormatBool(majority), reason.String(), strconv.FormatBool(doubts), strconv.Itoa(heard), strconv.Itoa(same),
-		strconv.Itoa(m.DroppedDatagrams), strconv.Itoa(m.RejectedMembers), strconv.Itoa(m.RejectedGossip))
-	for _, o := range m.Snapshot(r.clock(n)) {
-		r.write(replayUint(uint64(o.ID)), strconv.Itoa(int(o.State)), replayUint(uint64(o.Incarnation)), strconv.FormatInt(int64(o.SinceHeard), 10), strconv.FormatFloat(o.LossRate, 'g', -1, 64),
-			strconv.FormatBool(o.SuspectsItself), strconv.FormatBool(o.SameView), strconv.FormatBool(o.Monitored), replayIDs(o.NotHeardBy), replayIDs(o.NotHeardButAliveBy), replayIDs(o.HeardBy))
-		state, against, by := m.State(o.ID)
-		r.write(strconv.Itoa(int(state)), replayIDs(against), replayIDs(by))
+// writeStatus adds everything that a member reports about the fleet to the digest.
+func (r *replay) writeStatus(n *replayNode) {
+	node := n.node
+	view, majority := node.View()
+	reason, suspectsItself := node.SelfSuspicion()
+	heard, sameView := node.ViewAgreement()
+	r.write("report", replayUint(uint64(n.id)), replayView(view), strconv.FormatBool(majority), reason.String(), strconv.FormatBool(suspectsItself), strconv.Itoa(heard), strconv.Itoa(sameView),
+		strconv.Itoa(node.DroppedDatagrams), strconv.Itoa(node.RejectedMembers), strconv.Itoa(node.RejectedGossip))
+	for _, member := range node.Snapshot(r.clock(n)) {
+		r.write(replayUint(uint64(member.ID)), strconv.Itoa(int(member.State)), replayUint(uint64(member.Incarnation)), strconv.FormatInt(int64(member.SinceHeard), 10), strconv.FormatFloat(member.LossRate, 'g', -1, 64),
+			strconv.FormatBool(member.SuspectsItself), strconv.FormatBool(member.SameView), strconv.FormatBool(member.Monitored), replayIDs(member.NotHeardBy), replayIDs(member.NotHeardButAliveBy), replayIDs(member.HeardBy))
+		state, notHeardBy, heardBy := node.State(member.ID)
+		r.write(strconv.Itoa(int(state)), replayIDs(notHeardBy), replayIDs(heardBy))
 	}
 	for topic := range uint8(3) {
-		for _, u := range m.GossipMessages(topic) {
-			r.write("gossip", strconv.Itoa(int(u.Topic)), replayUint(uint64(u.Key)), replayUint(uint64(u.Owner)), replayUint(uint64(u.Incarnation)), replayUint(uint64(u.Version)), hex.EncodeToString(u.Body))
+		for _, g := range node.GossipMessages(topic) {
+			r.write("gossip", strconv.Itoa(int(g.Topic)), replayUint(uint64(g.Key)), replayUint(uint64(g.Owner)), replayUint(uint64(g.Incarnation)), replayUint(uint64(g.Version)), hex.EncodeToString(g.Body))
 		}
 	}
 }
 
-// carry writes down what a member would leave to the next process.
-func (r *replay) carry(n *replayNode) {
-	c := n.machine.SaveState()
-	r.write("carry", replayUint(uint64(c.Self)), replayUint(uint64(c.Incarnation)), replayView(c.View), strconv.FormatBool(c.HasMajority), replayUint(uint64(c.HighestView)), hex.EncodeToString(c.Gossip))
-	for _, o := range c.Members {
-		r.write(replayUint(uint64(o.ID)), hex.EncodeToString(o.Record), strconv.Itoa(int(o.State)), strconv.FormatInt(int64(o.ViewAge), 10), strconv.FormatFloat(o.LossRate, 'g', -1, 64))
+// writeSavedState adds the saved state of a member to the digest.
+func (r *replay) writeSavedState(n *replayNode) {
+	saved := n.node.SaveState()
+	r.write("carry", replayUint(uint64(saved.Self)), replayUint(uint64(saved.Incarnation)), replayView(saved.View), strconv.FormatBool(saved.HasMajority), replayUint(uint64(saved.HighestView)), hex.EncodeToString(saved.Gossip))
+	for _, member := range saved.Members {
+		r.write(replayUint(uint64(member.ID)), hex.EncodeToString(member.Record), strconv.Itoa(int(member.State)), strconv.FormatInt(int64(member.ViewAge), 10), strconv.FormatFloat(member.LossRate, 'g', -1, 64))
 	}
 }
 
-// fault draws something that happens to a member or to the network.
+// fault applies a random fault to a member or to the network, and publishes some random gossip.
 func (r *replay) fault() {
-	n := r.nodes[r.rng.IntN(len(r.nodes))]
-	other := r.nodes[r.rng.IntN(len(r.nodes))]
-	kind := r.rng.IntN(14)
+	n := r.nodes[r.random.IntN(len(r.nodes))]
+	other := r.nodes[r.random.IntN(len(r.nodes))]
+	kind := r.random.IntN(14)
 	r.write("fault", strconv.Itoa(kind), replayUint(uint64(n.id)), replayUint(uint64(other.id)))
-	up := n.alive && r.now >= n.paused
+	isRunning := n.isAlive && r.now >= n.pausedUntil
 	switch kind {
 	case 0:
-		n.alive = false
+		n.isAlive = false
 	case 1:
-		if up {
+		if isRunning {
 			r.handle(n, Leave{})
-			n.alive = false
+			n.isAlive = false
 		}
 	case 2, 3:
 		r.start(n)
 	case 4:
-		n.paused = r.now + time.Duration(500+r.rng.IntN(7000))*time.Millisecond
+		n.pausedUntil = r.now + time.Duration(500+r.random.IntN(7000))*time.Millisecond
 	case 5:
-		n.ahead += time.Duration(r.rng.IntN(3000)) * time.Millisecond
+		n.clockOffset += time.Duration(r.random.IntN(3000)) * time.Millisecond
 	case 6:
-		r.isPartitioned = func(from, to ID) bool { return from == n.id && to == other.id }
+		r.isBlocked = func(from, to ID) bool { return from == n.id && to == other.id }
 	case 7:
-		r.isPartitioned = func(from, _ ID) bool { return from == n.id }
+		r.isBlocked = func(from, _ ID) bool { return from == n.id }
 	case 8:
-		r.isPartitioned = func(_, to ID) bool { return to == n.id }
+		r.isBlocked = func(_, to ID) bool { return to == n.id }
 	case 9:
-		r.isPartitioned = func(from, to ID) bool { return (from < n.id) != (to < n.id) }
+		r.isBlocked = func(from, to ID) bool { return (from < n.id) != (to < n.id) }
 	case 10, 11:
-		r.isPartitioned, r.loss = nil, r.replayScenario.loss
+		r.isBlocked, r.loss = nil, r.replayScenario.loss
 	case 12:
 		r.loss = 0.5
 	case 13:
-		if n.alive {
+		if n.isAlive {
 			r.replaceProcess(n)
 		}
 	}
-	if !up {
+	if !isRunning {
 		return
 	}
-	for key := range uint32(r.rng.IntN(5)) {
-		body := []byte(strconv.Itoa(r.rng.IntN(1000)))
-		if r.rng.IntN(4) == 0 {
+	for key := range uint32(r.random.IntN(5)) {
+		body := []byte(strconv.Itoa(r.random.IntN(1000)))
+		if r.random.IntN(4) == 0 {
 			body = nil
 		}
-		if err := n.machine.Publish(uint8(r.rng.IntN(3)), key, body); err != nil {
+		if err := n.node.Publish(uint8(r.random.IntN(3)), key, body); err != nil {
 			r.write("not published")
 		}
 	}
 }
 
-// play plays the scenario to its end and returns the count of all actions and the digest.
-func (r *replay) play() string {
+// run runs the scenario to its end and returns the number of all actions and the digest.
+func (r *replay) run() string {
 	const step = 10 * time.Millisecond
-	end := r.now + r.span
-	calm := end - 15*time.Second // without faults in the end
+	end := r.now + r.duration
+	faultFreeFrom := end - 15*time.Second // the run ends with 15 s without faults
 	for next := r.now + 6*time.Second; r.now < end; r.now += step {
-		if r.now >= next && r.now < calm {
+		if r.now >= next && r.now < faultFreeFrom {
 			r.fault()
-			next = r.now + time.Duration(500+r.rng.IntN(6000))*time.Millisecond
+			next = r.now + time.Duration(500+r.random.IntN(6000))*time.Millisecond
 		}
-		if r.now >= calm {
-			r.isPartitioned, r.loss = nil, r.replayScenario.loss
+		if r.now >= faultFreeFrom {
+			r.isBlocked, r.loss = nil, r.replayScenario.loss
 		}
 		due := r.inTransit
 		r.inTransit = nil
 		for _, d := range due {
 			n := r.node(d.to)
 			switch {
-			case d.at > r.now || n != nil && n.alive && r.now < n.paused:
+			case d.arrivesAt > r.now || n != nil && n.isAlive && r.now < n.pausedUntil:
 				r.inTransit = append(r.inTransit, d)
-			case n != nil && n.alive:
-				r.handle(n, DatagramReceived{d.from, d.b})
+			case n != nil && n.isAlive:
+				r.handle(n, DatagramReceived{d.from, d.payload})
 			}
 		}
 		for _, n := range r.nodes {
-			if n.alive && r.now >= n.paused && r.clock(n) >= n.due {
-				n.due = r.clock(n) + n.machine.TickInterval()
+			if n.isAlive && r.now >= n.pausedUntil && r.clock(n) >= n.nextTickAt {
+				n.nextTickAt = r.clock(n) + n.node.TickInterval()
 				r.handle(n, Tick{})
 			}
 		}
 		if r.now%(5*time.Second) == 0 {
 			for _, n := range r.nodes {
-				if n.alive && r.now >= n.paused {
-					r.report(n)
-					r.carry(n)
+				if n.isAlive && r.now >= n.pausedUntil {
+					r.writeStatus(n)
+					r.writeSavedState(n)
 				}
 			}
 		}
@@ -307,6 +319,7 @@
 	return strconv.Itoa(r.actions) + " " + hex.EncodeToString(r.digest.Sum(nil))
 }
 
+// node returns the member with the given ID, or nil.
 func (r *replay) node(id ID) *replayNode {
 	for _, n := range r.nodes {
 		if n.id == id {
@@ -316,7 +329,7 @@
 	return nil
 }
 
-// replayName is how a play is named in testdata/replay.txt.
+// replayName returns the name of a run in testdata/replay.txt.
 func replayName(s replayScenario, seed uint64) string {
 	return strings.ReplaceAll(s.name, " ", "-") + "/" + strconv.FormatUint(seed, 10)
 }
@@ -333,15 +346,15 @@
 		want[name] = digest
 	}
 	if len(want) != len(replayScenarios)*replaySeeds {
-		t.Errorf("%d digests, want %d", len(want), len(replayScenarios)*replaySeeds)
+		t.Errorf("testdata has %d digests, want %d", len(want), len(replayScenarios)*replaySeeds)
 	}
 	for _, s := range replayScenarios {
 		for seed := range uint64(replaySeeds) {
 			name := replayName(s, seed)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				if got := newReplay(s, seed).play(); got != want[name] {
-					t.Errorf("actions and digest = %s, want %s", got, want[name])
+				if got := newReplay(s, seed).run(); got != want[name] {
+					t.Errorf("number of actions and digest = %s, want %s", got, want[name])
 				}
 			})
 		}
--- a/internal/decide/membership/saved_state_test.go
+++ b/internal/decide/membership/saved_state_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A process that replaces another is the same member to all others: nothing is reported of it, no view changes, and its
-// gossip stands. A second later it knows as much as they do.
+// A process that replaces another one must be the same member to all others: nothing is reported about it, no view
+// changes and its gossip remains. Soon after it knows as much as the other members.
 func TestResume(t *testing.T) {
 	f := newTestFleet(7)
 	for _, n := range f.nodes[:2] {
@@ -24,7 +24,7 @@
 	before := f.nodes[0].views.current
 
 	saved := f.nodes[0].SaveState()
-	f.run(2*time.Second, reliable) // the first process serves on meanwhile
+	f.run(2*time.Second, reliable) // the first process continues in the meantime
 	next, err := Resume(DefaultConfig(), saved, 1, []ID{1, 2, 3, 4, 5, 6, 7}, f.now, &copyableRandom{9})
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	f.nodes[0] = next
 	f.run(10*time.Second, reliable)
 	for _, report := range f.reports {
-		t.Errorf("report %+v, want none", report)
+		t.Errorf("got report %+v, want none", report)
 	}
 	for _, n := range f.nodes {
 		if n.views.current != before {
--- a/internal/decide/membership/sync_test.go
+++ b/internal/decide/membership/sync_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Items that were added to a filter are found, and of others hardly more than its size allows seem to be: different ones
-// with each salt.
+// All added items must be found. With any salt, at most a third of the items that were not added may be false
+// positives.
 func TestBloomFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 400).Draw(t, "items")
@@ -19,7 +19,7 @@
 		}
 		for i := range count {
 			if !f.contains(mixHash(uint32(i), 1), salt) {
-				t.Fatalf("item %d of %d is not found", i, count)
+				t.Fatalf("item %d of %d added ones is not found", i, count)
 			}
 		}
 		const others = 4000
@@ -30,13 +30,13 @@
 			}
 		}
 		if falsePositives > others/3 {
-			t.Fatalf("%d of %d others seem to be among %d items, want at most a third", falsePositives, others, count)
+			t.Fatalf("%d of %d items that were not added are found among %d items, want at most a third", falsePositives, others, count)
 		}
 	})
 }
 
-// Two members of which each knows what the other does not request records of each other until neither lacks any,
-// whatever the filters hide.
+// Two members with different records must obtain all records of each other by sync requests, despite the false
+// positives of the filters.
 func TestSyncConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newTestNode(1, 1), newTestNode(2, 2)
@@ -54,16 +54,16 @@
 			syncOnce(b, a, now)
 			if a.members.digest == b.members.digest {
 				if a.members.known != b.members.known {
-					t.Fatalf("equal digests of %d and %d records", a.members.known, b.members.known)
+					t.Fatalf("digests are equal for %d and %d records", a.members.known, b.members.known)
 				}
 				return
 			}
 		}
-		t.Fatalf("never equal: %d and %d records", a.members.known, b.members.known)
+		t.Fatalf("records still differ after 400 rounds: %d and %d known", a.members.known, b.members.known)
 	})
 }
 
-// syncOnce has a member request records of another one, and take the answers.
+// syncOnce has one member request records from another one and process the answers.
 func syncOnce(from, to *Node, now time.Duration) {
 	from.budget.refill(from.config, now)
 	to.budget.refill(to.config, now)
@@ -79,6 +79,7 @@
 	}
 }
 
+// sendsTo returns the datagrams for a member.
 func sendsTo(id ID, actions []Action) (all []Send) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok && s.To == id {
@@ -88,7 +89,7 @@
 	return all
 }
 
-// Sync requests use their part of the budget, and leave the rest to other datagrams.
+// Sync requests must not use more than their share of the budget.
 func TestSyncRequestsKeepToTheirBudget(t *testing.T) {
 	n := newTestNode(1, 1)
 	for i := range 300 {
@@ -98,9 +99,9 @@
 		n.requestRecords(n.members.byID[2])
 	}
 	if want := n.config.BurstBytes - n.config.BurstBytes/syncBudgetDivisor; n.budget.available < want {
-		t.Errorf("%.0f bytes are available, want at least %.0f", n.budget.available, want)
+		t.Errorf("%.0f bytes are available after 100 requests, want at least %.0f", n.budget.available, want)
 	}
 	if n.budget.syncAvailable >= float64(n.config.MaxDatagramBytes) {
-		t.Errorf("%.0f bytes for requests are available after a hundred, want less than a datagram", n.budget.syncAvailable)
+		t.Errorf("%.0f bytes are available for sync requests after 100 of them, want less than a datagram", n.budget.syncAvailable)
 	}
 }
--- a/internal/membership/keyring_test.go
+++ b/internal/membership/keyring_test.go
@@ -9,7 +9,7 @@
 	decide "gannetspur/internal/decide/membership"
 )
 
-// checkOpen opens a datagram and wants its payload, or a rejection; "" wants none.
+// checkOpen checks that opening a datagram returns the payload, or the rejection want if that is not empty.
 func checkOpen(t *testing.T, keyring *Keyring, now time.Duration, from netip.AddrPort, datagram []byte, payload string, want rejection) {
 	t.Helper()
 	got, err := keyring.open(now, from, datagram)
@@ -18,7 +18,7 @@
 		t.Fatalf("error = %v, want a rejection", err)
 	}
 	if reason != want || reason == "" && string(got) != payload {
-		t.Errorf("opened as %q with rejection %q, want %q with %q", got, reason, payload, want)
+		t.Errorf("payload %q with rejection %q, want %q with %q", got, reason, payload, want)
 	}
 }
 
@@ -28,25 +28,25 @@
 	signing := NewKeyring(sender, []Key{one})
 	const now = 1000 * time.Hour
 	for _, c := range []struct {
-		name     string
-		keyring  *Keyring
-		tamper   func([]byte) []byte
-		later    time.Duration
-		twice    bool
-		rejected rejection
+		name    string
+		keyring *Keyring
+		tamper  func([]byte) []byte
+		later   time.Duration
+		twice   bool
+		want    rejection
 	}{
 		{name: "valid", keyring: NewKeyring(receiver, []Key{one})},
 		{name: "previous key", keyring: NewKeyring(receiver, []Key{two, one})},
-		{name: "removed key", keyring: NewKeyring(receiver, []Key{two}), rejected: rejectedKey},
-		{name: "another key of the same number", keyring: NewKeyring(receiver, []Key{{1, []byte("other")}}), rejected: rejectedUnsigned},
-		{name: "for another receiver", keyring: NewKeyring(third, []Key{one}), rejected: rejectedUnsigned},
-		{name: "twice", keyring: NewKeyring(receiver, []Key{one}), twice: true, rejected: rejectedReplay},
-		{name: "old", keyring: NewKeyring(receiver, []Key{one}), later: time.Hour, rejected: rejectedOld},
-		{name: "corrupt", keyring: NewKeyring(receiver, []Key{one}), rejected: rejectedUnsigned, tamper: func(d []byte) []byte {
+		{name: "removed key", keyring: NewKeyring(receiver, []Key{two}), want: rejectedKey},
+		{name: "different key with the same number", keyring: NewKeyring(receiver, []Key{{1, []byte("other")}}), want: rejectedUnsigned},
+		{name: "for another receiver", keyring: NewKeyring(third, []Key{one}), want: rejectedUnsigned},
+		{name: "received twice", keyring: NewKeyring(receiver, []Key{one}), twice: true, want: rejectedReplay},
+		{name: "old", keyring: NewKeyring(receiver, []Key{one}), later: time.Hour, want: rejectedOld},
+		{name: "corrupt", keyring: NewKeyring(receiver, []Key{one}), want: rejectedUnsigned, tamper: func(d []byte) []byte {
 			d[10] ^= 1
 			return d
 		}},
-		{name: "short", keyring: NewKeyring(receiver, []Key{one}), rejected: rejectedShort, tamper: func([]byte) []byte { return make([]byte, signedOverhead) }},
+		{name: "short", keyring: NewKeyring(receiver, []Key{one}), want: rejectedShort, tamper: func([]byte) []byte { return make([]byte, signedOverhead) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			datagram := signing.seal(now, receiver, []byte("payload"))
@@ -56,12 +56,13 @@
 			if c.twice {
 				checkOpen(t, c.keyring, now, sender, datagram, "payload", "")
 			}
-			checkOpen(t, c.keyring, now+c.later, sender, datagram, "payload", c.rejected)
+			checkOpen(t, c.keyring, now+c.later, sender, datagram, "payload", c.want)
 		})
 	}
 }
 
-// A datagram that was held back while later ones arrived is rejected; one that was overtaken is not.
+// A datagram that was overtaken by a slightly later one must be accepted. One that arrives after a datagram that is
+// more than maxDelay newer must be rejected as a replay.
 func TestKeyringAcceptsOvertakenDatagrams(t *testing.T) {
 	from, to := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
 	keys := []Key{{1, []byte("one")}}
