--- a/internal/decide/membership/evaluation.go
+++ b/internal/decide/membership/evaluation.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// add counts one statement. A report of not hearing the member counts as a vote only if its author does not suspect
-// itself.
+// add counts one statement. A report of not hearing the member counts against it only if the author does not suspect
+// itself; otherwise it is listed in notHeardButAliveBy. A statement of hearing the member counts only if the author is
+// in the view.
 func (t *statementTally) add(author *peer, observation observation) {
 	switch {
 	case observation == notHeard && !author.record.SuspectsItself:
--- a/internal/decide/membership/failure_detector.go
+++ b/internal/decide/membership/failure_detector.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// ping sends one round of pings to a silent member. When relayAfterPings rounds were sent, it also asks other members
-// to ping it.
+// ping sends one round of pings to a silent member. After relayAfterPings rounds it also asks other members to ping it,
+// unless it is suspected already.
 func (n *Node) ping(p *peer) {
 	if n.sendRecords(kindPing, p, 0, nil) < 0 {
 		return
--- a/internal/decide/membership/health.go
+++ b/internal/decide/membership/health.go
@@ -6,8 +6,8 @@
 	// maxContradictions is the number of contradictions by other members, each within contradictionWindow of the
 	// previous one, at which this member suspects itself.
 	maxContradictions = 2
-	// contradictionWindow is the longest time between two contradictions, in heartbeat intervals, after which the count
-	// continues. Later ones start a new count.
+	// contradictionWindow is the longest time between two contradictions that are counted together, in heartbeat
+	// intervals.
 	contradictionWindow = 20
 	// pauseSuspicion is how long this member suspects itself after its process was paused, in heartbeat intervals.
 	pauseSuspicion = 4
@@ -72,8 +72,8 @@
 	}
 }
 
-// countContradiction records that other members hear a member that this one does not. A member that receives poorly
-// contradicts others repeatedly and then suspects itself: it still states which members it does not hear, but these
+// countContradiction records that other members hear a member that this one does not. A member that receives poorly is
+// contradicted repeatedly and then suspects itself: it still states which members it does not hear, but these
 // statements no longer count.
 func (n *Node) countContradiction() {
 	window := n.heartbeats(contradictionWindow)
--- a/internal/decide/membership/node.go
+++ b/internal/decide/membership/node.go
@@ -37,10 +37,10 @@
 	startedAt         time.Duration
 	nextTickAt        time.Duration // when the next Tick is due
 	nextHeartbeatAt   time.Duration
-	sequence          uint32 // of heartbeats; its low 16 bits are sent, and are never 0
+	sequence          uint32 // of heartbeats; the low 16 bits are sent, where 0 means that there was none yet
 	leaving           bool   // whether this member has announced its shutdown
 	recordsChanged    bool   // whether a record has changed since the states were last evaluated
-	needsReevaluation bool   // whether a state or a view depends on the passing of time
+	needsReevaluation bool   // whether to evaluate the states again without a changed record, as one waits for a timeout
 
 	actions []Action // results of the current event
 
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -214,9 +214,9 @@
 	n.monitor.stale = true
 	n.ownStatements.stale = true
 	if p.known && p.state.InView() && p.ownRecordSaysNotHeard() && p.lastHeard < n.now {
-		// p has learned that it is not heard, and other members relay its new record, so it is alive. A failed member
-		// is observed from the start instead, as those who could relay its record may have lost contact with it
-		// meanwhile.
+		// p has learned that it is not heard, and other members report its new incarnation, so it is alive. A failed
+		// member is observed from the start instead, as the members that could report it alive may have lost contact
+		// with it meanwhile.
 		if p.ownObservation == notHeard {
 			n.countContradiction()
 		}
--- a/internal/decide/membership/saved_state.go
+++ b/internal/decide/membership/saved_state.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// resumeGossip restores the gossip messages, except those of unknown owners.
+// resumeGossip restores the gossip messages, except those of unknown owners, and republishes this member's own ones.
 func (n *Node) resumeGossip(encoded []byte) error {
 	for len(encoded) > 0 {
 		g, rest, err := decodeGossip(encoded)
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -96,7 +96,8 @@
 			n.requestRecords(p)
 		}
 	}
-	// Walking a ring for predecessors may end at a member that has answered meanwhile.
+	// Update the monitored predecessors: the search on a ring may now end earlier, at a member that has answered
+	// meanwhile.
 	n.monitor.stale = n.monitor.stale || len(n.self.record.Statements) > 0
 	for _, p := range n.heartbeatTargets() {
 		n.sendRecords(kindHeartbeat, p, 0, n.urgentRecords())
@@ -108,8 +109,8 @@
 	}
 }
 
-// probeAbsentMember contacts a random member outside the view. Departed members are included, as a forged record may
-// have stated the departure.
+// probeAbsentMember contacts a random member outside the view. Departed members are included, as their departure may
+// have been stated by others.
 func (n *Node) probeAbsentMember() {
 	var absent []*peer
 	for _, p := range n.members.sorted {
--- a/internal/decide/membership/state.go
+++ b/internal/decide/membership/state.go
@@ -8,7 +8,7 @@
 	Unknown         State = iota // configured, but no record was received since the start
 	Alive                        // no member reports that it does not hear it
 	Suspect                      // some members do not hear it, and the cause is not known yet
-	PartlyReachable              // some members do not hear it while others do, or it does not hear others itself
+	PartlyReachable              // some members do not hear it while others do, or it hears no other member itself
 	Dead                         // none of its monitors hears it, and this side has a majority of the fleet
 	Unreachable                  // none of its monitors hears it, but it may be on the side of a partition that has the majority
 	Departed                     // it announced its shutdown
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -11,7 +11,7 @@
 	State              State
 	Incarnation        uint32
 	SinceHeard         time.Duration // time since this member last received a datagram from it; negative: never since the start
-	LossRate           float64       // fraction of heartbeats lost on the path to this member, 0 to 1
+	LossRate           float64       // fraction of heartbeats lost on the path from it, 0 to 1
 	SuspectsItself     bool          // whether it states that it may not receive datagrams reliably
 	SameView           bool          // whether its last datagram had the digest of this member's view
 	Monitored          bool          // whether this member monitors it
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -128,7 +128,7 @@
 	n.sendSyncRequest(kindGossipRequest, p, items, 1, nil)
 }
 
-// knowsManyMoreMembers reports whether p knows more than bootstrapRecords more members than this one.
+// knowsManyMoreMembers reports whether p knows more members than this one by more than bootstrapRecords.
 func (n *Node) knowsManyMoreMembers(p *peer) bool {
 	return p.knownMembers > n.members.known+bootstrapRecords
 }
@@ -170,7 +170,7 @@
 	isBootstrap := request.KnownMembers <= 1
 	if isBootstrap {
 		if n.budget.available < n.config.BurstBytes/2 {
-			return // the peer learns of other members that it can ask
+			return // other members that the peer learns of will answer it
 		}
 		records = records[:min(len(records), bootstrapRecords)]
 	}
