--- a/internal/decide/membership/config.go
+++ b/internal/decide/membership/config.go
@@ -16,9 +16,10 @@
 type Config struct {
 	// HeartbeatInterval is the time between two rounds of heartbeats.
 	HeartbeatInterval time.Duration
-	// RingCount is the number of rings, and so the number of members that monitor each member.
+	// RingCount is the number of rings. Each ring is an order of all members, and each member is monitored by its
+	// successor on each ring.
 	RingCount int
-	// Quorum is the number of monitors that must report a member as not heard before it is declared dead or
+	// Quorum is the number of members that must report a member as not heard before it is declared dead or
 	// unreachable. Fewer suffice where fewer members are able to report.
 	Quorum int
 	// MaxMissedHeartbeats is the number of consecutive heartbeats that may be missed on a path without loss before the
@@ -27,12 +28,14 @@
 	// MaxUnansweredPings is the number of pings that may go unanswered on a path without loss before the member is
 	// reported as not heard.
 	MaxUnansweredPings int
-	// SuspicionTimeout is how long a quorum of Quorum reports against a member must last before the member is declared
-	// failed.
+	// SuspicionTimeout is how long Quorum members must report a member as not heard before it is declared failed. The
+	// time is shorter if more members report it.
 	SuspicionTimeout time.Duration
-	// MaxViewDelay is the longest time that a view change waits for other changes in progress.
+	// MaxViewDelay is the longest time that a view change waits for other changes in progress. It is also the time for
+	// which a member that has entered or left the view is not declared failed, and its reports do not count against
+	// other members.
 	MaxViewDelay time.Duration
-	// BytesPerSecond is the average rate at which a member may send, whatever the size of the fleet.
+	// BytesPerSecond limits the average rate at which a member sends, whatever the size of the fleet.
 	BytesPerSecond float64
 	// BurstBytes is the most unused budget that a member accumulates while it sends little.
 	BurstBytes float64
--- a/internal/decide/membership/evaluation.go
+++ b/internal/decide/membership/evaluation.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recentFailureWindow is how long a member that was declared dead still counts in the fleet size of which a majority
-// must be present.
+// recentFailureWindow is how long a member that was declared dead still counts in the size of the fleet when a majority
+// is determined. Gossip messages are kept for the same time after their owner has left the view.
 const recentFailureWindow = 30 * time.Second
 
 // statementTally lists the authors of all current statements about one member, by what they state.
--- a/internal/decide/membership/event.go
+++ b/internal/decide/membership/event.go
@@ -40,10 +40,10 @@
 
 // MemberReport reports a state change, a refutation or a self-suspicion of one member to operators.
 type MemberReport struct {
-	Member    ID
-	State     State
-	Reason    Reason
-	Witnesses []ID // members that do not hear it
+	Member    ID     // the member that the report is about
+	State     State  // its state, which is the new one after a change
+	Reason    Reason // why the report was made
+	Witnesses []ID   // members that do not hear Member; nil in the report of a self-suspicion
 }
 
 func (Send) isAction()         {}
--- a/internal/decide/membership/failure_detector.go
+++ b/internal/decide/membership/failure_detector.go
@@ -23,7 +23,9 @@
 }
 
 // selectMonitored updates the set of observed members. Monitored are the predecessors on the rings, members that this
-// member has confirmed to hear, and members that others do not hear if this member is an arbiter for them.
+// member has confirmed to hear, and members that others do not hear if this member is an arbiter for them. Members that
+// are disputed or that this member was asked to ping are observed without being monitored, and so are failed members
+// that need a substitute witness.
 func (n *Node) selectMonitored() {
 	n.rebuildRings()
 	if !n.monitor.stale {
@@ -48,7 +50,7 @@
 		}
 	}
 	for _, p := range n.members.sorted {
-		if n.isSubstituteWitness(p) && n.isArbiter(p) {
+		if n.needsSubstituteWitness(p) && n.isArbiterFor(p) {
 			p.monitored = false
 			p.pingsSent = 0
 			n.monitor.peers = append(n.monitor.peers, p)
@@ -97,13 +99,13 @@
 // shouldArbitrate reports whether p has reports against it from too few witnesses, so that this member should monitor p
 // itself.
 func (n *Node) shouldArbitrate(p *peer) bool {
-	return len(p.notHeardBy) > 0 && n.countWitnesses(p) < n.config.Quorum && n.isArbiter(p)
+	return len(p.notHeardBy) > 0 && n.countWitnesses(p) < n.config.Quorum && n.isArbiterFor(p)
 }
 
-// isArbiter reports whether this member is among those that monitor p when another member does not hear it. Arbiters
+// isArbiterFor reports whether this member is among those that monitor p when another member does not hear it. Arbiters
 // are selected by a hash that is the same at all members, so there are enough witnesses even if the ring neighbors of p
 // have failed too.
-func (n *Node) isArbiter(p *peer) bool {
+func (n *Node) isArbiterFor(p *peer) bool {
 	ownRank := mixHash(p.id.hashKey(), n.self.id.hashKey())
 	rankedBefore := 0
 	for _, other := range n.topology.inView {
@@ -120,11 +122,11 @@
 	return true
 }
 
-// isSubstituteWitness reports whether too few present members state that they do not hear a failed member. Witnesses
-// may leave, or their processes may be replaced and state nothing that they have not observed themselves. Arbiters then
-// make the statement in their place. Otherwise a member that learns of the failed one later would consider it alive,
-// and no record would correct that.
-func (n *Node) isSubstituteWitness(p *peer) bool {
+// needsSubstituteWitness reports whether p has failed and too few present members still state that they do not hear p.
+// Witnesses may leave, or their processes may be replaced and state nothing that they have not observed themselves.
+// Arbiters then make the statement in their place. Otherwise a member that learns of the failed one later would consider
+// it alive, and no record would correct that.
+func (n *Node) needsSubstituteWitness(p *peer) bool {
 	return p.state.hasFailed() && p.ownObservation == noObservation && n.countWitnesses(p) < n.config.Quorum && !n.isHeard(p)
 }
 
--- a/internal/decide/membership/faulty_member_test.go
+++ b/internal/decide/membership/faulty_member_test.go
@@ -82,7 +82,7 @@
 	remembered := own
 	remembered.Statements = []statement{{4, 1, notHeard}}
 	if own.hash() == remembered.hash() {
-		t.Error("records with different statements have equal hashes")
+		t.Errorf("records with different statements both have hash %08x, want different hashes", own.hash())
 	}
 	p := other.members.byID[1]
 	other.members.toggleDigest(p.record)
@@ -94,7 +94,7 @@
 	}
 	for _, o := range f.nodes {
 		if o.members.digest != n.members.digest {
-			t.Errorf("records digest of member %d differs from that of member 1", o.self.id)
+			t.Errorf("records digest of member %d = %08x, want %08x as at member 1", o.self.id, o.members.digest, n.members.digest)
 		}
 	}
 }
--- a/internal/decide/membership/gossip_store.go
+++ b/internal/decide/membership/gossip_store.go
@@ -12,7 +12,7 @@
 // gossipExpiryInterval is how often the store is searched for messages whose owners have been gone for long.
 const gossipExpiryInterval = time.Second
 
-// gossipDigestMask selects the byte of a datagram's records digest that holds part of the gossip digest.
+// gossipDigestMask selects the byte of a datagram's records digest that holds gossipDigestByte.
 const gossipDigestMask uint32 = 0xff
 
 // gossipStore holds the gossip messages that this member knows.
--- a/internal/decide/membership/link.go
+++ b/internal/decide/membership/link.go
@@ -66,8 +66,9 @@
 	return p.lossRate
 }
 
-// silenceTimeout returns how long p may be silent before it is pinged. It covers as many heartbeats as are lost in a
-// row on the path from p with a probability of at most maxFalseSilence.
+// silenceTimeout returns how long p may be silent before it is pinged. Within the limits MaxMissedHeartbeats and
+// maxSilentHeartbeats, this is the smallest number of heartbeat intervals for which loss alone silences the path from p
+// with a probability of at most maxFalseSilence, and a quarter of an interval more.
 func (n *Node) silenceTimeout(p *peer) time.Duration {
 	lostInRow := math.Ceil(math.Log(maxFalseSilence) / math.Log(max(n.estimatedLoss(p), minLossRate)))
 	missed := min(max(lostInRow, float64(n.config.MaxMissedHeartbeats)), maxSilentHeartbeats)
--- a/internal/decide/membership/message.go
+++ b/internal/decide/membership/message.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// A datagram is a header followed by as many records as fit. Integers of fixed size are big-endian.
+// A datagram is a header followed by as many records as fit. These are the fields of the header with their sizes in
+// bytes. Integers of fixed size are big-endian.
 //
 //	version and kind:1 from:uvarint incarnation:4 sequence:2 records digest:4 known members:uvarint
 //	view number:uvarint view digest:4 argument:uvarint
@@ -16,7 +17,7 @@
 //
 // A request (kindRecordsRequest, kindGossipRequest) has a Bloom filter between the header and the records, prefixed by
 // one byte with its length. A kindGossip datagram has gossip messages in place of records.
-const wireVersion = 2 << 4
+const wireVersion = 2 << 4 // protocol version 2, in the high bits of the first byte
 
 // kind is the type of a datagram, encoded in the low bits of its first byte.
 type kind byte
@@ -40,7 +41,7 @@
 // answerArgument is the argument of a kindRecords datagram that answers a request.
 const answerArgument = 1
 
-// maxHeaderBytes is the largest header of a datagram in bytes.
+// maxHeaderBytes is an upper bound of the size of a datagram's header.
 const maxHeaderBytes = 39
 
 // message is the decoded form of a datagram.
@@ -49,7 +50,7 @@
 	From          ID
 	Incarnation   uint32
 	Sequence      uint16
-	RecordsDigest uint32 // digest of the sender's records, with a byte of its gossip digest in the low bits
+	RecordsDigest uint32 // digest of the sender's records, with gossipDigestByte in the low 8 bits
 	KnownMembers  uint32 // number of members whose record the sender has
 	View          View   // the sender's view; its Size is not transmitted
 	// Argument has a meaning that depends on Kind.
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -13,12 +13,12 @@
 
 // The model check runs all schedules of a few steps of 1.5 s on fleets of 3 and 4 members that have discovered each
 // other. Each step has one fault: every kind of fault is tried for every member and every pair. After the steps each
-// schedule continues without faults. A state is everything that the members hold at the end of a step. With
-// MEMBERS_STEPS=3 in the environment, the schedules are longer than in CI.
+// schedule continues without faults. A state is what the members hold at the end of a step, as far as stateHash covers
+// it. With MEMBERS_STEPS=3 in the environment, the schedules for 3 members are longer than in CI.
 
 const (
 	modelStep  = 1500 * time.Millisecond
-	modelTick  = 10 * time.Millisecond
+	modelTick  = 10 * time.Millisecond  // resolution of simulated time
 	modelDelay = 10 * time.Millisecond  // delay of a datagram
 	slowDelay  = 500 * time.Millisecond // delay of a datagram on a path with the slow fault
 )
@@ -79,7 +79,7 @@
 	pausedUntil   []time.Duration
 	lastAbsent    []time.Duration   // when a member was last paused or crashed
 	lastDisturbed [][]time.Duration // [from][to]: when a datagram on this path was last lost or slow
-	incarnation   uint32
+	incarnation   uint32            // of the most recently started processes
 	inTransit     []modelDatagram
 	violation     string // the first violated property, with members given by their index; empty: none
 }
@@ -247,8 +247,8 @@
 }
 
 // checkReport checks a report about another member against the injected faults. A member must not be declared dead if
-// more than half of the fleet could exchange datagrams with it for the last 5 s. A member that was paused within the
-// last second must not declare any running member dead.
+// more than half of the fleet could exchange datagrams with it for the last 5 s. A member that was paused or crashed at
+// any time within the last second must not declare any member dead that is not crashed.
 func (m *model) checkReport(reporter int, report MemberReport) {
 	subject := int(report.Member) - 1
 	if report.State != Dead || subject == reporter || m.violation != "" {
@@ -268,12 +268,12 @@
 		}
 	}
 	if m.now-m.lastAbsent[reporter] < time.Second && m.isAlive[subject] {
-		m.violation = fmt.Sprintf("member %d declares running member %d dead after a pause", reporter, subject)
+		m.violation = fmt.Sprintf("member %d declares member %d, which is not crashed, dead soon after a pause", reporter, subject)
 	}
 }
 
-// settle runs the fleet without faults and returns the violation, if any. In the end, all running members must have a
-// view of exactly the running members.
+// settle runs the fleet without faults and returns the violation, if any. In the end, the view of each running member
+// must have as many members as are running, unless only one is.
 func (m *model) settle() string {
 	m.run(14*time.Second, fault{})
 	live := 0
@@ -290,7 +290,7 @@
 	return m.violation
 }
 
-// stateHash returns a hash of everything that the members hold.
+// stateHash returns a hash of the views, records and observations of all members, with silence in units of 100 ms.
 func (m *model) stateHash() uint64 {
 	h := fnv.New64a()
 	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // writing to a hash never fails
@@ -308,12 +308,12 @@
 	faults []fault
 
 	mu        sync.Mutex
-	states    map[uint64]bool // hashes of all states reached
+	states    map[uint64]bool // hashes of the states after each step but the first, and at the end of each schedule
 	schedules int             // number of schedules completed
 	violation string          // the first schedule that violates a property, with the violation; empty: none
 }
 
-// explore runs all schedules of the given number of steps.
+// explore runs all schedules of the given number of steps, until one violates a property.
 func explore(size, steps int, config Config) *explorer {
 	e := &explorer{faults: faults(size), states: map[uint64]bool{}}
 	start := newModel(size, config)
@@ -383,7 +383,7 @@
 	for _, size := range []int{3, 4} {
 		e := explore(size, steps[size], DefaultConfig())
 		if e.violation != "" {
-			t.Errorf("%d members: %s", size, e.violation)
+			t.Errorf("%d members: got violation %q, want none", size, e.violation)
 		}
 		t.Logf("%d members, %d steps: %d schedules, %d states", size, steps[size], e.schedules, len(e.states))
 	}
--- a/internal/decide/membership/node.go
+++ b/internal/decide/membership/node.go
@@ -1,14 +1,15 @@
 // Package membership decides which front ends of an installation serve: to which members this one sends heartbeats,
-// which members it monitors, what it concludes from missing heartbeats, and which view of the fleet results. It does no
-// I/O and reads no clock. The caller passes in the time, datagrams and a random source, and carries out the returned
-// actions.
+// which members it monitors, what it concludes from missing heartbeats, and which view results, that is the set of
+// serving members. It does no I/O and reads no clock. The caller passes in the time, datagrams and a random source, and
+// carries out the returned actions.
 //
 // The protocol is a SWIM-like failure detector with gossip. Each member is the only author of one record, which states
 // its incarnation, whether it has departed, whether it suspects itself, and which members it does not hear. A member
-// hears another one while datagrams from that one arrive in time. Records are ordered by numbers that their author
-// assigns, so they may arrive late, more than once or in any order. All members derive the state of a member from all
-// records by the same rules; there is no leader. docs/design/members.md describes the alternatives that were
-// considered.
+// hears another one while datagrams from that one arrive in time. The members that state that they do not hear a member
+// are the witnesses against it. It is declared dead or unreachable only after a quorum of them has lasted for a while.
+// Records are ordered by numbers that their author assigns, so they may arrive late, more than once or in any order. All
+// members derive the state of a member from all records by the same rules; there is no leader. docs/design/members.md
+// describes the alternatives that were considered.
 package membership
 
 import (
@@ -37,10 +38,10 @@
 	startedAt         time.Duration
 	nextTickAt        time.Duration // when the next Tick is due
 	nextHeartbeatAt   time.Duration
-	sequence          uint32 // of heartbeats; the low 16 bits are sent, where 0 means that there was none yet
+	sequence          uint32 // number of the last round of heartbeats; in the low 16 bits, which are sent, 0 means none yet
 	leaving           bool   // whether this member has announced its shutdown
 	recordsChanged    bool   // whether a record has changed since the states were last evaluated
-	needsReevaluation bool   // whether to evaluate the states again without a changed record, as one waits for a timeout
+	needsReevaluation bool   // whether to evaluate the states again without a changed record, as a state or the view waits for a timeout
 
 	actions []Action // results of the current event
 
--- a/internal/decide/membership/record.go
+++ b/internal/decide/membership/record.go
@@ -7,9 +7,9 @@
 
 const (
 	noObservation    observation = iota // nothing is stated
-	notHeard                            // the author does not hear it
-	notHeardButAlive                    // the author does not hear it but knows from others that it is alive
-	heardDirectly                       // the author hears it although others do not
+	notHeard                            // the author does not hear the member
+	notHeardButAlive                    // the author does not hear the member but knows from others that it is alive
+	heardDirectly                       // the author hears the member although others do not
 )
 
 // statement is what the author of a record states about another member in one of its incarnations.
--- a/internal/decide/membership/record_test.go
+++ b/internal/decide/membership/record_test.go
@@ -34,7 +34,7 @@
 			b.mergeRecord(r)
 		}
 		if a.members.digest != b.members.digest {
-			t.Fatal("records digests differ, want the same one for any order")
+			t.Fatalf("records digest after merging in another order = %08x, want %08x", b.members.digest, a.members.digest)
 		}
 		for id, p := range a.members.byID {
 			if diff := cmp.Diff(p.record, b.members.byID[id].record, cmpopts.EquateEmpty()); diff != "" {
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -78,10 +78,10 @@
 	random     *rand.Rand
 	nodes      []*replayNode
 	inTransit  []replayDatagram
-	isBlocked  func(from, to ID) bool
-	loss       float64
-	digest     hash.Hash
-	actions    int
+	isBlocked  func(from, to ID) bool // whether datagrams on a path are lost; nil: none are
+	loss       float64                // current fraction of datagrams that are lost
+	digest     hash.Hash              // of everything written
+	actions    int                    // number of all actions
 }
 
 // newReplay returns a replay with all members started.
@@ -148,6 +148,7 @@
 	_, _ = fmt.Fprintln(r.digest, strings.Join(parts, " ")) // writing to a hash never fails
 }
 
+// replayIDs formats IDs for the digest.
 func replayIDs(ids []ID) string {
 	var s strings.Builder
 	s.WriteString("[")
@@ -158,10 +159,12 @@
 	return s.String()
 }
 
+// replayView formats a view for the digest.
 func replayView(v View) string {
 	return strconv.FormatUint(uint64(v.Number), 10) + "/" + strconv.FormatUint(uint64(v.Digest), 16) + "/" + strconv.Itoa(v.Size)
 }
 
+// replayUint formats an integer for the digest.
 func replayUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 // handle passes an event to a member, adds the resulting actions to the digest and puts the datagrams in transit.
@@ -282,10 +285,10 @@
 	const step = 10 * time.Millisecond
 	end := r.now + r.duration
 	faultFreeFrom := end - 15*time.Second // the run ends with 15 s without faults
-	for next := r.now + 6*time.Second; r.now < end; r.now += step {
-		if r.now >= next && r.now < faultFreeFrom {
+	for nextFaultAt := r.now + 6*time.Second; r.now < end; r.now += step {
+		if r.now >= nextFaultAt && r.now < faultFreeFrom {
 			r.fault()
-			next = r.now + time.Duration(500+r.random.IntN(6000))*time.Millisecond
+			nextFaultAt = r.now + time.Duration(500+r.random.IntN(6000))*time.Millisecond
 		}
 		if r.now >= faultFreeFrom {
 			r.isBlocked, r.loss = nil, r.replayScenario.loss
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -6,7 +6,8 @@
 	announceHeartbeats = 8
 	// probeAbsentEvery is how often, in heartbeats, a member outside the view is contacted.
 	probeAbsentEvery = 4
-	// startupProbeHeartbeats is how long after the start this happens with each heartbeat, in heartbeat intervals.
+	// startupProbeHeartbeats is how long after the start a member outside the view is contacted with each heartbeat, in
+	// heartbeat intervals.
 	startupProbeHeartbeats = 8
 )
 
@@ -109,8 +110,8 @@
 	}
 }
 
-// probeAbsentMember contacts a random member outside the view. Departed members are included, as their departure may
-// have been stated by others.
+// probeAbsentMember contacts a random member outside the view. Departed members are included, as the record of the
+// departure may have been forged by another member.
 func (n *Node) probeAbsentMember() {
 	var absent []*peer
 	for _, p := range n.members.sorted {
--- a/internal/decide/membership/state.go
+++ b/internal/decide/membership/state.go
@@ -1,17 +1,26 @@
 package membership
 
-// State is what this member concludes about a member.
+// State is what this member concludes about a member, which may be itself.
 type State uint8
 
 // Member states. The values are part of SavedState.
 const (
-	Unknown         State = iota // configured, but no record was received since the start
-	Alive                        // no member reports that it does not hear it
-	Suspect                      // some members do not hear it, and the cause is not known yet
-	PartlyReachable              // some members do not hear it while others do, or it hears no other member itself
-	Dead                         // none of its monitors hears it, and this side has a majority of the fleet
-	Unreachable                  // none of its monitors hears it, but it may be on the side of a partition that has the majority
-	Departed                     // it announced its shutdown
+	// Unknown means that no record of the member was received since the start.
+	Unknown State = iota
+	// Alive means that no other member states that it does not hear the member.
+	Alive
+	// Suspect means that some members do not hear the member, and that the cause is not known yet.
+	Suspect
+	// PartlyReachable means that some members do not hear the member, but that others do or that none of these
+	// statements counts against it.
+	PartlyReachable
+	// Dead means that a quorum of members does not hear the member, that no member states that it does, and that this
+	// part of the fleet is the majority.
+	Dead
+	// Unreachable is like Dead, except that the member may be alive in another part of the fleet that is the majority.
+	Unreachable
+	// Departed means that the member announced its shutdown.
+	Departed
 )
 
 // stateNames are the names in logs, counters and the operators' overview.
@@ -30,7 +39,7 @@
 // InView reports whether members in this state belong to the view.
 func (s State) InView() bool { return s == Alive || s == Suspect || s == PartlyReachable }
 
-// hasFailed reports whether the state results from a quorum of witnesses.
+// hasFailed reports whether members in this state were declared failed by a quorum of witnesses.
 func (s State) hasFailed() bool { return s == Dead || s == Unreachable }
 
 // View identifies the set of serving members as one member sees it. Equal sets have equal digests. Number increases
--- a/internal/decide/membership/statements.go
+++ b/internal/decide/membership/statements.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxConfirmations is how many members state that they hear a member that others do not. One statement is enough,
-	// but its author may fail. More statements would send more records to all members for each wrong report.
+	// maxConfirmations limits how many members state that they hear a member that others do not hear. One statement is
+	// enough, but its author may fail. More statements would send more records to all members for each wrong report.
 	maxConfirmations = 2
 	// minPendingPings is the number of members with unanswered pings at which an update of the own record waits for all
 	// of them, as each record goes to all members.
@@ -88,7 +88,7 @@
 // observe updates what this member's record will state about p.
 func (n *Node) observe(p *peer) {
 	trustsItself := !n.health.isSuspect(n.now)
-	if n.isSubstituteWitness(p) {
+	if n.needsSubstituteWitness(p) {
 		if trustsItself {
 			p.ownObservation = notHeard
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-// observeUnreported is observe for a member about which this member states nothing yet.
+// observeUnreported updates the observation of p, about which this member states nothing yet.
 func (n *Node) observeUnreported(p *peer) {
 	switch {
 	case n.pingsExhausted(p) && !n.health.isSuspect(n.now):
@@ -144,7 +144,8 @@
 	return len(p.notHeardBy) > 0 || n.hasPropagated(p.statementsChangedAt) && n.hasPropagated(p.silentSince)
 }
 
-// shouldConfirm reports whether this member, which hears p, should state so because others do not hear p.
+// shouldConfirm reports whether this member, which hears p, should state so because others do not hear p. A member that
+// neither monitors p nor was asked to ping it waits for a heartbeat interval first.
 func (n *Node) shouldConfirm(p *peer) bool {
 	if !p.isDisputed() || p.lastHeard <= p.statementsChangedAt || len(p.heardBy) >= maxConfirmations {
 		return false
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -13,7 +13,8 @@
 
 const (
 	// answerBudgetDivisor sets the share of the available budget that one answer may use, 1/answerBudgetDivisor.
-	// Without the limit, the first few members to ask at a start would use up everything that a seed may send.
+	// Without the limit, the first few members to ask at a start would use up everything that a seed, a member that
+	// all others are configured with, may send.
 	answerBudgetDivisor = 8
 	// maxAnswerDatagrams limits the datagrams of one answer.
 	maxAnswerDatagrams = 3
--- a/internal/decide/membership/sync_test.go
+++ b/internal/decide/membership/sync_test.go
@@ -54,12 +54,12 @@
 			syncOnce(b, a, now)
 			if a.members.digest == b.members.digest {
 				if a.members.known != b.members.known {
-					t.Fatalf("digests are equal for %d and %d records", a.members.known, b.members.known)
+					t.Fatalf("digests are equal for %d and %d known records, want equal numbers", a.members.known, b.members.known)
 				}
 				return
 			}
 		}
-		t.Fatalf("records still differ after 400 rounds: %d and %d known", a.members.known, b.members.known)
+		t.Fatalf("records digests after 400 rounds = %08x with %d records known and %08x with %d, want equal digests", a.members.digest, a.members.known, b.members.digest, b.members.known)
 	})
 }
 
--- a/internal/decide/membership/view.go
+++ b/internal/decide/membership/view.go
@@ -15,7 +15,7 @@
 	pendingSince         time.Duration // since when a view change is pending; 0: none is
 	pendingDigest        uint32        // digest of the pending view
 	pendingStableSince   time.Duration // since when pendingDigest has not changed
-	failuresPendingSince time.Duration // since when failed members wait to be declared so; 0: none do
+	failuresPendingSince time.Duration // since when failed members wait to be declared dead or unreachable; 0: none do
 }
 
 // installView installs the view of the present members once it has been stable for a while, so that an event that
--- a/internal/membership/overview.go
+++ b/internal/membership/overview.go
@@ -12,13 +12,13 @@
 	Named           int // known members in any state, including this one
 	Suspect         int // members that some others do not hear, for a cause not known yet
 	PartlyReachable int // members that some others hear and some do not
-	Dead            int // failed members
+	Dead            int // members declared dead
 	Unreachable     int // members that have failed or are on the other side of a network partition
 
 	View          decide.View // the installed view
 	Majority      bool        // whether the view holds more than half of the recent fleet
-	HeardMembers  int         // members of the view heard recently
-	SameView      int         // members of these with the same view
+	HeardMembers  int         // number of members of the view heard recently
+	SameView      int         // how many of the HeardMembers have the same view as this member
 	SelfSuspicion string      // why this member suspects itself; "": it does not
 }
 
@@ -50,8 +50,8 @@
 
 // Overview is everything that a member knows about the fleet, for operators.
 type Overview struct {
-	Self          uint64           `json:"self"`
-	Addr          string           `json:"address"`
+	Self          uint64           `json:"self"`    // ID of this member
+	Addr          string           `json:"address"` // address at which this member receives datagrams
 	View          ViewOverview     `json:"view"`
 	SelfSuspicion string           `json:"doubt,omitempty"` // why this member suspects itself; empty: it does not
 	Members       []MemberOverview `json:"members"`
@@ -63,8 +63,8 @@
 	Digest       string `json:"digest"`   // eight hexadecimal digits; equal views have equal digests
 	Size         int    `json:"size"`     // number of members
 	Majority     bool   `json:"majority"` // whether it holds more than half of the recent fleet
-	HeardMembers int    `json:"heard"`    // members of the view heard recently
-	SameView     int    `json:"same"`     // members of these with the same view
+	HeardMembers int    `json:"heard"`    // number of members of the view heard recently
+	SameView     int    `json:"same"`     // how many of the HeardMembers have the same view as this member
 }
 
 // MemberOverview is what a member knows about one member.
