--- a/internal/decide/membership/node.go
+++ b/internal/decide/membership/node.go
@@ -34,14 +34,16 @@
 	gossip        gossipStore
 	views         viewTracker
 
-	now               time.Duration // time of the current event, as passed to Handle
-	startedAt         time.Duration
-	nextTickAt        time.Duration // when the next Tick is due
-	nextHeartbeatAt   time.Duration
-	sequence          uint32 // number of the last round of heartbeats; in the low 16 bits, which are sent, 0 means none yet
-	leaving           bool   // whether this member has announced its shutdown
-	recordsChanged    bool   // whether a record has changed since the states were last evaluated
-	needsReevaluation bool   // whether to evaluate the states again without a changed record, as a state or the view waits for a timeout
+	now             time.Duration // time of the current event, as passed to Handle
+	startedAt       time.Duration
+	nextTickAt      time.Duration // when the next Tick is due
+	nextHeartbeatAt time.Duration
+	sequence        uint32 // number of the last round of heartbeats; in the low 16 bits, which are sent, 0 means none yet
+	leaving         bool   // whether this member has announced its shutdown
+	recordsChanged  bool   // whether a record has changed since the states were last evaluated
+	// needsReevaluation is whether to evaluate the states again without a changed record, as a state or the view waits for
+	// a timeout.
+	needsReevaluation bool
 
 	actions []Action // results of the current event
 
--- a/internal/decide/membership/saved_state.go
+++ b/internal/decide/membership/saved_state.go
@@ -14,7 +14,7 @@
 	View        View          `cbor:"View"`
 	HasMajority bool          `cbor:"Major"`   // whether View holds more than half of the recent fleet
 	HighestView uint32        `cbor:"Seen"`    // highest view number that any member has reported
-	Members     []SavedMember `cbor:"Members"` // all known members except Self
+	Members     []SavedMember `cbor:"Members"` // all members of the member table except Self
 	// Gossip holds the encoded gossip messages, without separators.
 	Gossip []byte `cbor:"Talk"`
 }
