--- a/internal/decide/membership/state.go
+++ b/internal/decide/membership/state.go
@@ -1,20 +1,29 @@
 package membership
 
-// State is what this member concludes about another one.
+// State is what this member concludes about a member, which may be itself.
 type State uint8
 
 // Member states. The values are part of SavedState.
 const (
-	Unknown         State = iota // named by the settings and not heard of since the start
-	Alive                        // every member that should hear it does
-	Suspect                      // some don't hear it, and it is not yet known why
-	PartlyReachable              // some don't hear it and others do, or it hears nobody itself
-	Dead                         // none of its monitors hears it, and this side has a majority of the fleet
-	Unreachable                  // none of its monitors hears it, but it may be with a majority of the fleet elsewhere
-	Departed                     // it announced its shutdown
+	// Unknown means that no record of the member was received since the start.
+	Unknown State = iota
+	// Alive means that no other member states that it does not hear the member.
+	Alive
+	// Suspect means that some members do not hear the member, and that the cause is not known yet.
+	Suspect
+	// PartlyReachable means that some members do not hear the member, but that others do or that none of these
+	// statements counts against it.
+	PartlyReachable
+	// Dead means that a quorum of members does not hear the member, that no member states that it does, and that this
+	// part of the fleet is the majority.
+	Dead
+	// Unreachable is like Dead, except that the member may be alive in another part of the fleet that is the majority.
+	Unreachable
+	// Departed means that the member announced its shutdown.
+	Departed
 )
 
-// stateNames are the texts of logs, counters, and the operators' overview.
+// stateNames are the names in logs, counters and the operators' overview.
 var stateNames = [...]string{
 	Unknown:         "unknown",
 	Alive:           "alive",
@@ -27,16 +36,17 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// InView tells whether members in this state belong to the view.
+// InView reports whether members in this state belong to the view.
 func (s State) InView() bool { return s == Alive || s == Suspect || s == PartlyReachable }
 
-// hasFailed tells whether the state is one that a quorum of witnesses brought about.
+// hasFailed reports whether members in this state were declared failed by a quorum of witnesses.
 func (s State) hasFailed() bool { return s == Dead || s == Unreachable }
 
-// View is the set of serving members as one member sees it. Equal sets have equal digests. Number orders the views of
-// one member and is raised to those of others. The CBOR keys are those of SavedState.
+// View identifies the set of serving members as one member sees it. Equal sets have equal digests. Number increases
+// with each view that a member installs and is raised to the numbers that others report. The CBOR keys are those of
+// SavedState.
 type View struct {
 	Number uint32 `cbor:"Number"`
 	Digest uint32 `cbor:"Digest"`
-	Size   int    `cbor:"Size"`
+	Size   int    `cbor:"Size"` // number of members
 }
