--- a/internal/decide/handover/connections.go
+++ b/internal/decide/handover/connections.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// connection is what the source knows of a connection.
+// connection is the source's state of a client connection.
 type connection struct {
 	id          ConnID
-	transferred bool // the target has it; the source keeps a duplicate of its descriptor
-	busy        bool // a request is in flight here, or part of a message was read or is to be written
-	request     Request
+	transferred bool    // the target has it; the source keeps a duplicate of its descriptor
+	busy        bool    // at the source, with a request in flight or a partly read or written message
+	request     Request // the target's latest record, if transferred
 }
 
-// connectionTable holds connections in the order of their IDs, as IDs only rise.
+// connectionTable holds the connections sorted by ID. New connections are appended, as their IDs
+// are higher than all earlier ones.
 type connectionTable struct{ entries []connection }
 
 func (t *connectionTable) add(id ConnID) { t.entries = append(t.entries, connection{id: id}) }
@@ -25,7 +26,7 @@
 	return nil
 }
 
-// local returns a connection that the source has, or nil.
+// local returns the connection if it is at the source, else nil.
 func (t *connectionTable) local(id ConnID) *connection {
 	if c := t.find(id); c != nil && !c.transferred {
 		return c
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// remote returns a connection that the target has, or nil.
+// remote returns the connection if it was transferred to the target, else nil.
 func (t *connectionTable) remote(id ConnID) *connection {
 	if c := t.find(id); c != nil && c.transferred {
 		return c
@@ -53,7 +54,8 @@
 
 func (t *connectionTable) empty() bool { return len(t.entries) == 0 }
 
-// idle returns the connections that can be transferred now.
+// idle returns the connections that can be transferred now. It is called before the first transfer
+// of an upgrade, when all connections are at the source.
 func (t *connectionTable) idle() []ConnID {
 	var ids []ConnID
 	for _, c := range t.entries {
@@ -64,7 +66,8 @@
 	return ids
 }
 
-// releaseTransferred removes the target's connections and returns the release of their duplicates.
+// releaseTransferred removes the target's connections and returns the effects that release their
+// duplicates.
 func (t *connectionTable) releaseTransferred() []SourceEffect {
 	var effects []SourceEffect
 	for _, c := range t.entries {
@@ -76,7 +79,8 @@
 	return effects
 }
 
-// reclaimTransferred makes the target's connections the source's own again.
+// reclaimTransferred moves the target's connections back to the source and returns the effects that
+// reclaim them. Those with a request in flight count as busy until it is recovered.
 func (t *connectionTable) reclaimTransferred() []SourceEffect {
 	var effects []SourceEffect
 	for i := range t.entries {
--- a/internal/decide/handover/failure.go
+++ b/internal/decide/handover/failure.go
@@ -1,57 +1,58 @@
 package handover
 
-// FailureReason says why an upgrade failed.
+// FailureReason is why an upgrade failed.
 type FailureReason uint8
 
-// Reasons. The zero value is success.
+// Values of FailureReason. The zero value means success. "It" in the texts is the target.
 const (
 	NoFailure FailureReason = iota
-	AnotherUpgradeInProgress
-	TargetProblem // the target has said why it can't take over
+	UpgradeOrShutdownInProgress
+	TargetProblem // the target reported why it can't take over
 	IncompatibleVersion
-	GreetTimedOut
-	WarmTimedOut
+	HelloTimedOut
+	WarmUpTimedOut
 	HeartbeatTimedOut
 	TooMuchMemory
 	TooManyFailures
-	NoSuccess
-	NoAnswer
+	NoSuccessfulResponse // all responses of the target were failures
+	NoResponse           // the target had requests in flight and gave no response
 	ShutdownRequested
-	TargetDied
-	OwnerDied // the target died after it had become the owner
+	TargetDied // before ownership was committed
+	OwnerDied  // the target died after ownership was committed
 )
 
-// failureTexts are for operators, who read them as the result of an upgrade.
+// failureTexts are the results of upgrades that operators read. Their scripts match these texts.
 var failureTexts = [...]string{
-	NoFailure:                "",
-	AnotherUpgradeInProgress: "another upgrade or a stop is under way",
-	TargetProblem:            "the new process can't take over",
-	IncompatibleVersion:      "its version and this one don't understand each other",
-	GreetTimedOut:            "it did not say what it is in time",
-	WarmTimedOut:             "it was not ready in time",
-	HeartbeatTimedOut:        "it went silent",
-	TooMuchMemory:            "it takes too much memory",
-	TooManyFailures:          "too many of its answers are errors of its own",
-	NoSuccess:                "none of its answers was good",
-	NoAnswer:                 "it takes requests and answers none",
-	ShutdownRequested:        "a planned stop came first",
-	TargetDied:               "it died",
-	OwnerDied:                "it died after it was the owner; what it had was lost",
+	NoFailure:                   "",
+	UpgradeOrShutdownInProgress: "another upgrade or a stop is under way",
+	TargetProblem:               "the new process can't take over",
+	IncompatibleVersion:         "its version and this one don't understand each other",
+	HelloTimedOut:               "it did not say what it is in time",
+	WarmUpTimedOut:              "it was not ready in time",
+	HeartbeatTimedOut:           "it went silent",
+	TooMuchMemory:               "it takes too much memory",
+	TooManyFailures:             "too many of its answers are errors of its own",
+	NoSuccessfulResponse:        "none of its answers was good",
+	NoResponse:                  "it takes requests and answers none",
+	ShutdownRequested:           "a planned stop came first",
+	TargetDied:                  "it died",
+	OwnerDied:                   "it died after it was the owner; what it had was lost",
 }
 
-// String is the text for operators.
+// String returns the text for operators; "" for NoFailure.
 func (r FailureReason) String() string { return failureTexts[r] }
 
-// Failure is why an upgrade failed. The zero value means that it did not.
+// Failure is why an upgrade failed. The zero value means that it did not fail.
 type Failure struct {
 	Reason FailureReason
-	Detail string // the target's own words, of TargetProblem
+	Detail string // the target's description of a TargetProblem, else ""
 }
 
-// Failed reports whether there is a failure.
+// Failed reports whether the upgrade failed.
 func (f Failure) Failed() bool { return f.Reason != NoFailure }
 
-// String is the text for operators; "" if there is no failure.
+// String returns the text for operators: the target's description if there is one, else that of the
+// reason; "" if there is no failure.
 func (f Failure) String() string {
 	if f.Detail != "" {
 		return f.Detail
--- a/internal/decide/handover/probation.go
+++ b/internal/decide/handover/probation.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// The target's failure rate may exceed MaxFailureRate by usualFailureFactor times the usual rate, and by maxFailureAllowance at most. In overload rejections are normal and no reason to
-// return.
+// The target's failure rate may exceed Config.MaxFailureRate by usualFailureFactor times the usual
+// failure rate of the source, and by maxFailureAllowance at most. Under overload rejections are
+// normal and no reason to roll back.
 const (
 	usualFailureFactor  = 1.5
 	maxFailureAllowance = 0.5
 )
 
-// probation is what the target has shown during an upgrade.
+// probation holds what the target has shown so far in an upgrade.
 type probation struct {
-	lastMessage         time.Duration
-	successes, failures int
-	maxFailureRate      float64
+	lastMessage         time.Duration // when the target's latest message arrived, or the upgrade began
+	successes, failures int           // responses of the target
+	maxFailureRate      float64       // including the allowance for the source's usual failure rate
 }
 
 func newProbation(maxFailureRate, usualFailureRate float64, now time.Duration) probation {
@@ -21,34 +22,40 @@
 	return probation{lastMessage: now, maxFailureRate: maxFailureRate + allowance}
 }
 
-func (p *probation) count(h TargetHeartbeat) {
-	p.successes += h.Successes
-	p.failures += h.Failures
+// count adds the responses that a heartbeat reports.
+func (p *probation) count(heartbeat TargetHeartbeat) {
+	p.successes += heartbeat.Successes
+	p.failures += heartbeat.Failures
 }
 
-// verdict is the result of a look at the probation.
-type verdict uint8
+// probationResult is the result of evaluating a probation.
+type probationResult uint8
 
 const (
-	verdictOpen verdict = iota // it goes on
-	verdictPassed
-	verdictFailed
+	probationOngoing probationResult = iota // no decision yet
+	probationPassed
+	probationFailed
 )
 
-// judge decides whether the probation, which has lasted for spent, is over.
-func (p *probation) judge(cfg Config, spent time.Duration, inFlight int) (verdict, FailureReason) {
+// evaluate decides whether the probation, which has lasted for elapsed, has passed or failed, and
+// returns the reason if it has failed. inFlight is the number of the target's requests in flight.
+//
+// The failure rate is evaluated once there are MinSuccesses responses, whatever their result. A
+// target without any response passes only if it has no requests: then there was no work to judge
+// it by.
+func (p *probation) evaluate(cfg Config, elapsed time.Duration, inFlight int) (probationResult, FailureReason) {
 	total := p.successes + p.failures
 	if total >= cfg.MinSuccesses && float64(p.failures) > p.maxFailureRate*float64(total) {
-		return verdictFailed, TooManyFailures
+		return probationFailed, TooManyFailures
 	}
-	if spent < cfg.MinProbation || p.successes < cfg.MinSuccesses && spent < cfg.MaxProbation {
-		return verdictOpen, NoFailure
+	if elapsed < cfg.MinProbation || p.successes < cfg.MinSuccesses && elapsed < cfg.MaxProbation {
+		return probationOngoing, NoFailure
 	}
 	if p.successes == 0 && p.failures > 0 {
-		return verdictFailed, NoSuccess
+		return probationFailed, NoSuccessfulResponse
 	}
 	if p.successes == 0 && inFlight > 0 {
-		return verdictFailed, NoAnswer
+		return probationFailed, NoResponse
 	}
-	return verdictPassed, NoFailure
+	return probationPassed, NoFailure
 }
--- a/internal/decide/handover/recovery.go
+++ b/internal/decide/handover/recovery.go
@@ -2,48 +2,51 @@
 
 import "time"
 
-// Idempotency says how far a request may be repeated, as in policy.
+// Idempotency is whether a request may be sent to an engine again. It has the same values as the
+// policy package's type.
 type Idempotency uint8
 
-// The zero value is the most cautious.
+// Levels of idempotency. The zero value is the most cautious one.
 const (
-	NotIdempotent Idempotency = iota
-	IdempotentWithKey
-	Idempotent
+	NotIdempotent     Idempotency = iota // must not run twice
+	IdempotentWithKey                    // engines drop a repeat with the same idempotency key for a time
+	Idempotent                           // may run any number of times
 )
 
-// Request is the target's record of a request that it took. The target sends it before the
-// next step: before the request goes to an engine, and before its answer is written.
+// Request is the target's record of the request on a connection. The zero value means that there is
+// none. The target sends a record to the source before it takes the step that the record describes:
+// before it sends the request to an engine, and before it writes the response.
 type Request struct {
 	InFlight         bool
 	Idempotency      Idempotency
-	Sent             bool          // it goes to an engine: it may have run
-	FirstSend        time.Duration // by any process, on the clock that both processes share
-	KeyWindow        time.Duration // for which engines drop a repeat, if IdempotentWithKey
-	Deadline         time.Duration // when its client gives up
-	ResponseLength   int           // bytes of the answer that is being written; 0: none yet
-	ResponseRecorded bool          // the record holds that answer
+	Sent             bool          // to an engine, so that it may have run
+	FirstSend        time.Duration // when any process first sent it, on the clock that both processes share
+	KeyWindow        time.Duration // how long from FirstSend engines drop a repeat, if IdempotentWithKey
+	Deadline         time.Duration // when the client gives up, on the same clock as FirstSend
+	ResponseLength   int           // bytes of the response that is being written; 0: none yet
+	ResponseRecorded bool          // those bytes are recorded too
 }
 
-// Recovery is what becomes of a request whose process died.
+// Recovery is what happens to a request that was in flight in a process that died.
 type Recovery uint8
 
-// Recoveries.
+// Values of Recovery.
 const (
-	NothingToRecover       Recovery = iota // no request, or it is answered
-	Resend                                 // send it to an engine (again), with its key and the time of its first send
-	ReportInDoubt                          // it may have run and may not be repeated: tell its client at once
-	ReportDeadlineExceeded                 // its deadline has passed
-	CloseConnection                        // part of its answer was written: close, so that its client can tell
-	WriteRemainder                         // its answer is known: write what was not written of it
+	NothingToRecover       Recovery = iota // there is no request, or its response was written completely
+	Resend                                 // send it to an engine, maybe again, with its key and the time of its first send
+	ReportInDoubt                          // it may have run and must not be repeated: tell the client so at once
+	ReportDeadlineExceeded                 // tell the client that the deadline has passed
+	CloseConnection                        // part of a lost response was written: close, so that the client notices
+	WriteRemainder                         // the response is recorded: write the part that was not written
 )
 
-// keyWindowMargin is kept to the end of a key's window, for the way to the engine.
+// keyWindowMargin is how long before the end of its key's window a request is not sent again any
+// more, as a resend needs time to reach the engine.
 const keyWindowMargin = 50 * time.Millisecond
 
-// Recover decides what becomes of a request of a process that died. written is how many bytes
-// of the answer the kernel took on this connection since the record, whoever wrote them (tcp(7),
-// TCP_INFO).
+// Recover decides what happens to a request of a process that died. written is the number of bytes
+// that the kernel accepted on the connection since the record, by whichever process wrote them
+// (tcp(7), TCP_INFO).
 func Recover(r Request, written int, now time.Duration) Recovery {
 	switch {
 	case !r.InFlight:
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -110,19 +110,19 @@
 	switch p {
 	case Idle:
 		return UpgradeRequested{UsualFailureRate: float64(r.IntN(6)-1) / 10}
-	case Greeting:
+	case AwaitingHello:
 		if r.IntN(8) == 0 {
 			return TargetHello{Version: Version{1, 1}, Problem: "no port " + strconv.Itoa(r.IntN(9))}
 		}
 		return TargetHello{Version: Version{1 + r.IntN(8)/7, r.IntN(3)}}
-	case Warming:
+	case WarmingUp:
 		return TargetReady{}
 	case Probation:
 		if r.IntN(2) == 0 { // one that gives no good answer
 			return TargetHeartbeat{Failures: r.IntN(8) / 7, InFlight: r.IntN(2)}
 		}
 		return TargetHeartbeat{Successes: r.IntN(30), Failures: r.IntN(3), InFlight: r.IntN(2)}
-	case Returning:
+	case RollingBack:
 		return TargetExited{}
 	}
 	return Tick{}
--- a/internal/decide/handover/source.go
+++ b/internal/decide/handover/source.go
@@ -3,28 +3,31 @@
 import "time"
 
 // Source is the state machine of the process that serves and hands over. Its zero value is not
-// ready: use NewSource.
+// usable; NewSource creates one.
 type Source struct {
 	cfg           Config
 	version       Version
 	phase         Phase
-	phaseSince    time.Duration
-	probation     probation
-	failure       Failure // why the target is killed
-	stopRequested bool    // a graceful shutdown waits for the end of the upgrade
+	phaseSince    time.Duration // when the phase began
+	probation     probation     // of the current upgrade
+	failure       Failure       // why the target of the latest upgrade was killed or died
+	stopRequested bool          // a graceful shutdown was requested
 	connections   connectionTable
 }
 
-// NewSource returns the machine of a process that serves.
+// NewSource returns the state machine of a process that serves. v is the protocol version of that
+// process.
 func NewSource(cfg Config, v Version) *Source { return &Source{cfg: cfg, version: v} }
 
-// Failure is why the target was killed, or died.
+// Failure returns why the target of the latest upgrade was killed or died. It is the zero value if
+// neither has happened.
 func (s *Source) Failure() Failure { return s.failure }
 
-// Phase is the state of the upgrade.
+// Phase returns the state of the upgrade.
 func (s *Source) Phase() Phase { return s.phase }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the effects to carry out, in order. now is on a clock that
+// never goes back.
 func (s *Source) Step(now time.Duration, event SourceEvent) []SourceEffect {
 	switch event := event.(type) {
 	case TargetMessage:
@@ -35,7 +38,7 @@
 		return s.requestStop(now)
 	case ConnectionAccepted:
 		s.connections.add(event.Conn)
-		if s.transferring() { // accepted just before the listener was the target's
+		if s.transferring() { // in Finishing: accepted just before the listener was paused
 			return s.transfer(event.Conn)
 		}
 	case ConnectionBusy:
@@ -73,25 +76,25 @@
 
 // revocable reports whether the target lives and can still be killed.
 func (s *Source) revocable() bool {
-	return s.phase == Greeting || s.phase == Warming || s.phase == Probation
+	return s.phase == AwaitingHello || s.phase == WarmingUp || s.phase == Probation
 }
 
-// transferring reports whether connections go to the target as soon as they are idle.
+// transferring reports whether connections are transferred to the target as soon as they are idle.
 func (s *Source) transferring() bool { return s.phase == Probation || s.phase == Finishing }
 
 func (s *Source) startUpgrade(now time.Duration, event UpgradeRequested) []SourceEffect {
 	if s.phase != Idle || s.stopRequested {
-		return []SourceEffect{ReportOutcome{Failure{Reason: AnotherUpgradeInProgress}}}
+		return []SourceEffect{ReportOutcome{Failure{Reason: UpgradeOrShutdownInProgress}}}
 	}
-	s.enter(Greeting, now)
+	s.enter(AwaitingHello, now)
 	s.probation = newProbation(s.cfg.MaxFailureRate, event.UsualFailureRate, now)
 	s.failure = Failure{}
 	return []SourceEffect{StartTarget{}}
 }
 
-// requestStop takes the request for a graceful shutdown: an upgrade that can still be revoked
-// is given up first. Otherwise the shutdown follows once the target is dead, or the end of this
-// process is near anyway.
+// requestStop handles the request for a graceful shutdown. An upgrade that can still be revoked is
+// aborted first. In RollingBack the shutdown begins once the target is dead; in Finishing the
+// process exits anyway once its requests in flight are completed.
 func (s *Source) requestStop(now time.Duration) []SourceEffect {
 	if s.stopRequested {
 		return nil
@@ -106,8 +109,8 @@
 	return nil
 }
 
-// handleMessage takes a message of the target. Records count in every phase, also while it is
-// being killed: what it wrote last is read after its death.
+// handleMessage processes a message of the target. Records and closed connections are processed in
+// every phase, also in RollingBack: the last messages of a target are read after its death.
 func (s *Source) handleMessage(now time.Duration, message TargetMessage) []SourceEffect {
 	s.probation.lastMessage = now
 	switch message := message.(type) {
@@ -121,11 +124,11 @@
 			return []SourceEffect{ReleaseDuplicate(message)}
 		}
 	case TargetHello:
-		if s.phase == Greeting {
+		if s.phase == AwaitingHello {
 			return s.handleHello(now, message)
 		}
 	case TargetReady:
-		if s.phase == Warming {
+		if s.phase == WarmingUp {
 			return s.startProbation(now)
 		}
 	case TargetHeartbeat:
@@ -143,12 +146,12 @@
 	if !s.version.CompatibleWith(hello.Version) {
 		return s.fail(now, IncompatibleVersion)
 	}
-	s.enter(Warming, now)
+	s.enter(WarmingUp, now)
 	return []SourceEffect{SendState{}}
 }
 
-// startProbation begins the transfer: every connection that is idle is transferred, and so is
-// each that is accepted from here on.
+// startProbation begins to transfer connections: all that are idle now, and from here on each one
+// that is accepted or becomes idle.
 func (s *Source) startProbation(now time.Duration) []SourceEffect {
 	s.enter(Probation, now)
 	effects := []SourceEffect{SendServe{}}
@@ -160,17 +163,18 @@
 
 func (s *Source) handleHeartbeat(now time.Duration, heartbeat TargetHeartbeat) []SourceEffect {
 	s.probation.count(heartbeat)
-	verdict, reason := s.probation.judge(s.cfg, now-s.phaseSince, heartbeat.InFlight)
-	switch verdict {
-	case verdictFailed:
+	result, reason := s.probation.evaluate(s.cfg, now-s.phaseSince, heartbeat.InFlight)
+	switch result {
+	case probationFailed:
 		return s.fail(now, reason)
-	case verdictPassed:
+	case probationPassed:
 		return s.commit(now)
 	}
 	return nil
 }
 
-// commit makes the target the owner for good.
+// commit makes the target the permanent owner of the listener and of the transferred connections.
+// From here on the upgrade can't be revoked.
 func (s *Source) commit(now time.Duration) []SourceEffect {
 	s.enter(Finishing, now)
 	effects := []SourceEffect{StopAccepting{}, SendCommit{}}
@@ -179,6 +183,7 @@
 	return append(effects, s.exitIfDone()...)
 }
 
+// connectionIdle handles a connection without a request in flight, which can be transferred.
 func (s *Source) connectionIdle(id ConnID) []SourceEffect {
 	c := s.connections.local(id)
 	if c == nil {
@@ -191,8 +196,10 @@
 	return append(s.transfer(id), s.exitIfDone()...)
 }
 
+// transfer moves a connection to the target. The source keeps a duplicate of it for as long as it
+// may have to reclaim it.
 func (s *Source) transfer(id ConnID) []SourceEffect {
-	if s.phase == Finishing { // nothing is reclaimed any more
+	if s.phase == Finishing { // connections are not reclaimed any more
 		s.connections.remove(id)
 		return []SourceEffect{TransferConnection{id}, ReleaseDuplicate{id}}
 	}
@@ -203,7 +210,7 @@
 	return []SourceEffect{TransferConnection{id}}
 }
 
-// exitIfDone ends the process once no request is in flight here.
+// exitIfDone ends the process once it is in Finishing and has no connections left.
 func (s *Source) exitIfDone() []SourceEffect {
 	if s.phase != Finishing || !s.connections.empty() {
 		return nil
@@ -213,12 +220,12 @@
 }
 
 func (s *Source) checkTimeouts(now time.Duration) []SourceEffect {
-	spent := now - s.phaseSince
+	elapsed := now - s.phaseSince
 	switch {
-	case s.phase == Greeting && spent >= s.cfg.GreetTimeout:
-		return s.fail(now, GreetTimedOut)
-	case s.phase == Warming && spent >= s.cfg.WarmTimeout:
-		return s.fail(now, WarmTimedOut)
+	case s.phase == AwaitingHello && elapsed >= s.cfg.GreetTimeout:
+		return s.fail(now, HelloTimedOut)
+	case s.phase == WarmingUp && elapsed >= s.cfg.WarmTimeout:
+		return s.fail(now, WarmUpTimedOut)
 	case s.phase == Probation && now-s.probation.lastMessage >= s.cfg.HeartbeatTimeout:
 		return s.fail(now, HeartbeatTimedOut)
 	}
@@ -229,16 +236,17 @@
 	return s.kill(now, Failure{Reason: reason})
 }
 
-// kill ends the target. Nothing is reclaimed before it is known to be dead: until then it may
-// still write to its connections.
+// kill ends the target. No connection is reclaimed before the target is known to be dead, as until
+// then it may still write to its connections.
 func (s *Source) kill(now time.Duration, failure Failure) []SourceEffect {
 	s.failure = failure
-	s.enter(Returning, now)
+	s.enter(RollingBack, now)
 	return []SourceEffect{KillTarget{}}
 }
 
-// targetExited reclaims everything if the target died before it was the owner. If it dies later
-// its connections are lost, but while this process lives it serves again.
+// targetExited handles the death of the target. If ownership was not committed yet, all
+// transferred connections are reclaimed. If it was, the target's connections are lost, and this
+// process, which still completes its requests in flight, accepts new connections again.
 func (s *Source) targetExited(now time.Duration) []SourceEffect {
 	switch s.phase {
 	case Idle, Exited:
@@ -246,9 +254,9 @@
 	case Finishing:
 		s.enter(Idle, now)
 		return []SourceEffect{StartAccepting{}, ReportOutcome{Failure{Reason: OwnerDied}}}
-	case Greeting, Warming, Probation:
+	case AwaitingHello, WarmingUp, Probation:
 		s.failure = Failure{Reason: TargetDied}
-	case Returning: // its failure is known
+	case RollingBack: // kill has set s.failure
 	}
 	s.enter(Idle, now)
 	effects := append(s.connections.reclaimTransferred(), ReportOutcome{s.failure})
--- a/internal/decide/handover/source_effects.go
+++ b/internal/decide/handover/source_effects.go
@@ -1,40 +1,43 @@
 package handover
 
-// SourceEffect is what the caller of Source.Step carries out.
+// SourceEffect is an action that the caller of Source.Step carries out.
 type SourceEffect interface{ sourceEffect() }
 
 // Effects of the source.
 type (
-	// StartTarget starts the target, with the channel and the listener.
+	// StartTarget starts the target process, which inherits the channel and the listener.
 	StartTarget struct{}
 	// SendState sends the state of this process to the target.
 	SendState struct{}
-	// StopAccepting pauses the listener. It stays open.
+	// StopAccepting stops accepting connections. The listener stays open.
 	StopAccepting struct{}
-	// StartAccepting resumes the listener. Target has this effect too.
+	// StartAccepting starts to accept connections, or resumes it. It is also an effect of Target.
 	StartAccepting struct{}
 	// SendServe tells the target to serve the connections that it receives.
 	SendServe struct{}
-	// TransferConnection stops reading a connection and sends it with its state; a duplicate is
-	// kept. TransferCancelled follows if a request has arrived meanwhile.
+	// TransferConnection stops reading from a connection and sends it to the target with its state,
+	// and keeps a duplicate of its descriptor. The caller reports TransferCancelled instead if a
+	// request has arrived meanwhile.
 	TransferConnection struct{ Conn ConnID }
-	// SendCommit tells the target that it is the owner for good.
+	// SendCommit tells the target that it is the permanent owner.
 	SendCommit struct{}
-	// ReleaseDuplicate closes the duplicate of a connection.
+	// ReleaseDuplicate closes the source's duplicate of a connection that the target has.
 	ReleaseDuplicate struct{ Conn ConnID }
-	// KillTarget kills the target. TargetExited follows.
+	// KillTarget kills the target. The caller reports TargetExited once it is dead.
 	KillTarget struct{}
-	// ReclaimConnection takes a transferred connection back. Recover decides on its request once
-	// the kernel has told how much of its answer was written.
+	// ReclaimConnection takes a transferred connection back. Request is the target's latest record of
+	// the request on it. Recover decides what happens to that request once the caller has learned
+	// from the kernel how much of the response was written.
 	ReclaimConnection struct {
 		Conn    ConnID
 		Request Request
 	}
-	// ReportOutcome tells whoever asked for the upgrade how it ended.
+	// ReportOutcome reports the result of the upgrade to whoever requested it. A zero Failure means
+	// success.
 	ReportOutcome struct{ Failure Failure }
 	// BeginShutdown begins the graceful shutdown that was requested during the upgrade.
 	BeginShutdown struct{}
-	// Exit ends the process: nothing is left to do. Target has this effect too.
+	// Exit ends the process, which has nothing left to do. It is also an effect of Target.
 	Exit struct{}
 )
 
--- a/internal/decide/handover/source_test.go
+++ b/internal/decide/handover/source_test.go
@@ -89,7 +89,7 @@
 				}
 				was := reports
 				step(UpgradeRequested{})
-				if source.Phase() != Greeting && reports == was {
+				if source.Phase() != AwaitingHello && reports == was {
 					t.Fatal("no outcome of an upgrade that did not begin")
 				} else if reports > was {
 					reports = was
@@ -176,9 +176,9 @@
 		want      Phase
 	}{
 		"good":                    {0, 30, 1, Probation},
-		"bad":                     {0, 20, 10, Returning},
+		"bad":                     {0, 20, 10, RollingBack},
 		"as bad as usual":         {0.2, 20, 8, Probation},
-		"worse than usual by far": {0.2, 10, 20, Returning},
+		"worse than usual by far": {0.2, 10, 20, RollingBack},
 		"too few to tell":         {0, 5, 5, Probation},
 	} {
 		source := NewSource(DefaultConfig(), Version{1, 0})
@@ -189,7 +189,7 @@
 			}
 		}
 		want := []string{"StartTarget", "SendState", "SendServe"}
-		if tt.want == Returning {
+		if tt.want == RollingBack {
 			want = append(want, "KillTarget")
 		}
 		if diff := cmp.Diff(want, kinds); diff != "" || source.Phase() != tt.want {
@@ -200,7 +200,7 @@
 
 // A target that takes requests and answers none does not pass for one without work.
 func TestTargetAnswersNothing(t *testing.T) {
-	for open, want := range map[int]Phase{0: Finishing, 3: Returning} {
+	for open, want := range map[int]Phase{0: Finishing, 3: RollingBack} {
 		source := NewSource(DefaultConfig(), Version{1, 0})
 		source.Step(0, ConnectionAccepted{1})
 		for _, in := range []SourceEvent{UpgradeRequested{}, TargetHello{Version: Version{1, 0}}, ConnectionBusy{1}, TargetReady{}} {
--- a/internal/decide/handover/target.go
+++ b/internal/decide/handover/target.go
@@ -1,26 +1,27 @@
 package handover
 
-// Target is the state machine of the process that takes over. Its zero value is not ready: use
-// NewTarget.
+// Target is the state machine of the process that takes over. Its zero value is not usable;
+// NewTarget creates one.
 type Target struct {
 	version       Version
-	applyingState bool // the state has arrived
+	stateReceived bool // the source's state has arrived and is being applied, or has been
 	stateApplied  bool
-	serving       bool // it serves the connections that it receives
-	owner         bool // for good
+	serving       bool // the process serves the connections that it receives
+	owner         bool // permanently: the source has committed the ownership, or is dead
 	sourceExited  bool
 }
 
-// NewTarget returns the machine of a process that was started to take over.
+// NewTarget returns the state machine of a process that was started to take over. v is the
+// protocol version of that process.
 func NewTarget(v Version) *Target { return &Target{version: v} }
 
-// Owner reports whether the process is the owner for good.
+// Owner reports whether the process is the permanent owner of the listener and the connections.
 func (t *Target) Owner() bool { return t.owner }
 
 // Serving reports whether the process serves the connections that it receives.
 func (t *Target) Serving() bool { return t.serving }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the effects to carry out, in order.
 func (t *Target) Step(event TargetEvent) []TargetEffect {
 	switch event := event.(type) {
 	case TargetStarted:
@@ -30,8 +31,8 @@
 		}
 		return []TargetEffect{hello}
 	case StateReceived:
-		if !t.applyingState {
-			t.applyingState = true
+		if !t.stateReceived {
+			t.stateReceived = true
 			return []TargetEffect{ApplyState{}}
 		}
 	case StateApplied:
@@ -50,16 +51,17 @@
 		}
 	case SourceExited:
 		t.sourceExited = true
-		// A target that never received the state serves like a process that was just started.
-		if !t.owner && (t.stateApplied || !t.applyingState) {
+		// A target that never received the state serves like a process started without an upgrade. One
+		// that is still applying the state becomes the owner on StateApplied.
+		if !t.owner && (t.stateApplied || !t.stateReceived) {
 			return t.becomeOwner()
 		}
 	}
 	return nil
 }
 
-// becomeOwner makes the process the owner: the source has committed, or it died and what it had
-// transferred is the target's own.
+// becomeOwner makes the process the permanent owner: the source has committed the ownership, or has
+// died, so that nobody else has the connections that it transferred.
 func (t *Target) becomeOwner() []TargetEffect {
 	t.owner = true
 	t.serving = true
--- a/internal/decide/handover/target_events.go
+++ b/internal/decide/handover/target_events.go
@@ -5,20 +5,20 @@
 
 // Events of the target.
 type (
-	// TargetStarted reports that the process has read its configuration. Problem is why it can't
-	// serve; "" if it can.
+	// TargetStarted reports that the process has started and read its configuration. Problem is why it
+	// can't take over; "" if it can.
 	TargetStarted struct{ Problem string }
-	// StateReceived reports that the source has sent its state.
+	// StateReceived reports that the source's state has arrived.
 	StateReceived struct{}
-	// StateApplied reports that the state is in use.
+	// StateApplied reports that the source's state has been applied.
 	StateApplied struct{}
-	// ServeRequested is the source's order to serve the connections that it sends.
+	// ServeRequested reports the source's command to serve the connections that it transfers.
 	ServeRequested struct{}
 	// ConnectionReceived reports a connection that the source has transferred.
 	ConnectionReceived struct{ Conn ConnID }
-	// OwnershipCommitted is the source's word that the target is the owner for good.
+	// OwnershipCommitted reports the source's message that the target is the permanent owner.
 	OwnershipCommitted struct{}
-	// SourceExited reports the end of the channel: the source is dead.
+	// SourceExited reports the end of the channel, which proves that the source is dead.
 	SourceExited struct{}
 )
 
@@ -30,23 +30,25 @@
 func (OwnershipCommitted) targetEvent() {}
 func (SourceExited) targetEvent()       {}
 
-// TargetEffect is what the caller of Target.Step carries out.
+// TargetEffect is an action that the caller of Target.Step carries out.
 type TargetEffect interface{ targetEffect() }
 
-// Effects of the target, beside StartAccepting and Exit.
+// Effects of the target, in addition to StartAccepting and Exit.
 type (
-	// SendHello sends the target's first message.
+	// SendHello sends the target's first message to the source. Problem is why the target can't take
+	// over; "" if it can.
 	SendHello struct {
 		Version Version
 		Problem string
 	}
-	// SendReady sends that the target could serve.
+	// SendReady tells the source that the target is ready to serve.
 	SendReady struct{}
-	// ApplyState begins to apply the state. StateApplied follows.
+	// ApplyState begins to apply the source's state. The caller reports StateApplied when it is done.
 	ApplyState struct{}
-	// AdoptConnection makes a connection the target's own.
+	// AdoptConnection takes over a connection that the source has transferred.
 	AdoptConnection struct{ Conn ConnID }
-	// StopRecording ends the records of requests: nobody would reclaim anything.
+	// StopRecording stops sending records of requests, as no source remains that could reclaim a
+	// connection.
 	StopRecording struct{}
 )
 
