--- a/internal/decide/lease/config.go
+++ b/internal/decide/lease/config.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// ID names a front end, as in internal/decide/membership.
-type ID uint64
+// MemberID identifies a front end, by the same number as in internal/decide/membership.
+type MemberID uint64
 
-// EngineID names one start of one engine. An engine that restarts is another one, with no leases.
+// EngineID identifies an engine from one start to the next. An engine that restarts has a new ID and no leases.
 type EngineID uint64
 
-// FullCapacity is all that an engine can serve. Quotas are in units of it, as an engine's capacity grows while it warms
-// up and all members know how.
+// FullCapacity is the current capacity of an engine. Quotas are in units of 1/FullCapacity of that capacity rather than
+// in requests, as it grows during the engine's slow start in a way that all members know.
 const FullCapacity = 1024
 
-// Config holds the settings of a member. They are the same at all members; messages of members with another list of
-// members are dropped.
+// Config holds the settings of a member. All members must have the same ones; messages of members with a different
+// member list are dropped.
 type Config struct {
-	Members          []ID          // all that the settings name, alive or not
-	VoterCount       int           // of an engine; more than half of them must vote for its leader
-	Term             time.Duration // of a vote, by the voter's clock
-	MaxClockDrift    float64       // clocks run fast or slow by at most this fraction
-	UnleasedCapacity int           // of FullCapacity: never leased, each member always has an equal quota of it
-	MaxEngines       int           // that are tracked; more are rejected and counted
+	Members          []MemberID    // all configured members, alive or not
+	VoterCount       int           // voters per engine; more than half of them must vote for its leader
+	Term             time.Duration // how long a vote is valid, by the voter's clock
+	MaxClockDrift    float64       // fraction by which a clock may run fast or slow at most
+	UnleasedCapacity int           // units of FullCapacity that are never leased; each member always has an equal part
+	MaxEngines       int           // limit of tracked engines; others are rejected and counted
 }
 
-// DefaultConfig returns settings for up to some hundreds of front ends.
-func DefaultConfig(members []ID) Config {
+// DefaultConfig returns the settings for an installation of up to a few hundred front ends.
+func DefaultConfig(members []MemberID) Config {
 	return Config{
 		Members:          members,
 		VoterCount:       5,
@@ -35,11 +35,12 @@
 	}
 }
 
-// guaranteed is how long one who relies on a span of another's clock may count on it, from before it asked: what is
-// left where the other clock runs as fast as may be, and its own as slowly.
-func (c Config) guaranteed(span time.Duration) time.Duration {
+// guaranteedSpan returns how long, by its own clock, a member may rely on something that another member has granted for
+// a span of the other's clock. The span counts from before the member sent the request. This is the worst case: the
+// other clock runs as fast as MaxClockDrift allows, and the member's own as slowly.
+func (c Config) guaranteedSpan(span time.Duration) time.Duration {
 	return time.Duration(float64(span) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
 }
 
-// RandomSource is a source of random numbers; *rand.Rand is one.
+// RandomSource is a source of random numbers, such as *rand.Rand.
 type RandomSource interface{ Uint32() uint32 }
--- a/internal/decide/lease/event.go
+++ b/internal/decide/lease/event.go
@@ -1,33 +1,35 @@
 package lease
 
-// Event is something that happens to a Node: a Tick, a MessageReceived, a Demand or LiveMembers.
+// Event is an input of a Node: a Tick, a MessageReceived, a Demand or a LiveMembers.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed. One is due every TickInterval.
+// Tick reports that time has passed. One is due every Node.TickInterval; a Node ignores earlier ones.
 type Tick struct{}
 
-// MessageReceived is a message of another member. The caller has checked who sent it.
+// MessageReceived reports a message of another member. The caller has authenticated the sender.
 type MessageReceived struct {
-	From    ID
+	From    MemberID
 	Payload []byte
 }
 
-// Demand is the quota of an engine that this member could use; 0: none any more.
+// Demand reports the quota of an engine that this member could use, of FullCapacity. 0 means that it does not use the
+// engine any more.
 type Demand struct {
 	Engine EngineID
 	Quota  int
 }
 
-// LiveMembers are the members that serve, as this one sees it. They decide who leads, and never how much is leased.
-type LiveMembers struct{ IDs []ID }
+// LiveMembers reports the members that serve, in this member's view. The view influences who becomes leader, but never
+// how much is leased.
+type LiveMembers struct{ IDs []MemberID }
 
 func (Tick) isEvent()            {}
 func (MessageReceived) isEvent() {}
 func (Demand) isEvent()          {}
 func (LiveMembers) isEvent()     {}
 
-// Send is the only action: a message to another member.
+// Send is a message to another member, the only output of a Node.
 type Send struct {
-	To      ID
+	To      MemberID
 	Payload []byte
 }
--- a/internal/decide/lease/fleet_test.go
+++ b/internal/decide/lease/fleet_test.go
@@ -37,9 +37,9 @@
 const engineCount = 2
 
 func newFleet(size int, seed uint64, drift float64) *fleet {
-	var ids []ID
+	var ids []MemberID
 	for i := range size {
-		ids = append(ids, ID(i+1))
+		ids = append(ids, MemberID(i+1))
 	}
 	f := &fleet{config: DefaultConfig(ids), now: time.Hour, random: rand.New(rand.NewPCG(seed, 1)), settles: true, maxDelay: 20 * time.Millisecond}
 	for range size {
@@ -58,7 +58,7 @@
 
 func (f *fleet) start(i int) {
 	m := f.members[i]
-	m.node = New(f.config, ID(i+1), f.clock(i), f.random)
+	m.node = New(f.config, MemberID(i+1), f.clock(i), f.random)
 	m.isAlive = true
 	m.pausedUntil = 0
 	if !f.settles {
@@ -117,7 +117,7 @@
 		case d.arrivesAt > f.now || isAlive && !f.isRunning(d.to):
 			f.inTransit = append(f.inTransit, d)
 		case isAlive:
-			f.handle(d.to, MessageReceived{ID(d.from + 1), d.payload})
+			f.handle(d.to, MessageReceived{MemberID(d.from + 1), d.payload})
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		f.maxDelay = []time.Duration{20 * time.Millisecond, 500 * time.Millisecond, 6 * time.Second}[f.random.IntN(3)]
 		return fmt.Sprint("slow ", f.maxDelay)
 	}
-	var live []ID
+	var live []MemberID
 	for _, id := range f.config.Members {
 		if f.random.IntN(2) == 0 {
 			live = append(live, id)
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// holder is the lease that this member holds of an engine, and its requests for it.
-type holder struct {
-	demand      int           // of FullCapacity
-	requestedAt time.Duration // the last request; 0: there was none
-	request     uint32        // its number
-	quota       int
-	expiresAt   time.Duration
+// holderState is the state of this member as the holder of a lease of an engine's capacity. Quotas are of FullCapacity.
+type holderState struct {
+	demand      int           // the quota that this member could use
+	requestedAt time.Duration // when the latest lease request was sent; 0: never
+	requestID   uint32        // of the latest lease request or release
+	quota       int           // of the lease; 0: there is none
+	expiresAt   time.Duration // of the lease
 }
 
-// holdsLease tells whether there is a lease that has not expired.
-func (h *holder) holdsLease(now time.Duration) bool { return h.quota > 0 && now < h.expiresAt }
+// holdsLease reports whether there is a lease that has not expired.
+func (h *holderState) holdsLease(now time.Duration) bool { return h.quota > 0 && now < h.expiresAt }
 
-// setDemand notes what this member could use of an engine. A lease that is not needed any more is released at once.
+// setDemand sets the quota of an engine that this member could use. A lease that is not needed any more is released at
+// once.
 func (n *Node) setDemand(id EngineID, quota int) {
 	engine := n.engine(id)
 	if engine == nil {
@@ -28,25 +29,26 @@
 	}
 	h.quota = 0
 	h.expiresAt = 0
-	h.request = n.nextRequest()
+	h.requestID = n.nextRequestID()
 	if leader, ok := n.preferredLeader(id); ok {
-		n.send(leader, message{kind: kindLeaseRelease, engine: id, process: n.process, request: h.request})
+		n.send(leader, message{kind: kindLeaseRelease, engine: id, process: n.process, requestID: h.requestID})
 	}
 }
 
-// requestLease asks the leader for a lease, or to renew it.
-func (n *Node) requestLease(leader ID, id EngineID, engine *engineState) {
+// requestLease requests a lease from the leader, or its renewal.
+func (n *Node) requestLease(leader MemberID, id EngineID, engine *engineState) {
 	engine.holder.requestedAt = n.now
-	engine.holder.request = n.nextRequest()
-	n.send(leader, message{kind: kindLeaseRequest, engine: id, process: n.process, request: engine.holder.request, quota: uint16(engine.holder.demand)})
+	engine.holder.requestID = n.nextRequestID()
+	n.send(leader, message{kind: kindLeaseRequest, engine: id, process: n.process, requestID: engine.holder.requestID, quota: uint16(engine.holder.demand)})
 }
 
-// acceptLease takes the lease that answers the last request. It counts from when the request was sent.
+// acceptLease accepts a lease that responds to the latest request. Its span counts from when the request was sent.
+// Leases for earlier requests are ignored.
 func (n *Node) acceptLease(lease message, engine *engineState) {
 	h := &engine.holder
-	if lease.process != n.process || lease.request != h.request || h.demand == 0 {
+	if lease.process != n.process || lease.requestID != h.requestID || h.demand == 0 {
 		return
 	}
 	h.quota = int(lease.quota)
-	h.expiresAt = h.requestedAt + n.config.guaranteed(min(lease.span, n.config.Term))
+	h.expiresAt = h.requestedAt + n.config.guaranteedSpan(min(lease.span, n.config.Term))
 }
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// renewalsPerTerm is how often in a term a leader renews its votes, and a holder its lease.
+// renewalsPerTerm is how many times per term a leader renews its votes, and a holder its lease.
 const renewalsPerTerm = 4
 
-// leader is what this member does as the leader of an engine, or as a candidate.
-type leader struct {
-	requestedAt time.Duration // the pending vote request was sent; 0: there was none
-	request     message       // the pending vote request
-	votes       []ID          // for it
-	until       time.Duration // leases may be granted up to here
-	grants      []grant
+// leaderState is the state of this member as the leader of an engine, or as a candidate for it.
+type leaderState struct {
+	requestedAt   time.Duration // when the latest vote request was sent; 0: never
+	voteRequest   message       // the latest vote request
+	votes         []MemberID    // members that have voted in response to voteRequest
+	canGrantUntil time.Duration // every lease that this member grants expires by then
+	grants        []grant
 }
 
 // grant is a lease that this member has granted.
 type grant struct {
-	holder    ID
-	process   uint32 // of the holder: a restarted one has no lease of the process before
-	request   uint32
-	quota     int
+	holder    MemberID
+	process   uint32 // of the holder: a restarted holder does not have the leases of its previous process
+	requestID uint32
+	quota     int // of FullCapacity
 	expiresAt time.Duration
 }
 
-// holderProcess names one process of a lease holder.
+// holderProcess identifies one process of a lease holder.
 type holderProcess struct {
-	holder  ID
+	holder  MemberID
 	process uint32
 }
 
-func (l *leader) dropExpired(now time.Duration) {
+func (l *leaderState) dropExpired(now time.Duration) {
 	l.grants = slices.DeleteFunc(l.grants, func(g grant) bool { return now >= g.expiresAt })
 }
 
-// reserved is the quota that all other processes may use. Of each process the largest lease that has not expired
-// counts, as it may not have received the last one.
-func (l *leader) reserved(except holderProcess, now time.Duration) int {
+// reserved returns the quota that all processes other than except may use. The largest unexpired lease of each process
+// counts, as the process may not have received the latest one.
+func (l *leaderState) reserved(except holderProcess, now time.Duration) int {
 	largest := map[holderProcess]int{}
 	for _, g := range l.grants {
 		key := holderProcess{g.holder, g.process}
@@ -53,32 +53,35 @@
 	return sum
 }
 
-// campaign asks the voters of an engine for their votes, or to renew them.
+// campaign requests the votes of an engine's voters, or their renewal.
 func (n *Node) campaign(id EngineID, engine *engineState) {
 	engine.leader.requestedAt = n.now
 	engine.leader.votes = nil
-	engine.leader.request = message{kind: kindVoteRequest, engine: id, process: n.process, request: n.nextRequest()}
+	engine.leader.voteRequest = message{kind: kindVoteRequest, engine: id, process: n.process, requestID: n.nextRequestID()}
 	for _, v := range engine.voters {
-		n.send(v, engine.leader.request)
+		n.send(v, engine.leader.voteRequest)
 	}
 }
 
-// countVote takes a vote for the pending request. Votes for an earlier request, or an earlier process, don't count.
-func (n *Node) countVote(from ID, vote message, engine *engineState) {
+// countVote counts a vote in response to the latest vote request. Votes for an earlier request or an earlier process of
+// this member are ignored. With a majority this member may grant leases for a term, counted from before the request was
+// sent.
+func (n *Node) countVote(from MemberID, vote message, engine *engineState) {
 	l := &engine.leader
-	if vote.process != n.process || vote.request != l.request.request || n.now-l.requestedAt >= n.config.Term || slices.Contains(l.votes, from) {
+	if vote.process != n.process || vote.requestID != l.voteRequest.requestID || n.now-l.requestedAt >= n.config.Term || slices.Contains(l.votes, from) {
 		return
 	}
 	l.votes = append(l.votes, from)
 	if 2*len(l.votes) > len(engine.voters) {
-		l.until = max(l.until, l.requestedAt+n.config.guaranteed(n.config.Term))
+		l.canGrantUntil = max(l.canGrantUntil, l.requestedAt+n.config.guaranteedSpan(n.config.Term))
 	}
 }
 
-// grantLease leases a quota, as much as is not leased to others, for as long as this member leads.
-func (n *Node) grantLease(holder ID, request message, engine *engineState) {
-	engine.requestedAt = n.now
-	span := engine.leader.until - n.now
+// grantLease grants a lease of the requested quota, or of as much as is not leased to others, until the end of this
+// member's term as leader. It grants none if it does not lead, if its term is about to end, or if no quota is left.
+func (n *Node) grantLease(holder MemberID, request message, engine *engineState) {
+	engine.leaseRequestedAt = n.now
+	span := engine.leader.canGrantUntil - n.now
 	if span < n.TickInterval() {
 		return
 	}
@@ -88,13 +91,13 @@
 	if quota <= 0 {
 		return
 	}
-	engine.leader.grants = append(engine.leader.grants, grant{holder: holder, process: request.process, request: request.request, quota: quota, expiresAt: n.now + span})
-	n.send(holder, message{kind: kindLease, engine: request.engine, process: request.process, request: request.request, quota: uint16(quota), span: span})
+	engine.leader.grants = append(engine.leader.grants, grant{holder: holder, process: request.process, requestID: request.requestID, quota: quota, expiresAt: n.now + span})
+	n.send(holder, message{kind: kindLease, engine: request.engine, process: request.process, requestID: request.requestID, quota: uint16(quota), span: span})
 }
 
-// releaseGrants drops the leases that a holder has given back: those of its earlier requests.
-func (l *leader) releaseGrants(holder ID, release message) {
+// releaseGrants removes the leases that a holder has released: those that it requested before the release.
+func (l *leaderState) releaseGrants(holder MemberID, release message) {
 	l.grants = slices.DeleteFunc(l.grants, func(g grant) bool {
-		return g.holder == holder && g.process == release.process && g.request < release.request
+		return g.holder == holder && g.process == release.process && g.requestID < release.requestID
 	})
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -78,7 +78,7 @@
 	checkQuota("after the release", first, base)
 
 	f.members[leader].isAlive = false
-	live := slices.DeleteFunc(slices.Clone(f.config.Members), func(id ID) bool { return int(id)-1 == leader })
+	live := slices.DeleteFunc(slices.Clone(f.config.Members), func(id MemberID) bool { return int(id)-1 == leader })
 	for i, m := range f.members {
 		if m.isAlive {
 			f.handle(i, LiveMembers{live})
@@ -90,7 +90,7 @@
 
 // A message is decoded as it was encoded, and no other bytes are one.
 func FuzzDecode(f *testing.F) {
-	f.Add(message{kind: kindLease, membersDigest: 1, engine: 2, process: 3, request: 4, quota: 5, span: 6 * time.Millisecond}.encode())
+	f.Add(message{kind: kindLease, membersDigest: 1, engine: 2, process: 3, requestID: 4, quota: 5, span: 6 * time.Millisecond}.encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decode(b)
 		if err == nil && !slices.Equal(m.encode(), b) {
--- a/internal/decide/lease/message.go
+++ b/internal/decide/lease/message.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A message has 27 bytes, numbers are big-endian:
+// A message has 27 bytes. Its fields, with their lengths in bytes, are big-endian numbers:
 //
-//	version and kind:1 members digest:4 engine:8 process:4 request:4 quota:2 span in ms:4
+//	version and kind:1 members digest:4 engine:8 process:4 request ID:4 quota:2 span in ms:4
 //
-// process and request name a vote request or a lease request, and are the same in its answer.
+// process and request ID identify a vote request or lease request, and are repeated in the response to it.
 const (
 	wireVersion  = 1 << 4
 	versionMask  = 0xf0
@@ -25,21 +25,22 @@
 	kindVoteRequest  kind = 1
 	kindVote         kind = 2
 	kindLeaseRequest kind = 3
-	kindLease        kind = 4 // a quota, for a span that counts from the request
-	kindLeaseRelease kind = 5 // the leases of all earlier requests are not used any more
+	kindLease        kind = 4 // grants a quota for a span, which the holder counts from when it sent the request
+	kindLeaseRelease kind = 5 // the holder does not use the leases of its earlier requests any more
 )
 
+// message is a decoded message. A field that its kind does not use is 0.
 type message struct {
 	kind          kind
-	membersDigest uint32
+	membersDigest uint32 // of the sender's member list
 	engine        EngineID
-	process       uint32 // drawn by each process at its start
-	request       uint32
-	quota         uint16
+	process       uint32 // random number that the requesting process drew at its start
+	requestID     uint32 // rises with each request of that process
+	quota         uint16 // requested or granted, of FullCapacity
 	span          time.Duration
 }
 
-// errMalformed says that bytes are no message of this package.
+// errMalformed means that the bytes are not a valid message of this package.
 var errMalformed = errors.New("lease: malformed message")
 
 func (m message) encode() []byte {
@@ -48,7 +49,7 @@
 	b = binary.BigEndian.AppendUint32(b, m.membersDigest)
 	b = binary.BigEndian.AppendUint64(b, uint64(m.engine))
 	b = binary.BigEndian.AppendUint32(b, m.process)
-	b = binary.BigEndian.AppendUint32(b, m.request)
+	b = binary.BigEndian.AppendUint32(b, m.requestID)
 	b = binary.BigEndian.AppendUint16(b, m.quota)
 	return binary.BigEndian.AppendUint32(b, uint32(m.span/time.Millisecond))
 }
@@ -62,7 +63,7 @@
 		membersDigest: binary.BigEndian.Uint32(b[1:]),
 		engine:        EngineID(binary.BigEndian.Uint64(b[5:])),
 		process:       binary.BigEndian.Uint32(b[13:]),
-		request:       binary.BigEndian.Uint32(b[17:]),
+		requestID:     binary.BigEndian.Uint32(b[17:]),
 		quota:         binary.BigEndian.Uint16(b[21:]),
 		span:          time.Duration(binary.BigEndian.Uint32(b[23:])) * time.Millisecond,
 	}
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -36,9 +36,9 @@
 const modelStep = time.Second
 
 func newModel(size int, defect func(*Node)) *model {
-	var ids []ID
+	var ids []MemberID
 	for i := range size {
-		ids = append(ids, ID(i+1))
+		ids = append(ids, MemberID(i+1))
 	}
 	m := &model{config: DefaultConfig(ids), now: time.Hour, isAlive: make([]bool, size), pausedUntil: make([]time.Duration, size), nodes: make([]*Node, size), defect: defect}
 	for i := range size {
@@ -54,7 +54,7 @@
 
 func (m *model) start(i int) {
 	next := processNumbers(m.processes)
-	m.nodes[i] = New(m.config, ID(i+1), m.clock(i), &next)
+	m.nodes[i] = New(m.config, MemberID(i+1), m.clock(i), &next)
 	m.isAlive[i] = true
 	m.pausedUntil[i] = 0
 	m.processes++
@@ -153,7 +153,7 @@
 	case f.restart > 0:
 		m.start(f.restart - 1)
 	case f.seesItselfAlone > 0 && m.isAlive[f.seesItselfAlone-1]:
-		m.handle(f.seesItselfAlone-1, LiveMembers{[]ID{ID(f.seesItselfAlone)}}, f)
+		m.handle(f.seesItselfAlone-1, LiveMembers{[]MemberID{MemberID(f.seesItselfAlone)}}, f)
 	case f.allSeeAll:
 		m.showLiveMembers()
 	}
@@ -167,17 +167,17 @@
 		case d.arrivesAt > m.now || m.isAlive[d.to] && m.now < m.pausedUntil[d.to]:
 			m.inTransit = append(m.inTransit, d)
 		case m.isAlive[d.to]:
-			m.handle(d.to, MessageReceived{ID(d.from + 1), d.payload}, f)
+			m.handle(d.to, MessageReceived{MemberID(d.from + 1), d.payload}, f)
 		}
 	}
 }
 
 // showLiveMembers tells all members who is alive.
 func (m *model) showLiveMembers() {
-	var live []ID
+	var live []MemberID
 	for i, isAlive := range m.isAlive {
 		if isAlive {
-			live = append(live, ID(i+1))
+			live = append(live, MemberID(i+1))
 		}
 	}
 	for i, isAlive := range m.isAlive {
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -1,12 +1,14 @@
-// Package lease divides the capacity of an engine in slow start among the front ends of one installation, so that the
-// sum of all quotas never exceeds the engine's capacity: whatever their views of the fleet, whatever messages are lost,
-// late or duplicated, and however long one of them is paused. It does no I/O and reads no clock.
+// Package lease divides the capacity of an engine in slow start among the front ends of one installation (the members),
+// so that the sum of their quotas never exceeds the engine's capacity. This holds even if the members' views of who is
+// live differ, if messages are lost, delayed or duplicated, and if a member is paused for any time. The package does no
+// I/O and reads no clock.
 //
-// A quota is leased until a time. Each engine has a few voters, the same at all members, as they follow from the
-// settings and not from who is alive. A majority of them has to vote for a member before it grants leases, and a voter
-// votes for one member at a time. A lease expires before its leader's term does, and that before a voter can vote for
-// another member; each counts its time from before it sent the request and allows for clock drift.
-// docs/design/lend.md has the proof; the leases are those of Gray and Cheriton (1989).
+// Part of the capacity is never leased: each member may always use an equal share of it. The rest is leased by a leader,
+// on request and for a limited time. Each engine has a few voters, which follow from the settings and not from who is
+// live, so that all members agree on them. A majority of the voters must vote for a member before it grants leases, and a voter
+// votes for one member at a time. A lease expires before its leader's term ends, and the term ends before a voter can
+// vote for another member: leader and holder each count the time from before they sent the request, and allow for clock
+// drift. docs/design/lend.md has the proof; the leases are those of Gray and Cheriton (1989).
 package lease
 
 import (
@@ -14,40 +16,42 @@
 	"time"
 )
 
-// ticksPerTerm is how many ticks are due in a term.
+// ticksPerTerm is the number of ticks in a term.
 const ticksPerTerm = 16
 
-// Node is one member. It is not safe for concurrent use.
+// Node is the state of one member: it is a voter, leader and lease holder of any number of engines. It is not safe for
+// concurrent use.
 type Node struct {
-	config        Config
-	self          ID
-	process       uint32 // names this process
-	membersDigest uint32
-	liveMembers   []ID
+	config        Config // with Members sorted
+	self          MemberID
+	process       uint32 // random number that tells this process from others of the same member
+	membersDigest uint32 // of Config.Members
+	liveMembers   []MemberID
 	engines       map[EngineID]*engineState
 
-	now         time.Duration
-	startedAt   time.Duration
-	nextTickAt  time.Duration
-	lastRequest uint32
-	actions     []Send
+	now           time.Duration
+	startedAt     time.Duration
+	nextTickAt    time.Duration
+	lastRequestID uint32
+	outgoing      []Send // messages of the event that is being handled
 
-	DroppedMessages int // malformed, or not of a member
-	RejectedEngines int // beyond MaxEngines
+	DroppedMessages int // count of messages that were malformed, not from a member, or from one with other Members
+	RejectedEngines int // count of times that an engine beyond Config.MaxEngines was rejected
 }
 
-// engineState is what a member knows of one engine, in each of its roles.
+// engineState is the state of a member for one engine, in each of its roles.
 type engineState struct {
-	voters      []ID
-	requestedAt time.Duration // others requested a lease: while they do, this member campaigns where it is preferred
-	voter       voter
-	leader      leader
-	holder      holder
+	voters           []MemberID
+	leaseRequestedAt time.Duration // when a member last requested a lease from this one; 0: never
+	voter            voterState
+	leader           leaderState
+	holder           holderState
 }
 
-// New returns a member that has just started and has had its address since now, so that no process before it receives
-// anything any more. It neither votes nor campaigns for a term, as it does not know what that process did.
-func New(config Config, self ID, now time.Duration, random RandomSource) *Node {
+// New returns a member that has just started and has had its address since now, so that an earlier process of the same
+// member receives no messages any more. For one term it neither votes nor campaigns, as it does not know what the
+// earlier process has voted for and granted.
+func New(config Config, self MemberID, now time.Duration, random RandomSource) *Node {
 	config.Members = slices.Sorted(slices.Values(config.Members))
 	n := &Node{
 		config:      config,
@@ -64,14 +68,14 @@
 	return n
 }
 
-// TickInterval is how often a Tick is due.
+// TickInterval returns the time between Ticks.
 func (n *Node) TickInterval() time.Duration { return n.config.Term / ticksPerTerm }
 
-// BaseQuota is what each member may use of an engine without a lease, of FullCapacity.
+// BaseQuota returns the quota of an engine that each member may use without a lease, of FullCapacity.
 func (n *Node) BaseQuota() int { return n.config.UnleasedCapacity / max(len(n.config.Members), 1) }
 
-// Quota is what this member may use of an engine at a time, of FullCapacity. The caller asks right before it sends a
-// request: a process that was paused since then may have no lease any more.
+// Quota returns the quota of an engine that this member may use now, of FullCapacity. The caller must call it right
+// before it sends a request to the engine, as the lease may have expired during a pause of the process.
 func (n *Node) Quota(id EngineID, now time.Duration) int {
 	engine := n.engines[id]
 	if engine == nil || now >= engine.holder.expiresAt {
@@ -80,10 +84,10 @@
 	return n.BaseQuota() + engine.holder.quota
 }
 
-// Handle takes one event and returns the messages to send, in order. Time must not go back between calls.
+// Handle processes one event and returns the messages to send, in order. now must not go back between calls.
 func (n *Node) Handle(now time.Duration, event Event) []Send {
 	n.now = now
-	n.actions = nil
+	n.outgoing = nil
 	switch e := event.(type) {
 	case Tick:
 		n.tick()
@@ -92,21 +96,21 @@
 	case Demand:
 		n.setDemand(e.Engine, e.Quota)
 	case LiveMembers:
-		n.liveMembers = slices.DeleteFunc(slices.Clone(e.IDs), func(id ID) bool { return !n.isMember(id) })
+		n.liveMembers = slices.DeleteFunc(slices.Clone(e.IDs), func(id MemberID) bool { return !n.isMember(id) })
 	}
-	return n.actions
+	return n.outgoing
 }
 
-func (n *Node) isMember(id ID) bool {
+func (n *Node) isMember(id MemberID) bool {
 	_, found := slices.BinarySearch(n.config.Members, id)
 	return found
 }
 
-// hasSettled tells whether a term has passed since the start, after which votes and leases of the process before this
-// one have expired.
-func (n *Node) hasSettled() bool { return n.now-n.startedAt >= n.config.Term }
+// startupTermOver reports whether a term has passed since the start, after which the votes and leases of an earlier
+// process of this member have expired.
+func (n *Node) startupTermOver() bool { return n.now-n.startedAt >= n.config.Term }
 
-// engine returns the state of an engine, or nil where there are too many.
+// engine returns the state of an engine, which it creates if needed; nil if there are MaxEngines already.
 func (n *Node) engine(id EngineID) *engineState {
 	engine := n.engines[id]
 	if engine != nil {
@@ -121,9 +125,9 @@
 	return engine
 }
 
-func (n *Node) nextRequest() uint32 {
-	n.lastRequest++
-	return n.lastRequest
+func (n *Node) nextRequestID() uint32 {
+	n.lastRequestID++
+	return n.lastRequestID
 }
 
 func (n *Node) tick() {
@@ -141,16 +145,18 @@
 	}
 }
 
-// tickEngine renews votes and leases of an engine, or forgets it once nothing depends on it.
+// tickEngine renews the votes and the lease of an engine if that is due, or deletes the engine's state once nothing
+// depends on it. A member campaigns if it is the preferred leader and the engine's capacity is in demand, by itself or by
+// a member that requested a lease within the last term.
 func (n *Node) tickEngine(id EngineID, engine *engineState) {
 	engine.leader.dropExpired(n.now)
 	preferred, hasPreferred := n.preferredLeader(id)
-	isWanted := engine.holder.demand > 0 || engine.requestedAt > 0 && n.now-engine.requestedAt < n.config.Term
-	if !isWanted && engine.isIdle(n.now) {
+	isInDemand := engine.holder.demand > 0 || engine.leaseRequestedAt > 0 && n.now-engine.leaseRequestedAt < n.config.Term
+	if !isInDemand && engine.isIdle(n.now) {
 		delete(n.engines, id)
 		return
 	}
-	if hasPreferred && isWanted && preferred == n.self && n.hasSettled() && n.isRenewalDue(engine.leader.requestedAt) {
+	if hasPreferred && isInDemand && preferred == n.self && n.startupTermOver() && n.isRenewalDue(engine.leader.requestedAt) {
 		n.campaign(id, engine)
 	}
 	if hasPreferred && engine.holder.demand > 0 && n.isRenewalDue(engine.holder.requestedAt) {
@@ -158,27 +164,28 @@
 	}
 }
 
-// isIdle tells whether neither a grant, nor a vote, nor a lease depends on the state.
+// isIdle reports whether the state has no grant, vote or lease that has not expired.
 func (e *engineState) isIdle(now time.Duration) bool {
-	return len(e.leader.grants) == 0 && now >= e.voter.until && now >= e.holder.expiresAt
+	return len(e.leader.grants) == 0 && now >= e.voter.expiresAt && now >= e.holder.expiresAt
 }
 
-// isRenewalDue tells whether a request has to be repeated that was last sent at a time; 0: never.
+// isRenewalDue reports whether a request that was last sent at requestedAt is to be sent again; 0 means that it was
+// never sent.
 func (n *Node) isRenewalDue(requestedAt time.Duration) bool {
 	return requestedAt == 0 || n.now-requestedAt >= n.config.Term/renewalsPerTerm
 }
 
-// send sends a message, or handles it where it is for this member itself.
-func (n *Node) send(to ID, m message) {
+// send queues a message for another member, or handles it at once if it is for this member itself.
+func (n *Node) send(to MemberID, m message) {
 	m.membersDigest = n.membersDigest
 	if to == n.self {
 		n.handleMessage(n.self, m)
 		return
 	}
-	n.actions = append(n.actions, Send{to, m.encode()})
+	n.outgoing = append(n.outgoing, Send{to, m.encode()})
 }
 
-func (n *Node) receive(from ID, payload []byte) {
+func (n *Node) receive(from MemberID, payload []byte) {
 	m, err := decode(payload)
 	if err != nil || m.membersDigest != n.membersDigest || from == n.self || !n.isMember(from) {
 		n.DroppedMessages++
@@ -187,14 +194,14 @@
 	n.handleMessage(from, m)
 }
 
-func (n *Node) handleMessage(from ID, m message) {
+func (n *Node) handleMessage(from MemberID, m message) {
 	engine := n.engine(m.engine)
 	if engine == nil {
 		return
 	}
 	switch m.kind {
 	case kindVoteRequest:
-		n.vote(from, m, engine)
+		n.handleVoteRequest(from, m, engine)
 	case kindVote:
 		n.countVote(from, m, engine)
 	case kindLeaseRequest:
--- a/internal/decide/lease/replay_test.go
+++ b/internal/decide/lease/replay_test.go
@@ -85,7 +85,7 @@
 
 func messageFixtures() []messageFixture {
 	of := func(kind kind) message {
-		return message{kind: kind, membersDigest: 0xdeadbeef, engine: 0x0123456789abcdef, process: 0xcafe0123, request: 4711, quota: 1023, span: 3999 * time.Millisecond}
+		return message{kind: kind, membersDigest: 0xdeadbeef, engine: 0x0123456789abcdef, process: 0xcafe0123, requestID: 4711, quota: 1023, span: 3999 * time.Millisecond}
 	}
 	return []messageFixture{
 		{"claim", of(kindVoteRequest)}, {"promise", of(kindVote)}, {"ask", of(kindLeaseRequest)}, {"lend", of(kindLease)}, {"back", of(kindLeaseRelease)},
--- a/internal/decide/lease/voter.go
+++ b/internal/decide/lease/voter.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// voter is the vote that this member has given for an engine's leader.
-type voter struct {
-	candidate ID
-	process   uint32 // of the candidate: two may run while one replaces the other
-	until     time.Duration
+// voterState is the latest vote that this member has given for the leader of an engine. The zero value is no vote.
+type voterState struct {
+	candidate MemberID
+	process   uint32 // of the candidate: two processes of a member may run while one replaces the other
+	expiresAt time.Duration
 }
 
-// allows tells whether the vote may go to a process of a member: it is that one's already, or the term has ended.
-func (v *voter) allows(candidate ID, process uint32, now time.Duration) bool {
-	return now >= v.until || v.candidate == candidate && v.process == process
+// allows reports whether this member may vote for a process of a candidate: its vote is that process's already, or has
+// expired.
+func (v *voterState) allows(candidate MemberID, process uint32, now time.Duration) bool {
+	return now >= v.expiresAt || v.candidate == candidate && v.process == process
 }
 
-// vote gives this member's vote for an engine's leader, for a term.
-func (n *Node) vote(candidate ID, request message, engine *engineState) {
-	if !n.hasSettled() || !slices.Contains(engine.voters, n.self) {
+// handleVoteRequest votes for the candidate as the leader of an engine, for one term, if this member may. It does not
+// respond otherwise.
+func (n *Node) handleVoteRequest(candidate MemberID, request message, engine *engineState) {
+	if !n.startupTermOver() || !slices.Contains(engine.voters, n.self) {
 		return
 	}
 	if !engine.voter.allows(candidate, request.process, n.now) {
 		return
 	}
-	engine.voter = voter{candidate: candidate, process: request.process, until: n.now + n.config.Term}
-	answer := request
-	answer.kind = kindVote
-	n.send(candidate, answer)
+	engine.voter = voterState{candidate: candidate, process: request.process, expiresAt: n.now + n.config.Term}
+	response := request
+	response.kind = kindVote
+	n.send(candidate, response)
 }
--- a/internal/decide/takeover/takeover.go
+++ b/internal/decide/takeover/takeover.go
@@ -1,6 +1,7 @@
-// Package takeover decides how processes of one front end replace each other where the platform
-// starts them: from which process a new one takes over, when it stops waiting, and when an old
-// one has been replaced. It does no I/O and reads no clock.
+// Package takeover decides how the processes of one front end replace each other where the platform
+// (a container orchestrator, for example) starts and stops them: which process a new one takes over
+// from, when it stops waiting, and when an old one has been replaced. The caller exchanges the
+// Process values between the processes. The package does no I/O and reads no clock.
 package takeover
 
 import (
@@ -9,21 +10,23 @@
 	"time"
 )
 
-// maxWait is how long a new process waits for the state of an old one. The platform gives it 6 s
-// to become ready; the old one looks for new processes each tenth of a second.
+// maxWait is how long after its start a new process waits for the state of an old one. The platform
+// gives the new process 6 s to become ready, and the old one looks for new processes every 100 ms.
 const maxWait = 1500 * time.Millisecond
 
-// Process is what a living process tells the others of itself. The names in the tags are stored.
+// Process is what a live process tells the others about itself. The names in the tags are those of
+// the stored form.
 type Process struct {
 	ID             string        `cbor:"ID"`
 	StartedAt      time.Duration `cbor:"Began"` // on a clock that all processes share
-	Ready          bool          `cbor:"Ready"` // it serves
+	Ready          bool          `cbor:"Ready"` // it serves clients
 	ShuttingDown   bool          `cbor:"Stopping"`
-	KnownProcesses []string      `cbor:"Heard"` // the other processes that it has found
-	StateWritten   bool          `cbor:"Knows"` // it has written its state since it found them
+	KnownProcesses []string      `cbor:"Heard"` // IDs of the other processes that it has found
+	StateWritten   bool          `cbor:"Knows"` // it has written its state since it found KnownProcesses
 }
 
-// StartedAfter reports whether p started after other. It is a total order of all processes.
+// StartedAfter reports whether p started after other. Processes that started at the same time are
+// ordered by ID, so that the order is total.
 func (p Process) StartedAfter(other Process) bool {
 	return cmp.Or(cmp.Compare(p.StartedAt, other.StartedAt), cmp.Compare(p.ID, other.ID)) > 0
 }
@@ -40,16 +43,17 @@
 // Action is what a new process does next.
 type Action uint8
 
-// Actions.
+// Values of Action.
 const (
-	Wait       Action = iota // for the state of another process
-	TakeOver                 // go on from the state of another process
-	StartAlone               // serve from the configuration
+	Wait       Action = iota // wait for another process to write its state
+	TakeOver                 // apply the state of another process and serve
+	StartAlone               // serve with the state that the configuration gives
 )
 
-// NextAction returns what a process that does not serve yet does next, and the process that it
-// takes over from: the latest one that serves, preferably one that is not shutting down. If none
-// has written its state in time the new process starts alone: one that waits serves nobody.
+// NextAction returns what a process that does not serve yet does next, and the ID of the process
+// that it takes over from or waits for ("" for StartAlone). That is the latest started one that is
+// ready, preferably one that is not shutting down. If it has not written its state within maxWait,
+// the new process starts alone, as it serves no clients while it waits.
 func NextAction(self Process, others []Process, now time.Duration) (action Action, from string) {
 	predecessor := choosePredecessor(self, others)
 	switch {
@@ -63,6 +67,7 @@
 	return Wait, predecessor.ID
 }
 
+// choosePredecessor returns the process that self takes over from, or nil if there is none.
 func choosePredecessor(self Process, others []Process) *Process {
 	var chosen *Process
 	for i, other := range others {
@@ -76,21 +81,22 @@
 	return chosen
 }
 
-// Replaced reports whether another process serves in the place of self: it started later, is
-// ready and stays. Clients that connect reach it, so self need accept nothing more.
+// Replaced reports whether another process serves in place of self: one that started later, is ready
+// and is not shutting down. New connections reach that process, so self may stop accepting.
 func Replaced(self Process, others []Process) bool {
 	return slices.ContainsFunc(others, func(other Process) bool {
 		return other.Ready && !other.ShuttingDown && other.StartedAfter(self)
 	})
 }
 
-// StateWanted reports whether a process that serves is to write its state: another one waits.
+// StateWanted reports whether self is to write its state: it is ready, and a process that started
+// later is not ready yet and may be waiting for it.
 func StateWanted(self Process, others []Process) bool {
 	return self.Ready && slices.ContainsFunc(others, func(other Process) bool {
 		return !other.Ready && other.StartedAfter(self)
 	})
 }
 
-// LimitShare is the part of the limits on memory and descriptors that a process may use:
-// processes of one front end share them while they live side by side.
+// LimitShare returns the fraction of the limits on memory and file descriptors that a process may
+// use. The processes of one front end divide them equally while they run side by side.
 func LimitShare(others []Process) float64 { return 1 / float64(1+len(others)) }
