--- a/internal/decide/handover/failure_test.go
+++ b/internal/decide/handover/failure_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Operators, their scripts and the log read these texts.
+// Guards against a changed text: operators and their scripts read these texts, and the log has them.
 func TestFailureTexts(t *testing.T) {
 	for want, failure := range map[string]Failure{
 		"":                                       {},
@@ -21,7 +21,7 @@
 		"it died after it was the owner; what it had was lost": {Reason: OwnerDied},
 	} {
 		if got := failure.String(); got != want || failure.Failed() != (want != "") {
-			t.Errorf("%+v: %q, failed %v, want %q", failure, got, failure.Failed(), want)
+			t.Errorf("%+v: String() = %q, Failed() = %v, want %q, %v", failure, got, failure.Failed(), want, want != "")
 		}
 	}
 }
--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -7,50 +7,77 @@
 	"time"
 )
 
-// world is two processes, the channel between them, clients and engines, as small as shows
-// every interleaving: each client has one connection and one request.
+// world is the state of the model: two processes, the channel between them, two clients and the
+// engines. Each client has one connection and one request, which is enough to show every
+// interleaving.
 type world struct {
-	source                                               Source
-	target                                               Target
-	sourceAlive                                          bool
-	targetAlive                                          bool // started and not dead
-	spawned                                              bool
-	toTarget                                             []TargetEvent
-	toSource                                             []SourceEvent
-	conns                                                [2]client
-	window                                               bool // the windows of all keys are over
-	crashes                                              int
-	upgrades                                             int
-	sourceListens, targetListens, sourceOpen, targetOpen bool
-	warming, started                                     bool
+	source          Source
+	target          Target
+	sourceAlive     bool
+	targetAlive     bool // started and not dead
+	targetNotReaped bool // started, and the source has not learned of its death
+	toTarget        []TargetEvent
+	toSource        []SourceEvent
+	clients         [2]client
+	keyWindowsOver  bool // the windows of all idempotency keys have ended
+	crashes         int
+	upgrades        int
+
+	sourceAccepting, targetAccepting             bool
+	sourceHasListenerOpen, targetHasListenerOpen bool
+	targetApplyingState, targetRunning           bool // targetRunning: it has processed TargetStarted
 }
 
-// client is one connection and what is true of its request.
+// client is the state of one client, its connection and its request.
 type client struct {
-	effect    Idempotency
-	sourceHas bool
-	targetHas bool
-	asked     bool // its request is in the socket, or further
-	at        byte // 'o': the source has it, 'n': the target, 'd': done, 0: nobody yet
-	stage     byte // 1 taken, 2 recorded as sent, 3 at an engine, 4 answer recorded; of the target
-	runs      int
-	lateRun   bool // it ran again past its window
-	answers   int
-	broken    bool
-	written   bool
+	idempotency         Idempotency
+	sourceHas           bool // the source has the connection
+	targetHas           bool // the target has the connection
+	requestSent         bool // the request is in the socket or was read from it
+	location            location
+	stage               stage // of a request that the target has read
+	executions          int   // by engines
+	executedAfterWindow bool  // executed again after the end of its key's window
+	responses           int   // final responses, errors included
+	connectionClosed    bool  // without a complete response, so that the client notices
+	responseWritten     bool  // by the target
 }
 
-const limit = time.Second
+// location is the process that has read a request.
+type location byte
+
+const (
+	notRead  location = 0
+	atSource location = 'o'
+	atTarget location = 'n'
+	finished location = 'd' // answered, or its connection was closed
+)
+
+// stage is how far the target has processed a request.
+type stage byte
+
+const (
+	stageRead             stage = 1
+	stageSendRecorded     stage = 2 // the record of the send to an engine was sent to the source
+	stageSent             stage = 3 // to an engine, which has executed it
+	stageResponseRecorded stage = 4 // the record of the response was sent to the source
+)
+
+// timeUnit is the value of all timeouts of the model: every step happens at time 0, and a step that
+// lets time pass happens at timeUnit.
+const timeUnit = time.Second
 
-// all times are one unit: a step happens at 0, what lets time pass at 1.
 func modelConfig() Config {
-	return Config{GreetTimeout: limit, WarmTimeout: limit, MinProbation: limit, MaxProbation: limit, HeartbeatTimeout: limit, MinSuccesses: 1, MaxFailureRate: 0.5}
+	return Config{
+		GreetTimeout: timeUnit, WarmTimeout: timeUnit, MinProbation: timeUnit, MaxProbation: timeUnit,
+		HeartbeatTimeout: timeUnit, MinSuccesses: 1, MaxFailureRate: 0.5,
+	}
 }
 
 func initialWorld() world {
-	w := world{source: *NewSource(modelConfig(), Version{1, 0}), target: *NewTarget(Version{1, 1}), sourceAlive: true, sourceListens: true, sourceOpen: true}
-	for i := range w.conns {
-		w.conns[i] = client{effect: []Idempotency{NotIdempotent, IdempotentWithKey}[i], sourceHas: true}
+	w := world{source: *NewSource(modelConfig(), Version{1, 0}), target: *NewTarget(Version{1, 1}), sourceAlive: true, sourceAccepting: true, sourceHasListenerOpen: true}
+	for i := range w.clients {
+		w.clients[i] = client{idempotency: []Idempotency{NotIdempotent, IdempotentWithKey}[i], sourceHas: true}
 		w.source.Step(0, ConnectionAccepted{ConnID(i)})
 	}
 	return w
@@ -62,6 +89,7 @@
 	return w
 }
 
+// key returns a string that is the same for states that the model need not tell apart.
 func (w *world) key() string {
 	w.source.phaseSince = 0
 	w.source.probation.lastMessage = 0
@@ -69,25 +97,27 @@
 	return fmt.Sprintf("%+v", *w)
 }
 
-// faults are guards that a seeded mistake takes away.
-type faults struct {
-	reclaimEarly bool // reclaimed before the target is known to be dead
-	unread       bool // reclaimed before all that it wrote was read
-	noRecord     bool // the target sends first and records then
-	blindRetry   bool // what may have run is sent again whatever its class
+// defects are seeded defects, each of which removes one safeguard of the protocol.
+type defects struct {
+	reclaimBeforeDeath bool // the source reclaims connections before the target is dead
+	reclaimBeforeRead  bool // the source reclaims connections before it has read all messages of the target
+	sendBeforeRecord   bool // the target sends a request to an engine without recording that first
+	resendInDoubt      bool // the source sends a request again that may have run and must not be repeated
 }
 
+// step is a named step of the model and the state after it.
 type step struct {
 	name string
 	next world
 }
 
-func (w *world) sourceStep(f faults, now time.Duration, event SourceEvent) {
+// sourceStep has the source process an event and carries out its effects.
+func (w *world) sourceStep(d defects, now time.Duration, event SourceEvent) {
 	for _, e := range w.source.Step(now, event) {
 		switch e := e.(type) {
 		case StartTarget:
-			w.spawned, w.targetAlive, w.targetOpen = true, true, true
-			w.target, w.toTarget, w.toSource, w.started, w.warming = *NewTarget(Version{1, 1}), nil, nil, false, false
+			w.targetNotReaped, w.targetAlive, w.targetHasListenerOpen = true, true, true
+			w.target, w.toTarget, w.toSource, w.targetRunning, w.targetApplyingState = *NewTarget(Version{1, 1}), nil, nil, false, false
 		case SendState:
 			w.toTarget = append(w.toTarget, StateReceived{})
 		case SendServe:
@@ -95,83 +125,86 @@
 		case SendCommit:
 			w.toTarget = append(w.toTarget, OwnershipCommitted{})
 		case TransferConnection:
-			w.conns[e.Conn].sourceHas = false
+			w.clients[e.Conn].sourceHas = false
 			w.toTarget = append(w.toTarget, ConnectionReceived(e))
 		case StopAccepting:
-			w.sourceListens = false
+			w.sourceAccepting = false
 		case StartAccepting:
-			w.sourceListens = true
+			w.sourceAccepting = true
 		case KillTarget:
-			if f.reclaimEarly {
-				w.sourceStep(f, now, TargetExited{})
+			if d.reclaimBeforeDeath {
+				w.sourceStep(d, now, TargetExited{})
 			}
 			w.killTarget()
 		case ReclaimConnection:
-			w.reclaim(f, e)
+			w.reclaim(d, e)
 		case Exit, BeginShutdown:
-			w.sourceAlive, w.sourceListens, w.sourceOpen = false, false, false
+			w.sourceAlive, w.sourceAccepting, w.sourceHasListenerOpen = false, false, false
 		}
 	}
 }
 
 func (w *world) killTarget() {
 	if w.targetAlive {
-		w.targetAlive, w.targetListens, w.targetOpen = false, false, false
+		w.targetAlive, w.targetAccepting, w.targetHasListenerOpen = false, false, false
 	}
 }
 
-func (w *world) reclaim(f faults, e ReclaimConnection) {
-	c := &w.conns[e.Conn]
+// reclaim takes a connection back to the source and recovers its request.
+func (w *world) reclaim(d defects, e ReclaimConnection) {
+	c := &w.clients[e.Conn]
 	c.sourceHas = true
-	if c.at != 'n' {
-		return // its request, if there is one, is still in the socket
+	if c.location != atTarget {
+		return // its request, if any, is still in the socket
 	}
 	now := time.Duration(0)
-	if w.window {
-		now = 10 * limit
+	if w.keyWindowsOver {
+		now = 10 * timeUnit
 	}
 	written := 0
-	if c.written {
+	if c.responseWritten {
 		written = 1
 	}
-	how := Recover(e.Request, written, now)
-	if f.blindRetry && how == ReportInDoubt {
-		how = Resend
+	recovery := Recover(e.Request, written, now)
+	if d.resendInDoubt && recovery == ReportInDoubt {
+		recovery = Resend
 	}
-	switch how {
+	switch recovery {
 	case NothingToRecover:
-		if !e.Request.InFlight { // never recorded: the source reads it anew, if it is still there
-			if c.stage <= 1 {
-				c.at, c.stage = 0, 0
+		if !e.Request.InFlight { // not recorded: the source reads it from the socket again, if it is still there
+			if c.stage <= stageRead {
+				c.location, c.stage = notRead, 0
 			}
 			return
 		}
-		c.at = 'd'
+		c.location = finished
 	case CloseConnection:
-		c.broken, c.at = true, 'd'
+		c.connectionClosed, c.location = true, finished
 	case ReportInDoubt, ReportDeadlineExceeded:
-		c.answers++
-		c.at = 'd'
+		c.responses++
+		c.location = finished
 	case WriteRemainder:
-		c.answers++
-		c.at = 'd'
+		c.responses++
+		c.location = finished
 	case Resend:
-		w.run(c)
-		c.answers++
-		c.at = 'd'
+		w.execute(c)
+		c.responses++
+		c.location = finished
 	}
 	if w.source.connections.find(e.Conn) != nil {
 		w.source.Step(0, ConnectionIdle{e.Conn})
 	}
 }
 
-func (w *world) run(c *client) {
-	if c.runs > 0 && w.window {
-		c.lateRun = true
+// execute has an engine execute a request.
+func (w *world) execute(c *client) {
+	if c.executions > 0 && w.keyWindowsOver {
+		c.executedAfterWindow = true
 	}
-	c.runs++
+	c.executions++
 }
 
+// targetStep has the target process an event and carries out its effects.
 func (w *world) targetStep(event TargetEvent) {
 	for _, e := range w.target.Step(event) {
 		switch e := e.(type) {
@@ -180,165 +213,175 @@
 		case SendReady:
 			w.toSource = append(w.toSource, TargetReady{})
 		case ApplyState:
-			w.warming = true
+			w.targetApplyingState = true
 		case StartAccepting:
-			w.targetListens = true
+			w.targetAccepting = true
 		case AdoptConnection:
-			w.conns[e.Conn].targetHas = true
+			w.clients[e.Conn].targetHas = true
 		case Exit:
 			w.killTarget()
 		}
 	}
 }
 
-// record sends the record of a request at a stage, before the next step.
-func (w *world) record(i int, stage byte) {
+// record sends the source the target's record of a request at a stage, before the next step. A
+// permanent owner sends no records.
+func (w *world) record(i int, stage stage) {
 	if w.target.Owner() {
 		return
 	}
-	r := Request{InFlight: true, Idempotency: w.conns[i].effect, KeyWindow: 5 * limit, Deadline: 100 * limit, Sent: stage >= 2}
-	if stage >= 4 {
+	r := Request{InFlight: true, Idempotency: w.clients[i].idempotency, KeyWindow: 5 * timeUnit, Deadline: 100 * timeUnit, Sent: stage >= stageSendRecorded}
+	if stage >= stageResponseRecorded {
 		r.ResponseLength, r.ResponseRecorded = 1, true
 	}
 	w.toSource = append(w.toSource, RequestRecorded{ConnID(i), r})
 }
 
-// steps are all that can happen next. Faults come last, and only so many.
-func (w world) steps(f faults) (all []step) {
+// steps returns all steps that are possible next. Crashes come last; there are two at most.
+func (w world) steps(d defects) (all []step) {
 	do := func(name string, change func(*world)) {
 		n := w.clone()
 		change(&n)
 		all = append(all, step{name, n})
 	}
 	if w.sourceAlive && w.upgrades < 1 && w.source.phase == Idle {
-		do("upgrade", func(n *world) { n.upgrades++; n.sourceStep(f, 0, UpgradeRequested{}) })
+		do("upgrade", func(n *world) { n.upgrades++; n.sourceStep(d, 0, UpgradeRequested{}) })
 	}
-	if w.targetAlive && !w.started {
-		do("target starts", func(n *world) { n.started = true; n.targetStep(TargetStarted{}) })
-		do("target can't serve", func(n *world) { n.started = true; n.targetStep(TargetStarted{"port"}) })
+	if w.targetAlive && !w.targetRunning {
+		do("target starts", func(n *world) { n.targetRunning = true; n.targetStep(TargetStarted{}) })
+		do("target starts and can't take over", func(n *world) { n.targetRunning = true; n.targetStep(TargetStarted{"port"}) })
 	}
-	if w.targetAlive && w.warming {
-		do("target has applied the state", func(n *world) { n.warming = false; n.targetStep(StateApplied{}) })
+	if w.targetAlive && w.targetApplyingState {
+		do("target has applied the state", func(n *world) { n.targetApplyingState = false; n.targetStep(StateApplied{}) })
 	}
-	if w.targetAlive && w.started && len(w.toTarget) > 0 {
-		do("to target", func(n *world) { m := n.toTarget[0]; n.toTarget = n.toTarget[1:]; n.targetStep(m) })
+	if w.targetAlive && w.targetRunning && len(w.toTarget) > 0 {
+		do("target processes a message", func(n *world) { m := n.toTarget[0]; n.toTarget = n.toTarget[1:]; n.targetStep(m) })
 	}
-	if w.targetAlive && w.started && !w.sourceAlive && len(w.toTarget) == 0 && !w.target.sourceExited {
-		do("target sees the end", func(n *world) { n.targetStep(SourceExited{}) })
+	if w.targetAlive && w.targetRunning && !w.sourceAlive && len(w.toTarget) == 0 && !w.target.sourceExited {
+		do("target learns of the source's exit", func(n *world) { n.targetStep(SourceExited{}) })
 	}
 	if w.sourceAlive && len(w.toSource) > 0 {
-		do("to source", func(n *world) { m := n.toSource[0]; n.toSource = n.toSource[1:]; n.sourceStep(f, 0, m) })
+		do("source processes a message", func(n *world) { m := n.toSource[0]; n.toSource = n.toSource[1:]; n.sourceStep(d, 0, m) })
 	}
-	if w.sourceAlive && w.spawned && !w.targetAlive && (len(w.toSource) == 0 || f.unread) {
-		do("target is reaped", func(n *world) { n.spawned = false; n.toSource = nil; n.sourceStep(f, 0, TargetExited{}) })
+	if w.sourceAlive && w.targetNotReaped && !w.targetAlive && (len(w.toSource) == 0 || d.reclaimBeforeRead) {
+		do("source learns of the target's exit", func(n *world) { n.targetNotReaped = false; n.toSource = nil; n.sourceStep(d, 0, TargetExited{}) })
 	}
 	if w.sourceAlive && w.source.revocable() {
-		do("time passes", func(n *world) { n.sourceStep(f, limit, Tick{}) })
+		do("timeouts expire", func(n *world) { n.sourceStep(d, timeUnit, Tick{}) })
 	}
 	if w.sourceAlive && w.targetAlive && w.source.phase == Probation && w.target.Serving() {
-		do("proof", func(n *world) { n.sourceStep(f, limit, TargetHeartbeat{Successes: 1}) })
+		do("heartbeat passes the probation", func(n *world) { n.sourceStep(d, timeUnit, TargetHeartbeat{Successes: 1}) })
 	}
-	if !w.window {
-		do("windows end", func(n *world) { n.window = true })
+	if !w.keyWindowsOver {
+		do("key windows end", func(n *world) { n.keyWindowsOver = true })
 	}
-	for i := range w.conns {
-		w.client(i, f, do)
+	for i := range w.clients {
+		w.clientSteps(i, d, do)
 	}
 	if w.crashes < 2 {
 		if w.targetAlive {
 			do("target crashes", func(n *world) { n.crashes++; n.killTarget() })
 		}
 		if w.sourceAlive {
-			do("source crashes", func(n *world) { n.crashes++; n.sourceAlive, n.sourceListens, n.sourceOpen = false, false, false })
+			do("source crashes", func(n *world) {
+				n.crashes++
+				n.sourceAlive, n.sourceAccepting, n.sourceHasListenerOpen = false, false, false
+			})
 		}
 	}
 	return all
 }
 
-func (w world) client(i int, f faults, do func(string, func(*world))) {
-	c := w.conns[i]
+// clientSteps adds the steps of one client and its request.
+func (w world) clientSteps(i int, d defects, do func(string, func(*world))) {
+	c := w.clients[i]
 	name := func(s string) string { return fmt.Sprintf("%s %d", s, i) }
-	if !c.asked {
-		do(name("client asks"), func(n *world) { n.conns[i].asked = true })
-	}
-	if c.asked && c.at == 0 && c.sourceHas && w.sourceAlive {
-		do(name("source takes"), func(n *world) { n.conns[i].at = 'o'; n.sourceStep(f, 0, ConnectionBusy{ConnID(i)}) })
-	}
-	if c.at == 'o' && w.sourceAlive {
-		do(name("source answers"), func(n *world) {
-			k := &n.conns[i]
-			n.run(k)
-			k.answers++
-			k.at = 'd'
-			n.sourceStep(f, 0, ConnectionIdle{ConnID(i)})
+	if !c.requestSent {
+		do(name("client sends request"), func(n *world) { n.clients[i].requestSent = true })
+	}
+	if c.requestSent && c.location == notRead && c.sourceHas && w.sourceAlive {
+		do(name("source reads request"), func(n *world) { n.clients[i].location = atSource; n.sourceStep(d, 0, ConnectionBusy{ConnID(i)}) })
+	}
+	if c.location == atSource && w.sourceAlive {
+		do(name("source answers request"), func(n *world) {
+			c := &n.clients[i]
+			n.execute(c)
+			c.responses++
+			c.location = finished
+			n.sourceStep(d, 0, ConnectionIdle{ConnID(i)})
 		})
 	}
 	if !c.targetHas || !w.targetAlive {
 		return
 	}
 	switch {
-	case c.asked && c.at == 0:
-		do(name("target takes"), func(n *world) { n.conns[i].at, n.conns[i].stage = 'n', 1; n.record(i, 1) })
-	case c.at == 'n' && c.stage == 1 && f.noRecord:
-		do(name("target sends"), func(n *world) { n.conns[i].stage = 3; n.run(&n.conns[i]) })
-	case c.at == 'n' && c.stage == 1:
-		do(name("target records the send"), func(n *world) { n.conns[i].stage = 2; n.record(i, 2) })
-	case c.at == 'n' && c.stage == 2:
-		do(name("target sends"), func(n *world) { n.conns[i].stage = 3; n.run(&n.conns[i]) })
-	case c.at == 'n' && c.stage == 3:
-		do(name("target records the answer"), func(n *world) { n.conns[i].stage = 4; n.record(i, 4) })
-	case c.at == 'n' && c.stage == 4:
-		do(name("target answers"), func(n *world) {
-			n.conns[i].written = true
-			n.conns[i].answers++
-			n.conns[i].at = 'd'
+	case c.requestSent && c.location == notRead:
+		do(name("target reads request"), func(n *world) {
+			n.clients[i].location, n.clients[i].stage = atTarget, stageRead
+			n.record(i, stageRead)
+		})
+	case c.location == atTarget && c.stage == stageRead && d.sendBeforeRecord:
+		do(name("target sends request to engine"), func(n *world) { n.clients[i].stage = stageSent; n.execute(&n.clients[i]) })
+	case c.location == atTarget && c.stage == stageRead:
+		do(name("target records the send of request"), func(n *world) { n.clients[i].stage = stageSendRecorded; n.record(i, stageSendRecorded) })
+	case c.location == atTarget && c.stage == stageSendRecorded:
+		do(name("target sends request to engine"), func(n *world) { n.clients[i].stage = stageSent; n.execute(&n.clients[i]) })
+	case c.location == atTarget && c.stage == stageSent:
+		do(name("target records the response to request"), func(n *world) { n.clients[i].stage = stageResponseRecorded; n.record(i, stageResponseRecorded) })
+	case c.location == atTarget && c.stage == stageResponseRecorded:
+		do(name("target answers request"), func(n *world) {
+			n.clients[i].responseWritten = true
+			n.clients[i].responses++
+			n.clients[i].location = finished
 		})
 	}
 }
 
-// broken is the invariant that a state breaks, or "".
-func (w *world) broken() string {
-	for i, c := range w.conns {
+// violation returns the invariant that the state violates; "" if there is none.
+func (w *world) violation() string {
+	for i, c := range w.clients {
 		switch {
 		case c.sourceHas && c.targetHas && w.sourceAlive && w.targetAlive:
 			return fmt.Sprintf("connection %d has two owners", i)
-		case c.answers > 1:
-			return fmt.Sprintf("request %d has two answers", i)
-		case c.effect == NotIdempotent && c.runs > 1:
-			return fmt.Sprintf("request %d, which may run once, ran twice", i)
-		case c.lateRun:
-			return fmt.Sprintf("request %d ran again past its window", i)
+		case c.responses > 1:
+			return fmt.Sprintf("request %d has two responses", i)
+		case c.idempotency == NotIdempotent && c.executions > 1:
+			return fmt.Sprintf("request %d, which must not run twice, ran twice", i)
+		case c.executedAfterWindow:
+			return fmt.Sprintf("request %d ran again after the end of its key window", i)
 		}
 	}
-	if (w.sourceAlive || w.targetAlive) && !w.sourceOpen && !w.targetOpen {
-		return "the listener is closed"
+	if (w.sourceAlive || w.targetAlive) && !w.sourceHasListenerOpen && !w.targetHasListenerOpen {
+		return "the listener is closed while a process lives"
 	}
 	return ""
 }
 
-// stuck is what never comes to an end in a state from which only faults lead on.
-func (w *world) stuck() string {
+// stall returns what is left undone in a state in which only crashes are possible; "" if nothing is.
+func (w *world) stall() string {
 	if !w.sourceAlive && !w.targetAlive {
-		return "" // nobody is left to answer
+		return "" // no process is left
 	}
-	sourceAccepts := w.sourceAlive && w.sourceListens
-	targetAccepts := w.targetAlive && w.targetListens
+	sourceAccepts := w.sourceAlive && w.sourceAccepting
+	targetAccepts := w.targetAlive && w.targetAccepting
 	if !sourceAccepts && !targetAccepts {
-		return "nobody accepts"
+		return "no process accepts connections"
 	}
-	for i, c := range w.conns {
-		atSource := c.sourceHas && w.sourceAlive
-		atTarget := c.targetHas && w.targetAlive
-		lost := !atSource && !atTarget // its process died, and the kernel has closed it
-		if c.asked && c.answers == 0 && !c.broken && !lost {
+	for i, c := range w.clients {
+		heldBySource := c.sourceHas && w.sourceAlive
+		heldByTarget := c.targetHas && w.targetAlive
+		lost := !heldBySource && !heldByTarget // its process died, and the kernel closed the connection
+		if c.requestSent && c.responses == 0 && !c.connectionClosed && !lost {
 			return fmt.Sprintf("request %d is never answered", i)
 		}
 	}
 	return ""
 }
 
-// explore visits every state that can be reached, breadth first.
-func explore(f faults, most int) (states, depth int, fault string, trace []string) {
+// explore visits the reachable states breadth first, maxStates at most, until one violates an
+// invariant or stalls. It returns the number of states found, the depth of the last one visited, the
+// problem of the state that it stopped at ("" for none), and the steps that lead to that state.
+func explore(d defects, maxStates int) (states, depth int, problem string, trace []string) {
 	type node struct {
 		parent int
 		name   string
@@ -354,17 +397,17 @@
 		}
 		return names
 	}
-	for at := 0; at < len(queue) && at < most; at++ {
+	for at := 0; at < len(queue) && at < maxStates; at++ {
 		w := queue[at]
 		queue[at] = world{}
 		depth = max(depth, nodes[at].depth)
-		if why := w.broken(); why != "" {
-			return len(seen), depth, why, path(at)
+		if problem := w.violation(); problem != "" {
+			return len(seen), depth, problem, path(at)
 		}
-		next := w.steps(f)
+		next := w.steps(d)
 		if !slices.ContainsFunc(next, func(s step) bool { return s.name != "target crashes" && s.name != "source crashes" }) {
-			if why := w.stuck(); why != "" {
-				return len(seen), depth, why, path(at)
+			if problem := w.stall(); problem != "" {
+				return len(seen), depth, problem, path(at)
 			}
 		}
 		for _, s := range next {
@@ -378,31 +421,35 @@
 	return len(seen), depth, "", nil
 }
 
-// Over all interleavings of an upgrade with two requests and up to two crashes anywhere:
-// one owner, one final answer, nothing past its class's rules, a listener that is never
-// closed, and an end to everything.
+// Explores all interleavings of an upgrade with two requests and up to two crashes at any point. In
+// every state a connection has one owner, a request has at most one final response and runs again
+// only as its idempotency allows, and the listener stays open. Every sequence of steps ends with all
+// requests answered and a process that accepts connections.
 func TestModel(t *testing.T) {
-	states, depth, fault, trace := explore(faults{}, 3e6)
+	states, depth, problem, trace := explore(defects{}, 3e6)
 	t.Logf("%d states, depth %d", states, depth)
-	if fault != "" {
-		t.Fatalf("%s after %d states:\n%q", fault, states, trace)
+	if problem != "" {
+		t.Fatalf("%s after exploring %d states, by these steps:\n%q", problem, states, trace)
 	}
 	if states < 10000 {
-		t.Errorf("only %d states were reached", states)
+		t.Errorf("explored %d states, want at least 10000", states)
 	}
 }
 
-// Each guard is needed: without it the check finds a state that breaks a rule.
-func TestModelFindsSeededFaults(t *testing.T) {
-	for name, f := range map[string]faults{
-		"reclaimed early": {reclaimEarly: true}, "reclaimed unread": {unread: true},
-		"sent unrecorded": {noRecord: true}, "sent again blindly": {blindRetry: true},
+// Checks that every safeguard of the protocol is needed, and that TestModel would detect its loss:
+// without it the exploration finds a state that violates an invariant.
+func TestModelFindsSeededDefects(t *testing.T) {
+	for name, d := range map[string]defects{
+		"reclaimed before the target's death":    {reclaimBeforeDeath: true},
+		"reclaimed before all messages are read": {reclaimBeforeRead: true},
+		"sent before the record":                 {sendBeforeRecord: true},
+		"resent in doubt":                        {resendInDoubt: true},
 	} {
-		states, _, fault, trace := explore(f, 3e6)
-		if fault == "" {
-			t.Errorf("%s: nothing found in %d states", name, states)
+		states, _, problem, trace := explore(d, 3e6)
+		if problem == "" {
+			t.Errorf("%s: found no problem in %d states, want one", name, states)
 			continue
 		}
-		t.Logf("%s: %s after %d steps", name, fault, len(trace))
+		t.Logf("%s: %s after %d steps", name, problem, len(trace))
 	}
 }
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -13,9 +13,10 @@
 	"time"
 )
 
-// testdata/replay.txt has, a line each, the name of a replay and the digest of all that the
-// decisions of version c18a9bd said in it. What goes into a digest is written by fixed
-// words, so that names in this package can change.
+// Guards against changed decisions: it replays pseudorandom streams of events and compares digests of
+// all effects and states. Each line of testdata/replay.txt has the name of a replay and its digest,
+// as version c18a9bd decided. What goes into a digest is written with fixed strings and numbers, so
+// that the digests don't depend on the names in this package.
 func TestReplay(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.txt")
 	if err != nil {
@@ -24,15 +25,16 @@
 	want := strings.Fields(string(text))
 	got := strings.Fields(replayAll())
 	if len(got) != len(want) {
-		t.Fatalf("%d words, want %d", len(got), len(want))
+		t.Fatalf("got %d words of names and digests, want %d", len(got), len(want))
 	}
 	for i := 0; i < len(want); i += 2 {
 		if got[i] != want[i] || got[i+1] != want[i+1] {
-			t.Errorf("%s %s, want %s %s", got[i], got[i+1], want[i], want[i+1])
+			t.Errorf("got replay %s with digest %s, want %s with %s", got[i], got[i+1], want[i], want[i+1])
 		}
 	}
 }
 
+// replayAll runs all replays and returns their names and digests in the form of the file.
 func replayAll() string {
 	var b strings.Builder
 	for seed := range uint64(20) {
@@ -43,7 +45,7 @@
 	return b.String()
 }
 
-// digest is what a replay said, as words and numbers.
+// digest is a hash of the output of a replay, which is added as words and numbers.
 type digest struct{ hash.Hash }
 
 func newDigest() digest { return digest{sha256.New()} }
@@ -52,17 +54,17 @@
 	for _, w := range words {
 		_, _ = fmt.Fprint(d, w, " ")
 	}
-	_, _ = fmt.Fprintln(d) // a hash takes all
+	_, _ = fmt.Fprintln(d) // writing to a hash never fails
 }
 
 func (d digest) text() string { return hex.EncodeToString(d.Sum(nil)) }
 
-func (d digest) request(r Request) {
+func (d digest) addRequest(r Request) {
 	d.add("request", r.InFlight, int(r.Idempotency), r.Sent, int64(r.FirstSend), int64(r.KeyWindow), int64(r.Deadline), r.ResponseLength, r.ResponseRecorded)
 }
 
-// replaySource feeds the machine of the process that serves with streams of inputs, most of
-// which could come in its phase and some of which could not.
+// replaySource feeds source machines with pseudorandom streams of events, among them some that can't
+// occur in the current phase, and returns the digest.
 func replaySource(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 1))
 	d := newDigest()
@@ -70,8 +72,8 @@
 		cfg := DefaultConfig()
 		if r.IntN(3) == 0 {
 			cfg = Config{
-				GreetTimeout: duration(r, 2000), WarmTimeout: duration(r, 2000), MinProbation: duration(r, 3000), MaxProbation: duration(r, 9000),
-				HeartbeatTimeout: duration(r, 2000), MinSuccesses: r.IntN(40), MaxFailureRate: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
+				GreetTimeout: randomDuration(r, 2000), WarmTimeout: randomDuration(r, 2000), MinProbation: randomDuration(r, 3000), MaxProbation: randomDuration(r, 9000),
+				HeartbeatTimeout: randomDuration(r, 2000), MinSuccesses: r.IntN(40), MaxFailureRate: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
 			}
 		}
 		replaySourceOnce(d, r, NewSource(cfg, Version{1, r.IntN(3)}))
@@ -79,34 +81,36 @@
 	return d.text()
 }
 
-func duration(r *rand.Rand, ms int) time.Duration {
+// randomDuration returns a random duration below ms milliseconds.
+func randomDuration(r *rand.Rand, ms int) time.Duration {
 	return time.Duration(r.IntN(ms)) * time.Millisecond
 }
 
+// replaySourceOnce adds the effects and states of one machine over a stream of events to d.
 func replaySourceOnce(d digest, r *rand.Rand, source *Source) {
-	now, next := time.Duration(0), ConnID(0)
+	now, lastID := time.Duration(0), ConnID(0)
 	for range 20 + r.IntN(120) {
 		if r.IntN(3) == 0 {
-			now += duration(r, 900+r.IntN(8)/7*4000)
+			now += randomDuration(r, 900+r.IntN(8)/7*4000)
 		}
 		var event SourceEvent
 		if r.IntN(10) < 2 {
-			event = nextForSource(r, source.Phase())
+			event = likelyEvent(r, source.Phase())
 		} else {
-			event = anyForSource(r, ConnID(r.IntN(int(next)+2)), next+1)
-			if a, ok := event.(ConnectionAccepted); ok {
-				next = a.Conn
+			event = anySourceEvent(r, ConnID(r.IntN(int(lastID)+2)), lastID+1)
+			if accepted, ok := event.(ConnectionAccepted); ok {
+				lastID = accepted.Conn
 			}
 		}
 		for _, e := range source.Step(now, event) {
-			digestSourceEffect(d, e)
+			d.addSourceEffect(e)
 		}
 		d.add("phase", int(source.Phase()), source.Phase().String(), source.Failure().String())
 	}
 }
 
-// nextForSource is an input that leads on from a phase, or away from it.
-func nextForSource(r *rand.Rand, p Phase) SourceEvent {
+// likelyEvent returns an event that typically ends the phase, by its success or failure.
+func likelyEvent(r *rand.Rand, p Phase) SourceEvent {
 	switch p {
 	case Idle:
 		return UpgradeRequested{UsualFailureRate: float64(r.IntN(6)-1) / 10}
@@ -118,7 +122,7 @@
 	case WarmingUp:
 		return TargetReady{}
 	case Probation:
-		if r.IntN(2) == 0 { // one that gives no good answer
+		if r.IntN(2) == 0 { // from a target without a successful response
 			return TargetHeartbeat{Failures: r.IntN(8) / 7, InFlight: r.IntN(2)}
 		}
 		return TargetHeartbeat{Successes: r.IntN(30), Failures: r.IntN(3), InFlight: r.IntN(2)}
@@ -128,8 +132,9 @@
 	return Tick{}
 }
 
-// anyForSource is any input, for a connection that may be there.
-func anyForSource(r *rand.Rand, id, next ConnID) SourceEvent {
+// anySourceEvent returns any event. Those of a connection are for id, which may not exist, and a new
+// connection has the ID next.
+func anySourceEvent(r *rand.Rand, id, next ConnID) SourceEvent {
 	switch n := r.IntN(40); {
 	case n < 5:
 		return ConnectionAccepted{next}
@@ -169,12 +174,13 @@
 
 func anyRequest(r *rand.Rand) Request {
 	return Request{
-		InFlight: r.IntN(3) > 0, Idempotency: Idempotency(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSend: duration(r, 3000), KeyWindow: duration(r, 9000),
-		Deadline: duration(r, 9000), ResponseLength: r.IntN(3), ResponseRecorded: r.IntN(2) > 0,
+		InFlight: r.IntN(3) > 0, Idempotency: Idempotency(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSend: randomDuration(r, 3000), KeyWindow: randomDuration(r, 9000),
+		Deadline: randomDuration(r, 9000), ResponseLength: r.IntN(3), ResponseRecorded: r.IntN(2) > 0,
 	}
 }
 
-func digestSourceEffect(d digest, e SourceEffect) {
+// addSourceEffect adds an effect of the source. The stored digests depend on its fixed strings.
+func (d digest) addSourceEffect(e SourceEffect) {
 	switch e := e.(type) {
 	case StartTarget:
 		d.add("start the target")
@@ -196,7 +202,7 @@
 		d.add("kill")
 	case ReclaimConnection:
 		d.add("take back", uint32(e.Conn))
-		d.request(e.Request)
+		d.addRequest(e.Request)
 	case ReportOutcome:
 		d.add("report", e.Failure.String())
 	case BeginShutdown:
@@ -208,22 +214,23 @@
 	}
 }
 
-// replayTarget does the same with the machine of the process that takes over.
+// replayTarget feeds target machines with the usual sequence of events, mixed with pseudorandom ones,
+// and returns the digest.
 func replayTarget(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 2))
 	d := newDigest()
 	for range 400 {
 		target := NewTarget(Version{1, r.IntN(3)})
-		order := []TargetEvent{TargetStarted{}, StateReceived{}, StateApplied{}, ServeRequested{}, ConnectionReceived{1}, OwnershipCommitted{}, SourceExited{}}
+		usual := []TargetEvent{TargetStarted{}, StateReceived{}, StateApplied{}, ServeRequested{}, ConnectionReceived{1}, OwnershipCommitted{}, SourceExited{}}
 		for range 25 {
 			var event TargetEvent
-			if r.IntN(2) == 0 && len(order) > 0 {
-				event, order = order[0], order[1:]
+			if r.IntN(2) == 0 && len(usual) > 0 {
+				event, usual = usual[0], usual[1:]
 			} else {
-				event = anyForTarget(r)
+				event = anyTargetEvent(r)
 			}
 			for _, e := range target.Step(event) {
-				digestTargetEffect(d, e)
+				d.addTargetEffect(e)
 			}
 			d.add("state", target.Owner(), target.Serving())
 		}
@@ -231,7 +238,7 @@
 	return d.text()
 }
 
-func anyForTarget(r *rand.Rand) TargetEvent {
+func anyTargetEvent(r *rand.Rand) TargetEvent {
 	switch r.IntN(30) {
 	case 0:
 		return TargetStarted{}
@@ -251,7 +258,8 @@
 	return ConnectionReceived{ConnID(r.IntN(100))}
 }
 
-func digestTargetEffect(d digest, e TargetEffect) {
+// addTargetEffect adds an effect of the target. The stored digests depend on its fixed strings.
+func (d digest) addTargetEffect(e TargetEffect) {
 	switch e := e.(type) {
 	case SendHello:
 		d.add("send hello", e.Version.Major, e.Version.Minor, e.Problem)
@@ -272,20 +280,21 @@
 	}
 }
 
-// replayRecover asks what becomes of requests of all kinds, at the edges of their times.
+// replayRecover recovers pseudorandom requests, many at the boundary of their deadline or key window,
+// compares versions, and returns the digest.
 func replayRecover() string {
 	r := rand.New(rand.NewPCG(7, 3))
 	d := newDigest()
 	for range 20000 {
-		q := anyRequest(r)
-		now := duration(r, 9000)
+		request := anyRequest(r)
+		now := randomDuration(r, 9000)
 		switch r.IntN(4) {
 		case 0:
-			now = q.Deadline + time.Duration(r.IntN(3)-1)
+			now = request.Deadline + time.Duration(r.IntN(3)-1)
 		case 1:
-			now = q.FirstSend + q.KeyWindow - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
+			now = request.FirstSend + request.KeyWindow - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
 		}
-		d.add(int(Recover(q, r.IntN(3), now)))
+		d.add(int(Recover(request, r.IntN(3), now)))
 	}
 	for major := range 3 {
 		for minor := range 5 {
