--- a/internal/decide/lease/fleet_test.go
+++ b/internal/decide/lease/fleet_test.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// fleet plays members in true time: clocks that drift, a network that loses, delays and duplicates, members that are
-// paused, crash and restart, and views that are anything. After each step the quotas of an engine must not exceed its
-// capacity.
+// fleet simulates the members of an installation: their clocks drift, the network loses, delays and duplicates
+// messages, members are paused, crash and restart, and their views of who is live are random. At no time may the sum of
+// the quotas of an engine exceed its capacity.
 type fleet struct {
-	config    Config
-	now       time.Duration // true time
-	members   []*fleetMember
-	inTransit []datagram
-	lossRate  float64
-	maxDelay  time.Duration
-	random    *rand.Rand
-	settles   bool // a process that starts waits for a term; false: the defect that it does not
+	config      Config
+	now         time.Duration // real time, which no member's clock shows exactly
+	members     []*fleetMember
+	inTransit   []datagram
+	lossRate    float64 // fraction of messages lost, 0 to 1
+	maxDelay    time.Duration
+	random      *rand.Rand
+	startupWait bool // a new process waits for a term; false: a seeded defect, it does not wait
 }
 
 type fleetMember struct {
 	node        *Node
-	clockRate   float64
+	clockRate   float64 // of the real time
 	isAlive     bool
 	pausedUntil time.Duration
 	demands     map[EngineID]int
 }
 
+// datagram is a message in transit. from and to are indexes of members.
 type datagram struct {
 	arrivesAt time.Duration
 	from, to  int
@@ -41,7 +42,7 @@
 	for i := range size {
 		ids = append(ids, MemberID(i+1))
 	}
-	f := &fleet{config: DefaultConfig(ids), now: time.Hour, random: rand.New(rand.NewPCG(seed, 1)), settles: true, maxDelay: 20 * time.Millisecond}
+	f := &fleet{config: DefaultConfig(ids), now: time.Hour, random: rand.New(rand.NewPCG(seed, 1)), startupWait: true, maxDelay: 20 * time.Millisecond}
 	for range size {
 		f.members = append(f.members, &fleetMember{clockRate: 1 + drift*(2*f.random.Float64()-1), demands: map[EngineID]int{}})
 	}
@@ -51,17 +52,18 @@
 	return f
 }
 
-// clock is a member's own time.
+// clock returns the time by a member's own clock.
 func (f *fleet) clock(i int) time.Duration {
 	return time.Duration(float64(f.now)*f.members[i].clockRate) + time.Duration(i)*time.Minute
 }
 
+// start starts a member, or restarts it as a new process, with the demands that it had.
 func (f *fleet) start(i int) {
 	m := f.members[i]
 	m.node = New(f.config, MemberID(i+1), f.clock(i), f.random)
 	m.isAlive = true
 	m.pausedUntil = 0
-	if !f.settles {
+	if !f.startupWait {
 		m.node.startedAt -= f.config.Term
 	}
 	for engine, quota := range m.demands {
@@ -69,7 +71,7 @@
 	}
 }
 
-// handle gives a member an event and sends its messages, some of them twice.
+// handle has a member handle an event and sends its messages, some of them twice.
 func (f *fleet) handle(i int, e Event) {
 	for _, s := range f.members[i].node.Handle(f.clock(i), e) {
 		for range 1 + f.random.IntN(20)/19 {
@@ -82,6 +84,7 @@
 	}
 }
 
+// demand sets the demand of a member for an engine.
 func (f *fleet) demand(i int, engine EngineID, quota int) {
 	f.members[i].demands[engine] = quota
 	f.handle(i, Demand{engine, quota})
@@ -91,7 +94,7 @@
 	return f.members[i].isAlive && f.now >= f.members[i].pausedUntil
 }
 
-// run plays a span and returns the highest sum of all quotas of an engine.
+// run simulates a span of time and returns the highest sum of the quotas of an engine at any step.
 func (f *fleet) run(span time.Duration) (highest int) {
 	for end := f.now + span; f.now < end; f.now += 50 * time.Millisecond {
 		f.deliver()
@@ -101,13 +104,14 @@
 			}
 		}
 		for engine := range EngineID(engineCount) {
-			highest = max(highest, f.usable(engine))
+			highest = max(highest, f.totalQuota(engine))
 		}
 	}
 	return highest
 }
 
-// deliver hands over the datagrams that are due; those of paused members wait.
+// deliver delivers the datagrams that are due. Those to paused members stay in transit, and those to crashed members
+// are lost.
 func (f *fleet) deliver() {
 	due := f.inTransit
 	f.inTransit = nil
@@ -122,9 +126,9 @@
 	}
 }
 
-// usable is the sum of what all members may use now. Paused ones count, as they may go on at any moment, and so does
-// the base quota of crashed ones, as they may restart.
-func (f *fleet) usable(engine EngineID) (sum int) {
+// totalQuota returns the sum of the quotas of an engine that all members may use now. Those of paused members count, as
+// they may continue at any moment, and so do the base quotas of crashed members, as they may restart.
+func (f *fleet) totalQuota(engine EngineID) (sum int) {
 	for i, m := range f.members {
 		if m.isAlive {
 			sum += m.node.Quota(engine, f.clock(i))
@@ -135,7 +139,8 @@
 	return sum
 }
 
-// injectFault draws a fault or another event, and returns its name.
+// injectFault applies a random fault or another random event and returns its description, which is part of the stored
+// digests.
 func (f *fleet) injectFault() string {
 	i := f.random.IntN(len(f.members))
 	m := f.members[i]
@@ -173,17 +178,18 @@
 	return fmt.Sprint(i, " sees ", live)
 }
 
-// findOvercommit plays so many faults and describes the first after which quotas exceeded an engine's capacity.
+// findOvercommit simulates a number of faults and describes the first one after which the quotas exceeded an engine's
+// capacity; "" if they never did.
 func (f *fleet) findOvercommit(faults int) string {
 	for i := range f.members {
 		f.demand(i, 0, FullCapacity)
 		f.demand(i, 1, 300)
 	}
-	var path []string
+	var trace []string
 	for range faults {
-		path = append(path, f.injectFault())
+		trace = append(trace, f.injectFault())
 		if highest := f.run(time.Duration(1+f.random.IntN(2000)) * time.Millisecond); highest > FullCapacity {
-			return fmt.Sprintf("%d of %d after %v", highest, FullCapacity, path[max(0, len(path)-12):])
+			return fmt.Sprintf("quotas add up to %d, want at most %d, after %v", highest, FullCapacity, trace[max(0, len(trace)-12):])
 		}
 	}
 	return ""
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -8,29 +8,29 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens, the quotas of an engine never exceed its capacity.
+// Checks that the sum of the quotas of an engine never exceeds its capacity, under random faults.
 func TestQuotasNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 8).Draw(t, "members"), rapid.Uint64().Draw(t, "seed"), DefaultConfig(nil).MaxClockDrift)
-		if found := f.findOvercommit(60); found != "" {
-			t.Fatal(found)
+		if problem := f.findOvercommit(60); problem != "" {
+			t.Fatal(problem)
 		}
 	})
 }
 
-// The property finds defects that are put in on purpose.
-func TestPropertyFindsDefects(t *testing.T) {
+// Checks that the simulation of TestQuotasNeverExceedCapacity detects seeded defects.
+func TestSimulationFindsSeededDefects(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		make func(seed uint64) *fleet
+		name     string
+		newFleet func(seed uint64) *fleet
 	}{
-		{"a start without a wait", func(seed uint64) *fleet {
+		{"no wait after the start", func(seed uint64) *fleet {
 			f := newFleet(3, seed, 0)
-			f.settles = false
+			f.startupWait = false
 			return f
 		}},
-		{"clocks that drift more than is allowed for", func(seed uint64) *fleet { return newFleet(4, seed, 0.4) }},
-		{"one voter suffices, and two members see another one", func(seed uint64) *fleet {
+		{"clock drift above MaxClockDrift", func(seed uint64) *fleet { return newFleet(4, seed, 0.4) }},
+		{"one voter, and members that disagree on it", func(seed uint64) *fleet {
 			f := newFleet(4, seed, 0)
 			for i := range f.members {
 				f.config.VoterCount = 1
@@ -44,27 +44,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(300) {
-				if found := c.make(seed).findOvercommit(60); found != "" {
-					t.Logf("seed %d: %s", seed, found)
+				if problem := c.newFleet(seed).findOvercommit(60); problem != "" {
+					t.Logf("seed %d: %s", seed, problem)
 					return
 				}
 			}
-			t.Error("nothing found")
+			t.Error("no overcommitment found with 300 seeds, want one")
 		})
 	}
 }
 
-// Without faults most of the capacity is leased soon, and again after the leader has crashed; what is released is
-// leased to others at once.
+// Checks that without faults the leasable capacity is leased within two terms, that released capacity is leased to
+// others within half a term, and that leases continue after the leader has crashed.
 func TestCapacityIsLeased(t *testing.T) {
 	f := newFleet(5, 1, 0.005)
 	leader := int(slices.MinFunc(f.config.Members, rankFor(0))) - 1
 	first, second := (leader+1)%5, (leader+2)%5
 	base := f.members[first].node.BaseQuota()
-	checkQuota := func(when string, i, want int) {
+	checkQuota := func(situation string, i, want int) {
 		t.Helper()
 		if got := f.members[i].node.Quota(0, f.clock(i)); got != want {
-			t.Errorf("%s: quota of member %d = %d, want %d", when, i, got, want)
+			t.Errorf("%s: quota of member %d = %d, want %d", situation, i, got, want)
 		}
 	}
 	f.demand(first, 0, FullCapacity)
@@ -88,13 +88,13 @@
 	checkQuota("after the leader's crash", second, 500+base)
 }
 
-// A message is decoded as it was encoded, and no other bytes are one.
+// Checks that bytes which decode as a message are exactly the encoding of that message.
 func FuzzDecode(f *testing.F) {
 	f.Add(message{kind: kindLease, membersDigest: 1, engine: 2, process: 3, requestID: 4, quota: 5, span: 6 * time.Millisecond}.encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decode(b)
 		if err == nil && !slices.Equal(m.encode(), b) {
-			t.Errorf("%x is encoded as %x", b, m.encode())
+			t.Errorf("message decoded from %x is encoded as %x, want the same bytes", b, m.encode())
 		}
 	})
 }
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// model plays one engine of which the members demand more than is leased, step by step, with each fault for each member
-// in each step: all schedules of so many steps. Clocks drift as far as is allowed for, every second one fast and the
-// others slow.
+// model simulates members that demand more of one engine than can be leased. The tests explore all schedules of a
+// number of steps, with every fault of every member in each step. Clocks drift as far as MaxClockDrift allows, every
+// second one fast and the others slow.
 type model struct {
 	config      Config
 	now         time.Duration
@@ -20,19 +20,20 @@
 	isAlive     []bool
 	pausedUntil []time.Duration
 	inTransit   []datagram
-	processes   uint32
-	highest     int         // sum of all quotas so far
-	defect      func(*Node) // put into each process that starts; nil: none
+	processes   uint32      // count of processes started
+	highest     int         // highest sum of the quotas so far
+	defect      func(*Node) // seeds a defect in each process that starts; nil: none
 }
 
-// processNumbers gives each process its number, the same in each play.
+// processNumbers is a RandomSource that gives the processes successive numbers, so that runs can be repeated.
 type processNumbers uint32
 
 func (p *processNumbers) Uint32() uint32 { *p++; return uint32(*p) }
 
+// modelDemand is the demand of each member.
 const modelDemand = FullCapacity / 3
 
-// modelStep is a quarter of a term, so that several faults fall within the time of a lease.
+// modelStep is the duration of a step: a quarter of a term, so that several faults can occur during one lease.
 const modelStep = time.Second
 
 func newModel(size int, defect func(*Node)) *model {
@@ -88,27 +89,28 @@
 	return &c
 }
 
-// fault is what happens in one step. Members count from 1; 0 is none.
+// fault is what happens in one step, to a member by its number from 1; 0: to none.
 type fault struct {
 	name                    string
 	pause, restart, crash   int
-	receivesNone, sendsNone int
-	seesItselfAlone         int
-	sendsLate               int // by a step
-	allSeeAll               bool
+	receivesNone, sendsNone int  // the member's messages are lost during the step
+	seesItselfAlone         int  // the member considers all others dead
+	sendsLate               int  // the member's messages are delayed by a step
+	allSeeAll               bool // all members learn who is live
 }
 
+// faults returns all faults for a number of members, and no fault first.
 func faults(size int) []fault {
-	all := []fault{{name: "nothing"}, {name: "all see all", allSeeAll: true}}
+	all := []fault{{name: "no fault"}, {name: "all learn who is live", allSeeAll: true}}
 	for i := 1; i <= size; i++ {
 		all = append(all,
 			fault{name: fmt.Sprint("pause ", i), pause: i},
 			fault{name: fmt.Sprint("restart ", i), restart: i},
 			fault{name: fmt.Sprint("crash ", i), crash: i},
-			fault{name: fmt.Sprint("to ", i), receivesNone: i},
-			fault{name: fmt.Sprint("from ", i), sendsNone: i},
-			fault{name: fmt.Sprint(i, " alone"), seesItselfAlone: i},
-			fault{name: fmt.Sprint("late ", i), sendsLate: i})
+			fault{name: fmt.Sprint("lose messages to ", i), receivesNone: i},
+			fault{name: fmt.Sprint("lose messages from ", i), sendsNone: i},
+			fault{name: fmt.Sprint(i, " considers itself alone"), seesItselfAlone: i},
+			fault{name: fmt.Sprint("delay messages from ", i), sendsLate: i})
 	}
 	return all
 }
@@ -125,25 +127,26 @@
 	}
 }
 
+// run simulates a span of time with one fault.
 func (m *model) run(span time.Duration, f fault) {
 	m.begin(span, f)
 	for end := m.now + span; m.now < end; m.now += 100 * time.Millisecond {
 		m.deliver(f)
-		usable := 0
+		totalQuota := 0
 		for i, n := range m.nodes {
 			if m.isAlive[i] && m.now >= m.pausedUntil[i] {
 				m.handle(i, Tick{}, f)
 			}
-			usable += n.BaseQuota()
+			totalQuota += n.BaseQuota()
 			if m.isAlive[i] {
-				usable += n.Quota(1, m.clock(i)) - n.BaseQuota()
+				totalQuota += n.Quota(1, m.clock(i)) - n.BaseQuota()
 			}
 		}
-		m.highest = max(m.highest, usable)
+		m.highest = max(m.highest, totalQuota)
 	}
 }
 
-// begin does what a fault does at its beginning.
+// begin applies the part of a fault that happens at its beginning.
 func (m *model) begin(span time.Duration, f fault) {
 	switch {
 	case f.pause > 0:
@@ -172,7 +175,7 @@
 	}
 }
 
-// showLiveMembers tells all members who is alive.
+// showLiveMembers tells all running members who is alive.
 func (m *model) showLiveMembers() {
 	var live []MemberID
 	for i, isAlive := range m.isAlive {
@@ -187,10 +190,10 @@
 	}
 }
 
-// stateHash is the hash of all that the members hold.
+// stateHash returns a hash of the state of all members and of the messages in transit.
 func (m *model) stateHash() uint64 {
 	h := fnv.New64a()
-	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // a hash never fails
+	write := func(values ...any) { _, _ = fmt.Fprintln(h, values...) } // writing to a hash never fails
 	write(m.isAlive, m.pausedUntil, m.inTransit)
 	for i, n := range m.nodes {
 		write(n.process, n.liveMembers, n.startedAt-m.clock(i))
@@ -201,11 +204,11 @@
 	return h.Sum64()
 }
 
-// explorer visits all schedules of a model, and remembers the states that it has seen.
+// explorer explores the schedules of a model, and skips states that it has seen before.
 type explorer struct {
 	seen      map[uint64]bool
 	schedules int
-	found     string // the first schedule that breaks something
+	problem   string // of the first schedule that violates an invariant; "" if none does
 }
 
 func explore(size, steps int, defect func(*Node)) *explorer {
@@ -216,9 +219,9 @@
 
 func (e *explorer) walk(m *model, path string, steps int) {
 	if m.highest > FullCapacity {
-		e.found = fmt.Sprintf("%s: %d of %d", path, m.highest, FullCapacity)
+		e.problem = fmt.Sprintf("%s: quotas add up to %d, want at most %d", path, m.highest, FullCapacity)
 	}
-	if e.found != "" {
+	if e.problem != "" {
 		return
 	}
 	if steps == 0 {
@@ -233,26 +236,26 @@
 			e.seen[key] = true
 			e.walk(next, path+", "+f.name, steps-1)
 		}
-		if e.found != "" {
+		if e.problem != "" {
 			return
 		}
 	}
 }
 
-// finish plays on without faults.
+// finish simulates the time after the last step without faults and checks the result.
 func (e *explorer) finish(m *model, path string) {
 	e.schedules++
 	isLeased := m.settle()
 	switch {
 	case m.highest > FullCapacity:
-		e.found = fmt.Sprintf("%s, in the end: %d of %d", path, m.highest, FullCapacity)
+		e.problem = fmt.Sprintf("%s, then no faults: quotas add up to %d, want at most %d", path, m.highest, FullCapacity)
 	case !isLeased:
-		e.found = path + ": not all is leased in the end"
+		e.problem = path + ", then no faults: not all demanded capacity is leased"
 	}
 }
 
-// settle plays on without faults, and tells whether in the end all that is demanded is leased where a majority of the
-// voters is alive.
+// settle simulates 20 s without faults. It reports whether in the end all capacity is leased that is demanded and can
+// be leased, or the majority of the voters needed for that is not alive.
 func (m *model) settle() bool {
 	m.showLiveMembers()
 	m.run(10*time.Second, fault{})
@@ -268,6 +271,8 @@
 	return 2*live <= len(m.nodes) || leased == min(FullCapacity-m.config.UnleasedCapacity, live*modelDemand)
 }
 
+// Explores all schedules of a few steps: the sum of the quotas never exceeds the engine's capacity, and once the faults
+// are over the demanded capacity is leased. With LEASE_STEPS=4 it explores 4 steps of 3 members and 3 steps of 4.
 func TestModel(t *testing.T) {
 	steps := map[int]int{3: 2, 4: 2}
 	if os.Getenv("LEASE_STEPS") == "4" {
@@ -275,19 +280,20 @@
 	}
 	for _, size := range []int{3, 4} {
 		e := explore(size, steps[size], nil)
-		if e.found != "" {
-			t.Error(e.found)
+		if e.problem != "" {
+			t.Error(e.problem)
 		}
 		t.Logf("%d members, %d steps: %d schedules, %d states", size, steps[size], e.schedules, len(e.seen))
 	}
 }
 
-// The check finds a defect that is put in on purpose: a holder counts its lease from when it arrived, half a term after
-// the request was sent, and so for longer than the leader.
-func TestModelFindsDefect(t *testing.T) {
+// Checks that the exploration detects a seeded defect: with MaxClockDrift -0.2 members rely on votes and leases for 1.5
+// times their span. The same happens if a response takes half a term and the member counts from its arrival instead of
+// from when it sent the request.
+func TestModelFindsSeededDefect(t *testing.T) {
 	e := explore(3, 3, func(n *Node) { n.config.MaxClockDrift = -0.2 })
-	if e.found == "" {
-		t.Error("nothing found")
+	if e.problem == "" {
+		t.Error("no problem found, want one")
 	}
-	t.Log(e.found)
+	t.Log(e.problem)
 }
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -3,12 +3,12 @@
 // live differ, if messages are lost, delayed or duplicated, and if a member is paused for any time. The package does no
 // I/O and reads no clock.
 //
-// Part of the capacity is never leased: each member may always use an equal share of it. The rest is leased by a leader,
-// on request and for a limited time. Each engine has a few voters, which follow from the settings and not from who is
-// live, so that all members agree on them. A majority of the voters must vote for a member before it grants leases, and a voter
-// votes for one member at a time. A lease expires before its leader's term ends, and the term ends before a voter can
-// vote for another member: leader and holder each count the time from before they sent the request, and allow for clock
-// drift. docs/design/lend.md has the proof; the leases are those of Gray and Cheriton (1989).
+// Part of the capacity is never leased: each member may always use an equal share of it. The rest is leased by a
+// leader, on request and for a limited time. Each engine has a few voters, which follow from the settings and not from
+// who is live, so that all members agree on them. A majority of the voters must vote for a member before it grants
+// leases, and a voter votes for one member at a time. A lease expires before its leader's term ends, and the term ends
+// before a voter can vote for another member: leader and holder each count the time from before they sent the request,
+// and allow for clock drift. docs/design/lend.md has the proof; the leases are those of Gray and Cheriton (1989).
 package lease
 
 import (
@@ -146,8 +146,8 @@
 }
 
 // tickEngine renews the votes and the lease of an engine if that is due, or deletes the engine's state once nothing
-// depends on it. A member campaigns if it is the preferred leader and the engine's capacity is in demand, by itself or by
-// a member that requested a lease within the last term.
+// depends on it. A member campaigns if it is the preferred leader and the engine's capacity is in demand, by itself or
+// by a member that requested a lease within the last term.
 func (n *Node) tickEngine(id EngineID, engine *engineState) {
 	engine.leader.dropExpired(n.now)
 	preferred, hasPreferred := n.preferredLeader(id)
--- a/internal/decide/takeover/replay_test.go
+++ b/internal/decide/takeover/replay_test.go
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// testdata/replay.txt has, a line each, a seed and the digest of all that the decisions of
-// version c18a9bd said over processes made from it. What goes into a digest is written by
-// fixed words, so that names in this package can change.
+// Guards against changed decisions: it compares digests of the decisions about pseudorandom processes.
+// Each line of testdata/replay.txt has a seed and the digest of what version c18a9bd decided with it.
+// What goes into a digest is written with fixed strings and numbers, so that the digests don't depend
+// on the names in this package.
 func TestReplay(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.txt")
 	if err != nil {
@@ -21,15 +22,16 @@
 	}
 	want, got := strings.Split(string(text), "\n"), strings.Split(replayAll(), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d lines, want %d", len(got), len(want))
+		t.Fatalf("got %d lines of digests, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if got[i] != want[i] {
-			t.Errorf("line %d: %q, want %q", i, got[i], want[i])
+			t.Errorf("line %d of the digests: got %q, want %q", i, got[i], want[i])
 		}
 	}
 }
 
+// replayAll returns the seeds and digests in the form of the file.
 func replayAll() string {
 	var b strings.Builder
 	for seed := range uint64(10) {
@@ -38,6 +40,7 @@
 	return b.String()
 }
 
+// replay returns the digest of the decisions for one seed.
 func replay(seed uint64) []byte {
 	r := rand.New(rand.NewPCG(seed, 1))
 	d := sha256.New()
@@ -50,14 +53,15 @@
 		}
 		action, from := NextAction(self, others, now)
 		_, _ = fmt.Fprintf(d, "%d %q %t %t %g\n", int(action), from, Replaced(self, others), StateWanted(self, others), LimitShare(others))
-		for _, o := range others {
-			_, _ = fmt.Fprintf(d, "%t %t\n", self.StartedAfter(o), o.StartedAfter(self))
+		for _, other := range others {
+			_, _ = fmt.Fprintf(d, "%t %t\n", self.StartedAfter(other), other.StartedAfter(self))
 		}
 	}
 	return d.Sum(nil)
 }
 
-// anyProcess began some time ago, often at the edge of the time that one waits.
+// anyProcess returns a process that started up to 1.5 s before now, often maxWait ago or 1 ns more or
+// less.
 func anyProcess(r *rand.Rand, i int, now time.Duration) Process {
 	p := Process{
 		ID: strconv.Itoa(i), StartedAt: now - time.Duration(r.IntN(4)*500)*time.Millisecond - time.Duration(r.IntN(3)-1),
--- a/internal/decide/takeover/takeover_test.go
+++ b/internal/decide/takeover/takeover_test.go
@@ -9,10 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// Processes start, become ready, are told to end and die in any order, and look at each other at
-// any time: a new one waits no longer than it should, takes only from one that serves, has heard of
-// it and was there before, and of two never does each think the other one took its place.
-func TestTakeover(t *testing.T) {
+// Checks processes that start, become ready, are told to shut down, exit and look at each other in any
+// order. A new one waits no longer than maxWait, and takes over only from a ready process that started
+// earlier and knows it. All serving processes except the latest one consider themselves replaced, so
+// that two never consider each other as their replacement.
+func TestProcessesReplaceEachOtherInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var now time.Duration
 		alive := map[string]*Process{}
@@ -27,49 +28,49 @@
 		}
 		pick := func(t *rapid.T) *Process {
 			if len(alive) == 0 {
-				t.Skip("nobody lives")
+				t.Skip("no process is alive")
 			}
 			var ids []string
 			for id := range alive {
 				ids = append(ids, id)
 			}
 			slices.Sort(ids)
-			return alive[rapid.SampledFrom(ids).Draw(t, "who")]
+			return alive[rapid.SampledFrom(ids).Draw(t, "process")]
 		}
-		n := 0
+		started := 0
 		t.Repeat(map[string]func(*rapid.T){
-			"start": func(*rapid.T) {
-				n++
-				alive[strconv.Itoa(n)] = &Process{ID: strconv.Itoa(n), StartedAt: now}
+			"process starts": func(*rapid.T) {
+				started++
+				alive[strconv.Itoa(started)] = &Process{ID: strconv.Itoa(started), StartedAt: now}
 			},
-			"time": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
-			"look": func(t *rapid.T) {
+			"time passes": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
+			"process looks at the others": func(t *rapid.T) {
 				p := pick(t)
 				if p.Ready {
 					p.KnownProcesses = p.KnownProcesses[:0]
-					for _, o := range others(p.ID) {
-						p.KnownProcesses = append(p.KnownProcesses, o.ID)
+					for _, other := range others(p.ID) {
+						p.KnownProcesses = append(p.KnownProcesses, other.ID)
 					}
 					p.StateWritten = StateWanted(*p, others(p.ID))
 					return
 				}
 				action, from := NextAction(*p, others(p.ID), now)
-				switch f := alive[from]; action {
+				switch predecessor := alive[from]; action {
 				case Wait:
 					if now-p.StartedAt >= maxWait {
-						t.Fatalf("%v waits since %v", p, now-p.StartedAt)
+						t.Fatalf("process %v still waits after %v, want less than %v", p, now-p.StartedAt, maxWait)
 					}
 				case TakeOver:
-					if !f.Ready || !slices.Contains(f.KnownProcesses, p.ID) || f.StartedAfter(*p) {
-						t.Fatalf("%v takes over from %v", p, f)
+					if !predecessor.Ready || !slices.Contains(predecessor.KnownProcesses, p.ID) || predecessor.StartedAfter(*p) {
+						t.Fatalf("process %v takes over from %v, want a ready one that started earlier and knows it", p, predecessor)
 					}
 					fallthrough
 				case StartAlone:
 					p.Ready = true
 				}
 			},
-			"end":  func(t *rapid.T) { pick(t).ShuttingDown = true },
-			"dies": func(t *rapid.T) { delete(alive, pick(t).ID) },
+			"process is told to shut down": func(t *rapid.T) { pick(t).ShuttingDown = true },
+			"process exits":                func(t *rapid.T) { delete(alive, pick(t).ID) },
 			"": func(t *rapid.T) {
 				serving, replaced := 0, 0
 				for _, p := range alive {
@@ -81,7 +82,7 @@
 					}
 				}
 				if serving > 0 && replaced != serving-1 {
-					t.Fatalf("%d serve, and %d of them think that another took their place", serving, replaced)
+					t.Fatalf("got %d of %d serving processes that consider themselves replaced, want %d", replaced, serving, serving-1)
 				}
 			},
 		})
