--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -8,9 +8,9 @@
 // The protocol relies on three properties of the system:
 //
 //   - The source is the parent of the target: it can kill the target, and the kernel reports the
-//     target's exit. Silence is therefore never mistaken for death. Transferred connections are
-//     reclaimed only after the target is known to be dead and all that it wrote to the channel
-//     has been read.
+//     target's exit. So the source never has to infer from missing messages that the target is
+//     dead. Transferred connections are reclaimed only after the target is known to be dead and
+//     all that it wrote to the channel has been read.
 //   - The source never closes the channel while both processes live, so the end of the channel
 //     proves to the target that the source is dead.
 //   - A descriptor sent over a unix socket is in the kernel once sendmsg returns, and is received
@@ -18,9 +18,9 @@
 //
 // For these reasons transfers need no acknowledgement: a connection belongs to the target from
 // the moment the source has sent it, and never to both processes. A connection with a request in
-// flight is transferred only after the request has been answered. Until the source commits the
-// ownership to the target, it keeps accepting connections and transfers each new one at once, so
-// that it holds a duplicate descriptor of every connection of the target.
+// flight is transferred only after the request has been answered. Until the source makes the target
+// the permanent owner (commits the ownership), the source keeps accepting connections and transfers
+// each new one at once, so that it holds a duplicate descriptor of every connection of the target.
 package handover
 
 import "time"
@@ -46,17 +46,17 @@
 // String returns the name of the phase for logs and progress reports.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config holds the limits of an upgrade. Each timeout counts from the start of its phase, except
+// Config holds the limits of an upgrade. Each duration counts from the start of its phase, except
 // HeartbeatTimeout, which counts from the target's latest message. The target's failure rate is
-// judged only once it has given MinSuccesses responses of either kind.
+// judged only once it has given MinSuccesses responses, successful or not.
 type Config struct {
 	GreetTimeout     time.Duration // until the target's hello; if too short, upgrades fail on a slow disk
 	WarmTimeout      time.Duration // until the target has applied the state and is ready
 	MinProbation     time.Duration // the target serves at least this long before ownership is committed
 	MaxProbation     time.Duration // end of a probation with fewer than MinSuccesses successes; above MinProbation
-	HeartbeatTimeout time.Duration // a target that sends no message for this long is killed
+	HeartbeatTimeout time.Duration // a target that sends no message for this long during its probation is killed
 	MinSuccesses     int           // successes that end the probation before MaxProbation
-	MaxFailureRate   float64       // fraction of the target's responses that may be failures, 0 to 1
+	MaxFailureRate   float64       // fraction of the target's responses that may be failures, 0 to 1, plus an allowance for the source's usual rate
 	MaxMemory        int64         // resident memory of the target in bytes; 0: no limit
 }
 
--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -35,32 +35,32 @@
 	targetHas           bool // the target has the connection
 	requestSent         bool // the request is in the socket or was read from it
 	location            location
-	stage               stage // of a request that the target has read
+	stage               stage // how far the target has processed the request
 	executions          int   // by engines
-	executedAfterWindow bool  // executed again after the end of its key's window
+	executedAfterWindow bool  // the request was executed again after the end of its key's window
 	responses           int   // final responses, errors included
-	connectionClosed    bool  // without a complete response, so that the client notices
-	responseWritten     bool  // by the target
+	connectionClosed    bool  // the connection was closed without a complete response, which the client notices
+	responseWritten     bool  // the target has written the response
 }
 
-// location is the process that has read a request.
+// location is where a request is: in the socket, in the process that has read it, or finished.
 type location byte
 
 const (
-	notRead  location = 0
+	notRead  location = 0 // not sent by the client yet, or in the socket
 	atSource location = 'o'
 	atTarget location = 'n'
 	finished location = 'd' // answered, or its connection was closed
 )
 
-// stage is how far the target has processed a request.
+// stage is how far the target has processed a request; 0: it has not read the request.
 type stage byte
 
 const (
-	stageRead             stage = 1
-	stageSendRecorded     stage = 2 // the record of the send to an engine was sent to the source
-	stageSent             stage = 3 // to an engine, which has executed it
-	stageResponseRecorded stage = 4 // the record of the response was sent to the source
+	stageRead             stage = 1 // the target has read the request
+	stageSendRecorded     stage = 2 // the source was sent the record that the request is sent to an engine
+	stageSent             stage = 3 // the request was sent to an engine, which has executed it
+	stageResponseRecorded stage = 4 // the source was sent the record of the response
 )
 
 // timeUnit is the value of all timeouts of the model: every step happens at time 0, and a step that
@@ -89,7 +89,8 @@
 	return w
 }
 
-// key returns a string that is the same for states that the model need not tell apart.
+// key returns a string that identifies the state. It first resets the times and the failure of the
+// source in w, so that states which differ only in those count as the same.
 func (w *world) key() string {
 	w.source.phaseSince = 0
 	w.source.probation.lastMessage = 0
--- a/internal/decide/handover/probation.go
+++ b/internal/decide/handover/probation.go
@@ -10,11 +10,11 @@
 	maxFailureAllowance = 0.5
 )
 
-// probation holds what the target has shown so far in an upgrade.
+// probation holds the data by which the target of an upgrade is judged.
 type probation struct {
 	lastMessage         time.Duration // when the target's latest message arrived, or the upgrade began
 	successes, failures int           // responses of the target
-	maxFailureRate      float64       // including the allowance for the source's usual failure rate
+	maxFailureRate      float64       // Config.MaxFailureRate plus the allowance for the source's usual failure rate
 }
 
 func newProbation(maxFailureRate, usualFailureRate float64, now time.Duration) probation {
@@ -41,8 +41,8 @@
 // returns the reason if it has failed. inFlight is the number of the target's requests in flight.
 //
 // The failure rate is evaluated once there are MinSuccesses responses, whatever their result. A
-// target without any response passes only if it has no requests: then there was no work to judge
-// it by.
+// target without any response passes only if it has no requests in flight, as then it had no work
+// that it could be judged by.
 func (p *probation) evaluate(cfg Config, elapsed time.Duration, inFlight int) (probationResult, FailureReason) {
 	total := p.successes + p.failures
 	if total >= cfg.MinSuccesses && float64(p.failures) > p.maxFailureRate*float64(total) {
--- a/internal/decide/handover/recovery.go
+++ b/internal/decide/handover/recovery.go
@@ -9,7 +9,7 @@
 // Levels of idempotency. The zero value is the most cautious one.
 const (
 	NotIdempotent     Idempotency = iota // must not run twice
-	IdempotentWithKey                    // engines drop a repeat with the same idempotency key for a time
+	IdempotentWithKey                    // engines drop a repeat with the same idempotency key during Request.KeyWindow
 	Idempotent                           // may run any number of times
 )
 
@@ -19,12 +19,12 @@
 type Request struct {
 	InFlight         bool
 	Idempotency      Idempotency
-	Sent             bool          // to an engine, so that it may have run
+	Sent             bool          // the request is sent to an engine after this record, so it may have run
 	FirstSend        time.Duration // when any process first sent it, on the clock that both processes share
-	KeyWindow        time.Duration // how long from FirstSend engines drop a repeat, if IdempotentWithKey
+	KeyWindow        time.Duration // if IdempotentWithKey: engines drop a repeat until this long after FirstSend
 	Deadline         time.Duration // when the client gives up, on the same clock as FirstSend
 	ResponseLength   int           // bytes of the response that is being written; 0: none yet
-	ResponseRecorded bool          // those bytes are recorded too
+	ResponseRecorded bool          // the record includes those bytes, so that the source can write them itself
 }
 
 // Recovery is what happens to a request that was in flight in a process that died.
@@ -33,7 +33,7 @@
 // Values of Recovery.
 const (
 	NothingToRecover       Recovery = iota // there is no request, or its response was written completely
-	Resend                                 // send it to an engine, maybe again, with its key and the time of its first send
+	Resend                                 // send it to an engine, for the first time or again, with its key and FirstSend
 	ReportInDoubt                          // it may have run and must not be repeated: tell the client so at once
 	ReportDeadlineExceeded                 // tell the client that the deadline has passed
 	CloseConnection                        // part of a lost response was written: close, so that the client notices
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -14,8 +14,8 @@
 )
 
 // Guards against changed decisions: it replays pseudorandom streams of events and compares digests of
-// all effects and states. Each line of testdata/replay.txt has the name of a replay and its digest,
-// as version c18a9bd decided. What goes into a digest is written with fixed strings and numbers, so
+// all effects and states. Each line of testdata/replay.txt has the name of a replay and the digest of
+// what commit c18a9bd decided in it. What goes into a digest is written with fixed strings and numbers, so
 // that the digests don't depend on the names in this package.
 func TestReplay(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.txt")
--- a/internal/decide/handover/source.go
+++ b/internal/decide/handover/source.go
@@ -10,8 +10,8 @@
 	phase         Phase
 	phaseSince    time.Duration // when the phase began
 	probation     probation     // of the current upgrade
-	failure       Failure       // why the target of the latest upgrade was killed or died
-	stopRequested bool          // a graceful shutdown was requested
+	failure       Failure       // why the latest upgrade was rolled back; zero: it was not
+	stopRequested bool          // a graceful shutdown was requested; upgrades are rejected from then on
 	connections   connectionTable
 }
 
@@ -19,8 +19,8 @@
 // process.
 func NewSource(cfg Config, v Version) *Source { return &Source{cfg: cfg, version: v} }
 
-// Failure returns why the target of the latest upgrade was killed or died. It is the zero value if
-// neither has happened.
+// Failure returns why the target of the latest upgrade was killed, or that it died, before ownership
+// was committed. It is the zero value if neither has happened, and also if the target died later.
 func (s *Source) Failure() Failure { return s.failure }
 
 // Phase returns the state of the upgrade.
@@ -38,7 +38,7 @@
 		return s.requestStop(now)
 	case ConnectionAccepted:
 		s.connections.add(event.Conn)
-		if s.transferring() { // in Finishing: accepted just before the listener was paused
+		if s.transferring() { // even in Finishing: it may have been accepted just before StopAccepting
 			return s.transfer(event.Conn)
 		}
 	case ConnectionBusy:
@@ -92,9 +92,12 @@
 	return []SourceEffect{StartTarget{}}
 }
 
-// requestStop handles the request for a graceful shutdown. An upgrade that can still be revoked is
-// aborted first. In RollingBack the shutdown begins once the target is dead; in Finishing the
-// process exits anyway once its requests in flight are completed.
+// requestStop handles the first request for a graceful shutdown and ignores later ones. In Idle the
+// shutdown begins at once. An upgrade that can still be revoked is aborted first, and the shutdown
+// begins once the target is dead, as it does if the request comes in RollingBack. In Finishing the
+// request has no effect of its own, as the process exits anyway once it has no connections left. But
+// if the target dies before that, targetExited makes the process serve again without beginning the
+// shutdown.
 func (s *Source) requestStop(now time.Duration) []SourceEffect {
 	if s.stopRequested {
 		return nil
@@ -110,7 +113,7 @@
 }
 
 // handleMessage processes a message of the target. Records and closed connections are processed in
-// every phase, also in RollingBack: the last messages of a target are read after its death.
+// every phase, including RollingBack, as the last messages of a target are read after its death.
 func (s *Source) handleMessage(now time.Duration, message TargetMessage) []SourceEffect {
 	s.probation.lastMessage = now
 	switch message := message.(type) {
@@ -150,8 +153,8 @@
 	return []SourceEffect{SendState{}}
 }
 
-// startProbation begins to transfer connections: all that are idle now, and from here on each one
-// that is accepted or becomes idle.
+// startProbation tells the target to serve and begins to transfer connections: at once all that are
+// idle, and from now on each one that is accepted or becomes idle.
 func (s *Source) startProbation(now time.Duration) []SourceEffect {
 	s.enter(Probation, now)
 	effects := []SourceEffect{SendServe{}}
@@ -174,7 +177,7 @@
 }
 
 // commit makes the target the permanent owner of the listener and of the transferred connections.
-// From here on the upgrade can't be revoked.
+// From now on the upgrade can't be revoked.
 func (s *Source) commit(now time.Duration) []SourceEffect {
 	s.enter(Finishing, now)
 	effects := []SourceEffect{StopAccepting{}, SendCommit{}}
@@ -196,8 +199,8 @@
 	return append(s.transfer(id), s.exitIfDone()...)
 }
 
-// transfer moves a connection to the target. The source keeps a duplicate of it for as long as it
-// may have to reclaim it.
+// transfer moves a connection to the target. Until ownership is committed the source keeps a
+// duplicate of its descriptor, so that it can reclaim the connection.
 func (s *Source) transfer(id ConnID) []SourceEffect {
 	if s.phase == Finishing { // connections are not reclaimed any more
 		s.connections.remove(id)
@@ -245,8 +248,9 @@
 }
 
 // targetExited handles the death of the target. If ownership was not committed yet, all
-// transferred connections are reclaimed. If it was, the target's connections are lost, and this
-// process, which still completes its requests in flight, accepts new connections again.
+// transferred connections are reclaimed, and a shutdown that was requested begins. If it was
+// committed, the target's connections are lost, and this process, which still completes its
+// requests in flight, accepts new connections again, even if a shutdown was requested.
 func (s *Source) targetExited(now time.Duration) []SourceEffect {
 	switch s.phase {
 	case Idle, Exited:
--- a/internal/decide/handover/source_effects.go
+++ b/internal/decide/handover/source_effects.go
@@ -19,7 +19,7 @@
 	// and keeps a duplicate of its descriptor. The caller reports TransferCancelled instead if a
 	// request has arrived meanwhile.
 	TransferConnection struct{ Conn ConnID }
-	// SendCommit tells the target that it is the permanent owner.
+	// SendCommit tells the target that it is the permanent owner of the listener and the connections.
 	SendCommit struct{}
 	// ReleaseDuplicate closes the source's duplicate of a connection that the target has.
 	ReleaseDuplicate struct{ Conn ConnID }
@@ -33,9 +33,10 @@
 		Request Request
 	}
 	// ReportOutcome reports the result of the upgrade to whoever requested it. A zero Failure means
-	// success.
+	// success. After a success a second outcome, OwnerDied, is reported if the target dies while the
+	// source still has connections.
 	ReportOutcome struct{ Failure Failure }
-	// BeginShutdown begins the graceful shutdown that was requested during the upgrade.
+	// BeginShutdown begins the graceful shutdown that was requested.
 	BeginShutdown struct{}
 	// Exit ends the process, which has nothing left to do. It is also an effect of Target.
 	Exit struct{}
--- a/internal/decide/handover/source_events.go
+++ b/internal/decide/handover/source_events.go
@@ -3,8 +3,8 @@
 // SourceEvent is an input of Source.
 type SourceEvent interface{ sourceEvent() }
 
-// TargetMessage is a SourceEvent that the target has sent over the channel. Each one restarts the
-// heartbeat timeout.
+// TargetMessage is a SourceEvent that the target has sent over the channel. Each one restarts
+// Config.HeartbeatTimeout.
 type TargetMessage interface {
 	SourceEvent
 	targetMessage()
@@ -28,7 +28,8 @@
 	ConnectionIdle struct{ Conn ConnID }
 	// TransferCancelled reports that a TransferConnection effect was not carried out, for example
 	// because a request has arrived on the connection meanwhile. The connection stays at the source
-	// and counts as busy.
+	// and counts as busy. In Finishing the event is ignored, as the source has already removed the
+	// connection from its table.
 	TransferCancelled struct{ Conn ConnID }
 	// ConnectionClosed reports that a connection of the source was closed.
 	ConnectionClosed struct{ Conn ConnID }
@@ -60,7 +61,7 @@
 		Conn    ConnID
 		Request Request
 	}
-	// TargetActive stands for any other message of the target.
+	// TargetActive stands for any other message of the target. It only restarts the heartbeat timeout.
 	TargetActive struct{}
 	// TargetClosedConnection reports that a connection of the target was closed.
 	TargetClosedConnection struct{ Conn ConnID }
--- a/internal/decide/handover/source_test.go
+++ b/internal/decide/handover/source_test.go
@@ -12,8 +12,8 @@
 // Checks the source with events in any order. A connection is transferred only while it is idle at the
 // source and the target lives; it is reclaimed only after it was transferred, and only once the target
 // is dead. The source accepts connections unless the target is the permanent owner. A rejected
-// upgrade has an outcome, and every other one at most one, or two if its target dies as the owner. The
-// source exits only when it has no connections left.
+// upgrade has an outcome, and the others have at most two each on average, as a second one is reported
+// if the target dies as the owner. The source exits only when it has no connections left.
 func TestSourceInvariantsForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -41,7 +41,7 @@
 						t.Fatalf("connection %d is transferred in state %d, want state %d (idle)", e.Conn, conns[e.Conn], idle)
 					}
 					if targetDead {
-						t.Fatalf("connection %d is transferred while no target lives", e.Conn)
+						t.Fatalf("connection %d is transferred while no target lives, want no transfer", e.Conn)
 					}
 					conns[e.Conn] = transferred
 				case ReclaimConnection:
@@ -72,7 +72,7 @@
 				}
 			}
 			if !accepting && source.Phase() != Finishing && source.Phase() != Exited {
-				t.Fatalf("source does not accept connections in phase %v", source.Phase())
+				t.Fatalf("source does not accept connections in phase %v, want this only in %v and %v", source.Phase(), Finishing, Exited)
 			}
 		}
 		drawConn := func(state connState) (id ConnID, ok bool) {
@@ -91,7 +91,7 @@
 				before := reports
 				step(UpgradeRequested{})
 				if source.Phase() != AwaitingHello && reports == before {
-					t.Fatalf("source rejected an upgrade in phase %v without reporting an outcome", source.Phase())
+					t.Fatalf("source rejected an upgrade in phase %v with no outcome, want one", source.Phase())
 				} else if reports > before {
 					reports = before
 				}
--- a/internal/decide/handover/target.go
+++ b/internal/decide/handover/target.go
@@ -4,10 +4,10 @@
 // NewTarget creates one.
 type Target struct {
 	version       Version
-	stateReceived bool // the source's state has arrived and is being applied, or has been
+	stateReceived bool // the source's state has arrived; it is being applied until stateApplied is set
 	stateApplied  bool
 	serving       bool // the process serves the connections that it receives
-	owner         bool // permanently: the source has committed the ownership, or is dead
+	owner         bool // the process is the permanent owner: the source has committed the ownership, or is dead
 	sourceExited  bool
 }
 
--- a/internal/decide/lease/config.go
+++ b/internal/decide/lease/config.go
@@ -8,8 +8,9 @@
 // EngineID identifies an engine from one start to the next. An engine that restarts has a new ID and no leases.
 type EngineID uint64
 
-// FullCapacity is the current capacity of an engine. Quotas are in units of 1/FullCapacity of that capacity rather than
-// in requests, as it grows during the engine's slow start in a way that all members know.
+// FullCapacity is the quota that stands for the whole current capacity of an engine. Quotas are fractions of that
+// capacity, out of FullCapacity, rather than numbers of requests: the capacity grows during the engine's slow start in a
+// way that all members know.
 const FullCapacity = 1024
 
 // Config holds the settings of a member. All members must have the same ones; messages of members with a different
@@ -18,9 +19,9 @@
 	Members          []MemberID    // all configured members, alive or not
 	VoterCount       int           // voters per engine; more than half of them must vote for its leader
 	Term             time.Duration // how long a vote is valid, by the voter's clock
-	MaxClockDrift    float64       // fraction by which a clock may run fast or slow at most
-	UnleasedCapacity int           // units of FullCapacity that are never leased; each member always has an equal part
-	MaxEngines       int           // limit of tracked engines; others are rejected and counted
+	MaxClockDrift    float64       // largest fraction by which a clock may run fast or slow
+	UnleasedCapacity int           // capacity out of FullCapacity that is never leased; each member always has an equal part of it
+	MaxEngines       int           // limit of tracked engines; more are rejected and counted in Node.RejectedEngines
 }
 
 // DefaultConfig returns the settings for an installation of up to a few hundred front ends.
--- a/internal/decide/lease/event.go
+++ b/internal/decide/lease/event.go
@@ -12,8 +12,8 @@
 	Payload []byte
 }
 
-// Demand reports the quota of an engine that this member could use, of FullCapacity. 0 means that it does not use the
-// engine any more.
+// Demand reports the quota of an engine that this member could use, out of FullCapacity. 0 means that it does not use
+// the engine any more.
 type Demand struct {
 	Engine EngineID
 	Quota  int
--- a/internal/decide/lease/fleet_test.go
+++ b/internal/decide/lease/fleet_test.go
@@ -22,9 +22,9 @@
 
 type fleetMember struct {
 	node        *Node
-	clockRate   float64 // of the real time
+	clockRate   float64 // speed of the member's clock relative to real time
 	isAlive     bool
-	pausedUntil time.Duration
+	pausedUntil time.Duration // in real time
 	demands     map[EngineID]int
 }
 
@@ -35,6 +35,7 @@
 	payload   []byte
 }
 
+// engineCount is the number of engines, whose IDs start at 0.
 const engineCount = 2
 
 func newFleet(size int, seed uint64, drift float64) *fleet {
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// holderState is the state of this member as the holder of a lease of an engine's capacity. Quotas are of FullCapacity.
+// holderState is the state of this member as the holder of a lease of an engine's capacity. Quotas are out of
+// FullCapacity.
 type holderState struct {
 	demand      int           // the quota that this member could use
 	requestedAt time.Duration // when the latest lease request was sent; 0: never
-	requestID   uint32        // of the latest lease request or release
-	quota       int           // of the lease; 0: there is none
-	expiresAt   time.Duration // of the lease
+	requestID   uint32        // ID of the latest lease request or release
+	quota       int           // quota of the lease; 0: there is no lease
+	expiresAt   time.Duration // when the lease expires
 }
 
 // holdsLease reports whether there is a lease that has not expired.
@@ -42,8 +43,8 @@
 	n.send(leader, message{kind: kindLeaseRequest, engine: id, process: n.process, requestID: engine.holder.requestID, quota: uint16(engine.holder.demand)})
 }
 
-// acceptLease accepts a lease that responds to the latest request. Its span counts from when the request was sent.
-// Leases for earlier requests are ignored.
+// acceptLease accepts a lease that responds to the latest request. Its span counts from when the request was sent and
+// is reduced for clock drift. Leases for earlier requests are ignored.
 func (n *Node) acceptLease(lease message, engine *engineState) {
 	h := &engine.holder
 	if lease.process != n.process || lease.requestID != h.requestID || h.demand == 0 {
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -13,7 +13,7 @@
 	requestedAt   time.Duration // when the latest vote request was sent; 0: never
 	voteRequest   message       // the latest vote request
 	votes         []MemberID    // members that have voted in response to voteRequest
-	canGrantUntil time.Duration // every lease that this member grants expires by then
+	canGrantUntil time.Duration // end of this member's term as leader; every lease that it grants expires by then
 	grants        []grant
 }
 
@@ -21,8 +21,8 @@
 type grant struct {
 	holder    MemberID
 	process   uint32 // of the holder: a restarted holder does not have the leases of its previous process
-	requestID uint32
-	quota     int // of FullCapacity
+	requestID uint32 // ID of the lease request
+	quota     int    // out of FullCapacity
 	expiresAt time.Duration
 }
 
@@ -36,8 +36,8 @@
 	l.grants = slices.DeleteFunc(l.grants, func(g grant) bool { return now >= g.expiresAt })
 }
 
-// reserved returns the quota that all processes other than except may use. The largest unexpired lease of each process
-// counts, as the process may not have received the latest one.
+// reserved returns the leased quota that processes other than except may be using. Of each process only the largest
+// unexpired lease counts: the process holds one lease at a time, but may not have received the latest one.
 func (l *leaderState) reserved(except holderProcess, now time.Duration) int {
 	largest := map[holderProcess]int{}
 	for _, g := range l.grants {
@@ -64,8 +64,8 @@
 }
 
 // countVote counts a vote in response to the latest vote request. Votes for an earlier request or an earlier process of
-// this member are ignored. With a majority this member may grant leases for a term, counted from before the request was
-// sent.
+// this member are ignored. With a majority this member may grant leases for a term, which counts from before the request
+// was sent and is reduced for clock drift.
 func (n *Node) countVote(from MemberID, vote message, engine *engineState) {
 	l := &engine.leader
 	if vote.process != n.process || vote.requestID != l.voteRequest.requestID || n.now-l.requestedAt >= n.config.Term || slices.Contains(l.votes, from) {
@@ -78,7 +78,8 @@
 }
 
 // grantLease grants a lease of the requested quota, or of as much as is not leased to others, until the end of this
-// member's term as leader. It grants none if it does not lead, if its term is about to end, or if no quota is left.
+// member's term as leader. It grants none if this member does not lead, if its term ends within a tick, or if no quota
+// is left.
 func (n *Node) grantLease(holder MemberID, request message, engine *engineState) {
 	engine.leaseRequestedAt = n.now
 	span := engine.leader.canGrantUntil - n.now
--- a/internal/decide/lease/message.go
+++ b/internal/decide/lease/message.go
@@ -34,10 +34,10 @@
 	kind          kind
 	membersDigest uint32 // of the sender's member list
 	engine        EngineID
-	process       uint32 // random number that the requesting process drew at its start
-	requestID     uint32 // rises with each request of that process
-	quota         uint16 // requested or granted, of FullCapacity
-	span          time.Duration
+	process       uint32        // random number that the requesting process drew at its start
+	requestID     uint32        // rises with each request of that process
+	quota         uint16        // requested or granted, out of FullCapacity
+	span          time.Duration // how long a granted lease is valid
 }
 
 // errMalformed means that the bytes are not a valid message of this package.
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -21,7 +21,7 @@
 	pausedUntil []time.Duration
 	inTransit   []datagram
 	processes   uint32      // count of processes started
-	highest     int         // highest sum of the quotas so far
+	highest     int         // highest sum of the members' quotas so far
 	defect      func(*Node) // seeds a defect in each process that starts; nil: none
 }
 
@@ -89,7 +89,7 @@
 	return &c
 }
 
-// fault is what happens in one step, to a member by its number from 1; 0: to none.
+// fault is what happens in one step. Its numbers are those of the affected members, from 1; 0 is no member.
 type fault struct {
 	name                    string
 	pause, restart, crash   int
@@ -204,7 +204,7 @@
 	return h.Sum64()
 }
 
-// explorer explores the schedules of a model, and skips states that it has seen before.
+// explorer explores the schedules of a model. It skips states that it has seen before, except after the last step.
 type explorer struct {
 	seen      map[uint64]bool
 	schedules int
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -7,8 +7,8 @@
 // leader, on request and for a limited time. Each engine has a few voters, which follow from the settings and not from
 // who is live, so that all members agree on them. A majority of the voters must vote for a member before it grants
 // leases, and a voter votes for one member at a time. A lease expires before its leader's term ends, and the term ends
-// before a voter can vote for another member: leader and holder each count the time from before they sent the request,
-// and allow for clock drift. docs/design/lend.md has the proof; the leases are those of Gray and Cheriton (1989).
+// before a voter can vote for another member: leader and holder each count the time from before they sent the request
+// for the votes or for the lease, and allow for clock drift. docs/design/lend.md has the proof; the leases are those of Gray and Cheriton (1989).
 package lease
 
 import (
@@ -35,7 +35,7 @@
 	lastRequestID uint32
 	outgoing      []Send // messages of the event that is being handled
 
-	DroppedMessages int // count of messages that were malformed, not from a member, or from one with other Members
+	DroppedMessages int // count of messages that were malformed, not from another member, or from one with a different member list
 	RejectedEngines int // count of times that an engine beyond Config.MaxEngines was rejected
 }
 
@@ -71,11 +71,12 @@
 // TickInterval returns the time between Ticks.
 func (n *Node) TickInterval() time.Duration { return n.config.Term / ticksPerTerm }
 
-// BaseQuota returns the quota of an engine that each member may use without a lease, of FullCapacity.
+// BaseQuota returns the quota of an engine that each member may use without a lease, out of FullCapacity.
 func (n *Node) BaseQuota() int { return n.config.UnleasedCapacity / max(len(n.config.Members), 1) }
 
-// Quota returns the quota of an engine that this member may use now, of FullCapacity. The caller must call it right
-// before it sends a request to the engine, as the lease may have expired during a pause of the process.
+// Quota returns the quota of an engine that this member may use now, with and without a lease, out of FullCapacity. The
+// caller must call it right before it sends a request to the engine, as the lease may have expired during a pause of the
+// process.
 func (n *Node) Quota(id EngineID, now time.Duration) int {
 	engine := n.engines[id]
 	if engine == nil || now >= engine.holder.expiresAt {
@@ -164,7 +165,7 @@
 	}
 }
 
-// isIdle reports whether the state has no grant, vote or lease that has not expired.
+// isIdle reports whether the state has no grants and no vote or lease that is still valid.
 func (e *engineState) isIdle(now time.Duration) bool {
 	return len(e.leader.grants) == 0 && now >= e.voter.expiresAt && now >= e.holder.expiresAt
 }
--- a/internal/decide/takeover/replay_test.go
+++ b/internal/decide/takeover/replay_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against changed decisions: it compares digests of the decisions about pseudorandom processes.
-// Each line of testdata/replay.txt has a seed and the digest of what version c18a9bd decided with it.
+// Each line of testdata/replay.txt has a seed and the digest of what commit c18a9bd decided with it.
 // What goes into a digest is written with fixed strings and numbers, so that the digests don't depend
 // on the names in this package.
 func TestReplay(t *testing.T) {
--- a/internal/decide/takeover/takeover.go
+++ b/internal/decide/takeover/takeover.go
@@ -51,9 +51,10 @@
 )
 
 // NextAction returns what a process that does not serve yet does next, and the ID of the process
-// that it takes over from or waits for ("" for StartAlone). That is the latest started one that is
-// ready, preferably one that is not shutting down. If it has not written its state within maxWait,
-// the new process starts alone, as it serves no clients while it waits.
+// that it takes over from or waits for ("" for StartAlone). Among the ready processes that started
+// before self, that is the latest one that is not shutting down, or if all are shutting down, the
+// latest one. If it has not written its state for self within maxWait of the start of self, self
+// starts alone, as it serves no clients while it waits.
 func NextAction(self Process, others []Process, now time.Duration) (action Action, from string) {
 	predecessor := choosePredecessor(self, others)
 	switch {
@@ -67,7 +68,8 @@
 	return Wait, predecessor.ID
 }
 
-// choosePredecessor returns the process that self takes over from, or nil if there is none.
+// choosePredecessor returns the process that self takes over from, or nil if no ready process started
+// before self.
 func choosePredecessor(self Process, others []Process) *Process {
 	var chosen *Process
 	for i, other := range others {
