--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -5,32 +5,32 @@
 // Verdict is the kind of a final answer.
 type Verdict uint8
 
-// The three verdicts.
+// Verdicts of a final answer.
 const (
-	Failed   Verdict = iota // no promise of what ran
-	Rejected                // a retry is harmless
-	Served
+	Failed   Verdict = iota // the request may or may not have run
+	Rejected                // the request was not served; retrying it is safe
+	Served                  // the answer is a complete response
 )
 
 var verdictNames = [...]string{"failed", "refused", "served"}
 
-// String is the verdict's name in counters.
+// String returns the verdict's name in counters.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Answer is a final answer, or a part of a streaming request's.
+// Answer is a final answer, or one part of a streaming request's answer.
 type Answer struct {
 	Verdict        Verdict
-	RetryAfter     time.Duration // with Rejected: not before this long from now; 0: no hint
-	DeadlinePassed bool          // the request's time was over
-	Sent           bool          // it went to an engine at least once
-	InDoubt        bool          // it may have run, and its class is not safe to repeat
-	Result         Result        // with Served
-	EngineError    error         // the latest of an engine; nil: there was none
+	RetryAfter     time.Duration // for Rejected: shortest wait before a retry; 0: no hint
+	DeadlinePassed bool          // the request was not served by its deadline
+	Sent           bool          // the request was sent to an engine at least once
+	InDoubt        bool          // the request may have run and is not idempotent
+	Result         Result        // for Served: the response
+	EngineError    error         // latest error reported by an engine; nil if there was none
 }
 
-// answer gives the client its one final answer, at once. A second one is ignored.
-func (c *Core) answer(query uint64, a Answer) {
-	r := c.requests.byQuery[query]
+// answer gives the client its final answer. It does nothing if the request is already answered.
+func (c *Core) answer(queryNumber uint64, a Answer) {
+	r := c.requests.byNumber[queryNumber]
 	if r == nil || r.answered {
 		return
 	}
@@ -46,7 +46,7 @@
 		c.counters.Add("answered-late." + r.Class)
 	}
 	c.requests.markAnswered(r)
-	c.abandonForwarded(r)
+	c.dropForwarded(r)
 	r.Client.Answer(r, a)
 	c.forgetIfDone(r)
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,59 +7,61 @@
 	"gannetspur/policy"
 )
 
-// minTimeout bounds the time-out of an attempt from below.
+// minTimeout is the shortest timeout of an attempt. Shorter ones of the policy are raised to it.
 const minTimeout = time.Millisecond
 
 // Attempt is one send of a request to one engine.
 type Attempt struct {
 	Request   *Request
-	Engine    string        // by id: a new engine may have the address of a departed one
-	Timeout   time.Duration // from SentAt
-	SentAt    time.Duration
-	MemoryMB  float64 // to grant; 0: the engine chooses
-	Priority  int
-	LinkState LinkState // of the links that carry it; nil once it has ended
-
-	number        int // the policy's, counted from 0
+	Engine    string        // engine id, not an address: a new engine may reuse that of a departed one
+	Timeout   time.Duration // time from SentAt in which the engine has to answer
+	SentAt    time.Duration // time on the core's clock
+	MemoryMB  float64       // memory granted to the attempt; 0: the engine chooses
+	Priority  int           // priority granted by the policy
+	LinkState LinkState     // state kept by the backend; nil once the attempt has ended
+
+	number        int // the policy's number of the attempt within its query, from 0
 	ended         bool
-	neverRan      bool          // its outcome proves it
-	written       bool          // its link was about to write it completely
-	sitesNotified bool          // the remote sites have heard of it
-	streaming     bool          // a part of its answer has come, and it goes on
-	notAfter      time.Duration // it may not be written later; 0: no such limit
-	timer         *timerqueue.Entry
+	neverRan      bool              // the outcome proves that the engine did not run it
+	written       bool              // BeginWrite returned true: the backend may have written it completely
+	sitesNotified bool              // RemoteSites.AttemptStarted was called
+	streaming     bool              // a part of its answer was relayed, and more follow
+	writeDeadline time.Duration     // it may not be written later; 0: no such limit
+	timer         *timerqueue.Entry // ends the attempt as timed out
 }
 
-// Ended tells whether the attempt is over.
+// Ended reports whether the attempt has ended.
 func (a *Attempt) Ended() bool { return a.ended }
 
-// NeverRan tells whether the attempt's outcome proves that it never ran.
+// NeverRan reports whether the attempt ended with an outcome that proves that it never ran.
 func (a *Attempt) NeverRan() bool { return a.neverRan }
 
 func (a *Attempt) mayHaveRun() bool { return !a.neverRan }
 
-// MustAwaitEngine reports whether a cancelled attempt counts as in flight until its engine is
-// certain to be through with it: its request is answered, and the next one of its SerialKey may go
-// out only then. An engine that hangs reads a cancel once it is back; the pause that settings give
-// a key covers the network alone. Where the request goes on, its own next attempt is not held up.
+// MustAwaitEngine reports whether a cancelled attempt stays in flight until its engine can no longer
+// run it. This holds for an answered request with a SerialKey: the next request with that key must
+// not be sent before. A hung engine reads the cancellation only when it resumes, and the pause
+// between requests of a key, which the settings define, covers network delays only. The next attempt
+// of the same request does not have to wait.
 func (a *Attempt) MustAwaitEngine() bool { return a.Request.SerialKey != "" && a.Request.answered }
 
-// send begins an attempt. Every attempt ends once, in EndAttempt, however its link fares.
+// send starts an attempt. Every attempt ends exactly once, in EndAttempt, also if it can't be sent
+// or its connection breaks.
 func (c *Core) send(r *Request, s policy.Send) {
 	a := &Attempt{
 		Request: r, Engine: s.Engine, Timeout: s.Timeout, SentAt: c.clock.Now(),
 		MemoryMB: r.grantedMB, Priority: r.priority, number: len(r.attempts) - r.firstAttempt,
 	}
-	a.notAfter = c.lastKeyedWrite(r)
+	a.writeDeadline = c.keyedWriteDeadline(r)
 	r.attempts = append(r.attempts, a)
 	r.outstanding++
 	c.counters.Add("sent." + r.Class)
 	if len(r.attempts) > 1 {
 		c.counters.Add("sent-again." + r.Class)
 	}
-	disconnected := r.answered // the policy asked before it heard of that
+	alreadyAnswered := r.answered // the policy decided on the send before it learned of the answer
 	overBudget := r.MaxSends > 0 && r.SendCount() > r.MaxSends
-	if disconnected || overBudget {
+	if alreadyAnswered || overBudget {
 		c.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
@@ -74,13 +76,13 @@
 	c.links.Send(a)
 }
 
-// startTimeout has the attempt end as timed out, counted from a time.
+// startTimeout sets the timer that ends the attempt as timed out, at the time from plus timeout.
 func (c *Core) startTimeout(a *Attempt, from, timeout time.Duration) {
 	a.timer = c.timers.Add(from+max(timeout, minTimeout), func() { c.cancel(a, OutcomeTimeout) })
 }
 
-// grant sets the memory of the next attempts, and the priority of all.
-func (c *Core) grant(r *Request, g policy.Grant) {
+// applyGrant sets the memory of the request's next attempts, and the priority of all its attempts.
+func (c *Core) applyGrant(r *Request, g policy.Grant) {
 	r.grantedMB = g.MemoryMB
 	if r.priority == g.Priority {
 		return
@@ -94,16 +96,18 @@
 	}
 }
 
-// cancelByNumber gives one attempt up; an outcome that is on its way comes too late.
+// cancelByNumber cancels the attempt with the policy's number. EndAttempt ignores an outcome that
+// still arrives.
 func (c *Core) cancelByNumber(r *Request, number int) {
-	a := r.attempt(number)
+	a := r.attemptByNumber(number)
 	if a == nil || a.ended {
 		return
 	}
 	c.cancel(a, OutcomeCancelled)
 }
 
-// cancel gives an attempt up, which ends it unless its engine has to be through with it first.
+// cancel cancels an attempt and ends it with the outcome, unless the backend must wait until the
+// engine can no longer run it: the backend then ends it.
 func (c *Core) cancel(a *Attempt, outcome Outcome) {
 	over := c.links.Cancel(a)
 	if !over {
@@ -111,31 +115,32 @@
 		c.counters.Add("settling." + a.Request.Class)
 		return
 	}
-	if !a.written { // it waited for a connection all the time
+	if !a.written { // it was still waiting for a connection
 		outcome = OutcomeNotSent
 	}
 	c.EndAttempt(a, outcome, Report{})
 }
 
-// ReportProgress tells the policy of an attempt that is out.
+// ReportProgress passes an engine's progress message for an attempt in flight to the policy.
 func (c *Core) ReportProgress(a *Attempt, kind policy.ProgressKind, value float64) {
 	if a.ended {
 		return
 	}
 	c.counters.Add("notes")
-	c.notifyPolicy(policy.AttemptProgress{Query: a.Request.query, Attempt: a.number, Kind: kind, Value: value})
+	c.notifyPolicy(policy.AttemptProgress{Query: a.Request.queryNumber, Attempt: a.number, Kind: kind, Value: value})
 }
 
-// BeginWrite is asked by links right before they write an attempt completely, and counts it: an attempt
-// that was not written has never run. It ends as not sent where BeginWrite returns false: its
-// client has disconnected or has its answer, the window of its idempotency key is about to close
-// behind an earlier attempt that may have run, or its engine drains or was disabled while it
-// waited for a connection.
+// BeginWrite reports whether the backend may write an attempt to its connection. The backend calls it
+// right before the write that completes the attempt, because an attempt that was not completely
+// written can't have run. If BeginWrite returns false, the backend must end the attempt with
+// OutcomeNotSent. The reasons are: the client has disconnected or got its answer; the idempotency
+// key's window is about to end and an earlier attempt may have run; or the engine began to drain,
+// departed or was disabled while the attempt waited for a connection.
 func (c *Core) BeginWrite(a *Attempt) bool {
-	if a.Request.answered || disconnected(a.Request.Client) {
+	if a.Request.answered || isDisconnected(a.Request.Client) {
 		return false
 	}
-	windowClosed := a.notAfter > 0 && c.clock.Now() >= a.notAfter
+	windowClosed := a.writeDeadline > 0 && c.clock.Now() >= a.writeDeadline
 	if windowClosed || !c.endpoints.usable(a.Engine) {
 		return false
 	}
@@ -144,7 +149,8 @@
 	return true
 }
 
-func disconnected(client Client) bool {
+// isDisconnected reports whether a client detected that it is disconnected, if it can.
+func isDisconnected(client Client) bool {
 	detector, ok := client.(DisconnectDetector)
 	return ok && detector.Disconnected()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,10 @@
-// Package core takes requests through their life: accept, admit, send, record the outcome,
-// answer. It knows no wire protocol: frontends, links to engines and the endpoint list meet it
-// through the interfaces of this package. The decisions are those of package policy.
+// Package core manages the lifecycle of requests: accept, admit, send, record the outcome, answer.
+// It is independent of wire protocols. Frontends, backends and service discovery use it through the
+// types and interfaces of this package. Package policy makes the decisions; this package carries
+// them out.
 //
-// A Core belongs to one goroutine, and so do all that it calls and all that call it. It starts
-// no goroutine and takes no lock.
+// A Core is not safe for concurrent use: everything that calls it, and everything that it calls,
+// runs on the goroutine of one event loop. It starts no goroutine and takes no lock.
 package core
 
 import (
@@ -15,10 +16,10 @@
 	"gannetspur/policy"
 )
 
-// Clock tells the time since a fixed instant, which never goes back.
+// Clock is a monotonic clock. Now returns the time since a fixed instant.
 type Clock interface{ Now() time.Duration }
 
-// Core owns the open requests and the policy that decides on them.
+// Core holds the open requests and the policy that routes them.
 type Core struct {
 	clock    Clock
 	timers   *timerqueue.Queue
@@ -26,7 +27,7 @@
 	log      *slog.Logger
 
 	links     Links
-	sites     RemoteSites // nil: there is no other site
+	sites     RemoteSites // nil if there is no other site
 	observers observers
 
 	policy    policyLoop
@@ -34,69 +35,73 @@
 	endpoints endpointList
 	figures   figures
 
-	classes      map[string]policy.Class
-	callInterval time.Duration // of the event loop: an answer this much before a deadline counts as late
-	shutdown     bool          // nothing is sent any more
+	classes      map[string]policy.Class // by name
+	callInterval time.Duration           // period of the event loop; an answer less than this before its deadline counts as late
+	shutdown     bool                    // set by Shutdown: no request is sent any more
 }
 
-// observers hear of what happens in a core. Each may be nil.
+// observers are notified of what happens in a core. Each may be nil.
 type observers struct {
 	cost             CostObserver
 	firstSend        func(r *Request, at time.Duration)
 	overridesChanged func()
 }
 
-// CostObserver hears what requests have cost at their engines, once for each attempt that was
-// served or that timed out.
+// CostObserver is notified of what requests with a CostContext cost their engines, once for each
+// attempt that was served or timed out. Streaming attempts are not reported.
 type CostObserver interface {
-	AttemptServed(r *Request, rep Report, elapsed time.Duration)
+	// AttemptServed reports a complete response and the time since the attempt was sent.
+	AttemptServed(r *Request, report Report, elapsed time.Duration)
+	// AttemptTimedOut reports an attempt that was given up after the elapsed time.
 	AttemptTimedOut(r *Request, elapsed time.Duration)
-	// RequestDone tells that nothing more will be heard of a request: its CostContext is free.
+	// RequestDone is the last call for a request: its CostContext may be reused.
 	RequestDone(r *Request)
 }
 
-// New returns a core for the settings. SetLinks must follow before any event.
-func New(set policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, log *slog.Logger) (*Core, error) {
-	gateway, err := policy.New(set, seed)
+// New returns a core with the given settings. The seed initializes the policy's random numbers.
+// SetLinks must be called before the core receives any event. New returns an error if the policy
+// rejects the settings.
+func New(settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, log *slog.Logger) (*Core, error) {
+	gateway, err := policy.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	c := &Core{
 		clock: clock, timers: timers, counters: counters, log: log,
 		policy: policyLoop{gateway: gateway}, requests: newRequestTable(),
-		endpoints: newEndpointList(), figures: newFigures(set.Classes),
-		classes: map[string]policy.Class{}, callInterval: set.CallInterval,
+		endpoints: newEndpointList(), figures: newFigures(settings.Classes),
+		classes: map[string]policy.Class{}, callInterval: settings.CallInterval,
 	}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		c.classes[class.Name] = class
 	}
 	return c, nil
 }
 
-// SetLinks sets where attempts go.
+// SetLinks sets the backend that carries attempts to engines.
 func (c *Core) SetLinks(l Links) { c.links = l }
 
-// SetRemoteSites sets who forwards requests to other sites.
+// SetRemoteSites sets the component that forwards requests to other sites.
 func (c *Core) SetRemoteSites(s RemoteSites) { c.sites = s }
 
-// SetCostObserver sets who hears what requests have cost.
+// SetCostObserver sets the observer of request costs.
 func (c *Core) SetCostObserver(o CostObserver) { c.observers.cost = o }
 
-// OnFirstSend sets who hears of each request's first send, with its time, before it is made:
-// whoever must be able to tell later that the request may have run.
+// OnFirstSend sets a function that is called right before each request is first sent to an engine,
+// with the time of the send. It lets the caller record that the request may have run.
 func (c *Core) OnFirstSend(f func(r *Request, at time.Duration)) { c.observers.firstSend = f }
 
-// OnOverridesChanged sets who hears of each operator's call that changed something, before it is
-// answered.
+// OnOverridesChanged sets a function that is called whenever DisableEngine or EnableEngine changed
+// an override, before that call returns.
 func (c *Core) OnOverridesChanged(f func()) { c.observers.overridesChanged = f }
 
-// Class looks a class up by name.
+// Class returns the request class with the given name, and whether the settings have it.
 func (c *Core) Class(name string) (policy.Class, bool) {
 	class, ok := c.classes[name]
 	return class, ok
 }
 
-// LongestDeadline is the longest time that a client of any class waits.
+// LongestDeadline returns the longest client timeout of all classes.
 func (c *Core) LongestDeadline() (longest time.Duration) {
 	for _, class := range c.classes {
 		longest = max(longest, class.Timeout)
@@ -104,8 +109,8 @@
 	return longest
 }
 
-// Now is the time of the core's clock.
+// Now returns the time of the core's clock.
 func (c *Core) Now() time.Duration { return c.clock.Now() }
 
-// Unanswered is the number of requests that are owed an answer.
+// Unanswered returns the number of accepted requests that have no final answer yet.
 func (c *Core) Unanswered() int { return c.requests.unanswered }
--- a/internal/core/end_attempt.go
+++ b/internal/core/end_attempt.go
@@ -6,18 +6,18 @@
 	"gannetspur/policy"
 )
 
-// Report is what came with the end of an attempt.
+// Report is the data that arrived with the end of an attempt or with a part of its answer.
 type Report struct {
-	Result      Result        // the complete response, for frontends of the same wire protocol
-	Work        time.Duration // that the engine spent; 0: not reported
-	MemoryMB    float64       // that the engine used; 0: not reported
-	LoadReport  policy.LoadReport
-	EngineError error // for frontends of the same wire protocol; nil: there was none
+	Result      Result            // the response, in the form of the wire protocol; nil if there is none
+	Work        time.Duration     // processing time reported by the engine; 0: not reported
+	MemoryMB    float64           // memory use reported by the engine; 0: not reported
+	LoadReport  policy.LoadReport // load reported by the engine; see LoadReport.Reported
+	EngineError error             // the engine's error, in the form of the wire protocol; nil if there is none
 }
 
-// EndAttempt ends an attempt. The first call counts; a late answer behind a time-out or a cancel is
-// ignored.
-func (c *Core) EndAttempt(a *Attempt, outcome Outcome, rep Report) {
+// EndAttempt ends an attempt. Only the first call for an attempt counts: an answer that arrives after
+// a timeout or cancellation is ignored.
+func (c *Core) EndAttempt(a *Attempt, outcome Outcome, report Report) {
 	if a.ended {
 		c.counters.Add("end-ignored." + outcome.String())
 		return
@@ -30,55 +30,57 @@
 	r.outstanding--
 	c.counters.Add("ended." + outcome.String())
 	if a.sitesNotified {
-		c.sites.AttemptEnded(a, outcome, rep)
+		c.sites.AttemptEnded(a, outcome, report)
 	}
-	c.keepEngineError(a, rep.EngineError)
-	c.observeCost(a, outcome, rep)
-	c.answerByOutcome(r, outcome, rep)
+	c.recordEngineError(a, report.EngineError)
+	c.observeCost(a, outcome, report)
+	c.answerByOutcome(r, outcome, report)
 	c.notifyPolicy(policy.AttemptEnded{
-		Query: r.query, Attempt: a.number, Result: policyResult(a, outcome), Elapsed: c.clock.Now() - a.SentAt,
-		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.LoadReport,
+		Query: r.queryNumber, Attempt: a.number, Result: policyResult(a, outcome), Elapsed: c.clock.Now() - a.SentAt,
+		Final: r.answered, Work: report.Work, MemoryMB: report.MemoryMB, Load: report.LoadReport,
 	})
 	c.forgetIfDone(r)
 }
 
-// keepEngineError keeps an engine's latest error for the final answer. An attempt that never ran
-// says nothing of a request that may have run before and is not safe to repeat: its error must not
-// stand for that of the attempt in doubt.
-func (c *Core) keepEngineError(a *Attempt, engineError error) {
+// recordEngineError stores an engine's latest error for the final answer. If an earlier attempt of a
+// non-idempotent request may have run, the error of a later attempt that never ran must not replace
+// it: the client would conclude that the request had no effect.
+func (c *Core) recordEngineError(a *Attempt, engineError error) {
 	r := a.Request
 	if a.mayHaveRun() || engineError != nil && !c.InDoubt(r) {
 		r.engineError = engineError
 	}
 }
 
-// observeCost tells the cost observer of an attempt. How long a stream took depends on its client.
-func (c *Core) observeCost(a *Attempt, outcome Outcome, rep Report) {
+// observeCost notifies the cost observer of an attempt's end. It skips streaming attempts, whose
+// duration depends on the client.
+func (c *Core) observeCost(a *Attempt, outcome Outcome, report Report) {
 	if c.observers.cost == nil || a.Request.CostContext == nil || a.streaming {
 		return
 	}
 	elapsed := c.clock.Now() - a.SentAt
 	switch outcome {
 	case OutcomeServed:
-		c.observers.cost.AttemptServed(a.Request, rep, elapsed)
+		c.observers.cost.AttemptServed(a.Request, report, elapsed)
 	case OutcomeTimeout:
 		c.observers.cost.AttemptTimedOut(a.Request, elapsed)
 	}
 }
 
-// answerByOutcome gives the final answer where the outcome settles the request whatever the policy
-// would do next.
-func (c *Core) answerByOutcome(r *Request, outcome Outcome, rep Report) {
+// answerByOutcome gives the final answer if the outcome alone determines it, regardless of the
+// policy.
+func (c *Core) answerByOutcome(r *Request, outcome Outcome, report Report) {
 	switch outcome {
 	case OutcomeServed:
-		c.answer(r.query, Answer{Verdict: Served, Result: rep.Result})
-	case OutcomeStatementRejected, OutcomeResultTooLarge: // another engine would say the same
-		c.answer(r.query, Answer{Verdict: Failed})
+		c.answer(r.queryNumber, Answer{Verdict: Served, Result: report.Result})
+	case OutcomeStatementRejected, OutcomeResultTooLarge: // another engine would give the same result
+		c.answer(r.queryNumber, Answer{Verdict: Failed})
 	}
 }
 
-// policyResult is what the policy hears of an attempt's outcome. A stream that was served counts as
-// cancelled: how long its client took says nothing of the engine.
+// policyResult returns the result that is reported to the policy for an attempt's outcome. A served
+// streaming attempt is reported as cancelled, because its duration depends on the client and must not
+// count for or against the engine.
 func policyResult(a *Attempt, outcome Outcome) policy.Result {
 	if a.streaming && outcome == OutcomeServed {
 		return policy.ResultCancelled
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -5,9 +5,9 @@
 	"gannetspur/policy"
 )
 
-// endpointList holds the engines as discovery reported them, and what operators said of them.
+// endpointList holds the engines as discovery reported them, and the operators' overrides.
 type endpointList struct {
-	engines map[string]Engine // that discovery lists and that have not departed
+	engines map[string]Engine // engines that discovery lists and that have not departed, by id
 	admin   *adminstate.Table
 }
 
@@ -15,8 +15,8 @@
 	return endpointList{engines: map[string]Engine{}, admin: adminstate.New()}
 }
 
-// set keeps an entry as discovery reported it.
-func (l *endpointList) set(e Engine) {
+// apply stores an entry as discovery reported it, or removes that of a departed engine.
+func (l *endpointList) apply(e Engine) {
 	if e.State == policy.EngineDeparted {
 		delete(l.engines, e.ID)
 		return
@@ -24,12 +24,12 @@
 	l.engines[e.ID] = e
 }
 
-// usable tells whether an attempt may still be written to an engine.
+// usable reports whether attempts may be written to an engine: it is live and not disabled.
 func (l *endpointList) usable(id string) bool {
 	return !l.admin.Disabled(id) && l.engines[id].State == policy.EngineLive
 }
 
-// UpdateEndpoints takes the endpoint list of discovery, or a change to it.
+// UpdateEndpoints applies an endpoint list of discovery, or changes to one.
 func (c *Core) UpdateEndpoints(mode policy.ListMode, engines []Engine) {
 	c.counters.Add("roster.events")
 	update := policy.EngineList{Mode: mode}
@@ -40,15 +40,15 @@
 	}
 	for _, e := range engines {
 		update.Engines = append(update.Engines, c.publish(e).Engine)
-		c.endpoints.set(e)
+		c.endpoints.apply(e)
 	}
-	c.retireUnlisted(before)
+	c.markUnlistedDeparted(before)
 	c.notifyPolicy(update)
 }
 
-// retireUnlisted tells links and sites that engines have departed which a full list no longer has.
-// Guards against connections to them that stay open.
-func (c *Core) retireUnlisted(before map[string]Engine) {
+// markUnlistedDeparted reports as departed, to the backend and the other sites, the engines that a
+// full list no longer has. Otherwise connections to them would stay open.
+func (c *Core) markUnlistedDeparted(before map[string]Engine) {
 	for id, e := range before {
 		if _, listed := c.endpoints.engines[id]; !listed && e.State != policy.EngineDeparted {
 			e.State = policy.EngineDeparted
@@ -57,8 +57,9 @@
 	}
 }
 
-// publish merges the operators' overrides into an entry of discovery and tells links and sites of
-// it, before the policy may name the engine in a send.
+// publish applies the operators' overrides to an entry of discovery, and reports the result to the
+// backend and the other sites. This comes before the policy learns of the entry: a send to the
+// engine may follow at once.
 func (c *Core) publish(e Engine) Engine {
 	e.Engine = c.endpoints.admin.Update(e.Engine)
 	c.updateEngine(e)
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -7,35 +7,35 @@
 	"gannetspur/policy"
 )
 
-// Figures are what operators read, counted since the process began.
+// Figures are the statistics that operators read. Totals count from the start of the process.
 type Figures struct {
-	Classes         []ClassFigures // in order of name
-	AttemptsWritten int64          // attempts written completely to engines
-	InFlight        int            // requests accepted and not ended
+	Classes         []ClassFigures // sorted by class name
+	AttemptsWritten int64          // attempts completely written to engines
+	InFlight        int            // accepted requests without a final answer
 	EnginesListed   int            // engines that discovery lists
-	EnginesDown     int            // of these, how many are avoided: by operators, or by the policy
-	Peers           *PeerFigures   // nil: this gateway is no member among others
+	EnginesDown     int            // listed engines that operators disabled or the policy ejected
+	Peers           *PeerFigures   // nil if the gateway does not take part in a membership
 }
 
-// ClassFigures are the final answers to requests of one class.
+// ClassFigures counts the final answers to requests of one class, by verdict.
 type ClassFigures struct {
-	Class                    string
+	Class                    string // name of the class
 	Served, Rejected, Failed int64
 }
 
-// PeerFigures tell of the gateways of a site, this one included.
+// PeerFigures describes the membership of a site's gateways, this one included.
 type PeerFigures struct {
-	Live        int // in the membership view
-	Known       int // known or configured
-	Unreachable int // of the known ones, from here
-	Dead        int // declared dead, or lost
-	ViewNumber  int
-	Majority    bool // the view holds one
+	Live        int  // gateways in the membership view
+	Known       int  // gateways known or configured
+	Unreachable int  // known gateways that this one can't reach
+	Dead        int  // gateways declared dead or lost
+	ViewNumber  int  // number of the membership view
+	Majority    bool // whether the view holds a majority
 }
 
-// figures counts what only operators read.
+// figures holds the totals that are reported in Figures and used nowhere else.
 type figures struct {
-	byClass         map[string]*ClassFigures
+	byClass         map[string]*ClassFigures // by class name
 	attemptsWritten int64
 }
 
@@ -50,7 +50,7 @@
 // countAnswer counts a final answer.
 func (f *figures) countAnswer(class string, v Verdict) {
 	counts := f.byClass[class]
-	if counts == nil { // a class that the settings don't have; the policy rejects it
+	if counts == nil { // the settings have no such class; the policy rejects its requests
 		return
 	}
 	switch v {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Figures is a copy of the present figures.
+// Figures returns a copy of the current figures. Peers is nil: the core knows no peers.
 func (c *Core) Figures() Figures {
 	f := Figures{
 		AttemptsWritten: c.figures.attemptsWritten, InFlight: c.requests.unanswered,
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -12,19 +12,19 @@
 	"gannetspur/policy"
 )
 
-// fixture is a core between links and other sites that do what a test says. It records what the
-// core calls.
+// fixture is a core with a fake backend, fake remote sites and a fake client, which are the fixture
+// itself. It records the calls that the core makes.
 type fixture struct {
 	now          time.Duration
 	timers       *timerqueue.Queue
 	core         *Core
-	calls        []string
-	forward      func(r *Request, rejected bool) bool // of the remote sites; nil: they take nothing
+	calls        []string                             // calls of the core, in order
+	forward      func(r *Request, rejected bool) bool // implements the remote sites; nil: they forward nothing
 	sent         []*Attempt
-	disconnected bool // the client has, and the core does not know yet
+	disconnected bool // what Disconnected reports: the client is gone, and the core is not notified yet
 }
 
-// newFixture returns a core with so many live engines.
+// newFixture returns a fixture with the given number of live engines.
 func newFixture(t *testing.T, engines int) *fixture {
 	t.Helper()
 	f := &fixture{now: time.Hour, timers: timerqueue.New()}
@@ -35,11 +35,11 @@
 	}
 	f.core.SetLinks(fixtureLinks{f})
 	f.core.SetRemoteSites(fixtureSites{f})
-	var all []Engine
+	var list []Engine
 	for i := range engines {
-		all = append(all, Engine{Engine: policy.Engine{ID: strconv.Itoa(i), Kind: "k", State: policy.EngineLive}})
+		list = append(list, Engine{Engine: policy.Engine{ID: strconv.Itoa(i), Kind: "k", State: policy.EngineLive}})
 	}
-	f.core.UpdateEndpoints(policy.ListFull, all)
+	f.core.UpdateEndpoints(policy.ListFull, list)
 	return f
 }
 
@@ -56,14 +56,14 @@
 	}
 }
 
-// accept has the core take a request.
+// accept passes a new request of the class to the core.
 func (f *fixture) accept(class string) *Request {
 	r := &Request{ID: "r", Class: class, IdempotencyKey: "key", Deadline: f.now + 5*time.Second, Client: f}
 	f.core.Accept(r)
 	return r
 }
 
-// advance lets time pass.
+// advance moves the clock forward and runs the timers that are due.
 func (f *fixture) advance(d time.Duration) {
 	f.now += d
 	f.timers.Sweep(f.now)
@@ -73,16 +73,16 @@
 	f.calls = append(f.calls, fmt.Sprintf(format, args...))
 }
 
-// Now makes it a Clock.
+// Now implements Clock.
 func (f *fixture) Now() time.Duration { return f.now }
 
-// Answer and Disconnected make it a client.
+// Answer and Disconnected implement Client and DisconnectDetector.
 func (f *fixture) Answer(_ *Request, a Answer) {
 	f.record("%s doubt=%v late=%v", a.Verdict, a.InDoubt, a.DeadlinePassed)
 }
 func (f *fixture) Disconnected() bool { return f.disconnected }
 
-// UpdateEngine is that of the links and of the sites.
+// UpdateEngine implements both Links and RemoteSites.
 func (f *fixture) UpdateEngine(Engine) {}
 
 type fixtureLinks struct{ *fixture }
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -2,90 +2,92 @@
 
 import "time"
 
-// RemoteSites forwards requests to other sites: when they arrive, before the policy hears of them,
-// and once the policy has rejected them. It may call the core back from within its methods.
+// RemoteSites forwards requests to other sites, either when they arrive, before the policy sees them,
+// or after the policy rejected them. Its methods may call the core back.
 type RemoteSites interface {
-	// ForwardOnArrival may take a request that has just come to another site, by Core.Forwarded,
-	// or give it its final answer, by Core.CompleteForwarded. It reports whether it did either.
+	// ForwardOnArrival is called for each newly accepted request. It may forward the request, by
+	// calling Core.Forwarded, or answer it, by calling Core.CompleteForwarded. It reports whether it
+	// did either.
 	ForwardOnArrival(r *Request) bool
 	// ForwardRejected is the same for a request that the policy has just rejected.
 	ForwardRejected(r *Request) bool
-	// Drop gives up what is at another site: the request is over.
+	// Drop cancels a forwarded request at the other site, because the request is over or its time
+	// there has ended.
 	Drop(r *Request)
-	// AttemptStarted reports an attempt at an engine of this site before it is made.
+	// AttemptStarted reports an attempt at an engine of this site, right before it is sent.
 	AttemptStarted(a *Attempt)
-	// AttemptEnded reports its end.
-	AttemptEnded(a *Attempt, outcome Outcome, rep Report)
-	// UpdateEngine reports an engine's entry or a change to it.
+	// AttemptEnded reports the end of an attempt that AttemptStarted reported.
+	AttemptEnded(a *Attempt, outcome Outcome, report Report)
+	// UpdateEngine adds an engine of this site to the endpoint list or changes its entry.
 	UpdateEngine(e Engine)
 }
 
-// Forwarded marks that a request is at another site from now on, while no engine here has it. It is
-// given up there at the time until. Exactly one of CompleteForwarded, ReturnForwarded and the
-// request's end follows.
+// Forwarded marks a request as forwarded to another site. No engine of this site may have an attempt
+// of it in flight. Exactly one of the following ends this state: a call of CompleteForwarded, a call of
+// ReturnForwarded, or the end of the request, which comes at the time until at the latest.
 func (c *Core) Forwarded(r *Request, until time.Duration) {
 	c.counters.Add("away." + r.Class)
-	r.remote.since = c.clock.Now()
+	r.remote.forwardedAt = c.clock.Now()
 	r.remote.timer = c.timers.Add(until, func() {
-		c.RecordRemoteSend(r, r.remote.since)
+		c.RecordRemoteSend(r, r.remote.forwardedAt)
 		c.sites.Drop(r)
 		c.CompleteForwarded(r, Answer{Verdict: Failed})
 	})
 }
 
-// isForwarded tells whether a request is at another site.
+// isForwarded reports whether a request is at another site.
 func (c *Core) isForwarded(r *Request) bool { return r.remote.timer != nil }
 
-// RecordRemoteSend marks that a request may have run at another site, where it was first sent at
-// the given time.
+// RecordRemoteSend records that a request may have run at another site, where it was first sent to an
+// engine at the given time.
 func (c *Core) RecordRemoteSend(r *Request, at time.Duration) {
 	if first := r.FirstSentAt(); first == 0 || at < first {
 		r.PriorSentAt = at
 	}
 }
 
-// CompleteForwarded gives a request the final answer of another site.
+// CompleteForwarded gives a request the final answer of another site, and cancels its attempts here.
 func (c *Core) CompleteForwarded(r *Request, a Answer) {
 	r.remote.clear()
-	if !c.requests.open(r) {
+	if !c.requests.isOpen(r) {
 		return
 	}
-	c.answer(r.query, a)
-	c.withdraw(r) // a hedge of it may be out here
+	c.answer(r.queryNumber, a)
+	c.cancelInFlight(r) // Hedge may have started an attempt here
 }
 
-// ReturnForwarded has the policy take a request back that was at another site. Where it may have
-// run there, RecordRemoteSend was called.
+// ReturnForwarded passes a request back to this site's policy, because the other site did not serve
+// it. If the request may have run there, RecordRemoteSend must be called first.
 func (c *Core) ReturnForwarded(r *Request) {
 	r.remote.clear()
-	if !c.requests.open(r) || r.admitted {
+	if !c.requests.isOpen(r) || r.admitted {
 		return
 	}
 	if r.remote.policyAnswer != nil {
-		c.answer(r.query, *r.remote.policyAnswer)
+		c.answer(r.queryNumber, *r.remote.policyAnswer)
 		return
 	}
 	c.readmit(r)
 }
 
-// Hedge has the policy take a request that is still at another site as well: the first complete
-// response ends the other.
+// Hedge passes a request to this site's policy while it is still at another site. The first complete
+// response is the answer, and the other execution is cancelled.
 func (c *Core) Hedge(r *Request) {
-	if !c.requests.open(r) || r.admitted || r.remote.policyAnswer != nil {
+	if !c.requests.isOpen(r) || r.admitted || r.remote.policyAnswer != nil {
 		return
 	}
 	c.readmit(r)
 }
 
-// readmit gives a request to the policy as a new query: the policy has forgotten the one that it
-// rejected.
+// readmit passes a request to the policy under a new query number: the policy keeps nothing about a
+// query that it rejected.
 func (c *Core) readmit(r *Request) {
 	c.requests.renumber(r)
 	c.admit(r)
 }
 
-// abandonForwarded gives up what another site has of a request that is over.
-func (c *Core) abandonForwarded(r *Request) {
+// dropForwarded cancels a request at the other site, if it is at one.
+func (c *Core) dropForwarded(r *Request) {
 	if !c.isForwarded(r) {
 		return
 	}
@@ -93,24 +95,24 @@
 	c.sites.Drop(r)
 }
 
-// takePolicyAnswer takes the policy's answer to a request that is not to be served here. Another
-// site may have the request, or be given it; otherwise it is the final answer.
-func (c *Core) takePolicyAnswer(query uint64, a Answer) {
-	r := c.requests.byQuery[query]
+// handlePolicyAnswer handles the policy's decision to reject or fail a request. It becomes the final
+// answer, unless another site has the request or it can now be forwarded to one.
+func (c *Core) handlePolicyAnswer(queryNumber uint64, a Answer) {
+	r := c.requests.byNumber[queryNumber]
 	if r == nil || r.answered {
 		return
 	}
 	r.admitted = false
 	switch {
-	case c.isForwarded(r): // the other site's answer decides
+	case c.isForwarded(r): // wait for the other site's answer
 		r.remote.policyAnswer = &a
 		return
 	case c.sites == nil:
 	case a.Verdict == Rejected && r.outstanding == 0 && c.sites.ForwardRejected(r):
 		return
 	case a.Verdict == Rejected && c.InDoubt(r) && !c.safeToRetry(r, a.RetryAfter):
-		// The policy knows nothing of what ran at another site.
+		// The policy does not know that the request may have run at another site.
 		a = Answer{Verdict: Failed}
 	}
-	c.answer(query, a)
+	c.answer(queryNumber, a)
 }
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// keyWindowMargin is how long before the end of an idempotency key's window the last retry is
-	// written, so that it arrives within it.
+	// keyWindowMargin is the time between the last write of a retry and the end of its idempotency
+	// key's deduplication window. It lets the retry reach the engine within the window.
 	keyWindowMargin = 50 * time.Millisecond
-	// clientRetryDelay is how much later than the hint a rejected client may try again.
+	// clientRetryDelay is the assumed longest delay between the RetryAfter hint of a rejection and
+	// the client's retry.
 	clientRetryDelay = time.Second
 )
 
-// InDoubt tells whether an open request may have run and is not safe to repeat.
+// InDoubt reports whether an open request may have run and is not idempotent.
 func (c *Core) InDoubt(r *Request) bool {
 	if c.classes[r.Class].Idempotency == policy.Idempotent {
 		return false
@@ -22,27 +23,28 @@
 	return r.PriorSentAt > 0 || c.isForwarded(r) || r.MayHaveRunHere()
 }
 
-// lastKeyedWrite is the latest time at which a request with an idempotency key may be written
-// again; 0 where nothing of it may have run. The policy keeps the window too, but not the time that
-// a connection takes to come up: a retry must not wait it out.
-func (c *Core) lastKeyedWrite(r *Request) time.Duration {
+// keyedWriteDeadline returns the latest time at which a request with an idempotency key may be
+// written again. It is 0, for no limit, if no attempt may have run or the class has no idempotency
+// keys. The policy checks the window too, when it chooses a retry. It does not know how long the
+// retry then waits for a connection, and the window may end during that wait.
+func (c *Core) keyedWriteDeadline(r *Request) time.Duration {
 	class := c.classes[r.Class]
 	first := r.FirstSentAt()
 	if class.Idempotency != policy.IdempotentWithKey || first == 0 && !r.MayHaveRunHere() {
 		return 0
 	}
-	return max(first+class.DedupWindow-keyWindowMargin, 1)
+	return max(first+class.DedupWindow-keyWindowMargin, 1) // at least 1, because 0 means no limit
 }
 
-// safeToRetry tells whether a request that may have run can be tried again without harm, by a
-// client that heeds the RetryAfter hint.
+// safeToRetry reports whether a client that follows the RetryAfter hint can safely retry a request
+// that may have run.
 func (c *Core) safeToRetry(r *Request, retryAfter time.Duration) bool {
 	class := c.classes[r.Class]
 	switch class.Idempotency {
 	case policy.Idempotent:
 		return true
 	case policy.IdempotentWithKey:
-		last := c.lastKeyedWrite(r)
+		last := c.keyedWriteDeadline(r)
 		retryInWindow := last == 0 || c.clock.Now()+retryAfter+clientRetryDelay < last
 		return class.DedupScope == policy.DedupAll && retryInWindow
 	}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,22 +6,22 @@
 	"gannetspur/policy"
 )
 
-// normalPriority is an attempt's priority unless the policy grants another.
+// normalPriority is the priority of attempts until the policy grants another.
 const normalPriority = 1
 
-// Orphan is what is known, beside its bytes, of a request that a process left behind when it died.
+// Orphan describes a request that was open in a process when that process died.
 type Orphan struct {
-	ReceivedAt  time.Duration // when its last byte came, or a little later
-	FirstSentAt time.Duration // when it first went to an engine; 0: never
-	MustFail    bool          // it may not be sent any more
+	ReceivedAt  time.Duration // when its last byte was received, or slightly later
+	FirstSentAt time.Duration // when it was first sent to an engine; 0 if it never was
+	MustFail    bool          // it must not be sent again
 }
 
-// Accept takes a request whose last byte has come. From here on one final answer is owed. The
-// answer may be given before Accept returns.
+// Accept starts processing a request that was received completely. The client gets exactly one
+// final answer, possibly before Accept returns.
 func (c *Core) Accept(r *Request) {
 	c.register(r)
 	if c.shutdown {
-		c.answer(r.query, c.shutdownAnswer(r))
+		c.answer(r.queryNumber, c.shutdownAnswer(r))
 		return
 	}
 	if c.sites != nil && c.sites.ForwardOnArrival(r) {
@@ -30,8 +30,8 @@
 	c.admit(r)
 }
 
-// AcceptOrphan takes a request whose bytes may come from a process that has died: orphan is what
-// is known of that, or nil.
+// AcceptOrphan is Accept for a request that may have been received by a process that died. orphan
+// describes what that process did with it, and is nil for an ordinary request.
 func (c *Core) AcceptOrphan(r *Request, orphan *Orphan) {
 	if orphan == nil {
 		c.Accept(r)
@@ -45,11 +45,10 @@
 	c.Accept(r)
 }
 
-// failOrphan takes a request that a process left behind when it died and that may not be sent any
-// more. Its client gets that answer at once.
+// failOrphan accepts an orphan that must not be sent again, and answers at once that it failed.
 func (c *Core) failOrphan(r *Request) {
 	c.register(r)
-	c.answer(r.query, Answer{Verdict: Failed})
+	c.answer(r.queryNumber, Answer{Verdict: Failed})
 }
 
 func (c *Core) register(r *Request) {
@@ -58,50 +57,51 @@
 	c.counters.Add("taken." + r.Class)
 }
 
-// admit puts a request before the policy, which sends or rejects it.
+// admit passes a request to the policy, which sends or rejects it.
 func (c *Core) admit(r *Request) {
 	r.admitted = true
 	c.notifyPolicy(policy.QueryArrived{
-		Query: r.query, Class: r.Class, Key: r.SerialKey, DataSet: r.DataSet, Deadline: r.Deadline,
+		Query: r.queryNumber, Class: r.Class, Key: r.SerialKey, DataSet: r.DataSet, Deadline: r.Deadline,
 		Work: r.Work, MemoryMB: r.MemoryMB, Repeat: r.ClientRetry,
 	})
 }
 
-// ClientDisconnected tells that the client has stopped waiting: nothing is owed any more.
+// ClientDisconnected cancels a request whose client no longer waits. The client gets no answer.
 func (c *Core) ClientDisconnected(r *Request) {
-	if !c.requests.open(r) {
+	if !c.requests.isOpen(r) {
 		return
 	}
 	c.counters.Add("gone." + r.Class)
 	c.requests.markAnswered(r)
-	c.abandonForwarded(r)
-	c.withdraw(r)
+	c.dropForwarded(r)
+	c.cancelInFlight(r)
 }
 
-// withdraw has the policy give up what is in flight of a request that is owed no answer any more.
-func (c *Core) withdraw(r *Request) {
-	c.notifyPolicy(policy.ClientDisconnected{Query: r.query})
+// cancelInFlight cancels the attempts of a request that needs no answer any more.
+func (c *Core) cancelInFlight(r *Request) {
+	c.notifyPolicy(policy.ClientDisconnected{Query: r.queryNumber})
 	for _, a := range r.attempts {
-		if a.streaming && !a.ended { // the policy leaves a stream to its end
+		if a.streaming && !a.ended { // the policy does not cancel streaming attempts
 			c.cancel(a, OutcomeCancelled)
 		}
 	}
 	c.forgetIfDone(r)
 }
 
-// Shutdown gives every open request its final answer, and each that still comes at once. It is for
-// the very end of a stop, when clients that wait would otherwise be left with none.
+// Shutdown gives every open request its final answer. Requests accepted later are answered at once.
+// It is called last when the process stops: clients that still wait would otherwise get no answer.
 func (c *Core) Shutdown() {
 	c.shutdown = true
-	for query, r := range c.requests.byQuery {
+	for queryNumber, r := range c.requests.byNumber {
 		if !r.answered {
-			c.answer(query, c.shutdownAnswer(r))
-			c.withdraw(r)
+			c.answer(queryNumber, c.shutdownAnswer(r))
+			c.cancelInFlight(r)
 		}
 	}
 }
 
-// shutdownAnswer rejects a request, unless it may have run and a retry could do harm.
+// shutdownAnswer rejects a request, which permits the client to retry it, or fails one that may have
+// run and is not safe to retry.
 func (c *Core) shutdownAnswer(r *Request) Answer {
 	if c.InDoubt(r) && !c.safeToRetry(r, 0) {
 		return Answer{Verdict: Failed}
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -2,34 +2,36 @@
 
 import "gannetspur/policy"
 
-// Links carries attempts to engines.
+// Links is a backend: it carries attempts to engines over one wire protocol.
 type Links interface {
-	// Send begins an attempt; Core.EndAttempt ends it.
+	// Send starts an attempt. The backend calls Core.EndAttempt when the attempt ends.
 	Send(a *Attempt)
-	// Cancel gives an attempt up that has not ended, and reports whether it is over. One that
-	// MustAwaitEngine is not over while its engine may still run it; Core.EndAttempt follows once
-	// the engine can't.
+	// Cancel cancels an attempt that has not ended, and reports whether the attempt is over.
+	// If a.MustAwaitEngine and the engine may still run the attempt, Cancel returns false, and the
+	// backend calls Core.EndAttempt once the engine can no longer run it.
 	Cancel(a *Attempt) bool
-	// SetPriority changes the priority of an attempt that is out.
+	// SetPriority changes the priority of an attempt in flight.
 	SetPriority(a *Attempt, priority int)
-	// UpdateEngine reports an engine's entry or a change to it.
+	// UpdateEngine adds an engine to the endpoint list or changes its entry.
 	UpdateEngine(e Engine)
 }
 
-// LoadReporter is Links that can ask engines for their load.
+// LoadReporter is implemented by Links that can ask engines for their load.
 type LoadReporter interface {
-	// RequestLoadReport asks an engine; Core.EndLoadReport ends it, once.
+	// RequestLoadReport asks an engine for a load report. The backend calls Core.EndLoadReport once
+	// for each request.
 	RequestLoadReport(engine string)
 }
 
-// StreamingLinks is Links that can carry requests which go on behind their first answer.
+// StreamingLinks is implemented by Links that support streaming requests: those with more
+// statements and answers after the first, such as transactions.
 type StreamingLinks interface {
-	// Continue puts the request's statement, a new one, on the attempt's connection.
+	// Continue sends the next statement, a.Request.Statement, on the attempt's connection.
 	Continue(a *Attempt)
 }
 
-// Engine is an entry of the endpoint list: the policy's part of it, and the address.
+// Engine is an entry of the endpoint list: the policy's view of an engine, and its address.
 type Engine struct {
 	policy.Engine
-	Addr string `cbor:"Addr"` // where it listens
+	Addr string `cbor:"Addr"` // network address that the engine listens on
 }
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -2,40 +2,41 @@
 
 import "gannetspur/policy"
 
-// Outcome is how a connection or an attempt ended: every way there is.
+// Outcome is the way in which an attempt or a connection ended.
 type Outcome uint8
 
-// Outcomes. The zero value is the most cautious: the attempt may have run.
+// Outcomes of attempts and connections. The zero value is the most cautious one: the attempt may
+// have run.
 const (
-	OutcomeUnknown           Outcome = iota
-	OutcomeServed                    // the complete response is here
-	OutcomeStatementRejected         // the engine found the statement itself at fault; it had no effect
-	OutcomeResultTooLarge            // it ran, but its result is larger than can be held here
-	OutcomeEngineError               // the engine answered with an error
-	OutcomeEngineFull                // the engine rejected it unseen
-	OutcomeDeadlinePassed            // the engine found its deadline passed before it ran
-	OutcomePagesLost                 // it ran, but some pages of its result can't be fetched any more
-	OutcomeTimeout                   // no answer within the attempt's time-out
-	OutcomeConnectionRefused         // the engine refused the connection
-	OutcomeConnectTimeout            // no connection in time
-	OutcomeNoDescriptor              // no file descriptor was free for a connection
-	OutcomeNoAddress                 // the endpoint list has no address for the engine
-	OutcomeConnectionReset           // the connection broke
-	OutcomeUnreadable                // what came on the connection can't be parsed
-	OutcomeCancelled                 // cancelled from this side
-	OutcomeNotSent                   // ended before any of it was written
-	OutcomeNoFreeConnection          // no pooled connection was free in time: it was not sent
-	OutcomeIdleClosed                // a connection with nothing open on it was closed
+	OutcomeUnknown           Outcome = iota // nothing is known: the attempt may have run
+	OutcomeServed                           // the complete response was received
+	OutcomeStatementRejected                // the engine rejected the statement as invalid; it had no effect
+	OutcomeResultTooLarge                   // it ran, but the result is too large for the gateway to hold
+	OutcomeEngineError                      // the engine answered with an error
+	OutcomeEngineFull                       // the engine rejected it for lack of capacity, without running it
+	OutcomeDeadlinePassed                   // the engine did not run it because its deadline had passed
+	OutcomePagesLost                        // it ran, but pages of its result can't be fetched any more
+	OutcomeTimeout                          // no answer within the attempt's timeout
+	OutcomeConnectionRefused                // the engine refused the connection
+	OutcomeConnectTimeout                   // the connection was not established in time
+	OutcomeNoDescriptor                     // the gateway had no free file descriptor for a connection
+	OutcomeNoAddress                        // the endpoint list has no address for the engine
+	OutcomeConnectionReset                  // the connection broke
+	OutcomeUnreadable                       // the received data can't be parsed
+	OutcomeCancelled                        // the gateway cancelled it
+	OutcomeNotSent                          // it ended before it was written
+	OutcomeNoFreeConnection                 // no pooled connection became free in time; it was not sent
+	OutcomeIdleClosed                       // a connection without open attempts was closed
 	outcomeCount
 )
 
-// outcomeNames are the names in counters.
+// outcomeNames are the names of outcomes in counters.
 var outcomeNames = [outcomeCount]string{
 	"unknown", "served", "rejected", "too-large", "error", "full", "past", "pages-lost", "timeout", "refused", "connect-timeout",
 	"no-descriptor", "no-engine", "reset", "garbage", "cancelled", "not-sent", "crowded", "idle",
 }
 
-// String is the outcome's name in counters.
+// String returns the outcome's name in counters.
 func (o Outcome) String() string {
 	if o < outcomeCount {
 		return outcomeNames[o]
@@ -43,11 +44,11 @@
 	return outcomeNames[OutcomeUnknown]
 }
 
-// PolicyResult is what an outcome means to the policy. This is the only place that decides which
-// outcomes prove that nothing ran; all others may have run.
+// PolicyResult returns the policy's result for an outcome. This mapping alone decides which
+// outcomes prove that the attempt never ran (policy.Result.NeverRan); after any other it may have run.
 func (o Outcome) PolicyResult() policy.Result {
 	switch o {
-	case OutcomeServed, OutcomeResultTooLarge: // the engine did its part
+	case OutcomeServed, OutcomeResultTooLarge: // the engine ran the attempt without error
 		return policy.ResultSuccess
 	case OutcomeEngineError, OutcomePagesLost:
 		return policy.ResultError
@@ -61,11 +62,11 @@
 		return policy.ResultConnectTimeout
 	case OutcomeConnectionReset:
 		return policy.ResultConnectionLost
-	case OutcomeUnreadable: // an answer may be corrupted on its way: it says nothing of the engine's health
+	case OutcomeUnreadable: // the network may have corrupted the data, so it does not count against the engine
 		return policy.ResultUnknown
 	case OutcomeCancelled:
 		return policy.ResultCancelled
-	case OutcomeDeadlinePassed, OutcomeNotSent, OutcomeStatementRejected, OutcomeNoDescriptor: // the last is no fault of the engine's
+	case OutcomeDeadlinePassed, OutcomeNotSent, OutcomeStatementRejected, OutcomeNoDescriptor: // a lack of descriptors is the gateway's fault, not the engine's
 		return policy.ResultNotSent
 	}
 	return policy.ResultUnknown
--- a/internal/core/overrides.go
+++ b/internal/core/overrides.go
@@ -5,8 +5,8 @@
 	"gannetspur/policy"
 )
 
-// DisableEngine takes an engine out of use on the operators' call. Its error is
-// adminstate.ErrUnknownEngine or adminstate.ErrTooManyDisabled.
+// DisableEngine takes an engine out of use until EnableEngine, as an operator requested. It returns
+// adminstate.ErrUnknownEngine or adminstate.ErrTooManyDisabled if it can't.
 func (c *Core) DisableEngine(id string) error {
 	changed, err := c.endpoints.admin.Disable(c.clock.Now(), id)
 	if changed {
@@ -15,7 +15,7 @@
 	return err
 }
 
-// EnableEngine undoes DisableEngine. Its error is adminstate.ErrUnknownEngine.
+// EnableEngine reverts DisableEngine. It returns adminstate.ErrUnknownEngine if it can't.
 func (c *Core) EnableEngine(id string) error {
 	changed, err := c.endpoints.admin.Enable(c.clock.Now(), id)
 	if changed {
@@ -33,11 +33,11 @@
 	}
 }
 
-// Overrides are what operators said of engines.
+// Overrides returns the engines that operators disabled or enabled.
 func (c *Core) Overrides() adminstate.Overrides { return c.endpoints.admin.Overrides() }
 
-// MergeOverrides merges in what operators said to another process, and reports whether that changed
-// anything.
+// MergeOverrides merges in the overrides of another process, and reports whether any override
+// changed.
 func (c *Core) MergeOverrides(other adminstate.Overrides) bool {
 	changed := c.endpoints.admin.Merge(other)
 	if len(changed) == 0 {
@@ -48,7 +48,8 @@
 	return true
 }
 
-// republish tells anew of engines for which another override holds now.
+// republish reports the entries of engines whose override changed to the backend, the other sites and
+// the policy.
 func (c *Core) republish(ids []string) {
 	update := policy.EngineList{Mode: policy.ListChanges}
 	for _, id := range ids {
--- a/internal/core/payload.go
+++ b/internal/core/payload.go
@@ -1,27 +1,27 @@
 package core
 
-// Statement is what a client asks an engine to run, as a frontend has read it. Each wire
-// protocol has a type of its own, which the core passes on to the links unread.
+// Statement is a client's statement as a frontend parsed it. Each wire protocol has its own type. The
+// core passes it to the backend without inspecting it.
 type Statement interface {
-	// SQL is the statement's text.
+	// SQL returns the statement's text.
 	SQL() string
 }
 
-// Result is a complete response of an engine, as its links have read it, for a frontend of the
-// same wire protocol.
+// Result is an engine's response as a backend parsed it, for a frontend of the same wire protocol.
 type Result interface {
-	// Size is the number of bytes that its rows take.
+	// Size returns the size of the rows in bytes.
 	Size() int
 }
 
-// CostContext is what a CostObserver attaches to a request to learn from its cost later.
+// CostContext is data that a CostObserver attaches to a request, to attribute the request's cost
+// later.
 type CostContext interface {
 	// Fingerprint identifies the query shape within this process.
 	Fingerprint() [2]uint64
 }
 
-// LinkState is what links keep of an attempt that they were given.
+// LinkState is a backend's own state of an attempt.
 type LinkState interface {
-	// Owner is the attempt that the state belongs to.
+	// Owner returns the attempt that the state belongs to.
 	Owner() *Attempt
 }
--- a/internal/core/policy_loop.go
+++ b/internal/core/policy_loop.go
@@ -2,56 +2,56 @@
 
 import "gannetspur/policy"
 
-// policyLoop feeds events to the policy one at a time: a Gateway must not be called from within a
-// call, so events that come up meanwhile wait.
+// policyLoop passes events to the policy one at a time. Carrying out the policy's actions can cause
+// further events. They are queued, because Gateway.Handle must not be called recursively.
 type policyLoop struct {
 	gateway *policy.Gateway
-	waiting []policy.Event
-	actions []policy.Action // reused by each call
-	running bool
+	pending []policy.Event  // events to handle next, in order
+	actions []policy.Action // buffer reused by each call of Handle
+	running bool            // notifyPolicy is running, further up the stack
 }
 
-// notifyPolicy hands an event to the policy and carries out what it decides.
-func (c *Core) notifyPolicy(ev policy.Event) {
+// notifyPolicy passes an event to the policy and carries out the resulting actions.
+func (c *Core) notifyPolicy(event policy.Event) {
 	loop := &c.policy
-	loop.waiting = append(loop.waiting, ev)
+	loop.pending = append(loop.pending, event)
 	if loop.running {
 		return
 	}
 	loop.running = true
-	for len(loop.waiting) > 0 {
-		next := loop.waiting[0]
-		loop.waiting = loop.waiting[1:]
+	for len(loop.pending) > 0 {
+		next := loop.pending[0]
+		loop.pending = loop.pending[1:]
 		loop.actions = loop.gateway.Handle(c.clock.Now(), next, loop.actions[:0])
 		for _, a := range loop.actions {
 			c.execute(a)
 		}
 	}
-	loop.waiting = loop.waiting[:0]
+	loop.pending = loop.pending[:0]
 	loop.running = false
 	c.forgetFinished()
 }
 
-// execute carries out one action of the policy. Actions on what is over are skipped, as the policy
-// may not know yet.
+// execute carries out one action of the policy. It ignores actions on a request that has ended: the
+// policy may not have learned of the end yet.
 func (c *Core) execute(action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
-		if r := c.requests.byQuery[a.Query]; r != nil {
+		if r := c.requests.byNumber[a.Query]; r != nil {
 			c.send(r, a)
 		}
 	case policy.Grant:
-		if r := c.requests.byQuery[a.Query]; r != nil {
-			c.grant(r, a)
+		if r := c.requests.byNumber[a.Query]; r != nil {
+			c.applyGrant(r, a)
 		}
 	case policy.Cancel:
-		if r := c.requests.byQuery[a.Query]; r != nil {
+		if r := c.requests.byNumber[a.Query]; r != nil {
 			c.cancelByNumber(r, a.Attempt)
 		}
 	case policy.Reject:
-		c.takePolicyAnswer(a.Query, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
+		c.handlePolicyAnswer(a.Query, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
-		c.takePolicyAnswer(a.Query, Answer{Verdict: Failed})
+		c.handlePolicyAnswer(a.Query, Answer{Verdict: Failed})
 	case policy.SetTimer:
 		c.timers.Add(c.clock.Now()+a.After, func() { c.notifyPolicy(policy.TimerFired{Token: a.Token}) })
 	case policy.Log:
@@ -65,7 +65,7 @@
 
 func (c *Core) requestLoadReport(engine string) {
 	reporter, ok := c.links.(LoadReporter)
-	if !ok { // engines of this wire protocol have no answer to it
+	if !ok { // this wire protocol has no load reports
 		c.counters.Add("policy.ignored")
 		return
 	}
@@ -73,8 +73,8 @@
 	reporter.RequestLoadReport(engine)
 }
 
-// EndLoadReport ends a request for a load report: the engine answered, with its load where it reported
-// one, or it did not.
+// EndLoadReport ends a LoadReporter.RequestLoadReport. The outcome tells whether the engine answered;
+// load is the reported load, if any.
 func (c *Core) EndLoadReport(engine string, outcome Outcome, load policy.LoadReport) {
 	c.counters.Add("probes.ended." + outcome.String())
 	c.notifyPolicy(policy.LoadReportReceived{Engine: engine, Result: outcome.PolicyResult(), Load: load})
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -17,9 +17,11 @@
 	"gannetspur/policy"
 )
 
-// TestReplay drives the life of requests by seeded events: clients that come, leave and go on,
-// attempts that end in every way, another site, engines that come and go, operators' calls.
-// What links, clients and the other site hear goes into a digest that version c18a9bd wrote.
+// TestReplay guards against changes of behaviour. It drives the core with seeded random events:
+// requests that arrive, disconnect or continue a stream, attempts that end with every outcome,
+// forwarding to another site, changes of the endpoint list and operators' overrides. Everything that
+// the backend, the clients and the other site are told goes into a digest, which must equal the one
+// that version c18a9bd wrote.
 func TestReplay(t *testing.T) {
 	const digestFile = "testdata/replay.sha256"
 	want, err := os.ReadFile(digestFile)
@@ -31,11 +33,12 @@
 		newReplay(t, digest, seed).run()
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != strings.TrimSpace(string(want)) {
-		t.Errorf("digest of all calls = %s, want %s", got, want)
+		t.Errorf("digest of all calls = %s, want %s from %s", got, want, digestFile)
 	}
 }
 
-// The core finds these by type assertion: a method renamed here alone would go unnoticed.
+// The core uses these interfaces through type assertions: if a fake stopped implementing one, the
+// tests would still compile and skip that path.
 var (
 	_ StreamingClient    = (*replay)(nil)
 	_ CostObserver       = (*replay)(nil)
@@ -44,26 +47,28 @@
 	_ DisconnectDetector = (*fixture)(nil)
 )
 
-// replay is one seeded run. The wording of what it writes does not depend on identifiers.
+// replay is one seeded run with fakes of all that the core uses. The digest covers the texts that it
+// records, so they stay as they are when identifiers are renamed.
 type replay struct {
-	out      io.Writer
-	random   *rand.Rand
-	now      time.Duration
-	timers   *timerqueue.Queue
-	core     *Core
-	counters *metrics.Counters
-	open     []*Request
-	attempts []*Attempt
-	settling []*Attempt
-	serial   int
+	out            io.Writer // the digest
+	random         *rand.Rand
+	now            time.Duration
+	timers         *timerqueue.Queue
+	core           *Core
+	counters       *metrics.Counters
+	openRequests   []*Request // not answered yet
+	attempts       []*Attempt // all that were written
+	awaitingEngine []*Attempt // cancelled ones that stay in flight, see MustAwaitEngine
+	lastID         int        // number in the latest request's ID
 }
 
-// replayText is a statement or a result.
+// replayText implements Statement and Result.
 type replayText string
 
 func (t replayText) SQL() string { return string(t) }
 func (t replayText) Size() int   { return len(t) }
 
+// replayCost implements CostContext.
 type replayCost int
 
 func (c replayCost) Fingerprint() [2]uint64 { return [2]uint64{uint64(c)} }
@@ -71,9 +76,9 @@
 func newReplay(t *testing.T, out io.Writer, seed uint64) *replay {
 	t.Helper()
 	r := &replay{out: out, random: rand.New(rand.NewPCG(seed, 2)), now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
-	set := fixtureSettings()
+	settings := fixtureSettings()
 	var err error
-	if r.core, err = New(set, seed, r, r.timers, r.counters, slog.New(slog.DiscardHandler)); err != nil {
+	if r.core, err = New(settings, seed, r, r.timers, r.counters, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	r.core.SetLinks(replayLinks{r})
@@ -90,19 +95,20 @@
 	_, _ = fmt.Fprintf(r.out, format+"\n", args...) // a hash never fails
 }
 
+// Now implements Clock. The methods up to RequestDone implement StreamingClient and CostObserver.
 func (r *replay) Now() time.Duration { return r.now }
 
 func (r *replay) Answer(q *Request, a Answer) {
 	r.record("answer %s %d %d %t %t %t %v %v", q.ID, int(a.Verdict), int64(a.RetryAfter), a.DeadlinePassed, a.Sent, a.InDoubt, a.Result, a.EngineError)
-	r.dropOpen(q)
+	r.removeOpen(q)
 }
 
 func (r *replay) PartialAnswer(q *Request, a Answer) {
 	r.record("part %s %d %t %v %v", q.ID, int(a.Verdict), a.Sent, a.Result, a.EngineError)
 }
 
-func (r *replay) AttemptServed(q *Request, rep Report, elapsed time.Duration) {
-	r.record("served %s %d %d", q.ID, int64(rep.Work), int64(elapsed))
+func (r *replay) AttemptServed(q *Request, report Report, elapsed time.Duration) {
+	r.record("served %s %d %d", q.ID, int64(report.Work), int64(elapsed))
 }
 
 func (r *replay) AttemptTimedOut(q *Request, elapsed time.Duration) {
@@ -111,6 +117,7 @@
 
 func (r *replay) RequestDone(q *Request) { r.record("over %s", q.ID) }
 
+// replayLinks is the fake backend.
 type replayLinks struct{ *replay }
 
 func (l replayLinks) Send(a *Attempt) {
@@ -124,12 +131,12 @@
 }
 
 func (l replayLinks) Cancel(a *Attempt) bool {
-	must := a.MustAwaitEngine()
-	l.record("drop %s %s %t", a.Request.ID, a.Engine, must)
-	if must {
-		l.settling = append(l.settling, a)
+	mustAwait := a.MustAwaitEngine()
+	l.record("drop %s %s %t", a.Request.ID, a.Engine, mustAwait)
+	if mustAwait {
+		l.awaitingEngine = append(l.awaitingEngine, a)
 	}
-	return !must
+	return !mustAwait
 }
 
 func (l replayLinks) SetPriority(a *Attempt, priority int) {
@@ -137,7 +144,7 @@
 }
 
 func (l replayLinks) UpdateEngine(e Engine) {
-	if e.State != policy.EngineDeparted { // those that a whole list lacks come in no fixed order
+	if e.State != policy.EngineDeparted { // engines missing from a full list are reported in map order
 		l.record("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.StartKnown)
 	}
 }
@@ -155,6 +162,7 @@
 	l.record("continue %s %s %v", a.Request.ID, a.Engine, a.Request.Statement)
 }
 
+// replaySites is the fake of the other sites.
 type replaySites struct{ *replay }
 
 func (s replaySites) ForwardOnArrival(q *Request) bool { return s.forward(q, false) }
@@ -171,23 +179,24 @@
 func (s replaySites) Drop(q *Request)           { s.record("drop there %s", q.ID) }
 func (s replaySites) AttemptStarted(a *Attempt) { s.record("sending %s %s", a.Request.ID, a.Engine) }
 func (s replaySites) UpdateEngine(Engine)       {}
-func (s replaySites) AttemptEnded(a *Attempt, end Outcome, _ Report) {
-	s.record("ended %s %s %d", a.Request.ID, a.Engine, int(end))
+func (s replaySites) AttemptEnded(a *Attempt, outcome Outcome, _ Report) {
+	s.record("ended %s %s %d", a.Request.ID, a.Engine, int(outcome))
 }
 
+// run makes 1500 random events happen, shuts the core down and records the totals.
 func (r *replay) run() {
-	r.engines(policy.ListFull, 6)
+	r.updateEndpoints(policy.ListFull, 6)
 	for range 1500 {
 		r.step()
 		r.now += time.Duration(r.random.IntN(20)) * time.Millisecond
 		r.timers.Sweep(r.now)
 	}
-	for len(r.open) > 1 { // Shutdown answers several in no fixed order
-		r.disconnect(r.open[0])
+	for len(r.openRequests) > 1 { // Shutdown answers requests in map order
+		r.disconnect(r.openRequests[0])
 	}
 	r.core.Shutdown()
 	r.accept()
-	for _, a := range append(r.attempts, r.settling...) {
+	for _, a := range append(r.attempts, r.awaitingEngine...) {
 		r.core.EndAttempt(a, OutcomeConnectionReset, Report{})
 	}
 	figures := r.core.Figures()
@@ -195,42 +204,44 @@
 	for _, c := range figures.Classes {
 		r.record("class %s %d %d %d", c.Class, c.Served, c.Rejected, c.Failed)
 	}
-	var all strings.Builder
-	r.counters.Print(&all)
-	r.record("%s", all.String())
+	var counts strings.Builder
+	r.counters.Print(&counts)
+	r.record("%s", counts.String())
 }
 
+// step makes one random event happen.
 func (r *replay) step() {
 	switch r.random.IntN(16) {
 	case 0, 1, 2, 3, 4:
 		r.accept()
 	case 5, 6, 7, 8, 9:
-		r.end()
+		r.endAttempt()
 	case 10:
-		if q := r.anyOpen(); q != nil {
+		if q := r.randomOpenRequest(); q != nil {
 			r.disconnect(q)
 		}
 	case 11:
-		if a := r.anyAttempt(); a != nil {
+		if a := r.randomRecentAttempt(); a != nil {
 			r.core.ReportProgress(a, policy.ProgressKind(r.random.IntN(3)), float64(r.random.IntN(50)))
 		}
 	case 12:
-		r.engines(policy.ListChanges, 1+r.random.IntN(2))
+		r.updateEndpoints(policy.ListChanges, 1+r.random.IntN(2))
 	case 13:
-		r.operate()
+		r.changeOverride()
 	case 14:
-		r.remoteSite()
+		r.remoteSiteEvent()
 	default:
 		r.continueStream()
 	}
 }
 
+// accept passes a random request, in some cases an orphan, to the core.
 func (r *replay) accept() {
-	r.serial++
+	r.lastID++
 	class := []string{"read", "load", "write", "unheard-of"}[min(r.random.IntN(10)/3, 3)]
 	q := &Request{
-		ID: fmt.Sprintf("r%d", r.serial), Class: class, IdempotencyKey: "key", Deadline: r.now + time.Duration(1+r.random.IntN(5000))*time.Millisecond,
-		Client: r, CostContext: replayCost(r.serial), Statement: replayText("first"), Streaming: class == "write" && r.random.IntN(3) == 0,
+		ID: fmt.Sprintf("r%d", r.lastID), Class: class, IdempotencyKey: "key", Deadline: r.now + time.Duration(1+r.random.IntN(5000))*time.Millisecond,
+		Client: r, CostContext: replayCost(r.lastID), Statement: replayText("first"), Streaming: class == "write" && r.random.IntN(3) == 0,
 	}
 	if r.random.IntN(4) == 0 {
 		q.SerialKey = fmt.Sprintf("key-%d", r.random.IntN(5))
@@ -243,41 +254,44 @@
 		orphan = &Orphan{ReceivedAt: r.now, FirstSentAt: r.now - time.Duration(r.random.IntN(2))*time.Second, MustFail: r.random.IntN(3) == 0}
 	}
 	r.record("arrive %s %s", q.ID, class)
-	r.open = append(r.open, q)
+	r.openRequests = append(r.openRequests, q)
 	r.core.AcceptOrphan(q, orphan)
 }
 
-func (r *replay) end() {
-	if len(r.settling) > 0 && r.random.IntN(3) == 0 {
-		a := r.settling[0]
-		r.settling = r.settling[1:]
+// endAttempt ends an attempt: in most cases as served, otherwise with a random outcome. It may choose an
+// attempt that has ended already, which the core has to ignore.
+func (r *replay) endAttempt() {
+	if len(r.awaitingEngine) > 0 && r.random.IntN(3) == 0 {
+		a := r.awaitingEngine[0]
+		r.awaitingEngine = r.awaitingEngine[1:]
 		r.core.EndAttempt(a, OutcomeCancelled, Report{})
 		return
 	}
-	a := r.anyAttempt()
+	a := r.randomRecentAttempt()
 	if a == nil {
 		return
 	}
-	end := OutcomeServed
+	outcome := OutcomeServed
 	if r.random.IntN(3) == 0 {
-		end = Outcome(r.random.IntN(int(outcomeCount)))
+		outcome = Outcome(r.random.IntN(int(outcomeCount)))
 	}
-	rep := Report{Result: replayText("rows"), Work: time.Duration(r.random.IntN(100)) * time.Millisecond, MemoryMB: float64(r.random.IntN(20))}
-	if end == OutcomeEngineError || end == OutcomeStatementRejected {
-		rep.Result, rep.EngineError = nil, fmt.Errorf("error of %s", a.Engine)
+	report := Report{Result: replayText("rows"), Work: time.Duration(r.random.IntN(100)) * time.Millisecond, MemoryMB: float64(r.random.IntN(20))}
+	if outcome == OutcomeEngineError || outcome == OutcomeStatementRejected {
+		report.Result, report.EngineError = nil, fmt.Errorf("error of %s", a.Engine)
 	}
-	r.record("end %s %s %d", a.Request.ID, a.Engine, int(end))
-	r.core.EndAttempt(a, end, rep)
+	r.record("end %s %s %d", a.Request.ID, a.Engine, int(outcome))
+	r.core.EndAttempt(a, outcome, report)
 }
 
-func (r *replay) remoteSite() {
-	for _, q := range r.open {
+// remoteSiteEvent makes the other site answer, return or hedge the first request that it has.
+func (r *replay) remoteSiteEvent() {
+	for _, q := range r.openRequests {
 		if !r.core.isForwarded(q) {
 			continue
 		}
-		how := r.random.IntN(5)
-		r.record("there %s %d", q.ID, how)
-		switch how {
+		event := r.random.IntN(5)
+		r.record("there %s %d", q.ID, event)
+		switch event {
 		case 0:
 			r.core.CompleteForwarded(q, Answer{Verdict: Served, Result: replayText("rows from there")})
 		case 1:
@@ -296,6 +310,8 @@
 	}
 }
 
+// continueStream relays a part of the first open streaming request, and in half of the cases continues it
+// with another statement.
 func (r *replay) continueStream() {
 	for _, a := range r.attempts {
 		if a.Ended() || !a.Request.Streaming {
@@ -309,7 +325,8 @@
 	}
 }
 
-func (r *replay) operate() {
+// changeOverride disables or enables a random engine, which may be an unknown one.
+func (r *replay) changeOverride() {
 	id := fmt.Sprintf("e%d", r.random.IntN(8))
 	change := r.core.EnableEngine
 	if r.random.IntN(2) == 0 {
@@ -319,7 +336,8 @@
 	r.record("call %t", err != nil)
 }
 
-func (r *replay) engines(mode policy.ListMode, n int) {
+// updateEndpoints reports n engines: all of them, or random changes to random ones.
+func (r *replay) updateEndpoints(mode policy.ListMode, n int) {
 	var list []Engine
 	for i := range n {
 		id := i
@@ -335,30 +353,31 @@
 	r.core.UpdateEndpoints(mode, list)
 }
 
-func (r *replay) anyOpen() *Request {
-	if len(r.open) == 0 {
+func (r *replay) randomOpenRequest() *Request {
+	if len(r.openRequests) == 0 {
 		return nil
 	}
-	return r.open[r.random.IntN(len(r.open))]
+	return r.openRequests[r.random.IntN(len(r.openRequests))]
 }
 
 func (r *replay) disconnect(q *Request) {
 	r.record("leaves %s", q.ID)
 	r.core.ClientDisconnected(q)
-	r.dropOpen(q)
+	r.removeOpen(q)
 }
 
-func (r *replay) dropOpen(q *Request) {
-	for i, o := range r.open {
-		if o == q {
-			r.open = append(r.open[:i], r.open[i+1:]...)
+func (r *replay) removeOpen(q *Request) {
+	for i, open := range r.openRequests {
+		if open == q {
+			r.openRequests = append(r.openRequests[:i], r.openRequests[i+1:]...)
 			return
 		}
 	}
 }
 
-// anyAttempt picks one of the latest attempts, which may have ended already.
-func (r *replay) anyAttempt() *Attempt {
+// randomRecentAttempt returns one of the latest 20 attempts, which may have ended already, or nil if
+// there are none.
+func (r *replay) randomRecentAttempt() *Attempt {
 	if len(r.attempts) == 0 {
 		return nil
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,77 +7,80 @@
 	"gannetspur/internal/timerqueue"
 )
 
-// Client is where a request came from. It is given exactly one answer, unless
-// Core.ClientDisconnected was called first.
+// Client is the sender of a request. Answer is called exactly once, unless Core.ClientDisconnected
+// is called first.
 type Client interface{ Answer(r *Request, a Answer) }
 
-// DisconnectDetector is a Client that knows whether it has disconnected before
-// Core.ClientDisconnected, which waits for its turn in the event loop, is called.
+// DisconnectDetector is implemented by a Client that can detect its disconnection earlier than the
+// event loop, which calls Core.ClientDisconnected in its turn.
 type DisconnectDetector interface{ Disconnected() bool }
 
-// Request is one query or load, from its last byte to its one final answer.
+// Request is one query or data load, from the receipt of its last byte to its final answer.
 type Request struct {
-	ID             string // the client's, passed on unchanged
-	Class          string
-	IdempotencyKey string // "": none
-	// SerialKey orders requests: those of one key run one at a time, in turn. "": no order.
+	ID             string // chosen by the client and passed on unchanged; not necessarily unique
+	Class          string // name of the request class
+	IdempotencyKey string // empty if the client sent none
+	// SerialKey serializes requests: those with the same key run one at a time, in order of arrival.
+	// Empty: no such order.
 	SerialKey   string
-	Statement   Statement // passed on to the links unread
-	DataSet     int64     // group of tables
-	Deadline    time.Duration
-	Work        time.Duration // estimate; 0: none
-	MemoryMB    float64       // estimate; 0: none
-	ClientRetry bool          // the client marks it as a retry
+	Statement   Statement     // passed to the backend without inspection
+	DataSet     int64         // data set, a group of tables, that the request reads or writes
+	Deadline    time.Duration // time on the core's clock
+	Work        time.Duration // estimated processing time; 0: no estimate
+	MemoryMB    float64       // estimated memory use; 0: no estimate
+	ClientRetry bool          // the client marked the request as a retry
 	Client      Client
-	CostContext CostContext // of the CostObserver; nil: its cost is not observed
-	// PriorSentAt is when another site, or a process that has died, first sent the request to an
-	// engine; 0: none did. It may have run since.
+	CostContext CostContext // set by the CostObserver; nil if the cost is not observed
+	// PriorSentAt is when another site, or a process that died, first sent the request to an engine,
+	// which may have run it. 0: neither did.
 	PriorSentAt time.Duration
-	// FromOtherSite tells that another site forwarded it: it is forwarded to no third one.
+	// FromOtherSite marks a request that another site forwarded here. It is not forwarded again.
 	FromOtherSite bool
-	// Streaming tells that the request goes on behind its first answer, as a transaction does: its
-	// attempt stays out, its Client is a StreamingClient, and Core.Continue gives the engine what
-	// comes next.
+	// Streaming marks a request with further statements and answers after the first, such as a
+	// transaction. Its attempt stays in flight, its Client is a StreamingClient, and Core.Continue
+	// sends the next statement.
 	Streaming bool
-	// MaxSends bounds the sends over all sites; 0: the policy's own bound alone.
+	// MaxSends limits the sends to engines at all sites, in addition to the policy's own limit.
+	// 0: no additional limit.
 	MaxSends int
-	// PriorSends is how many of them were made elsewhere.
+	// PriorSends is the number of sends made at other sites or granted to them.
 	PriorSends int
 
-	query       uint64 // the policy's number of it; the client's id may come twice
+	queryNumber uint64 // identifies the request to the policy: a client may use an id twice
 	attempts    []*Attempt
-	outstanding int // attempts that have not ended
+	outstanding int // number of attempts that have not ended
 	answered    bool
-	grantedMB   float64 // memory for its next attempts
-	priority    int
-	engineError error // the latest
+	grantedMB   float64 // memory granted to the next attempts, in MB
+	priority    int     // priority granted by the policy
+	engineError error   // latest error of an engine, for the final answer
 
-	admitted bool // the policy has it
-	// firstAttempt is where attempts of the present query number begin: the policy has forgotten
-	// those of a query that it rejected before.
+	admitted bool // passed to the policy, and neither rejected nor failed by it
+	// firstAttempt is the index in attempts of the first one under the current query number. The
+	// policy numbers attempts from there: it keeps nothing about a query that it rejected.
 	firstAttempt int
 	remote       remoteState
 }
 
-// remoteState is what is kept of a request while it is at another site.
+// remoteState is the state of a request that was forwarded to another site.
 type remoteState struct {
-	timer *timerqueue.Entry // ends the wait for the other site; nil: the request is not there
-	since time.Duration
-	// policyAnswer is what the policy answered to the hedge here; nil: nothing.
+	timer       *timerqueue.Entry // ends the wait for the other site; nil if the request is not at one
+	forwardedAt time.Duration
+	// policyAnswer is the policy's rejection or failure of the request here, while the request is at
+	// the other site; nil if there was none. See Core.Hedge.
 	policyAnswer *Answer
 }
 
-// clear marks that the request is no longer at the other site.
+// clear marks the request as no longer being at another site.
 func (s *remoteState) clear() {
 	s.timer.Stop()
 	s.timer = nil
 }
 
-// SendCount is how often a request was sent to an engine, at any site, as far as is known here.
+// SendCount returns the number of known sends to engines, at all sites.
 func (r *Request) SendCount() int { return r.PriorSends + len(r.attempts) }
 
-// FirstSentAt is when a request that may have run was first sent, at any site; 0: it can't have
-// run.
+// FirstSentAt returns the time of the first send, at any site, after which the request may have run.
+// It returns 0 if the request can't have run.
 func (r *Request) FirstSentAt() time.Duration {
 	if r.PriorSentAt > 0 {
 		return r.PriorSentAt
@@ -88,13 +91,13 @@
 	return 0
 }
 
-// MayHaveRunHere tells whether an engine of this site may have run the request.
+// MayHaveRunHere reports whether an engine of this site may have run the request.
 func (r *Request) MayHaveRunHere() bool {
 	return slices.ContainsFunc(r.attempts, (*Attempt).mayHaveRun)
 }
 
-// attempt returns an attempt by the policy's number of it; nil: there is none.
-func (r *Request) attempt(n int) *Attempt {
+// attemptByNumber returns the attempt with the policy's number n, or nil if there is none.
+func (r *Request) attemptByNumber(n int) *Attempt {
 	i := r.firstAttempt + n
 	if n < 0 || i >= len(r.attempts) {
 		return nil
@@ -102,47 +105,48 @@
 	return r.attempts[i]
 }
 
-// requestTable holds the requests that have not ended, by their query number.
+// requestTable holds the requests that have not ended.
 type requestTable struct {
-	lastQuery  uint64
-	byQuery    map[uint64]*Request
-	unanswered int
-	// finished are to be forgotten once no event waits: until then the policy may still name them.
+	lastNumber uint64 // query number assigned last
+	byNumber   map[uint64]*Request
+	unanswered int // number of requests without a final answer
+	// finished are ended requests that are removed once the policy's event queue is empty: until then,
+	// actions of the policy may refer to them.
 	finished []*Request
 }
 
-func newRequestTable() requestTable { return requestTable{byQuery: map[uint64]*Request{}} }
+func newRequestTable() requestTable { return requestTable{byNumber: map[uint64]*Request{}} }
 
-// add gives a request its first query number.
+// add adds a new request and assigns its first query number.
 func (t *requestTable) add(r *Request) {
 	t.unanswered++
-	t.number(r)
+	t.assignNumber(r)
 }
 
-// renumber gives a request a new query number, under which the policy has not heard of it.
+// renumber assigns a new query number to a request, so that the policy treats it as a new query.
 func (t *requestTable) renumber(r *Request) {
-	delete(t.byQuery, r.query)
-	t.number(r)
+	delete(t.byNumber, r.queryNumber)
+	t.assignNumber(r)
 	r.firstAttempt = len(r.attempts)
 }
 
-func (t *requestTable) number(r *Request) {
-	t.lastQuery++
-	r.query = t.lastQuery
-	t.byQuery[r.query] = r
+func (t *requestTable) assignNumber(r *Request) {
+	t.lastNumber++
+	r.queryNumber = t.lastNumber
+	t.byNumber[r.queryNumber] = r
 }
 
-// markAnswered notes that the client is owed nothing any more.
+// markAnswered marks a request as needing no answer any more.
 func (t *requestTable) markAnswered(r *Request) {
 	r.answered = true
 	t.unanswered--
 }
 
-// open tells whether a request is in the table and owed an answer.
-func (t *requestTable) open(r *Request) bool { return t.byQuery[r.query] == r && !r.answered }
+// isOpen reports whether a request is in the table and has no final answer yet.
+func (t *requestTable) isOpen(r *Request) bool { return t.byNumber[r.queryNumber] == r && !r.answered }
 
-// forgetIfDone drops a request that is answered and has no attempt out, unless events wait that
-// may name it: then forgetFinished drops it.
+// forgetIfDone removes a request that is answered and has no attempt in flight. While the policy loop
+// runs, pending events and actions may refer to the request, and forgetFinished removes it later.
 func (c *Core) forgetIfDone(r *Request) {
 	if !r.answered || r.outstanding > 0 {
 		return
@@ -151,13 +155,13 @@
 		c.requests.finished = append(c.requests.finished, r)
 		return
 	}
-	if _, ok := c.requests.byQuery[r.query]; ok && c.observers.cost != nil && r.CostContext != nil {
+	if _, ok := c.requests.byNumber[r.queryNumber]; ok && c.observers.cost != nil && r.CostContext != nil {
 		c.observers.cost.RequestDone(r)
 	}
-	delete(c.requests.byQuery, r.query)
+	delete(c.requests.byNumber, r.queryNumber)
 }
 
-// forgetFinished drops the requests that ended while events waited.
+// forgetFinished removes the requests that ended while the policy loop ran.
 func (c *Core) forgetFinished() {
 	for _, r := range c.requests.finished {
 		c.forgetIfDone(r)
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -9,15 +9,15 @@
 	"gannetspur/policy"
 )
 
-// Snapshot is what a core knows beside its requests. A live upgrade hands it to the core of the
-// next process, encoded as CBOR by the names of its fields.
+// Snapshot is the state of a core apart from its requests. A live upgrade transfers it to the core
+// of the new process, encoded as CBOR.
 type Snapshot struct {
-	Engines   []Engine             `cbor:"Engines"` // as discovery reported them, in order of id
-	Learned   policy.Snapshot      `cbor:"Learned"`
-	Overrides adminstate.Overrides `cbor:"Bans"`
+	Engines   []Engine             `cbor:"Engines"` // as reported by discovery, sorted by id
+	Learned   policy.Snapshot      `cbor:"Learned"` // state that the policy learned
+	Overrides adminstate.Overrides `cbor:"Bans"`    // engines that operators disabled or enabled
 }
 
-// Snapshot is a copy of what the core knows.
+// Snapshot returns a copy of the core's state apart from its requests.
 func (c *Core) Snapshot() Snapshot {
 	byID := func(a, b Engine) int { return strings.Compare(a.ID, b.ID) }
 	return Snapshot{
@@ -26,8 +26,8 @@
 	}
 }
 
-// Restore takes what another core of the same settings knew, in place of the endpoint list so far.
-// No request may have been accepted yet.
+// Restore loads the state of another core with the same settings. It replaces the endpoint list, and
+// must be called before any request is accepted.
 func (c *Core) Restore(s Snapshot) {
 	c.MergeOverrides(s.Overrides)
 	c.policy.gateway.Restore(c.clock.Now(), s.Learned)
--- a/internal/core/stored_test.go
+++ b/internal/core/stored_test.go
@@ -12,8 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestStoredSnapshot reads what a core of version c18a9bd passed on in a live upgrade, writes the
-// same bytes again, and is whole or refused where they are damaged.
+// A snapshot that version c18a9bd passed on in a live upgrade must still be readable, and must encode
+// to the same bytes again. Decoding a truncated snapshot is an error, and decoding a corrupt one does
+// not panic.
 func TestStoredSnapshot(t *testing.T) {
 	stored, err := os.ReadFile("testdata/known.cbor")
 	if err != nil {
@@ -24,29 +25,30 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(storedSnapshot(), got); diff != "" {
-		t.Errorf("stored state (-want +got):\n%s", diff)
+		t.Errorf("decoded snapshot (-want +got):\n%s", diff)
 	}
 	written, err := cbor.Marshal(got)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(stored, written); diff != "" {
-		t.Errorf("bytes written (-want +got):\n%s", diff)
+		t.Errorf("encoded snapshot (-want +got):\n%s", diff)
 	}
 	for n := range stored {
 		if err := cbor.Unmarshal(stored[:n], new(Snapshot)); err == nil {
-			t.Errorf("the first %d of %d bytes were read without an error", n, len(stored))
+			t.Errorf("decoding the first %d of %d bytes: got no error, want one", n, len(stored))
 		}
 	}
 	for i := range stored {
 		corrupt := append([]byte{}, stored...)
 		corrupt[i] ^= 0xff
-		_ = cbor.Unmarshal(corrupt, new(Snapshot)) // an error or other values, never a panic
+		_ = cbor.Unmarshal(corrupt, new(Snapshot)) // may return an error or other values, but must not panic
 	}
 }
 
-// storedSnapshot has one entry at most in each map: the order of several would not be fixed.
-// What the policy learned has its own fixture there.
+// storedSnapshot returns the snapshot that is stored in testdata. Each map has at most one entry,
+// because the encoding order of several is not fixed. The policy's learned state is empty here; package
+// policy has a test of its own for it.
 func storedSnapshot() Snapshot {
 	return Snapshot{
 		Engines: []Engine{
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -6,16 +6,19 @@
 	"gannetspur/policy"
 )
 
-// StreamingClient is a client whose request goes on behind its first answer, as a transaction does.
+// StreamingClient is the client of a streaming request. It receives partial answers before the final
+// one, as in a transaction of several statements.
 type StreamingClient interface {
 	Client
-	// PartialAnswer gives one part. The final Answer comes as for any other request.
+	// PartialAnswer delivers one part of the answer. Client.Answer delivers the final answer.
 	PartialAnswer(r *Request, a Answer)
 }
 
-// RelayPart passes on an answer of an attempt that goes on. The policy hears of it with the first:
-// from then on it neither moves the attempt nor ends it by the deadline.
-func (c *Core) RelayPart(a *Attempt, rep Report) {
+// RelayPart passes a partial answer of an attempt to its client, and stops the attempt's timeout. The
+// first part marks the attempt as streaming: the policy then neither retries it elsewhere nor ends it
+// at the deadline. RelayPart does nothing if the attempt has ended, the request is answered or its
+// client is not a StreamingClient.
+func (c *Core) RelayPart(a *Attempt, report Report) {
 	r := a.Request
 	client, ok := r.Client.(StreamingClient)
 	if a.ended || r.answered || !ok {
@@ -24,13 +27,13 @@
 	a.timer.Stop()
 	if !a.streaming {
 		a.streaming = true
-		c.notifyPolicy(policy.StreamStarted{Query: r.query, Attempt: a.number})
+		c.notifyPolicy(policy.StreamStarted{Query: r.queryNumber, Attempt: a.number})
 	}
-	client.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: rep.Result, EngineError: rep.EngineError})
+	client.PartialAnswer(r, Answer{Verdict: Served, Sent: true, Result: report.Result, EngineError: report.EngineError})
 }
 
-// Continue gives the engine of a streaming request its next statement, to be answered within the
-// time-out. It reports whether there is such an engine.
+// Continue sends the next statement of a streaming request to its engine, which has to answer within
+// the timeout. It returns false if the request has no streaming attempt in flight.
 func (c *Core) Continue(r *Request, statement Statement, timeout time.Duration) bool {
 	links, ok := c.links.(StreamingLinks)
 	if !ok || r.answered || len(r.attempts) == 0 {
