--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -9,10 +9,10 @@
 	"gannetspur/policy"
 )
 
-// outputLine is a line being written.
+// outputLine is an output buffer whose last line is being written. Each method appends one value.
 type outputLine []byte
 
-// beginLine begins a message of an instance.
+// beginLine appends the start of a message from an instance: its name and the instance's number.
 func beginLine(b []byte, name string, instance int64) outputLine {
 	b = append(append(append(b, `["`...), name...), `",`...)
 	return strconv.AppendInt(b, instance, 10)
@@ -28,7 +28,7 @@
 
 func (l outputLine) text(s string) outputLine {
 	b, err := json.Marshal(s)
-	if err != nil { // a string always encodes
+	if err != nil { // unreachable: every string can be encoded
 		panic(err)
 	}
 	return append(append(l, ','), b...)
@@ -36,7 +36,7 @@
 
 func (l outputLine) end() []byte { return append(l, "]\n"...) }
 
-// appendAction appends the line of an action.
+// appendAction appends the message for an action of the policy.
 func appendAction(b []byte, instance int64, action policy.Action) []byte {
 	switch a := action.(type) {
 	case policy.Send:
@@ -61,5 +61,5 @@
 	panic(fmt.Sprintf("simwire: no line for action %T", action))
 }
 
-// toMS is a time as the wire has it: fractional milliseconds.
+// toMS converts a duration to fractional milliseconds, the unit of the protocol.
 func toMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -7,7 +7,8 @@
 	"gannetspur/policy"
 )
 
-// resultOfCode maps the wire's result codes. Any other is read as one of an attempt that may have run.
+// resultOfCode maps the protocol's result codes. Any other code means ResultUnknown: the attempt may
+// have run.
 var resultOfCode = map[int64]policy.Result{
 	200: policy.ResultSuccess,
 	408: policy.ResultTimeout,
@@ -19,27 +20,30 @@
 	521: policy.ResultConnectFailed,
 }
 
-// Bits of a request.
+// Bits of a REQ message's field "bits".
 const (
-	bitWorkEstimated = 1
-	bitRetry         = 2
+	bitWorkEstimated = 1 // the message has an estimate of the work
+	bitRetry         = 2 // the client marked the request as a retry
 )
 
-// A note of a complete response is the work in milliseconds times noteUnit, plus the memory in units of noteMemoryMB.
+// The "note" of a complete response holds the work and the memory in one number:
+// note = work in milliseconds * noteWorkFactor + memory in MB / noteMemoryUnitMB.
 const (
-	noteUnit     = 4096
-	noteMemoryMB = 4
+	noteWorkFactor   = 4096
+	noteMemoryUnitMB = 4
 )
 
-// Sorts of interim message, and the value of sortWaiting that tells of a data load.
+// Values of an INTERIM message's field "sort". With interimWaiting, the value waitingForDataLoad means
+// that the query waits for a data load; any other means that it waits for memory.
 const (
-	sortProgress    = 1
-	sortSpilled     = 2
-	sortWaiting     = 3
-	waitForDataLoad = 2
+	interimProgress    = 1
+	interimSpilled     = 2
+	interimWaiting     = 3
+	waitingForDataLoad = 2
 )
 
-// decodeEvent turns one message into an event; nil for one that the policy has no use for.
+// decodeEvent converts a message to an event, or to nil if the policy does not use the message. The
+// event is valid only if m.err is nil.
 func (h *Host) decodeEvent(in *instance, m *message) policy.Event {
 	switch m.name {
 	case "PEERS_KNOWN":
@@ -65,7 +69,7 @@
 	case "FROM_PEER":
 		return nil
 	}
-	m.faultf("message", "unknown name")
+	m.errorf("message", "unknown name")
 	return nil
 }
 
@@ -83,7 +87,7 @@
 		list.Mode = policy.ListFailed
 		return list
 	default:
-		m.faultf("mode", "unknown mode %q", mode)
+		m.errorf("mode", "unknown mode %q", mode)
 		return nil
 	}
 	table, ok := h.tableNumber(m, 3)
@@ -115,11 +119,11 @@
 	return query
 }
 
-// decodeTenant reads the tenant: a name, or 0 where there is none.
+// decodeTenant reads the tenant's name; the number 0 stands for no tenant.
 func decodeTenant(m *message) (tenant string) {
-	const account = 8
-	if m.has(account) && string(m.values[account]) != "0" {
-		m.decode(account, "account", &tenant)
+	const accountIndex = 8
+	if m.has(accountIndex) && string(m.values[accountIndex]) != "0" {
+		m.decode(accountIndex, "account", &tenant)
 	}
 	return tenant
 }
@@ -134,8 +138,8 @@
 	}
 	var note int64
 	m.decodeOptional(7, "note", &note)
-	end.Work = time.Duration(note/noteUnit) * time.Millisecond
-	end.MemoryMB = float64(note%noteUnit) * noteMemoryMB
+	end.Work = time.Duration(note/noteWorkFactor) * time.Millisecond
+	end.MemoryMB = float64(note%noteWorkFactor) * noteMemoryUnitMB
 	end.Load = in.decodeLoad(m, 8)
 	return end
 }
@@ -146,29 +150,30 @@
 		Attempt: int(m.integer(2, "attempt")),
 		Value:   m.float(5, "value"),
 	}
-	sort := m.integer(4, "sort")
+	kind := m.integer(4, "sort")
 	switch {
-	case sort == sortProgress:
+	case kind == interimProgress:
 		progress.Kind = policy.ProgressFraction
-	case sort == sortSpilled:
+	case kind == interimSpilled:
 		progress.Kind = policy.ProgressSpilled
-	case sort == sortWaiting && progress.Value == waitForDataLoad:
+	case kind == interimWaiting && progress.Value == waitingForDataLoad:
 		progress.Kind = policy.ProgressWaitingForDataLoad
-	case sort == sortWaiting:
+	case kind == interimWaiting:
 		progress.Kind = policy.ProgressWaitingForMemory
 	default:
-		m.faultf("sort", "unknown sort %d", sort)
+		m.errorf("sort", "unknown sort %d", kind)
 	}
 	return progress
 }
 
-// decodeLoad reads a load report, whose values stand in the order that the settings name. What is not reported is -1.
+// decodeLoad reads a load report from value i. Its entries are in the order of the names in the
+// instance's settings. Fields that are not reported are -1.
 func (in *instance) decodeLoad(m *message, i int) policy.LoadReport {
 	load := policy.LoadReport{CPUUtilization: -1, InFlight: -1, WaitingForMemory: -1, MemoryUtilization: -1, DiskUtilization: -1}
 	var values []float64
 	m.decodeOptional(i, "usage", &values)
 	if m.err == nil && values != nil && len(values) != len(in.reportNames) {
-		m.faultf("usage", "%d values for %d names", len(values), len(in.reportNames))
+		m.errorf("usage", "%d values for %d names", len(values), len(in.reportNames))
 		return load
 	}
 	for j, value := range values {
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,5 +1,6 @@
-// Package simwire speaks the simulator's line protocol: batches of events in, actions out, for many gateways in one process. It
-// holds no decisions.
+// Package simwire implements the simulator's line protocol. It reads batches of events, passes them to
+// the policies of many gateways in one process, and writes the resulting actions. Each line is a
+// message: a JSON array of a name and its values.
 package simwire
 
 import (
@@ -14,39 +15,40 @@
 )
 
 const (
-	firstLineBuffer = 1 << 20   // bytes
-	maxLine         = 256 << 20 // bytes
+	initialLineBuffer = 1 << 20   // initial size of the buffer for an input line, in bytes
+	maxLineLength     = 256 << 20 // longest input line, in bytes
 )
 
-// Host holds the gateways of one process.
+// Host runs the gateways of one process.
 type Host struct {
-	instances map[int64]*instance
-	tables    [engineTables][]policy.Engine
-	actions   []policy.Action
-	output    []byte // of the open batch
+	instances map[int64]*instance               // by number
+	tables    [engineTableCount][]policy.Engine // lists of engines, by number
+	actions   []policy.Action                   // buffer reused by each event
+	output    []byte                            // reply to the open batch
 }
 
-// instance is one gateway.
+// instance is one gateway of a host.
 type instance struct {
 	gateway     *policy.Gateway
-	reportNames []string // of a load report's values, in order
-	failed      bool     // the policy has panicked: the day is over
+	reportNames []string // names of a load report's values, in order
+	panicked    bool     // the policy panicked; further events are ignored
 }
 
 // NewHost returns a host without gateways.
 func NewHost() *Host { return &Host{instances: make(map[int64]*instance)} }
 
-// batch is what Run knows of the batch that it reads.
+// batch is the state of the batch that Run is reading.
 type batch struct {
 	number int64
-	clock  time.Duration
-	open   bool
+	clock  time.Duration // time of the batch's events
+	open   bool          // whether the end of the batch is still to come
 }
 
-// Run answers batches until the input ends. An end between batches is no error.
+// Run reads batches and writes replies until the input ends. It returns an error for an invalid
+// message, a failed read or write, or an end of the input within a batch.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(make([]byte, firstLineBuffer), maxLine)
+	scanner.Buffer(make([]byte, initialLineBuffer), maxLineLength)
 	w := bufio.NewWriter(out)
 	var b batch
 	for scanner.Scan() {
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// handleLine reads one message. The end of a batch writes its reply.
+// handleLine handles one message. At the end of a batch it writes the reply.
 func (h *Host) handleLine(line []byte, b *batch, w *bufio.Writer) error {
 	m, err := parseMessage(line)
 	if err != nil {
@@ -95,7 +97,7 @@
 	return m.err
 }
 
-// handleMessage starts or ends a gateway, keeps a list of engines, or hands an event to its gateway.
+// handleMessage starts or ends a gateway, stores a list of engines, or passes an event to a gateway.
 func (h *Host) handleMessage(now time.Duration, m *message) {
 	switch m.name {
 	case "INIT":
@@ -111,7 +113,7 @@
 	}
 	in := h.instances[number]
 	if in == nil {
-		m.faultf("who", "no instance %d", number)
+		m.errorf("who", "no instance %d", number)
 		return
 	}
 	if m.name == "EXIT" {
@@ -119,18 +121,19 @@
 		return
 	}
 	event := h.decodeEvent(in, m)
-	if m.err != nil || event == nil || in.failed {
+	if m.err != nil || event == nil || in.panicked {
 		return
 	}
 	h.output = h.handleEvent(number, in, now, event)
 }
 
-// handleEvent has a gateway decide, and returns the output with its actions. A panic there becomes a line of its own.
+// handleEvent passes an event to a gateway and returns the output with the resulting actions appended.
+// If the policy panics, a BROKEN message takes the place of the actions.
 func (h *Host) handleEvent(number int64, in *instance, now time.Duration, event policy.Event) (output []byte) {
 	output = h.output
 	defer func() {
 		if p := recover(); p != nil {
-			in.failed = true
+			in.panicked = true
 			output = beginLine(h.output, "BROKEN", number).text(fmt.Sprint(p)).end()
 		}
 	}()
@@ -151,7 +154,7 @@
 	}
 	gateway, err := policy.New(site.Policy, seed)
 	if err != nil {
-		m.faultf("profile-data", "%v", err)
+		m.errorf("profile-data", "%v", err)
 		return
 	}
 	h.instances[number] = &instance{gateway: gateway, reportNames: site.Reports}
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// Batches get the replies stored in testdata, also after a gateway was restarted and the number of an
+// engine list was reused for another list.
 func TestBatchesWithRestartAndReusedList(t *testing.T) {
 	in, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
@@ -25,7 +27,9 @@
 	}
 }
 
-func TestFaultsNameMessageFieldAndBatch(t *testing.T) {
+// An invalid input ends Run without a reply. The error is a single line that names the batch and, as far
+// as they are known, the message and the field.
+func TestErrorNamesBatchMessageAndField(t *testing.T) {
 	open := "[\"CLOCK\",1,9]\n"
 	for in, want := range map[string]string{
 		open + "nonsense":                     "batch 9: malformed line",
@@ -42,32 +46,34 @@
 		var out bytes.Buffer
 		err := NewHost().Run(strings.NewReader(in), &out)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: want one line with %q, got %v", in, want, err)
+			t.Errorf("Run(%q): got error %v, want one line that contains %q", in, err, want)
 		}
 		if out.Len() != 0 {
-			t.Errorf("%q: wrote %q", in, out.String())
+			t.Errorf("Run(%q): got output %q, want none", in, out.String())
 		}
 	}
 }
 
-func TestEndBetweenBatchesIsNoError(t *testing.T) {
+func TestEndOfInputBetweenBatches(t *testing.T) {
 	var out bytes.Buffer
 	err := NewHost().Run(strings.NewReader("[\"CLOCK\",1,3]\n[\"OVER_TO_YOU\"]\n"), &out)
-	if err != nil || out.String() != "[\"NEXT\",3]\n" {
-		t.Fatalf("got %q, %v", out.String(), err)
+	if want := "[\"NEXT\",3]\n"; err != nil || out.String() != want {
+		t.Fatalf("Run: got output %q and error %v, want %q and nil", out.String(), err, want)
 	}
 }
 
-func TestPanicBecomesBroken(t *testing.T) {
+// A panic of the policy is reported as a BROKEN message, and Run goes on.
+func TestPolicyPanicReported(t *testing.T) {
 	h := NewHost()
-	h.instances[3] = &instance{} // no gateway: the call panics
+	h.instances[3] = &instance{} // without a gateway, so that handling the event panics
 	var out bytes.Buffer
 	err := h.Run(strings.NewReader("[\"CLOCK\",1,3]\n[\"TICK_DUE\",3,0]\n[\"OVER_TO_YOU\"]\n"), &out)
 	if err != nil || !strings.HasPrefix(out.String(), `["BROKEN",3,"`) {
-		t.Fatalf("got %q, %v", out.String(), err)
+		t.Fatalf("Run: got output %q and error %v, want a BROKEN message of instance 3 and nil", out.String(), err)
 	}
 }
 
+// No input makes the policy panic, and every error is a single line.
 func FuzzRun(f *testing.F) {
 	seed, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
@@ -79,17 +85,17 @@
 		var out bytes.Buffer
 		err := NewHost().Run(bytes.NewReader(in), &out)
 		if bytes.Contains(out.Bytes(), []byte("BROKEN")) {
-			t.Fatalf("the module panicked: %s", out.String())
+			t.Fatalf("got a panic of the policy, want none: %s", out.String())
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Fatalf("fault of several lines: %v", err)
+			t.Fatalf("got an error of several lines, want one line: %v", err)
 		}
 	})
 }
 
-// A probe goes out where the settings permit it, and its answer, late, failed or
-// from a stranger, ends nothing.
-func TestProbeGoesOutAndItsAnswerComesBack(t *testing.T) {
+// The policy requests load reports if the settings permit it. Reports that are late, failed or from an
+// unknown engine are accepted; one with the wrong number of values is an error.
+func TestLoadReportRequestAndAnswer(t *testing.T) {
 	batch, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
 		t.Fatal(err)
@@ -108,10 +114,10 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), `["ASK_LOAD",1,"`) || !strings.HasSuffix(out.String(), "[\"NEXT\",900]\n") {
-		t.Fatalf("no probe, or no answer to its batch:\n%s", out.String())
+		t.Fatalf("want an ASK_LOAD message and a NEXT message for batch 900 at the end, got:\n%s", out.String())
 	}
-	bad := strings.Replace(in, `[12,0.7]`, `[12]`, 1)
-	if err := NewHost().Run(strings.NewReader(bad), &out); err == nil || !strings.Contains(err.Error(), "PROBED: usage") {
-		t.Fatalf("want a fault that names PROBED and usage, got %v", err)
+	tooFewValues := strings.Replace(in, `[12,0.7]`, `[12]`, 1)
+	if err := NewHost().Run(strings.NewReader(tooFewValues), &out); err == nil || !strings.Contains(err.Error(), "PROBED: usage") {
+		t.Fatalf("Run with too few load values: got error %v, want one that names PROBED and usage", err)
 	}
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -6,11 +6,12 @@
 	"fmt"
 )
 
-// message is one line of the wire: a name and its values. It keeps the first fault that reading it finds.
+// message is one line of the protocol. Errors in decoding its values are not returned: the first one
+// is kept in err, and the caller checks it after decoding.
 type message struct {
 	name   string
-	values []json.RawMessage
-	err    error
+	values []json.RawMessage // not including the name
+	err    error             // first error in decoding a value; nil if there was none
 }
 
 func parseMessage(line []byte) (*message, error) {
@@ -28,32 +29,33 @@
 	return &message{name: name, values: all[1:]}, nil
 }
 
-// faultf records that a field can't be used.
-func (m *message) faultf(field, format string, args ...any) {
+// errorf records an error about a field, unless there is an earlier one.
+func (m *message) errorf(field, format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf("%s: %s: %s", m.name, field, fmt.Sprintf(format, args...))
 	}
 }
 
-// decode decodes value i. A missing value is a fault.
+// decode decodes value i. A missing value or null is an error. The field's name appears in errors.
 func (m *message) decode(i int, field string, into any) {
 	if !m.has(i) {
-		m.faultf(field, "missing")
+		m.errorf(field, "missing")
 		return
 	}
 	m.decodeOptional(i, field, into)
 }
 
-// decodeOptional decodes value i, and leaves what is there where the value is missing or null.
+// decodeOptional decodes value i. If the value is missing or null, it leaves the target unchanged.
 func (m *message) decodeOptional(i int, field string, into any) {
 	if !m.has(i) {
 		return
 	}
 	if err := json.Unmarshal(m.values[i], into); err != nil {
-		m.faultf(field, "%v", err)
+		m.errorf(field, "%v", err)
 	}
 }
 
+// has reports whether value i is present and not null.
 func (m *message) has(i int) bool { return i < len(m.values) && string(m.values[i]) != "null" }
 
 func (m *message) float(i int, field string) (v float64) {
@@ -66,7 +68,7 @@
 	return v
 }
 
-// id reads the id or token, which is value 1 of each message that has one.
+// id decodes the message's id or token. Every message that has one has it as value 1.
 func (m *message) id(field string) (v uint64) {
 	m.decode(1, field, &v)
 	return v
--- a/internal/simwire/table.go
+++ b/internal/simwire/table.go
@@ -7,10 +7,10 @@
 	"gannetspur/policy"
 )
 
-// engineTables is how many lists of engines the wire numbers.
-const engineTables = 16
+// engineTableCount is the number of engine lists that the protocol provides, numbered from 0.
+const engineTableCount = 16
 
-// readTable keeps a numbered list of engines, which later messages name by its number.
+// readTable stores a list of engines under a number, by which later messages refer to it.
 func (h *Host) readTable(m *message) {
 	number, ok := h.tableNumber(m, 0)
 	var rows [][]json.RawMessage
@@ -23,18 +23,18 @@
 		entry := &message{name: "POOL", values: row}
 		table[i] = decodeEngine(entry)
 		if entry.err != nil {
-			m.faultf("elements", "entry %d: %v", i, entry.err)
+			m.errorf("elements", "entry %d: %v", i, entry.err)
 			return
 		}
 	}
 	h.tables[number] = table
 }
 
-// tableNumber reads the number of a list of engines, and reports whether there is one of that number.
+// tableNumber decodes the number of an engine list from value i, and reports whether it is valid.
 func (h *Host) tableNumber(m *message, i int) (number int64, ok bool) {
 	number = m.integer(i, "table")
-	if m.err == nil && (number < 0 || number >= engineTables) {
-		m.faultf("table", "%d is not within 0 to %d", number, engineTables-1)
+	if m.err == nil && (number < 0 || number >= engineTableCount) {
+		m.errorf("table", "%d is not within 0 to %d", number, engineTableCount-1)
 	}
 	return number, m.err == nil
 }
@@ -55,7 +55,7 @@
 	case "dead":
 		engine.State = policy.EngineDeparted
 	default:
-		m.faultf("availability", "unknown state %q", state)
+		m.errorf("availability", "unknown state %q", state)
 	}
 	return engine
 }
