--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the program's logger: events with stable names and keys, in colours
-// on a terminal and as JSON elsewhere, with a limit on how often one event is written.
+// Package logging creates the program's loggers. Records are events with stable names and keys. The
+// output is coloured text on a terminal and JSON elsewhere, and the rate of each event is limited.
 package logging
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/lmittmann/tint"
 )
 
-// How often one event is written: a rate, and how many at once.
+// Limits on how often New's loggers write the same event; see RateLimit.
 const (
 	eventsPerSecond = 5
-	eventsBurst     = 20
+	eventBurst      = 20
 )
 
-// Options say how to log.
+// Options configure a logger.
 type Options struct {
-	Format string // auto, json or text; auto is text on a terminal
-	Level  string // debug, info, warn or error
+	Format string // auto, json or text; auto means text on a terminal and json elsewhere
+	Level  string // lowest level that is written: debug, info, warn or error
 }
 
-// New returns a logger that writes to the file.
+// New returns a logger that writes to a file. It returns an error if an option is invalid.
 func New(out *os.File, opts Options) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(opts.Level)); err != nil {
@@ -38,7 +38,7 @@
 	default:
 		return nil, fmt.Errorf("log format: %q is none of auto, json, text", opts.Format)
 	}
-	return slog.New(RateLimit(handler, eventsPerSecond, eventsBurst)), nil
+	return slog.New(RateLimit(handler, eventsPerSecond, eventBurst)), nil
 }
 
 func isTerminal(f *os.File) bool {
@@ -46,7 +46,8 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// NewPlain returns a logger for tools: text without times, to any writer.
+// NewPlain returns a logger for tools. It writes text without timestamps, at level info and above,
+// and does not limit the rate.
 func NewPlain(out io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: dropTime}))
 }
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -9,26 +9,28 @@
 	"golang.org/x/time/rate"
 )
 
-// maxLimitedEvents bounds the events that are counted apart. Their names are constants of the
-// program, so more of them would be a programming error.
+// maxLimitedEvents is the number of distinct events whose rate is limited; further events are always
+// written. It bounds the memory use. Event names are constants in the program, so a larger number
+// would be a programming error.
 const maxLimitedEvents = 1000
 
-// RateLimit limits how often one event is written: perSecond on average and burst at once.
-// Suppressed records are counted, and the next one that is written tells their number under
-// "suppressed". Guards against a peer that fills the log. Errors are always written.
+// RateLimit returns a handler that limits how often each event is written: perSecond times on
+// average, and at most burst times at once. The next record of the event that is written has the
+// number of suppressed records as attribute "suppressed". The limit keeps a misbehaving peer from
+// filling the log. Records at level error and above are always written.
 func RateLimit(next slog.Handler, perSecond float64, burst int) slog.Handler {
 	limits := &eventLimits{perSecond: rate.Limit(perSecond), burst: burst, byName: map[string]*eventLimit{}}
 	return &limitedHandler{Handler: next, limits: limits}
 }
 
-// limitedHandler drops records of events that come too often. Handlers that are derived from it
-// share its limits.
+// limitedHandler drops records of events that occur too often. Handlers derived from it share its
+// limits.
 type limitedHandler struct {
 	slog.Handler
 	limits *eventLimits
 }
 
-// Handle writes a record or suppresses it.
+// Handle passes a record to the next handler or suppresses it.
 func (h *limitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level >= slog.LevelError {
 		return h.Handler.Handle(ctx, r)
@@ -44,32 +46,34 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// WithAttrs returns a handler that adds attributes to each record.
+// WithAttrs returns a handler that adds the attributes to each record and shares the limits.
 func (h *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &limitedHandler{Handler: h.Handler.WithAttrs(attrs), limits: h.limits}
 }
 
-// WithGroup returns a handler that puts the attributes of each record into a group.
+// WithGroup returns a handler that puts the attributes of each record into a group and shares the
+// limits.
 func (h *limitedHandler) WithGroup(name string) slog.Handler {
 	return &limitedHandler{Handler: h.Handler.WithGroup(name), limits: h.limits}
 }
 
-// eventLimits holds the limit of each event. It is safe for concurrent use, as loggers are.
+// eventLimits holds the rate limits of all events. It is safe for concurrent use, as loggers are.
 type eventLimits struct {
 	perSecond rate.Limit
 	burst     int
 
 	mu     sync.Mutex
-	byName map[string]*eventLimit
+	byName map[string]*eventLimit // by event name; guarded by mu
 }
 
+// eventLimit is the rate limit of one event.
 type eventLimit struct {
 	limiter    *rate.Limiter
-	suppressed int // since a record was written
+	suppressed int // records suppressed since the last one that was written
 }
 
-// allow reports whether an event may be written at a time, and how many records of it were
-// suppressed before it.
+// allow reports whether a record of the event may be written at the given time and, if so, how many
+// records were suppressed since the last one that was written.
 func (l *eventLimits) allow(name string, at time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logging/ratelimit_test.go
+++ b/internal/logging/ratelimit_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A peer that causes the same event again and again can't fill the log, other events go
-// on, and errors are never left out.
+// A peer that repeatedly causes the same event can't fill the log. Other events are still written,
+// and errors are never suppressed.
 func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	h := RateLimit(slog.NewTextHandler(&out, nil), 1, 3).WithAttrs([]slog.Attr{slog.String("engine", "e1")})
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,4 +1,5 @@
-// Package metrics counts what the program receives, sends and answers, by name.
+// Package metrics provides named counters of what the program receives, sends and answers, and the
+// memory use of processes.
 package metrics
 
 import (
@@ -9,29 +10,29 @@
 	"strings"
 )
 
-// Counters counts by name. Names are words joined by dots: the stage, then details such as the
-// class. It belongs to one goroutine.
+// Counters is a set of named counters. A name is a sequence of words joined by dots: the stage of
+// processing, then details such as the class. Counters is not safe for concurrent use.
 type Counters struct{ counts map[string]int64 }
 
-// New returns counters at zero.
+// New returns an empty set of counters.
 func New() *Counters { return &Counters{counts: map[string]int64{}} }
 
-// Add adds one to a counter.
+// Add adds 1 to a counter.
 func (c *Counters) Add(name string) { c.counts[name]++ }
 
 // AddN adds n to a counter.
 func (c *Counters) AddN(name string, n int64) { c.counts[name] += n }
 
-// Set copies a count that is kept elsewhere.
+// Set sets a counter to n. It is for counts that are kept elsewhere.
 func (c *Counters) Set(name string, n int64) { c.counts[name] = n }
 
-// All is a copy of all counts by name.
+// All returns a copy of all counts by name.
 func (c *Counters) All() map[string]int64 { return maps.Clone(c.counts) }
 
-// Get is the count under a name; 0 if there is none.
+// Get returns the count under a name, or 0 if there is no such counter.
 func (c *Counters) Get(name string) int64 { return c.counts[name] }
 
-// Sum adds up the counts of all names that begin with the prefix.
+// Sum returns the sum of all counters whose names begin with the prefix.
 func (c *Counters) Sum(prefix string) (sum int64) {
 	for name, n := range c.counts {
 		if strings.HasPrefix(name, prefix) {
@@ -41,8 +42,8 @@
 	return sum
 }
 
-// Print writes a line for each counter, in order of name. Errors of the writer are dropped:
-// the counts are the end of a log, after which nothing can be reported any more.
+// Print writes one line per counter, sorted by name. It ignores write errors: the counters are the
+// end of a log, and an error could not be reported after it.
 func (c *Counters) Print(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
 		_, _ = fmt.Fprintf(w, "count %s %d\n", name, c.counts[name])
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -17,10 +17,10 @@
 	if got := c.Sum("taken."); got != 4 {
 		t.Errorf("Sum(taken.) = %d, want 4", got)
 	}
-	if got := c.Get("unheard-of"); got != 0 {
-		t.Errorf("Get(unheard-of) = %d, want 0", got)
+	if got := c.Get("unknown"); got != 0 {
+		t.Errorf("Get(unknown) = %d, want 0", got)
 	}
-	c.All()["answered"] = 100 // a copy
+	c.All()["answered"] = 100 // All returns a copy: the counter stays
 	var printed strings.Builder
 	c.Print(&printed)
 	want := "count answered 2\ncount taken.lookup 1\ncount taken.report 3\n"
@@ -31,10 +31,10 @@
 
 func TestResidentBytes(t *testing.T) {
 	if got := ResidentBytes(os.Getpid()); got < 1<<16 {
-		t.Errorf("resident memory of this process = %d bytes", got)
+		t.Errorf("ResidentBytes(this process) = %d, want at least %d", got, 1<<16)
 	}
 	const noProcess = -1
 	if got := ResidentBytes(noProcess); got != 0 {
-		t.Errorf("resident memory of no process = %d, want 0", got)
+		t.Errorf("ResidentBytes(%d) = %d, want 0", noProcess, got)
 	}
 }
--- a/internal/metrics/memory.go
+++ b/internal/metrics/memory.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// ResidentBytes is the resident memory of a process as /proc/PID/statm reports it (proc(5)); 0
-// where there is no such process, or its memory is not known.
+// ResidentBytes returns the resident set size of a process in bytes, from /proc/PID/statm (see
+// proc(5)). It returns 0 if there is no such process or its memory use can't be read.
 func ResidentBytes(pid int) int64 {
 	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps the deadlines and timers of one goroutine in order of time. Its
-// owner runs those that are due once per iteration of its event loop.
+// Package timerqueue implements a queue of timers for an event loop. The loop calls Sweep once per
+// iteration to run the timers that are due.
 package timerqueue
 
 import (
@@ -8,11 +8,12 @@
 	"github.com/google/btree"
 )
 
-// btreeDegree is the number of children of a tree node; the tree's speed hardly depends on it.
+// btreeDegree is the degree of the B-tree: a node has up to twice as many children. It has little
+// effect on the tree's speed.
 const btreeDegree = 16
 
-// Queue holds timers in order of due time and, for equal times, of adding. It is not safe for
-// concurrent use.
+// Queue holds timers ordered by due time; timers due at the same time are in the order in which they
+// were added. It is not safe for concurrent use.
 type Queue struct {
 	tree    *btree.BTreeG[*Entry]
 	lastSeq uint64
@@ -23,7 +24,7 @@
 	due   time.Duration
 	seq   uint64
 	run   func()
-	queue *Queue // nil once it has run or was stopped
+	queue *Queue // nil once the entry has run or was stopped
 }
 
 // New returns an empty queue.
@@ -38,7 +39,8 @@
 	return a.seq < b.seq
 }
 
-// Add schedules run for the first Sweep at or after the time due.
+// Add schedules run to be called by the first Sweep at or after the time due. The returned entry can
+// be used to stop it.
 func (q *Queue) Add(due time.Duration, run func()) *Entry {
 	q.lastSeq++
 	e := &Entry{due: due, seq: q.lastSeq, run: run, queue: q}
@@ -56,14 +58,16 @@
 	e.release()
 }
 
-// release forgets the queue and the function, so that an entry that is kept keeps neither alive.
+// release drops the references to the queue and the function, so that a caller that keeps the entry
+// does not keep them in memory.
 func (e *Entry) release() {
 	e.queue = nil
 	e.run = nil
 }
 
-// Sweep runs all entries that are due at the time now. Entries that they add for the same time
-// wait for the next sweep, so that one that re-arms itself can't block the event loop forever.
+// Sweep runs all entries that are due at the time now. Entries added during the sweep wait for the
+// next one even if they are due already: otherwise an entry that adds itself again could block the
+// event loop forever.
 func (q *Queue) Sweep(now time.Duration) {
 	lastBefore := q.lastSeq
 	var deferred []*Entry
@@ -89,7 +93,7 @@
 	}
 }
 
-// Next returns the time at which the earliest entry is due. ok is false for an empty queue.
+// Next returns the due time of the earliest entry. ok is false if the queue is empty.
 func (q *Queue) Next() (due time.Duration, ok bool) {
 	e, ok := q.tree.Min()
 	if !ok {
@@ -98,5 +102,5 @@
 	return e.due, true
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (q *Queue) Len() int { return q.tree.Len() }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -7,8 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Entries run in order of time and then of adding; one stopped by an earlier one
-// does not run; one that re-arms itself for now waits for the next sweep.
+// Entries run in order of due time, then in the order in which they were added. An entry stopped by
+// an earlier one does not run. An entry that adds itself again for the same time waits for the next
+// sweep.
 func TestSweep(t *testing.T) {
 	q := New()
 	var got []int
@@ -33,8 +34,8 @@
 	}
 }
 
-// An entry that another one adds for now, and that is stopped within the same sweep, never runs.
-func TestStopWithinTheSweepThatAdded(t *testing.T) {
+// An entry that is added and stopped within the same sweep never runs, though it is due already.
+func TestStopWithinSameSweep(t *testing.T) {
 	q := New()
 	q.Add(1, func() {
 		added := q.Add(1, func() { t.Error("a stopped entry ran") })
@@ -47,6 +48,6 @@
 		t.Errorf("Len() = %d, want 0", q.Len())
 	}
 	if _, ok := q.Next(); ok {
-		t.Error("Next() found an entry in an empty queue")
+		t.Error("Next() on an empty queue: got an entry, want none")
 	}
 }
