--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -19,13 +19,15 @@
 
 // Answer is a final answer, or one part of a streaming request's answer.
 type Answer struct {
-	Verdict        Verdict
-	RetryAfter     time.Duration // for Rejected: shortest wait before a retry; 0: no hint
-	DeadlinePassed bool          // the request was not served by its deadline
-	Sent           bool          // the request was sent to an engine at least once
-	InDoubt        bool          // the request may have run and is not idempotent
-	Result         Result        // for Served: the response
-	EngineError    error         // latest error reported by an engine; nil if there was none
+	Verdict    Verdict
+	RetryAfter time.Duration // for Rejected: how long the client should wait at least before a retry; 0: no hint
+	// DeadlinePassed means that the request was not served, and that its deadline has passed or is at
+	// most one period of the event loop away.
+	DeadlinePassed bool
+	Sent           bool   // the request was sent to an engine at least once
+	InDoubt        bool   // the request may have run and is not idempotent
+	Result         Result // for Served: the response
+	EngineError    error  // latest error reported by an engine; nil if there was none
 }
 
 // answer gives the client its final answer. It does nothing if the request is already answered.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,7 +7,7 @@
 	"gannetspur/policy"
 )
 
-// minTimeout is the shortest timeout of an attempt. Shorter ones of the policy are raised to it.
+// minTimeout is the shortest timeout of an attempt. Shorter timeouts are raised to it.
 const minTimeout = time.Millisecond
 
 // Attempt is one send of a request to one engine.
@@ -26,7 +26,7 @@
 	written       bool              // BeginWrite returned true: the backend may have written it completely
 	sitesNotified bool              // RemoteSites.AttemptStarted was called
 	streaming     bool              // a part of its answer was relayed, and more follow
-	writeDeadline time.Duration     // it may not be written later; 0: no such limit
+	writeDeadline time.Duration     // from this time on it may not be written; 0: no limit
 	timer         *timerqueue.Entry // ends the attempt as timed out
 }
 
@@ -76,9 +76,10 @@
 	c.links.Send(a)
 }
 
-// startTimeout sets the timer that ends the attempt as timed out, at the time from plus timeout.
-func (c *Core) startTimeout(a *Attempt, from, timeout time.Duration) {
-	a.timer = c.timers.Add(from+max(timeout, minTimeout), func() { c.cancel(a, OutcomeTimeout) })
+// startTimeout sets the timer that ends the attempt as timed out. The timeout begins at the time
+// start, and is at least minTimeout.
+func (c *Core) startTimeout(a *Attempt, start, timeout time.Duration) {
+	a.timer = c.timers.Add(start+max(timeout, minTimeout), func() { c.cancel(a, OutcomeTimeout) })
 }
 
 // applyGrant sets the memory of the request's next attempts, and the priority of all its attempts.
@@ -96,8 +97,8 @@
 	}
 }
 
-// cancelByNumber cancels the attempt with the policy's number. EndAttempt ignores an outcome that
-// still arrives.
+// cancelByNumber cancels the attempt of a request that has the given number in the policy. EndAttempt
+// ignores an outcome that the engine still reports.
 func (c *Core) cancelByNumber(r *Request, number int) {
 	a := r.attemptByNumber(number)
 	if a == nil || a.ended {
@@ -130,12 +131,12 @@
 	c.notifyPolicy(policy.AttemptProgress{Query: a.Request.queryNumber, Attempt: a.number, Kind: kind, Value: value})
 }
 
-// BeginWrite reports whether the backend may write an attempt to its connection. The backend calls it
-// right before the write that completes the attempt, because an attempt that was not completely
-// written can't have run. If BeginWrite returns false, the backend must end the attempt with
-// OutcomeNotSent. The reasons are: the client has disconnected or got its answer; the idempotency
-// key's window is about to end and an earlier attempt may have run; or the engine began to drain,
-// departed or was disabled while the attempt waited for a connection.
+// BeginWrite reports whether the backend may write an attempt to its connection, and if so, counts the
+// attempt as written. The backend calls it right before the write that completes the attempt, because
+// an attempt that was not completely written can't have run. If BeginWrite returns false, the backend
+// must end the attempt with OutcomeNotSent. The reasons are: the client has disconnected or got its
+// answer; the idempotency key's window is about to end and an earlier attempt may have run; or the
+// engine began to drain, departed or was disabled while the attempt waited for a connection.
 func (c *Core) BeginWrite(a *Attempt) bool {
 	if a.Request.answered || isDisconnected(a.Request.Client) {
 		return false
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -35,9 +35,11 @@
 	endpoints endpointList
 	figures   figures
 
-	classes      map[string]policy.Class // by name
-	callInterval time.Duration           // period of the event loop; an answer less than this before its deadline counts as late
-	shutdown     bool                    // set by Shutdown: no request is sent any more
+	classes map[string]policy.Class // by name
+	// callInterval is the period of the event loop. A request that is not served counts as late from
+	// this long before its deadline on.
+	callInterval time.Duration
+	shutdown     bool // set by Shutdown: no request is sent any more
 }
 
 // observers are notified of what happens in a core. Each may be nil.
--- a/internal/core/end_attempt.go
+++ b/internal/core/end_attempt.go
@@ -42,9 +42,10 @@
 	c.forgetIfDone(r)
 }
 
-// recordEngineError stores an engine's latest error for the final answer. If an earlier attempt of a
-// non-idempotent request may have run, the error of a later attempt that never ran must not replace
-// it: the client would conclude that the request had no effect.
+// recordEngineError stores the engine's error for the final answer. An attempt that may have run
+// replaces the stored error, by none if it has none. The error of an attempt that never ran replaces
+// it only if the request is not in doubt: otherwise the client would conclude that the request had no
+// effect, although an earlier attempt may have run.
 func (c *Core) recordEngineError(a *Attempt, engineError error) {
 	r := a.Request
 	if a.mayHaveRun() || engineError != nil && !c.InDoubt(r) {
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -26,11 +26,11 @@
 // PeerFigures describes the membership of a site's gateways, this one included.
 type PeerFigures struct {
 	Live        int  // gateways in the membership view
-	Known       int  // gateways known or configured
-	Unreachable int  // known gateways that this one can't reach
-	Dead        int  // gateways declared dead or lost
+	Known       int  // gateways known, in any state, or configured
+	Unreachable int  // gateways that some others can't reach, or that can reach none of the others
+	Dead        int  // gateways declared dead, and those that none of their monitors can reach
 	ViewNumber  int  // number of the membership view
-	Majority    bool // whether the view holds a majority
+	Majority    bool // whether more than half of the gateways known recently are in the view
 }
 
 // figures holds the totals that are reported in Figures and used nowhere else.
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -12,16 +12,16 @@
 	"gannetspur/policy"
 )
 
-// fixture is a core with a fake backend, fake remote sites and a fake client, which are the fixture
-// itself. It records the calls that the core makes.
+// fixture is a core with fakes of its clock, backend, remote sites and client. It records the calls
+// that the core makes to them.
 type fixture struct {
 	now          time.Duration
 	timers       *timerqueue.Queue
 	core         *Core
 	calls        []string                             // calls of the core, in order
 	forward      func(r *Request, rejected bool) bool // implements the remote sites; nil: they forward nothing
-	sent         []*Attempt
-	disconnected bool // what Disconnected reports: the client is gone, and the core is not notified yet
+	sent         []*Attempt                           // attempts passed to the backend, in order
+	disconnected bool                                 // result of Disconnected
 }
 
 // newFixture returns a fixture with the given number of live engines.
@@ -82,7 +82,7 @@
 }
 func (f *fixture) Disconnected() bool { return f.disconnected }
 
-// UpdateEngine implements both Links and RemoteSites.
+// UpdateEngine implements the method that Links and RemoteSites share.
 func (f *fixture) UpdateEngine(Engine) {}
 
 type fixtureLinks struct{ *fixture }
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -24,7 +24,8 @@
 
 // Forwarded marks a request as forwarded to another site. No engine of this site may have an attempt
 // of it in flight. Exactly one of the following ends this state: a call of CompleteForwarded, a call of
-// ReturnForwarded, or the end of the request, which comes at the time until at the latest.
+// ReturnForwarded, or the end of the request. If none has come by the time until, the core cancels the
+// request at the other site and answers that it failed.
 func (c *Core) Forwarded(r *Request, until time.Duration) {
 	c.counters.Add("away." + r.Class)
 	r.remote.forwardedAt = c.clock.Now()
@@ -57,7 +58,9 @@
 }
 
 // ReturnForwarded passes a request back to this site's policy, because the other site did not serve
-// it. If the request may have run there, RecordRemoteSend must be called first.
+// it. If the request may have run there, RecordRemoteSend must be called first. If Hedge has passed
+// the request to the policy already, the policy continues with it, or its rejection of it becomes the
+// final answer.
 func (c *Core) ReturnForwarded(r *Request) {
 	r.remote.clear()
 	if !c.requests.isOpen(r) || r.admitted {
@@ -71,7 +74,8 @@
 }
 
 // Hedge passes a request to this site's policy while it is still at another site. The first complete
-// response is the answer, and the other execution is cancelled.
+// response is the answer, and the other execution is cancelled. Hedge does nothing if the policy has
+// the request or has answered it already.
 func (c *Core) Hedge(r *Request) {
 	if !c.requests.isOpen(r) || r.admitted || r.remote.policyAnswer != nil {
 		return
--- a/internal/core/forwarding_test.go
+++ b/internal/core/forwarding_test.go
@@ -18,7 +18,8 @@
 			return true
 		}
 	}
-	// forwardIf is the same for requests that the policy rejected, or only for those that it did not see yet.
+	// forwardIf is the same, but forwards only requests that the policy rejected, if wantRejected is
+	// true, or only requests that the policy has not seen yet.
 	forwardIf := func(f *fixture, wantRejected bool) func(*Request, bool) bool {
 		return func(r *Request, rejected bool) bool {
 			return rejected == wantRejected && forward(f)(r, rejected)
@@ -124,19 +125,18 @@
 	}
 }
 
-// A retry of a request with an idempotency key must not be written after the key's window. The policy
-// chooses the retry within the window, but its connection is ready only when the window is about to
-// end.
+// A retry of a request with an idempotency key must not be written when the key's deduplication window
+// is about to end. The policy chooses the retry earlier, but its connection is ready only then.
 func TestRetryNotWrittenAfterKeyWindow(t *testing.T) {
 	f := newFixture(t, 2)
 	f.core.Accept(&Request{ID: "r", Class: "load", IdempotencyKey: "key", Deadline: f.now + 30*time.Second, Client: f})
 	f.advance(12*time.Second - keyWindowMargin - 10*time.Millisecond)
 	f.core.EndAttempt(f.sent[0], OutcomeConnectionReset, Report{})
 	if len(f.sent) != 2 || !f.core.BeginWrite(f.sent[1]) {
-		t.Fatalf("got %d attempts, want 2 with a second one that may still be written", len(f.sent))
+		t.Fatalf("got %d attempts, want 2 of which BeginWrite permits the second", len(f.sent))
 	}
 	f.advance(20 * time.Millisecond)
 	if f.core.BeginWrite(f.sent[1]) {
-		t.Error("BeginWrite(retry after the key's window) = true, want false")
+		t.Error("BeginWrite(retry at the end of the key's window) = true, want false")
 	}
 }
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// keyWindowMargin is the time between the last write of a retry and the end of its idempotency
+	// keyWindowMargin is the shortest time between the write of a retry and the end of its idempotency
 	// key's deduplication window. It lets the retry reach the engine within the window.
 	keyWindowMargin = 50 * time.Millisecond
 	// clientRetryDelay is the assumed longest delay between the RetryAfter hint of a rejection and
@@ -15,7 +15,8 @@
 	clientRetryDelay = time.Second
 )
 
-// InDoubt reports whether an open request may have run and is not idempotent.
+// InDoubt reports whether an open request may have run and is not idempotent. A request with an
+// idempotency key counts as not idempotent here.
 func (c *Core) InDoubt(r *Request) bool {
 	if c.classes[r.Class].Idempotency == policy.Idempotent {
 		return false
@@ -23,7 +24,7 @@
 	return r.PriorSentAt > 0 || c.isForwarded(r) || r.MayHaveRunHere()
 }
 
-// keyedWriteDeadline returns the latest time at which a request with an idempotency key may be
+// keyedWriteDeadline returns the time from which on a request with an idempotency key may not be
 // written again. It is 0, for no limit, if no attempt may have run or the class has no idempotency
 // keys. The policy checks the window too, when it chooses a retry. It does not know how long the
 // retry then waits for a connection, and the window may end during that wait.
@@ -44,8 +45,8 @@
 	case policy.Idempotent:
 		return true
 	case policy.IdempotentWithKey:
-		last := c.keyedWriteDeadline(r)
-		retryInWindow := last == 0 || c.clock.Now()+retryAfter+clientRetryDelay < last
+		writeDeadline := c.keyedWriteDeadline(r)
+		retryInWindow := writeDeadline == 0 || c.clock.Now()+retryAfter+clientRetryDelay < writeDeadline
 		return class.DedupScope == policy.DedupAll && retryInWindow
 	}
 	return false
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -16,8 +16,8 @@
 	MustFail    bool          // it must not be sent again
 }
 
-// Accept starts processing a request that was received completely. The client gets exactly one
-// final answer, possibly before Accept returns.
+// Accept starts processing a request that was received completely. Unless it disconnects, the client
+// gets exactly one final answer, possibly before Accept returns.
 func (c *Core) Accept(r *Request) {
 	c.register(r)
 	if c.shutdown {
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -7,8 +7,8 @@
 	// Send starts an attempt. The backend calls Core.EndAttempt when the attempt ends.
 	Send(a *Attempt)
 	// Cancel cancels an attempt that has not ended, and reports whether the attempt is over.
-	// If a.MustAwaitEngine and the engine may still run the attempt, Cancel returns false, and the
-	// backend calls Core.EndAttempt once the engine can no longer run it.
+	// If a.MustAwaitEngine() is true and the engine may still run the attempt, Cancel returns false,
+	// and the backend calls Core.EndAttempt once the engine can no longer run it.
 	Cancel(a *Attempt) bool
 	// SetPriority changes the priority of an attempt in flight.
 	SetPriority(a *Attempt, priority int)
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -24,7 +24,7 @@
 	OutcomeConnectionReset                  // the connection broke
 	OutcomeUnreadable                       // the received data can't be parsed
 	OutcomeCancelled                        // the gateway cancelled it
-	OutcomeNotSent                          // it ended before it was written
+	OutcomeNotSent                          // it ended before it was completely written
 	OutcomeNoFreeConnection                 // no pooled connection became free in time; it was not sent
 	OutcomeIdleClosed                       // a connection without open attempts was closed
 	outcomeCount
--- a/internal/core/overrides.go
+++ b/internal/core/overrides.go
@@ -36,8 +36,8 @@
 // Overrides returns the engines that operators disabled or enabled.
 func (c *Core) Overrides() adminstate.Overrides { return c.endpoints.admin.Overrides() }
 
-// MergeOverrides merges in the overrides of another process, and reports whether any override
-// changed.
+// MergeOverrides merges the overrides of another process into those of this one, and reports whether
+// any override changed.
 func (c *Core) MergeOverrides(other adminstate.Overrides) bool {
 	changed := c.endpoints.admin.Merge(other)
 	if len(changed) == 0 {
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// The core uses these interfaces through type assertions: if a fake stopped implementing one, the
-// tests would still compile and skip that path.
+// The core finds most of these interfaces by type assertions: if a fake stopped implementing one, the
+// tests would otherwise still compile and skip that path.
 var (
 	_ StreamingClient    = (*replay)(nil)
 	_ CostObserver       = (*replay)(nil)
@@ -57,8 +57,8 @@
 	core           *Core
 	counters       *metrics.Counters
 	openRequests   []*Request // not answered yet
-	attempts       []*Attempt // all that were written
-	awaitingEngine []*Attempt // cancelled ones that stay in flight, see MustAwaitEngine
+	attempts       []*Attempt // all that were written, also ended ones
+	awaitingEngine []*Attempt // cancelled attempts for which MustAwaitEngine returned true
 	lastID         int        // number in the latest request's ID
 }
 
@@ -258,8 +258,9 @@
 	r.core.AcceptOrphan(q, orphan)
 }
 
-// endAttempt ends an attempt: in most cases as served, otherwise with a random outcome. It may choose an
-// attempt that has ended already, which the core has to ignore.
+// endAttempt ends an attempt: a cancelled one that stayed in flight, or a recent one, in most cases as
+// served and otherwise with a random outcome. It may choose one that has ended already, which the core
+// has to ignore.
 func (r *replay) endAttempt() {
 	if len(r.awaitingEngine) > 0 && r.random.IntN(3) == 0 {
 		a := r.awaitingEngine[0]
@@ -310,8 +311,8 @@
 	}
 }
 
-// continueStream relays a part of the first open streaming request, and in half of the cases continues it
-// with another statement.
+// continueStream relays a part of the first streaming request that has an attempt in flight, and in
+// half of the cases continues it with another statement.
 func (r *replay) continueStream() {
 	for _, a := range r.attempts {
 		if a.Ended() || !a.Request.Streaming {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -43,13 +43,14 @@
 	// MaxSends limits the sends to engines at all sites, in addition to the policy's own limit.
 	// 0: no additional limit.
 	MaxSends int
-	// PriorSends is the number of sends made at other sites or granted to them.
+	// PriorSends is the number of sends made at other sites, or granted to them and not reported as
+	// unused.
 	PriorSends int
 
 	queryNumber uint64 // identifies the request to the policy: a client may use an id twice
 	attempts    []*Attempt
-	outstanding int // number of attempts that have not ended
-	answered    bool
+	outstanding int     // number of attempts that have not ended
+	answered    bool    // needs no answer any more: it was answered, or its client has disconnected
 	grantedMB   float64 // memory granted to the next attempts, in MB
 	priority    int     // priority granted by the policy
 	engineError error   // latest error of an engine, for the final answer
@@ -64,7 +65,7 @@
 // remoteState is the state of a request that was forwarded to another site.
 type remoteState struct {
 	timer       *timerqueue.Entry // ends the wait for the other site; nil if the request is not at one
-	forwardedAt time.Duration
+	forwardedAt time.Duration     // time on the core's clock
 	// policyAnswer is the policy's rejection or failure of the request here, while the request is at
 	// the other site; nil if there was none. See Core.Hedge.
 	policyAnswer *Answer
@@ -76,7 +77,7 @@
 	s.timer = nil
 }
 
-// SendCount returns the number of known sends to engines, at all sites.
+// SendCount returns the number of sends to engines at all sites, as far as they are known here.
 func (r *Request) SendCount() int { return r.PriorSends + len(r.attempts) }
 
 // FirstSentAt returns the time of the first send, at any site, after which the request may have run.
@@ -107,9 +108,9 @@
 
 // requestTable holds the requests that have not ended.
 type requestTable struct {
-	lastNumber uint64 // query number assigned last
-	byNumber   map[uint64]*Request
-	unanswered int // number of requests without a final answer
+	lastNumber uint64              // query number assigned last
+	byNumber   map[uint64]*Request // by query number
+	unanswered int                 // number of requests without a final answer
 	// finished are ended requests that are removed once the policy's event queue is empty: until then,
 	// actions of the policy may refer to them.
 	finished []*Request
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -33,7 +33,8 @@
 }
 
 // Continue sends the next statement of a streaming request to its engine, which has to answer within
-// the timeout. It returns false if the request has no streaming attempt in flight.
+// the timeout. It returns false if the request is answered or has no streaming attempt in flight, or
+// if the backend does not support streaming.
 func (c *Core) Continue(r *Request, statement Statement, timeout time.Duration) bool {
 	links, ok := c.links.(StreamingLinks)
 	if !ok || r.answered || len(r.attempts) == 0 {
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -17,8 +17,8 @@
 	if got := c.Sum("taken."); got != 4 {
 		t.Errorf("Sum(taken.) = %d, want 4", got)
 	}
-	if got := c.Get("unknown"); got != 0 {
-		t.Errorf("Get(unknown) = %d, want 0", got)
+	if got := c.Get("no-such-counter"); got != 0 {
+		t.Errorf("Get(no-such-counter) = %d, want 0", got)
 	}
 	c.All()["answered"] = 100 // All returns a copy: the counter stays
 	var printed strings.Builder
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -9,7 +9,8 @@
 	"gannetspur/policy"
 )
 
-// outputLine is an output buffer whose last line is being written. Each method appends one value.
+// outputLine is an output buffer whose last line is incomplete. Each method but end appends one value
+// of the message, and end completes the line.
 type outputLine []byte
 
 // beginLine appends the start of a message from an instance: its name and the instance's number.
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -7,8 +7,8 @@
 	"gannetspur/policy"
 )
 
-// resultOfCode maps the protocol's result codes. Any other code means ResultUnknown: the attempt may
-// have run.
+// resultOfCode maps the protocol's result codes to the policy's results. Any other code means
+// ResultUnknown: the attempt may have run.
 var resultOfCode = map[int64]policy.Result{
 	200: policy.ResultSuccess,
 	408: policy.ResultTimeout,
@@ -33,8 +33,8 @@
 	noteMemoryUnitMB = 4
 )
 
-// Values of an INTERIM message's field "sort". With interimWaiting, the value waitingForDataLoad means
-// that the query waits for a data load; any other means that it waits for memory.
+// Kinds of progress in an INTERIM message's field "sort". An interimWaiting message has the reason for
+// the wait in its field "value": waitingForDataLoad, or anything else for memory.
 const (
 	interimProgress    = 1
 	interimSpilled     = 2
@@ -119,7 +119,7 @@
 	return query
 }
 
-// decodeTenant reads the tenant's name; the number 0 stands for no tenant.
+// decodeTenant reads the tenant's name. A missing value and the number 0 mean no tenant.
 func decodeTenant(m *message) (tenant string) {
 	const accountIndex = 8
 	if m.has(accountIndex) && string(m.values[accountIndex]) != "0" {
@@ -166,8 +166,8 @@
 	return progress
 }
 
-// decodeLoad reads a load report from value i. Its entries are in the order of the names in the
-// instance's settings. Fields that are not reported are -1.
+// decodeLoad reads a load report from value i: an array with one number for each of the names in the
+// instance's settings, in their order. Fields that are not reported are -1.
 func (in *instance) decodeLoad(m *message, i int) policy.LoadReport {
 	load := policy.LoadReport{CPUUtilization: -1, InFlight: -1, WaitingForMemory: -1, MemoryUtilization: -1, DiskUtilization: -1}
 	var values []float64
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if out.String() != string(want) {
-		t.Fatalf("got\n%s\nwant\n%s", out.String(), want)
+		t.Fatalf("Run: got output\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// No input makes the policy panic, and every error is a single line.
+// No input makes the policy panic, and the error of an invalid input is a single line.
 func FuzzRun(f *testing.F) {
 	seed, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -16,13 +16,13 @@
 // were added. It is not safe for concurrent use.
 type Queue struct {
 	tree    *btree.BTreeG[*Entry]
-	lastSeq uint64
+	lastSeq uint64 // seq of the entry added last
 }
 
 // Entry is one timer of a queue.
 type Entry struct {
 	due   time.Duration
-	seq   uint64
+	seq   uint64 // position in the order of adding, from 1
 	run   func()
 	queue *Queue // nil once the entry has run or was stopped
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -38,7 +38,7 @@
 func TestStopWithinSameSweep(t *testing.T) {
 	q := New()
 	q.Add(1, func() {
-		added := q.Add(1, func() { t.Error("a stopped entry ran") })
+		added := q.Add(1, func() { t.Error("got a call of a stopped entry, want none") })
 		q.Add(1, func() {})
 		added.Stop()
 	})
