--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	channelWriteBuffer = 4 << 20 // bytes; with a smaller one the sender only waits more often
-	channelReadBuffer  = 64 << 10
-	// maxDescriptorsPerRead bounds the descriptors of the frames that one read returns.
+	channelWriteBufferBytes = 4 << 20 // a smaller buffer only makes the sender block more often
+	channelReadBufferBytes  = 64 << 10
+	// maxDescriptorsPerRead is the maximum number of descriptors received in one read, over all
+	// frames that it returns.
 	maxDescriptorsPerRead = 64
-	descriptorBytes       = 4 // of one in a control message
-	// maxKeptSendBuffer bounds the buffer that is kept for the next frame to send.
-	maxKeptSendBuffer = 1 << 20
+	descriptorBytes       = 4 // size of a descriptor in a control message
+	// maxRetainedSendBufferBytes is the largest send buffer that is reused for the next frame.
+	maxRetainedSendBufferBytes = 1 << 20
 )
 
-// Channel carries messages and descriptors between the two processes. Send may be called from
-// any goroutine.
+// Channel carries messages and file descriptors between the source and the target. Send may be
+// called from any goroutine.
 type Channel struct {
-	conn *net.UnixConn
-	mu   sync.Mutex
-	out  []byte // guarded by mu
+	conn       *net.UnixConn
+	mu         sync.Mutex
+	sendBuffer []byte // reused for the next frame; guarded by mu
 }
 
-// NewChannelPair returns this process's end of a new channel, and the file of the other end for
-// a child process to inherit.
+// NewChannelPair creates a channel. It returns this process's end, and the other end as a file that
+// a child process can inherit. The caller closes the file.
 func NewChannelPair() (*Channel, *os.File, error) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -45,9 +46,9 @@
 	return ch, peer, nil
 }
 
-// ChannelFromFile returns a channel over an inherited file, which it closes.
+// ChannelFromFile returns a channel that uses a unix socket inherited as a file. It closes the file.
 func ChannelFromFile(f *os.File) (*Channel, error) {
-	defer func() { _ = f.Close() }() // FileConn has duplicated it
+	defer func() { _ = f.Close() }() // net.FileConn duplicates the descriptor
 	c, err := net.FileConn(f)
 	if err != nil {
 		return nil, fmt.Errorf("handover: channel: %w", err)
@@ -55,27 +56,28 @@
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		_ = c.Close()
-		return nil, errors.New("handover: channel: no unix socket")
+		return nil, errors.New("handover: channel: not a unix socket")
 	}
-	_ = u.SetWriteBuffer(channelWriteBuffer)
+	_ = u.SetWriteBuffer(channelWriteBufferBytes)
 	return &Channel{conn: u}, nil
 }
 
 // Close closes this end of the channel.
 func (c *Channel) Close() error { return c.conn.Close() }
 
-// Send sends a message with descriptors, which stay the caller's. Once it returns the message
-// is in the kernel: it arrives even if this process dies at once.
+// Send sends a message with duplicates of the descriptors fds; the caller still has to close its
+// own. Once Send returns without an error, the message is in the kernel: it is delivered even if
+// this process then dies.
 func (c *Channel) Send(m Message, fds ...int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	frame, err := appendFrame(c.out[:0], m, len(fds))
+	frame, err := appendFrame(c.sendBuffer[:0], m, len(fds))
 	if err != nil {
 		return err
 	}
-	c.out = frame
-	if cap(c.out) > maxKeptSendBuffer {
-		c.out = nil
+	c.sendBuffer = frame
+	if cap(c.sendBuffer) > maxRetainedSendBufferBytes {
+		c.sendBuffer = nil
 	}
 	var rights []byte
 	if len(fds) > 0 {
@@ -91,12 +93,12 @@
 	return nil
 }
 
-// Read reads messages until the channel's end, which is no error. It calls handle for each with
-// its descriptors, which the callee owns.
+// Read reads messages until the channel ends, for which it returns nil. It calls handle with each
+// message and its descriptors, which handle has to close.
 func (c *Channel) Read(handle func(Message, []int)) error {
-	var pending received
+	var pending receiveBuffer
 	defer pending.close()
-	buf := make([]byte, channelReadBuffer)
+	buf := make([]byte, channelReadBufferBytes)
 	control := make([]byte, unix.CmsgSpace(maxDescriptorsPerRead*descriptorBytes))
 	for {
 		n, controlBytes, _, _, err := c.conn.ReadMsgUnix(buf, control)
@@ -105,15 +107,15 @@
 				return err
 			}
 		}
-		pending.bytes = append(pending.bytes, buf[:max(n, 0)]...) // n is -1 with some errors
+		pending.bytes = append(pending.bytes, buf[:max(n, 0)]...) // n is -1 for some errors
 		if err := pending.deliver(handle); err != nil {
 			return err
 		}
 		switch {
 		case err == nil && (n > 0 || controlBytes > 0):
-		case err == nil || endOfChannel(err):
+		case err == nil || isEndOfChannel(err):
 			if len(pending.bytes) > 0 {
-				return fmt.Errorf("%w: the channel ends in the middle of it", ErrMalformedFrame)
+				return fmt.Errorf("%w: channel ended in the middle of the frame", ErrMalformedFrame)
 			}
 			return nil
 		default:
@@ -122,22 +124,23 @@
 	}
 }
 
-// endOfChannel reports whether an error is the end of the channel. A process that dies with
-// unread data in its end resets the channel; what it had written was read before that.
-func endOfChannel(err error) bool {
+// isEndOfChannel reports whether a read error means that the other process has closed its end or
+// died. If it dies with unread data in its end, the kernel resets the channel (ECONNRESET); by then
+// everything that it had written has been read.
+func isEndOfChannel(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, unix.ECONNRESET)
 }
 
-// received is what was read of a channel and not delivered.
-type received struct {
+// receiveBuffer holds bytes and descriptors that were read from a channel and not yet delivered.
+type receiveBuffer struct {
 	bytes       []byte
 	descriptors []int
 }
 
-func (r *received) close() { closeDescriptors(r.descriptors) }
+func (r *receiveBuffer) close() { closeDescriptors(r.descriptors) }
 
-// addDescriptors takes the descriptors out of a control message.
-func (r *received) addDescriptors(control []byte) error {
+// addDescriptors appends the descriptors of the control messages of one read.
+func (r *receiveBuffer) addDescriptors(control []byte) error {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedFrame, err)
@@ -155,8 +158,8 @@
 	return nil
 }
 
-// deliver calls handle for each complete frame.
-func (r *received) deliver(handle func(Message, []int)) error {
+// deliver removes each complete frame and calls handle with its message and descriptors.
+func (r *receiveBuffer) deliver(handle func(Message, []int)) error {
 	for {
 		m, count, used, err := parseFrame(r.bytes)
 		if err != nil {
--- a/internal/handover/channel_test.go
+++ b/internal/handover/channel_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func pairs(t *testing.T) (a, b *Channel) {
+// newChannelPair returns both ends of a new channel, which are closed when the test ends.
+func newChannelPair(t *testing.T) (a, b *Channel) {
 	t.Helper()
 	a, f, err := NewChannelPair()
 	if err != nil {
@@ -21,16 +22,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = a.Close() // some tests have closed it
+		_ = a.Close() // some tests close it themselves
 		_ = b.Close()
 	})
 	return a, b
 }
 
-// Messages arrive whole and in order, each with its own descriptors, also where their sender
-// has ended since; the channel's end is no error, an end in the middle of a frame is.
+// Messages arrive complete and in order, each with its own descriptors, even if the sender has closed
+// its end by then. The end of the channel is not an error, but invalid frames and an end in the
+// middle of a frame are.
 func TestChannel(t *testing.T) {
-	a, b := pairs(t)
+	a, b := newChannelPair(t)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -57,69 +59,70 @@
 	err = b.Read(func(m Message, fds []int) {
 		got = append(got, m)
 		if _, ok := m.(*ConnectionTransfer); ok != (len(fds) == 1) {
-			t.Errorf("%T came with %d descriptors", m, len(fds))
+			t.Errorf("%T received with %d descriptors; only a ConnectionTransfer has one", m, len(fds))
 		}
 		for _, fd := range fds {
-			f := os.NewFile(uintptr(fd), "moved")
-			_, _ = f.WriteString("moved")
+			f := os.NewFile(uintptr(fd), "transferred")
+			_, _ = f.WriteString("transferred")
 			_ = f.Close()
 		}
 	})
 	if err != nil {
-		t.Errorf("the channel's end: %v", err)
+		t.Errorf("Read at the end of the channel = %v, want nil", err)
 	}
 	if diff := cmp.Diff(sent, got); diff != "" {
 		t.Errorf("messages (-sent +got):\n%s", diff)
 	}
 	buf := make([]byte, 16)
-	if n, _ := r.Read(buf); string(buf[:n]) != "moved" {
-		t.Errorf("through the descriptor came %q", buf[:n])
+	if n, _ := r.Read(buf); string(buf[:n]) != "transferred" {
+		t.Errorf("read %q through the transferred descriptor, want %q", buf[:n], "transferred")
 	}
-	for name, raw := range map[string]string{"cut off": "\x00\x00\x00\x09\x00", "too long": "\xff\x00\x00\x00\x00\x01", "no kind": "\x00\x00\x00\x00\x00\xee", "no CBOR": "\x00\x00\x00\x01\x00\x01\xff", "descriptors missing": "\x00\x00\x00\x01\x02\x02\xa0"} {
-		a, b := pairs(t)
+	for name, raw := range map[string]string{"truncated": "\x00\x00\x00\x09\x00", "too long": "\xff\x00\x00\x00\x00\x01", "unknown kind": "\x00\x00\x00\x00\x00\xee", "invalid CBOR": "\x00\x00\x00\x01\x00\x01\xff", "descriptors missing": "\x00\x00\x00\x01\x02\x02\xa0"} {
+		a, b := newChannelPair(t)
 		_, _ = a.conn.Write([]byte(raw))
 		_ = a.Close()
-		if err := b.Read(func(m Message, _ []int) { t.Errorf("%s: read %T", name, m) }); err == nil || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind) {
-			t.Errorf("%s: %v", name, err)
+		if err := b.Read(func(m Message, _ []int) { t.Errorf("%s: got message %T, want none", name, m) }); err == nil || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind) {
+			t.Errorf("%s: error = %v, want ErrMalformedFrame or ErrUnknownKind", name, err)
 		}
 	}
 }
 
-// A version that knows more sections than this one is understood: those are named and passed
-// by. One that knows fewer leaves the rest empty. A section that can't be read is named.
+// A state from a version with additional sections is decoded; the unknown sections are reported and
+// ignored. Sections that are missing leave their fields empty. The error for an invalid section
+// contains its name.
 func TestSections(t *testing.T) {
-	k := &ProcessState{LastEvent: 41, Counters: map[string]int64{"taken.lookup": 3}, Clock: Clock{Now: time.Hour}}
-	w, err := k.message()
+	state := &ProcessState{LastEvent: 41, Counters: map[string]int64{"taken.lookup": 3}, Clock: Clock{Now: time.Hour}}
+	message, err := state.message()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Sections["weather"] = cbor.RawMessage{0x01}
-	delete(w.Sections, "shapes")
-	got, unknown, err := w.decode()
-	if err != nil || len(unknown) != 1 || unknown[0] != "weather" {
-		t.Errorf("unknown sections: %v, %v", unknown, err)
+	message.Sections["unknown-section"] = cbor.RawMessage{0x01}
+	delete(message.Sections, "shapes")
+	got, unknown, err := message.decode()
+	if err != nil || len(unknown) != 1 || unknown[0] != "unknown-section" {
+		t.Errorf("decode: unknown sections %q, error %v, want only %q and no error", unknown, err, "unknown-section")
 	}
 	if got.LastEvent != 41 || got.Counters["taken.lookup"] != 3 || got.Clock.Now != time.Hour {
-		t.Errorf("read %+v", got)
+		t.Errorf("decoded state = %+v, want event 41, counter 3 and clock 1h", got)
 	}
-	w.Sections["event"] = cbor.RawMessage{0x61, 'x'}
-	if _, _, err := w.decode(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("event")) {
-		t.Errorf("a bad section: %v", err)
+	message.Sections["event"] = cbor.RawMessage{0x61, 'x'}
+	if _, _, err := message.decode(); err == nil || !bytes.Contains([]byte(err.Error()), []byte("event")) {
+		t.Errorf("decode with an invalid section: error = %v, want one that names the section %q", err, "event")
 	}
 }
 
-// No bytes of the other process crash this one, and what is read takes no more than is there.
-func FuzzParse(f *testing.F) {
+// No input from the other process causes a panic, and a parsed frame is never longer than the input.
+func FuzzParseFrame(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x01\x00\x02\xa0"))
 	f.Add([]byte("\x00\x00\x00\x09\x00\x01\xa2\x01\x01\x03\x64abcd"))
 	f.Add([]byte("\x00\x00\x00\x05\x01\x0a\xa1\x03\x42ab"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, _, used, err := parseFrame(b)
 		if used > len(b) || (m == nil) != (used == 0) || err != nil && used > 0 {
-			t.Errorf("%T, %d of %d, %v", m, used, len(b), err)
+			t.Errorf("parseFrame = %T, %d of %d bytes used, error %v", m, used, len(b), err)
 		}
-		if w, ok := m.(*State); ok {
-			_, _, _ = w.decode()
+		if state, ok := m.(*State); ok {
+			_, _, _ = state.decode()
 		}
 	})
 }
--- a/internal/handover/check.go
+++ b/internal/handover/check.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
-// errEndedWithoutHello is what operators read of a program that is no gateway, or crashes.
+// errEndedWithoutHello is shown to operators if a program exits before it sends a Hello, because it
+// is not a gateway or crashes.
 var errEndedWithoutHello = errors.New("it ended without a word")
 
-// CheckProgram asks a program whether it would take over: it is started, says hello after it
-// has read its files, and is killed. It blocks until then, at most for timeout.
+// CheckProgram checks whether a program could take over. It starts the program, waits for the Hello
+// that the program sends after it has read its files, and kills it. It waits at most for timeout.
+// It returns the program's build, and why the program could not take over as an error.
 func CheckProgram(p Program, listener *os.File, connections int, timeout time.Duration) (build string, err error) {
 	process, err := startProcess(p, listener, connections, EnvCheckOnly+"=1")
 	if err != nil {
@@ -19,20 +21,20 @@
 	}
 	hellos := make(chan *Hello, 1)
 	ended := make(chan error, 1)
-	go func() { // ends with the channel, which is closed below
+	go func() { // returns when the channel is closed below
 		ended <- process.channel.Read(func(m Message, fds []int) {
 			closeDescriptors(fds)
 			if hello, ok := m.(*Hello); ok {
 				select {
 				case hellos <- hello:
-				default: // only the first counts
+				default: // only the first Hello is used
 				}
 			}
 		})
 	}()
 	defer func() {
 		process.kill()
-		_ = process.cmd.Wait() // it was killed
+		_ = process.cmd.Wait() // reaps the process; the error only tells that it was killed
 		_ = process.channel.Close()
 	}()
 	select {
@@ -40,7 +42,7 @@
 		return hello.Build, hello.check()
 	case err := <-ended:
 		select {
-		case hello := <-hellos: // both at once
+		case hello := <-hellos: // the Hello came before the end, and select chose the end
 			return hello.Build, hello.check()
 		default:
 			return "", errors.Join(errEndedWithoutHello, err)
@@ -50,7 +52,8 @@
 	}
 }
 
-// check returns why the sender of a hello can't take over from this version.
+// check returns an error that says why the sender of the Hello can't take over from this process,
+// or nil if it can.
 func (m *Hello) check() error {
 	version := Version
 	version.Major = m.Major
--- a/internal/handover/connections.go
+++ b/internal/handover/connections.go
@@ -5,12 +5,14 @@
 	"gannetspur/internal/netio"
 )
 
-// connectionTable has the connections of an upgrade by the IDs that both processes use.
+// connectionTable holds the client connections of an upgrade by ID. Both processes use the same IDs.
 type connectionTable struct {
-	lastID      decide.ConnID // IDs rise over all upgrades of this process
-	local       map[decide.ConnID]*netio.Conn
-	busy        map[decide.ConnID]bool // of local: the machine knows that they can't be transferred
-	transferred map[decide.ConnID]*retainedConnection
+	lastID decide.ConnID // the last ID assigned; IDs increase across all upgrades of this process
+	local  map[decide.ConnID]*netio.Conn
+	// busy has the local connections of which the state machine knows that they can't be transferred
+	// now.
+	busy        map[decide.ConnID]bool
+	transferred map[decide.ConnID]*retainedConnection // owned by the target
 }
 
 func (t *connectionTable) reset() {
@@ -19,7 +21,7 @@
 	t.transferred = map[decide.ConnID]*retainedConnection{}
 }
 
-// add adds a connection of this process.
+// add assigns an ID to a connection of this process, adds it and returns the ID.
 func (t *connectionTable) add(c *netio.Conn) decide.ConnID {
 	t.lastID++
 	t.local[t.lastID] = c
@@ -33,13 +35,14 @@
 	delete(t.busy, id)
 }
 
-// retained returns what is retained of a connection, or nil.
+// retained returns what is retained of a transferred connection, or nil if there is none.
 func (t *connectionTable) retained(conn uint32) *retainedConnection {
 	return t.transferred[decide.ConnID(conn)]
 }
 
-// takeRetained removes what is retained of a connection and returns it, or nil.
-func (t *connectionTable) takeRetained(id decide.ConnID) *retainedConnection {
+// removeRetained removes what is retained of a transferred connection and returns it, or nil if
+// there is none.
+func (t *connectionTable) removeRetained(id decide.ConnID) *retainedConnection {
 	r := t.transferred[id]
 	delete(t.transferred, id)
 	return r
--- a/internal/handover/effects.go
+++ b/internal/handover/effects.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// maxTransfersPerPoll bounds the connections that are transferred within pollEvery. Guards
-	// against a pause: the target takes connections in turn with requests, and those of thousands
-	// would wait behind.
+	// maxTransfersPerPoll is the maximum number of connections transferred within pollInterval. It
+	// prevents a pause in service: the target receives connections on the loop that also handles
+	// requests, so requests would wait while it receives thousands of connections.
 	maxTransfersPerPoll = 32
-	// maxReclaimsPerIteration bounds the connections that are reclaimed in one iteration of the loop.
+	// maxReclaimsPerIteration is the maximum number of connections reclaimed in one iteration of the
+	// loop.
 	maxReclaimsPerIteration = 128
 )
 
-// effectQueue has the effects of the source that are to be carried out, in order.
+// effectQueue holds the effects that the source has yet to execute, in order.
 type effectQueue struct {
-	pending     []decide.SourceEffect
-	running     bool              // they are being carried out
-	resume      *timerqueue.Entry // goes on with what is left
-	windowStart time.Duration     // transfers are counted since then
-	transfers   int
+	pending         []decide.SourceEffect
+	running         bool              // runEffects is executing effects
+	resumeTimer     *timerqueue.Entry // continues with postponed effects
+	windowStart     time.Duration     // when the current window of pollInterval started
+	windowTransfers int               // transfers since windowStart
 }
 
 func (q *effectQueue) add(effects []decide.SourceEffect) { q.pending = append(q.pending, effects...) }
@@ -36,15 +37,15 @@
 	return e
 }
 
-// startWindow begins to count transfers anew once pollEvery has passed.
+// startWindow starts a new window and resets the count of transfers once pollInterval has passed.
 func (q *effectQueue) startWindow(now time.Duration) {
-	if now-q.windowStart >= pollEvery {
+	if now-q.windowStart >= pollInterval {
 		q.windowStart = now
-		q.transfers = 0
+		q.windowTransfers = 0
 	}
 }
 
-// removeTransfers removes the transfers that are pending and returns their connections.
+// removeTransfers removes all pending transfers and returns the IDs of their connections.
 func (q *effectQueue) removeTransfers() []decide.ConnID {
 	var ids []decide.ConnID
 	q.pending = slices.DeleteFunc(q.pending, func(e decide.SourceEffect) bool {
@@ -57,7 +58,7 @@
 	return ids
 }
 
-// step has the machine take an event and carries out its effects.
+// step passes an event to the state machine and executes the resulting effects.
 func (s *Source) step(event decide.SourceEvent) {
 	if _, exited := event.(decide.TargetExited); exited {
 		s.cancelTransfers()
@@ -66,7 +67,8 @@
 	s.runEffects()
 }
 
-// runEffects carries effects out, as many as one iteration of the loop may; the rest follow later.
+// runEffects executes pending effects up to the limits of one iteration of the loop, and schedules
+// the rest for later.
 func (s *Source) runEffects() {
 	q := &s.effects
 	if q.running {
@@ -81,9 +83,9 @@
 	for !q.empty() && !postponed {
 		switch q.pending[0].(type) {
 		case decide.TransferConnection:
-			postponed = q.transfers >= maxTransfersPerPoll
-			delay = pollEvery
-			q.transfers++
+			postponed = q.windowTransfers >= maxTransfersPerPoll
+			delay = pollInterval
+			q.windowTransfers++
 		case decide.ReclaimConnection:
 			postponed = reclaims >= maxReclaimsPerIteration
 			delay = 0
@@ -92,18 +94,18 @@
 			s.cancelTransfers()
 		}
 		if !postponed {
-			s.carryOut(q.next())
+			s.execute(q.next())
 		}
 	}
 	q.running = false
 	s.reportPhase()
-	q.resume.Stop()
+	q.resumeTimer.Stop()
 	if postponed {
-		q.resume = s.loop.Timers.Add(now+delay, s.runEffects)
+		q.resumeTimer = s.loop.Timers.Add(now+delay, s.runEffects)
 	}
 }
 
-// reportPhase reports the phase if it has changed.
+// reportPhase logs the phase of the upgrade and reports it as progress, if it has changed.
 func (s *Source) reportPhase() {
 	phase := s.machine.Phase()
 	if phase == s.attempt.reportedPhase {
@@ -116,15 +118,16 @@
 	}
 }
 
-// cancelTransfers drops the transfers that are pending: the target is being killed, or dead.
+// cancelTransfers cancels the pending transfers, because the target is being killed or has died.
 func (s *Source) cancelTransfers() {
 	for _, id := range s.effects.removeTransfers() {
-		s.connections.busy[id] = true // until it is looked at again
+		s.connections.busy[id] = true // until updateConnections checks it again
 		s.machine.Step(s.loop.Now(), decide.TransferCancelled{Conn: id})
 	}
 }
 
-func (s *Source) carryOut(effect decide.SourceEffect) {
+// execute executes one effect.
+func (s *Source) execute(effect decide.SourceEffect) {
 	switch e := effect.(type) {
 	case decide.StartTarget:
 		s.startTarget()
@@ -132,7 +135,7 @@
 		s.sendState()
 	case decide.SendServe:
 		s.send(&SharedState{s.frontend.SharedState()})
-		s.linkFrontend()
+		s.startForwarding()
 		s.send(&Serve{})
 	case decide.StopAccepting:
 		s.frontend.Listener().Pause()
@@ -150,7 +153,7 @@
 	case decide.TransferConnection:
 		s.transfer(e.Conn)
 	case decide.ReleaseDuplicate:
-		if r := s.connections.takeRetained(e.Conn); r != nil {
+		if r := s.connections.removeRetained(e.Conn); r != nil {
 			r.close()
 		}
 	case decide.KillTarget:
@@ -166,11 +169,13 @@
 	}
 }
 
+// killTarget kills the target and all processes that it has started. If the target could not be
+// started, killTarget posts its exit, which nothing else would report.
 func (s *Source) killTarget() {
 	s.log.Warn("upgrade.ending", "why", s.machine.Failure().String())
 	if s.target != nil {
 		s.target.kill()
 		return
 	}
-	s.loop.Post(func() { s.step(decide.TargetExited{}) }) // it could not be started
+	s.loop.Post(func() { s.step(decide.TargetExited{}) })
 }
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -8,46 +8,53 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A frame is the length of its body (4 bytes, big-endian), the number of descriptors that come
-// with it (1), the kind of message (1) and the body: the message in CBOR. Descriptors travel as
-// SCM_RIGHTS with the frame's first byte (unix(7)), so they have arrived when the frame has.
+// A frame consists of a header and a body. The header holds the length of the body (4 bytes,
+// big-endian), the number of file descriptors sent with the frame (1 byte) and the kind of the
+// message (1 byte). The body is the message in CBOR. The descriptors are sent as SCM_RIGHTS with
+// the first byte of the frame (unix(7)), so they have arrived once the frame has.
 const (
 	frameHeaderBytes = 6
-	// MaxFrameBytes bounds the body of a frame. A state with all held results is far smaller.
+	// MaxFrameBytes is the maximum size of a frame's body. A state that includes all held results
+	// is far smaller.
 	MaxFrameBytes  = 64 << 20
-	maxDescriptors = 4
+	maxDescriptors = 4 // per frame
 )
 
-// Errors of a channel.
+// Errors that Channel.Read returns for invalid input.
 var (
+	// ErrMalformedFrame means that a frame is truncated, exceeds a limit, lacks descriptors or can't
+	// be decoded.
 	ErrMalformedFrame = errors.New("handover: malformed frame")
-	ErrUnknownKind    = errors.New("handover: unknown kind of message")
+	// ErrUnknownKind means that this version does not know a frame's kind of message.
+	ErrUnknownKind = errors.New("handover: unknown message kind")
 )
 
-// decoder bounds what a message may hold: its sender may be of another version, or broken.
+// decoder limits the size and nesting of decoded messages, because the sender may run another
+// version or be faulty.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 32, MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // can't happen: the options are constant
 	}
 	return m
 }()
 
-// appendFrame appends the frame of a message that comes with some descriptors.
+// appendFrame appends the frame of a message that is sent with a number of descriptors.
 func appendFrame(b []byte, m Message, descriptors int) ([]byte, error) {
 	body, err := cbor.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %T: %w", m, err)
+		return nil, fmt.Errorf("handover: encode %T: %w", m, err)
 	}
 	if len(body) > MaxFrameBytes || descriptors > maxDescriptors {
-		return nil, fmt.Errorf("handover: %T: %d bytes and %d descriptors are too many", m, len(body), descriptors)
+		return nil, fmt.Errorf("handover: %T: body of %d bytes with %d descriptors exceeds the frame limits", m, len(body), descriptors)
 	}
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = append(b, byte(descriptors), m.kind())
 	return append(b, body...), nil
 }
 
-// parseFrame reads one frame; used is 0 while it is incomplete.
+// parseFrame decodes the frame at the start of b and returns its message, its number of
+// descriptors and its size in bytes. If the frame is incomplete, used is 0 and m is nil.
 func parseFrame(b []byte) (m Message, descriptors, used int, err error) {
 	if len(b) < frameHeaderBytes {
 		return nil, 0, 0, nil
@@ -56,7 +63,7 @@
 	descriptors = int(b[4])
 	kind := b[5]
 	if length > MaxFrameBytes || descriptors > maxDescriptors {
-		return nil, 0, 0, fmt.Errorf("%w: %d bytes and %d descriptors", ErrMalformedFrame, length, descriptors)
+		return nil, 0, 0, fmt.Errorf("%w: body of %d bytes with %d descriptors exceeds the limits", ErrMalformedFrame, length, descriptors)
 	}
 	used = frameHeaderBytes + int(length)
 	if len(b) < used {
@@ -67,7 +74,7 @@
 		return nil, 0, 0, fmt.Errorf("%w: %d", ErrUnknownKind, kind)
 	}
 	if err := decoder.Unmarshal(b[frameHeaderBytes:used], m); err != nil {
-		return nil, 0, 0, fmt.Errorf("%w: %T: %w", ErrMalformedFrame, m, err)
+		return nil, 0, 0, fmt.Errorf("%w: decode %T: %w", ErrMalformedFrame, m, err)
 	}
 	return m, descriptors, used, nil
 }
--- a/internal/handover/frontend.go
+++ b/internal/handover/frontend.go
@@ -5,49 +5,58 @@
 	"gannetspur/internal/netio"
 )
 
-// Frontend is the client side of a gateway, as far as a handover needs it.
+// Frontend is the part of a gateway's client side that a handover uses.
 type Frontend interface {
+	// Name identifies the frontend in both processes.
 	Name() string
-	ReadLimit() int // bytes that are read of a connection and not consumed, at most
+	// ReadLimit is the maximum number of bytes that are read from a connection and not consumed.
+	ReadLimit() int
 	Listener() *netio.Listener
-	// OnAccept sets who hears of each accepted connection.
+	// OnAccept sets the function that is called with each accepted connection.
 	OnAccept(func(*netio.Conn))
-	// OnSharedChange sets who hears of changes of SharedState; nil: nobody.
+	// OnSharedChange sets the function that is called with SharedState whenever it changes. It is
+	// unset by nil.
 	OnSharedChange(func([]byte))
-	// OnUnknownCall sets who hears of calls that only the other process may have an answer to; nil:
-	// nobody.
+	// OnUnknownCall sets the function that is called with each call that this process can't answer
+	// but the other one may be able to. It is unset by nil.
 	OnUnknownCall(func([]byte))
-	// SharedState is what all connections share, for ApplySharedState of the other process.
+	// SharedState returns the encoded state that all connections share.
 	SharedState() []byte
+	// ApplySharedState applies the other process's SharedState.
 	ApplySharedState([]byte) error
-	// HandleForwardedCall answers a call that the other process had no answer to.
+	// HandleForwardedCall answers a call that the other process could not answer.
 	HandleForwardedCall([]byte)
-	// RestoreConnection makes a handler from Transferable.EncodeState.
+	// RestoreConnection decodes a state that Transferable.EncodeState has encoded. It returns a
+	// function that creates the handler of a connection in that state.
 	RestoreConnection(state []byte) (func(*netio.Conn) netio.Handler, error)
 }
 
-// Transferable is the handler of a connection that can go on in another process.
+// Transferable is the handler of a client connection that can be transferred to another process.
 type Transferable interface {
 	netio.Handler
 	// Idle reports whether no request is in flight.
 	Idle() bool
 	// Closing reports whether the connection is about to end.
 	Closing() bool
-	// EncodeState is what RestoreConnection needs. The connection must be idle.
+	// EncodeState encodes the handler's state for Frontend.RestoreConnection. The connection must be
+	// idle.
 	EncodeState() []byte
-	// Transferred tells the handler that the connection goes on elsewhere.
+	// Transferred tells the handler that the connection now belongs to another process.
 	Transferred()
-	// RecoverRequest tells the handler that its first request was in flight in a process that died.
+	// RecoverRequest tells the handler that the first request it will read was in flight in a process
+	// that died.
 	RecoverRequest(core.Orphan)
 }
 
-// transferableHandler returns the handler of a client's connection, or nil if it is no client's.
+// transferableHandler returns the handler of a client connection, or nil if c is not a client
+// connection.
 func transferableHandler(c *netio.Conn) Transferable {
 	t, _ := c.Handler().(Transferable)
 	return t
 }
 
-// canTransfer reports whether a connection can be transferred now.
+// canTransfer reports whether a connection can be transferred now: it is idle, is not about to end
+// and has no pending output.
 func canTransfer(c *netio.Conn, t Transferable) bool {
 	return t.Idle() && !t.Closing() && c.Pending() == 0
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,10 @@
-// Package handover carries out what internal/decide/handover decides: it starts the process
-// that takes over, moves descriptors and state to it over a private unix socket, retains what
-// is needed to reclaim everything, and reclaims it if the upgrade fails.
+// Package handover performs a live upgrade: a running process (the source) starts a new one (the
+// target) and transfers its client connections and its state to it over a unix socket. The source
+// keeps what it needs to reclaim every connection, and reclaims them if the upgrade fails. Package
+// internal/decide/handover makes the decisions; this package does the I/O that they call for.
 //
-// Source runs in the process that serves, Target in the one that was started to take over. Both
-// belong to the loop's goroutine; the channel is read by a goroutine of its own, which ends at
-// the channel's end.
+// A Source runs in the old process and a Target in the new one. Both are used only on the event
+// loop's goroutine. A separate goroutine reads the channel until the channel ends.
 package handover
 
 import (
@@ -16,20 +16,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Version is the version of the protocol that this program speaks. The minor one rises with
-// every change that the version before can ignore; the major one with every other.
+// Version is the version of the handover protocol in this program. A change that the previous
+// version can ignore increments Minor, any other change increments Major.
 var Version = decide.Version{Major: 1, Minor: 0}
 
-// CountAnswers returns how many answers so far were served, and how many were not: rejections,
-// failures, and calls that the frontend itself found at fault.
+// CountAnswers returns the number of successful answers counted so far, and the number of
+// failures: rejected requests, failed requests and calls that the frontend itself refused.
 func CountAnswers(c *metrics.Counters) (successes, failures int64) {
 	successes = c.Sum("answered.served.")
 	failures = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
 	return successes, max(failures, c.Sum("pgwire.errors."))
 }
 
-// monotonicNow reads the machine's monotonic clock, which all its processes share
-// (clock_gettime(2), CLOCK_MONOTONIC).
+// monotonicNow returns the time of the machine's monotonic clock (clock_gettime(2),
+// CLOCK_MONOTONIC), which is the same in all its processes. It returns 0 if the clock can't be read.
 func monotonicNow() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err != nil {
@@ -38,7 +38,7 @@
 	return time.Duration(ts.Nano())
 }
 
-// closeDescriptors closes descriptors that came with a message and have no use.
+// closeDescriptors closes descriptors that were received with a message and are not needed.
 func closeDescriptors(fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
--- a/internal/handover/inheritance.go
+++ b/internal/handover/inheritance.go
@@ -7,28 +7,31 @@
 	"syscall"
 )
 
-// What a process that takes over inherits. Other versions use the same names and numbers.
+// Environment variables and descriptors that the target inherits from the source. They are part of
+// the protocol: other versions use the same names and numbers.
 const (
-	// EnvTakeOver is set for a process that is to take over, to the number of connections that wait
-	// for it.
+	// EnvTakeOver is the environment variable that tells a process to take over. Its value is the
+	// number of connections that will be transferred to it.
 	EnvTakeOver = "RINGWOOD_TAKE_OVER"
-	// EnvCheckOnly is set if the process is only to say hello and to end.
+	// EnvCheckOnly is an environment variable that is set in addition if the process should only send
+	// its Hello and exit.
 	EnvCheckOnly = "RINGWOOD_TAKE_OVER_CHECK"
 
 	channelDescriptor  = 3
 	listenerDescriptor = 4
 )
 
-// Inheritance is what a process that was started to take over has from the source.
+// Inheritance holds what a target inherits from the source.
 type Inheritance struct {
 	Channel     *Channel
 	Listener    *os.File
-	Connections int  // that wait for this process
-	CheckOnly   bool // the source only asks whether this process would take over
+	Connections int  // number of connections that will be transferred
+	CheckOnly   bool // the source only checks whether this process could take over
 }
 
-// Inherit opens what this process has inherited; nil if it was not started to take over. The
-// variables are removed: what this process starts one day must not take them for its own.
+// Inherit returns what this process has inherited from a source, or nil if it was not started to
+// take over. It unsets the environment variables, so that processes started by this one later
+// don't mistake them for their own.
 func Inherit() (*Inheritance, error) {
 	text, ok := os.LookupEnv(EnvTakeOver)
 	if !ok {
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -8,34 +8,41 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Message is one message of the channel.
+// Message is a message that the source and the target exchange over a Channel.
 type Message interface{ kind() byte }
 
-// Messages of the target.
+// Messages that the target sends. Conn is the ID of a connection in both processes. Offsets are
+// byte positions in a connection's stream. Times are those of the event loop's clock, which the
+// target sets to the source's.
 type (
-	// Hello is its first message. Problem is why it can't take over; "": it can.
+	// Hello is the target's first message. Major and Minor are its protocol version. Problem says
+	// why the target can't take over; it is empty if it can.
 	Hello struct {
 		Major   int    `cbor:"1,keyasint"`
 		Minor   int    `cbor:"2,keyasint"`
 		Problem string `cbor:"3,keyasint,omitempty"`
-		Build   string `cbor:"4,keyasint,omitempty"` // as the command version prints it
+		Build   string `cbor:"4,keyasint,omitempty"` // as printed by the version command
 	}
-	// Ready says that it has applied the state.
+	// Ready reports that the target has applied the state.
 	Ready struct{}
-	// Heartbeat says that it lives, and counts its answers since the last heartbeat.
+	// Heartbeat reports that the target is alive, and the numbers of its successful and failed
+	// answers since the previous heartbeat.
 	Heartbeat struct {
 		Successes int `cbor:"1,keyasint"`
 		Failures  int `cbor:"2,keyasint"`
-		InFlight  int `cbor:"3,keyasint"` // requests without an answer
+		InFlight  int `cbor:"3,keyasint"` // requests that are not answered yet
 	}
-	// InputRecord has the bytes that it consumes next of a connection, from Offset on.
+	// InputRecord holds the bytes, starting at Offset, that the target is about to read from a
+	// connection.
 	InputRecord struct {
 		Conn       uint32        `cbor:"1,keyasint"`
 		Offset     int64         `cbor:"2,keyasint"`
 		ReceivedAt time.Duration `cbor:"3,keyasint"`
 		Data       []byte        `cbor:"4,keyasint"`
 	}
-	// RequestRecord says that the request in flight on a connection goes to an engine next.
+	// RequestRecord reports that the target is about to send the request in flight on a connection
+	// to an engine. Idempotency is a decide.Idempotency. KeyWindow is how long engines drop a repeat of
+	// a request with an idempotency key.
 	RequestRecord struct {
 		Conn        uint32        `cbor:"1,keyasint"`
 		Idempotency uint8         `cbor:"2,keyasint"`
@@ -43,63 +50,66 @@
 		KeyWindow   time.Duration `cbor:"4,keyasint"`
 		Deadline    time.Duration `cbor:"5,keyasint"`
 	}
-	// OutputRecord has the bytes that it writes next to a connection, from Offset on. If Idle, no
-	// request is in flight behind them: State stands for all that was read before Consumed.
+	// OutputRecord holds the bytes, starting at Offset, that the target is about to write to a
+	// connection. If Idle is set, no request is in flight after them, and State covers all input
+	// before Consumed.
 	OutputRecord struct {
 		Conn     uint32 `cbor:"1,keyasint"`
 		Offset   int64  `cbor:"2,keyasint"`
 		Data     []byte `cbor:"3,keyasint"`
 		Idle     bool   `cbor:"4,keyasint,omitempty"`
-		Closing  bool   `cbor:"5,keyasint,omitempty"` // the connection ends behind them
+		Closing  bool   `cbor:"5,keyasint,omitempty"` // the connection is closed after Data
 		Consumed int64  `cbor:"6,keyasint,omitempty"`
 		State    []byte `cbor:"7,keyasint,omitempty"`
 	}
-	// ConnectionClosed says that a connection has ended.
+	// ConnectionClosed reports that a connection has ended.
 	ConnectionClosed struct {
 		Conn uint32 `cbor:"1,keyasint"`
 	}
 )
 
-// Messages of the source.
+// Messages that the source sends.
 type (
-	// State is a ProcessState by the names of its sections. A section that the target does not
-	// know is named in its log and ignored.
+	// State is a ProcessState, encoded as named sections. The target logs the name of a section that
+	// it does not know, and ignores the section.
 	State struct {
 		Sections map[string]cbor.RawMessage `cbor:"1,keyasint"`
 	}
-	// Serve tells the target to serve.
+	// Serve tells the target to start serving.
 	Serve struct{}
-	// ConnectionTransfer comes with the descriptor of a connection. State is its handler's,
-	// Unread what was read of the connection and not consumed.
+	// ConnectionTransfer transfers a connection, whose descriptor is sent with the message. Frontend
+	// is the name of the frontend it belongs to, State the encoded state of its handler and Unread
+	// the input that was read but not consumed.
 	ConnectionTransfer struct {
 		Conn     uint32 `cbor:"1,keyasint"`
 		Frontend string `cbor:"2,keyasint"`
 		State    []byte `cbor:"3,keyasint"`
 		Unread   []byte `cbor:"4,keyasint,omitempty"`
 	}
-	// OwnershipCommit tells the target that it is the owner for good.
+	// OwnershipCommit makes the target the owner permanently: the source reclaims nothing after it.
 	OwnershipCommit struct{}
-	// Reload tells the target to read its files again, as the source was told meanwhile.
+	// Reload tells the target to reload its files, because the source was asked to reload during the
+	// upgrade.
 	Reload struct{}
-	// CounterIncrements are what was counted in the source since State.
+	// CounterIncrements holds what the source has counted since it sent State, by counter name.
 	CounterIncrements struct {
 		Counters map[string]int64 `cbor:"1,keyasint"`
 	}
 )
 
-// Messages of both.
+// Messages that both processes send.
 type (
-	// SharedState is what all connections of a frontend share.
+	// SharedState is the state that all connections of a frontend share. See Frontend.SharedState.
 	SharedState struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
-	// ForwardedCall is a call that only the other process may have an answer to.
+	// ForwardedCall is a call that the sender can't answer but the other process may be able to.
 	ForwardedCall struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
 )
 
-// The kinds of messages in a frame's header.
+// Message kinds, as they are encoded in a frame's header.
 const (
 	kindHello byte = iota + 1
 	kindReady
@@ -134,8 +144,8 @@
 func (*SharedState) kind() byte        { return kindSharedState }
 func (*ForwardedCall) kind() byte      { return kindForwardedCall }
 
-// messageByKind makes an empty message of each kind.
-var messageByKind = map[byte]func() Message{
+// messageConstructors holds a constructor of an empty message for each kind.
+var messageConstructors = map[byte]func() Message{
 	kindHello:              func() Message { return &Hello{} },
 	kindReady:              func() Message { return &Ready{} },
 	kindHeartbeat:          func() Message { return &Heartbeat{} },
@@ -153,15 +163,15 @@
 	kindForwardedCall:      func() Message { return &ForwardedCall{} },
 }
 
-// newMessage returns an empty message of a kind, or nil if there is none.
+// newMessage returns an empty message of a kind, or nil if the kind is unknown.
 func newMessage(kind byte) Message {
-	if create, ok := messageByKind[kind]; ok {
+	if create, ok := messageConstructors[kind]; ok {
 		return create()
 	}
 	return nil
 }
 
-// request is the record as the decisions take it.
+// request converts the record to the type that package decide uses.
 func (m *RequestRecord) request() decide.Request {
 	return decide.Request{
 		InFlight: true, Idempotency: decide.Idempotency(m.Idempotency), Sent: true,
--- a/internal/handover/process_test.go
+++ b/internal/handover/process_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// These names and numbers pass between processes of different versions.
+// Environment variables that other versions set or read, letter for letter.
 const (
 	storedEnv      = "RINGWOOD_TAKE_OVER"
 	storedEnvCheck = "RINGWOOD_TAKE_OVER_CHECK"
 )
 
-// TestMain is also the program that the tests below start to take over.
+// TestMain also acts as the target program that the tests below start.
 func TestMain(m *testing.M) {
 	if conns, ok := os.LookupEnv(storedEnv); ok {
-		os.Exit(takeOver(conns))
+		os.Exit(runTarget(conns))
 	}
 	os.Exit(m.Run())
 }
 
-// takeOver tells by its hello what it inherited.
-func takeOver(conns string) int {
+// runTarget sends a Hello whose Build describes what the process inherited. It returns the exit code.
+func runTarget(conns string) int {
 	checkText, checkSet := os.LookupEnv(storedEnvCheck)
 	in, err := Inherit()
 	if err != nil || in == nil {
-		fmt.Fprintln(os.Stderr, "inherited:", in, err)
+		fmt.Fprintln(os.Stderr, "inherit:", in, err)
 		return 1
 	}
 	_, env := os.LookupEnv(storedEnv)
@@ -38,18 +38,19 @@
 		fmt.Fprintln(os.Stderr, "listener:", err)
 		return 1
 	}
-	said := &Hello{Major: 1, Problem: os.Getenv("TEST_PROBLEM"), Build: fmt.Sprintf(
-		"%q %q %v: %d %v at %s, left %v %v, args %q", conns, checkText, checkSet, in.Connections, in.CheckOnly, ln.Addr(), env, envCheck, os.Args[1:])}
+	hello := &Hello{Major: 1, Problem: os.Getenv("TEST_PROBLEM"), Build: fmt.Sprintf(
+		"%q %q %v: %d %v at %s, still set %v %v, args %q", conns, checkText, checkSet, in.Connections, in.CheckOnly, ln.Addr(), env, envCheck, os.Args[1:])}
 	if os.Getenv("TEST_SILENT") != "" {
 		return 0
 	}
-	if err := in.Channel.Send(said); err != nil {
+	if err := in.Channel.Send(hello); err != nil {
 		return 1
 	}
-	time.Sleep(time.Minute) // it is ended
+	time.Sleep(time.Minute) // until the parent kills it
 	return 0
 }
 
+// testListener returns a listener's address and a duplicate of the listener as a file.
 func testListener(t *testing.T) (addr string, f *os.File) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,17 +66,17 @@
 	return ln.Addr().String(), f
 }
 
-// A process that is started to take over finds how many connections wait in its environment,
-// the channel and the listener at descriptors 3 and 4, and hands the variables on to nobody.
-func TestEnvironment(t *testing.T) {
+// A target finds the number of connections in its environment and the channel and the listener at
+// descriptors 3 and 4. It unsets the variables, so that its own child processes don't see them.
+func TestInheritEnvironment(t *testing.T) {
 	addr, listener := testListener(t)
 	program := Program{Path: os.Args[0], Args: []string{"serve", "--upgrade", "x"}}
 	build, err := CheckProgram(program, listener, 321, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := fmt.Sprintf(`"321" "1" true: 321 true at %s, left false false, args ["serve" "--upgrade" "x"]`, addr); build != want {
-		t.Errorf("a process that is checked: %s, want %s", build, want)
+	if want := fmt.Sprintf(`"321" "1" true: 321 true at %s, still set false false, args ["serve" "--upgrade" "x"]`, addr); build != want {
+		t.Errorf("build of a checked process = %s, want %s", build, want)
 	}
 
 	proc, err := startProcess(program, listener, 0)
@@ -87,47 +88,47 @@
 		_ = proc.cmd.Wait()
 		_ = proc.channel.Close()
 	}()
-	said := make(chan string, 1)
+	builds := make(chan string, 1)
 	go func() {
 		_ = proc.channel.Read(func(m Message, _ []int) {
 			if h, ok := m.(*Hello); ok {
-				said <- h.Build
+				builds <- h.Build
 			}
 		})
 	}()
-	if got, want := <-said, fmt.Sprintf(`"0" "" false: 0 false at %s, left false false, args ["serve" "--upgrade" "x"]`, addr); got != want {
-		t.Errorf("a process that takes over: %s, want %s", got, want)
+	if got, want := <-builds, fmt.Sprintf(`"0" "" false: 0 false at %s, still set false false, args ["serve" "--upgrade" "x"]`, addr); got != want {
+		t.Errorf("build of a target = %s, want %s", got, want)
 	}
 }
 
-// Operators read why a program would not take over.
+// CheckProgram returns errors that tell operators why a program can't take over.
 func TestCheckProblems(t *testing.T) {
 	_, listener := testListener(t)
 	program := Program{Path: os.Args[0]}
-	t.Run("problem", func(t *testing.T) {
+	t.Run("problem in hello", func(t *testing.T) {
 		t.Setenv("TEST_PROBLEM", "x.toml:7: no port")
 		if _, err := CheckProgram(program, listener, 1, 10*time.Second); err == nil || err.Error() != "x.toml:7: no port" {
-			t.Errorf("error %v", err)
+			t.Errorf("error = %v, want %q", err, "x.toml:7: no port")
 		}
 	})
-	t.Run("silent", func(t *testing.T) {
+	t.Run("exit without hello", func(t *testing.T) {
 		t.Setenv("TEST_SILENT", "1")
 		if _, err := CheckProgram(program, listener, 1, 10*time.Second); err == nil || err.Error() != "it ended without a word" {
-			t.Errorf("error %v", err)
+			t.Errorf("error = %v, want %q", err, "it ended without a word")
 		}
 	})
 	t.Run("no program", func(t *testing.T) {
 		if _, err := CheckProgram(Program{Path: "/nonexistent"}, listener, 1, 10*time.Second); err == nil || !strings.Contains(err.Error(), "no such file") {
-			t.Errorf("error %v", err)
+			t.Errorf("error = %v, want one that contains %q", err, "no such file")
 		}
 	})
 }
 
-// A number of connections that can't be read is an error, and no process that takes over.
-func TestEnvironmentUnreadable(t *testing.T) {
+// An invalid number of connections in the environment is an error.
+func TestInheritInvalidEnvironment(t *testing.T) {
 	t.Setenv(storedEnv, "many")
 	in, err := Inherit()
 	if in != nil || err == nil || !strings.Contains(err.Error(), storedEnv) {
-		t.Errorf("inherited %v, error %v", in, err)
+		t.Errorf("Inherit = %v, error %v, want nil and an error that names %s", in, err, storedEnv)
 	}
 }
--- a/internal/handover/quality.go
+++ b/internal/handover/quality.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// qualitySampleEvery is how often the answers of this process are looked at.
-	qualitySampleEvery = time.Second
-	// qualityWeight is the weight of the latest sample in the moving average.
+	// qualitySampleInterval is the time between two samples of this process's answers.
+	qualitySampleInterval = time.Second
+	// qualityWeight is the weight of the latest sample in the moving average, 0 to 1.
 	qualityWeight = 0.3
 )
 
-// answerQuality is a moving average of the fraction of answers that are rejections or failures.
+// answerQuality computes an exponential moving average of the share of answers that are rejections
+// or failures.
 type answerQuality struct {
-	successes, failures int64 // at the latest sample
-	failureRate         float64
+	lastSuccesses, lastFailures int64 // totals at the latest sample
+	failureRate                 float64
 }
 
-// sample takes the numbers of all answers so far.
+// sample updates the average with the numbers of all successful and failed answers so far. A sample
+// without new answers leaves it unchanged.
 func (q *answerQuality) sample(successes, failures int64) {
-	newSuccesses := successes - q.successes
-	newFailures := failures - q.failures
+	newSuccesses := successes - q.lastSuccesses
+	newFailures := failures - q.lastFailures
 	if n := newSuccesses + newFailures; n > 0 {
 		q.failureRate += qualityWeight * (float64(newFailures)/float64(n) - q.failureRate)
 	}
-	q.successes = successes
-	q.failures = failures
+	q.lastSuccesses = successes
+	q.lastFailures = failures
 }
--- a/internal/handover/recorder.go
+++ b/internal/handover/recorder.go
@@ -7,15 +7,16 @@
 	"gannetspur/internal/netio"
 )
 
-// recorder sends a record of what the target does with one connection, before it does it, so that
-// the source can reclaim the connection. It is the connection's netio.Journal.
+// recorder is the netio.Journal of a transferred connection. It reports each read and write of the
+// connection to the source before it happens, so that the source can reclaim the connection.
 type recorder struct {
 	target  *Target
-	conn    uint32
-	handler Transferable
-	client  core.Client
+	conn    uint32       // ID of the connection
+	handler Transferable // nil if the handler is not transferable
+	client  core.Client  // nil if the handler is not a client of the core
 }
 
+// newRecorder returns a recorder for a connection with its ID and handler.
 func (t *Target) newRecorder(conn uint32, h netio.Handler) *recorder {
 	r := &recorder{target: t, conn: conn}
 	r.handler, _ = h.(Transferable)
@@ -26,7 +27,7 @@
 	return r
 }
 
-// recordRequest records that a request goes to an engine.
+// recordRequest reports to the source that a request is about to be sent to an engine.
 func (t *Target) recordRequest(r *core.Request, firstSend time.Duration) {
 	recorder := t.recorders[r.Client]
 	if recorder == nil {
@@ -38,7 +39,8 @@
 	})
 }
 
-// stopRecording ends all records: this process is the owner, and nobody would reclaim anything.
+// stopRecording removes all recorders. This process is the owner now, so no other process will
+// reclaim its connections.
 func (t *Target) stopRecording() {
 	for c := range t.loop.Conns() {
 		if c.HasJournal() {
@@ -49,12 +51,13 @@
 	t.core.OnFirstSend(nil)
 }
 
-// Input records what is read.
+// Input reports bytes that are about to be read.
 func (r *recorder) Input(_ *netio.Conn, offset int64, b []byte) {
 	r.target.send(&InputRecord{Conn: r.conn, Offset: offset, ReceivedAt: r.target.loop.Now(), Data: b})
 }
 
-// Output records what is written, with the handler's state if no request is in flight behind it.
+// Output reports bytes that are about to be written, with the handler's state if no request is in
+// flight after them.
 func (r *recorder) Output(c *netio.Conn, offset int64, b []byte) {
 	m := &OutputRecord{Conn: r.conn, Offset: offset, Data: b}
 	if h := r.handler; h != nil && (h.Idle() || h.Closing()) {
@@ -68,7 +71,7 @@
 	r.target.send(m)
 }
 
-// Ended records that the connection has ended.
+// Ended reports that the connection has ended.
 func (r *recorder) Ended(*netio.Conn) {
 	delete(r.target.recorders, r.client)
 	r.target.send(&ConnectionClosed{Conn: r.conn})
--- a/internal/handover/retained.go
+++ b/internal/handover/retained.go
@@ -11,36 +11,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// pruneOutputOver is how many bytes of a connection's recorded output are kept before what has
-// been written of it is dropped.
-const pruneOutputOver = 64 << 10
+// pruneOutputThresholdBytes is the size of a connection's recorded output above which the part that
+// has been written is dropped.
+const pruneOutputThresholdBytes = 64 << 10
 
-// retainedConnection is what is needed to reclaim a connection: a duplicate of its descriptor,
-// the last state of its handler without a request in flight, and what was read and written since.
+// retainedConnection holds what the source needs to reclaim a transferred connection: a duplicate of
+// its descriptor, the latest state of its handler without a request in flight, and the input and
+// output recorded since.
 type retainedConnection struct {
 	fd           int
-	state        []byte
-	input        []byte // read and not yet covered by state
-	inputOffset  int64  // of input in the stream
-	receivedAt   time.Duration
-	request      *RequestRecord // in flight at an engine, or nil
-	output       []byte
-	outputOffset int64 // of output in the stream
-	closing      bool  // the connection ends behind output
+	state        []byte         // from Transferable.EncodeState
+	input        []byte         // recorded input that state does not cover
+	inputOffset  int64          // position of input in the stream
+	receivedAt   time.Duration  // when the last input was recorded, on the loop's clock
+	request      *RequestRecord // the request in flight at an engine; nil if there is none
+	output       []byte         // recorded output, of which the start may have been written
+	outputOffset int64          // position of output in the stream
+	closing      bool           // the connection is closed after output
 }
 
-// newRetained returns what is retained of a connection that is being transferred. unread was
-// read of it and not consumed.
+// newRetained returns what is retained of a connection that is being transferred. unread is input
+// that was read from the connection and not consumed.
 func newRetained(fd int, state, unread []byte) *retainedConnection {
 	r := &retainedConnection{fd: fd, state: state, input: unread}
-	if place, err := netio.StreamPositionOf(fd); err == nil { // else it has ended, which the target will find
-		r.inputOffset = place.Read - int64(len(unread))
+	if position, err := netio.StreamPositionOf(fd); err == nil { // otherwise it has ended, which the target will detect
+		r.inputOffset = position.Read - int64(len(unread))
 	}
 	return r
 }
 
-func (r *retainedConnection) close() { _ = unix.Close(r.fd) } // the target has its own
+// close closes the duplicate descriptor. The target's descriptor stays open.
+func (r *retainedConnection) close() { _ = unix.Close(r.fd) }
 
+// recordInput appends input that the target is about to read.
 func (r *retainedConnection) recordInput(m *InputRecord) {
 	if len(r.input) == 0 {
 		r.inputOffset = m.Offset
@@ -49,8 +52,10 @@
 	r.receivedAt = m.ReceivedAt
 }
 
+// recordOutput appends output that the target is about to write. If no request is in flight after
+// it, the state in the record replaces the retained one.
 func (r *retainedConnection) recordOutput(m *OutputRecord) {
-	if len(r.output) > pruneOutputOver {
+	if len(r.output) > pruneOutputThresholdBytes {
 		r.pruneOutput()
 	}
 	if len(r.output) == 0 {
@@ -60,7 +65,7 @@
 	switch {
 	case !m.Idle:
 		return
-	case m.Closing: // nothing more is read
+	case m.Closing: // no more input will be read
 		r.closing = true
 		r.request = nil
 		r.input = nil
@@ -71,20 +76,20 @@
 	}
 }
 
-// pruneOutput drops the output that the kernel has taken.
+// pruneOutput drops the recorded output that has been written to the kernel.
 func (r *retainedConnection) pruneOutput() {
-	place, err := netio.StreamPositionOf(r.fd)
+	position, err := netio.StreamPositionOf(r.fd)
 	if err != nil {
 		return
 	}
-	written := min(place.Written-r.outputOffset, int64(len(r.output)))
+	written := min(position.Written-r.outputOffset, int64(len(r.output)))
 	if written > 0 {
 		r.output = bytes.Clone(r.output[written:])
 		r.outputOffset += written
 	}
 }
 
-// dropInputBefore drops the input that the state covers.
+// dropInputBefore drops the recorded input before a stream position.
 func (r *retainedConnection) dropInputBefore(consumed int64) {
 	n := min(consumed-r.inputOffset, int64(len(r.input)))
 	if n <= 0 {
@@ -97,28 +102,30 @@
 	}
 }
 
-// unanswered returns the input that the target has consumed and not answered.
-func (r *retainedConnection) unanswered(place netio.StreamPosition) []byte {
+// unansweredInput returns the input that the target has read from the socket and not answered. The
+// position is that of the socket after the target's death.
+func (r *retainedConnection) unansweredInput(position netio.StreamPosition) []byte {
 	if r.closing {
 		return nil
 	}
-	consumed := place.Read - r.inputOffset
+	consumed := position.Read - r.inputOffset
 	if consumed < int64(len(r.input)) {
-		return r.input[:max(consumed, 0)] // the rest is in the socket still
+		return r.input[:max(consumed, 0)] // the rest is still in the socket
 	}
 	return r.input
 }
 
-// unwritten returns the recorded output that the kernel has not taken.
-func (r *retainedConnection) unwritten(place netio.StreamPosition) []byte {
-	written := place.Written - r.outputOffset
+// unwrittenOutput returns the recorded output that the target did not write to the kernel.
+func (r *retainedConnection) unwrittenOutput(position netio.StreamPosition) []byte {
+	written := position.Written - r.outputOffset
 	if written < int64(len(r.output)) {
 		return r.output[max(written, 0):]
 	}
 	return nil
 }
 
-// orphanedRequest describes the request that was in flight at the target.
+// orphanedRequest describes the request that was in flight in the target when it died. It must fail
+// if it was sent to an engine and may not be sent again.
 func (r *retainedConnection) orphanedRequest(now time.Duration) core.Orphan {
 	orphan := core.Orphan{ReceivedAt: r.receivedAt}
 	if r.request != nil {
--- a/internal/handover/source.go
+++ b/internal/handover/source.go
@@ -12,73 +12,81 @@
 )
 
 const (
-	// pollEvery is how often the source looks for connections that have become idle.
-	pollEvery = 2 * time.Millisecond
-	// memoryCheckEvery is how often the target's memory is checked.
-	memoryCheckEvery = 200 * time.Millisecond
+	// pollInterval is the time between two checks for connections that have become idle.
+	pollInterval = 2 * time.Millisecond
+	// memoryCheckInterval is the time between two checks of the target's memory.
+	memoryCheckInterval = 200 * time.Millisecond
 )
 
-// SourceOptions configure a Source. The functions are called on the loop.
+// SourceOptions configure a Source. The functions are called on the loop's goroutine.
 type SourceOptions struct {
-	Program       Program // that takes over by default
-	Config        decide.Config
-	State         func() *ProcessState    // of this process, without Clock and Shared
-	Counters      func() map[string]int64 // of this process
-	BeginShutdown func()                  // begins the graceful shutdown
-	OnHandedOver  func()                  // the target is the owner; may be nil
-	OnReturned    func()                  // the owner has died and this process serves again; may be nil
-	Exit          func()                  // ends this process: nothing is left here
-}
-
-// Progress is a step of an upgrade, for whoever asked for it.
+	Program Program // started by an upgrade that names no other program
+	Config  decide.Config
+	// State returns the state of this process. Clock and Shared are set by the Source.
+	State func() *ProcessState
+	// Counters returns a copy of this process's counters.
+	Counters func() map[string]int64
+	// BeginShutdown starts the graceful shutdown of this process.
+	BeginShutdown func()
+	// OnHandedOver is called when the target becomes the owner; it may be nil.
+	OnHandedOver func()
+	// OnReturned is called when this process accepts connections again, because the target has died
+	// as the owner; it may be nil.
+	OnReturned func()
+	// Exit ends this process. It is called when all connections are transferred or closed.
+	Exit func()
+}
+
+// Progress reports a step of an upgrade to its requester.
 type Progress struct {
-	Phase   string
-	Problem string // why it failed; "" if it did not
-	Done    bool   // no other step follows
+	Phase   string // name of the current phase
+	Problem string // why the upgrade failed; empty if it has not failed
+	Done    bool   // the upgrade has ended and no other report follows
 }
 
-// Source hands this process's work over to another one, and reclaims it if that fails.
+// Source hands the work of this process over to a target, and reclaims it if the upgrade fails.
 type Source struct {
 	loop     *netio.Loop
 	frontend Frontend
 	opts     SourceOptions
-	stats    *metrics.Counters
+	counters *metrics.Counters
 	log      *slog.Logger
 	quality  answerQuality
 
-	machine     *decide.Source // nil: there never was an upgrade
+	machine     *decide.Source // nil before the first upgrade
 	attempt     upgradeAttempt
-	target      *targetProcess // nil: none lives
+	target      *targetProcess // nil if no target is running
 	connections connectionTable
 	effects     effectQueue
-	poller      *timerqueue.Entry
+	pollTimer   *timerqueue.Entry
 }
 
-// upgradeAttempt is the upgrade in progress, or the last one.
+// upgradeAttempt holds the state of the upgrade in progress, or of the last one.
 type upgradeAttempt struct {
-	program       Program
-	onProgress    func(Progress)
-	startedAt     time.Duration
-	reportedPhase decide.Phase
-	build         string           // of the target
-	countersSent  map[string]int64 // with the state
-	memoryChecked time.Duration
+	program         Program
+	onProgress      func(Progress)
+	startedAt       time.Duration
+	reportedPhase   decide.Phase
+	build           string           // build of the target, from its Hello
+	countersSent    map[string]int64 // counters that were sent with the state
+	memoryCheckedAt time.Duration
 }
 
-// NewSource returns a Source for this process.
+// NewSource returns a Source for this process and starts sampling its answers.
 func NewSource(loop *netio.Loop, frontend Frontend, opts SourceOptions, counters *metrics.Counters, log *slog.Logger) *Source {
-	s := &Source{loop: loop, frontend: frontend, opts: opts, stats: counters, log: log}
+	s := &Source{loop: loop, frontend: frontend, opts: opts, counters: counters, log: log}
 	s.sampleQuality()
 	return s
 }
 
-// sampleQuality measures the usual share of bad answers, by which a target is judged.
+// sampleQuality updates the usual failure rate of this process's answers, with which the target's
+// is compared.
 func (s *Source) sampleQuality() {
-	s.quality.sample(CountAnswers(s.stats))
-	s.loop.Timers.Add(s.loop.Now()+qualitySampleEvery, s.sampleQuality)
+	s.quality.sample(CountAnswers(s.counters))
+	s.loop.Timers.Add(s.loop.Now()+qualitySampleInterval, s.sampleQuality)
 }
 
-// Phase is the phase of the upgrade.
+// Phase returns the name of the current phase; "idle" if no upgrade is in progress.
 func (s *Source) Phase() string { return s.phase().String() }
 
 func (s *Source) phase() decide.Phase {
@@ -91,11 +99,11 @@
 // InProgress reports whether an upgrade is in progress.
 func (s *Source) InProgress() bool { return s.phase() != decide.Idle }
 
-// Program is what an upgrade starts by default.
+// Program returns the program that an upgrade starts by default.
 func (s *Source) Program() Program { return s.opts.Program }
 
-// Upgrade begins an upgrade to a program. onProgress is called for each phase and, once with
-// Done, at the end.
+// Upgrade starts an upgrade to a program. onProgress is called for each phase, and once with Done
+// set at the end. If another upgrade is in progress, none is started and onProgress is told so.
 func (s *Source) Upgrade(p Program, onProgress func(Progress)) {
 	if s.InProgress() {
 		onProgress(Progress{Phase: s.Phase(), Problem: "another upgrade is under way", Done: true})
@@ -103,7 +111,7 @@
 	}
 	s.machine = decide.NewSource(s.opts.Config, Version)
 	s.attempt = upgradeAttempt{
-		program: p, onProgress: onProgress, startedAt: s.loop.Now(), memoryChecked: s.attempt.memoryChecked,
+		program: p, onProgress: onProgress, startedAt: s.loop.Now(), memoryCheckedAt: s.attempt.memoryCheckedAt,
 	}
 	s.connections.reset()
 	for c := range s.loop.Conns() {
@@ -113,12 +121,13 @@
 		}
 		s.machine.Step(s.loop.Now(), decide.ConnectionAccepted{Conn: s.connections.add(c)})
 	}
-	s.frontend.OnAccept(s.accepted)
+	s.frontend.OnAccept(s.connectionAccepted)
 	s.step(decide.UpgradeRequested{UsualFailureRate: s.quality.failureRate})
 }
 
-// accepted adds a new connection, which has its handler from the loop's next iteration on.
-func (s *Source) accepted(c *netio.Conn) {
+// connectionAccepted adds a new connection. It does so in the loop's next iteration, because the
+// connection has no handler before that.
+func (s *Source) connectionAccepted(c *netio.Conn) {
 	s.loop.Post(func() {
 		if s.InProgress() && transferableHandler(c) != nil {
 			s.step(decide.ConnectionAccepted{Conn: s.connections.add(c)})
@@ -126,8 +135,9 @@
 	})
 }
 
-// Shutdown asks for a graceful shutdown: an upgrade that can still be revoked is given up
-// first. It reports whether the upgrade takes care of the shutdown.
+// Shutdown requests a graceful shutdown while an upgrade is in progress; an upgrade that can still be
+// revoked is cancelled first. It returns false if no upgrade is in progress: then the caller has to
+// shut down itself.
 func (s *Source) Shutdown() bool {
 	if !s.InProgress() {
 		return false
@@ -136,70 +146,75 @@
 	return true
 }
 
-// ForwardReload has the target read its files again as well.
+// ForwardReload tells the target, if there is one, to reload its files.
 func (s *Source) ForwardReload() {
 	if s.InProgress() && s.target != nil {
-		_ = s.target.channel.Send(&Reload{}) // a target that has died needs none
+		_ = s.target.channel.Send(&Reload{}) // an error means that the target has died, and then no reload is needed
 	}
 }
 
+// send sends a message to the target, if there is one. An error is only logged.
 func (s *Source) send(m Message, fds ...int) {
 	if s.target == nil {
 		return
 	}
-	if err := s.target.channel.Send(m, fds...); err != nil { // it has died, which is reported soon
+	if err := s.target.channel.Send(m, fds...); err != nil { // the target has died; its exit is reported separately
 		s.log.Warn("upgrade.unsent", "error", err)
 	}
 }
 
-// poll looks at what happens without a message.
+// poll checks for changes that no message reports: idle and closed connections, the target's memory
+// and timeouts. It reschedules itself while an upgrade is in progress.
 func (s *Source) poll() {
-	s.poller.Stop()
+	s.pollTimer.Stop()
 	if !s.InProgress() {
 		return
 	}
 	now := s.loop.Now()
-	s.poller = s.loop.Timers.Add(now+pollEvery, s.poll)
+	s.pollTimer = s.loop.Timers.Add(now+pollInterval, s.poll)
 	phase := s.machine.Phase()
 	transferring := phase == decide.Probation || phase == decide.Finishing
-	if transferring && s.effects.empty() { // else connections are still being transferred
+	if transferring && s.effects.empty() { // otherwise transfers are still pending
 		s.updateConnections()
 	}
-	if s.target != nil && now-s.attempt.memoryChecked >= memoryCheckEvery {
-		s.attempt.memoryChecked = now
+	if s.target != nil && now-s.attempt.memoryCheckedAt >= memoryCheckInterval {
+		s.attempt.memoryCheckedAt = now
 		s.step(decide.TargetMemory{Bytes: metrics.ResidentBytes(s.target.pid())})
 	}
 	s.step(decide.Tick{})
 }
 
-// linkFrontend passes what the frontend shares, and calls that it has no answer to, to the target.
-func (s *Source) linkFrontend() {
+// startForwarding forwards changes of the frontend's shared state, and calls that it can't answer, to
+// the target.
+func (s *Source) startForwarding() {
 	s.frontend.OnSharedChange(func(b []byte) { s.send(&SharedState{b}) })
 	s.frontend.OnUnknownCall(func(b []byte) { s.send(&ForwardedCall{b}) })
 }
 
-func (s *Source) unlinkFrontend() {
+// stopForwarding undoes startForwarding.
+func (s *Source) stopForwarding() {
 	s.frontend.OnSharedChange(nil)
 	s.frontend.OnUnknownCall(nil)
 }
 
+// reportOutcome logs and counts the result of the upgrade and reports it to the requester.
 func (s *Source) reportOutcome(failure decide.Failure) {
-	s.unlinkFrontend()
+	s.stopForwarding()
 	took := s.loop.Now() - s.attempt.startedAt
 	if failure.Failed() {
-		s.stats.Add("upgrade.returned")
+		s.counters.Add("upgrade.returned")
 		s.log.Warn("upgrade.returned", "why", failure.String(), "took", took)
 	} else {
-		s.stats.Add("upgrade.done")
+		s.counters.Add("upgrade.done")
 		s.log.Info("upgrade.done", "took", took, "build", s.attempt.build, "in_flight", s.connections.localCount())
-		if s.target != nil { // what ends here from now on may be shared with it still
-			s.linkFrontend()
+		if s.target != nil { // requests that finish here from now on may still change the shared state
+			s.startForwarding()
 		}
 	}
 	s.attempt.onProgress(Progress{Phase: s.Phase(), Problem: failure.String(), Done: true})
 }
 
-// exit sends what was counted here since the state was sent, and ends this process.
+// exit sends the target what this process has counted since the state was sent, and ends the process.
 func (s *Source) exit() {
 	increments := s.opts.Counters()
 	for name, n := range s.attempt.countersSent {
--- a/internal/handover/source_target.go
+++ b/internal/handover/source_target.go
@@ -7,12 +7,13 @@
 	decide "gannetspur/internal/decide/handover"
 )
 
-// channelClosedGrace is how long the target may live on after its end of the channel has closed.
+// channelClosedGrace is how long the target may keep running after its end of the channel has closed.
 const channelClosedGrace = 200 * time.Millisecond
 
-// startTarget starts the target, with a goroutine that reads its channel and one that waits for
-// its end. The first ends at the channel's end, which the second forces by killing all that the
-// target has started: any of it may hold the channel open, and write to it still.
+// startTarget starts the target, a goroutine that reads its channel and a goroutine that waits for
+// its exit. The first returns when the channel ends. Processes started by the target may still hold
+// the channel open and write to it, so the second kills the target's whole process group, which ends
+// the channel, and waits for the first before it reports the exit.
 func (s *Source) startTarget() {
 	s.poll()
 	listener, err := s.frontend.Listener().File()
@@ -30,7 +31,7 @@
 	channelRead := make(chan struct{})
 	go func() {
 		err := target.channel.Read(func(m Message, fds []int) {
-			closeDescriptors(fds) // a target has none to transfer
+			closeDescriptors(fds) // the target sends no descriptors
 			s.loop.Post(func() { s.handleMessage(m) })
 		})
 		close(channelRead)
@@ -40,12 +41,12 @@
 		state := target.cmd.Wait()
 		target.kill()
 		<-channelRead
-		s.loop.Post(func() { s.targetEnded(target, state) })
+		s.loop.Post(func() { s.targetExited(target, state) })
 	}()
 }
 
-// channelEnded kills a target whose messages can't be read any more: it is of no use, whether
-// it lives or not.
+// channelEnded kills the target channelClosedGrace after its channel has ended. A target whose messages
+// can't be read is useless, even if it is still running. It is not killed once it is the owner.
 func (s *Source) channelEnded(target *targetProcess, err error) {
 	if err != nil {
 		s.log.Warn("upgrade.channel", "error", err)
@@ -57,30 +58,32 @@
 	})
 }
 
-// targetEnded takes the target's death, after all that it wrote was read.
-func (s *Source) targetEnded(target *targetProcess, state error) {
+// targetExited handles the target's exit. All that the target wrote to the channel has been read by
+// then.
+func (s *Source) targetExited(target *targetProcess, state error) {
 	s.log.Info("upgrade.process-ended", "pid", target.pid(), "state", state)
-	_ = target.channel.Close() // it was read to its end
+	_ = target.channel.Close() // it has been read to its end
 	if s.target == target {
 		s.target = nil
 		s.step(decide.TargetExited{})
 	}
 }
 
+// sendState sends the state of this process to the target.
 func (s *Source) sendState() {
 	state := s.opts.State()
 	s.attempt.countersSent = maps.Clone(state.Counters)
 	state.Clock = Clock{Now: s.loop.Now(), Monotonic: monotonicNow()}
 	state.Shared = s.frontend.SharedState()
 	m, err := state.message()
-	if err != nil { // then the target has no state, and is not ready in time
+	if err != nil { // the target gets no state, so the upgrade fails when WarmTimeout expires
 		s.log.Error("upgrade.state", "error", err)
 		return
 	}
 	s.send(m)
 }
 
-// handleMessage takes a message of the target.
+// handleMessage handles a message from the target.
 func (s *Source) handleMessage(m Message) {
 	if s.target == nil || s.machine == nil {
 		return
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -9,24 +9,26 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Clock is the time of both processes at one moment.
+// Clock holds the event loop's time and the machine's monotonic time at the same moment. A process
+// on the same machine sets its loop's clock from the pair.
 type Clock struct {
-	Now       time.Duration `cbor:"1,keyasint"` // of the loop
-	Monotonic time.Duration `cbor:"2,keyasint"` // of the machine
+	Now       time.Duration `cbor:"1,keyasint"` // time of the loop
+	Monotonic time.Duration `cbor:"2,keyasint"` // time of the machine's monotonic clock
 }
 
-// ProcessState is what a process that serves knows, for one that takes over.
+// ProcessState is the state of a serving process that a process taking over continues from.
 type ProcessState struct {
 	Clock       Clock
 	Core        core.Snapshot
-	LastEvent   uint64 // number of the event bus's last event taken; 0: none
-	Shared      []byte // of the frontend
-	QueryShapes []byte // a snapshot of query shapes; nil: none
-	Membership  []byte // of internal/membership: the fleet as this member knows it; nil: it is none
-	Counters    map[string]int64
+	LastEvent   uint64           // number of the last event taken from the event bus; 0 if there is none
+	Shared      []byte           // state from Frontend.SharedState
+	QueryShapes []byte           // snapshot of the query shapes; nil if there is none
+	Membership  []byte           // the fleet's state from internal/membership; nil if this process is no member
+	Counters    map[string]int64 // counter values by name
 }
 
-// sections are the parts of a state by the names under which they are encoded.
+// sections returns pointers to the parts of the state, by the section names under which they are
+// encoded.
 func (s *ProcessState) sections() map[string]any {
 	return map[string]any{
 		"clock":    &s.Clock,
@@ -39,19 +41,20 @@
 	}
 }
 
+// message encodes the state as a State message.
 func (s *ProcessState) message() (*State, error) {
 	m := &State{Sections: map[string]cbor.RawMessage{}}
 	for name, section := range s.sections() {
 		b, err := cbor.Marshal(section)
 		if err != nil {
-			return nil, fmt.Errorf("handover: %s: %w", name, err)
+			return nil, fmt.Errorf("handover: encode section %s: %w", name, err)
 		}
 		m.Sections[name] = b
 	}
 	return m, nil
 }
 
-// decode reads the sections. unknown names those that this version has no use for.
+// decode decodes the sections. unknown holds the names of sections that this version does not know.
 func (m *State) decode() (state *ProcessState, unknown []string, err error) {
 	state = &ProcessState{}
 	sections := state.sections()
@@ -62,13 +65,13 @@
 			continue
 		}
 		if err := decoder.Unmarshal(b, section); err != nil {
-			return nil, nil, fmt.Errorf("handover: %s: %w", name, err)
+			return nil, nil, fmt.Errorf("handover: decode section %s: %w", name, err)
 		}
 	}
 	return state, unknown, nil
 }
 
-// Encode encodes the state for another process of the same or another version.
+// Encode encodes the state for a process of the same or another version.
 func (s *ProcessState) Encode() ([]byte, error) {
 	m, err := s.message()
 	if err != nil {
@@ -76,17 +79,17 @@
 	}
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("handover: state: %w", err)
+		return nil, fmt.Errorf("handover: encode state: %w", err)
 	}
 	return b, nil
 }
 
-// DecodeProcessState decodes what Encode wrote. unknown names the sections that this version has
-// no use for.
+// DecodeProcessState decodes a state that Encode has encoded. unknown holds the names of sections that
+// this version does not know.
 func DecodeProcessState(b []byte) (state *ProcessState, unknown []string, err error) {
 	var m State
 	if err := decoder.Unmarshal(b, &m); err != nil {
-		return nil, nil, fmt.Errorf("handover: state: %w", err)
+		return nil, nil, fmt.Errorf("handover: decode state: %w", err)
 	}
 	return m.decode()
 }
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -17,8 +17,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedFrames are one frame of each kind. testdata/frames has their bytes as version c18a9bd
-// sent them: two processes of different versions must read each other's frames.
+// storedFrames has at least one message of each kind. testdata/frames holds the frames as version
+// c18a9bd sent them: processes of different versions must be able to read each other's frames.
 var storedFrames = []struct {
 	file        string
 	message     Message
@@ -43,8 +43,8 @@
 	{"stray", &ForwardedCall{Data: []byte("cancel request")}, 0},
 }
 
-// storedKnowledge is what testdata/knowledge.cbor holds, as version c18a9bd wrote it.
-func storedKnowledge() *ProcessState {
+// storedProcessState returns the state that testdata/knowledge.cbor holds, as version c18a9bd wrote it.
+func storedProcessState() *ProcessState {
 	return &ProcessState{
 		Clock: Clock{Now: 1234567 * time.Second, Monotonic: 89 * time.Second},
 		Core: core.Snapshot{
@@ -56,7 +56,8 @@
 	}
 }
 
-func storedBytes(t *testing.T, name string) []byte {
+// readStoredFile returns the content of a file in testdata.
+func readStoredFile(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -65,20 +66,20 @@
 	return b
 }
 
-// The bytes of each frame are read to the same message, and written anew byte for byte.
+// Each stored frame is parsed to its message, and the message is sent as the same bytes.
 func TestFramesOfStoredVersion(t *testing.T) {
 	seen := map[byte]bool{}
 	for _, tt := range storedFrames {
 		t.Run(tt.file, func(t *testing.T) {
-			stored := storedBytes(t, filepath.Join("frames", tt.file+".bin"))
+			stored := readStoredFile(t, filepath.Join("frames", tt.file+".bin"))
 			got, descriptors, used, err := parseFrame(stored)
 			if err != nil || used != len(stored) || descriptors != tt.descriptors {
-				t.Fatalf("parse: %d descriptors, %d of %d bytes, error %v", descriptors, used, len(stored), err)
+				t.Fatalf("parseFrame: %d descriptors, %d bytes used, error %v, want %d descriptors and %d bytes", descriptors, used, err, tt.descriptors, len(stored))
 			}
 			if diff := cmp.Diff(tt.message, got); diff != "" {
 				t.Errorf("message (-want +got):\n%s", diff)
 			}
-			if written := sentBytes(t, tt.message, tt.descriptors); !bytes.Equal(written, stored) {
+			if written := sendFrame(t, tt.message, tt.descriptors); !bytes.Equal(written, stored) {
 				t.Errorf("sent as\n%x, want\n%x", written, stored)
 			}
 			seen[stored[5]] = true
@@ -86,15 +87,15 @@
 	}
 	for kind := range byte(0xff) {
 		if (newMessage(kind) != nil) != seen[kind] {
-			t.Errorf("kind %d: known %v, stored %v", kind, newMessage(kind) != nil, seen[kind])
+			t.Errorf("message kind %d: known %v, has a stored frame %v, want both equal", kind, newMessage(kind) != nil, seen[kind])
 		}
 	}
 }
 
-// sentBytes are the bytes of a message as they lie in the channel.
-func sentBytes(t *testing.T, m Message, descriptors int) []byte {
+// sendFrame sends a message with a number of descriptors and returns the bytes in the channel.
+func sendFrame(t *testing.T, m Message, descriptors int) []byte {
 	t.Helper()
-	a, b := pairs(t)
+	a, b := newChannelPair(t)
 	var fds []int
 	for range descriptors {
 		fds = append(fds, int(os.Stdin.Fd()))
@@ -110,18 +111,18 @@
 	return raw
 }
 
-// A frame that is cut short is waited for, and refused at the channel's end; one with a
-// changed byte is read as something else or refused with a typed error. None panics.
+// A truncated frame is incomplete, and an error at the end of the channel. A frame with a changed bit
+// is parsed as another message or fails with ErrMalformedFrame or ErrUnknownKind. Neither panics.
 func TestDamagedFrames(t *testing.T) {
 	for _, tt := range storedFrames {
 		t.Run(tt.file, func(t *testing.T) {
-			stored := storedBytes(t, filepath.Join("frames", tt.file+".bin"))
+			stored := readStoredFile(t, filepath.Join("frames", tt.file+".bin"))
 			for cut := range stored {
 				if m, _, used, err := parseFrame(stored[:cut]); m != nil || used != 0 || err != nil {
-					t.Errorf("cut at byte %d: %T, %d bytes used, error %v", cut, m, used, err)
+					t.Errorf("parseFrame of the first %d bytes = %T, %d bytes used, error %v, want an incomplete frame", cut, m, used, err)
 				}
-				if err := readBytes(t, stored[:cut]); cut > 0 && !errors.Is(err, ErrMalformedFrame) || cut == 0 && err != nil {
-					t.Errorf("a channel that ends at byte %d: error %v", cut, err)
+				if err := readFrameBytes(t, stored[:cut]); cut > 0 && !errors.Is(err, ErrMalformedFrame) || cut == 0 && err != nil {
+					t.Errorf("Read of a channel that ends after %d bytes: error %v, want ErrMalformedFrame, or none after 0 bytes", cut, err)
 				}
 			}
 			for i := range stored {
@@ -130,7 +131,7 @@
 					damaged[i] ^= 1 << bit
 					_, _, used, err := parseFrame(damaged)
 					if used > len(damaged) || err != nil && (used > 0 || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind)) {
-						t.Errorf("byte %d, bit %d changed: %d bytes used, error %v", i, bit, used, err)
+						t.Errorf("parseFrame with byte %d, bit %d changed: %d bytes used, error %v, want a message or a typed error", i, bit, used, err)
 					}
 				}
 			}
@@ -138,8 +139,8 @@
 	}
 }
 
-// readBytes is the error with which a channel ends after these bytes.
-func readBytes(t *testing.T, raw []byte) error {
+// readFrameBytes returns the error of Channel.Read for a channel that ends after the bytes raw.
+func readFrameBytes(t *testing.T, raw []byte) error {
 	t.Helper()
 	a, f, err := NewChannelPair()
 	if err != nil {
@@ -157,42 +158,42 @@
 	return b.Read(func(Message, []int) {})
 }
 
-// What a process of version c18a9bd knew is read whole, cut or changed bytes are refused or
-// read as something else, and each part goes under its old name.
-func TestKnowledgeOfStoredVersion(t *testing.T) {
-	stored := storedBytes(t, "knowledge.cbor")
+// A state that version c18a9bd has encoded is decoded completely, and is encoded again under the same
+// section names. A truncated state is an error; one with a changed bit is an error or another state.
+func TestStateOfStoredVersion(t *testing.T) {
+	stored := readStoredFile(t, "knowledge.cbor")
 	got, unknown, err := DecodeProcessState(stored)
 	if err != nil || len(unknown) > 0 {
-		t.Fatalf("unknown sections %q, error %v", unknown, err)
+		t.Fatalf("DecodeProcessState: unknown sections %q, error %v, want none", unknown, err)
 	}
-	if diff := cmp.Diff(storedKnowledge(), got); diff != "" {
-		t.Errorf("knowledge (-want +got):\n%s", diff)
+	if diff := cmp.Diff(storedProcessState(), got); diff != "" {
+		t.Errorf("state (-want +got):\n%s", diff)
 	}
-	written, err := storedKnowledge().Encode()
+	written, err := storedProcessState().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Go's maps have no order, so the bytes of the parts are compared one by one.
-	var now, then struct {
+	// The order of Go's maps is random, so the decoded sections are compared, not the bytes.
+	var gotSections, wantSections struct {
 		Sections map[string]any `cbor:"1,keyasint"`
 	}
-	if err := errors.Join(cbor.Unmarshal(written, &now), cbor.Unmarshal(stored, &then)); err != nil {
+	if err := errors.Join(cbor.Unmarshal(written, &gotSections), cbor.Unmarshal(stored, &wantSections)); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(then, now); diff != "" {
-		t.Errorf("written (-stored +now):\n%s", diff)
+	if diff := cmp.Diff(wantSections, gotSections); diff != "" {
+		t.Errorf("encoded sections (-want +got):\n%s", diff)
 	}
 	for cut := range stored {
 		if _, _, err := DecodeProcessState(stored[:cut]); err == nil {
-			t.Errorf("read, cut at byte %d of %d", cut, len(stored))
+			t.Errorf("DecodeProcessState of the first %d of %d bytes: no error, want one", cut, len(stored))
 		}
 	}
 	for i := range stored {
 		for bit := range 8 {
 			damaged := bytes.Clone(stored)
 			damaged[i] ^= 1 << bit
-			if k, _, err := DecodeProcessState(damaged); (k == nil) == (err == nil) {
-				t.Errorf("byte %d, bit %d changed: %v, error %v", i, bit, k, err)
+			if state, _, err := DecodeProcessState(damaged); (state == nil) == (err == nil) {
+				t.Errorf("DecodeProcessState with byte %d, bit %d changed = %v, error %v, want either a state or an error", i, bit, state, err)
 			}
 		}
 	}
--- a/internal/handover/target.go
+++ b/internal/handover/target.go
@@ -13,44 +13,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// heartbeatEvery is how often the target says that it lives.
-const heartbeatEvery = 100 * time.Millisecond
+// heartbeatInterval is the time between two heartbeats of the target.
+const heartbeatInterval = 100 * time.Millisecond
 
-// TargetOptions configure a Target. The functions are called on the loop.
+// TargetOptions configure a Target. The functions are called on the loop's goroutine.
 type TargetOptions struct {
-	ApplyState func(*ProcessState) error // goes on from the source's state
-	OnOwner    func()                    // this process is the owner for good
-	Reload     func()                    // has the files read again
-	Abort      func()                    // ends the process, which is no owner
+	ApplyState func(*ProcessState) error // applies the source's state to this process
+	OnOwner    func()                    // called when this process becomes the owner permanently
+	Reload     func()                    // reloads the files
+	Abort      func()                    // ends this process, which is not the owner
 }
 
-// Target takes over from another process.
+// Target takes over the work of another process, the source.
 type Target struct {
 	loop     *netio.Loop
 	core     *core.Core
 	frontend Frontend
 	channel  *Channel
 	opts     TargetOptions
-	stats    *metrics.Counters
+	counters *metrics.Counters
 	log      *slog.Logger
 
 	machine      *decide.Target
 	build        string
 	sourceExited bool
-	reported     struct{ successes, failures int64 } // answers up to the latest heartbeat
+	lastReported struct{ successes, failures int64 } // totals of answers at the latest heartbeat
 	recorders    map[core.Client]*recorder
 }
 
-// NewTarget returns a Target that speaks to its source over the channel. Begin must follow.
+// NewTarget returns a Target that communicates with its source over ch. The caller has to call Begin.
 func NewTarget(loop *netio.Loop, c *core.Core, frontend Frontend, ch *Channel, opts TargetOptions, counters *metrics.Counters, log *slog.Logger) *Target {
 	return &Target{
-		loop: loop, core: c, frontend: frontend, channel: ch, opts: opts, stats: counters, log: log,
+		loop: loop, core: c, frontend: frontend, channel: ch, opts: opts, counters: counters, log: log,
 		machine: decide.NewTarget(Version), recorders: map[core.Client]*recorder{},
 	}
 }
 
-// Begin says hello and begins to read the channel. The goroutine that reads it ends with the
-// channel, when the source has died or left.
+// Begin sends the Hello, with the build of this program, and starts reading the channel. The goroutine
+// that reads the channel returns when the source has died or exited.
 func (t *Target) Begin(build string) {
 	t.core.OnFirstSend(t.recordRequest)
 	t.frontend.OnSharedChange(func(b []byte) { t.send(&SharedState{b}) })
@@ -64,43 +64,46 @@
 	t.sendHeartbeats()
 }
 
-// SourceExited reports whether the source has died or left.
+// SourceExited reports whether the source has died or exited.
 func (t *Target) SourceExited() bool { return t.sourceExited }
 
-// Owner reports whether this process is the owner for good.
+// Owner reports whether this process is the owner permanently: the source can't reclaim anything.
 func (t *Target) Owner() bool { return t.machine.Owner() }
 
+// send sends a message to the source, unless it has exited. An error is only logged.
 func (t *Target) send(m Message) {
 	if t.sourceExited {
 		return
 	}
-	if err := t.channel.Send(m); err != nil { // the source has died, which the channel's end tells
+	if err := t.channel.Send(m); err != nil { // the source has died, which is detected at the end of the channel
 		t.log.Debug("upgrade.unsent", "error", err)
 	}
 }
 
-// sendHeartbeats sends a heartbeat now and again, until this process is the owner.
+// sendHeartbeats sends a heartbeat each heartbeatInterval while this process serves, until it is the
+// owner.
 func (t *Target) sendHeartbeats() {
 	if t.machine.Owner() {
 		return
 	}
 	if t.machine.Serving() {
-		successes, failures := CountAnswers(t.stats)
+		successes, failures := CountAnswers(t.counters)
 		t.send(&Heartbeat{
-			Successes: int(successes - t.reported.successes),
-			Failures:  int(failures - t.reported.failures),
+			Successes: int(successes - t.lastReported.successes),
+			Failures:  int(failures - t.lastReported.failures),
 			InFlight:  t.core.Unanswered(),
 		})
-		t.setReported(successes, failures)
+		t.setLastReported(successes, failures)
 	}
-	t.loop.Timers.Add(t.loop.Now()+heartbeatEvery, t.sendHeartbeats)
+	t.loop.Timers.Add(t.loop.Now()+heartbeatInterval, t.sendHeartbeats)
 }
 
-func (t *Target) setReported(successes, failures int64) {
-	t.reported.successes = successes
-	t.reported.failures = failures
+func (t *Target) setLastReported(successes, failures int64) {
+	t.lastReported.successes = successes
+	t.lastReported.failures = failures
 }
 
+// step passes an event to the state machine and executes the resulting effects.
 func (t *Target) step(event decide.TargetEvent) {
 	for _, effect := range t.machine.Step(event) {
 		switch e := effect.(type) {
@@ -116,11 +119,12 @@
 			t.opts.OnOwner()
 		case decide.Exit:
 			t.opts.Abort()
-		case decide.ApplyState, decide.AdoptConnection: // was done with the message
+		case decide.ApplyState, decide.AdoptConnection: // already done when the message was handled
 		}
 	}
 }
 
+// handleMessage handles a message from the source.
 func (t *Target) handleMessage(m Message, fds []int) {
 	if transfer, ok := m.(*ConnectionTransfer); ok {
 		t.receiveConnection(transfer, fds)
@@ -131,7 +135,7 @@
 	case *State:
 		t.applyState(m)
 	case *Serve:
-		t.setReported(CountAnswers(t.stats))
+		t.setLastReported(CountAnswers(t.counters))
 		t.step(decide.ServeRequested{})
 	case *OwnershipCommit:
 		t.step(decide.OwnershipCommitted{})
@@ -139,7 +143,7 @@
 		t.opts.Reload()
 	case *CounterIncrements:
 		for name, n := range m.Counters {
-			t.stats.AddN(name, n)
+			t.counters.AddN(name, n)
 		}
 	case *SharedState:
 		if err := t.frontend.ApplySharedState(m.Data); err != nil {
@@ -152,8 +156,8 @@
 	}
 }
 
-// applyState goes on from the source's state. If it can't, this process is not ready: it ends,
-// and the source goes on.
+// applyState applies the source's state. If that fails, this process aborts without reporting that it
+// is ready, and the source continues to serve.
 func (t *Target) applyState(m *State) {
 	t.step(decide.StateReceived{})
 	state, unknown, err := m.decode()
@@ -175,7 +179,8 @@
 	t.step(decide.StateApplied{})
 }
 
-// receiveConnection makes a connection of the source this process's own.
+// receiveConnection takes over a connection from the source. If that fails, the connection is closed
+// and reported to the source as closed.
 func (t *Target) receiveConnection(m *ConnectionTransfer, fds []int) {
 	if len(fds) != 1 {
 		t.log.Warn("upgrade.odd-message", "kind", m.kind(), "descriptors", len(fds))
@@ -187,15 +192,15 @@
 		t.send(&ConnectionClosed{m.Conn})
 		return
 	}
-	t.stats.Add("upgrade.adopted")
+	t.counters.Add("upgrade.adopted")
 	t.step(decide.ConnectionReceived{Conn: decide.ConnID(m.Conn)})
 }
 
-// attach puts a connection into the loop. It owns the descriptor.
+// attach adds a transferred connection to the loop. It takes ownership of the descriptor.
 func (t *Target) attach(m *ConnectionTransfer, fd int) error {
 	restore, err := t.frontend.RestoreConnection(m.State)
 	if err == nil && m.Frontend != t.frontend.Name() {
-		err = fmt.Errorf("it is of the front %q", m.Frontend)
+		err = fmt.Errorf("connection belongs to frontend %q, want %q", m.Frontend, t.frontend.Name())
 	}
 	if err != nil {
 		_ = unix.Close(fd)
@@ -211,7 +216,7 @@
 	return err
 }
 
-// channelEnded takes the channel's end: the source has died, or has left in good order.
+// channelEnded handles the end of the channel: the source has died or has exited regularly.
 func (t *Target) channelEnded(err error) {
 	if err != nil {
 		t.log.Warn("upgrade.channel", "error", err)
@@ -219,6 +224,6 @@
 	t.sourceExited = true
 	t.frontend.OnSharedChange(nil)
 	t.frontend.OnUnknownCall(nil)
-	_ = t.channel.Close() // it was read to its end
+	_ = t.channel.Close() // it has been read to its end
 	t.step(decide.SourceExited{})
 }
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -6,7 +6,8 @@
 	"gannetspur/internal/netio"
 )
 
-// updateConnections tells the machine which connections have ended, and which can be transferred.
+// updateConnections tells the state machine which connections have ended, and which have become idle
+// or busy.
 func (s *Source) updateConnections() {
 	for id, c := range s.connections.local {
 		if c.Ended() {
@@ -16,7 +17,7 @@
 		}
 		idle := canTransfer(c, transferableHandler(c))
 		if idle != s.connections.busy[id] {
-			continue // as the machine knows it
+			continue // the state machine already knows
 		}
 		if idle {
 			delete(s.connections.busy, id)
@@ -28,7 +29,8 @@
 	}
 }
 
-// transfer sends a connection to the target and retains what is needed to reclaim it.
+// transfer sends a connection to the target and retains what is needed to reclaim it. If the
+// connection has become busy, the transfer is cancelled.
 func (s *Source) transfer(id decide.ConnID) {
 	c := s.connections.local[id]
 	if c == nil {
@@ -43,7 +45,7 @@
 	s.connections.removeLocal(id)
 	state := handler.EncodeState()
 	fd, unread, err := c.Detach()
-	if err != nil { // its end is reported soon
+	if err != nil { // the connection has ended, which the loop reports to its handler
 		s.effects.add(s.machine.Step(s.loop.Now(), decide.TargetClosedConnection{Conn: id}))
 		return
 	}
@@ -52,11 +54,11 @@
 	s.send(&ConnectionTransfer{Conn: uint32(id), Frontend: s.frontend.Name(), State: state, Unread: unread}, fd)
 }
 
-// reclaim makes a connection this process's own again. What the target had recorded to write
-// and did not is written first; what it had read and not answered is handled anew, and what it
-// had sent to an engine is sent again only as Recover says.
+// reclaim takes a transferred connection back after the target has died. Output that the target had
+// recorded and not written is written first. Input that it had read and not answered is handled
+// again. A request that it had sent to an engine is sent again only if decide.Recover allows it.
 func (s *Source) reclaim(id decide.ConnID) {
-	r := s.connections.takeRetained(id)
+	r := s.connections.removeRetained(id)
 	if r == nil {
 		return
 	}
@@ -65,15 +67,15 @@
 		s.log.Warn("upgrade.lost-connection", "error", err)
 		return
 	}
-	s.stats.Add("upgrade.taken-back")
+	s.counters.Add("upgrade.taken-back")
 	if orphan.MustFail {
-		s.stats.Add("upgrade.in-doubt")
+		s.counters.Add("upgrade.in-doubt")
 	}
 }
 
-// reattach puts a retained connection back into the loop. It owns the descriptor.
+// reattach adds a retained connection to the loop again. It takes ownership of the descriptor.
 func (s *Source) reattach(r *retainedConnection) (core.Orphan, error) {
-	place, err := netio.StreamPositionOf(r.fd)
+	position, err := netio.StreamPositionOf(r.fd)
 	if err != nil {
 		r.close()
 		return core.Orphan{}, err
@@ -83,7 +85,7 @@
 		r.close()
 		return core.Orphan{}, err
 	}
-	unread := r.unanswered(place)
+	unread := r.unansweredInput(position)
 	orphan := r.orphanedRequest(s.loop.Now())
 	c, err := s.loop.Attach(r.fd, s.frontend.ReadLimit(), unread, func(c *netio.Conn) netio.Handler {
 		h := restore(c)
@@ -95,8 +97,8 @@
 	if err != nil {
 		return core.Orphan{}, err
 	}
-	if remainder := r.unwritten(place); len(remainder) > 0 {
-		s.stats.Add("upgrade.answers-finished")
+	if remainder := r.unwrittenOutput(position); len(remainder) > 0 {
+		s.counters.Add("upgrade.answers-finished")
 		c.Write(remainder)
 	}
 	if r.closing {
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -1,5 +1,6 @@
-// Package takeover lets a process that the platform starts beside a running one take its place:
-// state passes through a folder that both see. internal/decide/takeover decides what they do.
+// Package takeover lets a process that the platform has started next to a running one take over from
+// it. The processes exchange their states as files in a shared folder. Package
+// internal/decide/takeover decides which process takes over, and when.
 package takeover
 
 import (
@@ -13,28 +14,30 @@
 	"gannetspur/internal/netio"
 )
 
-// scanEvery is how often a process looks for others: a new one waits twice that for the state of
-// the old one, of the 6 s that the platform gives it. A scan of a folder where nothing has
-// changed takes some 20 us.
-const scanEvery = 100 * time.Millisecond
+// scanInterval is the time between two scans for the files of other processes. A new process waits two
+// intervals for the state of the old one (a scan by each of them), out of the 6 s that the platform
+// allows it for becoming ready. A scan of a folder without changes takes about 20 us.
+const scanInterval = 100 * time.Millisecond
 
-// Options configure a Coordinator. The functions are called on the loop.
+// Options configure a Coordinator. The functions are called on the loop's goroutine.
 type Options struct {
-	// EventSourceSum is a checksum of the configuration of endpoint lists. The event numbers of two
-	// processes are the same only if it is.
+	// EventSourceSum is a checksum of the configuration of endpoint lists. Two processes number events
+	// in the same way only if their checksums are equal.
 	EventSourceSum uint64
-	State          func() *handover.ProcessState      // of this process
-	ApplyState     func(*handover.ProcessState) error // goes on from another process's state
-	// StartAlone serves from the configuration: there is nobody to take over from.
+	State          func() *handover.ProcessState      // returns the state of this process
+	ApplyState     func(*handover.ProcessState) error // applies another process's state to this one
+	// StartAlone starts serving from the configuration, without another process's state.
 	StartAlone func()
-	// OnLimitShare is called with the part of the limits that this process may use, when that changes.
+	// OnLimitShare is called with the share of the limits that this process may use, 0 to 1, when the
+	// share changes.
 	OnLimitShare func(share float64)
-	// OnReplaced is called once another process serves in this one's place and this one was told to
-	// shut down.
+	// OnReplaced is called once, when this process was told to shut down and another process serves in
+	// its place.
 	OnReplaced func()
 }
 
-// Coordinator is this process among those of its front end. It belongs to the loop's goroutine.
+// Coordinator coordinates this process with the other processes of the same front end. It must be used
+// only on the loop's goroutine.
 type Coordinator struct {
 	loop   *netio.Loop
 	core   *core.Core
@@ -43,12 +46,12 @@
 	log    *slog.Logger
 
 	self       decide.Process
-	others     []decide.Process // at the latest scan
-	limitShare float64
-	replaced   bool
+	others     []decide.Process // as of the latest scan
+	limitShare float64          // share of the limits at the latest call of OnLimitShare; 1 before
+	replaced   bool             // OnReplaced was called
 }
 
-// New enters the folder. Start must follow.
+// New opens the folder dir, in which this process gets an ID. The caller has to call Start.
 func New(loop *netio.Loop, c *core.Core, dir string, opts Options, log *slog.Logger) (*Coordinator, error) {
 	folder, err := OpenFolder(dir)
 	if err != nil {
@@ -60,29 +63,30 @@
 	}, nil
 }
 
-// Start announces this process and takes over if another one serves. StartAlone or ApplyState is
-// called once, maybe before Start returns.
+// Start announces this process to the others and takes over if another one serves. It leads to a call of
+// ApplyState, or of StartAlone if there is no state or it can't be applied. The call may come before
+// Start returns.
 func (c *Coordinator) Start() {
-	c.write()
-	c.core.OnOverridesChanged(c.write)
+	c.writeState()
+	c.core.OnOverridesChanged(c.writeState)
 	c.scanRepeatedly()
 }
 
-// ShuttingDown tells the others that this process was told to shut down.
+// ShuttingDown announces to the others that this process was told to shut down.
 func (c *Coordinator) ShuttingDown() {
 	c.self.ShuttingDown = true
-	c.write()
+	c.writeState()
 	if c.self.Ready {
 		c.scan()
 	}
 }
 
-// Close tells the others that this process is over.
+// Close removes this process's files, which tells the others that it has ended.
 func (c *Coordinator) Close() { c.folder.Close() }
 
-// write replaces this process's file. If it can't, as there is no space, the process goes on:
-// another one starts from its configuration then.
-func (c *Coordinator) write() {
+// writeState replaces this process's file. If that fails, for example because the disk is full, the
+// process continues; another process then starts from its configuration.
+func (c *Coordinator) writeState() {
 	s := State{Process: c.self, Overrides: c.core.Overrides(), EventSourceSum: c.opts.EventSourceSum}
 	if c.self.StateWritten {
 		encoded, err := c.opts.State().Encode()
@@ -92,16 +96,18 @@
 		s.ProcessState = encoded
 	}
 	if err := c.folder.Write(&s); err != nil {
-		c.log.Error("takeover.state", "error", err, "then", "a process that takes over does not hear of it")
+		c.log.Error("takeover.state", "error", err, "then", "processes that take over don't see the change")
 	}
 }
 
+// scanRepeatedly scans now and after each scanInterval.
 func (c *Coordinator) scanRepeatedly() {
 	c.scan()
-	c.loop.Timers.Add(c.loop.Now()+scanEvery, c.scanRepeatedly)
+	c.loop.Timers.Add(c.loop.Now()+scanInterval, c.scanRepeatedly)
 }
 
-// scan reads the states of the other processes and does what follows from them.
+// scan reads the states of the other processes and acts on them: it updates the limit share, and takes
+// over or starts alone if this process does not serve yet.
 func (c *Coordinator) scan() {
 	states, err := c.folder.Others()
 	if err != nil {
@@ -117,7 +123,7 @@
 		c.opts.OnLimitShare(share)
 	}
 	if c.self.Ready {
-		c.writeIfWanted()
+		c.updateStateFile()
 		c.checkReplaced()
 		return
 	}
@@ -134,8 +140,9 @@
 	}
 }
 
-// updateOthers takes the processes and the operators' overrides from the states. New overrides
-// are written at once: the next process to start may find this one alone.
+// updateOthers stores the other processes and merges the operators' overrides from their states. New
+// overrides are written at once, because this process may be the only one that the next process to
+// start finds.
 func (c *Coordinator) updateOthers(states []State) {
 	c.others = c.others[:0]
 	changed := false
@@ -146,13 +153,14 @@
 		}
 	}
 	if changed {
-		c.write()
+		c.writeState()
 	}
 }
 
-// writeIfWanted writes this process's state if another one waits for it, and frees its disk
-// space again once nobody does.
-func (c *Coordinator) writeIfWanted() {
+// updateStateFile rewrites this process's file if it has found other processes than before, or if the
+// need for its ProcessState has changed. The file includes that state while another process waits
+// for it. Once none does, it is removed from the file, which frees disk space.
+func (c *Coordinator) updateStateFile() {
 	known := make([]string, 0, len(c.others))
 	for _, other := range c.others {
 		known = append(known, other.ID)
@@ -163,10 +171,11 @@
 	}
 	c.self.KnownProcesses = known
 	c.self.StateWritten = wanted
-	c.write()
+	c.writeState()
 }
 
-// checkReplaced calls OnReplaced once.
+// checkReplaced calls OnReplaced when this process is shutting down and has been replaced, but only
+// once.
 func (c *Coordinator) checkReplaced() {
 	if c.self.ShuttingDown && !c.replaced && decide.Replaced(c.self, c.others) {
 		c.replaced = true
@@ -174,7 +183,8 @@
 	}
 }
 
-// takeOver goes on from another process's state.
+// takeOver applies another process's state and starts serving. If that fails, this process starts
+// alone.
 func (c *Coordinator) takeOver(s State) {
 	if err := c.applyState(s); err != nil {
 		c.log.Error("takeover.failed", "from", s.ID, "error", err)
@@ -185,6 +195,7 @@
 	c.setReady()
 }
 
+// applyState decodes and applies another process's state.
 func (c *Coordinator) applyState(s State) error {
 	state, unknown, err := handover.DecodeProcessState(s.ProcessState)
 	if err != nil {
@@ -193,12 +204,13 @@
 	if len(unknown) > 0 {
 		c.log.Warn("takeover.unknown-sections", "sections", unknown, "then", "they are ignored")
 	}
-	if s.EventSourceSum != c.opts.EventSourceSum { // its event numbers mean nothing here
+	if s.EventSourceSum != c.opts.EventSourceSum { // it numbers events differently
 		state.LastEvent = 0
 	}
 	return c.opts.ApplyState(state)
 }
 
+// startAlone starts serving without another process's state.
 func (c *Coordinator) startAlone() {
 	if len(c.others) > 0 {
 		c.log.Warn("takeover.alone", "others", len(c.others), "why", "no process wrote its state in time")
@@ -207,8 +219,8 @@
 	c.setReady()
 }
 
-// setReady announces that this process serves.
+// setReady announces to the others that this process serves.
 func (c *Coordinator) setReady() {
 	c.self.Ready = true
-	c.write()
+	c.writeState()
 }
--- a/internal/takeover/folder.go
+++ b/internal/takeover/folder.go
@@ -10,26 +10,27 @@
 	"time"
 )
 
-// The files of a process are its ID with these endings. Other versions use the same.
+// The names of a process's files are its ID with these suffixes. Other versions use the same names.
 const (
 	stateSuffix     = ".state"
 	lockSuffix      = ".lock"
 	temporarySuffix = ".part" // a state that is being written
 )
 
-// Folder is where the processes of one front end write their states. Each has a file of its own,
-// and a lock on another for as long as it lives: the kernel releases it however the process ends.
+// Folder is a directory in which the processes of one front end write their states. Each process has a
+// state file and a lock file. It holds the lock while it is alive; the kernel releases the lock
+// however the process ends.
 type Folder struct {
 	dir   string
 	self  string // ID of this process
 	lock  *os.File
-	cache map[string]cachedState // by process
+	cache map[string]cachedState // by process ID
 }
 
-// cachedState is a file as it was read last.
+// cachedState is the content of a state file when it was last read.
 type cachedState struct {
-	file  fileIdentity
-	state *State // nil: the file can't be used
+	identity fileIdentity
+	state    *State // nil if the file is unusable
 }
 
 // fileIdentity changes when a file is replaced.
@@ -51,7 +52,8 @@
 	return identity
 }
 
-// OpenFolder enters a folder, which is created if need be, under an ID that no other process has.
+// OpenFolder opens a folder, and creates it if it does not exist. It gives this process an ID that no
+// other process has, and locks its lock file.
 func OpenFolder(dir string) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("takeover: %w", err)
@@ -67,12 +69,12 @@
 	return &Folder{dir: dir, self: self, lock: lock, cache: map[string]cachedState{}}, nil
 }
 
-// Self is the ID of this process.
+// Self returns the ID of this process.
 func (f *Folder) Self() string { return f.self }
 
 func (f *Folder) path(id, suffix string) string { return filepath.Join(f.dir, id+suffix) }
 
-// Write replaces this process's file, completely or not at all.
+// Write replaces this process's state file atomically: if it fails, the previous file is unchanged.
 func (f *Folder) Write(s *State) error {
 	b, err := encodeState(s)
 	if err != nil {
@@ -80,7 +82,7 @@
 	}
 	temporary := f.path(f.self, temporarySuffix)
 	if err := os.WriteFile(temporary, b, 0o600); err != nil {
-		_ = os.Remove(temporary) // what is there takes disk space that may be short
+		_ = os.Remove(temporary) // a partial file takes disk space, which may be short
 		return fmt.Errorf("takeover: %w", err)
 	}
 	if err := os.Rename(temporary, f.path(f.self, stateSuffix)); err != nil {
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// Others returns the states of the other living processes, as far as they can be read. The files
-// of dead ones are removed.
+// Others returns the states of the other processes that are alive, except those whose files are
+// unusable. It removes the files of dead processes.
 func (f *Folder) Others() ([]State, error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
@@ -120,8 +122,8 @@
 	return states, nil
 }
 
-// alive reports whether a process holds its lock. In doubt, as when no descriptor is left, it
-// does, and nothing of it is removed.
+// alive reports whether a process holds its lock. If that can't be determined, for example because no
+// descriptor is free, it returns true, so that no files of a living process are removed.
 func (f *Folder) alive(id string) bool {
 	lock, err := os.Open(f.path(id, lockSuffix))
 	if err != nil {
@@ -131,8 +133,8 @@
 	return errors.Is(syscall.Flock(int(lock.Fd()), syscall.LOCK_SH|syscall.LOCK_NB), syscall.EWOULDBLOCK)
 }
 
-// read returns another process's state, from the cache unless its file was replaced; nil if it
-// can't be used.
+// read returns another process's state, from the cache unless its file was replaced. It returns nil if
+// the file is unusable.
 func (f *Folder) read(id string) *State {
 	path := f.path(id, stateSuffix)
 	info, err := os.Stat(path)
@@ -141,16 +143,16 @@
 	}
 	identity := identityOf(info)
 	cached, ok := f.cache[id]
-	if ok && cached.file.equal(identity) {
+	if ok && cached.identity.equal(identity) {
 		return cached.state
 	}
-	cached = cachedState{file: identity, state: readStateFile(path, id)}
+	cached = cachedState{identity: identity, state: readStateFile(path, id)}
 	f.cache[id] = cached
 	return cached.state
 }
 
-// readStateFile returns the state in a file, or nil. A state under the name of another process
-// is nobody's.
+// readStateFile returns the state in a process's file, or nil if the file is unusable. A state with
+// the ID of another process is unusable.
 func readStateFile(path, id string) *State {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -163,9 +165,10 @@
 	return s
 }
 
+// removeFiles removes all files of a process.
 func (f *Folder) removeFiles(id string) {
 	for _, suffix := range []string{stateSuffix, temporarySuffix, lockSuffix} {
-		_ = os.Remove(f.path(id, suffix)) // not all are there
+		_ = os.Remove(f.path(id, suffix)) // some may not exist
 	}
 }
 
--- a/internal/takeover/folder_test.go
+++ b/internal/takeover/folder_test.go
@@ -12,7 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func open(t *testing.T, dir string) *Folder {
+// openFolder opens a folder as another process would. It is closed when the test ends.
+func openFolder(t *testing.T, dir string) *Folder {
 	t.Helper()
 	f, err := OpenFolder(dir)
 	if err != nil {
@@ -22,14 +23,16 @@
 	return f
 }
 
-func stateOf(f *Folder) *State {
+// testState returns a state with the ID that f has in its folder.
+func testState(f *Folder) *State {
 	return &State{
 		Process:   decide.Process{ID: f.Self(), StartedAt: time.Hour, Ready: true, KnownProcesses: []string{"x"}, StateWritten: true},
 		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceSum: 1 << 63, ProcessState: []byte("world"),
 	}
 }
 
-func others(t *testing.T, f *Folder) []State {
+// otherStates returns the states that f.Others returns, and fails the test on an error.
+func otherStates(t *testing.T, f *Folder) []State {
 	t.Helper()
 	all, err := f.Others()
 	if err != nil {
@@ -38,34 +41,35 @@
 	return all
 }
 
-// A state is read complete or not at all: cut at any byte, with any byte changed, of another
-// version, under another's name or of a process that is dead, there is none.
+// Others returns only complete states of living processes: no state that is truncated at any byte, has
+// a changed byte (the version's included), is stored under another process's ID, or belongs to a dead
+// process, whose file is removed.
 func TestOnlyCompleteStatesOfLivingProcesses(t *testing.T) {
 	dir := t.TempDir()
-	a, b := open(t, dir), open(t, dir)
-	want := stateOf(a)
+	a, b := openFolder(t, dir), openFolder(t, dir)
+	want := testState(a)
 	if err := a.Write(want); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]State{*want}, others(t, b)); diff != "" {
-		t.Fatal(diff)
+	if diff := cmp.Diff([]State{*want}, otherStates(t, b)); diff != "" {
+		t.Fatalf("states (-want +got):\n%s", diff)
 	}
 	path := filepath.Join(dir, a.Self()+stateSuffix)
 	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := range complete {
-		if _, err := decodeState(complete[:cut]); err == nil {
-			t.Errorf("taken, cut at byte %d of %d", cut, len(complete))
+	for i := range complete {
+		if _, err := decodeState(complete[:i]); err == nil {
+			t.Errorf("decodeState of the first %d of %d bytes: no error, want one", i, len(complete))
 		}
 		damaged := append([]byte(nil), complete...)
-		damaged[cut] ^= 1
+		damaged[i] ^= 1
 		if _, err := decodeState(damaged); err == nil {
-			t.Errorf("taken, with byte %d changed", cut)
+			t.Errorf("decodeState with byte %d changed: no error, want one", i)
 		}
 	}
-	put := func(b []byte) {
+	replaceFile := func(b []byte) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", b, 0o600); err != nil {
 			t.Fatal(err)
@@ -74,58 +78,59 @@
 			t.Fatal(err)
 		}
 	}
-	put(complete[:len(complete)/2])
-	if all := others(t, b); len(all) > 0 {
-		t.Errorf("a torn file was taken: %v", all)
+	replaceFile(complete[:len(complete)/2])
+	if all := otherStates(t, b); len(all) > 0 {
+		t.Errorf("with a truncated file: got states %v, want none", all)
 	}
-	wrong, err := encodeState(stateOf(b))
+	wrong, err := encodeState(testState(b))
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(wrong)
-	if all := others(t, b); len(all) > 0 {
-		t.Errorf("a state under another's name was taken: %v", all)
+	replaceFile(wrong)
+	if all := otherStates(t, b); len(all) > 0 {
+		t.Errorf("with a state under another process's ID: got states %v, want none", all)
 	}
-	put(complete)
-	if all := others(t, b); len(all) != 1 {
+	replaceFile(complete)
+	if all := otherStates(t, b); len(all) != 1 {
 		t.Errorf("%d states, want 1", len(all))
 	}
-	_ = a.lock.Close() // as the kernel does when it dies
-	if all := others(t, b); len(all) > 0 {
-		t.Errorf("a dead process's state was taken: %v", all)
+	_ = a.lock.Close() // as the kernel does when the process dies
+	if all := otherStates(t, b); len(all) > 0 {
+		t.Errorf("after the process's death: got states %v, want none", all)
 	}
 	if _, err := os.Stat(path); err == nil {
-		t.Error("it lies there still")
+		t.Error("the dead process's state file still exists")
 	}
 }
 
-// Where there is no room for a new state the one before it stays complete, and nothing of the new one
-// takes room.
-func TestNoRoomForState(t *testing.T) {
+// If the disk is full, Write fails, the previous state stays readable and no partial file takes disk
+// space. Write succeeds again once there is space.
+func TestWriteDiskFull(t *testing.T) {
 	dir := t.TempDir()
-	a, b := open(t, dir), open(t, dir)
-	if err := a.Write(stateOf(a)); err != nil {
+	a, b := openFolder(t, dir), openFolder(t, dir)
+	if err := a.Write(testState(a)); err != nil {
 		t.Fatal(err)
 	}
-	part := filepath.Join(dir, a.Self()+temporarySuffix)
-	if err := os.Symlink("/dev/full", part); err != nil {
+	temporary := filepath.Join(dir, a.Self()+temporarySuffix)
+	if err := os.Symlink("/dev/full", temporary); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Write(stateOf(a)); err == nil {
-		t.Fatal("written where nothing can be")
+	if err := a.Write(testState(a)); err == nil {
+		t.Fatal("Write to a full device: no error, want one")
 	}
-	if _, err := os.Lstat(part); err == nil {
-		t.Error("the part lies there still")
+	if _, err := os.Lstat(temporary); err == nil {
+		t.Error("the temporary file still exists")
 	}
-	if all := others(t, b); len(all) != 1 {
+	if all := otherStates(t, b); len(all) != 1 {
 		t.Errorf("%d states, want 1", len(all))
 	}
-	if err := a.Write(stateOf(a)); err != nil { // there is room again
-		t.Error(err)
+	if err := a.Write(testState(a)); err != nil { // the link to /dev/full is gone
+		t.Errorf("Write with free space: %v", err)
 	}
 }
 
-func FuzzDecode(f *testing.F) {
+// A state that can be decoded is encoded to a file that decodes to the same state; no input panics.
+func FuzzDecodeState(f *testing.F) {
 	b, err := encodeState(&State{Process: decide.Process{ID: "1"}, ProcessState: []byte{1}})
 	if err != nil {
 		f.Fatal(err)
@@ -137,12 +142,12 @@
 		if err != nil {
 			return
 		}
-		again, err := encodeState(s)
+		encoded, err := encodeState(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s2, err := decodeState(again); err != nil || !cmp.Equal(s, s2) {
-			t.Fatalf("%v became %v, %v", s, s2, err)
+		if got, err := decodeState(encoded); err != nil || !cmp.Equal(s, got) {
+			t.Fatalf("state after encoding and decoding = %v, error %v, want %v", got, err, s)
 		}
 	})
 }
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -12,16 +12,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// State is what one process writes for the others. The names in the tags are stored.
+// State is the content of a process's state file, which the other processes read. The names in the
+// tags are part of the stored format.
 type State struct {
 	decide.Process
-	Overrides      adminstate.Overrides `cbor:"Bans"`
+	Overrides      adminstate.Overrides `cbor:"Bans"`   // the operators' overrides, by engine ID
 	EventSourceSum uint64               `cbor:"Events"` // see Options.EventSourceSum
-	ProcessState   []byte               `cbor:"World"`  // a handover.ProcessState; nil: nobody waits for it
+	ProcessState   []byte               `cbor:"World"`  // encoded handover.ProcessState; nil if no process waits for it
 }
 
-// A file is four bytes that name its kind, the version of what follows, a checksum (xxHash64,
-// big-endian) and the state in CBOR.
+// A state file consists of a magic number of four bytes, the format version (1 byte), a checksum of
+// the rest (xxHash64, big-endian) and the State in CBOR.
 const (
 	fileMagic       = "rwsu"
 	fileVersion     = 1
@@ -30,13 +31,14 @@
 	maxFileBytes    = 8 << 20
 )
 
-// errUnusableFile says that a file is incomplete, corrupt or of another version.
-var errUnusableFile = errors.New("no complete state of this version")
+// errUnusableFile means that a state file is incomplete, corrupt or of another version.
+var errUnusableFile = errors.New("unusable state file")
 
+// encodeState returns the content of a state file.
 func encodeState(s *State) ([]byte, error) {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("encode: %w", err)
+		return nil, fmt.Errorf("encode state: %w", err)
 	}
 	b := make([]byte, 0, fileHeaderBytes+len(body))
 	b = append(b, fileMagic...)
@@ -45,16 +47,17 @@
 	return append(b, body...), nil
 }
 
+// decodeState parses the content of a state file. Its errors wrap errUnusableFile.
 func decodeState(b []byte) (*State, error) {
 	if len(b) < fileHeaderBytes || len(b) > maxFileBytes {
 		return nil, fmt.Errorf("%w: %d bytes", errUnusableFile, len(b))
 	}
 	if string(b[:len(fileMagic)]) != fileMagic || b[len(fileMagic)] != fileVersion {
-		return nil, fmt.Errorf("%w: another kind or version", errUnusableFile)
+		return nil, fmt.Errorf("%w: other file type or version", errUnusableFile)
 	}
 	body := b[fileHeaderBytes:]
 	if binary.BigEndian.Uint64(b[checksumOffset:]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("%w: checksum", errUnusableFile)
+		return nil, fmt.Errorf("%w: checksum mismatch", errUnusableFile)
 	}
 	s := new(State)
 	if err := cbor.Unmarshal(body, s); err != nil {
--- a/internal/takeover/stored_test.go
+++ b/internal/takeover/stored_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedStates are states whose files version c18a9bd wrote: testdata has their bytes. The
-// processes of two versions read each other's files while one takes the other's place.
+// storedStates holds the states whose files in testdata version c18a9bd wrote. Processes of two
+// versions read each other's files while one takes over from the other.
 var storedStates = map[string]State{
 	"waiting.state": {Process: decide.Process{ID: "17-1", StartedAt: 90 * time.Hour}, Overrides: adminstate.Overrides{}},
 	"serving.state": {
@@ -28,7 +28,8 @@
 	},
 }
 
-func storedFile(t *testing.T, name string) []byte {
+// readStoredFile returns the content of a file in testdata.
+func readStoredFile(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -37,12 +38,12 @@
 	return b
 }
 
-// Each file is read to the same state, written anew byte for byte, and refused with any byte
-// missing or any bit changed.
+// Each stored file is decoded to its state, and the state is encoded to the same bytes. A file that is
+// truncated or has a changed bit is an error.
 func TestFilesOfStoredVersion(t *testing.T) {
 	for name, want := range storedStates {
 		t.Run(name, func(t *testing.T) {
-			stored := storedFile(t, name)
+			stored := readStoredFile(t, name)
 			got, err := decodeState(stored)
 			if err != nil {
 				t.Fatal(err)
@@ -51,11 +52,11 @@
 				t.Errorf("state (-want +got):\n%s", diff)
 			}
 			if written, err := encodeState(&want); err != nil || !bytes.Equal(written, stored) {
-				t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
+				t.Errorf("encodeState =\n%x, error %v, want\n%x", written, err, stored)
 			}
 			for cut := range stored {
 				if _, err := decodeState(stored[:cut]); !errors.Is(err, errUnusableFile) {
-					t.Errorf("cut at byte %d of %d: error %v", cut, len(stored), err)
+					t.Errorf("decodeState of the first %d of %d bytes: error %v, want errUnusableFile", cut, len(stored), err)
 				}
 			}
 			for i := range stored {
@@ -63,7 +64,7 @@
 					damaged := bytes.Clone(stored)
 					damaged[i] ^= 1 << bit
 					if _, err := decodeState(damaged); !errors.Is(err, errUnusableFile) {
-						t.Errorf("byte %d, bit %d changed: error %v", i, bit, err)
+						t.Errorf("decodeState with byte %d, bit %d changed: error %v, want errUnusableFile", i, bit, err)
 					}
 				}
 			}
@@ -71,15 +72,16 @@
 	}
 }
 
-// A process finds the files of others under the names that version c18a9bd gives them.
-func TestNamesInFolder(t *testing.T) {
+// The files of a process have the name suffixes that version c18a9bd uses, so that processes of both
+// versions find each other's files.
+func TestFileNames(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	if err := a.Write(stateOf(a)); err != nil {
+	a := openFolder(t, dir)
+	if err := a.Write(testState(a)); err != nil {
 		t.Fatal(err)
 	}
-	for _, end := range []string{".state", ".lock"} {
-		if _, err := os.Stat(filepath.Join(dir, a.Self()+end)); err != nil {
+	for _, suffix := range []string{".state", ".lock"} {
+		if _, err := os.Stat(filepath.Join(dir, a.Self()+suffix)); err != nil {
 			t.Error(err)
 		}
 	}
