--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -41,8 +41,9 @@
 		Data       []byte        `cbor:"4,keyasint"`
 	}
 	// RequestRecord reports that the target is about to send the request in flight on a connection
-	// to an engine. Idempotency is a decide.Idempotency. KeyWindow is how long engines drop a repeat of
-	// a request with an idempotency key.
+	// to an engine. Idempotency is a decide.Idempotency. FirstSend is when any process first sent the
+	// request. KeyWindow is how long engines drop a repeat of a request with an idempotency key.
+	// Deadline is when the client stops waiting.
 	RequestRecord struct {
 		Conn        uint32        `cbor:"1,keyasint"`
 		Idempotency uint8         `cbor:"2,keyasint"`
