--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Read reads messages until the channel ends, for which it returns nil. It calls handle with each
-// message and its descriptors, which handle has to close.
+// Read reads messages until the channel ends. It calls handle with each message and its descriptors,
+// which handle has to close. The end of the channel is an error only in the middle of a frame.
 func (c *Channel) Read(handle func(Message, []int)) error {
 	var pending receiveBuffer
 	defer pending.close()
@@ -112,7 +112,7 @@
 			return err
 		}
 		switch {
-		case err == nil && (n > 0 || controlBytes > 0):
+		case err == nil && (n > 0 || controlBytes > 0): // the channel has not ended
 		case err == nil || isEndOfChannel(err):
 			if len(pending.bytes) > 0 {
 				return fmt.Errorf("%w: channel ended in the middle of the frame", ErrMalformedFrame)
@@ -158,7 +158,8 @@
 	return nil
 }
 
-// deliver removes each complete frame and calls handle with its message and descriptors.
+// deliver removes each complete frame from the buffer and calls handle with its message and
+// descriptors.
 func (r *receiveBuffer) deliver(handle func(Message, []int)) error {
 	for {
 		m, count, used, err := parseFrame(r.bytes)
--- a/internal/handover/channel_test.go
+++ b/internal/handover/channel_test.go
@@ -29,8 +29,8 @@
 }
 
 // Messages arrive complete and in order, each with its own descriptors, even if the sender has closed
-// its end by then. The end of the channel is not an error, but invalid frames and an end in the
-// middle of a frame are.
+// its end before they are read. The end of the channel is not an error, but an invalid frame is, and
+// so is an end in the middle of a frame.
 func TestChannel(t *testing.T) {
 	a, b := newChannelPair(t)
 	r, w, err := os.Pipe()
@@ -119,7 +119,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, _, used, err := parseFrame(b)
 		if used > len(b) || (m == nil) != (used == 0) || err != nil && used > 0 {
-			t.Errorf("parseFrame = %T, %d of %d bytes used, error %v", m, used, len(b), err)
+			t.Errorf("parseFrame = %T, %d of %d bytes used, error %v, want a message and its size, or no message and 0 bytes", m, used, len(b), err)
 		}
 		if state, ok := m.(*State); ok {
 			_, _, _ = state.decode()
--- a/internal/handover/check.go
+++ b/internal/handover/check.go
@@ -13,7 +13,8 @@
 
 // CheckProgram checks whether a program could take over. It starts the program, waits for the Hello
 // that the program sends after it has read its files, and kills it. It waits at most for timeout.
-// It returns the program's build, and why the program could not take over as an error.
+// It returns the program's build, as printed by its version command, and an error that says why the
+// program could not take over.
 func CheckProgram(p Program, listener *os.File, connections int, timeout time.Duration) (build string, err error) {
 	process, err := startProcess(p, listener, connections, EnvCheckOnly+"=1")
 	if err != nil {
@@ -42,7 +43,7 @@
 		return hello.Build, hello.check()
 	case err := <-ended:
 		select {
-		case hello := <-hellos: // the Hello came before the end, and select chose the end
+		case hello := <-hellos: // a Hello came before the end, and select chose the end at random
 			return hello.Build, hello.check()
 		default:
 			return "", errors.Join(errEndedWithoutHello, err)
--- a/internal/handover/connections.go
+++ b/internal/handover/connections.go
@@ -7,10 +7,10 @@
 
 // connectionTable holds the client connections of an upgrade by ID. Both processes use the same IDs.
 type connectionTable struct {
-	lastID decide.ConnID // the last ID assigned; IDs increase across all upgrades of this process
-	local  map[decide.ConnID]*netio.Conn
-	// busy has the local connections of which the state machine knows that they can't be transferred
-	// now.
+	lastID decide.ConnID                 // the last ID assigned; IDs increase across all upgrades of this process
+	local  map[decide.ConnID]*netio.Conn // owned by this process
+	// busy has the local connections that can't be transferred now, as last reported to the state
+	// machine.
 	busy        map[decide.ConnID]bool
 	transferred map[decide.ConnID]*retainedConnection // owned by the target
 }
--- a/internal/handover/effects.go
+++ b/internal/handover/effects.go
@@ -21,7 +21,7 @@
 // effectQueue holds the effects that the source has yet to execute, in order.
 type effectQueue struct {
 	pending         []decide.SourceEffect
-	running         bool              // runEffects is executing effects
+	running         bool              // runEffects is executing effects; nested calls of it do nothing
 	resumeTimer     *timerqueue.Entry // continues with postponed effects
 	windowStart     time.Duration     // when the current window of pollInterval started
 	windowTransfers int               // transfers since windowStart
@@ -170,7 +170,7 @@
 }
 
 // killTarget kills the target and all processes that it has started. If the target could not be
-// started, killTarget posts its exit, which nothing else would report.
+// started, there is no process whose exit is awaited, so killTarget posts decide.TargetExited itself.
 func (s *Source) killTarget() {
 	s.log.Warn("upgrade.ending", "why", s.machine.Failure().String())
 	if s.target != nil {
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -14,8 +14,8 @@
 // the first byte of the frame (unix(7)), so they have arrived once the frame has.
 const (
 	frameHeaderBytes = 6
-	// MaxFrameBytes is the maximum size of a frame's body. A state that includes all held results
-	// is far smaller.
+	// MaxFrameBytes is the maximum size of a frame's body. A state that includes all results held
+	// for clients to fetch is far smaller.
 	MaxFrameBytes  = 64 << 20
 	maxDescriptors = 4 // per frame
 )
--- a/internal/handover/frontend.go
+++ b/internal/handover/frontend.go
@@ -5,24 +5,29 @@
 	"gannetspur/internal/netio"
 )
 
-// Frontend is the part of a gateway's client side that a handover uses.
+// Frontend is the part of a gateway's frontend, which serves its clients, that a handover uses.
 type Frontend interface {
 	// Name identifies the frontend in both processes.
 	Name() string
 	// ReadLimit is the maximum number of bytes that are read from a connection and not consumed.
 	ReadLimit() int
+	// Listener returns the listener for client connections.
 	Listener() *netio.Listener
 	// OnAccept sets the function that is called with each accepted connection.
 	OnAccept(func(*netio.Conn))
-	// OnSharedChange sets the function that is called with SharedState whenever it changes. It is
-	// unset by nil.
+	// OnSharedChange sets the function that is called when the shared state changes, with the changed
+	// part in the encoding that ApplySharedState decodes. It is called before any response that
+	// relies on the change. Nil unsets the function.
 	OnSharedChange(func([]byte))
 	// OnUnknownCall sets the function that is called with each call that this process can't answer
-	// but the other one may be able to. It is unset by nil.
+	// but the other one may be able to, such as PostgreSQL's CancelRequest for a connection that this
+	// process does not have. Nil unsets the function.
 	OnUnknownCall(func([]byte))
-	// SharedState returns the encoded state that all connections share.
+	// SharedState returns the encoded state that all connections share, such as the results held for
+	// clients to fetch.
 	SharedState() []byte
-	// ApplySharedState applies the other process's SharedState.
+	// ApplySharedState applies state of the other process: the result of its SharedState, or a change
+	// that the function set by its OnSharedChange was called with.
 	ApplySharedState([]byte) error
 	// HandleForwardedCall answers a call that the other process could not answer.
 	HandleForwardedCall([]byte)
@@ -55,8 +60,8 @@
 	return t
 }
 
-// canTransfer reports whether a connection can be transferred now: it is idle, is not about to end
-// and has no pending output.
+// canTransfer reports whether a connection with the handler t can be transferred now: it is idle, is
+// not about to end and has no pending output.
 func canTransfer(c *netio.Conn, t Transferable) bool {
 	return t.Idle() && !t.Closing() && c.Pending() == 0
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -3,8 +3,15 @@
 // keeps what it needs to reclaim every connection, and reclaims them if the upgrade fails. Package
 // internal/decide/handover makes the decisions; this package does the I/O that they call for.
 //
+// The target sends a Hello, receives the source's state and is then on probation: it serves the
+// connections that are transferred to it, each as soon as no request is in flight on it, but the
+// source still accepts new ones, and it can kill the target and reclaim the others. If the probation
+// succeeds, the source makes the target the owner: the target accepts connections from then on, and
+// the source only completes its own requests in flight, transfers their connections and exits. The
+// target also becomes the owner if the source dies.
+//
 // A Source runs in the old process and a Target in the new one. Both are used only on the event
-// loop's goroutine. A separate goroutine reads the channel until the channel ends.
+// loop's goroutine. Each has a goroutine that reads the channel until the channel ends.
 package handover
 
 import (
@@ -21,7 +28,9 @@
 var Version = decide.Version{Major: 1, Minor: 0}
 
 // CountAnswers returns the number of successful answers counted so far, and the number of
-// failures: rejected requests, failed requests and calls that the frontend itself refused.
+// failures: rejected requests, failed requests and calls that the frontend itself refused. The
+// pgwire.errors of the PostgreSQL frontend include its rejected and failed requests, so the larger of
+// the two numbers is returned instead of their sum.
 func CountAnswers(c *metrics.Counters) (successes, failures int64) {
 	successes = c.Sum("answered.served.")
 	failures = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
--- a/internal/handover/inheritance.go
+++ b/internal/handover/inheritance.go
@@ -13,8 +13,8 @@
 	// EnvTakeOver is the environment variable that tells a process to take over. Its value is the
 	// number of connections that will be transferred to it.
 	EnvTakeOver = "RINGWOOD_TAKE_OVER"
-	// EnvCheckOnly is an environment variable that is set in addition if the process should only send
-	// its Hello and exit.
+	// EnvCheckOnly is the environment variable that is set in addition to EnvTakeOver if the process
+	// should only send its Hello and exit.
 	EnvCheckOnly = "RINGWOOD_TAKE_OVER_CHECK"
 
 	channelDescriptor  = 3
@@ -23,10 +23,10 @@
 
 // Inheritance holds what a target inherits from the source.
 type Inheritance struct {
-	Channel     *Channel
-	Listener    *os.File
-	Connections int  // number of connections that will be transferred
-	CheckOnly   bool // the source only checks whether this process could take over
+	Channel     *Channel // this process's end of the channel to the source
+	Listener    *os.File // the listener for client connections
+	Connections int      // number of connections that will be transferred
+	CheckOnly   bool     // the source only checks whether this process could take over
 }
 
 // Inherit returns what this process has inherited from a source, or nil if it was not started to
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -12,8 +12,8 @@
 type Message interface{ kind() byte }
 
 // Messages that the target sends. Conn is the ID of a connection in both processes. Offsets are
-// byte positions in a connection's stream. Times are those of the event loop's clock, which the
-// target sets to the source's.
+// byte positions in the stream that a connection receives or sends, as counted by the kernel from an
+// arbitrary origin. Times are those of the event loop's clock, which the target sets to the source's.
 type (
 	// Hello is the target's first message. Major and Minor are its protocol version. Problem says
 	// why the target can't take over; it is empty if it can.
@@ -33,7 +33,7 @@
 		InFlight  int `cbor:"3,keyasint"` // requests that are not answered yet
 	}
 	// InputRecord holds the bytes, starting at Offset, that the target is about to read from a
-	// connection.
+	// connection. ReceivedAt is when the target found them in the socket.
 	InputRecord struct {
 		Conn       uint32        `cbor:"1,keyasint"`
 		Offset     int64         `cbor:"2,keyasint"`
@@ -52,8 +52,9 @@
 		Deadline    time.Duration `cbor:"5,keyasint"`
 	}
 	// OutputRecord holds the bytes, starting at Offset, that the target is about to write to a
-	// connection. If Idle is set, no request is in flight after them, and State covers all input
-	// before Consumed.
+	// connection. If Idle is set, no request is in flight after them, and State is the encoded state
+	// of the handler, which covers all input before the position Consumed. State is nil if Closing is
+	// set, because no more input will be read then.
 	OutputRecord struct {
 		Conn     uint32 `cbor:"1,keyasint"`
 		Offset   int64  `cbor:"2,keyasint"`
@@ -100,11 +101,13 @@
 
 // Messages that both processes send.
 type (
-	// SharedState is the state that all connections of a frontend share. See Frontend.SharedState.
+	// SharedState holds the state that all connections of a frontend share, or a changed part of it,
+	// for Frontend.ApplySharedState.
 	SharedState struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
-	// ForwardedCall is a call that the sender can't answer but the other process may be able to.
+	// ForwardedCall holds a call that the sender can't answer but the other process may be able to,
+	// for Frontend.HandleForwardedCall.
 	ForwardedCall struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
@@ -172,7 +175,7 @@
 	return nil
 }
 
-// request converts the record to the type that package decide uses.
+// request converts the record to the type that the state machine uses.
 func (m *RequestRecord) request() decide.Request {
 	return decide.Request{
 		InFlight: true, Idempotency: decide.Idempotency(m.Idempotency), Sent: true,
--- a/internal/handover/process.go
+++ b/internal/handover/process.go
@@ -30,7 +30,7 @@
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Stdout = os.Stdout
 	cmd.Stderr = os.Stderr
-	cmd.ExtraFiles = []*os.File{peer, listener} // in the order of channelDescriptor and listenerDescriptor
+	cmd.ExtraFiles = []*os.File{peer, listener} // become channelDescriptor and listenerDescriptor in the child
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", EnvTakeOver, connections))
 	cmd.Env = append(cmd.Env, env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
--- a/internal/handover/process_test.go
+++ b/internal/handover/process_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Environment variables that other versions set or read, letter for letter.
+// Names of the environment variables as other versions set and read them. They are repeated here so
+// that a change of the constants in the package fails the tests.
 const (
 	storedEnv      = "RINGWOOD_TAKE_OVER"
 	storedEnvCheck = "RINGWOOD_TAKE_OVER_CHECK"
@@ -23,7 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// runTarget sends a Hello whose Build describes what the process inherited. It returns the exit code.
+// runTarget runs the target program. It sends a Hello whose Build describes what the process inherited,
+// and returns the exit code.
 func runTarget(conns string) int {
 	checkText, checkSet := os.LookupEnv(storedEnvCheck)
 	in, err := Inherit()
--- a/internal/handover/quality.go
+++ b/internal/handover/quality.go
@@ -12,8 +12,8 @@
 // answerQuality computes an exponential moving average of the share of answers that are rejections
 // or failures.
 type answerQuality struct {
-	lastSuccesses, lastFailures int64 // totals at the latest sample
-	failureRate                 float64
+	lastSuccesses, lastFailures int64   // totals at the latest sample
+	failureRate                 float64 // moving average, 0 to 1
 }
 
 // sample updates the average with the numbers of all successful and failed answers so far. A sample
--- a/internal/handover/recorder.go
+++ b/internal/handover/recorder.go
@@ -51,7 +51,8 @@
 	t.core.OnFirstSend(nil)
 }
 
-// Input reports bytes that are about to be read.
+// Input reports bytes that are about to be read. Unlike the other methods it may be called on the
+// poller's goroutine.
 func (r *recorder) Input(_ *netio.Conn, offset int64, b []byte) {
 	r.target.send(&InputRecord{Conn: r.conn, Offset: offset, ReceivedAt: r.target.loop.Now(), Data: b})
 }
--- a/internal/handover/retained.go
+++ b/internal/handover/retained.go
@@ -21,12 +21,12 @@
 type retainedConnection struct {
 	fd           int
 	state        []byte         // from Transferable.EncodeState
-	input        []byte         // recorded input that state does not cover
-	inputOffset  int64          // position of input in the stream
-	receivedAt   time.Duration  // when the last input was recorded, on the loop's clock
+	input        []byte         // input that was read and that state does not cover
+	inputOffset  int64          // position of the start of input in the received stream
+	receivedAt   time.Duration  // when the target received the last input, on the loop's clock; 0 if it received none
 	request      *RequestRecord // the request in flight at an engine; nil if there is none
 	output       []byte         // recorded output, of which the start may have been written
-	outputOffset int64          // position of output in the stream
+	outputOffset int64          // position of the start of output in the sent stream
 	closing      bool           // the connection is closed after output
 }
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// unansweredInput returns the input that the target has read from the socket and not answered. The
-// position is that of the socket after the target's death.
+// unansweredInput returns the input that the target has read from the socket and not answered.
+// position is the socket's position after the target's death.
 func (r *retainedConnection) unansweredInput(position netio.StreamPosition) []byte {
 	if r.closing {
 		return nil
@@ -115,7 +115,8 @@
 	return r.input
 }
 
-// unwrittenOutput returns the recorded output that the target did not write to the kernel.
+// unwrittenOutput returns the recorded output that the target did not write to the kernel. position
+// is the socket's position after the target's death.
 func (r *retainedConnection) unwrittenOutput(position netio.StreamPosition) []byte {
 	written := position.Written - r.outputOffset
 	if written < int64(len(r.output)) {
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// orphanedRequest describes the request that was in flight in the target when it died. It must fail
-// if it was sent to an engine and may not be sent again.
+// orphanedRequest describes the request that was in flight in the target when the target died. The
+// request must fail if it was sent to an engine and may not be sent again.
 func (r *retainedConnection) orphanedRequest(now time.Duration) core.Orphan {
 	orphan := core.Orphan{ReceivedAt: r.receivedAt}
 	if r.request != nil {
--- a/internal/handover/retained_test.go
+++ b/internal/handover/retained_test.go
@@ -9,9 +9,9 @@
 	"gannetspur/internal/netio"
 )
 
-// Input is retained until a state covers it: an output record without a request in flight replaces
-// the state and drops the input that it covers. Output is retained, and a closing connection
-// retains no input.
+// Input is retained until an output record without a request in flight brings a new state, which
+// replaces the old one and covers the input before it. Output is retained. A closing connection retains
+// no input.
 func TestRetainedConnection(t *testing.T) {
 	r := &retainedConnection{fd: -1, state: []byte("0"), input: []byte("abc"), inputOffset: 97}
 	r.recordInput(&InputRecord{Offset: 100, Data: []byte("defgh"), ReceivedAt: time.Second})
@@ -30,8 +30,8 @@
 	}
 }
 
-// After the target's death the kernel reports how much of the stream the processes have read and
-// written. Input that was read but not answered is handled again, and output that was recorded but
+// After the target's death the kernel reports how much of the stream both processes have read and
+// written together. Input that was read but not answered is handled again, and output that was recorded but
 // not written is written.
 func TestRetainedAfterTargetDeath(t *testing.T) {
 	const inputOffset, outputOffset = 100, 50
--- a/internal/handover/source.go
+++ b/internal/handover/source.go
@@ -33,13 +33,14 @@
 	// OnReturned is called when this process accepts connections again, because the target has died
 	// as the owner; it may be nil.
 	OnReturned func()
-	// Exit ends this process. It is called when all connections are transferred or closed.
+	// Exit ends this process. It is called when the target is the owner and all connections are
+	// transferred or closed.
 	Exit func()
 }
 
 // Progress reports a step of an upgrade to its requester.
 type Progress struct {
-	Phase   string // name of the current phase
+	Phase   string // name of the current phase, as returned by Source.Phase
 	Problem string // why the upgrade failed; empty if it has not failed
 	Done    bool   // the upgrade has ended and no other report follows
 }
@@ -66,10 +67,10 @@
 	program         Program
 	onProgress      func(Progress)
 	startedAt       time.Duration
-	reportedPhase   decide.Phase
+	reportedPhase   decide.Phase     // phase that was last logged and reported
 	build           string           // build of the target, from its Hello
 	countersSent    map[string]int64 // counters that were sent with the state
-	memoryCheckedAt time.Duration
+	memoryCheckedAt time.Duration    // when the target's memory was last checked
 }
 
 // NewSource returns a Source for this process and starts sampling its answers.
@@ -103,7 +104,8 @@
 func (s *Source) Program() Program { return s.opts.Program }
 
 // Upgrade starts an upgrade to a program. onProgress is called for each phase, and once with Done
-// set at the end. If another upgrade is in progress, none is started and onProgress is told so.
+// set at the end. If another upgrade is in progress, none is started, and onProgress is called once,
+// with the Problem and Done set.
 func (s *Source) Upgrade(p Program, onProgress func(Progress)) {
 	if s.InProgress() {
 		onProgress(Progress{Phase: s.Phase(), Problem: "another upgrade is under way", Done: true})
@@ -135,9 +137,9 @@
 	})
 }
 
-// Shutdown requests a graceful shutdown while an upgrade is in progress; an upgrade that can still be
-// revoked is cancelled first. It returns false if no upgrade is in progress: then the caller has to
-// shut down itself.
+// Shutdown requests a graceful shutdown while an upgrade is in progress. The upgrade is cancelled
+// first unless the target is already the owner. Shutdown returns false if no upgrade is in progress:
+// then the caller has to shut down itself.
 func (s *Source) Shutdown() bool {
 	if !s.InProgress() {
 		return false
@@ -207,7 +209,7 @@
 	} else {
 		s.counters.Add("upgrade.done")
 		s.log.Info("upgrade.done", "took", took, "build", s.attempt.build, "in_flight", s.connections.localCount())
-		if s.target != nil { // requests that finish here from now on may still change the shared state
+		if s.target != nil { // requests that this process still completes may change the shared state
 			s.startForwarding()
 		}
 	}
--- a/internal/handover/source_target.go
+++ b/internal/handover/source_target.go
@@ -10,10 +10,11 @@
 // channelClosedGrace is how long the target may keep running after its end of the channel has closed.
 const channelClosedGrace = 200 * time.Millisecond
 
-// startTarget starts the target, a goroutine that reads its channel and a goroutine that waits for
-// its exit. The first returns when the channel ends. Processes started by the target may still hold
-// the channel open and write to it, so the second kills the target's whole process group, which ends
-// the channel, and waits for the first before it reports the exit.
+// startTarget starts polling and starts the target, with a goroutine that reads its channel until the
+// channel ends and a goroutine that waits for its exit. After the exit, processes that the target has
+// started may still hold the channel open and write to it. So the waiting goroutine kills the target's
+// whole process group, which ends the channel, and reports the exit once the channel has been read to
+// its end. A target that can't be started is reported like one whose Hello has a problem.
 func (s *Source) startTarget() {
 	s.poll()
 	listener, err := s.frontend.Listener().File()
@@ -45,8 +46,8 @@
 	}()
 }
 
-// channelEnded kills the target channelClosedGrace after its channel has ended. A target whose messages
-// can't be read is useless, even if it is still running. It is not killed once it is the owner.
+// channelEnded kills the target channelClosedGrace after its channel has ended, unless the target is the
+// owner by then. A target whose messages can't be read is useless, even if it is still running.
 func (s *Source) channelEnded(target *targetProcess, err error) {
 	if err != nil {
 		s.log.Warn("upgrade.channel", "error", err)
@@ -58,8 +59,7 @@
 	})
 }
 
-// targetExited handles the target's exit. All that the target wrote to the channel has been read by
-// then.
+// targetExited handles the target's exit, after all that the target wrote to the channel has been read.
 func (s *Source) targetExited(target *targetProcess, state error) {
 	s.log.Info("upgrade.process-ended", "pid", target.pid(), "state", state)
 	_ = target.channel.Close() // it has been read to its end
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -18,12 +18,12 @@
 
 // ProcessState is the state of a serving process that a process taking over continues from.
 type ProcessState struct {
-	Clock       Clock
-	Core        core.Snapshot
+	Clock       Clock            // set only in a live upgrade
+	Core        core.Snapshot    // engines, learned policy and the operators' overrides
 	LastEvent   uint64           // number of the last event taken from the event bus; 0 if there is none
 	Shared      []byte           // state from Frontend.SharedState
 	QueryShapes []byte           // snapshot of the query shapes; nil if there is none
-	Membership  []byte           // the fleet's state from internal/membership; nil if this process is no member
+	Membership  []byte           // the fleet's state from internal/membership; nil if this process is not a member of a fleet
 	Counters    map[string]int64 // counter values by name
 }
 
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -17,8 +17,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedFrames has at least one message of each kind. testdata/frames holds the frames as version
-// c18a9bd sent them: processes of different versions must be able to read each other's frames.
+// storedFrames has at least one message of each kind. testdata/frames holds their frames as version
+// c18a9bd sent them. Processes of different versions must be able to read each other's frames.
 var storedFrames = []struct {
 	file        string
 	message     Message
@@ -82,7 +82,7 @@
 			if written := sendFrame(t, tt.message, tt.descriptors); !bytes.Equal(written, stored) {
 				t.Errorf("sent as\n%x, want\n%x", written, stored)
 			}
-			seen[stored[5]] = true
+			seen[stored[5]] = true // byte 5 of a frame is the kind of its message
 		})
 	}
 	for kind := range byte(0xff) {
@@ -111,8 +111,9 @@
 	return raw
 }
 
-// A truncated frame is incomplete, and an error at the end of the channel. A frame with a changed bit
-// is parsed as another message or fails with ErrMalformedFrame or ErrUnknownKind. Neither panics.
+// parseFrame treats a truncated frame as incomplete, and Channel.Read fails with ErrMalformedFrame if
+// the channel ends after it. If a bit of a frame is changed, parseFrame does not panic or use more bytes
+// than there are, and its errors are ErrMalformedFrame or ErrUnknownKind.
 func TestDamagedFrames(t *testing.T) {
 	for _, tt := range storedFrames {
 		t.Run(tt.file, func(t *testing.T) {
@@ -131,7 +132,7 @@
 					damaged[i] ^= 1 << bit
 					_, _, used, err := parseFrame(damaged)
 					if used > len(damaged) || err != nil && (used > 0 || !errors.Is(err, ErrMalformedFrame) && !errors.Is(err, ErrUnknownKind)) {
-						t.Errorf("parseFrame with byte %d, bit %d changed: %d bytes used, error %v, want a message or a typed error", i, bit, used, err)
+						t.Errorf("parseFrame with byte %d, bit %d changed: %d bytes used, error %v, want at most %d bytes, and no error or 0 bytes with ErrMalformedFrame or ErrUnknownKind", i, bit, used, err, len(damaged))
 					}
 				}
 			}
@@ -158,8 +159,9 @@
 	return b.Read(func(Message, []int) {})
 }
 
-// A state that version c18a9bd has encoded is decoded completely, and is encoded again under the same
-// section names. A truncated state is an error; one with a changed bit is an error or another state.
+// A state that version c18a9bd has encoded is decoded completely, and encoding it again gives the same
+// sections. Decoding a truncated state fails. Decoding a state with a changed bit returns either an error
+// or a state.
 func TestStateOfStoredVersion(t *testing.T) {
 	stored := readStoredFile(t, "knowledge.cbor")
 	got, unknown, err := DecodeProcessState(stored)
--- a/internal/handover/target.go
+++ b/internal/handover/target.go
@@ -20,7 +20,7 @@
 type TargetOptions struct {
 	ApplyState func(*ProcessState) error // applies the source's state to this process
 	OnOwner    func()                    // called when this process becomes the owner permanently
-	Reload     func()                    // reloads the files
+	Reload     func()                    // reloads this process's files
 	Abort      func()                    // ends this process, which is not the owner
 }
 
@@ -35,10 +35,10 @@
 	log      *slog.Logger
 
 	machine      *decide.Target
-	build        string
-	sourceExited bool
-	lastReported struct{ successes, failures int64 } // totals of answers at the latest heartbeat
-	recorders    map[core.Client]*recorder
+	build        string                              // build of this program, for the Hello
+	sourceExited bool                                // the source has died or exited
+	lastReported struct{ successes, failures int64 } // totals of answers at the latest heartbeat, or at Serve
+	recorders    map[core.Client]*recorder           // by the handler, if that is a client of the core
 }
 
 // NewTarget returns a Target that communicates with its source over ch. The caller has to call Begin.
@@ -49,8 +49,8 @@
 	}
 }
 
-// Begin sends the Hello, with the build of this program, and starts reading the channel. The goroutine
-// that reads the channel returns when the source has died or exited.
+// Begin sends the Hello, with the build of this program, and starts the heartbeats and a goroutine that
+// reads the channel. The goroutine returns when the source has died or exited.
 func (t *Target) Begin(build string) {
 	t.core.OnFirstSend(t.recordRequest)
 	t.frontend.OnSharedChange(func(b []byte) { t.send(&SharedState{b}) })
@@ -156,8 +156,8 @@
 	}
 }
 
-// applyState applies the source's state. If that fails, this process aborts without reporting that it
-// is ready, and the source continues to serve.
+// applyState applies the source's state and sets the loop's clock to the source's. If that fails, this
+// process aborts without reporting that it is ready, and the source continues to serve.
 func (t *Target) applyState(m *State) {
 	t.step(decide.StateReceived{})
 	state, unknown, err := m.decode()
@@ -180,7 +180,7 @@
 }
 
 // receiveConnection takes over a connection from the source. If that fails, the connection is closed
-// and reported to the source as closed.
+// and reported to the source as closed. A message without exactly one descriptor is only logged.
 func (t *Target) receiveConnection(m *ConnectionTransfer, fds []int) {
 	if len(fds) != 1 {
 		t.log.Warn("upgrade.odd-message", "kind", m.kind(), "descriptors", len(fds))
@@ -196,7 +196,8 @@
 	t.step(decide.ConnectionReceived{Conn: decide.ConnID(m.Conn)})
 }
 
-// attach adds a transferred connection to the loop. It takes ownership of the descriptor.
+// attach adds a transferred connection to the loop, with a recorder until this process is the owner.
+// It takes ownership of the descriptor.
 func (t *Target) attach(m *ConnectionTransfer, fd int) error {
 	restore, err := t.frontend.RestoreConnection(m.State)
 	if err == nil && m.Frontend != t.frontend.Name() {
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -17,7 +17,7 @@
 		}
 		idle := canTransfer(c, transferableHandler(c))
 		if idle != s.connections.busy[id] {
-			continue // the state machine already knows
+			continue // the state machine already knows whether c is idle
 		}
 		if idle {
 			delete(s.connections.busy, id)
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -45,9 +45,9 @@
 	opts   Options
 	log    *slog.Logger
 
-	self       decide.Process
+	self       decide.Process   // this process, as announced to the others
 	others     []decide.Process // as of the latest scan
-	limitShare float64          // share of the limits at the latest call of OnLimitShare; 1 before
+	limitShare float64          // share of the limits at the latest call of OnLimitShare; 1 before the first
 	replaced   bool             // OnReplaced was called
 }
 
@@ -72,7 +72,8 @@
 	c.scanRepeatedly()
 }
 
-// ShuttingDown announces to the others that this process was told to shut down.
+// ShuttingDown announces to the others that this process was told to shut down, and checks whether it
+// has already been replaced.
 func (c *Coordinator) ShuttingDown() {
 	c.self.ShuttingDown = true
 	c.writeState()
@@ -84,8 +85,8 @@
 // Close removes this process's files, which tells the others that it has ended.
 func (c *Coordinator) Close() { c.folder.Close() }
 
-// writeState replaces this process's file. If that fails, for example because the disk is full, the
-// process continues; another process then starts from its configuration.
+// writeState replaces this process's state file. If that fails, for example because the disk is full,
+// this process continues; a process that would take over from it then starts from its configuration.
 func (c *Coordinator) writeState() {
 	s := State{Process: c.self, Overrides: c.core.Overrides(), EventSourceSum: c.opts.EventSourceSum}
 	if c.self.StateWritten {
@@ -107,7 +108,8 @@
 }
 
 // scan reads the states of the other processes and acts on them: it updates the limit share, and takes
-// over or starts alone if this process does not serve yet.
+// over or starts alone if this process does not serve yet. If the folder can't be read, a process that
+// does not serve yet starts alone.
 func (c *Coordinator) scan() {
 	states, err := c.folder.Others()
 	if err != nil {
@@ -174,8 +176,7 @@
 	c.writeState()
 }
 
-// checkReplaced calls OnReplaced when this process is shutting down and has been replaced, but only
-// once.
+// checkReplaced calls OnReplaced, once only, if this process is shutting down and has been replaced.
 func (c *Coordinator) checkReplaced() {
 	if c.self.ShuttingDown && !c.replaced && decide.Replaced(c.self, c.others) {
 		c.replaced = true
--- a/internal/takeover/folder.go
+++ b/internal/takeover/folder.go
@@ -24,7 +24,7 @@
 	dir   string
 	self  string // ID of this process
 	lock  *os.File
-	cache map[string]cachedState // by process ID
+	cache map[string]cachedState // states of the other processes, by process ID
 }
 
 // cachedState is the content of a state file when it was last read.
@@ -122,8 +122,9 @@
 	return states, nil
 }
 
-// alive reports whether a process holds its lock. If that can't be determined, for example because no
-// descriptor is free, it returns true, so that no files of a living process are removed.
+// alive reports whether a process holds its lock. If the lock file exists but can't be opened, for
+// example because no descriptor is free, it returns true, so that no files of a living process are
+// removed.
 func (f *Folder) alive(id string) bool {
 	lock, err := os.Open(f.path(id, lockSuffix))
 	if err != nil {
--- a/internal/takeover/folder_test.go
+++ b/internal/takeover/folder_test.go
@@ -41,9 +41,9 @@
 	return all
 }
 
-// Others returns only complete states of living processes: no state that is truncated at any byte, has
-// a changed byte (the version's included), is stored under another process's ID, or belongs to a dead
-// process, whose file is removed.
+// Others returns only complete states of living processes. It ignores a state that is truncated at any
+// byte, has a changed byte (in the version too) or is stored under another process's ID, and it removes
+// the file of a dead process.
 func TestOnlyCompleteStatesOfLivingProcesses(t *testing.T) {
 	dir := t.TempDir()
 	a, b := openFolder(t, dir), openFolder(t, dir)
@@ -92,7 +92,7 @@
 	}
 	replaceFile(complete)
 	if all := otherStates(t, b); len(all) != 1 {
-		t.Errorf("%d states, want 1", len(all))
+		t.Errorf("with the complete file again: got %d states, want 1", len(all))
 	}
 	_ = a.lock.Close() // as the kernel does when the process dies
 	if all := otherStates(t, b); len(all) > 0 {
@@ -122,10 +122,10 @@
 		t.Error("the temporary file still exists")
 	}
 	if all := otherStates(t, b); len(all) != 1 {
-		t.Errorf("%d states, want 1", len(all))
+		t.Errorf("after the failed write: got %d states, want 1", len(all))
 	}
 	if err := a.Write(testState(a)); err != nil { // the link to /dev/full is gone
-		t.Errorf("Write with free space: %v", err)
+		t.Errorf("Write with free space: error %v, want none", err)
 	}
 }
 
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -17,7 +17,7 @@
 type State struct {
 	decide.Process
 	Overrides      adminstate.Overrides `cbor:"Bans"`   // the operators' overrides, by engine ID
-	EventSourceSum uint64               `cbor:"Events"` // see Options.EventSourceSum
+	EventSourceSum uint64               `cbor:"Events"` // checksum of the configuration of endpoint lists
 	ProcessState   []byte               `cbor:"World"`  // encoded handover.ProcessState; nil if no process waits for it
 }
 
@@ -28,7 +28,7 @@
 	fileVersion     = 1
 	checksumOffset  = len(fileMagic) + 1
 	fileHeaderBytes = checksumOffset + 8
-	maxFileBytes    = 8 << 20
+	maxFileBytes    = 8 << 20 // a larger file is not used
 )
 
 // errUnusableFile means that a state file is incomplete, corrupt or of another version.
--- a/internal/takeover/stored_test.go
+++ b/internal/takeover/stored_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedStates holds the states whose files in testdata version c18a9bd wrote. Processes of two
+// storedStates holds the states in the files of testdata, which version c18a9bd wrote. Processes of two
 // versions read each other's files while one takes over from the other.
 var storedStates = map[string]State{
 	"waiting.state": {Process: decide.Process{ID: "17-1", StartedAt: 90 * time.Hour}, Overrides: adminstate.Overrides{}},
@@ -82,7 +82,7 @@
 	}
 	for _, suffix := range []string{".state", ".lock"} {
 		if _, err := os.Stat(filepath.Join(dir, a.Self()+suffix)); err != nil {
-			t.Error(err)
+			t.Errorf("file with suffix %s: %v, want it to exist", suffix, err)
 		}
 	}
 }
