--- a/internal/backend/lineproto/backend.go
+++ b/internal/backend/lineproto/backend.go
@@ -1,5 +1,5 @@
-// Package lineproto runs attempts on engines that speak the platform's line
-// protocol: many requests on one connection, answers in any order.
+// Package lineproto runs attempts on engines that use the platform's line protocol. A connection
+// carries many requests at once, and the engine answers them in any order.
 package lineproto
 
 import (
@@ -13,7 +13,7 @@
 	"gannetspur/internal/netio"
 )
 
-// defaultConnectTimeout applies where the settings have none.
+// defaultConnectTimeout is used if the settings have no connect timeout.
 const defaultConnectTimeout = 250 * time.Millisecond
 
 var (
@@ -21,7 +21,7 @@
 	_ core.LoadReporter = (*Backend)(nil)
 )
 
-// Backend holds the connections to all engines.
+// Backend manages the connections to all engines and the attempts and health checks on them.
 type Backend struct {
 	loop         *netio.Loop
 	core         *core.Core
@@ -29,10 +29,10 @@
 	counters     *metrics.Counters
 	log          *slog.Logger
 	engines      *backend.EngineSet[*connection]
-	healthChecks uint64 // started so far; numbers the next one
+	healthChecks uint64 // number of health checks started; part of the next one's tag
 }
 
-// New returns a backend that reports to the core.
+// New returns a backend that reports to the core. A site without MaxStreams gets one stream per connection.
 func New(loop *netio.Loop, c *core.Core, site config.Site, counters *metrics.Counters, log *slog.Logger) *Backend {
 	site.MaxStreams = max(site.MaxStreams, 1)
 	if site.ConnectTimeout <= 0 {
@@ -47,7 +47,7 @@
 // UpdateEngine applies an entry of the endpoint list.
 func (b *Backend) UpdateEngine(entry core.Engine) { b.engines.Update(entry) }
 
-// Send starts an attempt on a connection with capacity, or on a new one.
+// Send starts an attempt on a connection that can take it, dialing a new one if there is none.
 func (b *Backend) Send(a *core.Attempt) {
 	engine := b.engines.Get(a.Engine)
 	if engine == nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// connectionFor finds a connection that can take a request with this ID, or nil.
+// connectionFor returns a connection that can take a request with this ID, or nil.
 func (b *Backend) connectionFor(engine *backend.Engine[*connection], id string) *connection {
 	now := b.core.Now()
 	for _, c := range engine.Connections {
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// SetPriority changes the priority of an attempt that is in flight.
+// SetPriority sends a changed priority to the engine. It does nothing if the attempt was not written
+// yet, if only further pages of its result are missing, or if the connection has closed.
 func (b *Backend) SetPriority(a *core.Attempt, priority int) {
 	s, ok := a.LinkState.(*stream)
 	if !ok || !s.written || s.result.missing > 0 || s.connection.socket == nil {
--- a/internal/backend/lineproto/cancel.go
+++ b/internal/backend/lineproto/cancel.go
@@ -8,40 +8,43 @@
 )
 
 const (
-	// cancelledIDTime is how long an ID that was cancelled on a connection is not used
-	// there again: a late answer to the first would be taken for one to the second.
-	cancelledIDTime = 30 * time.Second
-	// settleInterval is how long an engine has to report that a cancelled statement is over before it is asked
-	// again: any answer may be lost on its way.
-	settleInterval = time.Second
+	// cancelledIDReuseDelay is how long a request ID is not used again on a connection after it
+	// was cancelled there. A late answer to the cancelled request would otherwise be taken for an
+	// answer to the new one.
+	cancelledIDReuseDelay = 30 * time.Second
+	// cancelRetryInterval is how long to wait for an engine's confirmation that a cancelled
+	// statement is over before asking again, as any answer may be lost.
+	cancelRetryInterval = time.Second
 )
 
-// cancelledIDs are the IDs of requests that were cancelled on one connection not long ago.
+// cancelledIDs holds the IDs of requests that were recently cancelled on one connection.
 type cancelledIDs struct {
-	until  map[string]time.Duration
-	oldest []string // the same IDs, oldest first
+	reusableAt map[string]time.Duration // when each ID may be used again
+	byAge      []string                 // the same IDs, oldest first
 }
 
-func newCancelledIDs() cancelledIDs { return cancelledIDs{until: map[string]time.Duration{}} }
+func newCancelledIDs() cancelledIDs { return cancelledIDs{reusableAt: map[string]time.Duration{}} }
 
-func (ids *cancelledIDs) contains(id string, now time.Duration) bool { return now < ids.until[id] }
+// contains reports whether the ID must not be used yet.
+func (ids *cancelledIDs) contains(id string, now time.Duration) bool { return now < ids.reusableAt[id] }
 
 func (ids *cancelledIDs) add(id string, now time.Duration) {
 	ids.expire(now)
-	ids.until[id] = now + cancelledIDTime
-	ids.oldest = append(ids.oldest, id)
+	ids.reusableAt[id] = now + cancelledIDReuseDelay
+	ids.byAge = append(ids.byAge, id)
 }
 
-// expire drops the IDs that may be used again: a connection that lives for days would
-// otherwise keep all that were ever cancelled on it.
+// expire drops the IDs that may be used again. Without it, a connection that stays open for days
+// would keep every ID that was ever cancelled on it.
 func (ids *cancelledIDs) expire(now time.Duration) {
-	for len(ids.oldest) > 0 && now >= ids.until[ids.oldest[0]] {
-		delete(ids.until, ids.oldest[0])
-		ids.oldest = ids.oldest[1:]
+	for len(ids.byAge) > 0 && now >= ids.reusableAt[ids.byAge[0]] {
+		delete(ids.reusableAt, ids.byAge[0])
+		ids.byAge = ids.byAge[1:]
 	}
 }
 
-// Cancel cancels an attempt, and reports whether it is over.
+// Cancel cancels an attempt. It returns false if the core must wait for EndAttempt because the
+// statement may still be running at the engine, and true if the attempt is over.
 func (b *Backend) Cancel(a *core.Attempt) bool {
 	s, ok := a.LinkState.(*stream)
 	if !ok {
@@ -49,13 +52,13 @@
 	}
 	c := s.connection
 	switch {
-	case s.settling():
+	case s.cancelling():
 		return false
-	case !s.written || c.socket == nil: // a connection that has ended ends its streams one by one
-	case s.result.missing > 0: // the statement is done, and only its pages are still wanted
+	case !s.written || c.socket == nil: // the engine has no such request, or the connection has closed
+	case s.result.missing > 0: // the statement is complete, and only pages of its result are missing
 		c.socket.Write(appendReleaseCommand(newCommand(), a.Request.ID))
-	case a.MustAwaitEngine() && !c.retired: // a retired connection's engine process has ended
-		s.requestSettlement()
+	case a.MustAwaitEngine() && !c.retired: // the engine process of a retired connection counts as ended
+		s.requestCancellation()
 		return false
 	default:
 		c.socket.Write(appendCancelCommand(newCommand(), a.Request.ID))
@@ -65,8 +68,8 @@
 	return true
 }
 
-// release takes a cancelled stream off the connection. Where it was written, its ID is not used here again
-// for a while.
+// release removes a cancelled stream from the connection. If its request was written, its ID is not
+// used on the connection for cancelledIDReuseDelay.
 func (c *connection) release(s *stream) {
 	id := s.attempt.Request.ID
 	delete(c.streams, id)
@@ -75,35 +78,36 @@
 	}
 }
 
-// requestSettlement cancels the statement and asks for a page of it. An engine reads one command after the other,
-// and answers that it knows no such query once it has read the first.
-func (s *stream) requestSettlement() {
+// requestCancellation cancels the statement and, for a confirmation, requests a page of its result.
+// Engines process commands in order, so the answer that the query is unknown shows that the statement
+// is over. The commands are repeated every cancelRetryInterval until an answer arrives.
+func (s *stream) requestCancellation() {
 	id := s.attempt.Request.ID
 	commands := appendCancelCommand(newCommand(), id)
 	commands = appendPageCommand(commands, id, 1)
 	s.connection.socket.Write(commands)
-	due := s.connection.backend.core.Now() + settleInterval
-	s.settleTimer = s.connection.backend.loop.Timers.Add(due, s.requestSettlement)
+	due := s.connection.backend.core.Now() + cancelRetryInterval
+	s.cancelRetryTimer = s.connection.backend.loop.Timers.Add(due, s.requestCancellation)
 }
 
-// handleSettlingAnswer takes an answer for an attempt that was cancelled: after any but a progress report its
-// statement is over at the engine.
-func (c *connection) handleSettlingAnswer(s *stream, a answer) error {
+// handleCancellingAnswer handles an answer for an attempt whose cancellation is being confirmed. Any
+// answer other than a progress report shows that the statement is over at the engine.
+func (c *connection) handleCancellingAnswer(s *stream, a answer) error {
 	switch a.kind {
 	case answerProgress:
-	case answerRejected, answerDeadlinePassed: // it never ran
-		c.settle(s, failureOutcomes[a.kind])
+	case answerRejected, answerDeadlinePassed: // the statement never ran
+		c.finishCancelled(s, failureOutcomes[a.kind])
 	case answerDone, answerPage, answerFailed:
-		c.settle(s, core.OutcomeCancelled)
+		c.finishCancelled(s, core.OutcomeCancelled)
 	default:
 		return fmt.Errorf("%w: %.20q", errUnknownAnswer, a.kind)
 	}
 	return nil
 }
 
-// settle ends an attempt that was cancelled.
-func (c *connection) settle(s *stream, outcome core.Outcome) {
-	s.settleTimer.Stop()
+// finishCancelled ends an attempt whose cancellation is confirmed.
+func (c *connection) finishCancelled(s *stream, outcome core.Outcome) {
+	s.cancelRetryTimer.Stop()
 	c.release(s)
 	c.lastUsed = c.backend.core.Now()
 	c.backend.core.EndAttempt(s.attempt, outcome, core.Report{})
--- a/internal/backend/lineproto/command.go
+++ b/internal/backend/lineproto/command.go
@@ -2,30 +2,34 @@
 
 import "strconv"
 
-// Commands to an engine. Each is a line that ends in CR LF; a request's statement follows its line.
+// A command to an engine is a line that ends in CR LF. The line of a request is followed by the
+// statement and another CR LF.
 
-// commandCapacity is the space in bytes for one or two commands without a statement: an ID has 16 characters.
+// commandCapacity is the buffer capacity in bytes for one or two commands without a statement, given
+// request IDs of 16 characters.
 const commandCapacity = 64
 
 // newCommand returns an empty buffer for commands.
 func newCommand() []byte { return make([]byte, 0, commandCapacity) }
 
-// requestCommand starts a statement.
+// requestCommand is the command that runs a statement.
 type requestCommand struct {
 	id             string
 	class          string
-	timeLeftMS     int64
+	timeLeftMS     int64  // until the attempt's deadline
 	idempotencyKey string // "": none
-	memoryMB       int64  // granted; below 1: the engine chooses
+	memoryMB       int64  // memory grant; below 1: the engine chooses
 	priority       int
 	statement      Statement
 }
 
-// requestOverhead is the space in bytes for a request's line and line ends.
-const requestOverhead = 160
+// requestLineCapacity is the buffer capacity in bytes for a request's line and line ends.
+const requestLineCapacity = 160
+
+// encode returns the bytes of the command, in one allocation.
 
 func (r requestCommand) encode() []byte {
-	b := make([]byte, 0, requestOverhead+len(r.statement))
+	b := make([]byte, 0, requestLineCapacity+len(r.statement))
 	b = append(b, "want "...)
 	b = append(b, r.id...)
 	b = append(b, " kind="...)
@@ -49,32 +53,34 @@
 	return append(b, "\r\n"...)
 }
 
-// appendCancelCommand adds the command that cancels a request.
+// appendCancelCommand appends the command that cancels a request.
 func appendCancelCommand(b []byte, id string) []byte {
 	return appendLine(b, "never_mind ", id)
 }
 
-// appendReleaseCommand adds the command that frees the pages of a result.
+// appendReleaseCommand appends the command that frees the pages of a result.
 func appendReleaseCommand(b []byte, id string) []byte {
 	return appendLine(b, "shut ", id)
 }
 
-// appendPageCommand adds the command that fetches one page of a result.
+// appendPageCommand appends the command that fetches one page of a result; the first is page 0.
 func appendPageCommand(b []byte, id string, page int) []byte {
 	return appendNumberedLine(b, "turn ", id, page)
 }
 
-// appendPriorityCommand adds the command that changes a request's priority.
+// appendPriorityCommand appends the command that changes a request's priority.
 func appendPriorityCommand(b []byte, id string, priority int) []byte {
 	return appendNumberedLine(b, "hurry ", id, priority)
 }
 
-// appendHealthCheckCommand adds the command that asks whether the engine is up.
+// appendHealthCheckCommand appends the command that asks whether the engine is healthy. The answer
+// carries the tag.
 func appendHealthCheckCommand(b []byte, tag string) []byte {
 	return appendLine(b, "there ", tag)
 }
 
-// appendLoadReportCommand adds the command that asks for the engine's load.
+// appendLoadReportCommand appends the command that asks for the engine's health and load. The answer
+// carries the tag.
 func appendLoadReportCommand(b []byte, tag string) []byte {
 	return appendLine(b, "busy ", tag)
 }
--- a/internal/backend/lineproto/connection.go
+++ b/internal/backend/lineproto/connection.go
@@ -15,39 +15,41 @@
 )
 
 const (
-	maxBufferBytes = 64 << 10 // of one connection; the rest waits in the socket
-	// maxAnswerPause is how long an answer may stop in the middle: engines send one in one piece.
+	// maxBufferBytes is the size of a connection's read buffer; further bytes wait in the socket.
+	maxBufferBytes = 64 << 10
+	// maxAnswerPause is how long an answer may stop in the middle. Engines send an answer in one piece.
 	maxAnswerPause = 500 * time.Millisecond
-	// maxAnswerTime is how long an answer may take from its first byte to its last. Guards against one that
-	// never ends and never stops: nothing else on its connection would come through.
+	// maxAnswerTime is the maximum time from the first byte of an answer to its last. An answer that
+	// keeps arriving without end would block all others on the connection.
 	maxAnswerTime = 4 * maxAnswerPause
-	// idleFraction of the engines' idle time-out is when an idle connection is closed from this side, so that no
-	// request crosses a close by the engine.
+	// idleFraction is the fraction of the engines' idle timeout after which the gateway closes an
+	// idle connection itself, so that no request is sent while the engine closes it.
 	idleFraction = 0.8
 )
 
-var errAnswerStalled = errors.New("an answer stopped in the middle, or never ended")
+var errAnswerStalled = errors.New("an answer was not complete in time")
 
-// connection is one connection to an engine, from the start of its dial.
+// connection is one connection to an engine. It exists from the start of its dial.
 type connection struct {
 	backend      *Backend
 	engine       *backend.Engine[*connection]
-	socket       *netio.Conn // nil until it is up, and once it has ended
-	streams      map[string]*stream
-	healthCheck  *healthCheck // in flight here, or waiting for the connection; nil: none
+	socket       *netio.Conn        // nil while dialing and after the connection has closed
+	streams      map[string]*stream // by request ID
+	healthCheck  *healthCheck       // in flight, or waiting for the dial; nil: none
 	cancelledIDs cancelledIDs
-	incoming     incomingAnswer
-	retired      bool // accepts no more streams
-	lastUsed     time.Duration
-	closeReason  core.Outcome // why it is being closed from this side
+	partial      partialAnswer
+	retired      bool          // accepts no more streams
+	lastUsed     time.Duration // when an attempt or health check last started or ended
+	closeReason  core.Outcome  // why the gateway closes the connection; OutcomeUnknown: it does not
 }
 
-// incomingAnswer bounds the time of an answer that has come in part.
-type incomingAnswer struct {
-	startedAt time.Duration // 0: there is none
-	timer     *timerqueue.Entry
+// partialAnswer tracks the time of an incomplete answer in the buffer.
+type partialAnswer struct {
+	startedAt time.Duration     // when its first byte was seen; 0: no incomplete answer
+	timer     *timerqueue.Entry // aborts the connection if the answer is not complete in time
 }
 
+// dial starts a connection to an engine. Attempts can be added to it at once and are written when it is open.
 func (b *Backend) dial(engine *backend.Engine[*connection]) *connection {
 	c := &connection{backend: b, engine: engine, streams: map[string]*stream{}, cancelledIDs: newCancelledIDs()}
 	engine.Connections = append(engine.Connections, c)
@@ -56,6 +58,7 @@
 	return c
 }
 
+// dialed handles the result of the dial.
 func (c *connection) dialed(socket *netio.Conn, err error) {
 	if err != nil {
 		outcome := backend.DialOutcome(err)
@@ -71,7 +74,7 @@
 		c.healthCheck.write()
 	}
 	c.closeIfDone()
-	c.watchIdle()
+	c.scheduleIdleClose()
 }
 
 // accepts reports whether a request with this ID can be sent on the connection.
@@ -85,16 +88,16 @@
 	return c.socket == nil || !c.socket.Disconnected()
 }
 
-// writeRequests writes the requests that wait for the connection to be up, or to have room.
+// writeRequests writes the requests that were waiting for the dial or for earlier requests to be sent.
 func (c *connection) writeRequests() {
 	for _, s := range c.streamsInOrder() {
-		if c.holds(s) && !s.written {
+		if c.hasStream(s) && !s.written {
 			s.writeRequest()
 		}
 	}
 }
 
-// streamsInOrder lists the streams in the order in which they were sent.
+// streamsInOrder returns the streams ordered by the time at which the core sent their attempts.
 func (c *connection) streamsInOrder() []*stream {
 	streams := make([]*stream, 0, len(c.streams))
 	for _, s := range c.streams {
@@ -104,13 +107,13 @@
 	return streams
 }
 
-// holds reports whether a stream is still on the connection. The end of one attempt may have another
-// cancelled, so whoever ends several asks again before each.
-func (c *connection) holds(s *stream) bool { return c.streams[s.attempt.Request.ID] == s }
+// hasStream reports whether a stream is still on the connection. Ending one attempt may make the core
+// cancel others, so a loop over several streams checks each of them before it uses it.
+func (c *connection) hasStream(s *stream) bool { return c.streams[s.attempt.Request.ID] == s }
 
-// watchIdle closes the connection once nothing was open on it for most of the time
-// after which the engine would.
-func (c *connection) watchIdle() {
+// scheduleIdleClose retires the connection once it was unused for idleFraction of the engine's idle timeout.
+// Without an idle timeout in the settings it does nothing.
+func (c *connection) scheduleIdleClose() {
 	idle := time.Duration(float64(c.backend.site.IdleTimeout) * idleFraction)
 	if idle <= 0 {
 		return
@@ -125,23 +128,25 @@
 			if len(c.streams) > 0 {
 				c.lastUsed = c.backend.core.Now()
 			}
-			c.watchIdle()
+			c.scheduleIdleClose()
 		}
 	})
 }
 
-// Retire makes the connection accept no more. As far as anybody can tell, the process that it leads to has ended,
-// and with it what was cancelled there.
+// Retire makes the connection accept no more attempts, and closes it once none is in flight. The engine
+// process at its other end is presumed to have ended, and with it the statements whose cancellation
+// was not confirmed yet.
 func (c *connection) Retire() {
 	c.retired = true
 	for _, s := range c.streamsInOrder() {
-		if s.settling() && c.holds(s) {
-			c.settle(s, core.OutcomeCancelled)
+		if s.cancelling() && c.hasStream(s) {
+			c.finishCancelled(s, core.OutcomeCancelled)
 		}
 	}
 	c.closeIfDone()
 }
 
+// closeIfDone closes a retired connection on which nothing is in flight.
 func (c *connection) closeIfDone() {
 	if c.retired && c.socket != nil && len(c.streams) == 0 && c.healthCheck == nil {
 		c.closeReason = core.OutcomeIdleClosed
@@ -149,14 +154,14 @@
 	}
 }
 
-// Data handles the answers that are complete.
+// Data handles the complete answers in the buffer.
 func (c *connection) Data(_ *netio.Conn, in *netio.Buffer) {
 	for c.closeReason == core.OutcomeUnknown {
 		a, n, err := parseAnswer(in.Bytes())
 		if err == nil && n > 0 {
 			err = c.handleAnswer(a)
 			in.Consume(n)
-			c.incoming.startedAt = 0
+			c.partial.startedAt = 0
 		}
 		if err != nil {
 			c.abort(err)
@@ -166,24 +171,25 @@
 			break
 		}
 	}
-	c.incoming.timer.Stop()
+	c.partial.timer.Stop()
 	if in.Len() > 0 && c.closeReason == core.OutcomeUnknown {
-		c.awaitRest()
+		c.restartAnswerTimer()
 	}
 }
 
-// awaitRest bounds the time until the rest of an answer is here.
-func (c *connection) awaitRest() {
+// restartAnswerTimer aborts the connection unless more of an incomplete answer arrives within
+// maxAnswerPause and all of it within maxAnswerTime.
+func (c *connection) restartAnswerTimer() {
 	now := c.backend.loop.Now()
-	if c.incoming.startedAt == 0 {
-		c.incoming.startedAt = now
+	if c.partial.startedAt == 0 {
+		c.partial.startedAt = now
 	}
-	due := min(now+maxAnswerPause, c.incoming.startedAt+maxAnswerTime)
-	c.incoming.timer = c.backend.loop.Timers.Add(due, func() { c.abort(errAnswerStalled) })
+	due := min(now+maxAnswerPause, c.partial.startedAt+maxAnswerTime)
+	c.partial.timer = c.backend.loop.Timers.Add(due, func() { c.abort(errAnswerStalled) })
 }
 
-// abort ends the connection, and with it all that is open on it: where one answer can't
-// be read, nothing tells where the next begins.
+// abort closes the connection and ends everything on it. After an answer that cannot be parsed, the
+// start of the next answer is unknown.
 func (c *connection) abort(err error) {
 	if c.socket == nil || c.closeReason != core.OutcomeUnknown {
 		return
@@ -194,8 +200,8 @@
 	c.socket.Abort()
 }
 
-// handleAnswer passes an answer to the health check or the stream that it belongs to. One for a request that was
-// cancelled is ignored.
+// handleAnswer passes an answer to the health check or stream that it belongs to. An answer that
+// belongs to none, such as a late one to a cancelled request, is counted and ignored.
 func (c *connection) handleAnswer(a answer) error {
 	if h := c.healthCheck; h != nil && a.id == h.tag {
 		return h.handleAnswer(a)
@@ -205,8 +211,8 @@
 		c.backend.counters.Add("links.late-answer")
 		return nil
 	}
-	if s.settling() {
-		return c.handleSettlingAnswer(s, a)
+	if s.cancelling() {
+		return c.handleCancellingAnswer(s, a)
 	}
 	switch a.kind {
 	case answerProgress:
@@ -230,7 +236,7 @@
 	return fmt.Errorf("%w: %.20q", errUnknownAnswer, a.kind)
 }
 
-// Closed ends all that was open on the connection.
+// Closed determines why the connection has closed and ends everything on it.
 func (c *connection) Closed(*netio.Conn, error) {
 	switch {
 	case c.closeReason != core.OutcomeUnknown:
@@ -242,11 +248,12 @@
 	c.disconnected(c.closeReason)
 }
 
-// disconnected ends all that was open on the connection with one outcome.
+// disconnected unregisters the connection and ends its health check and its attempts with the
+// outcome; attempts whose cancellation was not confirmed yet end as cancelled.
 func (c *connection) disconnected(outcome core.Outcome) {
 	c.retired = true
 	c.socket = nil
-	c.incoming.timer.Stop()
+	c.partial.timer.Stop()
 	c.backend.counters.Add("links.ended." + outcome.String())
 	c.engine.Remove(c)
 	if c.healthCheck != nil {
@@ -254,9 +261,9 @@
 	}
 	for _, s := range c.streamsInOrder() {
 		switch {
-		case !c.holds(s):
-		case s.settling():
-			c.settle(s, core.OutcomeCancelled)
+		case !c.hasStream(s):
+		case s.cancelling():
+			c.finishCancelled(s, core.OutcomeCancelled)
 		default:
 			delete(c.streams, s.attempt.Request.ID)
 			c.backend.core.EndAttempt(s.attempt, outcome, core.Report{})
--- a/internal/backend/lineproto/fields.go
+++ b/internal/backend/lineproto/fields.go
@@ -7,13 +7,15 @@
 	"gannetspur/policy"
 )
 
-// notReported stands for a value that an engine's load report does not have.
-const notReported = -1
+// valueNotReported marks a value that an engine's load report does not contain.
+const valueNotReported = -1
 
-// waitingForDataLoad is the value of a report on waiting that says that it is not for memory.
-const waitingForDataLoad = 2
+// waitReasonDataLoad is the value in a progress report on a waiting statement if it waits for a data
+// load. Any other value means that it waits for memory.
+const waitReasonDataLoad = 2
 
-// fieldValue finds a value in an answer's fields.
+// fieldValue returns the value of a field in an answer's list of fields: NAME=VALUE separated by
+// commas, or "-" for an empty list.
 func fieldValue(fields, name string) (value string, ok bool) {
 	for fields != "" && fields != "-" {
 		var field string
@@ -26,7 +28,7 @@
 	return "", false
 }
 
-// numberField reads a number that may be absent. What is no finite number counts as absent.
+// numberField parses an optional numeric field. A value that is not a finite number counts as absent.
 func numberField(fields, name string) (number float64, ok bool) {
 	text, ok := fieldValue(fields, name)
 	if !ok {
@@ -38,15 +40,15 @@
 
 func isFinite(number float64) bool { return number-number == 0 }
 
-// parseLoadReport reads a load report. Engines name its values as the settings do, or as the
-// protocol does.
+// parseLoadReport parses the load report in an answer's fields. Engines use either the names of the
+// settings or those of the protocol for its values, so both are accepted.
 func parseLoadReport(fields string) policy.LoadReport {
 	load := policy.LoadReport{
-		CPUUtilization:    notReported,
-		InFlight:          notReported,
-		WaitingForMemory:  notReported,
-		MemoryUtilization: notReported,
-		DiskUtilization:   notReported,
+		CPUUtilization:    valueNotReported,
+		InFlight:          valueNotReported,
+		WaitingForMemory:  valueNotReported,
+		MemoryUtilization: valueNotReported,
+		DiskUtilization:   valueNotReported,
 	}
 	gauges, _ := fieldValue(fields, "gauges")
 	for gauges != "" {
@@ -76,7 +78,7 @@
 	return load
 }
 
-// parseProgress reads a progress report; ok is false if it says nothing that is known here.
+// parseProgress parses a progress report. ok is false if its kind is unknown or its value is missing.
 func parseProgress(fields string) (kind policy.ProgressKind, value float64, ok bool) {
 	value, ok = numberField(fields, "num")
 	if !ok {
@@ -89,7 +91,7 @@
 	case "s":
 		return policy.ProgressSpilled, value, true
 	case "w":
-		if value == waitingForDataLoad {
+		if value == waitReasonDataLoad {
 			return policy.ProgressWaitingForDataLoad, value, true
 		}
 		return policy.ProgressWaitingForMemory, value, true
--- a/internal/backend/lineproto/health_check.go
+++ b/internal/backend/lineproto/health_check.go
@@ -10,19 +10,19 @@
 	"gannetspur/policy"
 )
 
-// healthCheckTagPrefix keeps tags apart from the IDs of requests, which are 16 hex digits.
+// healthCheckTagPrefix distinguishes tags from request IDs, which are 16 hex digits.
 const healthCheckTagPrefix = "p"
 
-// healthCheck is one request for an engine's load, on a connection that carries attempts as well. A
-// connection carries one at a time.
+// healthCheck is one request for an engine's health and load. It shares a connection with attempts; a
+// connection carries one health check at a time.
 type healthCheck struct {
 	connection *connection
-	tag        string
-	timer      *timerqueue.Entry
+	tag        string            // identifies the answer
+	timer      *timerqueue.Entry // ends the check after the connect timeout
 }
 
-// RequestLoadReport asks an engine for its load, on a connection that is up where there is one. An engine
-// with a health check in flight is not asked again: two answers would say the same.
+// RequestLoadReport starts a health check of an engine, on an open connection if there is one. An engine
+// with a health check in flight is not asked again, as both answers would be the same.
 func (b *Backend) RequestLoadReport(id string) {
 	engine := b.engines.Get(id)
 	if engine == nil {
@@ -46,6 +46,7 @@
 	}
 }
 
+// hasHealthCheck reports whether a health check of the engine is in flight.
 func hasHealthCheck(engine *backend.Engine[*connection]) bool {
 	for _, c := range engine.Connections {
 		if c.healthCheck != nil {
@@ -55,8 +56,8 @@
 	return false
 }
 
-// healthCheckConnection returns the first connection that is up, otherwise the first that is being
-// dialed, or nil.
+// healthCheckConnection returns the first open connection, otherwise the first that is being dialed,
+// or nil if there is neither.
 func healthCheckConnection(engine *backend.Engine[*connection]) (dialing *connection) {
 	for _, c := range engine.Connections {
 		switch {
@@ -70,9 +71,9 @@
 	return dialing
 }
 
-// restartTimer bounds how long the health check takes: a report of the moment is wanted, not of some time ago.
-// The settings have no time-out of its own for it; within that of a connect an engine that is up
-// has answered, however long its queue is.
+// restartTimer gives the health check another connect timeout to complete, as a late report would be
+// outdated. The settings have no timeout for health checks; an engine that is up answers within the
+// connect timeout however long its queue is.
 func (h *healthCheck) restartTimer() {
 	b := h.connection.backend
 	h.timer.Stop()
@@ -81,7 +82,8 @@
 	})
 }
 
-// write asks for the load where the deployment's engines report it, otherwise whether the engine is up.
+// write sends the command for the load if the site's engines report it, otherwise the command that only
+// asks whether the engine is healthy.
 func (h *healthCheck) write() {
 	h.restartTimer()
 	command := newCommand()
@@ -93,7 +95,7 @@
 	h.connection.socket.Write(command)
 }
 
-// handleAnswer takes the engine's answer. An unhealthy engine reports its load all the same.
+// handleAnswer ends the health check with the engine's answer. An unhealthy engine also reports its load.
 func (h *healthCheck) handleAnswer(a answer) error {
 	switch a.kind {
 	case answerHealthy:
@@ -106,7 +108,8 @@
 	return nil
 }
 
-// finish reports the result of the health check, once. A late answer is ignored as one with an unknown ID.
+// finish reports the result of the health check to the core. A later answer has an unknown ID and is
+// ignored.
 func (h *healthCheck) finish(outcome core.Outcome, load policy.LoadReport) {
 	c := h.connection
 	h.timer.Stop()
--- a/internal/backend/lineproto/pages.go
+++ b/internal/backend/lineproto/pages.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	maxPages = 64
-	// maxResultBytes bounds all pages of one result, which may have 48,000 bytes.
+	maxPages = 64 // of one result
+	// maxResultBytes is the maximum size of all pages of one result. The protocol allows 48,000 bytes.
 	maxResultBytes = 256 << 10
 	// columnsPerRow is fixed by the protocol.
 	columnsPerRow = 3
 )
 
 var (
-	errInvalidPage    = errors.New("a page does not hold complete rows of three columns of text")
-	errResultTooLarge = errors.New("a result is too large")
-	errPageCount      = errors.New("an answer's number of pages is invalid")
-	errPageNumber     = errors.New("a page's number is invalid")
+	errInvalidPage       = errors.New("a page does not hold complete rows of three columns of text")
+	errResultTooLarge    = errors.New("the pages of a result exceed the size limit")
+	errInvalidPageCount  = errors.New("an answer's number of pages is invalid")
+	errInvalidPageNumber = errors.New("a page's number is invalid")
 )
 
-// Rows is a complete result: its pages as the engine sent them, each of complete rows.
+// Rows is a complete result: its pages as the engine sent them. A page holds complete rows, each of
+// them ended by a line feed, with columns separated by tabs.
 type Rows [][]byte
 
-// Size returns the number of bytes of all pages.
+// Size returns the size of all pages in bytes.
 func (r Rows) Size() (size int) {
 	for _, page := range r {
 		size += len(page)
@@ -38,30 +39,29 @@
 
 // pageSet collects the pages of one result.
 type pageSet struct {
-	pages   Rows // nil until the first page is here
-	missing int  // pages
-	size    int  // bytes of the pages that are here
+	pages   Rows // by page number, nil for a missing page; nil until the first page was received
+	missing int  // number of pages not received yet
+	size    int  // bytes of the pages received
 }
 
-// start takes the first of count pages.
+// start stores the first of count pages.
 func (p *pageSet) start(count int, first []byte) {
 	p.pages = make(Rows, count)
 	p.missing = count
 	p.put(0, first)
 }
 
-// put stores a copy of a page: its bytes are the connection's buffer.
+// put stores a copy of a page, as its bytes are part of the connection's buffer.
 func (p *pageSet) put(number int, page []byte) {
 	p.pages[number] = append([]byte{}, page...)
 	p.size += len(page)
 	p.missing--
 }
 
-// handleFirstPage takes the first page and requests the others. No row is passed on before all are
-// here: pages that are lost with their engine end the attempt, and another may
-// serve the client.
+// handleFirstPage stores the first page and requests the others. No rows are passed on before all
+// pages are here, so that another attempt can serve the client if the engine is lost before that.
 func (c *connection) handleFirstPage(s *stream, a answer) error {
-	if s.result.pages != nil { // a second copy of an answer that is valid
+	if s.result.pages != nil { // a duplicate of a valid answer
 		c.backend.counters.Add("links.doubled-answer")
 		return nil
 	}
@@ -89,27 +89,27 @@
 	return nil
 }
 
-// pageCount reads the number of a result's pages. An engine may count none for an empty result, which
-// is one empty page.
+// pageCount returns the number of pages of a result. Engines may report 0 pages for an empty result,
+// which is counted as one empty page.
 func pageCount(fields string) (int, error) {
 	text, _ := fieldValue(fields, "batches")
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 0 || count > maxPages {
-		return 0, fmt.Errorf("%w: %.20q", errPageCount, text)
+		return 0, fmt.Errorf("%w: %.20q", errInvalidPageCount, text)
 	}
 	return max(count, 1), nil
 }
 
-// handlePage takes a further page; after the last one it ends the attempt.
+// handlePage stores a further page, and ends the attempt once no page is missing.
 func (c *connection) handlePage(s *stream, a answer) error {
 	text, _ := fieldValue(a.fields, "batch")
 	number, err := strconv.Atoi(text)
 	switch {
 	case err != nil || number < 1 || number >= len(s.result.pages):
-		return fmt.Errorf("%w: %.20q", errPageNumber, text)
+		return fmt.Errorf("%w: %.20q", errInvalidPageNumber, text)
 	case !hasCompleteRows(a.body):
 		return errInvalidPage
-	case s.result.pages[number] != nil: // a second copy
+	case s.result.pages[number] != nil: // a duplicate
 		return nil
 	case s.result.size+len(a.body) > maxResultBytes:
 		return errResultTooLarge
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// hasCompleteRows reports whether a page holds what it should. Guards against passing on
-// what was corrupted within its length.
+// hasCompleteRows reports whether a page consists of complete rows of UTF-8 text. It detects a page
+// that was corrupted without a change of its length.
 func hasCompleteRows(page []byte) bool {
 	if !utf8.Valid(page) {
 		return false
--- a/internal/backend/lineproto/result_codec.go
+++ b/internal/backend/lineproto/result_codec.go
@@ -11,34 +11,35 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Codec encodes statements and rows for forwarding between gateways. What it decodes
-// is checked like what clients and engines send.
+// Codec encodes statements and rows that are forwarded between gateways. It validates decoded data as
+// strictly as data from clients and engines.
 type Codec struct{}
 
-// maxStatementBytes bounds a statement of another gateway, as the frontend bounds a client's.
+// maxStatementBytes is the maximum size of a statement from another gateway. The frontend limits the
+// statements of clients too.
 const maxStatementBytes = 64 << 10
 
-var errCodec = errors.New("line protocol: what another gateway sent can't be used")
+var errInvalidPayload = errors.New("line protocol: invalid statement or result")
 
-// Form returns the name of the encoding.
+// Form returns the name of the encoding, by which two gateways agree on it.
 func (Codec) Form() string { return "lines" }
 
 // Statement encodes a statement.
 func (Codec) Statement(statement core.Statement) ([]byte, error) {
 	text, ok := statement.(Statement)
 	if !ok {
-		return nil, fmt.Errorf("%w: a statement of %T", errCodec, statement)
+		return nil, fmt.Errorf("%w: unexpected statement type %T", errInvalidPayload, statement)
 	}
 	return []byte(text), nil
 }
 
-// ReadStatement decodes a statement: text in UTF-8 without zeros.
+// ReadStatement decodes a statement, which must be UTF-8 text without NUL characters.
 func (Codec) ReadStatement(b []byte) (core.Statement, error) {
 	if len(b) == 0 || len(b) > maxStatementBytes || !utf8.Valid(b) {
-		return nil, fmt.Errorf("%w: a statement that is no text", errCodec)
+		return nil, fmt.Errorf("%w: the statement is empty, too long or not UTF-8", errInvalidPayload)
 	}
 	if bytes.IndexByte(b, 0) >= 0 {
-		return nil, fmt.Errorf("%w: a statement with a zero", errCodec)
+		return nil, fmt.Errorf("%w: the statement contains a NUL character", errInvalidPayload)
 	}
 	return Statement(b), nil
 }
@@ -47,33 +48,33 @@
 func (Codec) Result(result core.Result) ([]byte, error) {
 	rows, ok := result.(Rows)
 	if !ok {
-		return nil, fmt.Errorf("%w: a result of %T", errCodec, result)
+		return nil, fmt.Errorf("%w: unexpected result type %T", errInvalidPayload, result)
 	}
 	return cbor.Marshal([][]byte(rows))
 }
 
-// ReadResult decodes rows: complete ones, within what an engine may send.
+// ReadResult decodes rows. They must be complete and within the limits for results of engines.
 func (Codec) ReadResult(b []byte) (core.Result, error) {
 	var pages [][]byte
 	if err := cbor.Unmarshal(b, &pages); err != nil {
-		return nil, fmt.Errorf("%w: %w", errCodec, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidPayload, err)
 	}
 	rows := Rows(pages)
 	for _, page := range rows {
 		if !hasCompleteRows(page) {
-			return nil, fmt.Errorf("%w: %w", errCodec, errInvalidPage)
+			return nil, fmt.Errorf("%w: %w", errInvalidPayload, errInvalidPage)
 		}
 	}
 	if len(rows) > maxPages || rows.Size() > maxResultBytes {
-		return nil, fmt.Errorf("%w: %d pages of %d bytes", errCodec, len(rows), rows.Size())
+		return nil, fmt.Errorf("%w: %d pages of %d bytes exceed the limits", errInvalidPayload, len(rows), rows.Size())
 	}
 	return rows, nil
 }
 
-// Detail returns nothing: engines of this protocol give no reasons.
+// Detail returns nil: engines of this protocol send no details of an error.
 func (Codec) Detail(error) []byte { return nil }
 
-// ReadDetail fails: Detail never returns anything to decode.
+// ReadDetail always fails, as Detail never encodes anything.
 func (Codec) ReadDetail([]byte) (detail, err error) {
-	return nil, fmt.Errorf("%w: a reason", errCodec)
+	return nil, fmt.Errorf("%w: error details are not supported", errInvalidPayload)
 }
--- a/internal/backend/lineproto/stream.go
+++ b/internal/backend/lineproto/stream.go
@@ -5,7 +5,7 @@
 	"gannetspur/internal/timerqueue"
 )
 
-// Statement is a statement's text.
+// Statement is the text of an SQL statement.
 type Statement string
 
 // SQL returns the text.
@@ -13,26 +13,27 @@
 
 // stream is one attempt on a connection.
 type stream struct {
-	attempt     *core.Attempt
-	connection  *connection
-	written     bool
-	settleTimer *timerqueue.Entry // asks the engine again whether a cancelled attempt is over; nil: not settling
-	result      pageSet
-	report      core.Report
+	attempt          *core.Attempt
+	connection       *connection
+	written          bool              // the request was written to the socket
+	cancelRetryTimer *timerqueue.Entry // repeats an unconfirmed cancellation; nil: not cancelling
+	result           pageSet           // pages received so far
+	report           core.Report       // for the core at the end of the attempt
 }
 
-// Owner returns the attempt of the stream.
+// Owner returns the stream's attempt.
 func (s *stream) Owner() *core.Attempt { return s.attempt }
 
-// settling reports whether the attempt was cancelled, and is not over before its engine says so.
-func (s *stream) settling() bool { return s.settleTimer != nil }
+// cancelling reports whether the attempt was cancelled and its engine has not confirmed that yet.
+func (s *stream) cancelling() bool { return s.cancelRetryTimer != nil }
 
-// writeRequest writes the request once the engine has read all before it. Guards against what waits here for an engine
-// that does not read: it could not be taken back, and would start there long after its client left.
+// writeRequest writes the request once the socket has accepted everything before it. A request that is
+// queued in the connection for an engine that does not read could not be withdrawn, and would start
+// there long after its client has left.
 func (s *stream) writeRequest() {
 	c := s.connection
 	if c.socket == nil {
-		return // the end of the connection is about to end the stream
+		return // disconnected is about to end the stream
 	}
 	if c.socket.Pending() > 0 {
 		c.socket.WhenWritten(c.writeRequests)
@@ -43,7 +44,7 @@
 		return
 	}
 	s.written = c.socket.Write(s.request().encode())
-	if !s.written { // the connection has ended: the statement has never run
+	if !s.written { // the connection has closed, so the statement has never run
 		c.finish(s, core.OutcomeNotSent)
 	}
 }
@@ -64,7 +65,7 @@
 	}
 }
 
-// finish takes the stream off the connection and ends its attempt.
+// finish removes the stream from the connection and ends its attempt.
 func (c *connection) finish(s *stream, outcome core.Outcome) {
 	delete(c.streams, s.attempt.Request.ID)
 	c.lastUsed = c.backend.core.Now()
--- a/internal/frontend/httpapi/arrivals.go
+++ b/internal/frontend/httpapi/arrivals.go
@@ -2,41 +2,46 @@
 
 import "time"
 
-// arrivals record when the bytes of a connection came that are not consumed yet.
+// arrivals records when the unconsumed bytes of a connection were received, oldest first. The time
+// that a client waits for a request counts from the arrival of the request's last byte.
 type arrivals []arrival
 
+// arrival is one read of a connection.
 type arrival struct {
-	upTo int64 // offset in the stream, behind the last byte
-	at   time.Duration
+	endOffset  int64         // stream offset just past the last byte of the read
+	receivedAt time.Duration // time of the loop's clock
 }
 
-// maxArrivals bounds what is kept of a client that writes in many pieces.
+// maxArrivals bounds the records that are kept for a client that writes in many small pieces.
 const maxArrivals = 32
 
-// record takes note that all bytes up to an offset have come by now.
-func (a *arrivals) record(upTo int64, now time.Duration) {
+// record notes that all bytes before endOffset have been received by now.
+func (a *arrivals) record(endOffset int64, now time.Duration) {
 	n := len(*a)
 	switch {
-	case n > 0 && (*a)[n-1].upTo >= upTo: // nothing new
-	case n == maxArrivals: // as if the latest had come with those before it: no request's time is stretched
-		(*a)[n-1].upTo = upTo
+	case n > 0 && (*a)[n-1].endOffset >= endOffset: // no new bytes
+	case n == maxArrivals:
+		// The new bytes count as received with the previous ones. An earlier time never extends
+		// the time that a request has.
+		(*a)[n-1].endOffset = endOffset
 	default:
-		*a = append(*a, arrival{upTo, now})
+		*a = append(*a, arrival{endOffset, now})
 	}
 }
 
-// timeOf is when the byte before an offset came, which is consumed now with all bytes before it.
-func (a *arrivals) timeOf(offset int64) (at time.Duration) {
+// consumeTo drops the records of all bytes before offset and returns when the last of these bytes
+// was received.
+func (a *arrivals) consumeTo(offset int64) (receivedAt time.Duration) {
 	for len(*a) > 0 {
 		first := (*a)[0]
-		at = first.at
-		if first.upTo > offset {
-			return at
+		receivedAt = first.receivedAt
+		if first.endOffset > offset {
+			return receivedAt
 		}
 		*a = (*a)[1:]
-		if first.upTo == offset {
-			return at
+		if first.endOffset == offset {
+			return receivedAt
 		}
 	}
-	return at
+	return receivedAt
 }
--- a/internal/frontend/httpapi/arrivals_test.go
+++ b/internal/frontend/httpapi/arrivals_test.go
@@ -27,7 +27,7 @@
 				continue
 			}
 			taken = rapid.IntRange(taken+1, len(came)).Draw(t, "up to")
-			at := a.timeOf(int64(taken))
+			at := a.consumeTo(int64(taken))
 			if want := came[taken-1]; at > want || at != want && pieces <= maxArrivals || at < last {
 				t.Fatalf("byte %d came at %v, reported as %v after %v", taken, want, at, last)
 			}
--- a/internal/frontend/httpapi/connection.go
+++ b/internal/frontend/httpapi/connection.go
@@ -16,35 +16,36 @@
 
 // conn is one client connection.
 type conn struct {
-	front  *Frontend
-	socket *netio.Conn
+	frontend *Frontend
+	socket   *netio.Conn
 
-	request  *core.Request // accepted and not answered
-	orphan   *core.Orphan  // of the request that comes first, where a process that died had it
-	arrivals arrivals      // of what is in its buffer
+	request  *core.Request // accepted and not answered yet; nil: none
+	orphan   *core.Orphan  // state of the first request if a process that died had received it; nil: none
+	arrivals arrivals      // receive times of the bytes in the buffer
 
-	requestTimer *timerqueue.Entry // ends a connection whose request is not complete in time
-	lastActivity time.Duration     // when a part of a request came, or its latest response went
+	requestTimer *timerqueue.Entry // closes the connection if its request is not complete in time; nil: not running
+	lastActivity time.Duration     // when a part of a request was last received or a response was sent
 
-	partialRequest  bool // a request has come in part
-	served          bool // it has made a valid request
-	pipelined       bool // bytes have come behind its latest request
-	nextPagePending bool // its latest response named a further page
+	partialRequest  bool // the buffer holds an incomplete request
+	served          bool // the client has made a valid request
+	pipelined       bool // the buffer holds bytes that follow the latest request
+	nextPagePending bool // the latest response named a further page
 
-	closeAfterResponse bool
-	ended              bool // nothing more is read
+	closeAfterResponse bool // the next response is the last one on this connection
+	ended              bool // closing: nothing more is read or answered
 }
 
-// Data reads requests until one waits for its answer.
+// Data handles the requests in the buffer until one of them waits for its answer.
 func (c *conn) Data(_ *netio.Conn, in *netio.Buffer) {
-	c.arrivals.record(in.Taken()+int64(in.Len()), c.front.core.Now())
+	c.arrivals.record(in.Taken()+int64(in.Len()), c.frontend.core.Now())
 	if c.readRequests(in) {
-		c.noteRest(in)
+		c.handleRemainder(in)
 	}
 }
 
-// readRequests handles requests of the buffer until one is open, and reports false where it is to
-// be read no further for now.
+// readRequests handles requests from the buffer until one is waiting for its answer. It returns false if
+// the rest of the buffer must not be examined now: the client does not read its responses, or a request
+// was invalid.
 func (c *conn) readRequests(in *netio.Buffer) bool {
 	for c.request == nil && !c.ended {
 		if c.socket.Pending() > maxUnsentBytes {
@@ -53,7 +54,7 @@
 		}
 		req, size, err := http1.ParseRequest(in.Bytes())
 		if err == nil && size > 0 && size < in.Len() && !http1.StartsRequest(in.Bytes()[size:]) {
-			err = wrongLength()
+			err = contentLengthError()
 		}
 		if err != nil {
 			c.reject(err)
@@ -66,24 +67,24 @@
 		c.requestTimer = nil
 		c.closeAfterResponse = req.Close
 		c.nextPagePending = false
-		c.lastActivity = c.front.loop.Now()
-		in.Consume(size) // first, for an answer may be given at once; the request's bytes stay where they are
+		c.lastActivity = c.frontend.loop.Now()
+		in.Consume(size) // before handle, which may answer at once; req.Body stays valid
 		c.pipelined = in.Len() > 0
-		c.handle(req, c.arrivals.timeOf(in.Taken()))
+		c.handle(req, c.arrivals.consumeTo(in.Taken()))
 	}
 	return true
 }
 
-// noteRest takes note of what is left in the buffer: a part of a request, or what comes behind the
-// open one.
-func (c *conn) noteRest(in *netio.Buffer) {
+// handleRemainder examines what is left in the buffer: the beginning of a request, or bytes that
+// follow the request that is waiting for its answer.
+func (c *conn) handleRemainder(in *netio.Buffer) {
 	c.orphan = nil
 	c.pipelined = in.Len() > 0
 	c.partialRequest = c.request == nil && c.pipelined
 	if c.partialRequest {
-		c.lastActivity = c.front.loop.Now()
+		c.lastActivity = c.frontend.loop.Now()
 	}
-	if c.request == nil { // the last byte of what is left is yet to come, and its time alone counts
+	if c.request == nil { // only the time of a request's last byte counts, and that byte has not arrived
 		c.arrivals = c.arrivals[:0]
 	}
 	switch {
@@ -91,43 +92,44 @@
 		in.Consume(in.Len())
 	case c.request != nil && in.Len() > 0 && !http1.StartsRequest(in.Bytes()):
 		c.abandonRequest()
-		c.reject(wrongLength())
+		c.reject(contentLengthError())
 	case c.request == nil && c.requestTimer == nil && (in.Len() > 0 || !c.served):
 		c.startRequestTimer()
 	}
 	c.socket.LimitReadAhead(c.request != nil)
 }
 
-// Closed notifies the core that the client has stopped waiting.
+// Closed handles the end of the connection: it cancels the request that is waiting for its answer.
 func (c *conn) Closed(_ *netio.Conn, _ error) {
-	c.forget()
+	c.unregister()
 	c.abandonRequest()
 }
 
-// forget removes a connection that this process has no more.
-func (c *conn) forget() {
+// unregister removes a connection that has closed or moved to another process.
+func (c *conn) unregister() {
 	c.ended = true
 	c.requestTimer.Stop()
-	delete(c.front.connections, c)
+	delete(c.frontend.connections, c)
 }
 
-// end closes the connection once what was written has been sent. Nothing that comes is read any more.
+// end closes the connection once all written bytes have been sent. Further input is discarded.
 func (c *conn) end() {
 	c.ended = true
 	c.requestTimer.Stop()
 	c.socket.Close()
 }
 
-// Disconnected tells whether the client has disconnected, which Closed may be yet to report.
+// Disconnected reports whether the client has disconnected, possibly before Closed is called.
 func (c *conn) Disconnected() bool { return c.socket.Disconnected() }
 
-// abandonRequest cancels an open request, as its client waits no more.
+// abandonRequest cancels the request that is waiting for its answer, if any, because its client no
+// longer waits for it.
 func (c *conn) abandonRequest() {
 	r := c.request
 	if r == nil {
 		return
 	}
 	c.request = nil
-	delete(c.front.openRequests, r.ID)
-	c.front.core.ClientDisconnected(r)
+	delete(c.frontend.openRequests, r.ID)
+	c.frontend.core.ClientDisconnected(r)
 }
--- a/internal/frontend/httpapi/frontend.go
+++ b/internal/frontend/httpapi/frontend.go
@@ -1,5 +1,5 @@
-// Package httpapi is the platform's frontend: HTTP/1.1 requests of clients, one at a time on a
-// connection.
+// Package httpapi is the platform's frontend. Clients send statements in HTTP/1.1 requests; a
+// connection handles one request at a time.
 package httpapi
 
 import (
@@ -15,19 +15,25 @@
 )
 
 const (
-	defaultMaxClients   = 512
-	defaultMaxHeldBytes = 16 << 20
+	defaultMaxClients   = 512      // connections
+	defaultMaxHeldBytes = 16 << 20 // bytes
 )
 
-// Options bound what clients may take.
+// Options configures a Frontend. Limits of zero or less select the defaults.
 type Options struct {
-	MaxClients     int                 // connections at once; past that the longest idle ones are closed
-	MaxHeldBytes   int                 // of results that wait to be fetched
-	Shapes         *queryshape.Service // estimates by the shapes of statements; nil: off
-	RequestTimeout time.Duration       // a connection's first request, and any that has begun, must be complete
+	// MaxClients is the maximum number of connections. Above it, connections that are not in use
+	// are evicted.
+	MaxClients int
+	// MaxHeldBytes is the maximum size in bytes of all results that are held for clients to fetch.
+	MaxHeldBytes int
+	// Shapes estimates statements by their query shape. Nil disables these estimates.
+	Shapes *queryshape.Service
+	// RequestTimeout is the time in which a new connection must complete its first request, and
+	// any connection a request that it has begun.
+	RequestTimeout time.Duration
 }
 
-// Frontend accepts clients.
+// Frontend accepts client connections and passes their requests to the core.
 type Frontend struct {
 	loop     *netio.Loop
 	core     *core.Core
@@ -36,28 +42,28 @@
 	listener *netio.Listener
 
 	connections     map[*conn]struct{}
-	openRequests    map[string]*conn // by request id
+	openRequests    map[string]*conn // connections with an unanswered request, by request ID
 	results         resultStore
-	evictionPending bool // a timer calls evictExcess again
+	evictionPending bool // a timer is set that calls evictExcess again
 
 	shutdown shutdownState
 	hooks    hooks
 }
 
-// shutdownState is how far this process has retired from its clients.
+// shutdownState records which steps of a shutdown or a handover to another process are in effect.
 type shutdownState struct {
-	draining           bool
-	closeAfterResponse bool // each connection ends behind its next response
-	unpaged            bool // each result goes in one response
+	draining           bool // connections are closed as soon as nothing is in progress on them
+	closeAfterResponse bool // each connection is closed after its next response
+	unpaged            bool // each result is sent whole in one response
 }
 
-// hooks are callbacks for the transfer of connections to another process; each may be nil.
+// hooks are callbacks for the handover of connections to another process; each may be nil.
 type hooks struct {
-	onAccept       func(*netio.Conn)
-	onSharedChange func([]byte)
+	onAccept       func(*netio.Conn) // see OnAccept
+	onSharedChange func([]byte)      // see OnSharedChange
 }
 
-// New returns a frontend that gives its requests to the core.
+// New returns a frontend that passes its requests to the core.
 func New(loop *netio.Loop, c *core.Core, options Options, counters *metrics.Counters) *Frontend {
 	if options.MaxClients <= 0 {
 		options.MaxClients = defaultMaxClients
@@ -75,7 +81,7 @@
 	}
 }
 
-// Listen accepts at the address.
+// Listen opens a listener on the address and accepts connections from it.
 func (f *Frontend) Listen(addr string) error {
 	ln, err := netio.Listen(addr)
 	if err != nil {
@@ -85,25 +91,25 @@
 	return nil
 }
 
-// ListenOn accepts from a listener, which another process may have opened.
+// ListenOn accepts connections from a listener, which another process may have opened.
 func (f *Frontend) ListenOn(ln *netio.Listener) {
 	f.listener = ln
 	f.loop.Serve(ln, http1.MaxRequestSize, f.options.MaxClients+spareConnections, f.accept)
 	f.closeIdle()
 }
 
-// Listener is the listener that it accepts from.
+// Listener returns the listener set by Listen or ListenOn.
 func (f *Frontend) Listener() *netio.Listener { return f.listener }
 
-// Addr is the address where clients connect.
+// Addr returns the address on which clients connect.
 func (f *Frontend) Addr() string { return f.listener.Addr().String() }
 
-// CloseListener accepts no more connections; those that are open go on.
+// CloseListener stops accepting connections. Open connections are not affected.
 func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
 func (f *Frontend) accept(socket *netio.Conn) netio.Handler {
 	f.counters.Add("rest.connections")
-	c := &conn{front: f, socket: socket, lastActivity: f.loop.Now()}
+	c := &conn{frontend: f, socket: socket, lastActivity: f.loop.Now()}
 	f.add(c)
 	c.startRequestTimer()
 	if f.hooks.onAccept != nil {
@@ -112,7 +118,7 @@
 	return c
 }
 
-// add registers a connection and closes others for it where there are too many.
+// add registers a connection and evicts others if there are more than MaxClients.
 func (f *Frontend) add(c *conn) {
 	f.connections[c] = struct{}{}
 	if len(f.connections) > f.options.MaxClients {
@@ -120,16 +126,16 @@
 	}
 }
 
-// CloseAfterResponse ends each connection behind its next response, and tells its client so:
-// another process accepts the next one.
+// CloseAfterResponse closes each connection after its next response, which carries "Connection:
+// close". The client then reconnects to another process that accepts on the same address.
 func (f *Frontend) CloseAfterResponse() { f.shutdown.closeAfterResponse = true }
 
-// SetUnpaged sets whether each result goes in one response, whatever its size: the request for a
-// further page may come to another process on a new connection.
+// SetUnpaged sets whether each result is sent whole in one response, whatever its size. This is
+// needed while the request for a further page may reach another process on a new connection.
 func (f *Frontend) SetUnpaged(on bool) { f.shutdown.unpaged = on }
 
-// Drain ends each connection as soon as nothing is open on it: a request that has begun to come is
-// still waited for, and those that a client has pipelined are answered.
+// Drain closes each connection as soon as nothing is in progress on it. A partly received request
+// is still awaited, pipelined requests are answered, and further pages of a result can be fetched.
 func (f *Frontend) Drain() {
 	f.shutdown.draining = true
 	for c := range f.connections {
@@ -139,5 +145,5 @@
 	}
 }
 
-// Idle tells whether all clients have had all of their responses.
+// Idle reports whether no connection is open and the last page of every held result was sent.
 func (f *Frontend) Idle() bool { return f.results.allFetched() && len(f.connections) == 0 }
--- a/internal/frontend/httpapi/handover.go
+++ b/internal/frontend/httpapi/handover.go
@@ -12,65 +12,70 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// connectionState is what another process needs to go on with a connection between two requests.
+// connectionState is the encoded state of a connection without an unanswered request, from which
+// another process continues it.
 type connectionState struct {
-	Served          bool `cbor:"1,keyasint,omitempty"`
+	// Served is set if the client has made a valid request.
+	Served bool `cbor:"1,keyasint,omitempty"`
+	// NextPagePending is set if the latest response named a further page.
 	NextPagePending bool `cbor:"2,keyasint,omitempty"`
 }
 
-// resultState is what another process needs to go on with a result that its client has not fetched
-// whole, on whichever connection the client asks for the next page.
+// resultState is the encoded form of a held result. The process that receives it serves the
+// further pages on any connection on which the client requests them.
 type resultState struct {
-	Path  string           `cbor:"1,keyasint"`
-	Pages []lineproto.Rows `cbor:"2,keyasint"`
-	Until time.Duration    `cbor:"3,keyasint"`
+	Path      string           `cbor:"1,keyasint"` // path of the result without a page number
+	Pages     []lineproto.Rows `cbor:"2,keyasint"` // all pages, the first included
+	HeldUntil time.Duration    `cbor:"3,keyasint"` // time of the loop's clock at which the result is dropped
 }
 
-// holdAfterTransfer is how long a result that another process held is kept: no client waits longer.
+// holdAfterTransfer is how long a result taken over from another process is held. No client waits longer.
 const holdAfterTransfer = time.Minute
 
-// Name distinguishes this frontend from others.
+// Name returns the name that distinguishes this frontend from others in a handover.
 func (f *Frontend) Name() string { return "rest" }
 
-// ReadLimit bounds what is read of a connection and not consumed, in bytes.
+// ReadLimit returns the maximum number of bytes that are buffered of a connection and not consumed.
 func (f *Frontend) ReadLimit() int { return http1.MaxRequestSize }
 
-// OnAccept sets the callback for each connection that is accepted, once its handler is there.
+// OnAccept sets the callback for each accepted connection; it is called once the connection is
+// registered. Nil removes the callback.
 func (f *Frontend) OnAccept(fn func(*netio.Conn)) { f.hooks.onAccept = fn }
 
-// OnSharedChange sets the callback for what all connections share, as ApplySharedState takes it. It
-// is called before any response that relies on it; nil: there is none.
+// OnSharedChange sets the callback for changes of the state that connections share, encoded for
+// ApplySharedState. It is called before any response that depends on the change. Nil removes it.
 func (f *Frontend) OnSharedChange(fn func([]byte)) { f.hooks.onSharedChange = fn }
 
-// OnUnknownCall sets nothing: there are no requests that only another process could answer.
+// OnUnknownCall does nothing: this frontend has no requests that only another process can answer.
 func (f *Frontend) OnUnknownCall(func([]byte)) {}
 
-// HandleForwardedCall ignores its argument, as OnUnknownCall does.
+// HandleForwardedCall does nothing: no process forwards requests of this frontend.
 func (f *Frontend) HandleForwardedCall([]byte) {}
 
-// publishResults reports results that are held from now on.
+// publishResults reports newly held results to the OnSharedChange callback.
 func (f *Frontend) publishResults(results ...resultState) {
 	if f.hooks.onSharedChange == nil || len(results) == 0 {
 		return
 	}
 	encoded, err := cbor.Marshal(results)
-	if err == nil { // always, for these types
+	if err == nil { // marshalling these types never fails
 		f.hooks.onSharedChange(encoded)
 	}
 }
 
-// SharedState is what all connections share: the results that wait to be fetched.
+// SharedState encodes the state that connections share: the results held for clients to fetch.
 func (f *Frontend) SharedState() []byte {
 	var results []resultState
 	until := f.loop.Now() + holdAfterTransfer
 	for path, result := range f.results.byPath {
-		results = append(results, resultState{Path: path, Pages: result.pages, Until: until})
+		results = append(results, resultState{Path: path, Pages: result.pages, HeldUntil: until})
 	}
 	encoded, _ := cbor.Marshal(results) // never fails for these types
 	return encoded
 }
 
-// ApplySharedState takes over what the connections of another process share.
+// ApplySharedState adds the results that another process encoded with SharedState or reported
+// through OnSharedChange.
 func (f *Frontend) ApplySharedState(encoded []byte) error {
 	var results []resultState
 	if err := cbor.Unmarshal(encoded, &results); err != nil {
@@ -78,14 +83,14 @@
 	}
 	for _, result := range results {
 		if len(result.Pages) > 0 {
-			f.hold(result)
+			f.holdResult(result)
 		}
 	}
 	return nil
 }
 
-// RestoreConnection returns a function that makes the handler of a connection of another process,
-// from its EncodeState.
+// RestoreConnection decodes the EncodeState of another process's connection. It returns a function
+// that registers the connection in this process and returns its handler.
 func (f *Frontend) RestoreConnection(encoded []byte) (func(*netio.Conn) netio.Handler, error) {
 	var state connectionState
 	if err := cbor.Unmarshal(encoded, &state); err != nil {
@@ -93,7 +98,7 @@
 	}
 	return func(socket *netio.Conn) netio.Handler {
 		c := &conn{
-			front: f, socket: socket, lastActivity: f.loop.Now(),
+			frontend: f, socket: socket, lastActivity: f.loop.Now(),
 			served: state.Served, nextPagePending: state.NextPagePending,
 		}
 		f.add(c)
@@ -104,21 +109,22 @@
 	}, nil
 }
 
-// Idle tells whether the connection is between two requests.
+// Idle reports whether the connection has no unanswered request.
 func (c *conn) Idle() bool { return c.request == nil }
 
-// Closing tells whether the connection is about to end.
+// Closing reports whether the connection is closing or will close after its next response.
 func (c *conn) Closing() bool { return c.closeAfterResponse || c.ended }
 
-// EncodeState is what another process needs to go on with an idle connection.
+// EncodeState encodes the state from which another process continues an idle connection.
 func (c *conn) EncodeState() []byte {
 	state := connectionState{Served: c.served, NextPagePending: c.nextPagePending}
 	encoded, _ := cbor.Marshal(state) // never fails for this type
 	return encoded
 }
 
-// Transferred notifies that the connection goes on in another process.
-func (c *conn) Transferred() { c.forget() }
+// Transferred unregisters a connection that another process has taken over.
+func (c *conn) Transferred() { c.unregister() }
 
-// RecoverRequest notifies that the request which comes first was another process's, which died.
+// RecoverRequest stores what is known about the first request of the connection, which a process
+// that died had received.
 func (c *conn) RecoverRequest(orphan core.Orphan) { c.orphan = &orphan }
--- a/internal/frontend/httpapi/handover_test.go
+++ b/internal/frontend/httpapi/handover_test.go
@@ -69,13 +69,13 @@
 		<-done
 	}
 	held := func(path string) resultState {
-		return resultState{Path: path, Until: source.loop.Now() + time.Minute,
+		return resultState{Path: path, HeldUntil: source.loop.Now() + time.Minute,
 			Pages: []lineproto.Rows{{[]byte("a\tb\tc\n")}, {[]byte("d\te\tf\n")}, {[]byte("g\th\ti\n")}}}
 	}
 	var before, later []byte
 	do(source, func() {
 		source.OnSharedChange(func(b []byte) { later = b })
-		source.hold(held("/more/x-1"))
+		source.holdResult(held("/more/x-1"))
 		before = source.SharedState()
 		source.publishResults(held("/more/x-2"))
 	})
--- a/internal/frontend/httpapi/limits.go
+++ b/internal/frontend/httpapi/limits.go
@@ -3,35 +3,38 @@
 import "time"
 
 const (
-	// defaultRequestTimeout lets clients that take 2 s to write a request through, and notifies
-	// those that never end one within the 3 s that they are owed.
+	// defaultRequestTimeout is longer than the 2 s that some clients take to write a request, and
+	// shorter than the 3 s within which a client that never completes one must get an error.
 	defaultRequestTimeout = 2600 * time.Millisecond
-	// minStall is how long a request that has begun may stand still before its connection may be
-	// evicted. Guards against closing clients that write slowly: their pieces come a few times a
-	// second, while those that stop half way bring nothing more.
-	minStall = 500 * time.Millisecond
-	// idleTimeout is how long a connection is kept after its last request; clients close theirs
-	// sooner.
+	// minStallBeforeEviction is how long a partly received request must make no progress before
+	// its connection may be evicted. Clients that write slowly send a piece several times a second
+	// and must not be evicted; clients that stopped send nothing more.
+	minStallBeforeEviction = 500 * time.Millisecond
+	// idleTimeout is how long a connection is kept open after its last activity. Clients normally
+	// close idle connections earlier.
 	idleTimeout = 30 * time.Second
-	// minIdle is how long a connection is idle before it may be evicted: the client's next
-	// request could cross the close.
-	minIdle = 100 * time.Millisecond
-	// minSilence is how long a new connection has for its first bytes before it may be evicted.
-	minSilence = 20 * time.Millisecond
-	// maxUnsentBytes is how much may wait to be sent before no more requests are read.
-	// Guards against a client that writes requests and does not read.
+	// minIdleBeforeEviction is how long a connection must be idle after a response before it may
+	// be evicted: the client's next request may already be on its way.
+	minIdleBeforeEviction = 100 * time.Millisecond
+	// minSilenceBeforeEviction is how long any connection must be inactive before it may be
+	// evicted; it gives a new connection time to send its first bytes.
+	minSilenceBeforeEviction = 20 * time.Millisecond
+	// maxUnsentBytes is the size of unsent responses above which no more requests are read, in
+	// bytes. It bounds the memory taken by a client that sends requests and does not read responses.
 	maxUnsentBytes = 256 << 10
-	// spareConnections is how many may be accepted past the limit while others are evicted.
+	// spareConnections is how many connections may be accepted above MaxClients while others are
+	// being evicted.
 	spareConnections = 16
 )
 
-// LimitClients bounds how many may be connected at once from now on.
+// LimitClients sets the maximum number of connections, at least 1, and evicts connections above it.
 func (f *Frontend) LimitClients(maxClients int) {
 	f.options.MaxClients = max(maxClients, 1)
 	f.evictExcess()
 }
 
-// closeIdle closes connections past idleTimeout, now and from time to time.
+// closeIdle closes connections that were idle for longer than idleTimeout, and schedules the next
+// such check.
 func (f *Frontend) closeIdle() {
 	now := f.loop.Now()
 	for c := range f.connections {
@@ -43,12 +46,12 @@
 	f.loop.Timers.Add(now+idleTimeout/4, f.closeIdle)
 }
 
-// evictExcess closes connections while there are too many. Guards against clients that connect by
-// the hundred, or make one request and stay: the others would find no descriptor left.
+// evictExcess closes connections while there are more than MaxClients. Without it, clients that open
+// hundreds of connections, or stay connected after one request, would use up the file descriptors.
 func (f *Frontend) evictExcess() {
 	for {
-		open, candidate := f.evictionCandidate()
-		if open <= f.options.MaxClients {
+		openCount, candidate := f.evictionCandidate()
+		if openCount <= f.options.MaxClients {
 			return
 		}
 		if candidate == nil {
@@ -60,57 +63,57 @@
 	}
 }
 
-// evictionCandidate is the connection to close first, or nil where each is in use, with the number
-// of connections that have not ended.
-func (f *Frontend) evictionCandidate() (open int, candidate *conn) {
+// evictionCandidate returns the number of connections that are not closing, and the one to evict
+// first, or nil if all are in use. It aborts the connections that are closing already.
+func (f *Frontend) evictionCandidate() (openCount int, candidate *conn) {
 	now := f.loop.Now()
 	for c := range f.connections {
-		if c.ended { // it only waits for its client to read the last response
+		if c.ended { // only waiting for its client to read the last response
 			c.socket.Abort()
 			continue
 		}
-		open++
+		openCount++
 		if !c.inUse(now) && (candidate == nil || c.evictedBefore(candidate)) {
 			candidate = c
 		}
 	}
-	return open, candidate
+	return openCount, candidate
 }
 
-// retryEviction calls evictExcess again a little later: at the limit no connection is accepted, so
-// nothing else would call it.
+// retryEviction schedules another evictExcess. While no connection is accepted because the limit is
+// reached, nothing else would call it.
 func (f *Frontend) retryEviction() {
 	if f.evictionPending {
 		return
 	}
 	f.evictionPending = true
-	f.loop.Timers.Add(f.loop.Now()+minSilence, func() {
+	f.loop.Timers.Add(f.loop.Now()+minSilenceBeforeEviction, func() {
 		f.evictionPending = false
 		f.evictExcess()
 	})
 }
 
-// inUse tells whether a client would notice, or its request be lost, if its connection were
-// evicted.
+// inUse reports whether evicting the connection could lose a request or interrupt its client.
 func (c *conn) inUse(now time.Duration) bool {
-	quiet := now - c.lastActivity
+	inactive := now - c.lastActivity
 	switch {
-	case c.request != nil || c.nextPagePending || quiet < minSilence:
+	case c.request != nil || c.nextPagePending || inactive < minSilenceBeforeEviction:
 		return true
-	case c.partialRequest && quiet < minStall:
+	case c.partialRequest && inactive < minStallBeforeEviction:
 		return true
 	}
-	return c.served && quiet < minIdle
+	return c.served && inactive < minIdleBeforeEviction
 }
 
-// evictedBefore orders connections for eviction by rank, and by their last activity within one.
+// evictedBefore reports whether c is to be evicted before other: the lower rank goes first, and
+// within a rank the connection that has been inactive for longer.
 func (c *conn) evictedBefore(other *conn) bool {
 	rank, otherRank := c.evictionRank(), other.evictionRank()
 	return rank < otherRank || rank == otherRank && c.lastActivity < other.lastActivity
 }
 
-// evictionRank is 0 for a connection that has brought nothing yet, 1 for one that stopped in the
-// middle of a request and 2 for one that was served before.
+// evictionRank returns 0 for a connection that has sent nothing yet, 1 for one that stopped in the
+// middle of a request, and 2 for an idle one whose client has made a valid request.
 func (c *conn) evictionRank() int {
 	switch {
 	case c.partialRequest:
@@ -121,21 +124,22 @@
 	return 0
 }
 
-// startRequestTimer has the connection closed unless a request is complete in time. Guards against
-// clients that connect and stay silent, or stop in the middle of a request.
+// startRequestTimer closes the connection unless a request is complete within RequestTimeout. It
+// bounds the time of clients that connect and send nothing, or stop in the middle of a request.
 func (c *conn) startRequestTimer() {
-	f := c.front
-	c.requestTimer = f.loop.Timers.Add(f.loop.Now()+f.options.RequestTimeout, c.timeOutRequest)
+	f := c.frontend
+	c.requestTimer = f.loop.Timers.Add(f.loop.Now()+f.options.RequestTimeout, c.handleRequestTimeout)
 }
 
-func (c *conn) timeOutRequest() {
+// handleRequestTimeout closes the connection, with an error response if a part of a request was received.
+func (c *conn) handleRequestTimeout() {
 	if c.ended {
 		return
 	}
-	c.front.counters.Add("rest.too-slow")
+	c.frontend.counters.Add("rest.too-slow")
 	if c.socket.Unread() == 0 {
 		c.end()
 		return
 	}
-	c.reject(requestTimedOut())
+	c.reject(requestTimeoutError())
 }
--- a/internal/frontend/httpapi/paging.go
+++ b/internal/frontend/httpapi/paging.go
@@ -12,39 +12,42 @@
 )
 
 const (
-	// resultPrefix begins the path of a held result: resultPrefix, its name and a page's number.
+	// resultPrefix is the prefix of all page paths: /more/INSTANCE-NUMBER/PAGE. INSTANCE-NUMBER
+	// names the result; /more/INSTANCE-NUMBER is called the path of the result.
 	resultPrefix = "/more/"
-	maxPageBytes = 64 << 10 // rows of about this size go into one response
-	// holdAfterDeadline is how long a result is held past its request's deadline.
+	// maxPageBytes is the size in bytes of the rows that one response holds. An engine's page that
+	// is larger by itself is sent whole.
+	maxPageBytes = 64 << 10
+	// holdAfterDeadline is how long a result is held after its request's deadline.
 	holdAfterDeadline = time.Second
 )
 
-// resultStore holds results of several pages that clients have not fetched whole.
+// resultStore holds the results whose further pages clients can fetch.
 type resultStore struct {
-	instance string // distinguishes paths of this process from those of others
-	last     uint64 // number of the latest path
-	byPath   map[string]*heldResult
-	bytes    int
+	instanceID string                 // distinguishes the paths of this process from those of others
+	lastNumber uint64                 // number in the latest path
+	byPath     map[string]*heldResult // by path of the result
+	bytes      int                    // size of all held results
 }
 
 // heldResult is a result of more than one page.
 type heldResult struct {
-	pages        []lineproto.Rows
-	size         int // bytes
-	lastPageSent bool
+	pages        []lineproto.Rows // all pages, the first included
+	size         int              // bytes of all pages
+	lastPageSent bool             // the last page was sent at least once
 }
 
-func newResultStore(instance string) resultStore {
-	return resultStore{instance: instance, byPath: map[string]*heldResult{}}
+func newResultStore(instanceID string) resultStore {
+	return resultStore{instanceID: instanceID, byPath: map[string]*heldResult{}}
 }
 
-// newPath is a path that no other result has.
+// newPath returns a result path that was not used before.
 func (s *resultStore) newPath() string {
-	s.last++
-	return fmt.Sprintf("%s%s-%d", resultPrefix, s.instance, s.last)
+	s.lastNumber++
+	return fmt.Sprintf("%s%s-%d", resultPrefix, s.instanceID, s.lastNumber)
 }
 
-// add holds a result, and reports false where its path is held already.
+// add stores a result. It returns false if the path is in use already.
 func (s *resultStore) add(path string, pages []lineproto.Rows) bool {
 	if s.byPath[path] != nil {
 		return false
@@ -58,7 +61,7 @@
 	return true
 }
 
-// release drops a result, and reports whether it was held.
+// release drops a result and reports whether it was held.
 func (s *resultStore) release(path string) bool {
 	result := s.byPath[path]
 	if result == nil {
@@ -69,8 +72,8 @@
 	return true
 }
 
-// page finds one page by its path, the first of them being number 0, and the path of the next: ""
-// behind the last.
+// page returns the rows of a page by its path, and the path of the next page, which is "" after the
+// last one. Pages are numbered from 0; page 0 is sent with the result and cannot be fetched.
 func (s *resultStore) page(path string) (rows lineproto.Rows, next string, ok bool) {
 	resultPath, number := splitPagePath(path)
 	result := s.byPath[resultPath]
@@ -86,7 +89,7 @@
 	return result.pages[n], next, true
 }
 
-// allFetched tells whether the last page of each result was sent at least once.
+// allFetched reports whether the last page of each held result was sent at least once.
 func (s *resultStore) allFetched() bool {
 	for _, result := range s.byPath {
 		if !result.lastPageSent {
@@ -103,49 +106,51 @@
 	return path[:slash], path[slash+1:]
 }
 
-// paginate cuts rows into pages of about maxPageBytes.
+// paginate groups the engine's pages into response pages of at most maxPageBytes each, unless one
+// engine page alone is larger.
 func paginate(rows lineproto.Rows) (pages []lineproto.Rows) {
 	size := 0
-	for _, chunk := range rows {
-		if len(pages) == 0 || size+len(chunk) > maxPageBytes {
+	for _, enginePage := range rows {
+		if len(pages) == 0 || size+len(enginePage) > maxPageBytes {
 			pages = append(pages, nil)
 			size = 0
 		}
 		last := len(pages) - 1
-		pages[last] = append(pages[last], chunk)
-		size += len(chunk)
+		pages[last] = append(pages[last], enginePage)
+		size += len(enginePage)
 	}
 	return pages
 }
 
-// sendRows sends the first page of a result and holds the others for the client to fetch. A small
-// result goes in one response, and so does one that there is no memory to hold.
+// sendRows sends the first page of a result and holds the result for the client to fetch the other
+// pages. A result of one page is sent whole, and so is one that must not be held: because it would
+// exceed MaxHeldBytes, or because of a shutdown or handover.
 func (c *conn) sendRows(r *core.Request, rows lineproto.Rows) {
-	f := c.front
+	f := c.frontend
 	pages := paginate(rows)
-	mayHold := f.results.bytes+rows.Size() <= f.options.MaxHeldBytes && !f.shutdown.draining && !f.shutdown.unpaged
-	if len(pages) < 2 || !mayHold {
+	canHold := f.results.bytes+rows.Size() <= f.options.MaxHeldBytes && !f.shutdown.draining && !f.shutdown.unpaged
+	if len(pages) < 2 || !canHold {
 		c.respond(http.StatusOK, 0, encodeRows(rows, ""))
 		return
 	}
-	result := resultState{Path: f.results.newPath(), Pages: pages, Until: r.Deadline + holdAfterDeadline}
-	f.hold(result)
+	result := resultState{Path: f.results.newPath(), Pages: pages, HeldUntil: r.Deadline + holdAfterDeadline}
+	f.holdResult(result)
 	f.publishResults(result)
 	c.nextPagePending = true
 	c.respond(http.StatusOK, 0, encodeRows(pages[0], pagePath(result.Path, 1)))
 }
 
-// hold holds a result until its time.
-func (f *Frontend) hold(result resultState) {
+// holdResult stores a result and drops it at its HeldUntil.
+func (f *Frontend) holdResult(result resultState) {
 	if f.results.add(result.Path, result.Pages) {
-		f.loop.Timers.Add(result.Until, func() { f.results.release(result.Path) })
+		f.loop.Timers.Add(result.HeldUntil, func() { f.results.release(result.Path) })
 	}
 }
 
-// sendPage sends a further page. Each is held until its time, also once it was sent: a client whose
-// connection broke makes its request again.
+// sendPage sends a further page of a result. The page stays held after that, as a client whose
+// connection broke requests it again.
 func (c *conn) sendPage(path string) {
-	rows, next, ok := c.front.results.page(path)
+	rows, next, ok := c.frontend.results.page(path)
 	if !ok {
 		c.respondNotFound()
 		return
@@ -154,10 +159,10 @@
 	c.respond(http.StatusOK, 0, encodeRows(rows, next))
 }
 
-// deleteResult releases a result that the client needs no further pages of.
+// deleteResult releases a result at the request of its client, which needs no further pages.
 func (c *conn) deleteResult(path string) {
 	resultPath, _ := splitPagePath(path)
-	if !c.front.results.release(resultPath) {
+	if !c.frontend.results.release(resultPath) {
 		c.respondNotFound()
 		return
 	}
--- a/internal/frontend/httpapi/replay_test.go
+++ b/internal/frontend/httpapi/replay_test.go
@@ -174,7 +174,7 @@
 	}
 	c.SetRemoteSites(&scriptedCore{core: c, loop: loop, seen: seen})
 	f = New(loop, c, opts, metrics.New())
-	f.results.instance = "t"
+	f.results.instanceID = "t"
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/httpapi/request.go
+++ b/internal/frontend/httpapi/request.go
@@ -18,26 +18,28 @@
 )
 
 const (
-	maxWait     = 10 * time.Minute
-	maxWork     = 24 * time.Hour // that a client may estimate
-	maxMemoryMB = 1e9            // that a client may estimate
+	maxWait              = 10 * time.Minute // upper limit of Req-Wait-Ms
+	maxEstimatedWork     = 24 * time.Hour   // upper limit of Req-Cost
+	maxEstimatedMemoryMB = 1e9              // upper limit of Req-Kb
 
 	requestIDLength = 16 // hex digits
-	maxTokenLength  = 64 // bytes of an idempotency or serial key
+	maxTokenLength  = 64 // bytes of an idempotency key or a serial key
 )
 
-func wrongLength() *http1.StatusError {
+// contentLengthError is the error for bytes after a request that cannot be the start of another one.
+func contentLengthError() *http1.StatusError {
 	return http1.BadRequest("what follows the call is no other: Content-Length is wrong")
 }
 
-func requestTimedOut() *http1.StatusError {
+// requestTimeoutError is the error for a request that was not complete within RequestTimeout.
+func requestTimeoutError() *http1.StatusError {
 	return http1.NewStatusError(http.StatusRequestTimeout, "the call was not whole in time")
 }
 
-// handle answers a request, or gives its statement to the core. receivedAt is when its last byte
-// came.
+// handle answers a request or passes its statement to the core. receivedAt is when the last byte of
+// the request was received.
 func (c *conn) handle(req http1.Request, receivedAt time.Duration) {
-	class, isStatement := strings.CutPrefix(req.Path, "/rpc/")
+	classPath, isStatement := strings.CutPrefix(req.Path, "/rpc/")
 	isResult := strings.HasPrefix(req.Path, resultPrefix)
 	var err *http1.StatusError
 	switch {
@@ -45,7 +47,7 @@
 		c.served = true
 		c.respondEmpty()
 	case isStatement && req.Method == http.MethodPost:
-		err = c.acceptStatement(class[strings.LastIndexByte(class, '/')+1:], req, receivedAt)
+		err = c.acceptStatement(classPath[strings.LastIndexByte(classPath, '/')+1:], req, receivedAt)
 	case isStatement:
 		err = http1.NewStatusError(http.StatusMethodNotAllowed, "statements come by POST")
 	case isResult && req.Method == http.MethodGet:
@@ -62,10 +64,11 @@
 	}
 }
 
-// acceptStatement gives a statement to the core, or returns what is wrong with the request. Its
-// wait runs from receivedAt: a request that a client pipelined waits here, and its time runs.
+// acceptStatement passes a statement to the core, or returns why the request is invalid. The
+// request's deadline counts from receivedAt: a pipelined request spends a part of its time in the
+// connection's buffer.
 func (c *conn) acceptStatement(className string, req http1.Request, receivedAt time.Duration) *http1.StatusError {
-	f := c.front
+	f := c.frontend
 	if c.orphan != nil && c.orphan.ReceivedAt > 0 {
 		receivedAt = c.orphan.ReceivedAt
 	}
@@ -74,10 +77,10 @@
 		return http1.NewStatusError(http.StatusNotFound, "no such class")
 	}
 	id := req.Header["req-id"]
-	if err := f.claimID(id); err != nil {
+	if err := f.checkRequestID(id); err != nil {
 		return err
 	}
-	wait, err := checkStatement(req)
+	wait, err := validateStatement(req)
 	if err != nil {
 		return err
 	}
@@ -106,25 +109,26 @@
 	return nil
 }
 
-// claimID checks a request's id, under which no other may be open: an engine could not tell the
-// two apart.
-func (f *Frontend) claimID(id string) *http1.StatusError {
+// checkRequestID checks the form of a request ID, and that no other open request has it: an engine
+// could not tell the two apart.
+func (f *Frontend) checkRequestID(id string) *http1.StatusError {
 	if len(id) != requestIDLength || strings.Trim(id, "0123456789abcdefABCDEF") != "" {
 		return http1.BadRequest("Req-Id: not 16 hex digits")
 	}
-	holder := f.openRequests[id]
+	other := f.openRequests[id]
 	switch {
-	case holder == nil:
-	case holder.Disconnected(): // its client makes the request again, and Closed is yet to report the disconnect
-		holder.abandonRequest()
+	case other == nil:
+	case other.Disconnected(): // its client repeats the request on a new connection before Closed was called for the old one
+		other.abandonRequest()
 	default:
 		return http1.NewStatusError(http.StatusConflict, "Req-Id: a request of this id is open")
 	}
 	return nil
 }
 
-// checkStatement checks what each statement needs, and returns how long its client waits.
-func checkStatement(req http1.Request) (time.Duration, *http1.StatusError) {
+// validateStatement checks the headers and the text that every statement must have, and returns how
+// long its client waits for the answer.
+func validateStatement(req http1.Request) (time.Duration, *http1.StatusError) {
 	wait, ok := parsePositive(req.Header["req-wait-ms"], milliseconds(maxWait))
 	if !ok {
 		return 0, http1.BadRequest("Req-Wait-Ms: not a number of milliseconds up to %.0f", milliseconds(maxWait))
@@ -138,31 +142,32 @@
 	return config.FromMS(wait), nil
 }
 
-// readEstimates reads the client's own estimates of what the statement takes.
+// readEstimates stores the client's estimates of the statement's work and memory in r. Req-Cost is in
+// milliseconds; Req-Kb is read as megabytes, despite its name.
 func readEstimates(r *core.Request, req http1.Request) *http1.StatusError {
 	if text, ok := req.Header["req-cost"]; ok {
-		work, ok := parsePositive(text, milliseconds(maxWork))
+		work, ok := parsePositive(text, milliseconds(maxEstimatedWork))
 		if !ok {
-			return badEstimate("Req-Cost", milliseconds(maxWork))
+			return invalidEstimateError("Req-Cost", milliseconds(maxEstimatedWork))
 		}
 		r.Work = config.FromMS(work)
 	}
 	if text, ok := req.Header["req-kb"]; ok {
-		memoryMB, ok := parsePositive(text, maxMemoryMB)
+		memoryMB, ok := parsePositive(text, maxEstimatedMemoryMB)
 		if !ok {
-			return badEstimate("Req-Kb", maxMemoryMB)
+			return invalidEstimateError("Req-Kb", maxEstimatedMemoryMB)
 		}
 		r.MemoryMB = memoryMB
 	}
 	return nil
 }
 
-func badEstimate(header string, limit float64) *http1.StatusError {
+func invalidEstimateError(header string, limit float64) *http1.StatusError {
 	return http1.BadRequest("%s: not a number above 0, up to %.0f", header, limit)
 }
 
-// readKeys reads the keys that the request's class needs: without its idempotency key an engine
-// would drop no repeat, and without its serial key nothing would keep its turn.
+// readKeys stores the keys that the request's class requires in r. Engines need the idempotency key
+// to discard repeated executions; the serial key selects the requests that run one after the other.
 func readKeys(r *core.Request, req http1.Request, class policy.Class) *http1.StatusError {
 	if class.Idempotency == policy.IdempotentWithKey {
 		r.IdempotencyKey = req.Header["req-token"]
@@ -179,6 +184,7 @@
 	return nil
 }
 
+// isToken reports whether s is a valid idempotency or serial key.
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -190,7 +196,7 @@
 	return len(s) > 0 && len(s) <= maxTokenLength
 }
 
-// parsePositive reads a number above 0, up to a limit.
+// parsePositive parses a number above 0 and up to limit.
 func parsePositive(text string, limit float64) (number float64, ok bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || number <= 0 || number > limit {
--- a/internal/frontend/httpapi/response.go
+++ b/internal/frontend/httpapi/response.go
@@ -10,11 +10,11 @@
 	"gannetspur/internal/http1"
 )
 
-// Answer writes the final answer.
+// Answer sends the core's final answer to a request.
 func (c *conn) Answer(r *core.Request, a core.Answer) {
 	c.request = nil
-	c.lastActivity = c.front.loop.Now()
-	delete(c.front.openRequests, r.ID)
+	c.lastActivity = c.frontend.loop.Now()
+	delete(c.frontend.openRequests, r.ID)
 	switch a.Verdict {
 	case core.Served:
 		rows, _ := a.Result.(lineproto.Rows)
@@ -30,30 +30,29 @@
 	}
 }
 
-// reject answers an invalid request and ends the connection: what follows a request that can't be
-// read can't be trusted, and a client that sends invalid requests without pause has to connect for
-// each.
+// reject answers an invalid request and closes the connection. The bytes after an invalid request
+// cannot be trusted, and a client that keeps sending invalid requests has to reconnect for each.
 func (c *conn) reject(err *http1.StatusError) {
-	c.front.counters.Add("rest.bad-calls")
+	c.frontend.counters.Add("rest.bad-calls")
 	c.closeAfterResponse = true
-	c.respond(err.Status, 0, encodeFault(err.Message))
+	c.respond(err.Status, 0, encodeError(err.Message))
 }
 
-// respondNotFound answers a request for a path that no result is held under, as after a restart.
+// respondNotFound answers a request for a result that is not held, for example after a restart.
 func (c *conn) respondNotFound() {
-	c.respond(http.StatusNotFound, 0, encodeFault("nothing is held under this path"))
+	c.respond(http.StatusNotFound, 0, encodeError("nothing is held under this path"))
 }
 
-// respondEmpty answers a request that has no rows as its result.
+// respondEmpty sends a success response without rows.
 func (c *conn) respondEmpty() { c.respond(http.StatusOK, 0, []byte(`{}`)) }
 
-// respond sends one complete response in one piece. Where the process retires, it is the
-// connection's last unless the client is in the middle of a result or has pipelined more.
+// respond sends one complete response in a single write. During a shutdown or handover it is the
+// connection's last response, unless the client has further pages to fetch or has pipelined a request.
 func (c *conn) respond(status int, retryAfter time.Duration, body []byte) {
 	if c.ended {
 		return
 	}
-	retiring := c.front.shutdown.draining || c.front.shutdown.closeAfterResponse
+	retiring := c.frontend.shutdown.draining || c.frontend.shutdown.closeAfterResponse
 	if retiring && !c.nextPagePending && !c.pipelined {
 		c.closeAfterResponse = true
 	}
@@ -66,14 +65,14 @@
 	}
 }
 
-// encodeRows writes rows of tab-separated columns as arrays of strings. nextPage is the path of the
-// result's next page, or "".
+// encodeRows encodes rows of tab-separated columns as JSON arrays of strings. nextPage is the path
+// of the result's next page, or "" if there is none.
 func encodeRows(rows lineproto.Rows, nextPage string) []byte {
-	// The extra half is for quotes, commas and brackets, and the constant for the envelope.
-	const envelope = 64
-	size := envelope
-	for _, chunk := range rows {
-		size += len(chunk) + len(chunk)/2
+	// Estimates the size: half of the rows' size is added for quotes, commas and brackets.
+	const envelopeSize = 64
+	size := envelopeSize
+	for _, enginePage := range rows {
+		size += len(enginePage) + len(enginePage)/2
 	}
 	b := append(make([]byte, 0, size), '{')
 	if nextPage != "" {
@@ -83,10 +82,10 @@
 	}
 	b = append(b, `"result":[`...)
 	first := true
-	for _, chunk := range rows {
-		for len(chunk) > 0 {
+	for _, enginePage := range rows {
+		for len(enginePage) > 0 {
 			var row []byte
-			row, chunk, _ = bytes.Cut(chunk, []byte{'\n'})
+			row, enginePage, _ = bytes.Cut(enginePage, []byte{'\n'})
 			if !first {
 				b = append(b, ',')
 			}
@@ -108,13 +107,13 @@
 	return append(b, ']')
 }
 
-func encodeFault(text string) []byte {
-	b := appendString([]byte(`{"fault":`), []byte(text))
+func encodeError(message string) []byte {
+	b := appendString([]byte(`{"fault":`), []byte(message))
 	return append(b, '}')
 }
 
-// appendString writes a JSON string. Only what JSON needs escaped is, and all other bytes stay as
-// they are.
+// appendString appends s as a JSON string. It escapes only the characters that JSON requires to be
+// escaped and copies all other bytes unchanged.
 func appendString(b, s []byte) []byte {
 	const hex = "0123456789abcdef"
 	b = append(b, '"')
--- a/internal/frontend/httpapi/stored_test.go
+++ b/internal/frontend/httpapi/stored_test.go
@@ -22,7 +22,7 @@
 		"connection-used.cbor": {Served: true, NextPagePending: true},
 	}
 	storedResults = []resultState{
-		{Path: "x-3/1", Pages: []lineproto.Rows{{[]byte(`["a"]`), []byte(`["b"]`)}, {[]byte(`["c"]`)}}, Until: 90 * time.Minute},
+		{Path: "x-3/1", Pages: []lineproto.Rows{{[]byte(`["a"]`), []byte(`["b"]`)}, {[]byte(`["c"]`)}}, HeldUntil: 90 * time.Minute},
 		{Path: "x-4/1", Pages: []lineproto.Rows{{[]byte{}}}},
 	}
 )
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -1,5 +1,6 @@
-// Package http1 reads requests of HTTP/1.1 from a connection's buffer and encodes responses. It
-// accepts less than the standard (RFC 9112) allows, and nothing that others could read otherwise.
+// Package http1 parses HTTP/1.1 requests from a connection's buffer and encodes responses. It
+// accepts a strict subset of RFC 9112 and rejects every request that another implementation could
+// interpret differently.
 package http1
 
 import (
@@ -10,50 +11,51 @@
 )
 
 const (
-	maxHeadSize = 16 << 10 // bytes
+	maxHeadSize = 16 << 10 // bytes of request line and header
 	maxBodySize = 96 << 10 // bytes
-	// MaxRequestSize bounds a complete request, in bytes.
+	// MaxRequestSize is the maximum size of a complete request in bytes.
 	MaxRequestSize = maxHeadSize + maxBodySize
 )
 
 var (
-	lineEnd = []byte("\r\n")
-	headEnd = []byte("\r\n\r\n")
+	endOfLine = []byte("\r\n")
+	endOfHead = []byte("\r\n\r\n")
 )
 
-// Request is one HTTP request.
+// Request is one parsed HTTP request.
 type Request struct {
 	Method string
-	Path   string
-	Header map[string]string // the fields that are used, by name in lower case
-	Body   []byte            // within the buffer
-	Close  bool              // the client wants the connection closed
+	Path   string            // request target as sent; starts with "/"
+	Header map[string]string // values of the recognized header fields by lower-case name
+	Body   []byte            // part of the buffer given to ParseRequest, not a copy
+	Close  bool              // the client asks for the connection to be closed after the response
 }
 
-// usedFields are the header fields that are read; all others are skipped.
-var usedFields = map[string]bool{
+// recognizedFields are the lower-case names of the header fields that are kept; all others are ignored.
+var recognizedFields = map[string]bool{
 	"content-length": true, "transfer-encoding": true, "connection": true, "req-id": true, "req-wait-ms": true,
 	"req-retry": true, "req-token": true, "req-cost": true, "req-kb": true, "req-key": true,
 }
 
-// ParseRequest reads one request. size is its length in bytes, and 0 while it is not complete.
-func ParseRequest(b []byte) (r Request, size int, fault *StatusError) {
-	end := bytes.Index(b[:min(len(b), maxHeadSize)], headEnd)
+// ParseRequest parses the first request in b. size is the length of the request in bytes, or 0 if
+// b does not hold a complete request yet or the request is invalid.
+func ParseRequest(b []byte) (r Request, size int, statusErr *StatusError) {
+	end := bytes.Index(b[:min(len(b), maxHeadSize)], endOfHead)
 	if end < 0 {
 		if len(b) >= maxHeadSize {
 			return r, 0, NewStatusError(http.StatusRequestHeaderFieldsTooLarge, "the head of the request is too large")
 		}
 		return r, 0, nil
 	}
-	r, fault = parseHead(b[:end])
-	if fault != nil {
-		return r, 0, fault
+	r, statusErr = parseHead(b[:end])
+	if statusErr != nil {
+		return r, 0, statusErr
 	}
-	length, fault := r.bodyLength()
-	if fault != nil {
-		return r, 0, fault
+	length, statusErr := r.bodyLength()
+	if statusErr != nil {
+		return r, 0, statusErr
 	}
-	start := end + len(headEnd)
+	start := end + len(endOfHead)
 	size = start + length
 	if len(b) < size {
 		return r, 0, nil
@@ -62,11 +64,11 @@
 	return r, size, nil
 }
 
-// parseHead reads the request line and the header.
-func parseHead(head []byte) (r Request, fault *StatusError) {
-	// Guards against heads that others would read otherwise: a line that ends in a
-	// lone CR or LF could hide a field.
-	if bytes.ContainsAny(bytes.ReplaceAll(head, lineEnd, nil), "\r\n\x00") {
+// parseHead parses the request line and the header.
+func parseHead(head []byte) (r Request, statusErr *StatusError) {
+	// Some implementations accept a lone CR or LF as the end of a line, so that a field hidden
+	// behind one would be seen by them and not here.
+	if bytes.ContainsAny(bytes.ReplaceAll(head, endOfLine, nil), "\r\n\x00") {
 		return r, BadRequest("a line of the head has a stray CR, LF or NUL")
 	}
 	lines := strings.Split(string(head), "\r\n")
@@ -78,13 +80,13 @@
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return r, NewStatusError(http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is spoken here")
 	}
-	header, fault := parseHeader(lines[1:])
+	header, statusErr := parseHeader(lines[1:])
 	r = Request{Method: words[0], Path: words[1], Header: header}
 	r.Close = version == "HTTP/1.0" || strings.EqualFold(header["connection"], "close")
-	return r, fault
+	return r, statusErr
 }
 
-// parseHeader reads the fields that are used.
+// parseHeader returns the values of the recognized header fields.
 func parseHeader(lines []string) (map[string]string, *StatusError) {
 	header := map[string]string{}
 	for _, line := range lines {
@@ -93,7 +95,7 @@
 			return header, BadRequest("malformed header field")
 		}
 		name = strings.ToLower(name)
-		if !usedFields[name] {
+		if !recognizedFields[name] {
 			continue
 		}
 		if _, repeated := header[name]; repeated {
@@ -104,9 +106,10 @@
 	return header, nil
 }
 
-// bodyLength returns how many bytes of a body follow the head.
+// bodyLength returns the length in bytes of the body that follows the head.
 func (r *Request) bodyLength() (int, *StatusError) {
-	// Also an empty one: next to a Content-Length its body might hide another request.
+	// An empty Transfer-Encoding is rejected as well: another implementation might ignore the
+	// Content-Length next to it and find a second request in the body (request smuggling).
 	if _, ok := r.Header["transfer-encoding"]; ok {
 		return 0, NewStatusError(http.StatusNotImplemented, "transfer encodings are not taken; send Content-Length")
 	}
@@ -127,8 +130,8 @@
 	return int(length), nil
 }
 
-// StartsRequest reports whether what follows a request can be the start of another. Where it
-// can't, the request's length was wrong, and so is its statement.
+// StartsRequest reports whether the bytes that follow a request can be the start of another one. If
+// they cannot, the Content-Length of the request was wrong and its statement was cut at the wrong place.
 func StartsRequest(b []byte) bool {
 	for _, start := range []string{"GET /", "POST /", "DELETE /"} {
 		n := min(len(b), len(start))
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -13,15 +13,15 @@
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST /rpc/lookup HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\nab"), []byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b, more []byte) {
-		r, n, fault := ParseRequest(b)
-		if n > len(b) || len(r.Body) > n || fault != nil && n != 0 {
-			t.Fatalf("%d of %d bytes, body %d, %v", n, len(b), len(r.Body), fault)
+		r, n, statusErr := ParseRequest(b)
+		if n > len(b) || len(r.Body) > n || statusErr != nil && n != 0 {
+			t.Fatalf("%d of %d bytes, body %d, %v", n, len(b), len(r.Body), statusErr)
 		}
-		if n == 0 || fault != nil {
+		if n == 0 || statusErr != nil {
 			return
 		}
-		longer, longerSize, fault := ParseRequest(append(b[:len(b):len(b)], more...))
-		if longerSize != n || fault != nil || longer.Path != r.Path || string(longer.Body) != string(r.Body) {
+		longer, longerSize, statusErr := ParseRequest(append(b[:len(b):len(b)], more...))
+		if longerSize != n || statusErr != nil || longer.Path != r.Path || string(longer.Body) != string(r.Body) {
 			t.Fatalf("%q turned into %q", r.Path, longer.Path)
 		}
 	})
@@ -53,13 +53,13 @@
 		{"POST without a body", "POST / HTTP/1.1\r\n\r\n", 0, 411},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, size, fault := ParseRequest([]byte(c.input))
+			_, size, statusErr := ParseRequest([]byte(c.input))
 			status := 0
-			if fault != nil {
-				status = fault.Status
+			if statusErr != nil {
+				status = statusErr.Status
 			}
 			if size != c.size || status != c.status {
-				t.Errorf("size %d, status %d (%v), want %d, %d", size, status, fault, c.size, c.status)
+				t.Errorf("size %d, status %d (%v), want %d, %d", size, status, statusErr, c.size, c.status)
 			}
 		})
 	}
@@ -67,9 +67,9 @@
 
 // The fields that are used are kept under their names in lower case, and Close follows version and field.
 func TestParseRequestFields(t *testing.T) {
-	r, _, fault := ParseRequest([]byte(lookup))
-	if fault != nil {
-		t.Fatal(fault)
+	r, _, statusErr := ParseRequest([]byte(lookup))
+	if statusErr != nil {
+		t.Fatal(statusErr)
 	}
 	got := fmt.Sprintf("%s %s %v %s %v", r.Method, r.Path, r.Header, r.Body, r.Close)
 	want := "POST /rpc/lookup map[content-length:2 req-id:0123456789abcdef req-wait-ms:250] ab false"
@@ -77,8 +77,8 @@
 		t.Errorf("request = %s, want %s", got, want)
 	}
 	for _, input := range []string{"GET / HTTP/1.0\r\n\r\n", "GET / HTTP/1.1\r\nConnection: Close\r\n\r\n"} {
-		if r, _, fault := ParseRequest([]byte(input)); fault != nil || !r.Close {
-			t.Errorf("%q: close = %v, error %v", input, r.Close, fault)
+		if r, _, statusErr := ParseRequest([]byte(input)); statusErr != nil || !r.Close {
+			t.Errorf("%q: close = %v, error %v", input, r.Close, statusErr)
 		}
 	}
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// maxResponseHead is enough for the head of any response, in bytes.
+// maxResponseHead is the capacity in bytes that is reserved for a response's status line and header.
 const maxResponseHead = 160
 
-// reasons are the reason phrases of the statuses that are sent. They are not net/http's, whose words for 413 differ
-// and may change.
-var reasons = map[int]string{
+// reasonPhrases holds the reason phrase of each status code that is sent. http.StatusText is not
+// used because its phrase for 413 differs and its texts may change.
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	409: "Conflict", 411: "Length Required", 413: "Content Too Large",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
@@ -20,22 +20,22 @@
 
 // Response is one HTTP response.
 type Response struct {
-	Status      int
-	ContentType string
-	// RetryAfter goes into the field Srv-Wait-Ms, in whole milliseconds rounded up. 0: there is no such field.
+	Status      int    // status code; must have an entry in reasonPhrases
+	ContentType string // value of the Content-Type field
+	// RetryAfter is sent in the header field Srv-Wait-Ms in milliseconds, rounded up. Zero omits the field.
 	RetryAfter time.Duration
-	// Close is set where the connection ends after the response.
+	// Close adds "Connection: close": the server closes the connection after this response.
 	Close bool
 	Body  []byte
 }
 
-// Append adds the encoded response to b.
+// Append appends the encoded response to b and returns the extended buffer.
 func (r Response) Append(b []byte) []byte {
 	b = slices.Grow(b, maxResponseHead+len(r.Body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[r.Status]...)
+	b = append(b, reasonPhrases[r.Status]...)
 	b = append(b, "\r\nContent-Type: "...)
 	b = append(b, r.ContentType...)
 	b = append(b, "\r\nContent-Length: "...)
--- a/internal/http1/status_error.go
+++ b/internal/http1/status_error.go
@@ -5,20 +5,20 @@
 	"net/http"
 )
 
-// StatusError is why a request is rejected: a status and a plain message.
+// StatusError is the reason for rejecting a request. The client gets both fields.
 type StatusError struct {
-	Status  int
+	Status  int // HTTP status code
 	Message string
 }
 
 func (e *StatusError) Error() string { return e.Message }
 
-// BadRequest returns an error of status 400.
+// BadRequest returns an error with status 400 and a formatted message.
 func BadRequest(format string, args ...any) *StatusError {
 	return NewStatusError(http.StatusBadRequest, format, args...)
 }
 
-// NewStatusError returns an error of any status.
+// NewStatusError returns an error with the given status code and a formatted message.
 func NewStatusError(status int, format string, args ...any) *StatusError {
 	return &StatusError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
