--- a/internal/backend/engine_set_test.go
+++ b/internal/backend/engine_set_test.go
@@ -11,39 +11,41 @@
 	"gannetspur/policy"
 )
 
-// retirable ends as soon as it is retired.
-type retirable struct {
-	engine  *Engine[*retirable]
+// fakeConnection removes itself from its engine as soon as it is retired.
+type fakeConnection struct {
+	engine  *Engine[*fakeConnection]
 	retired bool
 }
 
-func (r *retirable) Retire() {
-	r.retired = true
-	r.engine.Remove(r)
+func (c *fakeConnection) Retire() {
+	c.retired = true
+	c.engine.Remove(c)
 }
 
-func entryOf(addr string, state policy.EngineState, started time.Duration) core.Engine {
+// newEntry returns an entry of the endpoint list for the engine e1.
+func newEntry(addr string, state policy.EngineState, started time.Duration) core.Engine {
 	return core.Engine{Addr: addr, Engine: policy.Engine{ID: "e1", State: state, Started: started}}
 }
 
-// Connections are retired where what they lead to is no longer the engine of the entry, and only there.
+// TestUpdateRetiresConnections checks that connections are retired if the engine has moved, restarted
+// or departed, and only then.
 func TestUpdateRetiresConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		entry   core.Engine
 		retired bool
 		known   bool
 	}{
-		"same":      {entryOf("127.0.0.1:1", policy.EngineLive, time.Second), false, true},
-		"draining":  {entryOf("127.0.0.1:1", policy.EngineDraining, time.Second), false, true},
-		"moved":     {entryOf("127.0.0.1:2", policy.EngineLive, time.Second), true, true},
-		"restarted": {entryOf("127.0.0.1:1", policy.EngineLive, 2*time.Second), true, true},
-		"departed":  {entryOf("127.0.0.1:1", policy.EngineDeparted, time.Second), true, false},
+		"same":      {newEntry("127.0.0.1:1", policy.EngineLive, time.Second), false, true},
+		"draining":  {newEntry("127.0.0.1:1", policy.EngineDraining, time.Second), false, true},
+		"moved":     {newEntry("127.0.0.1:2", policy.EngineLive, time.Second), true, true},
+		"restarted": {newEntry("127.0.0.1:1", policy.EngineLive, 2*time.Second), true, true},
+		"departed":  {newEntry("127.0.0.1:1", policy.EngineDeparted, time.Second), true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := NewEngineSet[*retirable]()
-			set.Update(entryOf("127.0.0.1:1", policy.EngineLive, time.Second))
+			set := NewEngineSet[*fakeConnection]()
+			set.Update(newEntry("127.0.0.1:1", policy.EngineLive, time.Second))
 			engine := set.Get("e1")
-			connections := []*retirable{{engine: engine}, {engine: engine}, {engine: engine}}
+			connections := []*fakeConnection{{engine: engine}, {engine: engine}, {engine: engine}}
 			engine.Connections = append(engine.Connections, connections...)
 			set.Update(c.entry)
 			for i, connection := range connections {
@@ -52,7 +54,7 @@
 				}
 			}
 			if known := set.Get("e1") != nil; known != c.known {
-				t.Errorf("engine is known = %t, want %t", known, c.known)
+				t.Errorf("engine in the set = %t, want %t", known, c.known)
 			}
 			if engine := set.Get("e1"); engine != nil && engine.Addr != c.entry.Addr {
 				t.Errorf("address = %s, want %s", engine.Addr, c.entry.Addr)
@@ -61,15 +63,17 @@
 	}
 }
 
-// An entry of a departed engine that is not known adds nothing.
+// TestUpdateOfUnknownDepartedEngine checks that an entry of an unknown departed engine is not added.
 func TestUpdateOfUnknownDepartedEngine(t *testing.T) {
-	set := NewEngineSet[*retirable]()
-	set.Update(entryOf("127.0.0.1:1", policy.EngineDeparted, 0))
+	set := NewEngineSet[*fakeConnection]()
+	set.Update(newEntry("127.0.0.1:1", policy.EngineDeparted, 0))
 	if set.Get("e1") != nil {
-		t.Error("a departed engine was added")
+		t.Error("Get returned a departed engine, want nil")
 	}
 }
 
+// TestDialOutcome checks the outcome of each kind of dial error.
+
 func TestDialOutcome(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/backend/lineproto/replay_test.go
+++ b/internal/backend/lineproto/replay_test.go
@@ -16,43 +16,45 @@
 	replayAnswers    = 20_000
 )
 
-// TestParserReplay feeds seeded answers of engines, some of them corrupt, cut short or doubled, to the
-// parser, and compares what it reads with the digest that version c18a9bd gave.
+// TestParserReplay parses random answers of engines from a fixed seed, some of them corrupt, truncated
+// or repeated, and compares a digest of the parser's results with the one of version c18a9bd.
 func TestParserReplay(t *testing.T) {
 	random := rand.New(rand.NewPCG(0x11e5, 3))
 	digest := sha256.New()
 	for range replayAnswers {
-		replayInput(digest, corrupted(random, randomAnswer(random)))
+		recordAnswers(digest, corrupt(random, randomAnswer(random)))
 	}
 	got := hex.EncodeToString(digest.Sum(nil))
 	want, err := os.ReadFile(replayDigestFile)
 	if err != nil {
-		t.Fatalf("%v (this run's digest: %s)", err, got)
+		t.Fatalf("%v (digest of this run: %s)", err, got)
 	}
 	if got != strings.TrimSpace(string(want)) {
-		t.Errorf("digest of what the parser read = %s, want %s", got, want)
+		t.Errorf("digest of the parser's results = %s, want %s", got, want)
 	}
 }
 
+// record adds formatted values to the digest.
 func record(digest hash.Hash, format string, values ...any) {
-	_, _ = fmt.Fprintf(digest, format, values...) // a hash never fails
+	_, _ = fmt.Fprintf(digest, format, values...) // writing to a hash never fails
 }
 
-// replayInput adds to the digest all that is read from one buffer.
-func replayInput(digest hash.Hash, input []byte) {
+// recordAnswers parses all answers in a buffer and adds the results to the digest.
+func recordAnswers(digest hash.Hash, input []byte) {
 	for {
 		a, n, err := parseAnswer(input)
 		record(digest, "n=%d error=%t id=%q word=%q fields=%q body=%q\n", n, err != nil, a.id, a.kind, a.fields, a.body)
 		if n == 0 || err != nil {
 			return
 		}
-		replayFields(digest, a.fields)
+		recordFields(digest, a.fields)
 		record(digest, "rows=%t\n", hasCompleteRows(a.body))
 		input = input[n:]
 	}
 }
 
-func replayFields(digest hash.Hash, fields string) {
+// recordFields adds to the digest everything that is parsed from an answer's fields.
+func recordFields(digest hash.Hash, fields string) {
 	for _, name := range []string{"batches", "batch", "cpu"} {
 		text, ok := fieldValue(fields, name)
 		value, isNumber := numberField(fields, name)
@@ -70,6 +72,7 @@
 
 func pick(random *rand.Rand, choices ...string) string { return choices[random.IntN(len(choices))] }
 
+// randomAnswer returns an answer of random words, fields and rows, valid or not.
 func randomAnswer(random *rand.Rand) string {
 	var body strings.Builder
 	for range random.IntN(4) {
@@ -110,8 +113,9 @@
 	return strings.Join(fields, ",")
 }
 
-// corrupted doubles an answer, cuts it short, flips a bit of it, makes it too long or leaves it as it is.
-func corrupted(random *rand.Rand, answer string) []byte {
+// corrupt repeats an answer, truncates it, flips a bit of it, makes its first line longer, appends
+// another answer or leaves it unchanged.
+func corrupt(random *rand.Rand, answer string) []byte {
 	b := []byte(answer)
 	switch random.IntN(10) {
 	case 0:
--- a/internal/backend/lineproto/stored_test.go
+++ b/internal/backend/lineproto/stored_test.go
@@ -10,7 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Rows that version c18a9bd encoded for another gateway are read, and encoded to the same bytes.
+// TestStoredRows checks that rows encoded by version c18a9bd for another gateway are decoded and
+// encoded to the same bytes. Truncated data must be rejected, and data with a flipped bit must be
+// rejected or decoded to complete rows.
 func TestStoredRows(t *testing.T) {
 	stored, err := os.ReadFile("testdata/rows.cbor")
 	if err != nil {
@@ -20,15 +22,15 @@
 	want := Rows{[]byte("a\tb\tc\n"), {}, []byte("ä\t\t9\n1\t2\t3\n")}
 	got, err := c.ReadResult(stored)
 	if diff := cmp.Diff(core.Result(want), got); err != nil || diff != "" {
-		t.Fatal(err, diff)
+		t.Fatalf("ReadResult: error %v, rows (-want +got):\n%s", err, diff)
 	}
 	encoded, err := c.Result(got)
 	if err != nil || !bytes.Equal(encoded, stored) {
-		t.Errorf("encoded again = %x, %v, want %x", encoded, err, stored)
+		t.Errorf("encoded rows = %x, error %v, want %x", encoded, err, stored)
 	}
 	for end := range stored {
 		if _, err := c.ReadResult(stored[:end]); err == nil {
-			t.Errorf("%d of %d bytes were accepted", end, len(stored))
+			t.Errorf("ReadResult accepted %d of %d bytes", end, len(stored))
 		}
 	}
 	for i := range 8 * len(stored) {
@@ -40,7 +42,7 @@
 		}
 		for _, page := range result.(Rows) {
 			if !hasCompleteRows(page) {
-				t.Errorf("bit %d flipped: %q was accepted", i, page)
+				t.Errorf("bit %d flipped: ReadResult accepted the incomplete rows %q", i, page)
 			}
 		}
 	}
--- a/internal/frontend/httpapi/replay_test.go
+++ b/internal/frontend/httpapi/replay_test.go
@@ -28,34 +28,36 @@
 	"gannetspur/policy"
 )
 
-// replayFile holds a digest for each scenario of TestReplay: of the bytes that clients get, of the
-// requests that the core gets and of the counters. Version c18a9bd wrote it.
+// replayFile holds a digest for each scenario of TestReplay, written by version c18a9bd. The digest
+// covers the bytes that clients receive, the requests that the core receives, and the counters.
 const replayFile = "testdata/replay.txt"
 
 var writeReplay = flag.Bool("write-replay", false, "write "+replayFile)
 
-// scriptedCore gives the requests of a front answers that depend on their ids alone, some at once
-// and some later, and records what it gets.
-type scriptedCore struct {
-	core *core.Core
-	loop *netio.Loop
-	seen hash.Hash
+// scriptedSites takes the place of the remote sites. It accepts every request of the frontend, adds it
+// to the digest, and answers it at once or after a timer. Both the answer and its time depend on the
+// request ID alone.
+type scriptedSites struct {
+	core   *core.Core
+	loop   *netio.Loop
+	digest hash.Hash
 }
 
 const (
-	heldID  = "feedfeedfeedfeed" // never answered
-	longest = 10 * time.Minute
+	unansweredID = "feedfeedfeedfeed" // ID of a request that scriptedSites never answers
+	maxTimeLeft  = 10 * time.Minute   // of any request
 )
 
-func (s *scriptedCore) ForwardOnArrival(r *core.Request) bool {
-	_, _ = fmt.Fprintf(s.seen, "%s %s %q %q %q %d %d %g %t %t\n", r.ID, r.Class, r.Statement, r.IdempotencyKey, r.SerialKey, r.DataSet,
-		r.Work, r.MemoryMB, r.ClientRetry, r.Deadline-s.loop.Now() > 50*time.Second && r.Deadline-s.loop.Now() <= longest)
-	s.core.Forwarded(r, s.loop.Now()+longest)
-	if r.ID == heldID {
+// ForwardOnArrival records a request and answers it.
+func (s *scriptedSites) ForwardOnArrival(r *core.Request) bool {
+	_, _ = fmt.Fprintf(s.digest, "%s %s %q %q %q %d %d %g %t %t\n", r.ID, r.Class, r.Statement, r.IdempotencyKey, r.SerialKey, r.DataSet,
+		r.Work, r.MemoryMB, r.ClientRetry, r.Deadline-s.loop.Now() > 50*time.Second && r.Deadline-s.loop.Now() <= maxTimeLeft)
+	s.core.Forwarded(r, s.loop.Now()+maxTimeLeft)
+	if r.ID == unansweredID {
 		return true
 	}
-	kind, _ := strconv.ParseUint(r.ID[:2], 16, 8)
-	if kind%2 == 0 {
+	firstByte, _ := strconv.ParseUint(r.ID[:2], 16, 8)
+	if firstByte%2 == 0 {
 		s.core.CompleteForwarded(r, scriptedAnswer(r.ID))
 	} else {
 		s.loop.Timers.Add(s.loop.Now()+time.Millisecond, func() { s.core.CompleteForwarded(r, scriptedAnswer(r.ID)) })
@@ -63,12 +65,13 @@
 	return true
 }
 
-func (s *scriptedCore) ForwardRejected(*core.Request) bool                    { return false }
-func (s *scriptedCore) Drop(*core.Request)                                    {}
-func (s *scriptedCore) AttemptStarted(*core.Attempt)                          {}
-func (s *scriptedCore) AttemptEnded(*core.Attempt, core.Outcome, core.Report) {}
-func (s *scriptedCore) UpdateEngine(core.Engine)                              {}
+func (s *scriptedSites) ForwardRejected(*core.Request) bool                    { return false }
+func (s *scriptedSites) Drop(*core.Request)                                    {}
+func (s *scriptedSites) AttemptStarted(*core.Attempt)                          {}
+func (s *scriptedSites) AttemptEnded(*core.Attempt, core.Outcome, core.Report) {}
+func (s *scriptedSites) UpdateEngine(core.Engine)                              {}
 
+// scriptedAnswer returns an answer that depends on the request ID alone.
 func scriptedAnswer(id string) core.Answer {
 	n, _ := strconv.ParseUint(id, 16, 64)
 	random := rand.New(rand.NewPCG(n, 7))
@@ -82,21 +85,21 @@
 	case 3:
 		return core.Answer{Verdict: core.Served}
 	}
-	const letters = "abcXYZ019 \t\t\n\"\\\x01\x1f\x7f\xc3\xa9/'"
+	const characters = "abcXYZ019 \t\t\n\"\\\x01\x1f\x7f\xc3\xa9/'"
 	var rows lineproto.Rows
 	maxRows := []int{3, 60, 4000}[random.IntN(3)]
 	for range random.IntN(5) {
 		page := make([]byte, 1+random.IntN(maxRows*12))
 		for i := range page {
-			page[i] = letters[random.IntN(len(letters))]
+			page[i] = characters[random.IntN(len(characters))]
 		}
 		rows = append(rows, page)
 	}
 	return core.Answer{Verdict: core.Served, Result: rows}
 }
 
-// replayCall is a call that a front answers and goes on behind.
-func replayCall(random *rand.Rand) string {
+// randomRequest returns a request after which the frontend keeps the connection open.
+func randomRequest(random *rand.Rand) string {
 	method := "POST"
 	body := "select * from t" + strconv.Itoa(random.IntN(50)) + " where a = 1"
 	path := []string{"/rpc/lookup", "/rpc/lookup", "/rpc/lookup", "/rpc/site/lookup", "/rpc/write", "/rpc/load"}[random.IntN(6)]
@@ -119,8 +122,9 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", method, path, header, len(body), body)
 }
 
-// replayRefused is what ends the connections of a scenario, in turn.
-func replayRefused() []string {
+// finalInputs returns the last bytes that each connection of a scenario sends: invalid, incomplete or
+// no requests, and one that asks for the connection to be closed.
+func finalInputs() []string {
 	post := func(path, header, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, header, len(body), body)
 	}
@@ -150,13 +154,14 @@
 		"GET /health HTTP/1.1\r\nHost: x\r\nContent-Length: x\r\n\r\n",
 		"NONSENSE\r\n\r\n",
 		"GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
-		"GET /health HT", // not complete in time
-		"",               // idle for longer than its first call may take
+		"GET /health HT", // not complete within the request timeout
+		"",               // no first request within the request timeout
 	}
 }
 
-// replayFront starts a front over a scripted core.
-func replayFront(t *testing.T, opts Options, seen hash.Hash) (f *Frontend, do func(func())) {
+// startReplayFrontend starts a frontend whose requests scriptedSites answers. runOnLoop runs a
+// function on the frontend's loop and waits for its end.
+func startReplayFrontend(t *testing.T, options Options, digest hash.Hash) (f *Frontend, runOnLoop func(func())) {
 	t.Helper()
 	loop, err := netio.New(0)
 	if err != nil {
@@ -166,14 +171,14 @@
 	write, load := class, class
 	write.Name, write.Idempotency, write.DedupWindow = "write", policy.IdempotentWithKey, time.Minute
 	load.Name, load.Ordered = "load", true
-	set := policy.Settings{Gateways: 1, CallInterval: 5 * time.Millisecond, Classes: []policy.Class{class, write, load},
+	settings := policy.Settings{Gateways: 1, CallInterval: 5 * time.Millisecond, Classes: []policy.Class{class, write, load},
 		Kinds: []policy.Kind{{Name: "std", Cores: 8, MemoryMB: 1024}}, Limits: policy.Limits{MaxAttempts: 3}}
-	c, err := core.New(set, 1, loop, loop.Timers, metrics.New(), slog.New(slog.DiscardHandler))
+	c, err := core.New(settings, 1, loop, loop.Timers, metrics.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetRemoteSites(&scriptedCore{core: c, loop: loop, seen: seen})
-	f = New(loop, c, opts, metrics.New())
+	c.SetRemoteSites(&scriptedSites{core: c, loop: loop, digest: digest})
+	f = New(loop, c, options, metrics.New())
 	f.results.instanceID = "t"
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -181,45 +186,46 @@
 	stopped := make(chan struct{})
 	go func() { loop.Run(); close(stopped) }()
 	t.Cleanup(func() { loop.Post(loop.Stop); <-stopped })
-	return f, func(what func()) {
+	return f, func(fn func()) {
 		done := make(chan struct{})
-		loop.Post(func() { what(); close(done) })
+		loop.Post(func() { fn(); close(done) })
 		<-done
 	}
 }
 
-// replayConnection writes batches of calls, each once the one before it is answered, then what ends
-// the connection, and gives all bytes that came.
-func replayConnection(t *testing.T, addr string, random *rand.Rand, last string) []byte {
+// replayConnection sends batches of pipelined requests, each after the previous one was answered, and
+// then finalInput. It returns all bytes that it received until the frontend closed the connection.
+func replayConnection(t *testing.T, addr string, random *rand.Rand, finalInput string) []byte {
 	t.Helper()
-	c := replayDial(t, addr)
+	c := dial(t, addr)
 	var got bytes.Buffer
 	in := bufio.NewReader(io.TeeReader(c, &got))
 	batches := random.IntN(6)
-	if last == "" { // past its first call a connection may be idle for longer
+	if finalInput == "" { // after its first request a connection may be idle for longer than the request timeout
 		batches = 0
 	}
 	for range batches {
-		calls := make([]string, 1+random.IntN(3))
-		for i := range calls {
-			calls[i] = replayCall(random)
+		requests := make([]string, 1+random.IntN(3))
+		for i := range requests {
+			requests[i] = randomRequest(random)
 		}
-		_, _ = io.WriteString(c, strings.Join(calls, "")) // it fails where the front has ended the connection
-		for range calls {
-			resp, err := http.ReadResponse(in, nil)
+		_, _ = io.WriteString(c, strings.Join(requests, "")) // fails if the frontend has closed the connection
+		for range requests {
+			response, err := http.ReadResponse(in, nil)
 			if err != nil {
 				break
 			}
-			_, _ = io.Copy(io.Discard, resp.Body)
-			_ = resp.Body.Close()
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
 		}
 	}
-	_, _ = io.WriteString(c, last)
+	_, _ = io.WriteString(c, finalInput)
 	_, _ = io.Copy(io.Discard, in)
 	return got.Bytes()
 }
 
-func replayDial(t *testing.T, addr string) net.Conn {
+// dial opens a client connection that is closed at the end of the test.
+func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -230,41 +236,44 @@
 	return c
 }
 
-// replayOpenRequest is two connections with one id, the second of which is refused; the first is
-// refused for what follows its call.
-func replayOpenRequest(t *testing.T, f *Frontend, do func(func())) []byte {
+// replayDuplicateID sends the same request ID on two connections. The frontend rejects the second
+// because the ID is in use, and then the first for the invalid bytes that follow its request. It
+// returns the bytes that the second connection received, then those of the first.
+func replayDuplicateID(t *testing.T, f *Frontend, runOnLoop func(func())) []byte {
 	t.Helper()
-	call := "POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + heldID + "\r\nReq-Wait-Ms: 60000\r\nContent-Length: 8\r\n\r\nselect 1"
-	first, second := replayDial(t, f.Addr()), replayDial(t, f.Addr())
-	_, _ = io.WriteString(first, call)
-	for open := 0; open == 0; {
-		do(func() { open = len(f.openRequests) })
+	request := "POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + unansweredID + "\r\nReq-Wait-Ms: 60000\r\nContent-Length: 8\r\n\r\nselect 1"
+	first, second := dial(t, f.Addr()), dial(t, f.Addr())
+	_, _ = io.WriteString(first, request)
+	for openCount := 0; openCount == 0; {
+		runOnLoop(func() { openCount = len(f.openRequests) })
 	}
-	_, _ = io.WriteString(second, call)
-	got, _ := io.ReadAll(second)
+	_, _ = io.WriteString(second, request)
+	secondOutput, _ := io.ReadAll(second)
 	_, _ = io.WriteString(first, "rest")
-	rest, _ := io.ReadAll(first)
-	do(func() {
+	firstOutput, _ := io.ReadAll(first)
+	runOnLoop(func() {
 		if len(f.openRequests) > 0 {
-			t.Errorf("%d requests are open", len(f.openRequests))
+			t.Errorf("open requests = %d, want 0", len(f.openRequests))
 		}
 	})
-	return append(got, rest...)
+	return append(secondOutput, firstOutput...)
 }
 
-// Clients of seeded streams of calls get, byte for byte, what version c18a9bd gave them.
+// TestReplay sends random requests from fixed seeds and checks that clients receive, byte for byte, the
+// responses that version c18a9bd sent.
 func TestReplay(t *testing.T) {
-	const within = 300 * time.Millisecond
+	const timeout = 300 * time.Millisecond
+	// The names are keys in replayFile.
 	scenarios := []struct {
-		name  string
-		opts  Options
-		start func(f *Frontend)
+		name    string
+		options Options
+		start   func(f *Frontend)
 	}{
-		{"usual", Options{RequestTimeout: within}, func(*Frontend) {}},
-		{"little is held", Options{RequestTimeout: within, MaxHeldBytes: 100_000}, func(*Frontend) {}},
-		{"results in one answer", Options{RequestTimeout: within}, func(f *Frontend) { f.SetUnpaged(true) }},
-		{"connections end behind an answer", Options{RequestTimeout: within}, (*Frontend).CloseAfterResponse},
-		{"draining", Options{RequestTimeout: within}, (*Frontend).Drain},
+		{"usual", Options{RequestTimeout: timeout}, func(*Frontend) {}},
+		{"little is held", Options{RequestTimeout: timeout, MaxHeldBytes: 100_000}, func(*Frontend) {}},
+		{"results in one answer", Options{RequestTimeout: timeout}, func(f *Frontend) { f.SetUnpaged(true) }},
+		{"connections end behind an answer", Options{RequestTimeout: timeout}, (*Frontend).CloseAfterResponse},
+		{"draining", Options{RequestTimeout: timeout}, (*Frontend).Drain},
 	}
 	want := map[string]string{}
 	if !*writeReplay {
@@ -277,16 +286,16 @@
 	for i, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			digest := sha256.New()
-			f, do := replayFront(t, scenario.opts, digest)
-			do(func() { scenario.start(f) })
+			f, runOnLoop := startReplayFrontend(t, scenario.options, digest)
+			runOnLoop(func() { scenario.start(f) })
 			size := 0
-			for n, last := range replayRefused() {
-				got := replayConnection(t, f.Addr(), rand.New(rand.NewPCG(uint64(i), uint64(n))), last)
-				do(func() { _, _ = fmt.Fprintf(digest, "%d %q\n", n, got) })
+			for n, finalInput := range finalInputs() {
+				got := replayConnection(t, f.Addr(), rand.New(rand.NewPCG(uint64(i), uint64(n))), finalInput)
+				runOnLoop(func() { _, _ = fmt.Fprintf(digest, "%d %q\n", n, got) })
 				size += len(got)
 			}
-			got := replayOpenRequest(t, f, do)
-			do(func() {
+			got := replayDuplicateID(t, f, runOnLoop)
+			runOnLoop(func() {
 				_, _ = fmt.Fprintf(digest, "open %q\n", got)
 				counters := f.counters.All()
 				for _, name := range slices.Sorted(maps.Keys(counters)) {
@@ -294,7 +303,7 @@
 				}
 			})
 			sum := hex.EncodeToString(digest.Sum(nil))
-			t.Logf("%d bytes, %s", size, sum)
+			t.Logf("received %d bytes, digest %s", size, sum)
 			fmt.Fprintf(&written, "%s %s\n", sum, scenario.name)
 			if !*writeReplay && sum != want[scenario.name] {
 				t.Errorf("digest = %s, want %s", sum, want[scenario.name])
--- a/internal/frontend/httpapi/stored_test.go
+++ b/internal/frontend/httpapi/stored_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedConnections and storedResults are what version c18a9bd wrote to testdata: the states
-// that a process hands over with its connections.
+// storedConnections and storedResults are the decoded contents of the files in testdata that version
+// c18a9bd wrote: the states that a process hands over with its connections.
 var (
 	storedConnections = map[string]connectionState{
 		"connection-new.cbor":  {},
@@ -36,8 +36,8 @@
 	return b
 }
 
-// Stored states are decoded completely and encoded again byte for byte. Cut short they are rejected,
-// and with any bit changed they are rejected or decoded as something else.
+// TestStoredConnections checks that stored states are decoded and encoded to the same bytes again.
+// Truncated states must be rejected; with any bit flipped, either a handler or an error is returned.
 func TestStoredConnections(t *testing.T) {
 	f := &Frontend{}
 	for name, want := range storedConnections {
@@ -50,24 +50,24 @@
 			if got != want {
 				t.Errorf("state = %+v, want %+v", got, want)
 			}
-			k := &conn{served: want.Served, nextPagePending: want.NextPagePending}
-			if written := k.EncodeState(); !bytes.Equal(written, stored) {
-				t.Errorf("written as %x, want %x", written, stored)
+			c := &conn{served: want.Served, nextPagePending: want.NextPagePending}
+			if encoded := c.EncodeState(); !bytes.Equal(encoded, stored) {
+				t.Errorf("encoded state = %x, want %x", encoded, stored)
 			}
 			if accept, err := f.RestoreConnection(stored); accept == nil || err != nil {
-				t.Errorf("restore: error %v", err)
+				t.Errorf("RestoreConnection: handler returned = %t, error = %v, want a handler", accept != nil, err)
 			}
-			for cut := range stored {
-				if _, err := f.RestoreConnection(stored[:cut]); err == nil {
-					t.Errorf("restored, cut at byte %d", cut)
+			for end := range stored {
+				if _, err := f.RestoreConnection(stored[:end]); err == nil {
+					t.Errorf("RestoreConnection accepted %d of %d bytes", end, len(stored))
 				}
 			}
 			for i := range stored {
 				for bit := range 8 {
-					damaged := bytes.Clone(stored)
-					damaged[i] ^= 1 << bit
-					if accept, err := f.RestoreConnection(damaged); (accept == nil) == (err == nil) {
-						t.Errorf("byte %d, bit %d changed: neither a handler nor an error", i, bit)
+					corrupt := bytes.Clone(stored)
+					corrupt[i] ^= 1 << bit
+					if accept, err := f.RestoreConnection(corrupt); (accept == nil) == (err == nil) {
+						t.Errorf("byte %d, bit %d flipped: handler returned = %t, error = %v, want one of the two", i, bit, accept != nil, err)
 					}
 				}
 			}
@@ -75,7 +75,7 @@
 	}
 }
 
-// The same of results that wait to be fetched.
+// TestStoredResults checks the same for held results, which must not panic with a bit flipped.
 func TestStoredResults(t *testing.T) {
 	stored := storedBytes(t, "results.cbor")
 	var got []resultState
@@ -85,18 +85,18 @@
 	if diff := cmp.Diff(storedResults, got); diff != "" {
 		t.Errorf("results (-want +got):\n%s", diff)
 	}
-	if written, err := cbor.Marshal(storedResults); err != nil || !bytes.Equal(written, stored) {
-		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
+	if encoded, err := cbor.Marshal(storedResults); err != nil || !bytes.Equal(encoded, stored) {
+		t.Errorf("encoded results =\n%x, error %v, want\n%x", encoded, err, stored)
 	}
-	for cut := range stored {
-		if err := startFrontend(t).ApplySharedState(stored[:cut]); err == nil {
-			t.Errorf("applied, cut at byte %d of %d", cut, len(stored))
+	for end := range stored {
+		if err := startFrontend(t).ApplySharedState(stored[:end]); err == nil {
+			t.Errorf("ApplySharedState accepted %d of %d bytes", end, len(stored))
 		}
 	}
 	for i := range stored {
-		var damagedResults []resultState
-		damaged := bytes.Clone(stored)
-		damaged[i] ^= 1
-		_ = cbor.Unmarshal(damaged, &damagedResults) // it may be read as something else, and must not panic
+		var results []resultState
+		corrupt := bytes.Clone(stored)
+		corrupt[i] ^= 1
+		_ = cbor.Unmarshal(corrupt, &results) // may return other results or an error, but must not panic
 	}
 }
