--- a/internal/backend/lineproto/connection.go
+++ b/internal/backend/lineproto/connection.go
@@ -40,7 +40,7 @@
 	partial      partialAnswer
 	retired      bool          // accepts no more streams
 	lastUsed     time.Duration // when an attempt or health check last started or ended
-	closeReason  core.Outcome  // why the gateway closes the connection; OutcomeUnknown: it does not
+	closeReason  core.Outcome  // why the connection closes; OutcomeUnknown: it is not closing
 }
 
 // partialAnswer tracks the time of an incomplete answer in the buffer.
