--- a/internal/backend/engine_set.go
+++ b/internal/backend/engine_set.go
@@ -66,7 +66,8 @@
 	e.Connections = slices.DeleteFunc(e.Connections, func(other C) bool { return other == closed })
 }
 
-// DialOutcome returns the outcome of attempts whose connection could not be dialed because of err.
+// DialOutcome returns the outcome of attempts whose connection could not be dialed because of err. An
+// error of any other kind counts as a connect timeout.
 func DialOutcome(err error) core.Outcome {
 	switch {
 	case netio.IsConnectionRefused(err):
--- a/internal/backend/engine_set_test.go
+++ b/internal/backend/engine_set_test.go
@@ -73,7 +73,6 @@
 }
 
 // TestDialOutcome checks the outcome of each kind of dial error.
-
 func TestDialOutcome(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/backend/lineproto/backend.go
+++ b/internal/backend/lineproto/backend.go
@@ -79,7 +79,8 @@
 }
 
 // SetPriority sends a changed priority to the engine. It does nothing if the attempt was not written
-// yet, if only further pages of its result are missing, or if the connection has closed.
+// yet (its request will carry the priority), if only further pages of its result are missing, or if the
+// connection has closed.
 func (b *Backend) SetPriority(a *core.Attempt, priority int) {
 	s, ok := a.LinkState.(*stream)
 	if !ok || !s.written || s.result.missing > 0 || s.connection.socket == nil {
--- a/internal/backend/lineproto/cancel.go
+++ b/internal/backend/lineproto/cancel.go
@@ -28,6 +28,7 @@
 // contains reports whether the ID must not be used yet.
 func (ids *cancelledIDs) contains(id string, now time.Duration) bool { return now < ids.reusableAt[id] }
 
+// add records that the request with this ID was cancelled now.
 func (ids *cancelledIDs) add(id string, now time.Duration) {
 	ids.expire(now)
 	ids.reusableAt[id] = now + cancelledIDReuseDelay
@@ -105,7 +106,8 @@
 	return nil
 }
 
-// finishCancelled ends an attempt whose cancellation is confirmed.
+// finishCancelled ends a cancelled attempt whose statement is over: the engine has confirmed it, or the
+// connection has closed or is retired.
 func (c *connection) finishCancelled(s *stream, outcome core.Outcome) {
 	s.cancelRetryTimer.Stop()
 	c.release(s)
--- a/internal/backend/lineproto/command.go
+++ b/internal/backend/lineproto/command.go
@@ -16,7 +16,7 @@
 type requestCommand struct {
 	id             string
 	class          string
-	timeLeftMS     int64  // until the attempt's deadline
+	timeLeftMS     int64  // until the attempt times out; at least 1
 	idempotencyKey string // "": none
 	memoryMB       int64  // memory grant; below 1: the engine chooses
 	priority       int
@@ -27,7 +27,6 @@
 const requestLineCapacity = 160
 
 // encode returns the bytes of the command, in one allocation.
-
 func (r requestCommand) encode() []byte {
 	b := make([]byte, 0, requestLineCapacity+len(r.statement))
 	b = append(b, "want "...)
@@ -85,12 +84,14 @@
 	return appendLine(b, "busy ", tag)
 }
 
+// appendLine appends a command with an ID or a tag. command ends in a space.
 func appendLine(b []byte, command, id string) []byte {
 	b = append(b, command...)
 	b = append(b, id...)
 	return append(b, "\r\n"...)
 }
 
+// appendNumberedLine appends a command with an ID and a number. command ends in a space.
 func appendNumberedLine(b []byte, command, id string, number int) []byte {
 	b = append(b, command...)
 	b = append(b, id...)
--- a/internal/backend/lineproto/connection.go
+++ b/internal/backend/lineproto/connection.go
@@ -111,8 +111,8 @@
 // cancel others, so a loop over several streams checks each of them before it uses it.
 func (c *connection) hasStream(s *stream) bool { return c.streams[s.attempt.Request.ID] == s }
 
-// scheduleIdleClose retires the connection once it was unused for idleFraction of the engine's idle timeout.
-// Without an idle timeout in the settings it does nothing.
+// scheduleIdleClose retires the connection once it has been unused for idleFraction of the engine's
+// idle timeout. Without an idle timeout in the settings it does nothing.
 func (c *connection) scheduleIdleClose() {
 	idle := time.Duration(float64(c.backend.site.IdleTimeout) * idleFraction)
 	if idle <= 0 {
--- a/internal/backend/lineproto/fields.go
+++ b/internal/backend/lineproto/fields.go
@@ -38,6 +38,7 @@
 	return number, err == nil && isFinite(number)
 }
 
+// isFinite reports whether a number is neither infinite nor NaN: for those the difference is NaN.
 func isFinite(number float64) bool { return number-number == 0 }
 
 // parseLoadReport parses the load report in an answer's fields. Engines use either the names of the
--- a/internal/backend/lineproto/health_check.go
+++ b/internal/backend/lineproto/health_check.go
@@ -57,7 +57,7 @@
 }
 
 // healthCheckConnection returns the first open connection, otherwise the first that is being dialed,
-// or nil if there is neither.
+// or nil if there is neither. Retired connections are skipped.
 func healthCheckConnection(engine *backend.Engine[*connection]) (dialing *connection) {
 	for _, c := range engine.Connections {
 		switch {
--- a/internal/backend/lineproto/pages.go
+++ b/internal/backend/lineproto/pages.go
@@ -12,7 +12,8 @@
 
 const (
 	maxPages = 64 // of one result
-	// maxResultBytes is the maximum size of all pages of one result. The protocol allows 48,000 bytes.
+	// maxResultBytes is the maximum size in bytes of all pages of one result together. The protocol
+	// allows results of up to 48,000 bytes.
 	maxResultBytes = 256 << 10
 	// columnsPerRow is fixed by the protocol.
 	columnsPerRow = 3
@@ -25,8 +26,8 @@
 	errInvalidPageNumber = errors.New("a page's number is invalid")
 )
 
-// Rows is a complete result: its pages as the engine sent them. A page holds complete rows, each of
-// them ended by a line feed, with columns separated by tabs.
+// Rows is a complete result: its pages as the engine sent them. A page holds complete rows: each
+// row ends in a line feed, and tabs separate its columns.
 type Rows [][]byte
 
 // Size returns the size of all pages in bytes.
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// hasCompleteRows reports whether a page consists of complete rows of UTF-8 text. It detects a page
-// that was corrupted without a change of its length.
+// hasCompleteRows reports whether a page consists of complete rows of three columns, in UTF-8 without
+// NUL and CR. It detects rows that were corrupted without a change of the page's length.
 func hasCompleteRows(page []byte) bool {
 	if !utf8.Valid(page) {
 		return false
--- a/internal/backend/lineproto/parser.go
+++ b/internal/backend/lineproto/parser.go
@@ -31,7 +31,7 @@
 	answerUnhealthy      answerKind = "UNFIT" // to a health check: the engine is not healthy
 )
 
-// failureOutcomes maps the answers that end an attempt without a result to its outcome.
+// failureOutcomes maps each answer that ends an attempt without a result to the attempt's outcome.
 var failureOutcomes = map[answerKind]core.Outcome{
 	answerRejected:       core.OutcomeEngineFull,
 	answerFailed:         core.OutcomeEngineError,
--- a/internal/backend/lineproto/parser_test.go
+++ b/internal/backend/lineproto/parser_test.go
@@ -10,7 +10,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a, n, err := parseAnswer(b)
 		if n > len(b) || len(a.body) > n || err != nil && n != 0 {
-			t.Fatalf("size = %d with input of %d bytes, body of %d bytes, error %v", n, len(b), len(a.body), err)
+			t.Fatalf("size = %d with input of %d bytes, body of %d bytes, error %v; want body <= size <= input, and size 0 with an error",
+				n, len(b), len(a.body), err)
 		}
 		parseLoadReport(a.fields)
 		parseProgress(a.fields)
--- a/internal/backend/lineproto/result_codec.go
+++ b/internal/backend/lineproto/result_codec.go
@@ -15,8 +15,8 @@
 // strictly as data from clients and engines.
 type Codec struct{}
 
-// maxStatementBytes is the maximum size of a statement from another gateway. The frontend limits the
-// statements of clients too.
+// maxStatementBytes is the maximum size in bytes of a statement from another gateway. For the
+// statements of its own clients, the frontend has a separate limit.
 const maxStatementBytes = 64 << 10
 
 var errInvalidPayload = errors.New("line protocol: invalid statement or result")
--- a/internal/frontend/httpapi/arrivals.go
+++ b/internal/frontend/httpapi/arrivals.go
@@ -9,7 +9,7 @@
 // arrival is one read of a connection.
 type arrival struct {
 	endOffset  int64         // stream offset just past the last byte of the read
-	receivedAt time.Duration // time of the loop's clock
+	receivedAt time.Duration // time of the core's clock
 }
 
 // maxArrivals bounds the records that are kept for a client that writes in many small pieces.
@@ -21,8 +21,8 @@
 	switch {
 	case n > 0 && (*a)[n-1].endOffset >= endOffset: // no new bytes
 	case n == maxArrivals:
-		// The new bytes count as received with the previous ones. An earlier time never extends
-		// the time that a request has.
+		// The new bytes count as received with the previous ones. An earlier time never extends a
+		// request's deadline.
 		(*a)[n-1].endOffset = endOffset
 	default:
 		*a = append(*a, arrival{endOffset, now})
--- a/internal/frontend/httpapi/arrivals_test.go
+++ b/internal/frontend/httpapi/arrivals_test.go
@@ -29,7 +29,8 @@
 			consumed = rapid.IntRange(consumed+1, len(receivedAt)).Draw(t, "offset")
 			got := a.consumeTo(int64(consumed))
 			if want := receivedAt[consumed-1]; got > want || got != want && reads <= maxArrivals || got < previous {
-				t.Fatalf("consumeTo(%d) = %v after %v, want %v", consumed, got, previous, want)
+				t.Fatalf("consumeTo(%d) = %v after %d reads, want %v, or from %v to that if there were more than %d reads",
+					consumed, got, reads, want, previous, maxArrivals)
 			}
 			previous = got
 		}
--- a/internal/frontend/httpapi/connection.go
+++ b/internal/frontend/httpapi/connection.go
@@ -24,7 +24,7 @@
 	arrivals arrivals      // receive times of the bytes in the buffer
 
 	requestTimer *timerqueue.Entry // closes the connection if its request is not complete in time; nil: not running
-	lastActivity time.Duration     // when a part of a request was last received or a response was sent
+	lastActivity time.Duration     // time of the latest received part of a request or sent response; initially of the accept
 
 	partialRequest  bool // the buffer holds an incomplete request
 	served          bool // the client has made a valid request
--- a/internal/frontend/httpapi/frontend.go
+++ b/internal/frontend/httpapi/frontend.go
@@ -59,8 +59,8 @@
 
 // hooks are callbacks for the handover of connections to another process; each may be nil.
 type hooks struct {
-	onAccept       func(*netio.Conn) // see OnAccept
-	onSharedChange func([]byte)      // see OnSharedChange
+	onAccept       func(*netio.Conn) // called for each accepted connection
+	onSharedChange func([]byte)      // called with each encoded change of the state that connections share
 }
 
 // New returns a frontend that passes its requests to the core.
--- a/internal/frontend/httpapi/handover.go
+++ b/internal/frontend/httpapi/handover.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// connectionState is the encoded state of a connection without an unanswered request, from which
-// another process continues it.
+// connectionState is the state from which another process continues a connection that has no
+// unanswered request. It is encoded as CBOR.
 type connectionState struct {
 	// Served is set if the client has made a valid request.
 	Served bool `cbor:"1,keyasint,omitempty"`
@@ -21,7 +21,7 @@
 	NextPagePending bool `cbor:"2,keyasint,omitempty"`
 }
 
-// resultState is the encoded form of a held result. The process that receives it serves the
+// resultState is a held result as it is encoded as CBOR for another process. That process serves the
 // further pages on any connection on which the client requests them.
 type resultState struct {
 	Path      string           `cbor:"1,keyasint"` // path of the result without a page number
@@ -35,7 +35,7 @@
 // Name returns the name that distinguishes this frontend from others in a handover.
 func (f *Frontend) Name() string { return "rest" }
 
-// ReadLimit returns the maximum number of bytes that are buffered of a connection and not consumed.
+// ReadLimit returns the maximum number of unconsumed bytes that are buffered for a connection.
 func (f *Frontend) ReadLimit() int { return http1.MaxRequestSize }
 
 // OnAccept sets the callback for each accepted connection; it is called once the connection is
--- a/internal/frontend/httpapi/paging.go
+++ b/internal/frontend/httpapi/paging.go
@@ -73,7 +73,7 @@
 }
 
 // page returns the rows of a page by its path, and the path of the next page, which is "" after the
-// last one. Pages are numbered from 0; page 0 is sent with the result and cannot be fetched.
+// last one. Pages are numbered from 0; page 0 is the response to the statement and cannot be fetched.
 func (s *resultStore) page(path string) (rows lineproto.Rows, next string, ok bool) {
 	resultPath, number := splitPagePath(path)
 	result := s.byPath[resultPath]
@@ -123,8 +123,8 @@
 }
 
 // sendRows sends the first page of a result and holds the result for the client to fetch the other
-// pages. A result of one page is sent whole, and so is one that must not be held: because it would
-// exceed MaxHeldBytes, or because of a shutdown or handover.
+// pages. A result of one page is sent whole, and so is one that must not be held: because all held
+// results together would exceed MaxHeldBytes, or because of a shutdown or handover.
 func (c *conn) sendRows(r *core.Request, rows lineproto.Rows) {
 	f := c.frontend
 	pages := paginate(rows)
@@ -140,7 +140,7 @@
 	c.respond(http.StatusOK, 0, encodeRows(pages[0], pagePath(result.Path, 1)))
 }
 
-// holdResult stores a result and drops it at its HeldUntil.
+// holdResult stores a result, unless its path is in use already, and drops it at HeldUntil.
 func (f *Frontend) holdResult(result resultState) {
 	if f.results.add(result.Path, result.Pages) {
 		f.loop.Timers.Add(result.HeldUntil, func() { f.results.release(result.Path) })
--- a/internal/frontend/httpapi/replay_test.go
+++ b/internal/frontend/httpapi/replay_test.go
@@ -122,8 +122,8 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", method, path, header, len(body), body)
 }
 
-// finalInputs returns the last bytes that each connection of a scenario sends: invalid, incomplete or
-// no requests, and one that asks for the connection to be closed.
+// finalInputs returns what each connection of a scenario sends last: an invalid, an incomplete or no
+// request, or one that asks for the connection to be closed.
 func finalInputs() []string {
 	post := func(path, header, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, header, len(body), body)
--- a/internal/frontend/httpapi/request.go
+++ b/internal/frontend/httpapi/request.go
@@ -20,7 +20,7 @@
 const (
 	maxWait              = 10 * time.Minute // upper limit of Req-Wait-Ms
 	maxEstimatedWork     = 24 * time.Hour   // upper limit of Req-Cost
-	maxEstimatedMemoryMB = 1e9              // upper limit of Req-Kb
+	maxEstimatedMemoryMB = 1e9              // upper limit of Req-Kb, which is read as megabytes
 
 	requestIDLength = 16 // hex digits
 	maxTokenLength  = 64 // bytes of an idempotency key or a serial key
@@ -66,7 +66,8 @@
 
 // acceptStatement passes a statement to the core, or returns why the request is invalid. The
 // request's deadline counts from receivedAt: a pipelined request spends a part of its time in the
-// connection's buffer.
+// connection's buffer. If a process that died had received the request, the deadline counts from when
+// that process did.
 func (c *conn) acceptStatement(className string, req http1.Request, receivedAt time.Duration) *http1.StatusError {
 	f := c.frontend
 	if c.orphan != nil && c.orphan.ReceivedAt > 0 {
--- a/internal/frontend/httpapi/response.go
+++ b/internal/frontend/httpapi/response.go
@@ -68,7 +68,8 @@
 // encodeRows encodes rows of tab-separated columns as JSON arrays of strings. nextPage is the path
 // of the result's next page, or "" if there is none.
 func encodeRows(rows lineproto.Rows, nextPage string) []byte {
-	// Estimates the size: half of the rows' size is added for quotes, commas and brackets.
+	// Estimates the size: half of the rows' size is added for quotes, commas and brackets, and
+	// envelopeSize for the object around the rows.
 	const envelopeSize = 64
 	size := envelopeSize
 	for _, enginePage := range rows {
--- a/internal/frontend/httpapi/stored_test.go
+++ b/internal/frontend/httpapi/stored_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// TestStoredResults checks the same for held results, which must not panic with a bit flipped.
+// TestStoredResults checks that stored results are decoded and encoded to the same bytes again.
+// Truncated results must be rejected, and decoding them with one bit flipped must not panic.
 func TestStoredResults(t *testing.T) {
 	stored := storedBytes(t, "results.cbor")
 	var got []resultState
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -28,7 +28,7 @@
 	Path   string            // request target as sent; starts with "/"
 	Header map[string]string // values of the recognized header fields by lower-case name
 	Body   []byte            // part of the buffer given to ParseRequest, not a copy
-	Close  bool              // the client asks for the connection to be closed after the response
+	Close  bool              // the connection closes after the response: the client asks for it or uses HTTP/1.0
 }
 
 // recognizedFields are the lower-case names of the header fields that are kept; all others are ignored.
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -16,7 +16,8 @@
 	f.Fuzz(func(t *testing.T, b, more []byte) {
 		r, size, statusErr := ParseRequest(b)
 		if size > len(b) || len(r.Body) > size || statusErr != nil && size != 0 {
-			t.Fatalf("size = %d with input of %d bytes, body of %d bytes, error %v", size, len(b), len(r.Body), statusErr)
+			t.Fatalf("size = %d with input of %d bytes, body of %d bytes, error %v; want body <= size <= input, and size 0 with an error",
+				size, len(b), len(r.Body), statusErr)
 		}
 		if size == 0 || statusErr != nil {
 			return
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// maxResponseHead is the capacity in bytes that is reserved for a response's status line and header.
+// maxResponseHead is the capacity in bytes that is reserved for the status line and header of a
+// response; it is enough for any response.
 const maxResponseHead = 160
 
 // reasonPhrases holds the reason phrase of each status code that is sent. http.StatusText is not
