--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -10,18 +10,18 @@
 	"gannetspur/internal/config"
 )
 
-// The first field of a file of sites, of one of upgrades, and of a fleet's.
+// Each pattern matches a field that only one kind of TOML file has, at the start of a line.
 var (
-	peersField = regexp.MustCompile(`(?m)^peers *=`)
-	siteField  = regexp.MustCompile(`(?m)^site *=`)
-	adminField = regexp.MustCompile(`(?m)^admin *=`)
+	peersField = regexp.MustCompile(`(?m)^peers *=`) // fleet file
+	siteField  = regexp.MustCompile(`(?m)^site *=`)  // sites file
+	adminField = regexp.MustCompile(`(?m)^admin *=`) // upgrade file
 )
 
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files of the PostgreSQL front, or files of shapes, upgrades, sites or a fleet (TOML)."`
+	Files []string `arg:"" name:"file" help:"Files to check: settings (JSON), or PostgreSQL deploy, shapes, upgrade, sites or fleet files (TOML)."`
 }
 
-// Run names every fault of every file in one pass.
+// Run prints every fault of every file in one pass. The command fails if there is any.
 func (c *checkCommand) Run() error {
 	total := 0
 	for _, path := range c.Files {
@@ -30,22 +30,22 @@
 			fmt.Println(f.Error())
 		}
 		if len(faults) == 0 {
-			fmt.Printf("%s: good\n", path)
+			fmt.Printf("%s: OK\n", path)
 		}
 		total += len(faults)
 	}
 	if total > 0 {
-		fmt.Printf("%d faults\n", total)
+		fmt.Printf("%d errors found\n", total)
 		return errReported
 	}
 	return nil
 }
 
-// checkFile reads a file as the kind that it looks like.
+// checkFile guesses the kind of a file from its extension and fields, loads it as that kind and returns the faults.
 //
-// JSON with "settings" is a platform configuration, other JSON the settings object alone. TOML with "peers" is a fleet's file,
-// with "site" a file of sites, with "admin" one of upgrades, with an address to listen at or a Consul to poll a deploy file of
-// the PostgreSQL frontend, and other TOML a file of shapes.
+// JSON that contains "settings" is a platform configuration; other JSON is the settings object alone. TOML with the field
+// "peers" is a fleet file, with "site" a sites file, and with "admin" an upgrade file. A file that contains "listen" or
+// "[consul]" is a deploy file of the PostgreSQL front end, and other TOML is a shapes file.
 func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	case filepath.Ext(path) == ".toml":
 		_, err = config.LoadShapes(path)
 	default:
-		err = config.Fault{File: path, Want: "no .json and no .toml: what it is can't be told"}
+		err = config.Fault{File: path, Want: "unknown file type: the name ends in neither .json nor .toml"}
 	}
 	return err
 }
--- a/cmd/gateway/completion.go
+++ b/cmd/gateway/completion.go
@@ -8,10 +8,10 @@
 )
 
 type completionCommand struct {
-	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}." name:"shell"`
+	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"Shell to generate the script for: ${enum}." name:"shell"`
 }
 
-// Run prints a script that is made from the grammar of the command line, so that the two can't differ.
+// Run prints a completion script. It is generated from the command-line grammar, so that the two cannot differ.
 func (c *completionCommand) Run(parser *kong.Kong) error {
 	var cases strings.Builder
 	writeCompletionCases(&cases, parser.Model.Node, "")
@@ -23,7 +23,8 @@
 	return err
 }
 
-// writeCompletionCases writes a case of the script for a command and for each command below it.
+// writeCompletionCases writes one case of the script for a command and one for each of its subcommands. path is the
+// command's full name without the program's, with a leading space; "" stands for the program itself.
 func writeCompletionCases(script *strings.Builder, command *kong.Node, path string) {
 	var candidates []string
 	for _, child := range command.Children {
@@ -40,7 +41,7 @@
 	}
 }
 
-// completionScript takes the shell's prologue and the cases.
+// completionScript is a format for the shell's prologue and the cases.
 const completionScript = `%s_ringwood() {
   local path="" word words="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,10 +1,11 @@
-// Command gateway is a front end: it takes requests of clients, has the policy
-// module decide where each runs, and relays the answers.
+// Command gateway is a front end: it accepts requests from clients, lets the policy
+// module choose an engine for each, and relays the responses.
 //
-// Without arguments it serves the platform's protocol as its configuration says
-// ($LB_CONFIG); with --postgres, the PostgreSQL wire protocol as a deploy file says.
-// HUP has the file read again, USR1 prints the counters; TERM and INT begin a planned
-// stop. Other commands check files and show what is known of statements.
+// Without arguments it serves the platform's protocol, configured by the file that
+// $LB_CONFIG names; with --postgres it serves the PostgreSQL wire protocol, configured
+// by a deploy file. SIGHUP reloads the file, SIGUSR1 prints the counters, and SIGTERM
+// and SIGINT begin a graceful shutdown. Other commands check files, talk to a running
+// gateway and show what is known about query shapes.
 package main
 
 import (
@@ -19,33 +20,33 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the grammar of the command line.
+// cli is the command-line grammar: global flags and commands.
 type cli struct {
-	LogFormat string `enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON." name:"log-format"`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}." name:"log-level"`
+	LogFormat string `enum:"auto,json,text" default:"auto" help:"Log format: ${enum}. auto selects text on a terminal and JSON otherwise." name:"log-format"`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Minimum level of logged events: ${enum}." name:"log-level"`
 
-	Serve      serveCommand      `cmd:"" default:"withargs" help:"Serve. This is what ringwood does without a command." name:"serve"`
-	Upgrade    upgradeCommand    `cmd:"" help:"Have a new version take over from a gateway that serves, without a request lost." name:"upgrade"`
-	Status     statusCommand     `cmd:"" help:"Show how a gateway that serves stands." name:"status"`
-	Site       siteCommand       `cmd:"" help:"How other sites stand, and draining." name:"site"`
-	Members    membersCommand    `cmd:"" help:"Show which other front ends serve, as one of them holds." name:"members"`
-	Check      checkCommand      `cmd:"" help:"Read settings and deploy files and name every fault in them." name:"check"`
-	Shapes     shapesCommand     `cmd:"" help:"What is known of the shapes of statements." name:"shapes"`
-	Users      usersCommand      `cmd:"" help:"Users of the PostgreSQL front." name:"users"`
-	Completion completionCommand `cmd:"" help:"Print a script that completes commands and flags in a shell." name:"completion"`
+	Serve      serveCommand      `cmd:"" default:"withargs" help:"Run the gateway. This is the default command." name:"serve"`
+	Upgrade    upgradeCommand    `cmd:"" help:"Upgrade a running gateway to a new version without losing requests." name:"upgrade"`
+	Status     statusCommand     `cmd:"" help:"Show the status of a running gateway." name:"status"`
+	Site       siteCommand       `cmd:"" help:"Show the status of other sites; drain and undrain sites." name:"site"`
+	Members    membersCommand    `cmd:"" help:"List the members of the fleet as one front end sees them." name:"members"`
+	Check      checkCommand      `cmd:"" help:"Validate configuration files and print every error." name:"check"`
+	Shapes     shapesCommand     `cmd:"" help:"Inspect query shapes and their estimated costs." name:"shapes"`
+	Users      usersCommand      `cmd:"" help:"Manage users of the PostgreSQL front end." name:"users"`
+	Completion completionCommand `cmd:"" help:"Print a shell completion script." name:"completion"`
 	Version    versionCommand    `cmd:"" help:"Print the version." name:"version"`
 }
 
 type serveCommand struct {
-	Config   string `env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON." name:"config"`
-	Postgres string `placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's." name:"postgres"`
-	Shapes   string `placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file." name:"shapes"`
-	Upgrade  string `placeholder:"FILE" help:"Open a socket for operators and let new versions take over, as this file says." name:"upgrade"`
-	Sites    string `placeholder:"FILE" help:"Work with gateways at other sites as this file says." name:"sites"`
-	Fleet    string `placeholder:"FILE" help:"Be a member among other front ends as this file says." name:"fleet"`
+	Config   string `env:"LB_CONFIG" placeholder:"FILE" help:"Platform configuration file (JSON)." name:"config"`
+	Postgres string `placeholder:"FILE" help:"Serve the PostgreSQL wire protocol instead of the platform's, configured by this deploy file." name:"postgres"`
+	Shapes   string `placeholder:"FILE" help:"Estimate costs by query shape, configured by this file. Platform front end only: the PostgreSQL front end reads [shapes] from its deploy file." name:"shapes"`
+	Upgrade  string `placeholder:"FILE" help:"Open an admin socket and allow upgrades of the running gateway, configured by this file." name:"upgrade"`
+	Sites    string `placeholder:"FILE" help:"Exchange requests with gateways at other sites, configured by this file." name:"sites"`
+	Fleet    string `placeholder:"FILE" help:"Join a fleet of front ends, configured by this file." name:"fleet"`
 }
 
-// Run serves until the process is told to stop. Each fault of the files is one event in the log.
+// Run serves until the process is told to stop. Each fault in the files is logged as an event of its own.
 func (c *serveCommand) Run(global *cli) error {
 	log, err := logging.New(os.Stderr, logging.Options{Format: global.LogFormat, Level: global.LogLevel})
 	if err != nil {
@@ -68,8 +69,8 @@
 	return errReported
 }
 
-// errReported stands for faults that have been printed already.
-var errReported = errors.New("reported")
+// errReported makes the program exit with status 1 when the errors themselves have been printed already.
+var errReported = errors.New("errors were reported")
 
 type versionCommand struct{}
 
@@ -78,29 +79,30 @@
 	return err
 }
 
-// deprecatedFlags maps the spellings of versions that had no commands to those of today.
+// deprecatedFlags maps the single-dash flags of early versions, which had no commands, to their current names.
 var deprecatedFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
 
-func withoutDeprecated(args []string) []string {
-	current := make([]string, len(args))
+// replaceDeprecatedFlags returns a copy of args in which deprecated flags have their current names.
+func replaceDeprecatedFlags(args []string) []string {
+	result := make([]string, len(args))
 	for i, arg := range args {
 		if replacement, ok := deprecatedFlags[arg]; ok {
 			arg = replacement
 		}
-		current[i] = arg
+		result[i] = arg
 	}
-	return current
+	return result
 }
 
 func main() {
 	var commandLine cli
 	parser, err := kong.New(&commandLine, kong.Name("ringwood"), kong.UsageOnError(),
-		kong.Description("A gateway between clients and query engines. It serves as $LB_CONFIG, --config or --postgres says."))
+		kong.Description("A gateway between clients and query engines. Set $LB_CONFIG, --config or --postgres to select what it serves."))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ringwood:", err)
 		os.Exit(1)
 	}
-	ctx, err := parser.Parse(withoutDeprecated(os.Args[1:]))
+	ctx, err := parser.Parse(replaceDeprecatedFlags(os.Args[1:]))
 	parser.FatalIfErrorf(err)
 	if err := ctx.Run(&commandLine, parser); err != nil {
 		if !errors.Is(err, errReported) {
--- a/cmd/gateway/members.go
+++ b/cmd/gateway/members.go
@@ -15,18 +15,19 @@
 
 type membersCommand struct {
 	adminFlags
-	Fleet string        `placeholder:"FILE" help:"In place of --admin: the fleet's file that the gateway was started with, which names it." name:"fleet"`
-	JSON  bool          `help:"Print all of it as JSON." name:"json"`
-	Watch time.Duration `placeholder:"SPAN" help:"Print it again each SPAN, until interrupted." name:"watch"`
+	Fleet string        `placeholder:"FILE" help:"Fleet file that the gateway was started with; its admin socket is used unless --admin or --upgrade is given." name:"fleet"`
+	JSON  bool          `help:"Print the full output as JSON." name:"json"`
+	Watch time.Duration `placeholder:"INTERVAL" help:"Repeat every INTERVAL until interrupted." name:"watch"`
 }
 
+// Run prints the members once, or with --watch repeatedly, at most ten times a second.
 func (c *membersCommand) Run() error {
 	if c.Admin == "" && c.Upgrade == "" && c.Fleet != "" {
-		f, err := config.LoadFleet(c.Fleet)
+		fleet, err := config.LoadFleet(c.Fleet)
 		if err != nil {
 			return err
 		}
-		c.Admin = f.Admin
+		c.Admin = fleet.Admin
 	}
 	for {
 		if err := c.show(); err != nil || c.Watch <= 0 {
@@ -37,6 +38,7 @@
 	}
 }
 
+// show asks the gateway for its members and prints them.
 func (c *membersCommand) show() error {
 	last, err := c.call(admin.Request{Command: admin.CommandMembers}, func(admin.Reply) {})
 	switch {
@@ -45,27 +47,28 @@
 	case last.Problem != "":
 		return errors.New(last.Problem)
 	}
-	var o membership.Overview
-	if err := json.Unmarshal(last.Membership, &o); err != nil {
+	var overview membership.Overview
+	if err := json.Unmarshal(last.Membership, &overview); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(o)
+		return printJSON(overview)
 	}
-	printMembers(o)
+	printMembers(overview)
 	return nil
 }
 
+// printMembers prints the membership view and a table of its members; a star marks the member that was asked.
 func printMembers(o membership.Overview) {
-	known := "more than half of the fleet is in it"
+	majority := "a majority of the fleet"
 	if !o.View.Majority {
-		known = "half of the fleet or more is not in it: this part may be cut off, and can't know"
+		majority = "not a majority of the fleet (this member may be in a minority partition)"
 	}
-	fmt.Printf("view %d (%s): %d members; %s; held by %d of %d heard lately\n", o.View.Number, o.View.Digest, o.View.Size, known, o.View.SameView, o.View.HeardMembers)
+	fmt.Printf("view %d (%s): %d members, %s; same view on %d of %d recently heard members\n", o.View.Number, o.View.Digest, o.View.Size, majority, o.View.SameView, o.View.HeardMembers)
 	if o.SelfSuspicion != "" {
-		fmt.Printf("this member doubts itself: %s\n", o.SelfSuspicion)
+		fmt.Printf("this member suspects itself: %s\n", o.SelfSuspicion)
 	}
-	fmt.Printf("\n%-22s %-8s %8s %6s  %s\n", "member", "state", "heard ms", "loss", "witnesses")
+	fmt.Printf("\n%-22s %-8s %8s %6s  %s\n", "member", "state", "heard ms", "loss", "reports")
 	for _, m := range o.Members {
 		name, heard := m.Address, fmt.Sprintf("%.0f", m.HeardMS)
 		if m.ID == o.Self {
@@ -73,18 +76,18 @@
 		} else if m.HeardMS < 0 {
 			heard = "never"
 		}
-		var said []string
-		for _, w := range []struct {
-			what string
+		var reports []string
+		for _, report := range []struct {
+			text string
 			by   []decide.ID
-		}{{"not heard by", m.NotHeardBy}, {"not heard by, though alive:", m.NotHeardButAliveBy}, {"heard by", m.HeardBy}} {
-			if len(w.by) > 0 {
-				said = append(said, fmt.Sprintf("%s %v", w.what, w.by))
+		}{{"not heard by", m.NotHeardBy}, {"not heard, but known to be alive, by", m.NotHeardButAliveBy}, {"heard by", m.HeardBy}} {
+			if len(report.by) > 0 {
+				reports = append(reports, fmt.Sprintf("%s %v", report.text, report.by))
 			}
 		}
 		if m.SuspectsItself {
-			said = append(said, "doubts itself")
+			reports = append(reports, "suspects itself")
 		}
-		fmt.Printf("%-22s %-8s %8s %6.2f  %s\n", name, m.State, heard, m.LossRate, strings.Join(said, "; "))
+		fmt.Printf("%-22s %-8s %8s %6.2f  %s\n", name, m.State, heard, m.LossRate, strings.Join(reports, "; "))
 	}
 }
--- a/cmd/gateway/shapes.go
+++ b/cmd/gateway/shapes.go
@@ -8,12 +8,13 @@
 )
 
 type shapesCommand struct {
-	Explain explainCommand `cmd:"" help:"Show how a statement is read, classed and costed, and why." name:"explain"`
-	Top     topCommand     `cmd:"" help:"List the shapes of a snapshot that take the most work." name:"top"`
-	Diff    diffCommand    `cmd:"" help:"List the shapes whose cost differs most between two snapshots." name:"diff"`
+	Explain explainCommand `cmd:"" help:"Show how a statement is parsed, classified and costed, and why." name:"explain"`
+	Top     topCommand     `cmd:"" help:"List the query shapes of a snapshot with the most total work." name:"top"`
+	Diff    diffCommand    `cmd:"" help:"List the query shapes whose cost differs most between two snapshots." name:"diff"`
 }
 
-// meanWork is the work of a usual execution, in milliseconds; 0: none was observed.
+// meanWork returns the geometric mean of the work of an execution, in milliseconds; 0 means that none was observed. The
+// snapshot holds it as a binary logarithm.
 func meanWork(shape *queryshape.SavedShape) float64 {
 	if shape.Record.Work.Samples == 0 {
 		return 0
@@ -21,13 +22,14 @@
 	return math.Exp2(float64(shape.Record.Work.Center))
 }
 
-// descending orders two numbers, the greater first.
+// descending compares two numbers for a sort that puts the greater first.
 func descending(a, b float64) int { return cmp.Compare(b, a) }
 
+// maxShapeLength bounds a statement in a table, in bytes.
 const maxShapeLength = 160
 
-// shorten cuts a statement to what a table has room for.
-func shorten(statement string) string {
+// truncate shortens a statement to maxShapeLength bytes.
+func truncate(statement string) string {
 	if len(statement) <= maxShapeLength {
 		return statement
 	}
--- a/cmd/gateway/shapes_diff.go
+++ b/cmd/gateway/shapes_diff.go
@@ -12,22 +12,22 @@
 )
 
 type diffCommand struct {
-	Old       string  `arg:"" help:"The older file." name:"old"`
-	New       string  `arg:"" help:"The newer file." name:"new"`
-	Limit     int     `name:"most" default:"20" help:"How many."`
-	MinFactor float64 `name:"over" default:"1.5" help:"The least factor between the two that is told."`
+	Old       string  `arg:"" help:"Older snapshot file." name:"old"`
+	New       string  `arg:"" help:"Newer snapshot file." name:"new"`
+	Limit     int     `name:"most" default:"20" help:"Maximum number of shapes to list."`
+	MinFactor float64 `name:"over" default:"1.5" help:"List only shapes whose cost changed by at least this factor."`
 }
 
-// costChange is a shape whose work differs between two snapshots.
+// costChange is a query shape whose mean work differs between two snapshots.
 type costChange struct {
 	shape         *queryshape.SavedShape
-	before, after float64 // ms
+	before, after float64 // mean work in ms
 }
 
-// distance is how far apart the two are, as a logarithm.
+// distance returns the absolute logarithm of the ratio of the two costs.
 func (c costChange) distance() float64 { return math.Abs(math.Log(c.after / c.before)) }
 
-// Run lists what has changed, and counts what is new and what is missing.
+// Run lists the shapes whose cost changed and counts the shapes that are only in one of the snapshots.
 func (c *diffCommand) Run() error {
 	older, err := queryshape.ReadSnapshot(c.Old)
 	if err != nil {
@@ -62,7 +62,7 @@
 	fmt.Fprintf(w, "was ms\tis ms\tfactor\tshape\n")
 	for _, change := range changes[:min(c.Limit, len(changes))] {
 		factor := strconv.FormatFloat(change.after/change.before, 'g', 3, 64)
-		fmt.Fprintf(w, "%.4g\t%.4g\t%s\t%s\n", change.before, change.after, factor, shorten(change.shape.NormalForm))
+		fmt.Fprintf(w, "%.4g\t%.4g\t%s\t%s\n", change.before, change.after, factor, truncate(change.shape.NormalForm))
 	}
 	fmt.Fprintf(w, "\n%d changed\t%d came\t%d went\t\n", len(changes), added, len(missing))
 	return w.Flush()
--- a/cmd/gateway/shapes_explain.go
+++ b/cmd/gateway/shapes_explain.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// explainCacheBytes bounds the cache that a snapshot is read into.
+	// explainCacheBytes bounds the cache that a snapshot is loaded into.
 	explainCacheBytes = 64 << 20
-	maxTokensLength   = 2000
+	// maxTokensLength bounds the printed list of tokens, in bytes.
+	maxTokensLength = 2000
 )
 
 type explainCommand struct {
-	SQL      string    `arg:"" help:"The statement." name:"sql"`
-	Bind     []string  `sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again." name:"bind"`
-	Snapshot string    `placeholder:"FILE" help:"What is known; without it, only what the text shows." name:"snapshot"`
-	Hint     float64   `placeholder:"MS" help:"The client's estimate of the work." name:"hint"`
-	Known    int       `default:"-1" help:"Place of the class that is known already, from 0; -1: none." name:"known"`
-	Bounds   []float64 `default:"800" help:"Where one class of reading statements ends and the next begins, in ms." name:"bounds"`
-	Readers  []string  `help:"Functions that only read, beside PostgreSQL's own." name:"readers"`
+	SQL      string    `arg:"" help:"SQL statement." name:"sql"`
+	Bind     []string  `sep:"none" placeholder:"VALUE" help:"Value of the next parameter, as text; NULL means null. Repeat for each parameter." name:"bind"`
+	Snapshot string    `placeholder:"FILE" help:"Snapshot of observed shapes. Without it, the estimate uses the statement text alone." name:"snapshot"`
+	Hint     float64   `placeholder:"MS" help:"Work estimated by the client." name:"hint"`
+	Known    int       `default:"-1" help:"Index of the class if it is already known, from 0; -1 means unknown." name:"known"`
+	Bounds   []float64 `default:"800" help:"Upper bounds of the classes of read-only statements, in ms." name:"bounds"`
+	Readers  []string  `help:"Additional read-only functions, besides PostgreSQL's built-in ones." name:"readers"`
 }
 
-// Run prints what a gateway would make of the statement.
+// Run prints how a gateway would parse, classify and cost the statement.
 func (c *explainCommand) Run() error {
 	model := c.model()
 	cache, err := c.cache(model)
@@ -47,14 +48,14 @@
 	if statement.HasTableGroup {
 		fmt.Fprintf(w, "group\t%d\n", statement.TableGroup)
 	}
-	fmt.Fprintf(w, "may do\t%v (%v)\n", statement.Effect.Effect, statement.Effect)
+	fmt.Fprintf(w, "effect\t%v (%v)\n", statement.Effect.Effect, statement.Effect)
 	fmt.Fprintf(w, "features\t%+v\n", statement.Features)
 	binds := c.binds()
 	profile := statement.Profile(c.SQL, &binds, 0)
-	fmt.Fprintf(w, "profile\t%s\n", describe(&profile))
+	fmt.Fprintf(w, "profile\t%s\n", describeProfile(&profile))
 	estimate := cache.Estimate(cache.Read(c.SQL), &binds, c.Known, queryshape.Hint{Work: c.Hint}).Estimate
 	if estimate.Known {
-		fmt.Fprintf(w, "expected\t%.4g ms, nine tenths under %.4g ms\n", estimate.Work, estimate.Work*estimate.P90Factor)
+		fmt.Fprintf(w, "estimate\t%.4g ms, 90th percentile %.4g ms\n", estimate.Work, estimate.Work*estimate.P90Factor)
 	}
 	if estimate.Known && estimate.MemoryMB > 0 {
 		fmt.Fprintf(w, "memory\t%.3g MB\n", estimate.MemoryMB)
@@ -62,11 +63,11 @@
 	if estimate.Known && statement.Effect.Effect == sqltext.Reads && estimate.Class >= 0 {
 		fmt.Fprintf(w, "class\t%s\n", model.Classes[estimate.Class].Name)
 	}
-	fmt.Fprintf(w, "why\t%s\n", estimate.Explain())
+	fmt.Fprintf(w, "reason\t%s\n", estimate.Explain())
 	return w.Flush()
 }
 
-// model has a class for each bound and one above the last.
+// model returns a cost model with one class for each bound and one above the last bound.
 func (c *explainCommand) model() costmodel.Config {
 	var model costmodel.Config
 	for i, bound := range c.Bounds {
@@ -77,7 +78,7 @@
 	return model
 }
 
-// cache holds the snapshot, or nothing.
+// cache returns an estimator that holds the snapshot, or an empty one if no snapshot is given.
 func (c *explainCommand) cache(model costmodel.Config) (*queryshape.Estimator, error) {
 	options := queryshape.Options{Model: model, Bytes: explainCacheBytes}
 	if c.Snapshot == "" {
@@ -90,6 +91,7 @@
 	return queryshape.Restore(options, snapshot)
 }
 
+// binds returns the parameter values of the command line.
 func (c *explainCommand) binds() sqltext.Binds {
 	var binds sqltext.Binds
 	for _, value := range c.Bind {
@@ -102,7 +104,7 @@
 	return binds
 }
 
-// tokens lists the tokens of a statement.
+// tokens lists the tokens of a statement, cut off after maxTokensLength bytes.
 func tokens(text string) string {
 	lexer := sqltext.Lexer{Src: text}
 	var b strings.Builder
@@ -119,8 +121,8 @@
 	return b.String()
 }
 
-// describe words what the values of a statement say of its size.
-func describe(p *sqltext.Profile) string {
+// describeProfile describes what the values of a statement say about the amount of data it reads or writes.
+func describeProfile(p *sqltext.Profile) string {
 	var parts []string
 	add := func(applies bool, format string, args ...any) {
 		if applies {
@@ -128,16 +130,16 @@
 		}
 	}
 	add(p.Alternatives > 0, "%d alternatives", p.Alternatives)
-	add(p.Span > 0, "a range of %.4g", p.Span)
-	add(p.HalfOpen, "a range with one end")
-	add(p.Pattern == sqltext.PrefixPattern, "a pattern with a fixed beginning")
-	add(p.Pattern == sqltext.LeadingWildcard, "a pattern with a wildcard in front")
+	add(p.Span > 0, "range of %.4g", p.Span)
+	add(p.HalfOpen, "half-open range")
+	add(p.Pattern == sqltext.PrefixPattern, "pattern with a fixed prefix")
+	add(p.Pattern == sqltext.LeadingWildcard, "pattern with a leading wildcard")
 	add(p.Limit > 0, "at most %.0f rows", p.Limit)
-	add(p.DisabledRestrictions > 0, "%d restrictions switched off by null", p.DisabledRestrictions)
+	add(p.DisabledRestrictions > 0, "%d restrictions disabled by NULL", p.DisabledRestrictions)
 	add(p.Rows > 0, "%d rows to write", p.Rows)
-	add(p.Unrestricted, "nothing narrows what is read")
+	add(p.Unrestricted, "unrestricted read")
 	if len(parts) == 0 {
-		return "nothing of note"
+		return "nothing notable"
 	}
 	return strings.Join(parts, ", ")
 }
--- a/cmd/gateway/shapes_top.go
+++ b/cmd/gateway/shapes_top.go
@@ -10,11 +10,11 @@
 )
 
 type topCommand struct {
-	Snapshot string `arg:"" help:"The file." name:"snapshot"`
-	Limit    int    `name:"most" default:"20" help:"How many."`
+	Snapshot string `arg:"" help:"Snapshot file." name:"snapshot"`
+	Limit    int    `name:"most" default:"20" help:"Maximum number of shapes to list."`
 }
 
-// Run lists shapes by the work that all their executions took together.
+// Run lists shapes by the total work of their executions.
 func (c *topCommand) Run() error {
 	snapshot, err := queryshape.ReadSnapshot(c.Snapshot)
 	if err != nil {
@@ -26,17 +26,18 @@
 	fmt.Fprintf(w, "seen\twork ms\tprofiles\tshape\n")
 	for i := range shapes[:min(c.Limit, len(shapes))] {
 		shape := &shapes[i]
-		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", shape.Record.Executions, meanWork(shape), observedProfiles(shape), shorten(shape.NormalForm))
+		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", shape.Record.Executions, meanWork(shape), observedProfiles(shape), truncate(shape.NormalForm))
 	}
 	fmt.Fprintf(w, "\n%d shapes\t\t\t%d more were too long to keep\n", len(shapes), snapshot.TruncatedShapes)
 	return w.Flush()
 }
 
+// totalWork returns the work of all executions of a shape together, in milliseconds.
 func totalWork(shape *queryshape.SavedShape) float64 {
 	return float64(shape.Record.Executions) * meanWork(shape)
 }
 
-// observedProfiles counts the profiles of values that executions had.
+// observedProfiles counts the value profiles (see sqltext.Profile) that executions of a shape had.
 func observedProfiles(shape *queryshape.SavedShape) int {
 	n := 0
 	for _, bucket := range shape.Record.Buckets {
--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -12,12 +12,13 @@
 	"gannetspur/internal/site/forwarding"
 )
 
-// siteFlags name the gateway that is spoken to.
+// siteFlags select the gateway to call.
 type siteFlags struct {
 	adminFlags
-	Sites string `placeholder:"FILE" help:"In place of --admin: the file of sites that the gateway was started with, which names it."`
+	Sites string `placeholder:"FILE" help:"Sites file that the gateway was started with; its admin socket is used unless --admin or --upgrade is given."`
 }
 
+// request sends a request to the gateway and returns the overview of sites in its reply.
 func (f *siteFlags) request(r admin.Request) (o forwarding.Overview, err error) {
 	if f.Admin == "" && f.Upgrade == "" && f.Sites != "" {
 		s, err := config.LoadSites(f.Sites)
@@ -37,14 +38,14 @@
 }
 
 type siteCommand struct {
-	Status  siteStatusCommand  `cmd:"" help:"Show how this site and the others stand, as a gateway sees them." name:"status"`
-	Drain   siteDrainCommand   `cmd:"" help:"Send nothing new to a site; without one, take nothing new of others." name:"drain"`
-	Undrain siteUndrainCommand `cmd:"" help:"Take a drain back." name:"undrain"`
+	Status  siteStatusCommand  `cmd:"" help:"Show the status of this site and its peers as one gateway sees them." name:"status"`
+	Drain   siteDrainCommand   `cmd:"" help:"Stop sending requests to a site. Without a site: stop accepting requests from other sites." name:"drain"`
+	Undrain siteUndrainCommand `cmd:"" help:"Undo a drain." name:"undrain"`
 }
 
 type siteStatusCommand struct {
 	siteFlags
-	JSON bool `help:"Print all of it as JSON." name:"json"`
+	JSON bool `help:"Print the full output as JSON." name:"json"`
 }
 
 func (c *siteStatusCommand) Run() error {
@@ -59,49 +60,52 @@
 	return nil
 }
 
+// printSites prints the state of this site, a table of its peers and the latest events; a star marks a drained peer.
 func printSites(o forwarding.Overview) {
-	takes := "takes work of other sites"
+	accepts := "accepts requests from other sites"
 	if o.Draining {
-		takes = "takes nothing new of other sites"
+		accepts = "accepts no new requests from other sites"
 	}
-	fmt.Printf("%s  %.1f cores, %s; room: %s\n\n", o.Name, o.Cores, takes, rooms(o.FreeCapacity))
-	fmt.Printf("%-24s %-9s %8s %8s %6s %6s %8s  %s\n", "peer", "state", "rtt ms", "heard ms", "there", "theirs", "takes s", "room there")
+	fmt.Printf("%s  %.1f cores, %s; free capacity: %s\n\n", o.Name, o.Cores, accepts, formatCapacity(o.FreeCapacity))
+	fmt.Printf("%-24s %-9s %8s %8s %6s %6s %8s  %s\n", "peer", "state", "rtt ms", "heard ms", "out", "in", "credit s", "free capacity")
 	for _, p := range o.Peers {
 		state := p.State
 		if p.Drained {
 			state += "*"
 		}
-		fmt.Printf("%-24s %-9s %8.1f %8.0f %6d %6d %8.2f  %s\n", p.Peer, state, p.RTTMS, p.HeardMS, p.Forwarded, p.Served, p.Credit, rooms(p.FreeCapacity))
+		fmt.Printf("%-24s %-9s %8.1f %8.0f %6d %6d %8.2f  %s\n", p.Peer, state, p.RTTMS, p.HeardMS, p.Forwarded, p.Served, p.Credit, formatCapacity(p.FreeCapacity))
 	}
 	for _, e := range o.Log {
 		fmt.Println(e)
 	}
 }
 
-func rooms(m map[string]float64) string {
-	var all []string
-	for _, name := range slices.Sorted(maps.Keys(m)) {
-		all = append(all, fmt.Sprintf("%s %.2f", name, m[name]))
+// formatCapacity lists the free capacity of each class, sorted by name.
+func formatCapacity(capacity map[string]float64) string {
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(capacity)) {
+		parts = append(parts, fmt.Sprintf("%s %.2f", name, capacity[name]))
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(parts, ", ")
 }
 
 type siteDrainCommand struct {
 	siteFlags
-	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site." name:"site"`
+	Site string `arg:"" optional:"" help:"Site, or one gateway as SITE/GATEWAY; defaults to this site." name:"site"`
 }
 
 func (c *siteDrainCommand) Run() error { return drain(&c.siteFlags, admin.CommandSiteDrain, c.Site) }
 
 type siteUndrainCommand struct {
 	siteFlags
-	Site string `arg:"" optional:"" help:"A site, or one gateway as SITE/GATEWAY; none: this site." name:"site"`
+	Site string `arg:"" optional:"" help:"Site, or one gateway as SITE/GATEWAY; defaults to this site." name:"site"`
 }
 
 func (c *siteUndrainCommand) Run() error {
 	return drain(&c.siteFlags, admin.CommandSiteUndrain, c.Site)
 }
 
+// drain sends a drain or undrain command and prints the resulting state.
 func drain(f *siteFlags, command, site string) error {
 	o, err := f.request(admin.Request{Command: command, Site: site})
 	if err == nil {
--- a/cmd/gateway/upgrade.go
+++ b/cmd/gateway/upgrade.go
@@ -12,14 +12,15 @@
 	"gannetspur/internal/config"
 )
 
-// adminFlags name the gateway that is spoken to.
+// adminFlags select the gateway to call.
 type adminFlags struct {
-	Admin   string        `placeholder:"SOCKET" help:"The gateway's socket for operators."`
-	Upgrade string        `placeholder:"FILE" help:"In place of --admin: the file that the gateway was started with, which names it."`
-	Within  time.Duration `default:"2m" help:"Give up waiting after this. The gateway goes on."`
+	Admin   string        `placeholder:"SOCKET" help:"Admin socket of the gateway."`
+	Upgrade string        `placeholder:"FILE" help:"Upgrade file that the gateway was started with; its admin socket is used unless --admin is given."`
+	Within  time.Duration `default:"2m" help:"Timeout for the reply. The gateway carries on with the request."`
 }
 
-func (f *adminFlags) call(r admin.Request, each func(admin.Reply)) (admin.Reply, error) {
+// call sends a request to the gateway. It calls onReply for each reply but the last, which it returns.
+func (f *adminFlags) call(r admin.Request, onReply func(admin.Reply)) (admin.Reply, error) {
 	path := f.Admin
 	if path == "" && f.Upgrade != "" {
 		u, err := config.LoadUpgrade(f.Upgrade)
@@ -29,21 +30,21 @@
 		path = u.Admin
 	}
 	if path == "" {
-		return admin.Reply{}, errors.New("name the gateway: --admin SOCKET or --upgrade FILE")
+		return admin.Reply{}, errors.New("no gateway given: use --admin SOCKET or --upgrade FILE")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), f.Within)
 	defer cancel()
-	return admin.Call(ctx, path, r, each)
+	return admin.Call(ctx, path, r, onReply)
 }
 
 type upgradeCommand struct {
 	adminFlags
-	Program string `placeholder:"FILE" help:"What takes over; by default what the gateway's file names, else the program that runs, as it is on disk now." name:"program"`
-	Check   bool   `help:"Only ask whether it would take over: it is started, reads its files, says what it is and ends." name:"check"`
+	Program string `placeholder:"FILE" help:"Program to upgrade to. Defaults to the one that the upgrade file names, or else to the current contents of the running program's file." name:"program"`
+	Check   bool   `help:"Dry run: start the new program, let it read its files and report whether it can take over." name:"check"`
 }
 
-// Run has a new version take over. It waits, tells each phase, and ends with status 1 and
-// the reason where control has returned to the old one.
+// Run upgrades the gateway: it prints each phase and waits for the end. If the old process keeps or regains control, the
+// command fails with the reason.
 func (c *upgradeCommand) Run() error {
 	command := admin.CommandUpgrade
 	if c.Check {
@@ -57,20 +58,20 @@
 	case err != nil:
 		return err
 	case last.Problem != "" && c.Check:
-		return fmt.Errorf("it would not take over: %s", last.Problem)
+		return fmt.Errorf("the new program cannot take over: %s", last.Problem)
 	case last.Problem != "":
-		return fmt.Errorf("the old process serves on: %s", last.Problem)
+		return fmt.Errorf("upgrade failed, the old process keeps serving: %s", last.Problem)
 	case c.Check:
-		fmt.Printf("it would take over: %s\n", last.Build)
+		fmt.Printf("the new program can take over: %s\n", last.Build)
 	default:
-		fmt.Printf("%6.2f s  the new process is the owner\n", time.Since(start).Seconds())
+		fmt.Printf("%6.2f s  upgrade complete, the new process is the owner\n", time.Since(start).Seconds())
 	}
 	return nil
 }
 
 type statusCommand struct {
 	adminFlags
-	JSON bool `help:"Print all of it as JSON, counters too." name:"json"`
+	JSON bool `help:"Print the full status as JSON, including counters." name:"json"`
 }
 
 func (c *statusCommand) Run() error {
@@ -80,17 +81,17 @@
 	}
 	s := last.Status
 	if s == nil {
-		return fmt.Errorf("no status: %s", last.Problem)
+		return fmt.Errorf("the gateway returned no status: %s", last.Problem)
 	}
 	if c.JSON {
 		return printJSON(s)
 	}
-	fmt.Printf("process      %d, %s\nfront        %s at %s\nup           %.0f s, took over: %v\nupgrade      %s\nconnections  %d\nunanswered   %d\n",
+	fmt.Printf("process      %d, %s\nfront end    %s at %s\nuptime       %.0f s, took over: %v\nupgrade      %s\nconnections  %d\nunanswered   %d\n",
 		s.PID, s.Build, s.Frontend, s.Listen, s.UptimeSeconds, s.TookOver, s.Phase, s.Connections, s.Unanswered)
 	return nil
 }
 
-// printJSON prints what an operator asked for as JSON, indented.
+// printJSON prints a value as indented JSON.
 func printJSON(v any) error {
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
--- a/cmd/gateway/users.go
+++ b/cmd/gateway/users.go
@@ -11,12 +11,12 @@
 )
 
 type usersCommand struct {
-	Verifier verifierCommand `cmd:"" help:"Make the verifier of a password, for a file of users. The password is read from standard input, up to the line's end." name:"verifier"`
+	Verifier verifierCommand `cmd:"" help:"Print a SCRAM verifier for a users file. The password is read from the first line of standard input." name:"verifier"`
 }
 
 type verifierCommand struct{}
 
-// Run prints a verifier, as pg_authid.rolpassword holds it.
+// Run prints a SCRAM verifier in the format of pg_authid.rolpassword.
 func (verifierCommand) Run() error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	password := strings.TrimRight(line, "\r\n")
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter hosts gateways on standard input and output.
+// Command simadapter runs simulated gateways for a simulator that drives them through standard input and output.
 package main
 
 import (
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -10,10 +10,10 @@
 	"net"
 )
 
-// maxReplyBytes bounds a reply, which may hold all counters or sites.
+// maxReplyBytes bounds one reply, which may hold all counters or all sites.
 const maxReplyBytes = 16 << 20
 
-// FetchStatus asks the gateway behind a socket for its status.
+// FetchStatus returns the status of the gateway that listens at the socket path.
 func FetchStatus(ctx context.Context, path string) (*Status, error) {
 	last, err := Call(ctx, path, Request{Command: CommandStatus}, func(Reply) {})
 	if err == nil && last.Status == nil {
@@ -22,8 +22,8 @@
 	return last.Status, err
 }
 
-// Call sends a request to the gateway behind a socket. It calls onReply for each reply but the
-// last, which it returns.
+// Call sends a request to the gateway that listens at the socket path. It calls onReply for each
+// reply but the last, which it returns. It fails if the connection ends before the last reply.
 func Call(ctx context.Context, path string, request Request, onReply func(Reply)) (last Reply, err error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, "unix", path)
 	if err != nil {
@@ -52,5 +52,5 @@
 		onReply(last)
 	}
 	cause := errors.Join(lines.Err(), ctx.Err(), io.ErrUnexpectedEOF)
-	return last, fmt.Errorf("admin: the gateway ended without a last word: %w", cause)
+	return last, fmt.Errorf("admin: connection closed before the final reply: %w", cause)
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,31 +13,35 @@
 )
 
 const (
+	// maxRequestBytes bounds a request, its newline included.
 	maxRequestBytes = 64 << 10
-	maxCalls        = 16              // at once; the next wait
-	callTimeout     = 5 * time.Second // for the request to arrive, and for each reply to be taken
-	// acceptBackoff is the pause after a failed accept, as when no descriptor is left.
+	// maxCalls bounds the calls that are served at once; further connections wait to be accepted.
+	maxCalls = 16
+	// callTimeout bounds the wait for a request, and each write of a reply.
+	callTimeout = 5 * time.Second
+	// acceptBackoff is the pause after a failed accept, such as one that found no free descriptor.
 	acceptBackoff = 50 * time.Millisecond
-	socketMode    = 0o600
+	// socketMode lets only the socket's owner connect.
+	socketMode = 0o600
 )
 
-// Handler answers a request by one reply or several, the last with Done.
+// Handler handles one request. It calls reply one or more times, the last time with Done set.
 type Handler func(request Request, reply func(Reply))
 
-// Server answers on a socket.
+// Server accepts requests on a Unix socket.
 type Server struct{ listener *net.UnixListener }
 
-// Listen answers at a path until Close. A socket of that name is replaced in one step, so that a
-// process which takes over from another has it from then on. handle is called for each request,
-// on a goroutine of its own, which ends with the call.
+// Listen creates a socket at path and serves requests on it until Close. A socket that exists at
+// path is replaced atomically, so that a process that takes over from another also takes over the
+// socket. handle is called for each request, on a goroutine of its own that ends with the call.
 func Listen(path string, handle Handler) (*Server, error) {
 	temporary := filepath.Join(filepath.Dir(path), fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid()))
-	_ = os.Remove(temporary) // of a process of this number that crashed here
+	_ = os.Remove(temporary) // left by a process with the same id that crashed at this point
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // the name may be another's by then
+	ln.SetUnlinkOnClose(false) // another process may have replaced the socket by then
 	err = os.Chmod(temporary, socketMode)
 	if err == nil {
 		err = os.Rename(temporary, path)
@@ -52,9 +56,10 @@
 	return s, nil
 }
 
-// Close accepts no more calls. Those that are open go on.
+// Close stops accepting calls. Open calls continue.
 func (s *Server) Close() error { return s.listener.Close() }
 
+// serve accepts connections until the listener is closed, at most maxCalls at once.
 func (s *Server) serve(handle Handler) {
 	slots := make(chan struct{}, maxCalls)
 	for {
@@ -78,10 +83,11 @@
 	}
 }
 
+// serveCall reads one request and passes it to the handler.
 func serveCall(c net.Conn, handle Handler) {
 	request, err := readRequest(c)
 	if err != nil {
-		writeReply(c, Reply{Problem: fmt.Sprintf("the request can't be read: %v", err), Done: true})
+		writeReply(c, Reply{Problem: fmt.Sprintf("cannot read request: %v", err), Done: true})
 		return
 	}
 	handle(request, func(r Reply) { writeReply(c, r) })
@@ -89,7 +95,7 @@
 
 func readRequest(c net.Conn) (Request, error) {
 	var request Request
-	_ = c.SetReadDeadline(time.Now().Add(callTimeout)) // fails only on a closed connection, as the read does then
+	_ = c.SetReadDeadline(time.Now().Add(callTimeout)) // fails only on a closed connection, on which the read fails too
 	line, err := bufio.NewReader(io.LimitReader(c, maxRequestBytes)).ReadBytes('\n')
 	if err != nil {
 		return request, err
@@ -98,7 +104,7 @@
 	return request, err
 }
 
-// writeReply drops errors: a caller that has left needs no reply.
+// writeReply sends a reply. It drops errors: a client that has disconnected needs no reply.
 func writeReply(c net.Conn, r Reply) {
 	b, err := json.Marshal(r)
 	if err != nil {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The process that listens last at a path has it, its owner alone may use it, and nothing else
-// is left in the folder.
+// TestListenReplacesSocket checks that a second Listen takes over the path, that only the owner may connect, and that no
+// temporary files stay in the directory.
 func TestListenReplacesSocket(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "admin")
@@ -20,7 +20,7 @@
 		t.Cleanup(func() { _ = s.Close() })
 		last, err := Call(t.Context(), path, Request{Command: "status"}, func(Reply) {})
 		if err != nil || last.Build != build {
-			t.Errorf("answered by %q, error %v, want %q", last.Build, err, build)
+			t.Errorf("reply came from %q, error %v; want %q, nil", last.Build, err, build)
 		}
 	}
 	info, err := os.Stat(path)
@@ -35,25 +35,25 @@
 		t.Fatal(err)
 	}
 	if len(entries) != 1 {
-		t.Errorf("%d files in the folder, want 1", len(entries))
+		t.Errorf("%d files in the directory, want 1", len(entries))
 	}
 }
 
-// A request that does not end within its bound is refused.
+// TestRequestTooLong checks that a request without a newline within maxRequestBytes is refused.
 func TestRequestTooLong(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
-	s, err := Listen(path, func(Request, func(Reply)) { t.Error("handled") })
+	s, err := Listen(path, func(Request, func(Reply)) { t.Error("the handler was called for an oversized request") })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
 	sent := `{"do":"` + strings.Repeat("x", maxRequestBytes-7)
-	if got := rawCall(t, path, sent); !strings.Contains(got, "the request can't be read") {
-		t.Errorf("reply %q", got)
+	if got := rawCall(t, path, sent); !strings.Contains(got, "cannot read request") {
+		t.Errorf("reply = %q, want an error", got)
 	}
 }
 
-// A gateway that answers a status call without a status says why.
+// TestFetchStatusProblem checks that FetchStatus returns the problem of a reply without a status as an error.
 func TestFetchStatusProblem(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	s, err := Listen(path, func(_ Request, reply func(Reply)) { reply(Reply{Problem: "no", Done: true}) })
@@ -62,6 +62,6 @@
 	}
 	defer func() { _ = s.Close() }()
 	if status, err := FetchStatus(t.Context(), path); status != nil || err == nil || err.Error() != "no" {
-		t.Errorf("status %v, error %v, want the problem", status, err)
+		t.Errorf("FetchStatus = %v, %v; want nil, \"no\"", status, err)
 	}
 }
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -16,8 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedCalls are requests with their replies. testdata has a folder's worth of their lines as
-// version c18a9bd wrote them: the operators' command and the gateway may differ in version.
+// storedCalls are requests with their replies. testdata holds them as lines that version c18a9bd wrote: the command-line
+// tool and the gateway may be of different versions, so the format must not change.
 var storedCalls = []struct {
 	name    string
 	request Request
@@ -35,6 +35,7 @@
 	{"members", Request{Command: "members"}, []Reply{{Membership: json.RawMessage(`{"members":1}`), Done: true}}},
 }
 
+// storedLines returns the content of a file in testdata.
 func storedLines(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
@@ -44,7 +45,7 @@
 	return string(b)
 }
 
-// rawCall is what a server writes to one that sends these bytes and no more.
+// rawCall sends bytes to the server, closes the write side, and returns all that the server sends.
 func rawCall(t *testing.T, path, sent string) string {
 	t.Helper()
 	c, err := net.Dial("unix", path)
@@ -66,17 +67,17 @@
 	return string(got)
 }
 
-// The server reads the stored requests and answers with the stored lines, byte for byte; a
-// request that is cut short is refused with a reason.
+// TestStoredRequests checks that the server parses the stored requests and writes the stored replies byte for byte, and
+// that it refuses a truncated request with a reason.
 func TestStoredRequests(t *testing.T) {
 	for _, tt := range storedCalls {
 		t.Run(tt.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "admin")
-			asked := make(chan Request, 1)
-			s, err := Listen(path, func(r Request, say func(Reply)) {
-				asked <- r
-				for _, reply := range tt.replies {
-					say(reply)
+			received := make(chan Request, 1)
+			s, err := Listen(path, func(r Request, reply func(Reply)) {
+				received <- r
+				for _, r := range tt.replies {
+					reply(r)
 				}
 			})
 			if err != nil {
@@ -85,51 +86,52 @@
 			defer func() { _ = s.Close() }()
 			request := storedLines(t, tt.name+".request")
 			if got, want := rawCall(t, path, request), storedLines(t, tt.name+".replies"); got != want {
-				t.Errorf("replies\n%s, want\n%s", got, want)
+				t.Errorf("replies =\n%s\nwant\n%s", got, want)
 			}
-			if diff := cmp.Diff(tt.request, <-asked); diff != "" {
+			if diff := cmp.Diff(tt.request, <-received); diff != "" {
 				t.Errorf("request (-want +got):\n%s", diff)
 			}
 			for cut := range request {
 				got := rawCall(t, path, request[:cut])
-				if !strings.HasPrefix(got, `{"why":"the request can't be read: `) || !strings.HasSuffix(got, `,"done":true}`+"\n") {
-					t.Errorf("cut at byte %d: %q", cut, got)
+				if !strings.HasPrefix(got, `{"why":"cannot read request: `) || !strings.HasSuffix(got, `,"done":true}`+"\n") {
+					t.Errorf("request cut at byte %d: reply = %q, want an error", cut, got)
 				}
 			}
 		})
 	}
 }
 
-// The operators' side writes the stored request, byte for byte, and reads the stored replies;
-// where these are cut short that is an error.
+// TestStoredReplies checks that Call writes the stored request byte for byte and parses the stored replies, and that it
+// returns an error if the replies are truncated.
 func TestStoredReplies(t *testing.T) {
 	for _, tt := range storedCalls {
 		t.Run(tt.name, func(t *testing.T) {
 			replies := storedLines(t, tt.name+".replies")
-			got, asked, err := callWith(t, tt.request, replies)
+			got, sent, err := callWith(t, tt.request, replies)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := storedLines(t, tt.name+".request"); asked != want {
-				t.Errorf("request %q, want %q", asked, want)
+			if want := storedLines(t, tt.name+".request"); sent != want {
+				t.Errorf("request = %q, want %q", sent, want)
 			}
 			if diff := cmp.Diff(tt.replies, got); diff != "" {
 				t.Errorf("replies (-want +got):\n%s", diff)
 			}
 			for _, cut := range []int{0, 1, len(replies) / 2, len(replies) - 2} {
 				if _, _, err := callWith(t, tt.request, replies[:cut]); err == nil {
-					t.Errorf("read, cut at byte %d of %d", cut, len(replies))
+					t.Errorf("no error for replies cut at byte %d of %d", cut, len(replies))
 				}
 			}
 		})
 	}
 	if _, _, err := callWith(t, Request{Command: "status"}, ""); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("no reply: error %v", err)
+		t.Errorf("no reply: error = %v, want io.ErrUnexpectedEOF", err)
 	}
 }
 
-// callWith calls a server that answers with these bytes, whatever it is asked.
-func callWith(t *testing.T, r Request, replies string) (got []Reply, asked string, err error) {
+// callWith calls a server that writes replies whatever the request is. It returns the parsed replies and the request line
+// as sent.
+func callWith(t *testing.T, r Request, replies string) (got []Reply, sent string, err error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "admin")
 	ln, err := net.Listen("unix", path)
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -10,7 +10,7 @@
 	"gannetspur/internal/http1"
 )
 
-// The paths that operators call.
+// Request paths.
 const (
 	pathReady   = "/ready"
 	pathMetrics = "/metrics"
@@ -23,10 +23,10 @@
 	typeText = "text/plain"
 )
 
-// maxTargetBody bounds the body of a call that names an engine, in bytes.
+// maxTargetBody bounds the body of a request that names an engine, in bytes.
 const maxTargetBody = 4 << 10
 
-// methods are the methods of the paths.
+// methods maps each path to its only allowed method.
 var methods = map[string]string{
 	pathReady:   http.MethodGet,
 	pathMetrics: http.MethodGet,
@@ -34,16 +34,16 @@
 	pathEnable:  http.MethodPost,
 }
 
-// answer carries out one call.
-func (s *Server) answer(c http1.Request) (http1.Response, *http1.StatusError) {
-	method, ok := methods[c.Path]
+// handle carries out one request.
+func (s *Server) handle(request http1.Request) (http1.Response, *http1.StatusError) {
+	method, ok := methods[request.Path]
 	if !ok {
-		return http1.Response{}, http1.NewStatusError(http.StatusNotFound, "there are /ready, /metrics, /engines/disable and /engines/enable")
+		return http1.Response{}, http1.NewStatusError(http.StatusNotFound, "unknown path: use /ready, /metrics, /engines/disable or /engines/enable")
 	}
-	if c.Method != method {
-		return http1.Response{}, http1.NewStatusError(http.StatusMethodNotAllowed, "%s is called by %s", c.Path, method)
+	if request.Method != method {
+		return http1.Response{}, http1.NewStatusError(http.StatusMethodNotAllowed, "%s requires method %s", request.Path, method)
 	}
-	switch c.Path {
+	switch request.Path {
 	case pathReady:
 		if err := s.gateway.Ready(); err != nil {
 			return http1.Response{}, http1.NewStatusError(http.StatusServiceUnavailable, "%s", err)
@@ -51,14 +51,14 @@
 	case pathMetrics:
 		return http1.Response{Status: http.StatusOK, ContentType: typeText, Body: FormatFigures(s.gateway.Figures())}, nil
 	case pathDisable:
-		return changeEngine(c.Body, s.gateway.DisableEngine)
+		return changeEngine(request.Body, s.gateway.DisableEngine)
 	case pathEnable:
-		return changeEngine(c.Body, s.gateway.EnableEngine)
+		return changeEngine(request.Body, s.gateway.EnableEngine)
 	}
-	return okAnswer(), nil
+	return okResponse(), nil
 }
 
-// changeEngine calls change with the engine that a body names.
+// changeEngine calls change with the id of the engine that a request body names.
 func changeEngine(body []byte, change func(id string) error) (http1.Response, *http1.StatusError) {
 	id, fault := parseTarget(body)
 	if fault != nil {
@@ -67,36 +67,37 @@
 	if err := change(id); err != nil {
 		return http1.Response{}, http1.NewStatusError(http.StatusNotFound, "%s", err)
 	}
-	return okAnswer(), nil
+	return okResponse(), nil
 }
 
-func okAnswer() http1.Response {
+// okResponse is the response to a request that needs no other body.
+func okResponse() http1.Response {
 	return http1.Response{Status: http.StatusOK, ContentType: typeJSON, Body: []byte("{}")}
 }
 
-// faultAnswer tells a caller what is wrong: {"error":"TEXT"}.
-func faultAnswer(fault *http1.StatusError) http1.Response {
-	body, _ := json.Marshal(map[string]string{"error": fault.Message}) // a map of strings never fails
+// errorResponse reports an error to the client: {"error":"TEXT"}.
+func errorResponse(fault *http1.StatusError) http1.Response {
+	body, _ := json.Marshal(map[string]string{"error": fault.Message}) // marshaling a map of strings cannot fail
 	return http1.Response{Status: fault.Status, ContentType: typeJSON, Body: body}
 }
 
-// parseTarget reads the engine's id out of the body of a call: {"target":"ID"}.
+// parseTarget returns the engine id in a request body: {"target":"ID"}.
 func parseTarget(body []byte) (string, *http1.StatusError) {
 	if len(body) > maxTargetBody {
-		return "", http1.NewStatusError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxTargetBody)
+		return "", http1.NewStatusError(http.StatusRequestEntityTooLarge, "body exceeds %d bytes", maxTargetBody)
 	}
-	var call struct {
+	var message struct {
 		Target *string `json:"target"`
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
-	if err := decoder.Decode(&call); err != nil {
-		return "", http1.BadRequest("the body is not {\"target\":\"ID\"}: %v", err)
+	if err := decoder.Decode(&message); err != nil {
+		return "", http1.BadRequest("body is not {\"target\":\"ID\"}: %v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return "", http1.BadRequest("something follows the body's object")
+		return "", http1.BadRequest("unexpected data after the JSON object in the body")
 	}
-	if call.Target == nil || *call.Target == "" {
+	if message.Target == nil || *message.Target == "" {
 		return "", http1.BadRequest("target: missing")
 	}
-	return *call.Target, nil
+	return *message.Target, nil
 }
--- a/internal/control/calls_test.go
+++ b/internal/control/calls_test.go
@@ -11,66 +11,68 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// fakeGateway knows one engine, "known", and records what it is asked.
+// fakeGateway has one engine, "known", and records the engine calls it receives.
 type fakeGateway struct {
-	notReady error
-	asked    []string
+	notReady error    // returned by Ready
+	calls    []string // as "disable ID" or "enable ID"
 }
 
 func (g *fakeGateway) Ready() error          { return g.notReady }
 func (g *fakeGateway) Figures() core.Figures { return core.Figures{} }
 func (g *fakeGateway) DisableEngine(id string) error {
-	g.asked = append(g.asked, "disable "+id)
+	g.calls = append(g.calls, "disable "+id)
 	return known(id)
 }
 func (g *fakeGateway) EnableEngine(id string) error {
-	g.asked = append(g.asked, "enable "+id)
+	g.calls = append(g.calls, "enable "+id)
 	return known(id)
 }
 
+// known returns an error unless the fake gateway has the engine.
 func known(id string) error {
 	if id != "known" {
-		return errors.New("there is no engine of this id")
+		return errors.New("no such engine")
 	}
 	return nil
 }
 
-func TestCalls(t *testing.T) {
+// TestRequests checks the response to each kind of request, and what the gateway is told to do.
+func TestRequests(t *testing.T) {
 	for name, tt := range map[string]struct {
-		call     http1.Request
+		request  http1.Request
 		notReady error
 		status   int
 		body     string
-		asked    []string
+		calls    []string
 	}{
-		"ready":          {call: http1.Request{Method: "GET", Path: "/ready"}, status: 200, body: "{}"},
-		"not ready":      {call: http1.Request{Method: "GET", Path: "/ready"}, notReady: errors.New("it is stopping"), status: 503, body: `{"error":"it is stopping"}`},
-		"disable":        {call: http1.Request{Method: "POST", Path: "/engines/disable", Body: []byte(`{"target":"known"}`)}, status: 200, body: "{}", asked: []string{"disable known"}},
-		"enable":         {call: http1.Request{Method: "POST", Path: "/engines/enable", Body: []byte(`{"target":"known"}`)}, status: 200, body: "{}", asked: []string{"enable known"}},
-		"unknown engine": {call: http1.Request{Method: "POST", Path: "/engines/enable", Body: []byte(`{"target":"other"}`)}, status: 404, body: `{"error":"there is no engine of this id"}`, asked: []string{"enable other"}},
-		"no target":      {call: http1.Request{Method: "POST", Path: "/engines/enable", Body: []byte(`{}`)}, status: 400, body: `{"error":"target: missing"}`},
-		"long body":      {call: http1.Request{Method: "POST", Path: "/engines/enable", Body: make([]byte, 4<<10+1)}, status: 413, body: `{"error":"the body is over 4096 bytes"}`},
-		"wrong method":   {call: http1.Request{Method: "GET", Path: "/engines/enable"}, status: 405, body: `{"error":"/engines/enable is called by POST"}`},
-		"unknown path":   {call: http1.Request{Method: "GET", Path: "/"}, status: 404, body: `{"error":"there are /ready, /metrics, /engines/disable and /engines/enable"}`},
+		"ready":          {request: http1.Request{Method: "GET", Path: "/ready"}, status: 200, body: "{}"},
+		"not ready":      {request: http1.Request{Method: "GET", Path: "/ready"}, notReady: errors.New("shutting down"), status: 503, body: `{"error":"shutting down"}`},
+		"disable":        {request: http1.Request{Method: "POST", Path: "/engines/disable", Body: []byte(`{"target":"known"}`)}, status: 200, body: "{}", calls: []string{"disable known"}},
+		"enable":         {request: http1.Request{Method: "POST", Path: "/engines/enable", Body: []byte(`{"target":"known"}`)}, status: 200, body: "{}", calls: []string{"enable known"}},
+		"unknown engine": {request: http1.Request{Method: "POST", Path: "/engines/enable", Body: []byte(`{"target":"other"}`)}, status: 404, body: `{"error":"no such engine"}`, calls: []string{"enable other"}},
+		"no target":      {request: http1.Request{Method: "POST", Path: "/engines/enable", Body: []byte(`{}`)}, status: 400, body: `{"error":"target: missing"}`},
+		"long body":      {request: http1.Request{Method: "POST", Path: "/engines/enable", Body: make([]byte, 4<<10+1)}, status: 413, body: `{"error":"body exceeds 4096 bytes"}`},
+		"wrong method":   {request: http1.Request{Method: "GET", Path: "/engines/enable"}, status: 405, body: `{"error":"/engines/enable requires method POST"}`},
+		"unknown path":   {request: http1.Request{Method: "GET", Path: "/"}, status: 404, body: `{"error":"unknown path: use /ready, /metrics, /engines/disable or /engines/enable"}`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gateway := &fakeGateway{notReady: tt.notReady}
 			server := &Server{gateway: gateway}
-			got, fault := server.answer(tt.call)
+			got, fault := server.handle(tt.request)
 			if fault != nil {
-				got = faultAnswer(fault)
+				got = errorResponse(fault)
 			}
 			if got.Status != tt.status || string(got.Body) != tt.body || got.ContentType != "application/json" {
-				t.Errorf("answer = %d %s %s, want %d application/json %s", got.Status, got.ContentType, got.Body, tt.status, tt.body)
+				t.Errorf("response = %d %s %s, want %d application/json %s", got.Status, got.ContentType, got.Body, tt.status, tt.body)
 			}
-			if diff := cmp.Diff(tt.asked, gateway.asked); diff != "" {
-				t.Errorf("asked of the gateway (-want +got):\n%s", diff)
+			if diff := cmp.Diff(tt.calls, gateway.calls); diff != "" {
+				t.Errorf("calls to the gateway (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Whatever a body holds, a target is read only of an object that names one.
+// FuzzTarget checks that parseTarget returns either an id or an error for any body, and an id only from valid JSON.
 func FuzzTarget(f *testing.F) {
 	for _, b := range []string{`{"target":"s-00c41f7a"}`, `{"target":""}`, `{"target":null}`, `[]`, `{"target":"a"}{}`, "\xff"} {
 		f.Add([]byte(b))
@@ -81,7 +83,7 @@
 			t.Fatalf("parseTarget(%q) = %q, %v", b, id, fault)
 		}
 		if fault == nil && !json.Valid(b) {
-			t.Fatalf("%q was read out of %q", id, b)
+			t.Fatalf("parseTarget(%q) = %q, want an error for invalid JSON", b, id)
 		}
 	})
 }
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -6,51 +6,53 @@
 	"gannetspur/internal/core"
 )
 
-// figureKind is the letter behind a figure's value.
-type figureKind byte
+// metricType is the letter that follows the value of a metric.
+type metricType byte
 
 const (
-	count figureKind = 'c'
-	gauge figureKind = 'g'
+	counter metricType = 'c' // only grows
+	gauge   metricType = 'g' // goes up and down
 )
 
-// FormatFigures writes figures as operators read them, a line each: lb.NAME:VALUE|KIND.
+// FormatFigures formats figures as the body of /metrics, one per line: lb.NAME:VALUE|TYPE.
 func FormatFigures(f core.Figures) []byte {
-	var lines figureLines
+	var out metricWriter
 	for _, class := range f.Classes {
-		lines.add("calls."+class.Class+".success", class.Served, count)
-		lines.add("calls."+class.Class+".busy", class.Rejected, count)
-		lines.add("calls."+class.Class+".failure", class.Failed, count)
+		out.add("calls."+class.Class+".success", class.Served, counter)
+		out.add("calls."+class.Class+".busy", class.Rejected, counter)
+		out.add("calls."+class.Class+".failure", class.Failed, counter)
 	}
-	lines.add("backend_calls", f.AttemptsWritten, count)
-	lines.add("inflight", int64(f.InFlight), gauge)
-	lines.add("hosts_listed", int64(f.EnginesListed), gauge)
-	lines.add("hosts_down", int64(f.EnginesDown), gauge)
+	out.add("backend_calls", f.AttemptsWritten, counter)
+	out.add("inflight", int64(f.InFlight), gauge)
+	out.add("hosts_listed", int64(f.EnginesListed), gauge)
+	out.add("hosts_down", int64(f.EnginesDown), gauge)
 	if f.Peers != nil {
-		lines.addPeers(f.Peers)
+		out.addPeers(f.Peers)
 	}
-	return lines.text
+	return out.text
 }
 
-type figureLines struct{ text []byte }
+// metricWriter collects formatted metrics.
+type metricWriter struct{ text []byte }
 
-func (l *figureLines) add(name string, value int64, kind figureKind) {
-	l.text = append(l.text, "lb."...)
-	l.text = append(l.text, name...)
-	l.text = append(l.text, ':')
-	l.text = strconv.AppendInt(l.text, value, 10)
-	l.text = append(l.text, '|', byte(kind), '\n')
+func (w *metricWriter) add(name string, value int64, kind metricType) {
+	w.text = append(w.text, "lb."...)
+	w.text = append(w.text, name...)
+	w.text = append(w.text, ':')
+	w.text = strconv.AppendInt(w.text, value, 10)
+	w.text = append(w.text, '|', byte(kind), '\n')
 }
 
-func (l *figureLines) addPeers(p *core.PeerFigures) {
-	l.add("peers_live", int64(p.Live), gauge)
-	l.add("peers_named", int64(p.Known), gauge)
-	l.add("peers_cut", int64(p.Unreachable), gauge)
-	l.add("peers_gone", int64(p.Dead), gauge)
-	l.add("peers_view", int64(p.ViewNumber), gauge)
+// addPeers adds the metrics of the other front ends of the fleet.
+func (w *metricWriter) addPeers(p *core.PeerFigures) {
+	w.add("peers_live", int64(p.Live), gauge)
+	w.add("peers_named", int64(p.Known), gauge)
+	w.add("peers_cut", int64(p.Unreachable), gauge)
+	w.add("peers_gone", int64(p.Dead), gauge)
+	w.add("peers_view", int64(p.ViewNumber), gauge)
 	var majority int64
 	if p.Majority {
 		majority = 1
 	}
-	l.add("peers_majority", majority, gauge)
+	w.add("peers_majority", majority, gauge)
 }
--- a/internal/control/figures_test.go
+++ b/internal/control/figures_test.go
@@ -8,8 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// TestFormatFigures compares the body of /metrics with and without a fleet.
 func TestFormatFigures(t *testing.T) {
-	const own = `lb.calls.lookup.success:812|c
+	const withoutPeers = `lb.calls.lookup.success:812|c
 lb.calls.lookup.busy:3|c
 lb.calls.lookup.failure:1|c
 lb.backend_calls:900|c
@@ -17,7 +18,7 @@
 lb.hosts_listed:8|g
 lb.hosts_down:2|g
 `
-	const ofPeers = `lb.peers_live:5|g
+	const peers = `lb.peers_live:5|g
 lb.peers_named:7|g
 lb.peers_cut:1|g
 lb.peers_gone:2|g
@@ -28,11 +29,11 @@
 		Classes:         []core.ClassFigures{{Class: "lookup", Served: 812, Rejected: 3, Failed: 1}},
 		AttemptsWritten: 900, InFlight: 14, EnginesListed: 8, EnginesDown: 2,
 	}
-	if diff := cmp.Diff(own, string(FormatFigures(figures))); diff != "" {
-		t.Errorf("figures (-want +got):\n%s", diff)
+	if diff := cmp.Diff(withoutPeers, string(FormatFigures(figures))); diff != "" {
+		t.Errorf("FormatFigures without peers (-want +got):\n%s", diff)
 	}
 	figures.Peers = &core.PeerFigures{Live: 5, Known: 7, Unreachable: 1, Dead: 2, ViewNumber: 42, Majority: true}
-	if diff := cmp.Diff(own+ofPeers, string(FormatFigures(figures))); diff != "" {
-		t.Errorf("figures with peers (-want +got):\n%s", diff)
+	if diff := cmp.Diff(withoutPeers+peers, string(FormatFigures(figures))); diff != "" {
+		t.Errorf("FormatFigures with peers (-want +got):\n%s", diff)
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,6 +1,6 @@
-// Package control is the control endpoint, where operators read figures and disable engines: calls
-// of HTTP/1.1 at an address of their own, one to a connection. It reads a call, asks the gateway,
-// answers and closes.
+// Package control implements the control endpoint, an HTTP/1.1 server at an address of its own,
+// through which operators read figures and disable engines. Each connection carries one request
+// and is closed after the response.
 package control
 
 import (
@@ -15,129 +15,134 @@
 )
 
 const (
-	// maxCallers bounds the connections; further ones wait unaccepted.
-	maxCallers = 12
-	// maxSilentCallers bounds the connections that have made no complete call: past it the oldest
-	// one is closed. Guards against callers that connect, send nothing and keep others out.
-	maxSilentCallers = 8
-	// callTimeout is by when a call must be complete; no caller waits longer for its answer.
-	callTimeout = time.Second
-	// spareDescriptors are the listener's, and that of a connection that is closed as the next
-	// one is accepted.
+	// maxConns bounds the connections; further ones wait to be accepted.
+	maxConns = 12
+	// maxIdleConns bounds the connections without a complete request. Beyond it the oldest of them
+	// is closed, so that clients that connect and send nothing cannot keep others out.
+	maxIdleConns = 8
+	// requestTimeout bounds the time from accepting a connection to its complete request. The
+	// response follows at once.
+	requestTimeout = time.Second
+	// spareDescriptors covers the listener, and a connection that is still being closed when the
+	// next one is accepted.
 	spareDescriptors = 2
 )
 
-// Descriptors is how many file descriptors of the process the control endpoint may take.
-const Descriptors = maxCallers + spareDescriptors
+// Descriptors is the maximum number of file descriptors that the control endpoint uses.
+const Descriptors = maxConns + spareDescriptors
 
-// Gateway is what the control endpoint asks. It is called on the loop's goroutine.
+// Gateway carries out the requests of operators. Its methods are called on the loop's goroutine.
 type Gateway interface {
-	// Ready returns nil if this process can serve, or why it can't.
+	// Ready returns nil if this process can serve clients, or the reason why it cannot.
 	Ready() error
+	// Figures returns the current metrics of the gateway.
 	Figures() core.Figures
-	// DisableEngine takes an engine out of use; EnableEngine undoes it.
+	// DisableEngine stops sending requests to an engine; EnableEngine undoes that. Both fail if no
+	// engine has the id.
 	DisableEngine(id string) error
 	EnableEngine(id string) error
 }
 
-// Server answers operators. It belongs to the loop's goroutine and starts none of its own.
+// Server is the control endpoint's HTTP server. It runs on the loop's goroutine and starts none of its own.
 type Server struct {
 	loop     *netio.Loop
 	gateway  Gateway
 	counters *metrics.Counters
 	listener *netio.Listener
-	silent   map[*caller]struct{} // have made no complete call
+	idle     map[*conn]struct{} // without a complete request
 }
 
-// Open listens for operators until the loop ends.
+// Open listens at addr for operators until the loop ends.
 func Open(loop *netio.Loop, addr string, g Gateway, counters *metrics.Counters) (*Server, error) {
 	ln, err := netio.Listen(addr)
 	if err != nil {
-		return nil, fmt.Errorf("listen for operators: %w", err)
+		return nil, fmt.Errorf("control endpoint: %w", err)
 	}
 	ln.HighPriority = true
-	s := &Server{loop: loop, gateway: g, counters: counters, listener: ln, silent: map[*caller]struct{}{}}
-	loop.Serve(ln, http1.MaxRequestSize, maxCallers, s.accept)
+	s := &Server{loop: loop, gateway: g, counters: counters, listener: ln, idle: map[*conn]struct{}{}}
+	loop.Serve(ln, http1.MaxRequestSize, maxConns, s.accept)
 	return s, nil
 }
 
-// Addr is the address that operators call.
+// Addr returns the address that the endpoint listens at.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-func (s *Server) accept(c *netio.Conn) netio.Handler {
-	k := &caller{server: s, conn: c, acceptedAt: s.loop.Now()}
-	k.timeout = s.loop.Timers.Add(k.acceptedAt+callTimeout, k.closeSilent)
-	s.silent[k] = struct{}{}
-	if len(s.silent) > maxSilentCallers {
-		s.oldestSilent(k).closeSilent()
+// accept starts to serve a connection. It closes the oldest idle one if there are too many.
+func (s *Server) accept(netConn *netio.Conn) netio.Handler {
+	c := &conn{server: s, netConn: netConn, acceptedAt: s.loop.Now()}
+	c.timeout = s.loop.Timers.Add(c.acceptedAt+requestTimeout, c.closeIdle)
+	s.idle[c] = struct{}{}
+	if len(s.idle) > maxIdleConns {
+		s.oldestIdle(c).closeIdle()
 	}
-	return k
+	return c
 }
 
-// oldestSilent is the silent caller that was accepted first; of several at one time, newest if it
-// is one of them.
-func (s *Server) oldestSilent(newest *caller) *caller {
+// oldestIdle returns the idle connection that was accepted first. Among connections accepted at the same time it prefers
+// newest.
+func (s *Server) oldestIdle(newest *conn) *conn {
 	oldest := newest
-	for k := range s.silent {
-		if k.acceptedAt < oldest.acceptedAt {
-			oldest = k
+	for c := range s.idle {
+		if c.acceptedAt < oldest.acceptedAt {
+			oldest = c
 		}
 	}
 	return oldest
 }
 
-// caller is one connection, which makes one call.
-type caller struct {
+// conn is a client connection. It carries one request. It implements netio.Handler.
+type conn struct {
 	server     *Server
-	conn       *netio.Conn
-	acceptedAt time.Duration
-	timeout    *timerqueue.Entry
-	done       bool // its call was answered, or it was closed
+	netConn    *netio.Conn
+	acceptedAt time.Duration     // on the loop's clock
+	timeout    *timerqueue.Entry // closes the connection unless its request is complete by then
+	done       bool              // the request was answered, or the connection was closed
 }
 
-// closeSilent closes a connection that has made no call.
-func (k *caller) closeSilent() {
-	if k.done {
+// closeIdle closes a connection that has not sent a complete request.
+func (c *conn) closeIdle() {
+	if c.done {
 		return
 	}
-	k.server.counters.Add("control.silent")
-	k.finish()
-	k.conn.Abort()
+	c.server.counters.Add("control.silent")
+	c.finish()
+	c.netConn.Abort()
 }
 
-// finish marks that nothing more is read.
-func (k *caller) finish() {
-	k.done = true
-	k.timeout.Stop()
-	delete(k.server.silent, k)
+// finish marks the connection as done: nothing more is read from it.
+func (c *conn) finish() {
+	c.done = true
+	c.timeout.Stop()
+	delete(c.server.idle, c)
 }
 
-// Data reads the call and answers it. It is netio's call.
-func (k *caller) Data(_ *netio.Conn, in *netio.Buffer) {
-	if k.done {
+// Data handles the request once it is complete, and closes the connection after the response. The loop calls it whenever
+// bytes have arrived.
+func (c *conn) Data(_ *netio.Conn, in *netio.Buffer) {
+	if c.done {
 		in.Consume(in.Len())
 		return
 	}
-	call, size, fault := http1.ParseRequest(in.Bytes())
+	request, size, fault := http1.ParseRequest(in.Bytes())
 	if fault == nil && size == 0 { // not complete yet
 		return
 	}
-	var answer http1.Response
+	var response http1.Response
 	if fault == nil {
-		answer, fault = k.server.answer(call)
+		response, fault = c.server.handle(request)
 	}
 	if fault != nil {
-		k.server.counters.Add("control.refused")
-		answer = faultAnswer(fault)
+		c.server.counters.Add("control.refused")
+		response = errorResponse(fault)
 	} else {
-		k.server.counters.Add("control.answered")
+		c.server.counters.Add("control.answered")
 	}
-	answer.Close = true
+	response.Close = true
 	in.Consume(in.Len())
-	k.finish()
-	k.conn.Write(answer.Append(nil))
-	k.conn.Close()
+	c.finish()
+	c.netConn.Write(response.Append(nil))
+	c.netConn.Close()
 }
 
-// Closed forgets the caller. It is netio's call.
-func (k *caller) Closed(*netio.Conn, error) { k.finish() }
+// Closed releases the connection. The loop calls it once the connection has ended.
+func (c *conn) Closed(*netio.Conn, error) { c.finish() }
