--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -9,7 +9,7 @@
 	"gannetspur/internal/handover"
 )
 
-// openAdmin opens the operators' socket, where a file names one, and lets new versions take over, where that is on.
+// openAdmin opens the admin socket if a file names one, and prepares this process for upgrades if they are enabled.
 func (p *process) openAdmin() error {
 	path := p.adminPath()
 	if p.upgrades != nil {
@@ -18,11 +18,12 @@
 	if path == "" {
 		return nil
 	}
-	_, err := admin.Listen(path, p.answerAdmin)
+	_, err := admin.Listen(path, p.handleAdminRequest)
 	return err
 }
 
-// adminPath is the operators' socket: as the file of upgrades says, else that of sites, else that of the fleet; "": none.
+// adminPath returns the path of the admin socket. It comes from the upgrade file, or else from the sites file, or else from
+// the fleet file; "" means that there is no socket.
 func (p *process) adminPath() string {
 	switch {
 	case p.upgrades != nil:
@@ -35,19 +36,19 @@
 	return ""
 }
 
-// answerAdmin answers an operator. It runs on a goroutine of its own.
-func (p *process) answerAdmin(request admin.Request, reply func(admin.Reply)) {
+// handleAdminRequest handles one admin request. It runs on a goroutine of its own.
+func (p *process) handleAdminRequest(request admin.Request, reply func(admin.Reply)) {
 	switch request.Command {
 	case admin.CommandMembers:
-		reply(p.adminMembers())
+		reply(p.handleMembersCommand())
 	case admin.CommandSiteStatus, admin.CommandSiteDrain, admin.CommandSiteUndrain:
-		reply(p.adminSites(request))
+		reply(p.handleSiteCommand(request))
 	case admin.CommandStatus:
 		status := onLoop(p, p.status)
 		reply(admin.Reply{Status: status, Done: true})
 	case admin.CommandUpgrade, admin.CommandCheck:
 		if p.upgradeSource() == nil {
-			reply(admin.Reply{Problem: "this gateway was started without a file of upgrades", Done: true})
+			reply(admin.Reply{Problem: "upgrades are disabled: the gateway was started without an upgrade file", Done: true})
 			return
 		}
 		if request.Command == admin.CommandCheck {
@@ -56,18 +57,19 @@
 		}
 		p.runUpgrade(request, reply)
 	default:
-		problem := fmt.Sprintf("there is nothing called %q; wanted is status, upgrade, check, site-status, site-drain or site-undrain", request.Command)
+		problem := fmt.Sprintf("unknown command %q: use status, upgrade, check, site-status, site-drain, site-undrain or members", request.Command)
 		reply(admin.Reply{Problem: problem, Done: true})
 	}
 }
 
-// onLoop has the loop's goroutine call a function and waits for what it returns.
+// onLoop calls a function on the loop's goroutine and returns its result.
 func onLoop[T any](p *process, call func() T) T {
 	result := make(chan T, 1)
 	p.loop.Post(func() { result <- call() })
 	return <-result
 }
 
+// status returns the state of this process as operators see it.
 func (p *process) status() *admin.Status {
 	if p.shapes != nil {
 		p.shapes.UpdateMetrics()
@@ -90,10 +92,10 @@
 	}
 }
 
-// upgradeReplies is how many phases of an upgrade may wait to be told.
+// upgradeReplies is the number of replies of an upgrade that are buffered for the operator; further ones are dropped.
 const upgradeReplies = 16
 
-// runUpgrade begins an upgrade and tells each phase of it.
+// runUpgrade begins an upgrade and replies with each of its phases.
 func (p *process) runUpgrade(request admin.Request, reply func(admin.Reply)) {
 	p.upgradeCalls.Add(1)
 	defer p.upgradeCalls.Add(-1)
@@ -108,12 +110,12 @@
 }
 
 const (
-	lastReplyTimeout = 100 * time.Millisecond
+	lastReplyTimeout = 100 * time.Millisecond // longest wait for final replies before the process exits
 	lastReplyPoll    = time.Millisecond
 )
 
-// awaitUpgradeCalls waits, once the loop has ended, until operators have heard how their upgrade ended: a process that was
-// taken over from exits right after it.
+// awaitUpgradeCalls waits until the final replies of upgrades have been sent. It is called once the loop has ended: a
+// process that has handed over exits right afterwards, and the operator must still learn how the upgrade ended.
 func (p *process) awaitUpgradeCalls() {
 	deadline := time.Now().Add(lastReplyTimeout)
 	for p.upgradeCalls.Load() > 0 && time.Now().Before(deadline) {
@@ -121,40 +123,42 @@
 	}
 }
 
+// beginUpgrade begins an upgrade unless the process is shutting down or the previous upgrade has not ended. Replies go to
+// replies without blocking.
 func (p *process) beginUpgrade(request admin.Request, replies chan<- admin.Reply) {
 	if p.stopping {
-		replies <- admin.Reply{Problem: "a planned stop is under way", Done: true}
+		replies <- admin.Reply{Problem: "the gateway is shutting down", Done: true}
 		return
 	}
 	if p.target != nil && !p.target.SourceExited() {
-		replies <- admin.Reply{Problem: "the latest upgrade is not through: the process before this one still answers what it had taken", Done: true}
+		replies <- admin.Reply{Problem: "the previous upgrade is not through: the old process is still answering its requests", Done: true}
 		return
 	}
 	p.upgrades.source.Upgrade(p.requestedProgram(request), func(progress handover.Progress) {
 		select {
 		case replies <- admin.Reply{Phase: progress.Phase, Problem: progress.Problem, Done: progress.Done}:
-		default: // the caller has left
+		default: // the operator has disconnected
 		}
 	})
 }
 
-// checkUpgrade starts a program that only says whether it would take over.
+// checkUpgrade starts a program that only reports whether it could take over.
 func (p *process) checkUpgrade(request admin.Request) admin.Reply {
-	type snapshot struct {
+	type checkInput struct {
 		program     handover.Program
 		listener    *os.File
 		connections int
 		err         error
 	}
-	now := onLoop(p, func() snapshot {
+	input := onLoop(p, func() checkInput {
 		listener, err := p.protocol.frontend().Listener().File()
-		return snapshot{p.requestedProgram(request), listener, p.loop.ConnCount(), err}
+		return checkInput{p.requestedProgram(request), listener, p.loop.ConnCount(), err}
 	})
-	if now.err != nil {
-		return admin.Reply{Problem: now.err.Error(), Done: true}
+	if input.err != nil {
+		return admin.Reply{Problem: input.err.Error(), Done: true}
 	}
-	defer func() { _ = now.listener.Close() }() // a duplicate
-	build, err := handover.CheckProgram(now.program, now.listener, now.connections, p.upgrades.settings.Decide().GreetTimeout)
+	defer func() { _ = input.listener.Close() }() // a duplicate of the descriptor
+	build, err := handover.CheckProgram(input.program, input.listener, input.connections, p.upgrades.settings.Decide().GreetTimeout)
 	reply := admin.Reply{Build: build, Done: true}
 	if err != nil {
 		reply.Problem = err.Error()
@@ -162,7 +166,7 @@
 	return reply
 }
 
-// requestedProgram is what an operator wants started.
+// requestedProgram returns the program of an upgrade request. What the request leaves out is as configured.
 func (p *process) requestedProgram(request admin.Request) handover.Program {
 	program := p.upgrades.source.Program()
 	if request.Program != "" {
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -5,11 +5,11 @@
 	"runtime/debug"
 )
 
-// BuildName names the version that this program was built from.
+// BuildName describes the version of this program: module version, revision, and Go version.
 func BuildName() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "of an unknown version"
+		return "unknown version"
 	}
 	revision, modified := "unknown", ""
 	for _, s := range info.Settings {
@@ -17,7 +17,7 @@
 		case s.Key == "vcs.revision":
 			revision = s.Value
 		case s.Key == "vcs.modified" && s.Value == "true":
-			modified = ", changed since"
+			modified = ", modified"
 		}
 	}
 	return fmt.Sprintf("%s (%s%s), %s", info.Main.Version, revision, modified, info.GoVersion)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -11,8 +11,8 @@
 	"gannetspur/internal/netio"
 )
 
-// platformSocket is the clients' listening socket, where the platform holds it and every
-// process inherits it ($LB_ACCEPT_FD); nil: this process opens its own.
+// platformSocket returns the clients' listening socket if the platform holds it and passes it to
+// every process it starts ($LB_ACCEPT_FD). It returns nil if this process is to open its own.
 func platformSocket() (*netio.Listener, error) {
 	text := os.Getenv("LB_ACCEPT_FD")
 	if text == "" {
@@ -20,7 +20,7 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return nil, fmt.Errorf("LB_ACCEPT_FD: %q is no descriptor of an inherited socket", text)
+		return nil, fmt.Errorf("LB_ACCEPT_FD: %q is not the descriptor of an inherited socket", text)
 	}
 	ln, err := netio.InheritListener(os.NewFile(uintptr(fd), "LB_ACCEPT_FD"))
 	if err != nil {
@@ -29,15 +29,15 @@
 	return ln, nil
 }
 
-// spareDescriptors stay free for files, and for signals and clocks of the runtime.
+// spareDescriptors is the number of descriptors kept free for files, and for the signals and timers of the Go runtime.
 const spareDescriptors = 6
 
-// openControl opens the control endpoint, where there is an address for it.
+// openControl opens the control endpoint if an address is configured.
 func (p *process) openControl() error {
 	if p.control == "" {
 		return nil
 	}
-	server, err := control.Open(p.loop, p.control, operations{p}, p.counters)
+	server, err := control.Open(p.loop, p.control, controlOperations{p}, p.counters)
 	if err != nil {
 		return err
 	}
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// reserveDescriptors keeps descriptors for the event bus, the control endpoint and files from all other connections of the
-// platform's frontend.
+// reserveDescriptors sets descriptors aside for the event bus, the control endpoint and files, so that connections of the
+// platform's frontend cannot use them up.
 func (p *process) reserveDescriptors() {
 	_, isPlatform := p.protocol.(*platformProtocol)
 	if !isPlatform || p.limits.sockets <= 0 {
@@ -56,21 +56,21 @@
 	if p.control != "" {
 		spare += control.Descriptors
 	}
-	if err := p.loop.LimitDescriptors(p.limits.sockets, spare); err != nil { // it serves all the same
+	if err := p.loop.LimitDescriptors(p.limits.sockets, spare); err != nil { // not fatal: it serves without the reserve
 		p.log.Warn("descriptors.uncounted", "error", err)
 	}
 }
 
-// operations are what operators call at the control endpoint.
-type operations struct{ process *process }
+// controlOperations implements control.Gateway.
+type controlOperations struct{ process *process }
 
 var (
-	errStopping   = errors.New("it is stopping")
-	errNotServing = errors.New("it does not serve yet")
+	errStopping   = errors.New("shutting down")
+	errNotServing = errors.New("not serving yet")
 )
 
-// Ready returns nil if this process serves, or why it does not.
-func (o operations) Ready() error {
+// Ready returns nil if this process serves clients, or the reason why it does not.
+func (o controlOperations) Ready() error {
 	switch {
 	case o.process.stopping:
 		return errStopping
@@ -80,13 +80,15 @@
 	return nil
 }
 
-// Figures are what operators read.
-func (o operations) Figures() core.Figures {
+// Figures returns the metrics of this process.
+func (o controlOperations) Figures() core.Figures {
 	figures := o.process.core.Figures()
 	figures.Peers = o.process.peerFigures()
 	return figures
 }
 
-func (o operations) DisableEngine(id string) error { return o.process.core.DisableEngine(id) }
+// DisableEngine stops sending requests to an engine.
+func (o controlOperations) DisableEngine(id string) error { return o.process.core.DisableEngine(id) }
 
-func (o operations) EnableEngine(id string) error { return o.process.core.EnableEngine(id) }
+// EnableEngine undoes DisableEngine.
+func (o controlOperations) EnableEngine(id string) error { return o.process.core.EnableEngine(id) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,9 @@
-// Package gateway assembles the gateway from its parts and runs it as one process: frontend, core, backend, discovery, and
-// what replaces, upgrades, reloads and stops it. The commands that operators call are in cmd/gateway.
+// Package gateway assembles the gateway from its parts and runs it as one process: frontend, core, backend and discovery, and
+// the code that replaces, upgrades, reloads and stops the process. The operators' commands are in cmd/gateway.
 //
-// A process starts in one of three ways: by itself, as the target of an upgrade (package handover), or beside another process
-// at a socket that the platform holds (package takeover).
+// A process starts in one of three ways: standalone; as the target of an upgrade, started by the process that it replaces
+// (package handover); or on a listening socket that the platform holds, possibly next to the process that it replaces
+// (package takeover).
 package gateway
 
 import (
@@ -26,83 +27,83 @@
 	"gannetspur/policy"
 )
 
-// Files are the paths of the files that say what to serve. An empty path turns off what its file describes.
+// Files holds the paths of the configuration files. An empty path disables the feature that the file configures.
 type Files struct {
-	Config   string // the platform's configuration
-	Postgres string // the deploy file of the PostgreSQL frontend, which is served in place of the platform's
-	Shapes   string // the cost model of the platform's frontend
-	Upgrade  string // how a new version takes over
-	Sites    string // other sites
+	Config   string // platform configuration
+	Postgres string // deploy file of the PostgreSQL frontend, which is served instead of the platform's if set
+	Shapes   string // cost model of the platform's frontend
+	Upgrade  string // upgrades to a new version
+	Sites    string // forwarding between sites
 	Fleet    string // membership among other front ends
 }
 
-// process is the gateway in this process. All of it belongs to the loop's goroutine, once that runs.
+// process is the gateway in this process. Once the loop runs, only the loop's goroutine uses it, but for upgradeCalls.
 type process struct {
 	loop      *netio.Loop
 	core      *core.Core
 	counters  *metrics.Counters
 	log       *slog.Logger
-	startedAt time.Duration
+	startedAt time.Duration // on the loop's clock
 	limits    limits
 
-	protocol protocol            // nil: there is no address to listen at
-	shapes   *queryshape.Service // the cost model; nil: off
-	control  string              // address of the control endpoint; "": there is none
-
-	sites        *remoteSites          // nil: there are none
-	members      *membershipNode       // nil: it is no member among other front ends
-	upgrades     *upgrades             // nil: off
-	upgradeCalls atomic.Int32          // operators who wait for the end of an upgrade; for any goroutine
-	target       *handover.Target      // in a process that was started by an upgrade
-	coordinator  *takeover.Coordinator // where the platform holds the clients' socket
-
-	ready    bool  // it accepts clients
-	tookOver bool  // by an upgrade
-	stopping bool  // a planned stop has begun
-	failed   error // ended the loop
+	protocol protocol            // nil: no listen address is configured
+	shapes   *queryshape.Service // cost model; nil: disabled
+	control  string              // address of the control endpoint; "": disabled
+
+	sites        *remoteSites          // nil: no other sites are configured
+	members      *membershipNode       // nil: not a member of a fleet
+	upgrades     *upgrades             // nil: upgrades are disabled
+	upgradeCalls atomic.Int32          // open admin calls that wait for the end of an upgrade; used by any goroutine
+	target       *handover.Target      // nil: the process was not started by an upgrade
+	coordinator  *takeover.Coordinator // nil: the platform does not hold the clients' socket
+
+	ready    bool  // clients are accepted
+	tookOver bool  // the process was started by an upgrade and is now the owner
+	stopping bool  // the graceful shutdown has begun
+	failed   error // error that ended the loop; nil: none
 }
 
 func newProcess(log *slog.Logger) *process {
 	return &process{counters: metrics.New(), log: log}
 }
 
-// signalBacklog is how many signals may wait until the loop runs.
+// signalBacklog is the number of signals that are buffered until the loop runs.
 const signalBacklog = 16
 
-var errNoListenAddress = errors.New("the deploy file names no address to listen at")
+var errNoListenAddress = errors.New("the deploy file has no listen address")
 
-// Run serves until the process is told to stop.
+// Run serves until the process is told to stop. It returns nil at once if the deploy file has no listen address.
 func Run(files Files, log *slog.Logger) error {
-	// First of all: a signal that comes before it is listened for ends the process.
+	// This comes first: a signal that arrives before Notify terminates the process.
 	signals := make(chan os.Signal, signalBacklog)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p := newProcess(log)
-	in, err := inheritFromSource()
+	inherited, err := inheritFromSource()
 	if err == nil {
 		err = p.assemble(ctx, files)
 	}
 	if err == nil && p.protocol == nil {
-		if in == nil {
+		if inherited == nil {
 			log.Info("off", "why", errNoListenAddress.Error())
 			return nil
 		}
 		err = errNoListenAddress
 	}
 	if err == nil {
-		err = p.start(in)
+		err = p.start(inherited)
 	}
 	if err != nil {
-		if in != nil {
-			in.sendHello(err.Error())
+		if inherited != nil {
+			inherited.sendHello(err.Error())
 		}
 		return err
 	}
-	if in != nil && in.CheckOnly {
+	if inherited != nil && inherited.CheckOnly {
 		return nil
 	}
-	go p.handleSignals(signals) // ends with the process
+	go p.handleSignals(signals) // runs until the process exits
 	p.loop.Run()
 	if p.coordinator != nil {
 		p.coordinator.Close()
@@ -112,7 +113,7 @@
 	return p.failed
 }
 
-// assemble makes the gateway, which then neither listens nor watches its endpoint list.
+// assemble creates the gateway from its files. It opens no listener and does not watch the endpoint list yet.
 func (p *process) assemble(ctx context.Context, files Files) error {
 	var err error
 	switch {
@@ -121,12 +122,12 @@
 	case files.Config != "":
 		err = p.assemblePlatform(files.Config, files.Shapes, files.Sites)
 	default:
-		err = errors.New("nothing to serve: set LB_CONFIG, --config or --postgres")
+		err = errors.New("no configuration: set LB_CONFIG, --config or --postgres")
 	}
 	return errors.Join(err, p.loadUpgrades(files.Upgrade), p.loadMembership(files.Fleet))
 }
 
-// assembleCore makes the loop and the core.
+// assembleCore creates the loop and the core.
 func (p *process) assembleCore(settings policy.Settings, seed uint64, limits limits) error {
 	p.limits = limits
 	limitRuntime(limits.memoryMB)
@@ -144,15 +145,15 @@
 	return nil
 }
 
-// assembleCostModel has the costs of query shapes learned as the file says. reportsWork is whether engines report the work
-// that a query needed.
+// assembleCostModel sets up learning of the costs of query shapes. reportsWork tells whether engines report the work that a
+// query needed.
 func (p *process) assembleCostModel(s *config.Shapes, site *config.Site, reportsWork bool) error {
 	if s == nil || !s.Enabled {
 		return nil
 	}
 	maxKB := p.limits.memoryFraction(4) >> 10
 	if s.MemoryKB > maxKB {
-		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, maxKB)
+		return fmt.Errorf("shapes: memory_kb: %d exceeds a quarter of the memory limit, %d", s.MemoryKB, maxKB)
 	}
 	shapes, err := queryshape.NewService(queryshape.Settings{
 		Model:            s.Decide(),
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// start begins to serve, or to take over from the process that this one inherits from; nil: there is none.
+// start begins to serve, or to take over from the source of the inheritance; nil means that there is none.
 func (p *process) start(in *inheritance) error {
 	if in != nil {
 		return p.startTarget(in)
@@ -179,14 +180,14 @@
 	if platform, ok := p.protocol.(*platformProtocol); ok && platform.socket != nil {
 		err := p.openControl()
 		p.reserveDescriptors()
-		return errors.Join(err, p.startBeside(platform))
+		return errors.Join(err, p.startOnPlatformSocket(platform))
 	}
 	p.protocol.watchEndpoints(nil)
 	if err := p.protocol.listen(); err != nil {
 		return err
 	}
 	p.ready = true
-	err := errors.Join(p.startSites(), p.startMember(), p.openAdmin(), p.openControl())
+	err := errors.Join(p.startSites(), p.startMembership(), p.openAdmin(), p.openControl())
 	p.reserveDescriptors()
 	if err != nil {
 		return err
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// fail ends the process with an error.
+// fail ends the loop, and so the process, with an error.
 func (p *process) fail(err error) {
 	p.failed = err
 	p.loop.Stop()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	defaultMemoryMB = 192  // if the configuration has no memory limit
+	defaultSockets  = 1024 // if the configuration has no descriptor limit
 
+	// minClients is the number of clients that are admitted however low the descriptor limit is.
 	minClients = 8
-	// closingClients is how many descriptors are left to clients that are being closed.
+	// closingClients is the number of descriptors set aside for client connections that are being closed.
 	closingClients = 32
 
-	// maxProcs is the number of Ps. More than one, also on one core: the poller's wait holds one.
+	// maxProcs is the GOMAXPROCS value. It is more than one even on a single core, because the wait of the loop's poller
+	// holds a P.
 	maxProcs = 3
 )
 
-// limits are the configuration's bounds of this process; 0: not given.
+// limits are the configured resource limits of this process. Zero means not configured.
 type limits struct {
-	memoryMB   int
-	sockets    int // descriptors
-	maxClients int // connections of clients
+	memoryMB   int // memory in MiB
+	sockets    int // file descriptors
+	maxClients int // client connections
 }
 
-// memoryFraction is the n-th part of the memory, in bytes.
+// memoryFraction returns 1/n of the memory limit, in bytes.
 func (l limits) memoryFraction(n int) int {
 	memoryMB := l.memoryMB
 	if memoryMB <= 0 {
@@ -33,19 +35,19 @@
 	return memoryMB << 20 / n
 }
 
-// bufferBytes is what the buffers of all connections may hold.
+// bufferBytes returns the number of bytes that the buffers of all connections together may hold.
 func (l limits) bufferBytes() int { return l.memoryFraction(6) }
 
-// clientsOf is how many clients a limit on descriptors has room for. A quarter is left to engines, discovery and the program
-// itself.
-func clientsOf(sockets int) int {
+// maxClientsFor returns the number of clients that a descriptor limit allows. A quarter of the descriptors is left to engines,
+// discovery and the program itself.
+func maxClientsFor(sockets int) int {
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
 	return max(sockets*3/4-closingClients, minClients)
 }
 
-// limitRuntime keeps the garbage collector well under the memory limit.
+// limitRuntime sets the garbage collector's limit to 60% of the memory limit, and GOMAXPROCS.
 func limitRuntime(memoryMB int) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB) << 20 * 6 / 10)
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -16,16 +16,16 @@
 	"gannetspur/internal/membership"
 )
 
-// membershipNode is what a gateway has that is a member among other front ends.
+// membershipNode is the membership of this gateway in a fleet of front ends.
 type membershipNode struct {
-	path    string
-	file    *config.Fleet
-	options membership.Options
-	service *membership.Service // nil: it has not begun, messages are not allowed, or another process is the member
-	waiting bool                // for the address, which another process has
+	path              string // of the fleet file
+	file              *config.Fleet
+	options           membership.Options
+	service           *membership.Service // nil: not started, not allowed to send messages, or another process is the member
+	waitingForAddress bool                // the address is still in use by another process
 }
 
-// loadMembership reads the file of the fleet, if there is one. The member begins once this process serves.
+// loadMembership reads the fleet file if there is one. The membership starts once this process serves.
 func (p *process) loadMembership(path string) error {
 	if path == "" || p.loop == nil {
 		return nil
@@ -39,40 +39,41 @@
 	options.Config = file.Decide()
 	options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	if file.Peers == "platform" {
-		return p.platformMembers(options)
+		return p.configurePlatformMembers(options)
 	}
-	own := netip.MustParseAddrPort(file.Listen) // the file was checked
+	listenAddr := netip.MustParseAddrPort(file.Listen) // cannot panic: LoadFleet has checked the address
 	options.Listen = file.Listen
-	options.Self = memberID(own)
+	options.Self = memberID(listenAddr)
 	for _, seed := range file.Seeds {
 		options.Named = append(options.Named, memberID(netip.MustParseAddrPort(seed)))
 	}
 	options.AddressOf = func(id decide.ID) (netip.AddrPort, bool) { return memberAddress(id), true }
 	options.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { return memberID(a), a.Addr().Is4() && a.Port() > 0 }
-	options.Keys = membership.NewKeyring(own, membershipKeys(file))
+	options.Keys = membership.NewKeyring(listenAddr, membershipKeys(file))
 	return nil
 }
 
-// memberID makes a member's id of its address, so that whoever names a member says where it is.
+// memberID encodes a member's IPv4 address and port as its id, so that the id alone is enough to reach the member.
 func memberID(address netip.AddrPort) decide.ID {
 	b := address.Addr().As4()
 	return decide.ID(b[0])<<40 | decide.ID(b[1])<<32 | decide.ID(b[2])<<24 | decide.ID(b[3])<<16 | decide.ID(address.Port())
 }
 
+// memberAddress is the inverse of memberID.
 func memberAddress(id decide.ID) netip.AddrPort {
 	ip := [4]byte{byte(id >> 40), byte(id >> 32), byte(id >> 24), byte(id >> 16)}
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(id))
 }
 
-// platformMembers takes the members from the platform's configuration. An id is a member's place in its list, from 1.
-func (p *process) platformMembers(options *membership.Options) error {
+// configurePlatformMembers takes the members from the platform configuration. A member's id is its position in the list of peers, from 1.
+func (p *process) configurePlatformMembers(options *membership.Options) error {
 	platform, ok := p.protocol.(*platformProtocol)
 	if !ok {
-		return config.Fault{File: p.members.path, Field: "peers", Want: "the platform's front alone has them from a configuration"}
+		return config.Fault{File: p.members.path, Field: "peers", Want: "the value \"platform\" requires the platform front end"}
 	}
 	cfg := platform.config
 	if !cfg.Site.PeersAllowed || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
-		return nil // front ends send each other nothing there
+		return nil // the platform does not allow messages between front ends
 	}
 	ids := map[netip.AddrPort]decide.ID{}
 	var addresses []netip.AddrPort
@@ -107,6 +108,7 @@
 	return nil
 }
 
+// membershipKeys converts the keys of a fleet file.
 func membershipKeys(file *config.Fleet) []membership.Key {
 	var keys []membership.Key
 	for _, key := range file.Keys {
@@ -115,14 +117,14 @@
 	return keys
 }
 
-// startMember begins to be a member.
-func (p *process) startMember() error {
+// startMembership starts the membership service, if one is configured and allowed.
+func (p *process) startMembership() error {
 	if p.members == nil {
 		return nil
 	}
 	options := p.members.options
 	if options.Listen == "" {
-		p.log.Info("members.off", "why", "the configuration does not allow messages among front ends")
+		p.log.Info("members.off", "why", "the configuration does not allow messages between front ends")
 		return nil
 	}
 	service, err := membership.Start(p.loop, options, p.counters, p.log)
@@ -130,36 +132,36 @@
 		return err
 	}
 	p.members.service = service
-	p.members.waiting = false
+	p.members.waitingForAddress = false
 	p.log.Info("members", "addr", service.Addr(), "self", uint64(options.Self), "named", len(options.Named), "carried", len(options.SavedState) > 0)
 	return nil
 }
 
-// memberAddressPoll is how often a process looks whether the one before it has released the member's address: no heartbeat is
-// missed.
-const memberAddressPoll = 50 * time.Millisecond
+// addressPollInterval is the interval at which a process checks whether the previous one has released the member's address. It
+// is short enough that no heartbeat is missed.
+const addressPollInterval = 50 * time.Millisecond
 
-// resumeMember goes on as the member that the process before this one was, once that one has released its address or has
-// died. Whatever fails here, this process serves.
-func (p *process) resumeMember() {
+// resumeMembership continues the membership of the previous process once that has released its address or has died. Errors are
+// only logged: this process serves without a membership.
+func (p *process) resumeMembership() {
 	if p.members == nil || p.members.service != nil || p.stopping {
 		return
 	}
-	err := p.startMember()
+	err := p.startMembership()
 	if errors.Is(err, syscall.EADDRINUSE) {
-		if !p.members.waiting {
-			p.members.waiting = true
+		if !p.members.waitingForAddress {
+			p.members.waitingForAddress = true
 			p.log.Info("members.waits", "for", p.members.options.Listen)
 		}
-		p.loop.Timers.Add(p.loop.Now()+memberAddressPoll, p.resumeMember)
+		p.loop.Timers.Add(p.loop.Now()+addressPollInterval, p.resumeMembership)
 		return
 	}
 	if err != nil {
-		p.log.Error("members.failed", "error", err, "then", "it serves, and is no member")
+		p.log.Error("members.failed", "error", err, "then", "the gateway serves without being a member")
 	}
 }
 
-// member is what this process is among others; nil: it is none, at present.
+// member returns the membership service; nil means that this process is not a member at present.
 func (p *process) member() *membership.Service {
 	if p.members == nil {
 		return nil
@@ -167,39 +169,39 @@
 	return p.members.service
 }
 
-// memberState is what this process knows of the fleet; nil: it is no member.
-func (p *process) memberState() []byte {
+// membershipState returns what this process knows about the fleet, encoded; nil means that it is not a member.
+func (p *process) membershipState() []byte {
 	member := p.member()
 	if member == nil {
 		return nil
 	}
 	state, err := member.SaveState()
-	if err != nil { // the next process begins as after a restart
+	if err != nil { // the next process starts without the state, as after a restart
 		p.log.Error("members.carried", "error", err)
 	}
 	return state
 }
 
-// handOverMember lets the process that serves in this one's place be the member. Where that one dies while this one lives,
-// this one goes on from what it knows now.
-func (p *process) handOverMember() {
+// handOverMembership releases the membership to the process that replaces this one. If that process dies first, this one resumes
+// from the state it has now.
+func (p *process) handOverMembership() {
 	member := p.member()
 	if member == nil {
 		return
 	}
-	p.members.options.SavedState = p.memberState()
+	p.members.options.SavedState = p.membershipState()
 	member.HandOver()
 	p.members.service = nil
 }
 
-// leaveMembership tells the others that this front end stops.
+// leaveMembership tells the other members that this front end stops.
 func (p *process) leaveMembership() {
 	if member := p.member(); member != nil {
 		member.Leave()
 	}
 }
 
-// peerFigures are the figures of other front ends at the control endpoint; nil: this process is no member.
+// peerFigures returns the metrics of other front ends for the control endpoint; nil means that this process is not a member.
 func (p *process) peerFigures() *core.PeerFigures {
 	member := p.member()
 	if member == nil {
@@ -216,7 +218,7 @@
 	}
 }
 
-// reloadMembership reads the keys again. All else holds from the start on.
+// reloadMembership reloads the keys. Changes to other settings need a restart.
 func (p *process) reloadMembership() error {
 	if p.members == nil || p.members.options.Keys == nil {
 		return nil
@@ -229,12 +231,12 @@
 	return nil
 }
 
-// adminMembers answers an operator. It runs on a goroutine of its own.
-func (p *process) adminMembers() admin.Reply {
+// handleMembersCommand handles the admin command members. It must not be called on the loop's goroutine.
+func (p *process) handleMembersCommand() admin.Reply {
 	return onLoop(p, func() admin.Reply {
 		member := p.member()
 		if member == nil {
-			return admin.Reply{Problem: "this gateway is no member among others", Done: true}
+			return admin.Reply{Problem: "this gateway is not a member of a fleet", Done: true}
 		}
 		overview, err := json.Marshal(member.Overview())
 		reply := admin.Reply{Membership: overview, Done: true}
--- a/internal/gateway/notify.go
+++ b/internal/gateway/notify.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
+// notifyTimeout bounds the time to connect to the service manager.
 const notifyTimeout = time.Second
 
-// notifyServiceManager tells a service manager of a state, where one has asked for that (sd_notify(3)).
+// notifyServiceManager sends a state to the service manager if $NOTIFY_SOCKET names its socket (see sd_notify(3)).
 func notifyServiceManager(state string) {
 	path := os.Getenv("NOTIFY_SOCKET")
 	if path == "" {
@@ -21,7 +22,7 @@
 	if err != nil {
 		return
 	}
-	// The gateway serves whether or not the service manager hears of it.
+	// Errors are ignored: the gateway serves whether or not the service manager gets the message.
 	_, _ = conn.Write([]byte(state))
 	_ = conn.Close()
 }
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -13,18 +13,19 @@
 	"gannetspur/policy"
 )
 
-// platformProtocol serves HTTP clients, speaks lines with engines and watches the event bus.
+// platformProtocol implements protocol for the platform: HTTP for clients, the line protocol for engines, and the event bus
+// for the endpoint list.
 type platformProtocol struct {
-	process  *process
-	path     string
-	config   *config.Config
-	eventSum uint64            // checksum of the endpoint list in the configuration
-	socket   *netio.Listener   // the clients', where the platform holds it; nil: this process opens its own
-	front    *httpapi.Frontend // the clients' side
-	watch    *eventbus.Watcher // nil: no event bus is named, or it is not watched yet
+	process          *process
+	path             string // of the configuration
+	config           *config.Config
+	endpointChecksum uint64          // checksum of the configured endpoint events
+	socket           *netio.Listener // clients' socket held by the platform; nil: this process opens its own
+	front            *httpapi.Frontend
+	watch            *eventbus.Watcher // nil: no event bus is configured, or it is not watched yet
 }
 
-// assemblePlatform makes the gateway of the platform's configuration.
+// assemblePlatform creates the gateway from the platform configuration.
 func (p *process) assemblePlatform(path, shapesPath, sitesPath string) error {
 	cfg, err := loadPlatform(path)
 	if err != nil {
@@ -36,11 +37,11 @@
 	if err != nil {
 		return err
 	}
-	platform.eventSum, err = cfg.EventSum()
+	platform.endpointChecksum, err = cfg.EventSum()
 	if err != nil {
 		return err
 	}
-	limits := limits{memoryMB: cfg.MemoryMB, sockets: cfg.Sockets, maxClients: clientsOf(cfg.Sockets)}
+	limits := limits{memoryMB: cfg.MemoryMB, sockets: cfg.Sockets, maxClients: maxClientsFor(cfg.Sockets)}
 	if err := p.assembleCore(cfg.Site.Policy, cfg.Seed, limits); err != nil {
 		return err
 	}
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// loadPlatform reads the configuration. The environment goes before the file.
+// loadPlatform reads the configuration. Addresses in environment variables override those in the file.
 func loadPlatform(path string) (*config.Config, error) {
 	cfg, err := config.Load(path)
 	if err != nil {
@@ -97,7 +98,7 @@
 
 func (p *platformProtocol) watchEndpoints(known *handover.ProcessState) {
 	last := p.config.Offset
-	if known != nil { // the core has the list of the other process already
+	if known != nil { // the core already has the endpoint list of the other process
 		last = max(last, known.LastEvent)
 	} else {
 		p.applyKnownEvents()
@@ -112,7 +113,7 @@
 	p.watch.Start()
 }
 
-// applyKnownEvents gives the core the endpoint list of the configuration.
+// applyKnownEvents passes the endpoint events of the configuration to the core.
 func (p *platformProtocol) applyKnownEvents() {
 	for _, event := range p.config.Known {
 		mode := policy.ListChanges
@@ -132,7 +133,7 @@
 
 func (p *platformProtocol) reloadable() bool { return p.config.Bus != "" }
 
-// reload moves to the event bus that the file names now.
+// reload switches to the event bus in the current configuration file. Other changes need a restart.
 func (p *platformProtocol) reload() error {
 	next, err := config.Load(p.path)
 	if err != nil {
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -18,19 +18,20 @@
 	"gannetspur/internal/sqltext"
 )
 
-// postgresProtocol serves PostgreSQL clients and engines, and watches Consul.
+// postgresProtocol implements protocol for PostgreSQL: its wire protocol for clients and engines, and Consul for the endpoint
+// list.
 type postgresProtocol struct {
 	process  *process
-	ctx      context.Context // ends the watch of Consul with the process
-	path     string
+	ctx      context.Context // cancels the Consul watch when the process ends
+	path     string          // of the deploy file
 	deploy   *config.Postgres
-	users    *scramauth.Users // nil: everybody is admitted
+	users    *scramauth.Users // nil: all clients are admitted without authentication
 	front    *pgfrontend.Frontend
 	watch    *consul.Watcher
-	watching bool
+	watching bool // watchEndpoints was called
 }
 
-// assemblePostgres makes the gateway of a deploy file; with no address to listen at there is none.
+// assemblePostgres creates the gateway from a deploy file. Without a listen address it creates nothing.
 func (p *process) assemblePostgres(ctx context.Context, path, sitesPath string) error {
 	deploy, err := config.LoadPostgres(path)
 	if err != nil || deploy.Listen == "" {
@@ -56,6 +57,7 @@
 	return nil
 }
 
+// backendOptions returns the options of the engine side in a deploy file.
 func backendOptions(deploy *config.Postgres, limits limits) pgbackend.Options {
 	return pgbackend.Options{
 		User:             deploy.User,
@@ -74,20 +76,20 @@
 	}
 }
 
-// frontendOptions are what the clients' side takes of a deploy file. They may change while the program runs.
+// frontendOptions returns the options of the client side in a deploy file. A reload may change them.
 func (p *postgresProtocol) frontendOptions(deploy *config.Postgres) pgfrontend.Options {
 	options := pgfrontend.Options{
 		DefaultClass:           deploy.DefaultClass,
 		WriteClass:             deploy.WriteClass,
 		ReadOnlyFunctions:      sqltext.FunctionSet{},
-		MaxClients:             clientsOf(deploy.Sockets),
+		MaxClients:             maxClientsFor(deploy.Sockets),
 		MaxHeldBytes:           limits{memoryMB: deploy.MemoryMB}.memoryFraction(6),
 		Shapes:                 p.process.shapes,
 		IdleTransactionTimeout: config.FromSeconds(deploy.TransactionIdleSeconds),
 		TransactionTimeout:     config.FromSeconds(deploy.TransactionMaxSeconds),
 		TLS:                    deploy.TLS.Config,
 		RequireTLS:             deploy.TLS.Require,
-		Users:                  p.usersOf(deploy),
+		Users:                  p.loginUsers(deploy),
 	}
 	for _, name := range deploy.ReadOnlyFunctions {
 		options.ReadOnlyFunctions[name] = true
@@ -101,11 +103,12 @@
 	return options
 }
 
-// usersOf are the users who may sign in; nil: everybody is admitted.
-func (p *postgresProtocol) usersOf(deploy *config.Postgres) *scramauth.Users {
+// loginUsers returns the users in a deploy file who may log in; nil means that all clients are admitted. After a reload the
+// users are derived from the previous ones, so that unknown users are still shown the same salt.
+func (p *postgresProtocol) loginUsers(deploy *config.Postgres) *scramauth.Users {
 	if len(deploy.Logins) == 0 {
 		if !isLoopback(deploy.Listen) {
-			p.process.log.Warn("trust", "listen", deploy.Listen, "why", "no file of users: everybody who reaches this address is let in")
+			p.process.log.Warn("trust", "listen", deploy.Listen, "why", "no users file: every client that can reach this address is admitted")
 		}
 		return nil
 	}
@@ -117,6 +120,7 @@
 	return p.users
 }
 
+// isLoopback reports whether HOST:PORT is on the loopback interface. Of host names it knows only localhost.
 func isLoopback(address string) bool {
 	numeric := strings.Replace(address, "localhost:", "127.0.0.1:", 1)
 	parsed, err := netip.ParseAddrPort(numeric)
@@ -139,7 +143,7 @@
 
 func (p *postgresProtocol) reloadable() bool { return true }
 
-// reload takes the frontend's options and Consul's. Settings hold from the start on.
+// reload applies the options of the frontend and of Consul. Changes to the settings file need a restart.
 func (p *postgresProtocol) reload() error {
 	next, err := config.LoadPostgres(p.path)
 	if err != nil {
@@ -150,7 +154,7 @@
 	}
 	for class := range next.Classes() {
 		if _, known := p.process.core.Class(class); !known {
-			return fmt.Errorf("deploy file: class %q is not among the settings that this program started with", class)
+			return fmt.Errorf("deploy file: class %q is not in the settings that the gateway was started with", class)
 		}
 	}
 	p.front.SetOptions(p.frontendOptions(next))
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -5,27 +5,33 @@
 	"gannetspur/internal/netio"
 )
 
-// protocol is what the platform's protocol and PostgreSQL's differ in: their frontend, their backend and their discovery.
+// protocol covers the differences between the platform's protocol and PostgreSQL: frontend, backend and discovery.
 type protocol interface {
 	frontend() frontend
-	// listen opens the clients' listener.
+	// listen starts to accept clients.
 	listen() error
-	// watchEndpoints begins to watch the endpoint list. known is what another process had of it; nil: nothing.
+	// watchEndpoints starts to watch the endpoint list. known is the state of the process that this one continues from; nil
+	// means that there is none.
 	watchEndpoints(known *handover.ProcessState)
-	// lastEvent is the number of the last event of the endpoint list; 0: its events have none.
+	// lastEvent returns the number of the last event of the endpoint list; 0 means that events have no numbers.
 	lastEvent() uint64
-	// reloadable reports whether the file names anything that reload would take.
+	// reloadable reports whether the configuration has anything that reload could change.
 	reloadable() bool
-	// reload takes what may change from the file. A file that can't be used changes nothing.
+	// reload applies the settings that may change at run time. A file with errors changes nothing.
 	reload() error
 }
 
-// frontend is what the process needs of the clients' side.
+// frontend is the part of a client-side protocol implementation that the process uses.
 type frontend interface {
 	handover.Frontend
+	// ListenOn uses a listener that is already open.
 	ListenOn(*netio.Listener)
+	// Addr returns the address that clients connect to.
 	Addr() string
+	// CloseListener stops accepting connections.
 	CloseListener()
+	// Drain closes each connection as soon as nothing is open on it.
 	Drain()
+	// Idle reports whether no client waits for anything.
 	Idle() bool
 }
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -9,21 +9,21 @@
 	"gannetspur/internal/takeover"
 )
 
-// stateFolder lies in $TMPDIR, which the processes of one front end share.
+// stateFolder is the directory in $TMPDIR through which the processes of one front end find each other.
 const stateFolder = "ringwood-processes"
 
-// startBeside takes the place of a process that serves at the platform's socket, where there is one; else it serves from the
-// configuration.
-func (p *process) startBeside(platform *platformProtocol) error {
+// startOnPlatformSocket starts on the platform's socket. It takes over from the process that serves there, if there is one, and
+// otherwise serves from the configuration.
+func (p *process) startOnPlatformSocket(platform *platformProtocol) error {
 	coordinator, err := takeover.New(p.loop, p.core, filepath.Join(os.TempDir(), stateFolder), takeover.Options{
-		EventSourceSum: platform.eventSum,
-		State:          p.sharedState,
-		ApplyState:     p.resumeShared,
+		EventSourceSum: platform.endpointChecksum,
+		State:          p.stateForReplacement,
+		ApplyState:     p.resumeFromReplaced,
 		StartAlone:     func() { p.serve(nil) },
-		OnLimitShare:   func(share float64) { p.shareLimits(platform, share) },
-		OnReplaced:     func() { p.retire(platform) },
+		OnLimitShare:   func(share float64) { p.setLimitShare(platform, share) },
+		OnReplaced:     func() { p.releaseClients(platform) },
 	}, p.log)
-	if err != nil { // no process can replace this one later, and it serves all the same
+	if err != nil { // not fatal: it serves, but no other process can take over from it
 		p.log.Error("takeover.unavailable", "error", err)
 		p.serve(nil)
 		return p.failed
@@ -33,17 +33,17 @@
 	return nil
 }
 
-// sharedState is what this process knows, for one that replaces it.
-func (p *process) sharedState() *handover.ProcessState {
+// stateForReplacement returns the state for a process that replaces this one.
+func (p *process) stateForReplacement() *handover.ProcessState {
 	state := p.state()
 	state.Shared = p.protocol.frontend().SharedState()
 	return state
 }
 
-// resumeShared goes on from the state of the process that this one replaces.
-func (p *process) resumeShared(state *handover.ProcessState) error {
+// resumeFromReplaced applies the state of the process that this one replaces, and starts to serve.
+func (p *process) resumeFromReplaced(state *handover.ProcessState) error {
 	p.restore(state)
-	if err := p.protocol.frontend().ApplySharedState(state.Shared); err != nil { // clients of the other process ask again
+	if err := p.protocol.frontend().ApplySharedState(state.Shared); err != nil { // clients of the other process have to repeat their requests
 		p.log.Warn("takeover.results", "error", err)
 	}
 	if state.LastEvent == 0 {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// serve watches the endpoint list and accepts clients. known is what another process had of the list; nil: nothing.
+// serve starts to watch the endpoint list and to accept clients. known is the state of the process that this one continues
+// from; nil means that there is none.
 func (p *process) serve(known *handover.ProcessState) {
 	p.protocol.watchEndpoints(known)
 	err := errors.Join(p.protocol.listen(), p.startSites(), p.openAdmin())
@@ -62,24 +63,26 @@
 		return
 	}
 	p.ready = true
-	p.resumeMember()
+	p.resumeMembership()
 	p.log.Info("serving", "addr", p.protocol.frontend().Addr(), "took_over", known != nil)
 	notifyServiceManager("READY=1\n")
 }
 
-// retire leaves the clients to the process that serves in this one's place.
-func (p *process) retire(platform *platformProtocol) {
+// releaseClients moves clients to the process that has replaced this one: it accepts no connections and closes each after its next
+// response.
+func (p *process) releaseClients(platform *platformProtocol) {
 	p.log.Info("replaced")
 	platform.front.CloseListener()
 	platform.front.CloseAfterResponse()
-	p.handOverMember()
+	p.handOverMembership()
 }
 
-// shareLimits leaves the rest of the limits to other processes of this front end.
-func (p *process) shareLimits(platform *platformProtocol, share float64) {
+// setLimitShare reduces the limits of this process to a share between 0 and 1. The other processes of this front end use the
+// rest.
+func (p *process) setLimitShare(platform *platformProtocol, share float64) {
 	p.log.Info("limits.shared", "part", share)
 	platform.front.LimitClients(int(share * float64(p.limits.maxClients)))
-	platform.front.SetUnpaged(share < 1) // the next call of a client may come to another process
+	platform.front.SetUnpaged(share < 1) // the request for a client's next page may reach another process
 	p.loop.SetDescriptorShare(share)
 	p.loop.SetBufferBudget(int64(share * float64(p.limits.bufferBytes())))
 	limitRuntime(int(share * float64(p.limits.memoryMB)))
--- a/internal/gateway/replacement_test.go
+++ b/internal/gateway/replacement_test.go
@@ -19,13 +19,14 @@
 	"gannetspur/internal/testbed/harness"
 )
 
-const besideEnv = "RINGWOOD_BESIDE_CHILD"
+// replacementEnv is set in a child process to the path of its configuration.
+const replacementEnv = "RINGWOOD_BESIDE_CHILD"
 
-// TestBesideChild is no test: it is the front end that the tests below start beside itself.
-func TestBesideChild(t *testing.T) {
-	path := os.Getenv(besideEnv)
+// TestReplacementChild is not a test. It is the gateway that the tests below run in child processes.
+func TestReplacementChild(t *testing.T) {
+	path := os.Getenv(replacementEnv)
 	if path == "" {
-		t.Skip("for the tests of replacing the process")
+		t.Skip("only runs as a child process of the replacement tests")
 	}
 	if err := Run(Files{Config: path}, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -34,28 +35,31 @@
 	os.Exit(0)
 }
 
-// platformOf holds the clients' socket and starts processes of one front end at it.
-type platformOf struct {
+// testPlatform holds the clients' listening socket, starts gateways of one front end on it, and runs engines named one, two
+// and three. Engines answer by the first character of a request id: with b the first of 16 pages, with f an empty result once
+// hold is closed, else an empty result at once.
+type testPlatform struct {
 	t      *testing.T
 	dir    string
 	socket *os.File
-	addr   string
-	config string
+	addr   string // of the socket
+	config string // path of the configuration
 
 	mu   sync.Mutex
-	seen map[string][]string // wants by engine
-	hold chan struct{}       // engines answer ids that begin with f once it is closed
+	seen map[string][]string // request ids by engine
+	hold chan struct{}       // delays requests whose ids begin with f until it is closed
 }
 
-// childProcess is one of them.
+// childProcess is a gateway in a child process on the platform's socket.
 type childProcess struct {
 	*program
-	endpoint string
+	endpoint string // address of the control endpoint
 }
 
-func newPlatform(t *testing.T) *platformOf {
+// newPlatform opens the socket, starts the engines and writes the configuration.
+func newPlatform(t *testing.T) *testPlatform {
 	t.Helper()
-	p := &platformOf{t: t, dir: t.TempDir(), seen: map[string][]string{}, hold: make(chan struct{})}
+	p := &testPlatform{t: t, dir: t.TempDir(), seen: map[string][]string{}, hold: make(chan struct{})}
 	var err error
 	if p.socket, p.addr, err = harness.OpenListener("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -76,7 +80,8 @@
 	return p
 }
 
-func (p *platformOf) engine(name string) string {
+// engine starts an engine and returns its address.
+func (p *testPlatform) engine(name string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		p.t.Fatal(err)
@@ -91,29 +96,29 @@
 			go func() {
 				defer func() { _ = c.Close() }()
 				for in := bufio.NewScanner(c); in.Scan(); {
-					w := strings.Fields(in.Text())
-					page := strings.Repeat("x\ty\tz\n", 1000) // 16 of these are two parts of a result
-					if len(w) == 3 && w[0] == "turn" {
-						_, _ = fmt.Fprintf(c, "%s MORE batch=%s %d\r\n%s\r\n", w[1], w[2], len(page), page)
+					fields := strings.Fields(in.Text())
+					page := strings.Repeat("x\ty\tz\n", 1000) // the front end sends 16 of these to its client as two pages
+					if len(fields) == 3 && fields[0] == "turn" {
+						_, _ = fmt.Fprintf(c, "%s MORE batch=%s %d\r\n%s\r\n", fields[1], fields[2], len(page), page)
 					}
-					if len(w) != 4 || w[0] != "want" {
+					if len(fields) != 4 || fields[0] != "want" {
 						continue
 					}
 					p.mu.Lock()
-					p.seen[name] = append(p.seen[name], w[1])
+					p.seen[name] = append(p.seen[name], fields[1])
 					p.mu.Unlock()
-					if w[1][0] == 'f' {
+					if fields[1][0] == 'f' {
 						go func() {
 							<-p.hold
-							_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+							_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", fields[1])
 						}()
 						continue
 					}
-					if w[1][0] == 'b' {
-						_, _ = fmt.Fprintf(c, "%s DONE batches=16 %d\r\n%s\r\n", w[1], len(page), page)
+					if fields[1][0] == 'b' {
+						_, _ = fmt.Fprintf(c, "%s DONE batches=16 %d\r\n%s\r\n", fields[1], len(page), page)
 						continue
 					}
-					_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+					_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", fields[1])
 				}
 			}()
 		}
@@ -121,49 +126,51 @@
 	return ln.Addr().String()
 }
 
-func (p *platformOf) wants(engine string) int {
+// requestCount returns the number of requests that an engine has received.
+func (p *testPlatform) requestCount(engine string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.seen[engine])
 }
 
-// await waits until an engine has had so many wants.
-func (p *platformOf) await(engine string, n int) {
+// await waits until an engine has received n requests, for at least 10 s.
+func (p *testPlatform) await(engine string, n int) {
 	p.t.Helper()
 	for range 10000 {
-		if p.wants(engine) >= n {
+		if p.requestCount(engine) >= n {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	p.t.Fatalf("engine %s had %d wants, not %d", engine, p.wants(engine), n)
+	p.t.Fatalf("engine %s received %d requests, want %d", engine, p.requestCount(engine), n)
 }
 
-// start starts a process at the socket.
-func (p *platformOf) start() *childProcess {
+// start starts a gateway on the socket. It is killed after 30 s.
+func (p *testPlatform) start() *childProcess {
 	p.t.Helper()
 	endpoint, err := harness.UnusedAddress()
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	r := &program{t: p.t, cmd: exec.Command(os.Args[0], "-test.run=^TestBesideChild$")}
-	r.cmd.Env = append(os.Environ(), besideEnv+"="+p.config, "LB_CONTROL="+endpoint, "LB_ACCEPT_FD=3", "TMPDIR="+p.dir)
-	r.cmd.ExtraFiles = []*os.File{p.socket}
-	out, err := r.cmd.StderrPipe()
+	child := &program{t: p.t, cmd: exec.Command(os.Args[0], "-test.run=^TestReplacementChild$")}
+	child.cmd.Env = append(os.Environ(), replacementEnv+"="+p.config, "LB_CONTROL="+endpoint, "LB_ACCEPT_FD=3", "TMPDIR="+p.dir)
+	child.cmd.ExtraFiles = []*os.File{p.socket}
+	out, err := child.cmd.StderrPipe()
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	if err := r.cmd.Start(); err != nil {
+	if err := child.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	watch := time.AfterFunc(30*time.Second, func() { _ = r.cmd.Process.Kill() })
-	p.t.Cleanup(func() { watch.Stop(); _ = r.cmd.Process.Kill() })
-	r.log = bufio.NewScanner(out)
-	return &childProcess{r, endpoint}
+	killTimer := time.AfterFunc(30*time.Second, func() { _ = child.cmd.Process.Kill() })
+	p.t.Cleanup(func() { killTimer.Stop(); _ = child.cmd.Process.Kill() })
+	child.log = bufio.NewScanner(out)
+	return &childProcess{child, endpoint}
 }
 
-// askAt makes a call at an address.
-func askAt(t *testing.T, addr, call string) string {
+// roundTrip sends an HTTP request to addr on a new connection. It returns the status and the body of the response, or the
+// error.
+func roundTrip(t *testing.T, addr, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -171,7 +178,7 @@
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-	_, _ = io.WriteString(c, call)
+	_, _ = io.WriteString(c, request)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err.Error()
@@ -181,186 +188,186 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, b)
 }
 
-func (r *childProcess) ban(engine, call string) string {
+// setEngine disables or enables an engine; action is "disable" or "enable".
+func (p *childProcess) setEngine(engine, action string) string {
 	body := fmt.Sprintf(`{"target":%q}`, engine)
-	return askAt(r.t, r.endpoint, fmt.Sprintf("POST /engines/%s HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", call, len(body), body))
+	return roundTrip(p.t, p.endpoint, fmt.Sprintf("POST /engines/%s HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", action, len(body), body))
 }
 
-// down reads how many engines a process avoids.
-func (r *childProcess) down() (n int) {
-	text := askAt(r.t, r.endpoint, "GET /metrics HTTP/1.1\r\n\r\n")
+// disabledEngines returns the number of engines that the process does not use.
+func (p *childProcess) disabledEngines() (n int) {
+	text := roundTrip(p.t, p.endpoint, "GET /metrics HTTP/1.1\r\n\r\n")
 	_, text, _ = strings.Cut(text, "lb.hosts_down:")
 	_, _ = fmt.Sscanf(text, "%d|g", &n)
 	return n
 }
 
-// A process takes the place of another: bans go over, also one that lands while both live, a
-// request that is open is answered by the one that took it, and the next process after that
-// still knows.
-func TestBeside(t *testing.T) {
+// TestReplacement replaces a process twice. Disabled engines carry over, including changes made while both processes run; an
+// open request is answered by the process that accepted it; further pages of a result are available from the new process.
+func TestReplacement(t *testing.T) {
 	p := newPlatform(t)
-	a := p.start()
-	a.await("msg=serving")
-	if got := askAt(t, a.endpoint, "GET /ready HTTP/1.1\r\n\r\n"); got != "200 {}" {
-		t.Fatal(got)
+	first := p.start()
+	first.await("msg=serving")
+	if got := roundTrip(t, first.endpoint, "GET /ready HTTP/1.1\r\n\r\n"); got != "200 {}" {
+		t.Fatalf("GET /ready = %s, want 200 {}", got)
 	}
 	for _, engine := range []string{"two", "three"} {
-		if got := a.ban(engine, "disable"); got != "200 {}" {
-			t.Fatal(got)
+		if got := first.setEngine(engine, "disable"); got != "200 {}" {
+			t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
 		}
 	}
-	load := strings.NewReplacer("lookup", "load", "9b1f", "f000", "Req-Wait", "Req-Token: k\r\nReq-Wait").Replace(fmt.Sprintf(call, 0))
+	loadRequest := strings.NewReplacer("lookup", "load", "9b1f", "f000", "Req-Wait", "Req-Token: k\r\nReq-Wait").Replace(fmt.Sprintf(lookupRequest, 0))
 	open := make(chan string, 1)
-	go func() { open <- askAt(t, p.addr, load) }()
+	go func() { open <- roundTrip(t, p.addr, loadRequest) }()
 	p.await("one", 1)
-	part := askAt(t, p.addr, strings.Replace(fmt.Sprintf(call, 0), "9b1f", "b000", 1))
-	_, part, _ = strings.Cut(part, `{"more":"`)
-	part, _, _ = strings.Cut(part, `"`)
-	b := p.start()
-	b.await("takeover.completed")
-	if n := b.down(); n != 2 {
-		t.Errorf("%d engines are avoided by the process that took over", n)
+	nextPage := roundTrip(t, p.addr, strings.Replace(fmt.Sprintf(lookupRequest, 0), "9b1f", "b000", 1))
+	_, nextPage, _ = strings.Cut(nextPage, `{"more":"`)
+	nextPage, _, _ = strings.Cut(nextPage, `"`)
+	second := p.start()
+	second.await("takeover.completed")
+	if n := second.disabledEngines(); n != 2 {
+		t.Errorf("the second process has %d disabled engines, want 2", n)
 	}
-	if got := a.ban("three", "enable"); got != "200 {}" { // while both live
-		t.Fatal(got)
+	if got := first.setEngine("three", "enable"); got != "200 {}" { // while both processes run
+		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
 	}
-	b.await("override.merged")
-	if n := b.down(); n != 1 {
-		t.Errorf("%d engines are avoided after a call back at the other process", n)
+	second.await("override.merged")
+	if n := second.disabledEngines(); n != 1 {
+		t.Errorf("after enabling one engine at the first process the second has %d disabled engines, want 1", n)
 	}
-	if got := b.ban("three", "disable"); got != "200 {}" {
-		t.Fatal(got)
+	if got := second.setEngine("three", "disable"); got != "200 {}" {
+		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
 	}
-	a.await("override.merged")
-	a.signal(syscall.SIGTERM)
-	a.await("msg=replaced")
-	if got := askAt(t, p.addr, "GET "+part+" HTTP/1.1\r\n\r\n"); !strings.Contains(got, `["x","y","z"]`) {
-		t.Errorf("a further part of the old process's result, at the new one: %.80s", got)
+	first.await("override.merged")
+	first.signal(syscall.SIGTERM)
+	first.await("msg=replaced")
+	if got := roundTrip(t, p.addr, "GET "+nextPage+" HTTP/1.1\r\n\r\n"); !strings.Contains(got, `["x","y","z"]`) {
+		t.Errorf("next page of the old process's result, from the new process: %.80s, want rows of x, y and z", got)
 	}
-	if got := askAt(t, p.addr, "DELETE "+part+" HTTP/1.1\r\n\r\n"); !strings.HasPrefix(got, "200 ") {
-		t.Errorf("a client that wants no more of it, at the new process: %.80s", got)
+	if got := roundTrip(t, p.addr, "DELETE "+nextPage+" HTTP/1.1\r\n\r\n"); !strings.HasPrefix(got, "200 ") {
+		t.Errorf("deleting the old process's result at the new process: %.80s, want status 200", got)
 	}
 	again := make(chan string, 1)
-	go func() { again <- askAt(t, p.addr, load) }() // the key guards it
+	go func() { again <- roundTrip(t, p.addr, loadRequest) }() // the idempotency key makes the repetition safe
 	p.await("one", 3)
 	close(p.hold)
 	if got := <-again; !strings.HasPrefix(got, "200 ") {
-		t.Errorf("the same load at the new process got %s", got)
+		t.Errorf("same request at the new process: %s, want status 200", got)
 	}
 	if got := <-open; !strings.HasPrefix(got, "200 ") {
-		t.Errorf("the open request got %s", got)
+		t.Errorf("open request: %s, want status 200", got)
 	}
-	for a.log.Scan() {
+	for first.log.Scan() {
 	}
-	if err := a.cmd.Wait(); err != nil {
-		t.Errorf("the old process ended with %v", err)
+	if err := first.cmd.Wait(); err != nil {
+		t.Errorf("the first process exited with %v, want status 0", err)
 	}
-	if got := b.ban("one", "disable"); got != "200 {}" {
-		t.Fatal(got)
+	if got := second.setEngine("one", "disable"); got != "200 {}" {
+		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
 	}
-	if got := askAt(t, p.addr, fmt.Sprintf(call, 1)); !strings.HasPrefix(got, "503 ") { // all are out: at once
-		t.Errorf("with no engine: %s", got)
+	if got := roundTrip(t, p.addr, fmt.Sprintf(lookupRequest, 1)); !strings.HasPrefix(got, "503 ") { // refused at once
+		t.Errorf("request without engines: %s, want status 503", got)
 	}
-	c := p.start()
-	c.await("takeover.completed")
-	if n := c.down(); n != 3 {
-		t.Errorf("%d engines are avoided by the third process", n)
+	third := p.start()
+	third.await("takeover.completed")
+	if n := third.disabledEngines(); n != 3 {
+		t.Errorf("the third process has %d disabled engines, want 3", n)
 	}
-	if n := p.wants("two") + p.wants("three"); n > 0 {
-		t.Errorf("engines that were out got %d wants", n)
+	if n := p.requestCount("two") + p.requestCount("three"); n > 0 {
+		t.Errorf("disabled engines received %d requests, want 0", n)
 	}
-	b.signal(syscall.SIGTERM)
-	b.await("msg=replaced")
-	c.signal(syscall.SIGTERM) // which nobody follows: it serves for as long as clients may come
-	if got := askAt(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
-		t.Errorf("after TERM with no successor: %s", got)
+	second.signal(syscall.SIGTERM)
+	second.await("msg=replaced")
+	third.signal(syscall.SIGTERM) // there is no successor: it serves while clients may still arrive
+	if got := roundTrip(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
+		t.Errorf("request after SIGTERM without a successor: %s, want 200 {}", got)
 	}
-	for _, r := range []*childProcess{b, c} {
-		for r.log.Scan() {
+	for _, child := range []*childProcess{second, third} {
+		for child.log.Scan() {
 		}
-		if err := r.cmd.Wait(); err != nil {
-			t.Errorf("ended with %v", err)
+		if err := child.cmd.Wait(); err != nil {
+			t.Errorf("process exited with %v, want status 0", err)
 		}
 	}
 }
 
-// Two processes that start at once beside a third both serve, with its bans, and of the three the
-// last one stays.
-func TestTwoBesideAtOnce(t *testing.T) {
+// TestConcurrentReplacements starts two processes at once next to a running one. Both serve and know its disabled engine, and
+// the last one keeps serving when the other two stop.
+func TestConcurrentReplacements(t *testing.T) {
 	p := newPlatform(t)
-	a := p.start()
-	a.await("msg=serving")
-	if got := a.ban("two", "disable"); got != "200 {}" {
-		t.Fatal(got)
-	}
-	b, c := p.start(), p.start()
-	b.await("msg=serving")
-	c.await("msg=serving")
-	for _, r := range []*childProcess{a, b} {
-		r.signal(syscall.SIGTERM)
-	}
-	for _, r := range []*childProcess{a, b} {
-		for r.log.Scan() {
+	first := p.start()
+	first.await("msg=serving")
+	if got := first.setEngine("two", "disable"); got != "200 {}" {
+		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
+	}
+	second, third := p.start(), p.start()
+	second.await("msg=serving")
+	third.await("msg=serving")
+	for _, child := range []*childProcess{first, second} {
+		child.signal(syscall.SIGTERM)
+	}
+	for _, child := range []*childProcess{first, second} {
+		for child.log.Scan() {
 		}
-		if err := r.cmd.Wait(); err != nil {
-			t.Errorf("ended with %v", err)
+		if err := child.cmd.Wait(); err != nil {
+			t.Errorf("process exited with %v, want status 0", err)
 		}
 	}
-	if n := c.down(); n != 1 {
-		t.Errorf("%d engines are avoided by the last process", n)
+	if n := third.disabledEngines(); n != 1 {
+		t.Errorf("the last process has %d disabled engines, want 1", n)
 	}
-	if got := askAt(t, p.addr, fmt.Sprintf(call, 1)); !strings.HasPrefix(got, "200 ") {
-		t.Errorf("at the last process: %s", got)
+	if got := roundTrip(t, p.addr, fmt.Sprintf(lookupRequest, 1)); !strings.HasPrefix(got, "200 ") {
+		t.Errorf("request at the last process: %s, want status 200", got)
 	}
-	if p.wants("two") > 0 {
-		t.Errorf("an engine that was out got %v", p.seen["two"])
+	if p.requestCount("two") > 0 {
+		t.Errorf("a disabled engine received requests %v, want none", p.seen["two"])
 	}
 }
 
-// Where what the old process wrote can't be used, or the new one dies before its yes or behind it, there is
-// a front end all the same.
-func TestBesideThatFails(t *testing.T) {
+// TestFailedReplacements checks that clients are served if the new process dies before or after it starts to serve, or if the
+// old process hangs and its state file is truncated. An invalid LB_ACCEPT_FD is reported as an error.
+func TestFailedReplacements(t *testing.T) {
 	p := newPlatform(t)
-	a := p.start()
-	a.await("msg=serving")
+	first := p.start()
+	first.await("msg=serving")
 	_ = p.start().cmd.Process.Kill()
-	if got := askAt(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
-		t.Errorf("beside one that died: %s", got)
-	}
-	dies := p.start()
-	dies.await("msg=serving")
-	_ = dies.cmd.Process.Kill()
-	_ = dies.cmd.Wait()
-	for range 10 { // all come to the old one again
-		if got := askAt(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
-			t.Errorf("beside one that died after its yes: %s", got)
+	if got := roundTrip(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
+		t.Errorf("request after a new process died during its start: %s, want 200 {}", got)
+	}
+	shortLived := p.start()
+	shortLived.await("msg=serving")
+	_ = shortLived.cmd.Process.Kill()
+	_ = shortLived.cmd.Wait()
+	for range 10 { // all requests reach the old process again
+		if got := roundTrip(t, p.addr, "GET /health HTTP/1.1\r\n\r\n"); got != "200 {}" {
+			t.Errorf("request after a new process died while serving: %s, want 200 {}", got)
 		}
 	}
 	states, _ := filepath.Glob(filepath.Join(p.dir, stateFolder, "*.state"))
-	_ = a.cmd.Process.Signal(syscall.SIGSTOP) // it hangs, and what it wrote is torn
+	_ = first.cmd.Process.Signal(syscall.SIGSTOP) // it hangs, and its state file is truncated
 	for _, path := range states {
 		if err := os.Truncate(path, 20); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b := p.start()
-	b.await("msg=serving")
-	if got := askAt(t, b.endpoint, "GET /ready HTTP/1.1\r\n\r\n"); got != "200 {}" {
-		t.Errorf("beside one that hangs: %s", got)
+	second := p.start()
+	second.await("msg=serving")
+	if got := roundTrip(t, second.endpoint, "GET /ready HTTP/1.1\r\n\r\n"); got != "200 {}" {
+		t.Errorf("/ready of a process that replaces a hung one: %s, want 200 {}", got)
 	}
-	_ = a.cmd.Process.Kill()
+	_ = first.cmd.Process.Kill()
 	for _, fd := range []string{"x", "1", "77", "4"} {
-		r := &program{t: t, cmd: exec.Command(os.Args[0], "-test.run=^TestBesideChild$")}
+		child := &program{t: t, cmd: exec.Command(os.Args[0], "-test.run=^TestReplacementChild$")}
 		file, err := os.Open(p.config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.cmd.Env = append(os.Environ(), besideEnv+"="+p.config, "LB_ACCEPT_FD="+fd)
-		r.cmd.ExtraFiles = []*os.File{p.socket, file}
-		out, err := r.cmd.CombinedOutput()
+		child.cmd.Env = append(os.Environ(), replacementEnv+"="+p.config, "LB_ACCEPT_FD="+fd)
+		child.cmd.ExtraFiles = []*os.File{p.socket, file}
+		out, err := child.cmd.CombinedOutput()
 		_ = file.Close()
 		if err == nil || !strings.Contains(string(out), "LB_ACCEPT_FD") {
-			t.Errorf("LB_ACCEPT_FD=%s: %v: %s", fd, err, out)
+			t.Errorf("LB_ACCEPT_FD=%s: error %v, output %s; want an error that names LB_ACCEPT_FD", fd, err, out)
 		}
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,32 +14,33 @@
 	"time"
 )
 
-const call = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d4%d\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
+// lookupRequest is an HTTP request with a deadline of 6 s. Its parameter is the last digit of the request id.
+const lookupRequest = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d4%d\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
 
-// client makes one call on a connection of its own and reports the status.
-func client(t *testing.T, addr string, n int) <-chan string {
+// sendRequest sends request n on a new connection and returns a channel for the status of the response, or the error.
+func sendRequest(t *testing.T, addr string, n int) <-chan string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-	_, _ = fmt.Fprintf(c, call, n)
-	answer := make(chan string, 1)
+	_, _ = fmt.Fprintf(c, lookupRequest, n)
+	status := make(chan string, 1)
 	go func() {
 		defer func() { _ = c.Close() }()
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			answer <- err.Error()
+			status <- err.Error()
 			return
 		}
 		_ = resp.Body.Close()
-		answer <- resp.Status
+		status <- resp.Status
 	}()
-	return answer
+	return status
 }
 
-// serve runs a gateway in the test's own process; ended is closed once it has ended.
+// serve runs a gateway in the test process. ended is closed once its loop has ended.
 func serve(t *testing.T, path string) (p *process, ended chan struct{}) {
 	t.Helper()
 	p = newProcess(slog.New(slog.DiscardHandler))
@@ -58,16 +59,16 @@
 	return p, ended
 }
 
-// A planned stop: who comes right after TERM is still served, what is open goes on,
-// what no engine answers gets its final answer before the kill, and then it ends.
+// TestPlannedStop checks a graceful shutdown: a client that connects right afterwards is still served, a request that no
+// engine answers gets a final response before the platform would kill the process, and then the process ends.
 func TestPlannedStop(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	wants := make(chan string, 10)
-	go func() { // an engine that answers all but the call numbered 1
+	received := make(chan string, 10) // request ids at the engine
+	go func() {                       // an engine that answers all requests but number 1
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -75,14 +76,14 @@
 			}
 			go func() {
 				for in := bufio.NewScanner(c); in.Scan(); {
-					w := strings.Fields(in.Text())
-					if len(w) != 4 || w[0] != "want" {
+					fields := strings.Fields(in.Text())
+					if len(fields) != 4 || fields[0] != "want" {
 						continue
 					}
-					if !strings.HasSuffix(w[1], "1") {
-						_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+					if !strings.HasSuffix(fields[1], "1") {
+						_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", fields[1])
 					}
-					wants <- w[1]
+					received <- fields[1]
 				}
 			}()
 		}
@@ -97,29 +98,29 @@
 		t.Fatal(err)
 	}
 	p, ended := serve(t, path)
-	open := client(t, p.protocol.frontend().Addr(), 1)
-	<-wants
-	began := time.Now()
-	p.loop.Post(p.beginStop)
-	if got := <-client(t, p.protocol.frontend().Addr(), 2); got != "200 OK" {
-		t.Errorf("a client right after TERM got %s", got)
+	open := sendRequest(t, p.protocol.frontend().Addr(), 1)
+	<-received
+	start := time.Now()
+	p.loop.Post(p.beginShutdown)
+	if got := <-sendRequest(t, p.protocol.frontend().Addr(), 2); got != "200 OK" {
+		t.Errorf("request right after the shutdown began: status %s, want 200 OK", got)
 	}
 	if got := <-open; !strings.HasPrefix(got, "50") {
-		t.Errorf("what no engine answers got %s", got)
+		t.Errorf("request that no engine answers: status %s, want 50x", got)
 	}
 	<-ended
-	if took := time.Since(began); took > 3700*time.Millisecond {
-		t.Errorf("the stop took %v: the kill comes first", took)
+	if took := time.Since(start); took > 3700*time.Millisecond {
+		t.Errorf("the shutdown took %v, want at most 3.7s: the platform kills the process first", took)
 	}
 	if _, err := net.Dial("tcp", p.protocol.frontend().Addr()); err == nil {
-		t.Error("still listening")
+		t.Error("the gateway still accepts connections after the shutdown")
 	}
 }
 
-// The configuration is read again and the process told to end at once, also again while it ends: it moves to the new event
-// bus, what is open has its answer, and it ends well.
+// TestReloadAndStopTogether sends SIGHUP, SIGTERM and SIGHUP in a row while a request is open: the gateway switches to the new
+// event bus, the request gets its response, and the loop ends without an error.
 func TestReloadAndStopTogether(t *testing.T) {
-	wants, answer := make(chan string, 1), make(chan struct{})
+	received, release := make(chan string, 1), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,15 +132,15 @@
 			return
 		}
 		for in := bufio.NewScanner(c); in.Scan(); {
-			if w := strings.Fields(in.Text()); len(w) == 4 && w[0] == "want" {
-				wants <- w[1]
-				<-answer
-				_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", w[1])
+			if fields := strings.Fields(in.Text()); len(fields) == 4 && fields[0] == "want" {
+				received <- fields[1]
+				<-release
+				_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", fields[1])
 			}
 		}
 	}()
-	old, heardOld := eventBus(t, 7)
-	next, heardNext := eventBus(t, 8)
+	oldBus, oldResume := eventBus(t, 7)
+	newBus, newResume := eventBus(t, 8)
 	raw, err := os.ReadFile("../../examples/toy/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -151,24 +152,24 @@
 			t.Fatal(err)
 		}
 	}
-	write(old)
+	write(oldBus)
 	p, ended := serve(t, path)
-	<-heardOld
-	open := client(t, p.protocol.frontend().Addr(), 2)
-	<-wants
-	write(next)
-	told := make(chan os.Signal, 3)
-	go p.handleSignals(told)
+	<-oldResume
+	open := sendRequest(t, p.protocol.frontend().Addr(), 2)
+	<-received
+	write(newBus)
+	signals := make(chan os.Signal, 3)
+	go p.handleSignals(signals)
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
-		told <- s
+		signals <- s
 	}
-	<-heardNext
-	close(answer)
+	<-newResume
+	close(release)
 	if got := <-open; got != "200 OK" {
-		t.Errorf("what was open got %s", got)
+		t.Errorf("open request: status %s, want 200 OK", got)
 	}
 	<-ended
 	if p.failed != nil {
-		t.Error(p.failed)
+		t.Errorf("the loop ended with error %v, want nil", p.failed)
 	}
 }
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// handleSignals has the loop carry out what the process is told: USR1 prints the counters, HUP reads the files again, anything
-// else begins a planned stop, once.
+// handleSignals handles signals on the loop's goroutine: SIGUSR1 prints the counters, SIGHUP reloads the files, and the first
+// of any others starts a graceful shutdown.
 func (p *process) handleSignals(signals <-chan os.Signal) {
 	stopping := false
 	for s := range signals {
@@ -18,15 +18,15 @@
 			p.loop.Post(p.reload)
 		case !stopping:
 			stopping = true
-			p.loop.Post(p.planStop)
+			p.loop.Post(p.requestShutdown)
 		}
 	}
 }
 
-// reload takes what may change while the program runs from its files. A file that can't be used changes nothing.
+// reload applies the settings that may change at run time. A file with errors changes nothing.
 func (p *process) reload() {
 	if !p.protocol.reloadable() && p.sites == nil && p.members == nil {
-		p.log.Info("reload.nothing", "why", "the configuration names nothing that may change")
+		p.log.Info("reload.nothing", "why", "the configuration has no reloadable settings")
 		return
 	}
 	err := errors.Join(p.reloadSites(), p.reloadMembership())
@@ -35,7 +35,7 @@
 	}
 	if err != nil {
 		p.counters.Add("reload.failed")
-		p.log.Warn("reload.failed", "error", err, "then", "the old file holds")
+		p.log.Warn("reload.failed", "error", err, "then", "the previous configuration stays in effect")
 		return
 	}
 	p.counters.Add("reload.done")
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -12,17 +12,18 @@
 	"gannetspur/policy"
 )
 
-// remoteSites is what a gateway that works with other sites has.
+// remoteSites holds the parts of a gateway that exchanges requests with other sites.
 type remoteSites struct {
-	path    string
-	own     forwarding.Name
+	path    string          // of the sites file
+	self    forwarding.Name // site and name of this gateway
 	service *forwarding.Service
 	runner  *link.Runner
-	listen  string
-	admin   string
+	listen  string // address for links from other sites
+	admin   string // path of the admin socket; "": none
 }
 
-// assembleSites reads the file of other sites, if there is one, and has the core use them. Links are made later.
+// assembleSites reads the sites file if there is one, and connects the core to the forwarding service. startSites opens the
+// links.
 func (p *process) assembleSites(path string, codec forwarding.Codec, settings policy.Settings) error {
 	if path == "" {
 		return nil
@@ -31,13 +32,13 @@
 	if err != nil {
 		return err
 	}
-	own, peers := namesOf(s)
-	keys, err := link.LoadKeys(link.Files(s.Keys), own)
+	self, peers := siteNames(s)
+	keys, err := link.LoadKeys(link.Files(s.Keys), self)
 	if err != nil {
 		return config.Fault{File: path, Field: "keys", Want: err.Error()}
 	}
 	service, err := forwarding.New(p.core, p.loop.Timers, forwarding.Options{
-		Name:     own,
+		Name:     self,
 		Start:    rand.Uint64(),
 		Config:   s.Decide(settings.Limits.MaxAttempts),
 		Settings: settings,
@@ -51,16 +52,16 @@
 	p.core.SetRemoteSites(service)
 	p.sites = &remoteSites{
 		path:    path,
-		own:     own,
+		self:    self,
 		service: service,
-		runner:  link.New(p.loop, p.loop.Timers, service, keys, own, peers, p.counters, p.log),
+		runner:  link.New(p.loop, p.loop.Timers, service, keys, self, peers, p.counters, p.log),
 		listen:  s.Listen,
 		admin:   s.Admin,
 	}
 	return nil
 }
 
-// startSites accepts the gateways of other sites and dials them.
+// startSites accepts links from gateways of other sites and dials them.
 func (p *process) startSites() error {
 	if p.sites == nil {
 		return nil
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// leaveSites tells other sites that this process forwards nothing and accepts nothing any more.
+// leaveSites tells other sites that this process neither forwards nor accepts new requests.
 func (p *process) leaveSites() {
 	if p.sites != nil {
 		p.sites.runner.GoAway()
@@ -82,15 +83,16 @@
 // sitesIdle reports whether no request is on its way to or from other sites.
 func (p *process) sitesIdle() bool { return p.sites == nil || p.sites.service.Idle() }
 
-// adminSites answers an operator on other sites. It runs on a goroutine of its own.
-func (p *process) adminSites(request admin.Request) admin.Reply {
+// handleSiteCommand handles the admin commands on sites. It must not be called on the loop's goroutine.
+func (p *process) handleSiteCommand(request admin.Request) admin.Reply {
 	if p.sites == nil {
-		return admin.Reply{Problem: "this gateway works with no other site", Done: true}
+		return admin.Reply{Problem: "this gateway was started without a sites file", Done: true}
 	}
-	return onLoop(p, func() admin.Reply { return p.operateSites(request) })
+	return onLoop(p, func() admin.Reply { return p.runSiteCommand(request) })
 }
 
-func (p *process) operateSites(request admin.Request) admin.Reply {
+// runSiteCommand carries out an admin command on sites and replies with the resulting state.
+func (p *process) runSiteCommand(request admin.Request) admin.Reply {
 	service := p.sites.service
 	reply := admin.Reply{Done: true}
 	if request.Command != "site-status" {
@@ -99,7 +101,7 @@
 			setDrained = service.Undrain
 		}
 		if !setDrained(request.Site) {
-			reply.Problem = fmt.Sprintf("there is no site or gateway %q", request.Site)
+			reply.Problem = fmt.Sprintf("no such site or gateway: %q", request.Site)
 		}
 		p.log.Info(request.Command, "site", request.Site)
 	}
@@ -111,7 +113,7 @@
 	return reply
 }
 
-// reloadSites reads the peers and the keys of links again. All else holds from the start on.
+// reloadSites reloads the peers and the keys of links. Changes to other settings need a restart.
 func (p *process) reloadSites() error {
 	if p.sites == nil {
 		return nil
@@ -120,9 +122,9 @@
 	if err != nil {
 		return err
 	}
-	own, peers := namesOf(s)
-	if own != p.sites.own {
-		return fmt.Errorf("sites: this gateway was started as %s, and the file names %s", p.sites.own, own)
+	self, peers := siteNames(s)
+	if self != p.sites.self {
+		return fmt.Errorf("sites: the gateway was started as %s, but the file names it %s", p.sites.self, self)
 	}
 	if err := p.sites.runner.Reload(); err != nil {
 		return err
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// namesOf returns this gateway's name and its peers, as a file of sites gives them.
-func namesOf(s *config.Sites) (own forwarding.Name, peers []link.Peer) {
+// siteNames returns this gateway's name and its peers from a sites file.
+func siteNames(s *config.Sites) (self forwarding.Name, peers []link.Peer) {
 	for _, peer := range s.Peers {
 		name := forwarding.Name{Site: peer.Site, Gateway: peer.Gateway}
 		peers = append(peers, link.Peer{Name: name, Addr: peer.Address})
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -7,13 +7,13 @@
 	"gannetspur/internal/queryshape"
 )
 
-// state is what this process knows, for one that goes on in its place.
+// state returns the state that a process replacing this one continues from.
 func (p *process) state() *handover.ProcessState {
 	state := &handover.ProcessState{
 		Core:       p.core.Snapshot(),
 		Counters:   p.counters.All(),
 		LastEvent:  p.protocol.lastEvent(),
-		Membership: p.memberState(),
+		Membership: p.membershipState(),
 	}
 	if p.shapes == nil {
 		return state
@@ -26,7 +26,7 @@
 	return state
 }
 
-// restore goes on from what another process knew.
+// restore applies the state of the process that this one replaces.
 func (p *process) restore(state *handover.ProcessState) {
 	p.core.Restore(state.Core)
 	if p.members != nil {
@@ -35,7 +35,7 @@
 	if p.shapes == nil || len(state.QueryShapes) == 0 {
 		return
 	}
-	if err := p.shapes.Restore(state.QueryShapes); err != nil { // costs are learned anew
+	if err := p.shapes.Restore(state.QueryShapes); err != nil { // not fatal: costs are learned again
 		p.log.Warn("upgrade.shapes", "error", err, "unusable", errors.Is(err, queryshape.ErrSnapshotVersion))
 	}
 }
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// ownDescriptors is what a process needs beside its clients' connections.
-const ownDescriptors = 64
+// overheadDescriptors is the number of descriptors that a process needs in addition to client connections.
+const overheadDescriptors = 64
 
-var errCannotTakeOver = errors.New("it can't take over")
+var errCannotTakeOver = errors.New("the process cannot take over")
 
-// inheritance is what a process that was started by an upgrade has from the source.
+// inheritance is what a process started by an upgrade gets from the source, the process that it replaces.
 type inheritance struct{ *handover.Inheritance }
 
-// inheritFromSource returns what this process was started with by an upgrade; nil: it was started by itself.
+// inheritFromSource returns the inheritance of this process; nil means that it was not started by an upgrade.
 func inheritFromSource() (*inheritance, error) {
 	in, err := handover.Inherit()
 	if in == nil || err != nil {
@@ -28,8 +28,8 @@
 	return &inheritance{in}, nil
 }
 
-// sendHello tells the source what this process is, and why it can't take over; "": it can. Where that can't be sent, the source
-// sees the end of this process.
+// sendHello sends the source this program's version and the reason why it cannot take over; "" means that it can. Send errors
+// are ignored, because the source notices when this process exits.
 func (in *inheritance) sendHello(problem string) {
 	_ = in.Channel.Send(&handover.Hello{
 		Major:   handover.Version.Major,
@@ -39,23 +39,23 @@
 	})
 }
 
-// checkLimits returns an error if the connections that wait don't fit this process's limits.
+// checkLimits returns an error if the source's connections exceed this process's limits.
 func (in *inheritance) checkLimits(maxClients int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit on descriptors: %w", err)
+		return fmt.Errorf("descriptor limit: %w", err)
 	}
-	needed := uint64(in.Connections + ownDescriptors)
+	needed := uint64(in.Connections + overheadDescriptors)
 	if limit.Cur < needed {
-		return fmt.Errorf("the limit on descriptors is %d; %d connections and what it needs itself take %d", limit.Cur, in.Connections, needed)
+		return fmt.Errorf("the descriptor limit is %d, but %d connections and the process itself need %d", limit.Cur, in.Connections, needed)
 	}
 	if maxClients > 0 && in.Connections > maxClients {
-		return fmt.Errorf("its settings allow %d clients, and %d are connected", maxClients, in.Connections)
+		return fmt.Errorf("its settings allow %d clients, but %d are connected", maxClients, in.Connections)
 	}
 	return nil
 }
 
-// startTarget begins to take over, or says that it could.
+// startTarget starts to take over, or only reports that this process could if that is all the source asks.
 func (p *process) startTarget(in *inheritance) error {
 	if err := in.checkLimits(p.limits.maxClients); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// applySourceState goes on from what the source knew; its counters go on too.
+// applySourceState applies the source's state, adds its counters and starts to watch the endpoint list.
 func (p *process) applySourceState(state *handover.ProcessState) error {
 	p.restore(state)
 	for name, n := range state.Counters {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// becomeOwner makes this process the one that operators and the service manager speak to. It serves its clients whatever
-// else fails.
+// becomeOwner makes this process the one that operators and the service manager deal with. Errors are only logged: the
+// process keeps serving its clients.
 func (p *process) becomeOwner() {
 	p.tookOver = true
 	p.log.Info("serving", "addr", p.protocol.frontend().Addr(), "took_over", true)
@@ -98,7 +98,7 @@
 	if err := p.startSites(); err != nil {
 		p.log.Error("sites", "error", err)
 	}
-	p.resumeMember()
+	p.resumeMembership()
 	if err := p.openAdmin(); err != nil {
 		p.log.Error("admin", "error", err)
 	}
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -10,14 +10,14 @@
 	"gannetspur/internal/handover"
 )
 
-// upgrades is what a process that may be upgraded has.
+// upgrades holds the settings and state of a process that can be upgraded.
 type upgrades struct {
 	settings *config.Upgrade
-	program  string           // what takes over, unless an operator names another
-	source   *handover.Source // nil: this process is not the owner yet
+	program  string           // path of the program to upgrade to by default
+	source   *handover.Source // nil: this process does not own the clients yet
 }
 
-// loadUpgrades reads the file that says how a new version takes over, if there is one.
+// loadUpgrades reads the upgrade file if there is one.
 func (p *process) loadUpgrades(path string) error {
 	if path == "" {
 		return nil
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// ownProgram is the path that this program was started by. An upgrade puts another file there.
+// ownProgram returns the absolute path that this program was started from. Operators install a new version at that path.
 func ownProgram() (string, error) {
 	path, err := exec.LookPath(os.Args[0])
 	if err != nil {
@@ -46,7 +46,8 @@
 	return filepath.Abs(path)
 }
 
-// upgradeSource is the side of an upgrade that hands over; nil: upgrades are off, or this process is not the owner yet.
+// upgradeSource returns the side of an upgrade that hands over; nil means that upgrades are disabled, or that this process
+// does not own the clients yet.
 func (p *process) upgradeSource() *handover.Source {
 	if p.upgrades == nil {
 		return nil
@@ -54,37 +55,39 @@
 	return p.upgrades.source
 }
 
-// openUpgrades lets a new version take over from this process.
+// openUpgrades prepares this process to hand over to a new version.
 func (p *process) openUpgrades() {
 	p.upgrades.source = handover.NewSource(p.loop, p.protocol.frontend(), handover.SourceOptions{
 		Program:       handover.Program{Path: p.upgrades.program, Args: os.Args[1:]},
 		Config:        p.upgrades.settings.Decide(),
 		State:         p.state,
 		Counters:      p.counters.All,
-		BeginShutdown: p.beginStop,
+		BeginShutdown: p.beginShutdown,
 		OnHandedOver:  p.closeUnmovable,
-		OnReturned:    p.resumeMember,
-		Exit:          p.exitHandedOver,
+		OnReturned:    p.resumeMembership,
+		Exit:          p.exitAfterHandover,
 	}, p.counters, p.log)
 }
 
-// closeUnmovable ends what can't be handed to the process that is the owner now.
+// closeUnmovable ends what cannot be moved to the new owner: links to other sites, the membership, and some client
+// connections.
 func (p *process) closeUnmovable() {
 	p.leaveSites()
-	p.handOverMember()
+	p.handOverMembership()
 	if f, ok := p.protocol.frontend().(interface{ CloseUnmovable() }); ok {
 		f.CloseUnmovable()
 	}
 }
 
-// exitHandedOver ends a process that was taken over from, once other sites have their answers.
-func (p *process) exitHandedOver() {
+// exitAfterHandover ends the loop after a handover, once no request from or to another site is open or the longest deadline has
+// passed.
+func (p *process) exitAfterHandover() {
 	deadline := p.loop.Now() + p.core.LongestDeadline()
 	var poll func()
 	poll = func() {
 		now := p.loop.Now()
 		if !p.sitesIdle() && now < deadline {
-			p.loop.Timers.Add(now+stopPoll, poll)
+			p.loop.Timers.Add(now+idlePollInterval, poll)
 			return
 		}
 		p.loop.Stop()
--- a/internal/gateway/upgrade_harness_test.go
+++ b/internal/gateway/upgrade_harness_test.go
@@ -21,37 +21,40 @@
 	"gannetspur/internal/testbed/load"
 )
 
-// site is a gateway in a process of its own, between clients and emulated engines that hold
-// what they are told to.
-type site struct {
+// testGateway is a gateway in a child process between test clients and two emulated engines. Each statement carries a mark
+// such as "q-1-3" that identifies it in the engines' ledger; its first letter is the load.Kind: q for a lookup, k for a load
+// with an idempotency key, w for a write. A test can have the engines hold the statement of a mark.
+type testGateway struct {
 	t      *testing.T
-	addr   string
-	admin  string
-	file   string
+	addr   string // that clients connect to
+	admin  string // path of the admin socket
+	file   string // path of the upgrade file
 	ledger *emulator.Ledger
-	old    *exec.Cmd
-	ended  chan error
-	events chan map[string]any
+	old    *exec.Cmd           // the first process
+	ended  chan error          // how the first process exited
+	events chan map[string]any // log events of all processes; closed once all have exited
 
 	mu   sync.Mutex
-	held map[string]chan struct{}
+	held map[string]chan struct{} // by mark; a statement waits until its channel is closed
 }
 
-func newSite(t *testing.T, change ...string) *site {
+// newTestGateway starts the engines and the gateway, and waits until a client is served. change lists pairs of old and new
+// text to replace in the settings file.
+func newTestGateway(t *testing.T, change ...string) *testGateway {
 	t.Helper()
 	dir := t.TempDir()
 	addr, err := harness.UnusedAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, addr: addr, admin: filepath.Join(dir, "a"), ledger: emulator.NewLedger(12 * time.Second), held: map[string]chan struct{}{}, ended: make(chan error, 1), events: make(chan map[string]any, 4096)}
-	r, err := harness.New(harness.Options{
-		Root: "../..", Dir: dir, Engines: 2, HTTP: addr, Postgres: addr, Ledger: s.ledger, Log: slog.New(slog.DiscardHandler), Work: s.work,
+	g := &testGateway{t: t, addr: addr, admin: filepath.Join(dir, "a"), ledger: emulator.NewLedger(12 * time.Second), held: map[string]chan struct{}{}, ended: make(chan error, 1), events: make(chan map[string]any, 4096)}
+	cluster, err := harness.New(harness.Options{
+		Root: "../..", Dir: dir, Engines: 2, HTTP: addr, Postgres: addr, Ledger: g.ledger, Log: slog.New(slog.DiscardHandler), Work: g.work,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
+	t.Cleanup(cluster.Close)
 	replace := func(path string, pairs ...string) {
 		raw, err := os.ReadFile(path)
 		if err != nil {
@@ -68,112 +71,113 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.file = filepath.Join(dir, "upgrade.toml")
-	if err := os.WriteFile(s.file, raw, 0o600); err != nil {
+	g.file = filepath.Join(dir, "upgrade.toml")
+	if err := os.WriteFile(g.file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	// With no work the probation lasts until the test has it end.
-	replace(s.file, `"/tmp/ringwood-admin.sock"`, fmt.Sprintf("%q", s.admin), "prove_for_s = 3 ", "prove_for_s = 0.3 ", "prove_within_s = 15 ", "prove_within_s = 60 ", "good_answers = 20", "good_answers = 8", "greet_within_s = 5", "greet_within_s = 20", "silent_for_s = 1 ", "silent_for_s = 10 ")
-	s.old = exec.Command(os.Args[0], "-test.run=^TestUpgradeChild$")
-	s.old.Env = append(os.Environ(), upgradeEnv+"="+r.Deploy+"|"+s.file)
+	// Without client requests, the probation lasts until the test ends it.
+	replace(g.file, `"/tmp/ringwood-admin.sock"`, fmt.Sprintf("%q", g.admin), "prove_for_s = 3 ", "prove_for_s = 0.3 ", "prove_within_s = 15 ", "prove_within_s = 60 ", "good_answers = 20", "good_answers = 8", "greet_within_s = 5", "greet_within_s = 20", "silent_for_s = 1 ", "silent_for_s = 10 ")
+	g.old = exec.Command(os.Args[0], "-test.run=^TestUpgradeChild$")
+	g.old.Env = append(os.Environ(), upgradeEnv+"="+cluster.Deploy+"|"+g.file)
 	out, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.old.Stderr = w
-	if err := s.old.Start(); err != nil {
+	g.old.Stderr = w
+	if err := g.old.Start(); err != nil {
 		t.Fatal(err)
 	}
 	_ = w.Close()
-	go func() { s.ended <- s.old.Wait() }()
+	go func() { g.ended <- g.old.Wait() }()
 	go func() {
-		defer close(s.events)
+		defer close(g.events)
 		for in := bufio.NewScanner(out); in.Scan(); {
 			var e map[string]any
 			if json.Unmarshal(in.Bytes(), &e) == nil {
-				s.events <- e
+				g.events <- e
 			}
 		}
 	}()
 	t.Cleanup(func() {
-		for _, c := range s.held {
+		for _, c := range g.held {
 			select {
 			case <-c:
 			default:
 				close(c)
 			}
 		}
-		_ = s.old.Process.Kill()
-		s.killAll()
+		_ = g.old.Process.Kill()
+		g.killAll()
 	})
-	s.await("serving")
+	g.awaitEvent("serving")
 	for range 200 {
-		c := s.client()
-		v, _ := c.Send(load.Lookup, "q-0-1", nil, time.Second)
+		c := g.newClient()
+		verdict, _ := c.Send(load.Lookup, "q-0-1", nil, time.Second)
 		c.Close()
-		if v == load.Served {
-			return s
+		if verdict == load.Served {
+			return g
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("the gateway never served")
+	t.Fatal("no lookup was served in 200 attempts")
 	return nil
 }
 
-// killAll kills the process that answers at the operators' socket until all processes have
-// ended, which the end of their events tells. A process that has just become the owner does not
-// have the socket yet, so one look may find nobody, or a process that is about to exit.
-func (s *site) killAll() {
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
+// killAll kills whichever process answers on the admin socket, again and again until all processes have exited; their event
+// stream ends then. One attempt is not enough: a process that has just become the owner does not have the socket yet, so that
+// an attempt may find no process, or one that is about to exit.
+func (g *testGateway) killAll() {
+	retry := time.NewTicker(50 * time.Millisecond)
+	defer retry.Stop()
 	for {
-		if st := s.status(); st != nil {
-			_ = syscall.Kill(st.PID, syscall.SIGKILL)
+		if status := g.status(); status != nil {
+			_ = syscall.Kill(status.PID, syscall.SIGKILL)
 		}
 		for drained := false; !drained; {
 			select {
-			case _, ok := <-s.events:
+			case _, ok := <-g.events:
 				if !ok {
 					return
 				}
-			case <-look.C:
+			case <-retry.C:
 				drained = true
 			}
 		}
 	}
 }
 
-// work holds a statement whose text has a mark that is held.
-func (s *site) work(text string) (time.Duration, float64) {
-	s.mu.Lock()
+// work is called by the engines for each statement. It waits if the text contains a held mark.
+func (g *testGateway) work(text string) (time.Duration, float64) {
+	g.mu.Lock()
 	var wait chan struct{}
-	for mark, c := range s.held {
+	for mark, c := range g.held {
 		if strings.Contains(text, mark) {
 			wait = c
 		}
 	}
-	s.mu.Unlock()
+	g.mu.Unlock()
 	if wait != nil {
 		<-wait
 	}
 	return 0, 1
 }
 
-// hold has engines hold all that has the mark until the channel is closed.
-func (s *site) hold(mark string) chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.held[mark] = make(chan struct{})
-	return s.held[mark]
+// hold makes engines hold statements with the mark until the returned channel is closed.
+func (g *testGateway) hold(mark string) chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.held[mark] = make(chan struct{})
+	return g.held[mark]
 }
 
-// runs waits until a mark has run so often, and tells how often it was dropped.
-func (s *site) runs(mark string, want int) (dropped int) {
-	s.t.Helper()
+// awaitRuns waits until engines have received the statement of a mark want times. It returns how often they dropped it as a
+// repetition of an idempotency key. It fails the test if the count differs after 5 s.
+func (g *testGateway) awaitRuns(mark string, want int) (dropped int) {
+	g.t.Helper()
 	n := 0
 	for range 500 {
 		n, dropped = 0, 0
-		for _, r := range s.ledger.Runs() {
+		for _, r := range g.ledger.Runs() {
 			if r.Mark == mark {
 				if n++; r.Dropped {
 					dropped++
@@ -186,113 +190,119 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n != want {
-		s.t.Errorf("%s ran %d times, want %d", mark, n, want)
+		g.t.Errorf("statement %s ran %d times, want %d", mark, n, want)
 	}
 	return dropped
 }
 
-// await reads the events of all processes up to one of the name, and perhaps a phase.
-func (s *site) await(name string, phase ...string) map[string]any {
-	s.t.Helper()
-	late := time.After(30 * time.Second)
+// awaitEvent reads the events of all processes up to one with the name and, if given, the phase.
+func (g *testGateway) awaitEvent(name string, phase ...string) map[string]any {
+	g.t.Helper()
+	timeout := time.After(30 * time.Second)
 	for {
 		select {
-		case e, ok := <-s.events:
+		case e, ok := <-g.events:
 			if !ok {
-				s.t.Fatalf("all processes ended without %s %v", name, phase)
+				g.t.Fatalf("all processes exited without event %s %v", name, phase)
 			}
 			if e["msg"] == name && (len(phase) == 0 || e["phase"] == phase[0]) {
 				return e
 			}
-		case <-late:
-			s.t.Fatalf("no event %s %v", name, phase)
+		case <-timeout:
+			g.t.Fatalf("no event %s %v within 30s", name, phase)
 		}
 	}
 }
 
-func (s *site) status() *admin.Status {
+// status returns the status of the process on the admin socket; nil means that none answered.
+func (g *testGateway) status() *admin.Status {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	last, err := admin.Call(ctx, s.admin, admin.Request{Command: "status"}, func(admin.Reply) {})
+	last, err := admin.Call(ctx, g.admin, admin.Request{Command: "status"}, func(admin.Reply) {})
 	if err != nil {
 		return nil
 	}
 	return last.Status
 }
 
-// upgrade begins an upgrade; its end comes later.
-func (s *site) upgrade(do string) <-chan admin.Reply {
-	end := make(chan admin.Reply, 1)
+// sendCommand sends an admin command. The returned channel delivers the last reply.
+func (g *testGateway) sendCommand(command string) <-chan admin.Reply {
+	result := make(chan admin.Reply, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 		defer cancel()
-		last, err := admin.Call(ctx, s.admin, admin.Request{Command: do}, func(admin.Reply) {})
+		last, err := admin.Call(ctx, g.admin, admin.Request{Command: command}, func(admin.Reply) {})
 		if err != nil {
 			last = admin.Reply{Problem: "call: " + err.Error()}
 		}
-		end <- last
+		result <- last
 	}()
-	return end
+	return result
 }
 
-// probation begins an upgrade and returns once the new process serves: its number, and what
-// will tell the end.
-func (s *site) probation() (pid int, end <-chan admin.Reply) {
-	s.t.Helper()
-	end = s.upgrade("upgrade")
-	e := s.await("upgrade.started")
-	s.await("upgrade.phase", "probation")
-	return int(e["pid"].(float64)), end
+// startProbation starts an upgrade and returns once the new process serves on probation: its process id, and a channel that
+// delivers the last reply of the upgrade.
+func (g *testGateway) startProbation() (pid int, result <-chan admin.Reply) {
+	g.t.Helper()
+	result = g.sendCommand("upgrade")
+	started := g.awaitEvent("upgrade.started")
+	g.awaitEvent("upgrade.phase", "probation")
+	return int(started["pid"].(float64)), result
 }
 
-// prove gives the new process the work that it needs to prove itself.
-func (s *site) prove(end <-chan admin.Reply) admin.Reply {
-	s.t.Helper()
-	c := s.client()
+// completeProbation sends lookups until the upgrade ends, and returns its last reply. The new process needs a number of good
+// responses to pass its probation.
+func (g *testGateway) completeProbation(result <-chan admin.Reply) admin.Reply {
+	g.t.Helper()
+	c := g.newClient()
 	defer func() { c.Close() }()
 	for n := 0; ; n++ {
 		select {
-		case r := <-end:
-			return r
+		case reply := <-result:
+			return reply
 		default:
 		}
-		if v, why := c.Send(load.Lookup, fmt.Sprintf("q-99-%d", n), nil, 5*time.Second); v != load.Served {
-			s.t.Fatalf("while it proves itself: %s %s", v, why)
+		if verdict, detail := c.Send(load.Lookup, fmt.Sprintf("q-99-%d", n), nil, 5*time.Second); verdict != load.Served {
+			g.t.Fatalf("lookup during the probation: %s (%s), want %s", verdict, detail, load.Served)
 		}
 	}
 }
 
-func (s *site) client() *load.Postgres {
-	s.t.Helper()
-	c, err := load.DialPostgres(s.addr)
+// newClient connects a PostgreSQL client.
+func (g *testGateway) newClient() *load.Postgres {
+	g.t.Helper()
+	c, err := load.DialPostgres(g.addr)
 	if err != nil {
-		s.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 	return c
 }
 
-type told struct {
+// outcome is how a statement ended for its client.
+type outcome struct {
 	verdict load.Verdict
 	detail  string
 }
 
-func ask(c load.Client, mark string) <-chan told {
-	got := make(chan told, 1)
+// sendAsync sends the statement of a mark. The returned channel delivers its outcome.
+func sendAsync(c load.Client, mark string) <-chan outcome {
+	result := make(chan outcome, 1)
 	go func() {
-		v, d := c.Send(load.Kind(mark[0]), mark, nil, 20*time.Second)
-		got <- told{v, d}
+		verdict, detail := c.Send(load.Kind(mark[0]), mark, nil, 20*time.Second)
+		result <- outcome{verdict, detail}
 	}()
-	return got
+	return result
 }
 
-func (s *site) want(what string, got <-chan told, want load.Verdict) {
-	s.t.Helper()
+// expect waits for the outcome of a statement and compares its verdict with want.
+func (g *testGateway) expect(what string, result <-chan outcome, want load.Verdict) {
+	g.t.Helper()
 	select {
-	case g := <-got:
-		if g.verdict != want {
-			s.t.Errorf("%s: %s (%s), want %s", what, g.verdict, g.detail, want)
+	case got := <-result:
+		if got.verdict != want {
+			g.t.Errorf("%s: %s (%s), want %s", what, got.verdict, got.detail, want)
 		}
 	case <-time.After(30 * time.Second):
-		s.t.Errorf("%s: no answer", what)
+		g.t.Errorf("%s: no response within 30s, want %s", what, want)
 	}
 }
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -18,129 +18,133 @@
 	"gannetspur/internal/testbed/load"
 )
 
+// upgradeEnv is set in a child process to the paths of its deploy file and its upgrade file, separated by "|".
 const upgradeEnv = "RINGWOOD_UPGRADE_CHILD"
 
-// TestUpgradeChild is no test: it is the gateway that the tests below start, and that its
-// upgrades start again.
+// TestUpgradeChild is not a test. It is the gateway that the tests below run in child processes, and that upgrades start
+// again.
 func TestUpgradeChild(t *testing.T) {
 	deploy, upgrade, ok := strings.Cut(os.Getenv(upgradeEnv), "|")
 	if !ok {
-		t.Skip("for the tests of upgrades")
+		t.Skip("only runs as a child process of the upgrade tests")
 	}
 	if err := Run(Files{Postgres: deploy, Upgrade: upgrade}, slog.New(slog.NewJSONHandler(os.Stderr, nil))); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The new process dies with a load, a write and a lookup at engines, their answers lost. The
-// old one takes all back: the load goes out again under its key, the write is told to be in
-// doubt and does not, the lookup is asked again. What was prepared is there still, a client
-// that connected meanwhile too, and the next upgrade goes through.
+// TestUpgradeNewProcessDies kills the new process during its probation, while a load, a write and a lookup are open at
+// engines. The old process takes everything back: it sends the load again under its idempotency key, reports the write as
+// ambiguous without repeating it, and repeats the lookup. All clients keep working, including one that connected during the
+// probation, and the next upgrade succeeds.
 func TestUpgradeNewProcessDies(t *testing.T) {
-	s := newSite(t)
-	clients := map[string]*load.Postgres{"k-1-1": s.client(), "w-1-2": s.client(), "q-1-3": s.client()}
-	pid, end := s.probation()
-	late := s.client() // accepted during the probation
-	answers := map[string]<-chan told{}
+	g := newTestGateway(t)
+	clients := map[string]*load.Postgres{"k-1-1": g.newClient(), "w-1-2": g.newClient(), "q-1-3": g.newClient()}
+	pid, result := g.startProbation()
+	lateClient := g.newClient() // accepted during the probation
+	results := map[string]<-chan outcome{}
 	for mark, c := range clients {
-		s.hold(mark)
-		answers[mark] = ask(c, mark)
-		s.runs(mark, 1)
+		g.hold(mark)
+		results[mark] = sendAsync(c, mark)
+		g.awaitRuns(mark, 1)
 	}
 	_ = syscall.Kill(pid, syscall.SIGKILL)
-	if r := <-end; r.Problem != "it died" {
-		t.Errorf("the operator was told %q", r.Problem)
+	if r := <-result; r.Problem != "it died" {
+		t.Errorf("upgrade problem = %q, want \"it died\"", r.Problem)
 	}
-	s.runs("q-1-3", 2)
-	for _, c := range s.held {
+	g.awaitRuns("q-1-3", 2)
+	for _, c := range g.held {
 		close(c)
 	}
-	s.want("a load", answers["k-1-1"], load.Served)
-	s.want("a write", answers["w-1-2"], load.Ambiguous)
-	s.want("a lookup", answers["q-1-3"], load.Served)
-	if dropped := s.runs("k-1-1", 2); dropped != 1 {
-		t.Errorf("of two runs of the load %d were dropped", dropped)
+	g.expect("open load", results["k-1-1"], load.Served)
+	g.expect("open write", results["w-1-2"], load.Ambiguous)
+	g.expect("open lookup", results["q-1-3"], load.Served)
+	if dropped := g.awaitRuns("k-1-1", 2); dropped != 1 {
+		t.Errorf("engines dropped %d of two runs of the load, want 1", dropped)
 	}
-	s.runs("w-1-2", 1)
-	clients["late"] = late
-	again := func(round int) {
+	g.awaitRuns("w-1-2", 1)
+	clients["late"] = lateClient
+	sendLookups := func(round int) {
 		n := 0
 		for name, c := range clients {
 			n++
-			s.want(name+" goes on", ask(c, fmt.Sprintf("q-%d-%d", round, n)), load.Served)
+			g.expect("later lookup of client "+name, sendAsync(c, fmt.Sprintf("q-%d-%d", round, n)), load.Served)
 		}
 	}
-	again(2)
-	if st := s.status(); st.Counters["upgrade.taken-back"] < 4 || st.Counters["upgrade.in-doubt"] != 1 {
-		t.Errorf("counted %v", st.Counters)
+	sendLookups(2)
+	if status := g.status(); status.Counters["upgrade.taken-back"] < 4 || status.Counters["upgrade.in-doubt"] != 1 {
+		t.Errorf("counters = %v, want upgrade.taken-back of at least 4 and upgrade.in-doubt of 1", status.Counters)
 	}
-	_, end = s.probation()
-	if r := s.prove(end); r.Problem != "" {
-		t.Errorf("the next upgrade: %q", r.Problem)
+	_, result = g.startProbation()
+	if r := g.completeProbation(result); r.Problem != "" {
+		t.Errorf("next upgrade failed: %q", r.Problem)
 	}
-	again(3)
-	s.await("upgrade.exit")
-	if st := s.status(); st == nil || !st.TookOver || st.PID == s.old.Process.Pid {
-		t.Errorf("after it: %+v", st)
+	sendLookups(3)
+	g.awaitEvent("upgrade.exit")
+	if status := g.status(); status == nil || !status.TookOver || status.PID == g.old.Process.Pid {
+		t.Errorf("status after the upgrade: %+v, want a new process that took over", status)
 	}
 }
 
-// The window of a load's key ends while its process dies: it does not go out again, and its
-// client hears that it may have run.
+// TestUpgradeKeyWindowEnds kills the new process after the deduplication window of an open load's idempotency key has passed:
+// the load is not sent again, and its client learns that it may have run.
 func TestUpgradeKeyWindowEnds(t *testing.T) {
-	s := newSite(t, `"window-ms": 12000`, `"window-ms": 300`)
-	c := s.client()
-	pid, end := s.probation()
-	s.hold("k-1-1")
-	answer := ask(c, "k-1-1")
-	s.runs("k-1-1", 1)
+	g := newTestGateway(t, `"window-ms": 12000`, `"window-ms": 300`)
+	c := g.newClient()
+	pid, result := g.startProbation()
+	g.hold("k-1-1")
+	loadOutcome := sendAsync(c, "k-1-1")
+	g.awaitRuns("k-1-1", 1)
 	time.Sleep(300 * time.Millisecond) // the window itself
 	_ = syscall.Kill(pid, syscall.SIGKILL)
-	<-end
-	s.want("a load past its window", answer, load.Ambiguous)
-	s.runs("k-1-1", 1)
+	<-result
+	g.expect("load past its key window", loadOutcome, load.Ambiguous)
+	g.awaitRuns("k-1-1", 1)
 }
 
-// raw is a client that sends messages as it likes.
-type raw struct {
-	t  *testing.T
-	c  net.Conn
-	in *bufio.Reader
+// rawClient is a PostgreSQL client that sends messages byte by byte as the test says.
+type rawClient struct {
+	t    *testing.T
+	conn net.Conn
+	in   *bufio.Reader
 }
 
-func (s *site) raw() *raw {
-	s.t.Helper()
-	c, err := net.Dial("tcp", s.addr)
+// newRawClient connects a raw client and sends the startup message.
+func (g *testGateway) newRawClient() *rawClient {
+	g.t.Helper()
+	conn, err := net.Dial("tcp", g.addr)
 	if err != nil {
-		s.t.Fatal(err)
+		g.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(60 * time.Second))
-	k := &raw{s.t, c, bufio.NewReader(c)}
-	k.send(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("t")...), 0)))
-	return k
+	g.t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(60 * time.Second))
+	c := &rawClient{g.t, conn, bufio.NewReader(conn)}
+	c.send(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("t")...), 0)))
+	return c
 }
 
-func (k *raw) send(b ...[]byte) {
-	for _, p := range b {
-		if _, err := k.c.Write(p); err != nil {
-			k.t.Error(err)
+// send writes messages or parts of them.
+func (c *rawClient) send(parts ...[]byte) {
+	for _, part := range parts {
+		if _, err := c.conn.Write(part); err != nil {
+			c.t.Error(err)
 		}
 	}
 }
 
-// until reads messages up to one of a kind: their kinds, and the body of the last K.
-func (k *raw) until(kind byte) (kinds string, key []byte) {
-	k.t.Helper()
+// until reads messages up to one of the given type. It returns the types of all of them, with the SQLSTATE after each E, and
+// the body of the last BackendKeyData (K).
+func (c *rawClient) until(kind byte) (kinds string, key []byte) {
+	c.t.Helper()
 	head := make([]byte, 5)
 	for {
-		if _, err := io.ReadFull(k.in, head); err != nil {
-			k.t.Errorf("after %q: %v", kinds, err)
+		if _, err := io.ReadFull(c.in, head); err != nil {
+			c.t.Errorf("reading after messages %q: %v", kinds, err)
 			return kinds, key
 		}
 		body := make([]byte, binary.BigEndian.Uint32(head[1:])-4)
-		if _, err := io.ReadFull(k.in, body); err != nil {
-			k.t.Error(err)
+		if _, err := io.ReadFull(c.in, body); err != nil {
+			c.t.Error(err)
 		}
 		kinds += string(head[0])
 		switch head[0] {
@@ -157,149 +161,150 @@
 	}
 }
 
-// What stands between two processes: a request in flight at the old one is cancelled by a
-// connection that the new one has, another is answered there after the new one is the owner;
-// a portal that is open goes on with its rows, a message that is half sent with its rest.
+// TestUpgradeInTheMiddle upgrades while clients are in the middle of something. A request in flight at the old process is
+// cancelled by a connection to the new one; another is answered by the old process after the new one has become the owner. An
+// open portal returns its remaining rows, a half-sent message is completed, a statement prepared before the upgrade can be
+// executed after it, and a slow reader gets all responses.
 func TestUpgradeInTheMiddle(t *testing.T) {
-	// One try each: on a slow machine the module takes an answer that is overdue for lost, moves the request, and
-	// where that comes to both engines refuses for some seconds, which is no matter of upgrades.
-	s := newSite(t, `"most-tries": 3`, `"most-tries": 1`)
-	text := func(mark string) []byte {
+	// One attempt per request. On a slow machine the policy module would take an overdue response for lost and retry the
+	// request on the other engine. If that happened on both engines, it would reject requests for some seconds, which is
+	// unrelated to upgrades.
+	g := newTestGateway(t, `"most-tries": 3`, `"most-tries": 1`)
+	query := func(mark string) []byte {
 		return pgproto.AppendMessage(nil, 'Q', pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = '"+mark+"'"))
 	}
-	cancelled, slow, portal, half, lazy := s.raw(), s.raw(), s.raw(), s.raw(), s.raw()
-	// A client that asks for much and reads nothing for a while.
-	lazy.until('Z')
-	const many = 8
-	for range many {
-		lazy.send(pgproto.AppendMessage(nil, 'Q', pgproto.CString("SELECT '"+strings.Repeat("x", 900_000)+"'")))
+	cancelled, inFlight, portal, halfSent, slowReader := g.newRawClient(), g.newRawClient(), g.newRawClient(), g.newRawClient(), g.newRawClient()
+	// A client that requests large results and does not read them for a while.
+	slowReader.until('Z')
+	const largeResults = 8
+	for range largeResults {
+		slowReader.send(pgproto.AppendMessage(nil, 'Q', pgproto.CString("SELECT '"+strings.Repeat("x", 900_000)+"'")))
 	}
 	_, key := cancelled.until('Z')
-	s.hold("q-1-1")
-	cancelled.send(text("q-1-1"))
-	s.runs("q-1-1", 1)
-	slow.until('Z')
-	release := s.hold("q-1-2")
-	slow.send(pgproto.AppendMessage(nil, 'P', pgproto.CString("s"), pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = $1"), []byte{0, 0}), pgproto.AppendMessage(nil, 'S'))
-	slow.until('Z')
-	slow.send(text("q-1-2"))
-	s.runs("q-1-2", 1)
+	g.hold("q-1-1")
+	cancelled.send(query("q-1-1"))
+	g.awaitRuns("q-1-1", 1)
+	inFlight.until('Z')
+	release := g.hold("q-1-2")
+	inFlight.send(pgproto.AppendMessage(nil, 'P', pgproto.CString("s"), pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = $1"), []byte{0, 0}), pgproto.AppendMessage(nil, 'S'))
+	inFlight.until('Z')
+	inFlight.send(query("q-1-2"))
+	g.awaitRuns("q-1-2", 1)
 	portal.until('Z')
 	portal.send(pgproto.AppendMessage(nil, 'P', []byte{0}, pgproto.CString("SELECT part FROM stock_3.parts WHERE tag = 'q-1-4'"), []byte{0, 0}),
 		pgproto.AppendMessage(nil, 'B', pgproto.CString("p"), []byte{0}, make([]byte, 6)), pgproto.AppendMessage(nil, 'E', pgproto.CString("p"), pgproto.Int32(1)), pgproto.AppendMessage(nil, 'H'))
 	portal.until('s')
-	half.until('Z')
-	message := text("q-1-5")
-	half.send(message[:20])
+	halfSent.until('Z')
+	message := query("q-1-5")
+	halfSent.send(message[:20])
 
-	_, end := s.probation()
-	half.send(message[20:])
-	if got, _ := half.until('Z'); got != "TDDCZ" {
-		t.Errorf("a message sent in two halves: %s", got)
+	_, result := g.startProbation()
+	halfSent.send(message[20:])
+	if got, _ := halfSent.until('Z'); got != "TDDCZ" {
+		t.Errorf("message sent in two halves: response %s, want TDDCZ", got)
 	}
 	portal.send(pgproto.AppendMessage(nil, 'E', pgproto.CString("p"), pgproto.Int32(0)), pgproto.AppendMessage(nil, 'S'))
 	if got, _ := portal.until('Z'); got != "DCZ" {
-		t.Errorf("a portal's further rows: %s", got)
+		t.Errorf("remaining rows of a portal: response %s, want DCZ", got)
 	}
-	s.runs("q-1-4", 1)
-	canceller, err := net.Dial("tcp", s.addr)
+	g.awaitRuns("q-1-4", 1)
+	canceller, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = canceller.Write(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), pgproto.CancelRequest), key...))
 	if got, _ := cancelled.until('Z'); got != "E(57014)Z" {
-		t.Errorf("a request cancelled from the other process: %s", got)
+		t.Errorf("request cancelled through the other process: response %s, want E(57014)Z", got)
 	}
 	_ = canceller.Close()
-	if r := s.prove(end); r.Problem != "" {
-		t.Fatalf("the upgrade: %q", r.Problem)
+	if r := g.completeProbation(result); r.Problem != "" {
+		t.Fatalf("upgrade failed: %q", r.Problem)
 	}
 	close(release)
-	if got, _ := slow.until('Z'); got != "TDDCZ" {
-		t.Errorf("what was in flight: %s", got)
+	if got, _ := inFlight.until('Z'); got != "TDDCZ" {
+		t.Errorf("request in flight during the upgrade: response %s, want TDDCZ", got)
 	}
-	slow.send(pgproto.AppendMessage(nil, 'B', []byte{0}, pgproto.CString("s"), []byte{0, 0, 0, 1}, pgproto.Int32(5), []byte("q-1-6"), []byte{0, 0}),
+	inFlight.send(pgproto.AppendMessage(nil, 'B', []byte{0}, pgproto.CString("s"), []byte{0, 0, 0, 1}, pgproto.Int32(5), []byte("q-1-6"), []byte{0, 0}),
 		pgproto.AppendMessage(nil, 'E', []byte{0}, pgproto.Int32(0)), pgproto.AppendMessage(nil, 'S'))
-	if got, _ := slow.until('Z'); got != "2DDCZ" {
-		t.Errorf("a statement prepared at the process that has left: %s", got)
+	if got, _ := inFlight.until('Z'); got != "2DDCZ" {
+		t.Errorf("statement prepared at the old process: response %s, want 2DDCZ", got)
 	}
-	for n := range many {
-		if got, _ := lazy.until('Z'); got != "TDDCZ" {
-			t.Errorf("answer %d of a slow reader: %s", n, got)
+	for n := range largeResults {
+		if got, _ := slowReader.until('Z'); got != "TDDCZ" {
+			t.Errorf("response %d to a slow reader: %s, want TDDCZ", n, got)
 		}
 	}
-	s.await("upgrade.exit")
-	lazy.send(text("q-1-8"))
-	if got, _ := lazy.until('Z'); got != "TDDCZ" {
-		t.Errorf("a slow reader, later: %s", got)
+	g.awaitEvent("upgrade.exit")
+	slowReader.send(query("q-1-8"))
+	if got, _ := slowReader.until('Z'); got != "TDDCZ" {
+		t.Errorf("later query of the slow reader: response %s, want TDDCZ", got)
 	}
-	cancelled.send(text("q-1-7"))
+	cancelled.send(query("q-1-7"))
 	if got, _ := cancelled.until('Z'); got != "TDDCZ" {
-		t.Errorf("after a cancel: %s", got)
+		t.Errorf("query after a cancelled one: response %s, want TDDCZ", got)
 	}
 }
 
-// The old process is killed in the probation: the new one is the owner, what it was given
-// goes on, and who connects is served.
+// TestUpgradeOldProcessDies kills the old process during the probation: the new process becomes the owner, and serves both the
+// connections it was given and new ones.
 func TestUpgradeOldProcessDies(t *testing.T) {
-	s := newSite(t)
-	c := s.client()
-	pid, end := s.probation()
-	_ = s.old.Process.Kill()
-	if r := <-end; !strings.Contains(r.Problem, "without a last word") {
-		t.Errorf("the operator was told %q", r.Problem)
-	}
-	s.await("upgrade.owner")
-	s.await("serving")
-	s.want("a connection that had moved", ask(c, "q-1-1"), load.Served)
-	s.want("a new connection", ask(s.client(), "q-1-2"), load.Served)
-	if st := s.status(); st == nil || st.PID != pid {
-		t.Errorf("status: %+v", st)
-	}
-	_, end = s.probation()
-	if r := s.prove(end); r.Problem != "" {
-		t.Errorf("the next upgrade: %q", r.Problem)
-	}
-	s.want("after it", ask(c, "q-1-3"), load.Served)
+	g := newTestGateway(t)
+	c := g.newClient()
+	pid, result := g.startProbation()
+	_ = g.old.Process.Kill()
+	if r := <-result; !strings.Contains(r.Problem, "connection closed before the final reply") {
+		t.Errorf("upgrade problem = %q, want a closed admin connection", r.Problem)
+	}
+	g.awaitEvent("upgrade.owner")
+	g.awaitEvent("serving")
+	g.expect("connection that was handed over", sendAsync(c, "q-1-1"), load.Served)
+	g.expect("new connection", sendAsync(g.newClient(), "q-1-2"), load.Served)
+	if status := g.status(); status == nil || status.PID != pid {
+		t.Errorf("status: %+v, want process %d", status, pid)
+	}
+	_, result = g.startProbation()
+	if r := g.completeProbation(result); r.Problem != "" {
+		t.Errorf("next upgrade failed: %q", r.Problem)
+	}
+	g.expect("connection after the next upgrade", sendAsync(c, "q-1-3"), load.Served)
 }
 
-// Two are told to upgrade at once, one is asked whether it would, a reload and then a planned
-// stop come in the middle: one upgrade at a time, the reload reaches both, and the stop goes
-// first, with everything taken back to be ended in good order.
-func TestUpgradeAmongOtherThings(t *testing.T) {
-	s := newSite(t)
-	c := s.raw()
+// TestUpgradeWithOtherCommands sends other commands before and during an upgrade. A check reports the program, an unknown
+// command and a second upgrade are refused, and a reload reaches both processes. A graceful shutdown aborts the upgrade: the
+// old process takes everything back, closes its clients in order and exits, and the new process exits too.
+func TestUpgradeWithOtherCommands(t *testing.T) {
+	g := newTestGateway(t)
+	c := g.newRawClient()
 	c.until('Z')
-	if r := <-s.upgrade("check"); r.Problem != "" || r.Build == "" {
-		t.Errorf("it would not take over: %+v", r)
+	if r := <-g.sendCommand("check"); r.Problem != "" || r.Build == "" {
+		t.Errorf("check = %+v, want a build and no problem", r)
 	}
-	if r := <-s.upgrade("dance"); !strings.Contains(r.Problem, "dance") {
-		t.Errorf("an odd request: %+v", r)
+	if r := <-g.sendCommand("dance"); !strings.Contains(r.Problem, "dance") {
+		t.Errorf("unknown command: reply %+v, want a problem that names it", r)
 	}
-	pid, end := s.probation()
-	if r := <-s.upgrade("upgrade"); r.Problem != "another upgrade is under way" {
-		t.Errorf("a second upgrade: %q", r.Problem)
+	pid, result := g.startProbation()
+	if r := <-g.sendCommand("upgrade"); r.Problem != "another upgrade is under way" {
+		t.Errorf("second upgrade: problem %q, want \"another upgrade is under way\"", r.Problem)
 	}
-	_ = s.old.Process.Signal(syscall.SIGHUP)
-	s.await("reload.done")
-	s.await("reload.done")
-	_ = s.old.Process.Signal(syscall.SIGTERM)
-	if r := <-end; r.Problem != "a planned stop came first" {
-		t.Errorf("the operator was told %q", r.Problem)
+	_ = g.old.Process.Signal(syscall.SIGHUP)
+	g.awaitEvent("reload.done")
+	g.awaitEvent("reload.done")
+	_ = g.old.Process.Signal(syscall.SIGTERM)
+	if r := <-result; r.Problem != "a planned stop came first" {
+		t.Errorf("upgrade problem = %q, want \"a planned stop came first\"", r.Problem)
 	}
 	if got, _ := c.until('E'); got != "E(57P01)" {
-		t.Errorf("a client at the stop: %s", got)
+		t.Errorf("client during the shutdown: response %s, want E(57P01)", got)
 	}
-	if err := <-s.ended; err != nil {
-		t.Errorf("the old process ended with %v", err)
+	if err := <-g.ended; err != nil {
+		t.Errorf("the old process exited with %v, want status 0", err)
 	}
 	if err := syscall.Kill(pid, 0); err == nil {
-		t.Error("the new process lives on")
+		t.Error("the new process is still running after the shutdown")
 	}
 }
 
-// A service manager that asks for it is told when the gateway is ready, and which process it
-// is from then on.
+// TestNotify checks that a state is sent to the socket in $NOTIFY_SOCKET.
 func TestNotify(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n")
 	ln, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
@@ -312,6 +317,6 @@
 	_ = ln.SetDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 100)
 	if n, err := ln.Read(b); err != nil || string(b[:n]) != "MAINPID=7\nREADY=1\n" {
-		t.Errorf("told %q, %v", b[:n], err)
+		t.Errorf("service manager received %q, error %v; want the state", b[:n], err)
 	}
 }
