--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway assembles the gateway from its parts and runs it as one process: frontend, core, backend and discovery, and
-// the code that replaces, upgrades, reloads and stops the process. The operators' commands are in cmd/gateway.
+// Package gateway assembles the gateway from its parts and runs it as one process: frontend, core, backend and discovery,
+// and the code that replaces, upgrades, reloads and stops the process. The operators' commands are in cmd/gateway.
 //
 // A process starts in one of three ways: standalone; as the target of an upgrade, started by the process that it replaces
 // (package handover); or on a listening socket that the platform holds, possibly next to the process that it replaces
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -38,8 +38,8 @@
 // bufferBytes returns the number of bytes that the buffers of all connections together may hold.
 func (l limits) bufferBytes() int { return l.memoryFraction(6) }
 
-// maxClientsFor returns the number of clients that a descriptor limit allows. A quarter of the descriptors is left to engines,
-// discovery and the program itself.
+// maxClientsFor returns the number of clients that a descriptor limit allows. A quarter of the descriptors is left to
+// engines, discovery and the program itself.
 func maxClientsFor(sockets int) int {
 	if sockets <= 0 {
 		sockets = defaultSockets
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -65,7 +65,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(id))
 }
 
-// configurePlatformMembers takes the members from the platform configuration. A member's id is its position in the list of peers, from 1.
+// configurePlatformMembers takes the members from the platform configuration. A member's id is its position in the list of
+// peers, from 1.
 func (p *process) configurePlatformMembers(options *membership.Options) error {
 	platform, ok := p.protocol.(*platformProtocol)
 	if !ok {
@@ -137,12 +138,12 @@
 	return nil
 }
 
-// addressPollInterval is the interval at which a process checks whether the previous one has released the member's address. It
-// is short enough that no heartbeat is missed.
+// addressPollInterval is the interval at which a process checks whether the previous one has released the member's address.
+// It is short enough that no heartbeat is missed.
 const addressPollInterval = 50 * time.Millisecond
 
-// resumeMembership continues the membership of the previous process once that has released its address or has died. Errors are
-// only logged: this process serves without a membership.
+// resumeMembership continues the membership of the previous process once that has released its address or has died. Errors
+// are only logged: this process serves without a membership.
 func (p *process) resumeMembership() {
 	if p.members == nil || p.members.service != nil || p.stopping {
 		return
@@ -182,8 +183,8 @@
 	return state
 }
 
-// handOverMembership releases the membership to the process that replaces this one. If that process dies first, this one resumes
-// from the state it has now.
+// handOverMembership releases the membership to the process that replaces this one. If that process dies first, this one
+// resumes from the state it has now.
 func (p *process) handOverMembership() {
 	member := p.member()
 	if member == nil {
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -18,8 +18,8 @@
 	"gannetspur/internal/sqltext"
 )
 
-// postgresProtocol implements protocol for PostgreSQL: its wire protocol for clients and engines, and Consul for the endpoint
-// list.
+// postgresProtocol implements protocol for PostgreSQL: its wire protocol for clients and engines, and Consul for the
+// endpoint list.
 type postgresProtocol struct {
 	process  *process
 	ctx      context.Context // cancels the Consul watch when the process ends
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -12,8 +12,8 @@
 // stateFolder is the directory in $TMPDIR through which the processes of one front end find each other.
 const stateFolder = "ringwood-processes"
 
-// startOnPlatformSocket starts on the platform's socket. It takes over from the process that serves there, if there is one, and
-// otherwise serves from the configuration.
+// startOnPlatformSocket starts on the platform's socket. It takes over from the process that serves there, if there is one,
+// and otherwise serves from the configuration.
 func (p *process) startOnPlatformSocket(platform *platformProtocol) error {
 	coordinator, err := takeover.New(p.loop, p.core, filepath.Join(os.TempDir(), stateFolder), takeover.Options{
 		EventSourceSum: platform.endpointChecksum,
@@ -68,8 +68,8 @@
 	notifyServiceManager("READY=1\n")
 }
 
-// releaseClients moves clients to the process that has replaced this one: it accepts no connections and closes each after its next
-// response.
+// releaseClients moves clients to the process that has replaced this one: it accepts no connections and closes each after
+// its next response.
 func (p *process) releaseClients(platform *platformProtocol) {
 	p.log.Info("replaced")
 	platform.front.CloseListener()
--- a/internal/gateway/replacement_test.go
+++ b/internal/gateway/replacement_test.go
@@ -36,8 +36,8 @@
 }
 
 // testPlatform holds the clients' listening socket, starts gateways of one front end on it, and runs engines named one, two
-// and three. Engines answer by the first character of a request id: with b the first of 16 pages, with f an empty result once
-// hold is closed, else an empty result at once.
+// and three. Engines answer by the first character of a request id: with b the first of 16 pages, with f an empty result
+// once hold is closed, else an empty result at once.
 type testPlatform struct {
 	t      *testing.T
 	dir    string
@@ -291,8 +291,8 @@
 	}
 }
 
-// TestConcurrentReplacements starts two processes at once next to a running one. Both serve and know its disabled engine, and
-// the last one keeps serving when the other two stop.
+// TestConcurrentReplacements starts two processes at once next to a running one. Both serve and know its disabled engine,
+// and the last one keeps serving when the other two stop.
 func TestConcurrentReplacements(t *testing.T) {
 	p := newPlatform(t)
 	first := p.start()
@@ -324,8 +324,8 @@
 	}
 }
 
-// TestFailedReplacements checks that clients are served if the new process dies before or after it starts to serve, or if the
-// old process hangs and its state file is truncated. An invalid LB_ACCEPT_FD is reported as an error.
+// TestFailedReplacements checks that clients are served if the new process dies before or after it starts to serve, or if
+// the old process hangs and its state file is truncated. An invalid LB_ACCEPT_FD is reported as an error.
 func TestFailedReplacements(t *testing.T) {
 	p := newPlatform(t)
 	first := p.start()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Timing of a graceful shutdown, counted from SIGTERM. Clients keep connecting for up to 0.4 s, and keep sending requests for
-// 0.2 s after that.
+// Timing of a graceful shutdown, counted from SIGTERM. Clients keep connecting for up to 0.4 s, and keep sending requests
+// for 0.2 s after that.
 const (
 	closeListenerAfter = 500 * time.Millisecond // the listener is closed
 	drainAfter         = 800 * time.Millisecond // each connection is closed as soon as it is idle
@@ -23,8 +23,8 @@
 
 var errStoppedDuringProbation = errors.New("stopped before the upgrade was complete")
 
-// requestShutdown starts a graceful shutdown. The target of an upgrade that is still on probation exits at once, and the source
-// takes everything back. The source of an upgrade in progress aborts the upgrade first.
+// requestShutdown starts a graceful shutdown. The target of an upgrade that is still on probation exits at once, and the
+// source takes everything back. The source of an upgrade in progress aborts the upgrade first.
 func (p *process) requestShutdown() {
 	p.stopping = true
 	if p.target != nil && !p.target.Owner() {
@@ -42,8 +42,8 @@
 	p.beginShutdown()
 }
 
-// beginShutdown keeps serving while new clients may still arrive, then ends the loop as soon as no request is open. Requests that
-// are still open shortly before the platform's kill get a final response.
+// beginShutdown keeps serving while new clients may still arrive, then ends the loop as soon as no request is open.
+// Requests that are still open shortly before the platform's kill get a final response.
 func (p *process) beginShutdown() {
 	start := p.loop.Now()
 	answerAfter := min(p.core.LongestDeadline(), maxKillDeadline) + killMargin - answerBeforeKill
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestReloadAndStopTogether sends SIGHUP, SIGTERM and SIGHUP in a row while a request is open: the gateway switches to the new
-// event bus, the request gets its response, and the loop ends without an error.
+// TestReloadAndStopTogether sends SIGHUP, SIGTERM and SIGHUP in a row while a request is open: the gateway switches to the
+// new event bus, the request gets its response, and the loop ends without an error.
 func TestReloadAndStopTogether(t *testing.T) {
 	received, release := make(chan string, 1), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// handleSignals handles signals on the loop's goroutine: SIGUSR1 prints the counters, SIGHUP reloads the files, and the first
-// of any others starts a graceful shutdown.
+// handleSignals handles signals on the loop's goroutine: SIGUSR1 prints the counters, SIGHUP reloads the files, and the
+// first of any others starts a graceful shutdown.
 func (p *process) handleSignals(signals <-chan os.Signal) {
 	stopping := false
 	for s := range signals {
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -28,8 +28,8 @@
 	return &inheritance{in}, nil
 }
 
-// sendHello sends the source this program's version and the reason why it cannot take over; "" means that it can. Send errors
-// are ignored, because the source notices when this process exits.
+// sendHello sends the source this program's version and the reason why it cannot take over; "" means that it can. Send
+// errors are ignored, because the source notices when this process exits.
 func (in *inheritance) sendHello(problem string) {
 	_ = in.Channel.Send(&handover.Hello{
 		Major:   handover.Version.Major,
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// exitAfterHandover ends the loop after a handover, once no request from or to another site is open or the longest deadline has
-// passed.
+// exitAfterHandover ends the loop after a handover, once no request from or to another site is open or the longest deadline
+// has passed.
 func (p *process) exitAfterHandover() {
 	deadline := p.loop.Now() + p.core.LongestDeadline()
 	var poll func()
--- a/internal/gateway/upgrade_harness_test.go
+++ b/internal/gateway/upgrade_harness_test.go
@@ -124,8 +124,8 @@
 }
 
 // killAll kills whichever process answers on the admin socket, again and again until all processes have exited; their event
-// stream ends then. One attempt is not enough: a process that has just become the owner does not have the socket yet, so that
-// an attempt may find no process, or one that is about to exit.
+// stream ends then. One attempt is not enough: a process that has just become the owner does not have the socket yet, so
+// that an attempt may find no process, or one that is about to exit.
 func (g *testGateway) killAll() {
 	retry := time.NewTicker(50 * time.Millisecond)
 	defer retry.Stop()
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestUpgradeKeyWindowEnds kills the new process after the deduplication window of an open load's idempotency key has passed:
-// the load is not sent again, and its client learns that it may have run.
+// TestUpgradeKeyWindowEnds kills the new process after the deduplication window of an open load's idempotency key has
+// passed: the load is not sent again, and its client learns that it may have run.
 func TestUpgradeKeyWindowEnds(t *testing.T) {
 	g := newTestGateway(t, `"window-ms": 12000`, `"window-ms": 300`)
 	c := g.newClient()
@@ -162,9 +162,9 @@
 }
 
 // TestUpgradeInTheMiddle upgrades while clients are in the middle of something. A request in flight at the old process is
-// cancelled by a connection to the new one; another is answered by the old process after the new one has become the owner. An
-// open portal returns its remaining rows, a half-sent message is completed, a statement prepared before the upgrade can be
-// executed after it, and a slow reader gets all responses.
+// cancelled by a connection to the new one; another is answered by the old process after the new one has become the owner.
+// An open portal returns its remaining rows, a half-sent message is completed, a statement prepared before the upgrade can
+// be executed after it, and a slow reader gets all responses.
 func TestUpgradeInTheMiddle(t *testing.T) {
 	// One attempt per request. On a slow machine the policy module would take an overdue response for lost and retry the
 	// request on the other engine. If that happened on both engines, it would reject requests for some seconds, which is
@@ -245,8 +245,8 @@
 	}
 }
 
-// TestUpgradeOldProcessDies kills the old process during the probation: the new process becomes the owner, and serves both the
-// connections it was given and new ones.
+// TestUpgradeOldProcessDies kills the old process during the probation: the new process becomes the owner, and serves both
+// the connections it was given and new ones.
 func TestUpgradeOldProcessDies(t *testing.T) {
 	g := newTestGateway(t)
 	c := g.newClient()
