--- a/cmd/gateway/shapes_test.go
+++ b/cmd/gateway/shapes_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
+// shapesFixture is a stored snapshot of query shapes.
 const shapesFixture = "../../internal/queryshape/testdata/snapshot.rwshapes"
 
-// standardOutput is what run prints.
+// standardOutput returns what run prints to standard output.
 func standardOutput(t *testing.T, run func() error) string {
 	t.Helper()
 	f, err := os.Create(filepath.Join(t.TempDir(), "stdout"))
@@ -31,9 +32,9 @@
 	return string(text)
 }
 
-// TestShapesOfFixture compares the lists that operators read with those that the code before
-// the rework printed for the same snapshot.
-func TestShapesOfFixture(t *testing.T) {
+// TestShapesOutput compares the output of shapes top and shapes diff for a stored snapshot with the output from before the
+// code was restructured.
+func TestShapesOutput(t *testing.T) {
 	for golden, run := range map[string]func() error{
 		"testdata/shapes-top.txt":  (&topCommand{Snapshot: shapesFixture, Limit: 20}).Run,
 		"testdata/shapes-diff.txt": (&diffCommand{Old: shapesFixture, New: shapesFixture, Limit: 5, MinFactor: 1}).Run,
@@ -43,7 +44,7 @@
 			t.Fatal(err)
 		}
 		if got := standardOutput(t, run); got != string(want) {
-			t.Errorf("%s: printed:\n%s\nwant:\n%s", golden, got, want)
+			t.Errorf("%s: got:\n%s\nwant:\n%s", golden, got, want)
 		}
 	}
 }
