--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -10,7 +10,8 @@
 	"gannetspur/internal/config"
 )
 
-// Each pattern matches a field that only one kind of TOML file has, at the start of a line.
+// Each pattern matches the field by which checkFile recognizes a kind of TOML file. Sites and fleet files may contain admin
+// too, so that checkFile tests adminField last.
 var (
 	peersField = regexp.MustCompile(`(?m)^peers *=`) // fleet file
 	siteField  = regexp.MustCompile(`(?m)^site *=`)  // sites file
@@ -18,7 +19,7 @@
 )
 
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Files to check: settings (JSON), or PostgreSQL deploy, shapes, upgrade, sites or fleet files (TOML)."`
+	Files []string `arg:"" name:"file" help:"Files to check: platform configuration or settings (JSON); PostgreSQL deploy, shapes, upgrade, sites or fleet files (TOML)."`
 }
 
 // Run prints every fault of every file in one pass. The command fails if there is any.
@@ -35,7 +36,7 @@
 		total += len(faults)
 	}
 	if total > 0 {
-		fmt.Printf("%d errors found\n", total)
+		fmt.Printf("errors found: %d\n", total)
 		return errReported
 	}
 	return nil
@@ -43,9 +44,10 @@
 
 // checkFile guesses the kind of a file from its extension and fields, loads it as that kind and returns the faults.
 //
-// JSON that contains "settings" is a platform configuration; other JSON is the settings object alone. TOML with the field
-// "peers" is a fleet file, with "site" a sites file, and with "admin" an upgrade file. A file that contains "listen" or
-// "[consul]" is a deploy file of the PostgreSQL front end, and other TOML is a shapes file.
+// JSON that contains "settings" is a platform configuration; other JSON is the settings object alone. The first rule that
+// fits decides about all other files: TOML with the field "peers" is a fleet file, with "site" a sites file, and with
+// "admin" an upgrade file; any file that contains "listen" or "[consul]" is a deploy file of the PostgreSQL front end; other
+// TOML is a shapes file.
 func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -3,7 +3,7 @@
 //
 // Without arguments it serves the platform's protocol, configured by the file that
 // $LB_CONFIG names; with --postgres it serves the PostgreSQL wire protocol, configured
-// by a deploy file. SIGHUP reloads the file, SIGUSR1 prints the counters, and SIGTERM
+// by a deploy file. SIGHUP reloads the files, SIGUSR1 prints the counters, and SIGTERM
 // and SIGINT begin a graceful shutdown. Other commands check files, talk to a running
 // gateway and show what is known about query shapes.
 package main
@@ -32,7 +32,7 @@
 	Members    membersCommand    `cmd:"" help:"List the members of the fleet as one front end sees them." name:"members"`
 	Check      checkCommand      `cmd:"" help:"Validate configuration files and print every error." name:"check"`
 	Shapes     shapesCommand     `cmd:"" help:"Inspect query shapes and their estimated costs." name:"shapes"`
-	Users      usersCommand      `cmd:"" help:"Manage users of the PostgreSQL front end." name:"users"`
+	Users      usersCommand      `cmd:"" help:"Create password verifiers for users of the PostgreSQL front end." name:"users"`
 	Completion completionCommand `cmd:"" help:"Print a shell completion script." name:"completion"`
 	Version    versionCommand    `cmd:"" help:"Print the version." name:"version"`
 }
--- a/cmd/gateway/members.go
+++ b/cmd/gateway/members.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// show asks the gateway for its members and prints them.
+// show asks the gateway for its view of the fleet and prints it.
 func (c *membersCommand) show() error {
 	last, err := c.call(admin.Request{Command: admin.CommandMembers}, func(admin.Reply) {})
 	switch {
--- a/cmd/gateway/shapes.go
+++ b/cmd/gateway/shapes.go
@@ -9,13 +9,13 @@
 
 type shapesCommand struct {
 	Explain explainCommand `cmd:"" help:"Show how a statement is parsed, classified and costed, and why." name:"explain"`
-	Top     topCommand     `cmd:"" help:"List the query shapes of a snapshot with the most total work." name:"top"`
+	Top     topCommand     `cmd:"" help:"List the query shapes with the most total work in a snapshot." name:"top"`
 	Diff    diffCommand    `cmd:"" help:"List the query shapes whose cost differs most between two snapshots." name:"diff"`
 }
 
-// meanWork returns the geometric mean of the work of an execution, in milliseconds; 0 means that none was observed. The
-// snapshot holds it as a binary logarithm.
-func meanWork(shape *queryshape.SavedShape) float64 {
+// typicalWork returns the learned work of one execution, in milliseconds; 0 means that none was observed. The snapshot holds
+// it as a base-2 logarithm, in which recent executions count more than old ones and single outliers count little.
+func typicalWork(shape *queryshape.SavedShape) float64 {
 	if shape.Record.Work.Samples == 0 {
 		return 0
 	}
--- a/cmd/gateway/shapes_diff.go
+++ b/cmd/gateway/shapes_diff.go
@@ -18,16 +18,17 @@
 	MinFactor float64 `name:"over" default:"1.5" help:"List only shapes whose cost changed by at least this factor."`
 }
 
-// costChange is a query shape whose mean work differs between two snapshots.
+// costChange is a query shape whose typical work differs between two snapshots.
 type costChange struct {
 	shape         *queryshape.SavedShape
-	before, after float64 // mean work in ms
+	before, after float64 // typical work of one execution, in ms
 }
 
 // distance returns the absolute logarithm of the ratio of the two costs.
 func (c costChange) distance() float64 { return math.Abs(math.Log(c.after / c.before)) }
 
-// Run lists the shapes whose cost changed and counts the shapes that are only in one of the snapshots.
+// Run lists the shapes whose cost changed by at least the given factor, the largest change first. It then prints how many
+// changed, how many are only in the newer snapshot (came) and how many only in the older one (went).
 func (c *diffCommand) Run() error {
 	older, err := queryshape.ReadSnapshot(c.Old)
 	if err != nil {
@@ -51,7 +52,7 @@
 			continue
 		}
 		delete(missing, shape.NormalForm)
-		change := costChange{shape: shape, before: meanWork(previous), after: meanWork(shape)}
+		change := costChange{shape: shape, before: typicalWork(previous), after: typicalWork(shape)}
 		observed := change.before > 0 && change.after > 0
 		if observed && change.distance() >= math.Log(max(c.MinFactor, 1)) {
 			changes = append(changes, change)
--- a/cmd/gateway/shapes_explain.go
+++ b/cmd/gateway/shapes_explain.go
@@ -20,11 +20,11 @@
 
 type explainCommand struct {
 	SQL      string    `arg:"" help:"SQL statement." name:"sql"`
-	Bind     []string  `sep:"none" placeholder:"VALUE" help:"Value of the next parameter, as text; NULL means null. Repeat for each parameter." name:"bind"`
+	Bind     []string  `sep:"none" placeholder:"VALUE" help:"Value of a parameter, as text; NULL stands for a null value. Repeat the flag for each parameter, in order." name:"bind"`
 	Snapshot string    `placeholder:"FILE" help:"Snapshot of observed shapes. Without it, the estimate uses the statement text alone." name:"snapshot"`
 	Hint     float64   `placeholder:"MS" help:"Work estimated by the client." name:"hint"`
-	Known    int       `default:"-1" help:"Index of the class if it is already known, from 0; -1 means unknown." name:"known"`
-	Bounds   []float64 `default:"800" help:"Upper bounds of the classes of read-only statements, in ms." name:"bounds"`
+	Known    int       `default:"-1" help:"Index of the statement's class, from 0, if it is already known; -1 means unknown." name:"known"`
+	Bounds   []float64 `default:"800" help:"Upper bounds of the work of read-only statements by class, in ms. One more class has no bound." name:"bounds"`
 	Readers  []string  `help:"Additional read-only functions, besides PostgreSQL's built-in ones." name:"readers"`
 }
 
@@ -91,7 +91,7 @@
 	return queryshape.Restore(options, snapshot)
 }
 
-// binds returns the parameter values of the command line.
+// binds returns the parameter values given on the command line.
 func (c *explainCommand) binds() sqltext.Binds {
 	var binds sqltext.Binds
 	for _, value := range c.Bind {
@@ -131,11 +131,11 @@
 	}
 	add(p.Alternatives > 0, "%d alternatives", p.Alternatives)
 	add(p.Span > 0, "range of %.4g", p.Span)
-	add(p.HalfOpen, "half-open range")
+	add(p.HalfOpen, "one-sided range")
 	add(p.Pattern == sqltext.PrefixPattern, "pattern with a fixed prefix")
 	add(p.Pattern == sqltext.LeadingWildcard, "pattern with a leading wildcard")
 	add(p.Limit > 0, "at most %.0f rows", p.Limit)
-	add(p.DisabledRestrictions > 0, "%d restrictions disabled by NULL", p.DisabledRestrictions)
+	add(p.DisabledRestrictions > 0, "restrictions disabled by NULL: %d", p.DisabledRestrictions)
 	add(p.Rows > 0, "%d rows to write", p.Rows)
 	add(p.Unrestricted, "unrestricted read")
 	if len(parts) == 0 {
--- a/cmd/gateway/shapes_top.go
+++ b/cmd/gateway/shapes_top.go
@@ -14,7 +14,7 @@
 	Limit    int    `name:"most" default:"20" help:"Maximum number of shapes to list."`
 }
 
-// Run lists shapes by the total work of their executions.
+// Run lists shapes by the estimated total work of their executions, the greatest first.
 func (c *topCommand) Run() error {
 	snapshot, err := queryshape.ReadSnapshot(c.Snapshot)
 	if err != nil {
@@ -26,18 +26,18 @@
 	fmt.Fprintf(w, "seen\twork ms\tprofiles\tshape\n")
 	for i := range shapes[:min(c.Limit, len(shapes))] {
 		shape := &shapes[i]
-		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", shape.Record.Executions, meanWork(shape), observedProfiles(shape), truncate(shape.NormalForm))
+		fmt.Fprintf(w, "%d\t%.4g\t%d\t%s\n", shape.Record.Executions, typicalWork(shape), observedProfiles(shape), truncate(shape.NormalForm))
 	}
 	fmt.Fprintf(w, "\n%d shapes\t\t\t%d more were too long to keep\n", len(shapes), snapshot.TruncatedShapes)
 	return w.Flush()
 }
 
-// totalWork returns the work of all executions of a shape together, in milliseconds.
+// totalWork estimates the work of all executions of a shape together, in milliseconds.
 func totalWork(shape *queryshape.SavedShape) float64 {
-	return float64(shape.Record.Executions) * meanWork(shape)
+	return float64(shape.Record.Executions) * typicalWork(shape)
 }
 
-// observedProfiles counts the value profiles (see sqltext.Profile) that executions of a shape had.
+// observedProfiles counts the buckets of value profiles (see sqltext.Profile) in which executions of a shape were observed.
 func observedProfiles(shape *queryshape.SavedShape) int {
 	n := 0
 	for _, bucket := range shape.Record.Buckets {
--- a/cmd/gateway/site.go
+++ b/cmd/gateway/site.go
@@ -39,7 +39,7 @@
 
 type siteCommand struct {
 	Status  siteStatusCommand  `cmd:"" help:"Show the status of this site and its peers as one gateway sees them." name:"status"`
-	Drain   siteDrainCommand   `cmd:"" help:"Stop sending requests to a site. Without a site: stop accepting requests from other sites." name:"drain"`
+	Drain   siteDrainCommand   `cmd:"" help:"Stop sending new requests to a site or, if none is given, stop accepting new requests from other sites." name:"drain"`
 	Undrain siteUndrainCommand `cmd:"" help:"Undo a drain." name:"undrain"`
 }
 
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// printSites prints the state of this site, a table of its peers and the latest events; a star marks a drained peer.
+// printSites prints the state of this site, a table of its peers and the latest events. A star marks a peer that an operator
+// has drained at this gateway.
 func printSites(o forwarding.Overview) {
 	accepts := "accepts requests from other sites"
 	if o.Draining {
--- a/cmd/gateway/upgrade.go
+++ b/cmd/gateway/upgrade.go
@@ -16,7 +16,7 @@
 type adminFlags struct {
 	Admin   string        `placeholder:"SOCKET" help:"Admin socket of the gateway."`
 	Upgrade string        `placeholder:"FILE" help:"Upgrade file that the gateway was started with; its admin socket is used unless --admin is given."`
-	Within  time.Duration `default:"2m" help:"Timeout for the reply. The gateway carries on with the request."`
+	Within  time.Duration `default:"2m" help:"Maximum time to wait for the reply. The gateway completes the request in any case."`
 }
 
 // call sends a request to the gateway. It calls onReply for each reply but the last, which it returns.
@@ -30,7 +30,7 @@
 		path = u.Admin
 	}
 	if path == "" {
-		return admin.Reply{}, errors.New("no gateway given: use --admin SOCKET or --upgrade FILE")
+		return admin.Reply{}, errors.New("no admin socket given: use --admin SOCKET, or --upgrade FILE or another file that names one")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), f.Within)
 	defer cancel()
@@ -39,7 +39,7 @@
 
 type upgradeCommand struct {
 	adminFlags
-	Program string `placeholder:"FILE" help:"Program to upgrade to. Defaults to the one that the upgrade file names, or else to the current contents of the running program's file." name:"program"`
+	Program string `placeholder:"FILE" help:"Program to upgrade to. Defaults to the program named in the upgrade file, or else to the file that the running gateway was started from, as it is on disk now." name:"program"`
 	Check   bool   `help:"Dry run: start the new program, let it read its files and report whether it can take over." name:"check"`
 }
 
--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -10,7 +10,7 @@
 const (
 	CommandStatus      = "status"       // replies with a Status
 	CommandUpgrade     = "upgrade"      // replies with each phase of the upgrade
-	CommandCheck       = "check"        // starts the program to see whether it could take over, without an upgrade
+	CommandCheck       = "check"        // replies whether the program could take over; does not upgrade
 	CommandSiteStatus  = "site-status"  // replies with the state of this site and its peers
 	CommandSiteDrain   = "site-drain"   // sends no new requests to Request.Site; if that is empty, accepts none from other sites
 	CommandSiteUndrain = "site-undrain" // undoes CommandSiteDrain
@@ -42,7 +42,7 @@
 	Build         string           `json:"build"`       // version of the program
 	Frontend      string           `json:"front"`       // name of the protocol that clients speak
 	Listen        string           `json:"listen"`      // address that clients connect to
-	Phase         string           `json:"phase"`       // phase of the upgrade; "off" if upgrades are disabled
+	Phase         string           `json:"phase"`       // phase of the current upgrade; "off" if upgrades are disabled
 	TookOver      bool             `json:"took_over"`   // the process was started by an upgrade and became the owner
 	UptimeSeconds float64          `json:"up_s"`        // seconds since the process started
 	Connections   int              `json:"connections"` // open connections, of clients and engines
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if got := info.Mode().Perm(); got != 0o600 {
-		t.Errorf("mode = %o, want 600", got)
+		t.Errorf("socket mode = %o, want 600", got)
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/control/calls_test.go
+++ b/internal/control/calls_test.go
@@ -80,7 +80,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		id, fault := parseTarget(b)
 		if (id == "") != (fault != nil) {
-			t.Fatalf("parseTarget(%q) = %q, %v", b, id, fault)
+			t.Fatalf("parseTarget(%q) = %q, %v; want either an id or an error", b, id, fault)
 		}
 		if fault == nil && !json.Valid(b) {
 			t.Fatalf("parseTarget(%q) = %q, want an error for invalid JSON", b, id)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -37,9 +37,10 @@
 	Ready() error
 	// Figures returns the current metrics of the gateway.
 	Figures() core.Figures
-	// DisableEngine stops sending requests to an engine; EnableEngine undoes that. Both fail if no
-	// engine has the id.
+	// DisableEngine stops sending requests to an engine. It fails if no engine has the id, or if too
+	// many engines are disabled.
 	DisableEngine(id string) error
+	// EnableEngine undoes DisableEngine. It fails if no engine has the id.
 	EnableEngine(id string) error
 }
 
@@ -52,7 +53,7 @@
 	idle     map[*conn]struct{} // without a complete request
 }
 
-// Open listens at addr for operators until the loop ends.
+// Open opens the control endpoint at addr. It serves until the loop ends.
 func Open(loop *netio.Loop, addr string, g Gateway, counters *metrics.Counters) (*Server, error) {
 	ln, err := netio.Listen(addr)
 	if err != nil {
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// onLoop calls a function on the loop's goroutine and returns its result.
+// onLoop calls a function on the loop's goroutine and returns its result. On the loop's goroutine itself it would block
+// forever.
 func onLoop[T any](p *process, call func() T) T {
 	result := make(chan T, 1)
 	p.loop.Post(func() { result <- call() })
@@ -123,8 +124,8 @@
 	}
 }
 
-// beginUpgrade begins an upgrade unless the process is shutting down or the previous upgrade has not ended. Replies go to
-// replies without blocking.
+// beginUpgrade begins an upgrade unless the process is shutting down or the previous upgrade has not ended. It sends to the
+// channel without blocking the loop.
 func (p *process) beginUpgrade(request admin.Request, replies chan<- admin.Reply) {
 	if p.stopping {
 		replies <- admin.Reply{Problem: "the gateway is shutting down", Done: true}
@@ -137,12 +138,12 @@
 	p.upgrades.source.Upgrade(p.requestedProgram(request), func(progress handover.Progress) {
 		select {
 		case replies <- admin.Reply{Phase: progress.Phase, Problem: progress.Problem, Done: progress.Done}:
-		default: // the operator has disconnected
+		default: // the operator does not read the replies fast enough
 		}
 	})
 }
 
-// checkUpgrade starts a program that only reports whether it could take over.
+// checkUpgrade starts the requested program to ask whether it could take over, and returns its answer.
 func (p *process) checkUpgrade(request admin.Request) admin.Reply {
 	type checkInput struct {
 		program     handover.Program
@@ -166,7 +167,8 @@
 	return reply
 }
 
-// requestedProgram returns the program of an upgrade request. What the request leaves out is as configured.
+// requestedProgram returns the program of an upgrade request. A path or arguments that the request leaves out are those of
+// the default program.
 func (p *process) requestedProgram(request admin.Request) handover.Program {
 	program := p.upgrades.source.Program()
 	if request.Program != "" {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,7 +37,8 @@
 	Fleet    string // membership among other front ends
 }
 
-// process is the gateway in this process. Once the loop runs, only the loop's goroutine uses it, but for upgradeCalls.
+// process is the gateway in this process. Once the loop runs, only its goroutine uses the fields, with these exceptions:
+// upgradeCalls is atomic, and admin calls read sites and upgrades, which do not change once the admin socket is open.
 type process struct {
 	loop      *netio.Loop
 	core      *core.Core
@@ -53,7 +54,7 @@
 	sites        *remoteSites          // nil: no other sites are configured
 	members      *membershipNode       // nil: not a member of a fleet
 	upgrades     *upgrades             // nil: upgrades are disabled
-	upgradeCalls atomic.Int32          // open admin calls that wait for the end of an upgrade; used by any goroutine
+	upgradeCalls atomic.Int32          // number of admin calls that wait for the end of an upgrade
 	target       *handover.Target      // nil: the process was not started by an upgrade
 	coordinator  *takeover.Coordinator // nil: the platform does not hold the clients' socket
 
@@ -72,7 +73,8 @@
 
 var errNoListenAddress = errors.New("the deploy file has no listen address")
 
-// Run serves until the process is told to stop. It returns nil at once if the deploy file has no listen address.
+// Run serves until the process is told to stop. If the deploy file has no listen address it returns at once: with an error
+// in a process that was started by an upgrade, else with nil.
 func Run(files Files, log *slog.Logger) error {
 	// This comes first: a signal that arrives before Notify terminates the process.
 	signals := make(chan os.Signal, signalBacklog)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -47,7 +47,8 @@
 	return max(sockets*3/4-closingClients, minClients)
 }
 
-// limitRuntime sets the garbage collector's limit to 60% of the memory limit, and GOMAXPROCS.
+// limitRuntime sets the garbage collector's limit to 60% of the memory limit, so that the process stays well below it, and
+// sets GOMAXPROCS.
 func limitRuntime(memoryMB int) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB) << 20 * 6 / 10)
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -19,7 +19,7 @@
 	process          *process
 	path             string // of the configuration
 	config           *config.Config
-	endpointChecksum uint64          // checksum of the configured endpoint events
+	endpointChecksum uint64          // of the endpoint events in the configuration and the number of the last of them
 	socket           *netio.Listener // clients' socket held by the platform; nil: this process opens its own
 	front            *httpapi.Frontend
 	watch            *eventbus.Watcher // nil: no event bus is configured, or it is not watched yet
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -25,7 +25,7 @@
 	ctx      context.Context // cancels the Consul watch when the process ends
 	path     string          // of the deploy file
 	deploy   *config.Postgres
-	users    *scramauth.Users // nil: all clients are admitted without authentication
+	users    *scramauth.Users // nil: clients are admitted without authentication
 	front    *pgfrontend.Frontend
 	watch    *consul.Watcher
 	watching bool // watchEndpoints was called
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -46,7 +46,7 @@
 	if err := p.protocol.frontend().ApplySharedState(state.Shared); err != nil { // clients of the other process have to repeat their requests
 		p.log.Warn("takeover.results", "error", err)
 	}
-	if state.LastEvent == 0 {
+	if state.LastEvent == 0 { // no event to continue from: the endpoint list is read from the configuration
 		state = nil
 	}
 	p.serve(state)
@@ -68,8 +68,8 @@
 	notifyServiceManager("READY=1\n")
 }
 
-// releaseClients moves clients to the process that has replaced this one: it accepts no connections and closes each after
-// its next response.
+// releaseClients leaves the clients to the process that has replaced this one: it stops accepting connections and closes
+// each open one after its next response.
 func (p *process) releaseClients(platform *platformProtocol) {
 	p.log.Info("replaced")
 	platform.front.CloseListener()
@@ -77,8 +77,8 @@
 	p.handOverMembership()
 }
 
-// setLimitShare reduces the limits of this process to a share between 0 and 1. The other processes of this front end use the
-// rest.
+// setLimitShare sets the limits of this process to a share of the configured ones, above 0 and at most 1. The other
+// processes of this front end use the rest.
 func (p *process) setLimitShare(platform *platformProtocol, share float64) {
 	p.log.Info("limits.shared", "part", share)
 	platform.front.LimitClients(int(share * float64(p.limits.maxClients)))
--- a/internal/gateway/replacement_test.go
+++ b/internal/gateway/replacement_test.go
@@ -133,7 +133,7 @@
 	return len(p.seen[engine])
 }
 
-// await waits until an engine has received n requests, for at least 10 s.
+// await waits until an engine has received n requests. It fails the test after 10,000 checks, 1 ms apart.
 func (p *testPlatform) await(engine string, n int) {
 	p.t.Helper()
 	for range 10000 {
@@ -145,7 +145,7 @@
 	p.t.Fatalf("engine %s received %d requests, want %d", engine, p.requestCount(engine), n)
 }
 
-// start starts a gateway on the socket. It is killed after 30 s.
+// start starts a gateway on the socket. The gateway is killed after 30 s or at the end of the test.
 func (p *testPlatform) start() *childProcess {
 	p.t.Helper()
 	endpoint, err := harness.UnusedAddress()
@@ -188,13 +188,14 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, b)
 }
 
-// setEngine disables or enables an engine; action is "disable" or "enable".
+// setEngine disables or enables an engine through the control endpoint and returns the response; action is "disable" or
+// "enable".
 func (p *childProcess) setEngine(engine, action string) string {
 	body := fmt.Sprintf(`{"target":%q}`, engine)
 	return roundTrip(p.t, p.endpoint, fmt.Sprintf("POST /engines/%s HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", action, len(body), body))
 }
 
-// disabledEngines returns the number of engines that the process does not use.
+// disabledEngines returns the number of engines that are down at the process, as its metrics tell: here the disabled ones.
 func (p *childProcess) disabledEngines() (n int) {
 	text := roundTrip(p.t, p.endpoint, "GET /metrics HTTP/1.1\r\n\r\n")
 	_, text, _ = strings.Cut(text, "lb.hosts_down:")
@@ -213,7 +214,7 @@
 	}
 	for _, engine := range []string{"two", "three"} {
 		if got := first.setEngine(engine, "disable"); got != "200 {}" {
-			t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
+			t.Fatalf("disabling engine %s at the first process: %s, want 200 {}", engine, got)
 		}
 	}
 	loadRequest := strings.NewReplacer("lookup", "load", "9b1f", "f000", "Req-Wait", "Req-Token: k\r\nReq-Wait").Replace(fmt.Sprintf(lookupRequest, 0))
@@ -229,14 +230,14 @@
 		t.Errorf("the second process has %d disabled engines, want 2", n)
 	}
 	if got := first.setEngine("three", "enable"); got != "200 {}" { // while both processes run
-		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
+		t.Fatalf("enabling engine three at the first process: %s, want 200 {}", got)
 	}
 	second.await("override.merged")
 	if n := second.disabledEngines(); n != 1 {
 		t.Errorf("after enabling one engine at the first process the second has %d disabled engines, want 1", n)
 	}
 	if got := second.setEngine("three", "disable"); got != "200 {}" {
-		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
+		t.Fatalf("disabling engine three at the second process: %s, want 200 {}", got)
 	}
 	first.await("override.merged")
 	first.signal(syscall.SIGTERM)
@@ -263,7 +264,7 @@
 		t.Errorf("the first process exited with %v, want status 0", err)
 	}
 	if got := second.setEngine("one", "disable"); got != "200 {}" {
-		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
+		t.Fatalf("disabling engine one at the second process: %s, want 200 {}", got)
 	}
 	if got := roundTrip(t, p.addr, fmt.Sprintf(lookupRequest, 1)); !strings.HasPrefix(got, "503 ") { // refused at once
 		t.Errorf("request without engines: %s, want status 503", got)
@@ -298,7 +299,7 @@
 	first := p.start()
 	first.await("msg=serving")
 	if got := first.setEngine("two", "disable"); got != "200 {}" {
-		t.Fatalf("disabling or enabling an engine = %s, want 200 {}", got)
+		t.Fatalf("disabling engine two at the first process: %s, want 200 {}", got)
 	}
 	second, third := p.start(), p.start()
 	second.await("msg=serving")
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,8 +8,8 @@
 // Timing of a graceful shutdown, counted from SIGTERM. Clients keep connecting for up to 0.4 s, and keep sending requests
 // for 0.2 s after that.
 const (
-	closeListenerAfter = 500 * time.Millisecond // the listener is closed
-	drainAfter         = 800 * time.Millisecond // each connection is closed as soon as it is idle
+	closeListenerAfter = 500 * time.Millisecond // when the listener is closed
+	drainAfter         = 800 * time.Millisecond // when each connection starts to be closed as soon as it is idle
 
 	// The platform kills the process no earlier than killMargin plus the longest request deadline (at most
 	// maxKillDeadline) after SIGTERM. Requests still open answerBeforeKill before that get their final response.
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -10,7 +10,7 @@
 	"gannetspur/internal/handover"
 )
 
-// upgrades holds the settings and state of a process that can be upgraded.
+// upgrades holds the upgrade settings and state of a process that can be upgraded.
 type upgrades struct {
 	settings *config.Upgrade
 	program  string           // path of the program to upgrade to by default
@@ -46,8 +46,8 @@
 	return filepath.Abs(path)
 }
 
-// upgradeSource returns the side of an upgrade that hands over; nil means that upgrades are disabled, or that this process
-// does not own the clients yet.
+// upgradeSource returns the part of this process that hands over to a new version; nil means that upgrades are disabled, or
+// that this process does not own the clients yet.
 func (p *process) upgradeSource() *handover.Source {
 	if p.upgrades == nil {
 		return nil
@@ -69,8 +69,8 @@
 	}, p.counters, p.log)
 }
 
-// closeUnmovable ends what cannot be moved to the new owner: links to other sites, the membership, and some client
-// connections.
+// closeUnmovable ends what cannot be moved to the new owner: links to other sites, the membership, and client connections
+// over TLS.
 func (p *process) closeUnmovable() {
 	p.leaveSites()
 	p.handOverMembership()
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -127,7 +127,7 @@
 func (c *rawClient) send(parts ...[]byte) {
 	for _, part := range parts {
 		if _, err := c.conn.Write(part); err != nil {
-			c.t.Error(err)
+			c.t.Errorf("sending to the gateway: %v, want no error", err)
 		}
 	}
 }
@@ -139,12 +139,12 @@
 	head := make([]byte, 5)
 	for {
 		if _, err := io.ReadFull(c.in, head); err != nil {
-			c.t.Errorf("reading after messages %q: %v", kinds, err)
+			c.t.Errorf("after messages %q: error %v, want a message of type %c", kinds, err, kind)
 			return kinds, key
 		}
 		body := make([]byte, binary.BigEndian.Uint32(head[1:])-4)
 		if _, err := io.ReadFull(c.in, body); err != nil {
-			c.t.Error(err)
+			c.t.Errorf("body of message %c: error %v, want %d bytes", head[0], err, len(body))
 		}
 		kinds += string(head[0])
 		switch head[0] {
@@ -317,6 +317,6 @@
 	_ = ln.SetDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 100)
 	if n, err := ln.Read(b); err != nil || string(b[:n]) != "MAINPID=7\nREADY=1\n" {
-		t.Errorf("service manager received %q, error %v; want the state", b[:n], err)
+		t.Errorf("service manager received %q, error %v; want %q, nil", b[:n], err, "MAINPID=7\nREADY=1\n")
 	}
 }
