--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the platform's configuration and settings (JSON) and the operators' deploy files (TOML). It maps their
-// keys to the terms of the code, and names every fault by file, line and key.
+// Package config reads and validates the platform's configuration and settings (JSON) and the operators' deploy files (TOML).
+// Each fault names its file, line and key.
 package config
 
 import (
@@ -19,35 +19,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config is the platform's configuration of one gateway process.
+// Config is the platform's configuration of one gateway process. Addresses have the form HOST:PORT.
 type Config struct {
-	Name     string
-	Listen   string
-	Control  string // where operators call; "": nowhere
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
-	Bus      string
-	Offset   uint64  // of the last known event
-	Known    []Event // the endpoint list's events up to now
-	Site     Site
+	Name     string  // name of this gateway
+	Listen   string  // address on which clients connect
+	Control  string  // address of the control API for operators; "" disables it
+	Seed     uint64  // seed of the random number generator
+	MemoryMB int     // memory limit in MB; 0 for the default of the gateway
+	Sockets  int     // limit on open file descriptors; 0 for the default of the gateway
+	Bus      string  // address of the event bus
+	Offset   uint64  // number of the last known event; 0 if there is none
+	Known    []Event // events from which the initial endpoint list is built, in order
+	Site     Site    // settings of the deployment
 
-	PeerListen string   // where datagrams of other front ends arrive
-	Peers      []string // an address of each front end of the tier, its own included
+	PeerListen string   // address on which datagrams of other front ends arrive
+	Peers      []string // addresses of all front ends of the tier, including this one
 }
 
-// Event is one change of the list of engines, or the complete list. EventSum encodes it, under the
-// names that earlier versions gave its fields.
+// Event is one change to the endpoint list, or the complete list. Config.EventSum encodes it under the field names that
+// earlier versions used, so that checksums of different versions can be compared.
 type Event struct {
-	Complete bool          `json:"Whole"`
+	Complete bool          `json:"Whole"` // Engines is the complete list and replaces the one before
 	Engines  []core.Engine `json:"Engines"`
 }
 
-type file struct {
+// configFile is the configuration as the platform writes it.
+type configFile struct {
 	Name    string `json:"name"`
 	Listen  string `json:"listen"`
 	Control string `json:"control"`
-	Seed    string `json:"seed"`
+	Seed    string `json:"seed"` // hexadecimal
 	Limits  struct {
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  float64 `json:"sockets"`
@@ -60,7 +61,7 @@
 		Batch  []struct {
 			Offset   uint64 `json:"offset"`
 			Topology struct {
-				All     bool     `json:"all"`
+				All     bool     `json:"all"` // the targets are the complete list
 				Targets []target `json:"targets"`
 			} `json:"topology"`
 		} `json:"batch"`
@@ -68,22 +69,24 @@
 	Settings *Site `json:"settings"`
 }
 
+// target is one engine in the configuration's list of known endpoints.
 type target struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	AZ       string  `json:"az"`
-	Model    string  `json:"model"`
-	Group    int64   `json:"pod_group"`
-	State    string  `json:"state"`
-	Boot     float64 `json:"boot_ms"`
+	Endpoint string  `json:"endpoint"` // HOST:PORT
+	Zone     string  `json:"az"`
+	Kind     string  `json:"model"`
+	Cell     int64   `json:"pod_group"`
+	State    string  `json:"state"`   // a key of engineStates
+	BootMS   float64 `json:"boot_ms"` // start of the engine in milliseconds of Unix time; 0 if unknown
 }
 
-var states = map[string]policy.EngineState{
+// engineStates maps the values of a target's state.
+var engineStates = map[string]policy.EngineState{
 	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineDeparted,
 }
 
-// EventSum is a checksum of the endpoint list in the configuration. Where two processes agree on it, the events that follow
-// have the same numbers.
+// EventSum returns a checksum of the known events. If it is equal in two processes, they give the events that follow the
+// same numbers.
 func (c *Config) EventSum() (uint64, error) {
 	b, err := json.Marshal([]any{c.Offset, c.Known})
 	if err != nil {
@@ -92,8 +95,8 @@
 	return xxhash.Sum64(b), nil
 }
 
-// Load reads the file at the path. Its error lists all faults, each with its line and
-// field (see FaultsOf).
+// Load reads and validates the configuration file at path. Its error holds all faults, each with its line and field (see
+// FaultsOf).
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -102,12 +105,12 @@
 	return parse(raw, path)
 }
 
-// Parse reads a configuration.
+// Parse reads and validates a configuration. Its faults have "configuration" in place of a file name.
 func Parse(raw []byte) (*Config, error) { return parse(raw, "configuration") }
 
 func parse(raw []byte, path string) (*Config, error) {
 	check := &checker{file: path, locate: func(field string) int { return jsonLine(raw, field) }}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(raw, &f); err != nil {
 		check.addJSONError(raw, err)
 		return nil, check.err()
@@ -127,19 +130,19 @@
 	c.readSeed(check, f.Seed)
 	c.readKnownEvents(check, &f)
 	if f.Settings == nil {
-		check.addf("settings", "missing")
+		check.addf("settings", "must be set to the settings object")
 		return nil, check.err()
 	}
 	c.Site = *f.Settings
-	check.requiref(c.Site.Policy.Gateways >= 1, "settings.balancers", "not at least 1")
-	check.requiref(len(c.Site.Policy.Classes) > 0, "settings.classes", "none")
+	check.requiref(c.Site.Policy.Gateways >= 1, "settings.balancers", "must be at least 1, got %d", c.Site.Policy.Gateways)
+	check.requiref(len(c.Site.Policy.Classes) > 0, "settings.classes", "must list at least one class")
 	if err := check.err(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// addJSONError adds the fault that stopped the decoder.
+// addJSONError records the error that stopped the JSON decoder as a fault.
 func (c *checker) addJSONError(raw []byte, err error) {
 	field, problem := splitFieldError(err)
 	inSettings := jsonLine(raw, "settings."+field) > jsonLine(raw, "settings")
@@ -154,8 +157,8 @@
 	}
 }
 
-// checkAddresses checks those that are there: the PostgreSQL frontend needs none of them.
-func (f *file) checkAddresses(c *checker) {
+// checkAddresses validates the addresses that are set. None is required, as the PostgreSQL frontend works without them.
+func (f *configFile) checkAddresses(c *checker) {
 	for _, a := range []struct{ field, address string }{
 		{"listen", f.Listen}, {"bus", f.Bus}, {"control", f.Control}, {"peer_listen", f.PeerListen},
 	} {
@@ -168,16 +171,18 @@
 	}
 }
 
+// readSeed sets the seed from its hexadecimal text. An empty text leaves it 0.
 func (c *Config) readSeed(check *checker, text string) {
 	if text == "" {
 		return
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
-	check.requiref(err == nil, "seed", "%q is not a number of up to 16 hex digits", text)
+	check.requiref(err == nil, "seed", "must be a hexadecimal number of up to 16 digits, got %q", text)
 	c.Seed = seed
 }
 
-func (c *Config) readKnownEvents(check *checker, f *file) {
+// readKnownEvents sets the known events and the number of the last one.
+func (c *Config) readKnownEvents(check *checker, f *configFile) {
 	for i, batch := range f.Known.Batch {
 		event := Event{Complete: batch.Topology.All}
 		for j, target := range batch.Topology.Targets {
@@ -189,18 +194,19 @@
 	}
 }
 
-// CheckSettings returns what is wrong with a file that holds the settings object alone.
+// CheckSettings validates a file that holds only the settings object. The path is used in faults and not opened.
 func CheckSettings(path string, raw []byte) error {
 	c := &checker{file: path}
 	var s Site
 	if !c.settings(raw, &s) {
 		return c.err()
 	}
-	c.requiref(len(s.Policy.Classes) > 0, "classes", "none")
+	c.requiref(len(s.Policy.Classes) > 0, "classes", "must list at least one class")
 	return c.err()
 }
 
-// settings reads the settings object, and names the field at fault. It reports whether the object could be read.
+// settings decodes the settings object and records the fault of the first invalid field. It reports whether the object
+// could be decoded.
 func (c *checker) settings(raw []byte, s *Site) bool {
 	c.locate = func(field string) int { return jsonLine(raw, field) }
 	err := json.Unmarshal(raw, s)
@@ -212,7 +218,8 @@
 	return false
 }
 
-// splitFieldError splits an error of the JSON decoder, or of Site's own, into the field that it names and the problem.
+// splitFieldError splits an error of the JSON decoder, or of Site.UnmarshalJSON, into the field that it names and the
+// problem. The field is "" if the error names none.
 func splitFieldError(err error) (field, problem string) {
 	text := fieldError(err).Error()
 	field, problem, ok := strings.Cut(text, ": ")
@@ -222,43 +229,45 @@
 	return field, problem
 }
 
-// checkAddress returns what is wrong with an address of the form HOST:PORT.
+// checkAddress returns an error unless the address has the form HOST:PORT with a numeric port.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: the port is no number up to 65535", address)
+		return fmt.Errorf("%q: the port must be a number between 0 and 65535", address)
 	}
 	return nil
 }
 
+// engine validates a target and converts it. The prefix is the path of the target, for faults.
 func (t *target) engine(check *checker, prefix string) core.Engine {
-	state, known := states[t.State]
-	check.requiref(known, prefix+"state", "unknown value %q", t.State)
-	check.requiref(t.UID != "", prefix+"uid", "missing")
+	state, known := engineStates[t.State]
+	check.requiref(known, prefix+"state", `must be "in_service", "terminating" or "terminated", got %q`, t.State)
+	check.requiref(t.UID != "", prefix+"uid", "must be set")
 	check.requireAddress(prefix+"endpoint", t.Endpoint)
 	e := core.Engine{Addr: t.Endpoint, Engine: policy.Engine{
-		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
+		ID: t.UID, Zone: t.Zone, Kind: t.Kind, Cell: t.Cell, State: state,
 	}}
-	e.Started, e.StartKnown = started(t.Boot)
+	e.Started, e.StartKnown = startTime(t.BootMS)
 	return e
 }
 
-// started returns the instant of a Unix millisecond, and whether it is known: 0 stands for long ago. Time in the policy counts
-// from the same origin.
-func started(ms float64) (time.Duration, bool) {
+// startTime converts milliseconds of Unix time to the policy's time, which counts from the same origin, and reports whether
+// the start is known. 0 stands for an unknown start long ago.
+func startTime(ms float64) (time.Duration, bool) {
 	if ms <= 0 {
 		return 0, false
 	}
 	return time.Duration(ms) * time.Millisecond, true
 }
 
+// fieldError puts the field in front of a type error of the JSON decoder. Other errors are returned as they are.
 func fieldError(err error) error {
-	var t *json.UnmarshalTypeError
-	if errors.As(err, &t) {
-		return fmt.Errorf("%s: a %s does not fit", t.Field, t.Value)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Errorf("%s: a %s does not fit", typeErr.Field, typeErr.Value)
 	}
 	return err
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file, named by its settings key.
+// Fault is one error in a file, located by line and settings key.
 type Fault struct {
-	File  string
-	Line  int    // from 1; 0: the field is missing or its place is not known
-	Field string // as in statement[0].class
-	Want  string // what is wrong with it, and what is wanted
+	File  string // path of the file; "" if the error is not about a file
+	Line  int    // line number from 1; 0 if the field is missing or its line is unknown
+	Field string // path of the key, such as statement[0].class; "" if the error is about the file as a whole
+	Want  string // what is wrong and what is allowed
 }
 
+// Error returns the fault in the form FILE:LINE: FIELD: PROBLEM, without the parts that are unknown.
 func (f Fault) Error() string {
 	position := f.File
 	if f.Line > 0 {
@@ -25,9 +26,10 @@
 	return position + ": " + f.Field + ": " + f.Want
 }
 
-// Faults are all faults that one pass over a file found.
+// Faults are all errors that one pass over a file found.
 type Faults []Fault
 
+// Error returns one line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -36,7 +38,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// FaultsOf returns the faults that an error holds, in order; any other error is one fault without a place.
+// FaultsOf returns the faults that an error wraps, in order, or nil for a nil error. Any other error becomes one fault
+// without file, line and field.
 func FaultsOf(err error) Faults {
 	if err == nil {
 		return nil
--- a/internal/config/locate.go
+++ b/internal/config/locate.go
@@ -8,87 +8,89 @@
 	"strings"
 )
 
-// tomlLine returns the line of a field such as statement[1].class, in tables and arrays of tables, or 0 where it has none. For a
-// field that is missing it is the line of its table.
+// tomlLine returns the line of a field such as statement[1].class in a TOML document, or 0 if it is not found. For a missing
+// field it returns the line of the header of its table.
 func tomlLine(raw []byte, field string) int {
-	place := splitTOMLField(field)
+	wanted := splitTOMLField(field)
 	header := tomlHeader{}
 	fallback := 0
-	count := map[string]int{} // of the tables of each array so far
+	counts := map[string]int{} // number of tables seen so far, by array of tables
 	for n, line := range bytes.Split(raw, []byte("\n")) {
 		text := strings.TrimSpace(string(line))
 		if !strings.HasPrefix(text, "[") {
 			key, _, isAssignment := strings.Cut(text, "=")
 			key = strings.Trim(strings.TrimSpace(key), `"'`)
-			if isAssignment && key == place.name && header.table == place.table && (place.table == "" || header.index == place.index) {
+			if isAssignment && key == wanted.name && header.table == wanted.table && (wanted.table == "" || header.index == wanted.index) {
 				return n + 1
 			}
 			continue
 		}
-		header = parseTOMLHeader(text, count)
-		if header == place.tomlHeader || header.table == field {
+		header = parseTOMLHeader(text, counts)
+		if header == wanted.tomlHeader || header.table == field {
 			fallback = n + 1
 		}
 	}
 	return fallback
 }
 
-// tomlHeader is a table, or one of an array of tables.
+// tomlHeader identifies a table, or one element of an array of tables.
 type tomlHeader struct {
-	table string
-	index int
+	table string // "" for the top level
+	index int    // position in the array of tables, from 0; 0 for a plain table
 }
 
-// tomlField is a key in a table.
+// tomlField identifies a key in a table.
 type tomlField struct {
 	tomlHeader
 	name string
 }
 
-// splitTOMLField parses a field's name. The index of an element of a list is dropped: lists stand on one line.
+// splitTOMLField splits the path of a field into its table and key. The index of a list element is dropped: every element is
+// located at the line of the list's key.
 func splitTOMLField(field string) tomlField {
-	place := tomlField{name: field}
+	split := tomlField{name: field}
 	if dot := strings.LastIndexByte(field, '.'); dot >= 0 {
-		place.table = field[:dot]
-		place.name = field[dot+1:]
+		split.table = field[:dot]
+		split.name = field[dot+1:]
 	}
-	place.name, _, _ = strings.Cut(place.name, "[")
-	if bracket := strings.LastIndexByte(place.table, '['); bracket >= 0 {
-		place.index, _ = strconv.Atoi(strings.TrimSuffix(place.table[bracket+1:], "]"))
-		place.table = place.table[:bracket]
+	split.name, _, _ = strings.Cut(split.name, "[")
+	if bracket := strings.LastIndexByte(split.table, '['); bracket >= 0 {
+		split.index, _ = strconv.Atoi(strings.TrimSuffix(split.table[bracket+1:], "]"))
+		split.table = split.table[:bracket]
 	}
-	return place
+	return split
 }
 
-// parseTOMLHeader reads a line that begins a table, and counts it where it is one of an array.
-func parseTOMLHeader(line string, count map[string]int) tomlHeader {
+// parseTOMLHeader parses the header line of a table. An element of an array of tables is counted in counts.
+func parseTOMLHeader(line string, counts map[string]int) tomlHeader {
 	withoutComment, _, _ := strings.Cut(line, "#")
 	name := strings.TrimSpace(strings.Trim(withoutComment, "[] \t"))
 	if !strings.HasPrefix(line, "[[") {
 		return tomlHeader{table: name}
 	}
-	index := count[name]
-	count[name]++
+	index := counts[name]
+	counts[name]++
 	return tomlHeader{table: name, index: index}
 }
 
-// jsonLine returns the line of a field such as known.batch[0].topology. For a field that is missing it is the line of the
-// innermost object that should hold it.
+// jsonLine returns the line of a field such as known.batch[0].topology in a JSON document. For a missing field it returns the
+// line of the innermost enclosing object that is present, or 0.
 func jsonLine(raw []byte, field string) int {
 	l := jsonLocator{raw: raw, field: field, decoder: json.NewDecoder(bytes.NewReader(raw)), longest: -1}
-	_ = l.walk("") // what follows a syntax error has no lines
+	_ = l.walk("") // after a syntax error no further fields are located
 	return l.line
 }
 
-// jsonLocator walks a document and keeps the line of the longest path that leads to the field.
+// jsonLocator walks a JSON document and records the line of the longest path that is a prefix of the field's path.
 type jsonLocator struct {
 	raw     []byte
-	field   string
+	field   string // path of the field to locate
 	decoder *json.Decoder
-	line    int
-	longest int // length of the path at line; -1: none yet
+	line    int // line of the longest prefix found so far; 0 if none
+	longest int // length of that prefix; -1 if none
 }
 
+// walk reads the next value, which is at path, with all that it contains.
 func (l *jsonLocator) walk(path string) error {
 	token, err := l.decoder.Token()
 	if err != nil {
@@ -138,12 +140,13 @@
 	return nil
 }
 
+// visit records the current line if path is the longest prefix of the field's path so far.
 func (l *jsonLocator) visit(path string) {
-	leads := l.field == path || strings.HasPrefix(l.field, path+".") || strings.HasPrefix(l.field, path+"[")
-	if !leads || len(path) <= l.longest {
+	isPrefix := l.field == path || strings.HasPrefix(l.field, path+".") || strings.HasPrefix(l.field, path+"[")
+	if !isPrefix || len(path) <= l.longest {
 		return
 	}
 	l.longest = len(path)
-	read := min(int(l.decoder.InputOffset()), len(l.raw))
-	l.line = 1 + bytes.Count(l.raw[:read], []byte("\n"))
+	offset := min(int(l.decoder.InputOffset()), len(l.raw))
+	l.line = 1 + bytes.Count(l.raw[:offset], []byte("\n"))
 }
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -10,72 +10,72 @@
 	"gannetspur/internal/scramauth"
 )
 
-// Postgres is the deploy file of the PostgreSQL frontend.
+// Postgres is the deploy file of the PostgreSQL frontend. Relative paths are relative to the directory of the file.
 type Postgres struct {
-	Listen     string `toml:"listen"`   // where clients connect; "": the frontend is off
-	Settings   string `toml:"settings"` // the settings, as JSON, in a file beside this one
-	MemoryMB   int    `toml:"memory_mb"`
-	Sockets    int    `toml:"sockets"` // descriptor limit
-	MaxClients int    `toml:"most_clients"`
-	Users      string `toml:"users"` // a file of those who may sign in, beside this one; "": everybody may, unasked
-	User       string `toml:"user"`  // that engines are told
-	Database   string `toml:"database"`
+	Listen     string `toml:"listen"`       // address for clients, HOST:PORT; "" disables the frontend
+	Settings   string `toml:"settings"`     // path of the JSON file with the settings
+	MemoryMB   int    `toml:"memory_mb"`    // memory limit in MB; 0 for the default of the gateway
+	Sockets    int    `toml:"sockets"`      // limit on open file descriptors; 0 for the default of the gateway
+	MaxClients int    `toml:"most_clients"` // limit on client connections; 0 for as many as Sockets permits
+	Users      string `toml:"users"`        // path of the file of users; "" admits every client without authentication
+	User       string `toml:"user"`         // user name for connections to engines
+	Database   string `toml:"database"`     // database for connections to engines; "" for the name of the user
 	Consul     Consul `toml:"consul"`
 	TLS        TLS    `toml:"tls"`
 	Engine     Engine `toml:"engine"`
 	Pool       Pool   `toml:"pool"`
 	Shapes     Shapes `toml:"shapes"`
 
-	TransactionIdleSeconds float64 `toml:"transaction_idle_s"` // a client may be silent within a transaction for so long; 0: 10 s
-	TransactionMaxSeconds  float64 `toml:"transaction_most_s"` // a transaction may take so long; 0: 60 s
-	ConnectTimeoutMS       float64 `toml:"connect_timeout_ms"`
-	IdleCloseMS            float64 `toml:"idle_close_ms"`
+	TransactionIdleSeconds float64 `toml:"transaction_idle_s"` // limit on the time between statements of a transaction; 0 for 10 s
+	TransactionMaxSeconds  float64 `toml:"transaction_most_s"` // limit on the duration of a transaction; 0 for 60 s
+	ConnectTimeoutMS       float64 `toml:"connect_timeout_ms"` // for connecting to an engine and signing in; 0 for 1000 ms
+	IdleCloseMS            float64 `toml:"idle_close_ms"`      // time after which an idle connection to an engine is closed; 0 for never
 
-	DefaultClass      string      `toml:"default_class"`
-	WriteClass        string      `toml:"write_class"`         // of what may write and has no class of its own; "": the first that runs once at most
-	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names, with their schema where they need one
-	Statements        []Statement `toml:"statement"`
+	DefaultClass      string      `toml:"default_class"`       // class of statements that neither a comment nor a rule assigns one to
+	WriteClass        string      `toml:"write_class"`         // class of statements that may write and have no class of their own; "" for the first non-idempotent class without key order
+	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names of functions that only read, qualified by schema if needed
+	Statements        []Statement `toml:"statement"`           // rules that assign classes, in order of precedence
 
-	Logins []scramauth.User `toml:"-"` // the content of Users
-	Site   Site             `toml:"-"` // the content of Settings
+	Logins []scramauth.User `toml:"-"` // content of the file Users
+	Site   Site             `toml:"-"` // content of the file Settings
 }
 
-// Statement gives a class to statements that begin with some words, and names
-// the parameter that holds their key.
+// Statement is a rule that assigns a class to the statements that begin with given words.
 type Statement struct {
-	Starts   string `toml:"starts"`
-	Class    string `toml:"class"`
-	Key      int    `toml:"key"`
-	ReadOnly bool   `toml:"read_only"`
+	Starts   string `toml:"starts"`    // words that the statement begins with
+	Class    string `toml:"class"`     // class of the settings
+	Key      int    `toml:"key"`       // number of the parameter that holds the key, from 1; 0 for no key
+	ReadOnly bool   `toml:"read_only"` // the statements only read, although their text cannot show it
 }
 
-// Pool bounds the connections to each engine. What is left out bounds nothing.
+// Pool limits the connections to each engine. A limit of 0 is no limit.
 type Pool struct {
-	PerEngine   int     `toml:"per_engine"` // connections to one engine, to 10,000
-	PerUser     int     `toml:"per_user"`   // of these, how many work for one user
-	MinIdle     int     `toml:"keep"`       // are opened ahead, and stay open while idle; at most per_engine, where that is set, and 100
-	LifeSeconds float64 `toml:"life_s"`     // a connection ends behind its statement once it is so old; 1 to 604,800
+	PerEngine   int     `toml:"per_engine"` // connections to one engine, up to 10,000
+	PerUser     int     `toml:"per_user"`   // connections to one engine in use by one user, up to 10,000
+	MinIdle     int     `toml:"keep"`       // connections opened in advance and kept open while idle; up to 100, and PerEngine if that is set
+	LifeSeconds float64 `toml:"life_s"`     // age from which a connection is closed after its statement, 1 to 604,800
 }
 
+// check validates the limits.
 func (p *Pool) check(c *checker) {
-	c.requiref(p.PerEngine >= 0 && p.PerEngine <= 10000, "pool.per_engine", "%d is not from 0 to 10000", p.PerEngine)
-	c.requiref(p.PerUser >= 0 && p.PerUser <= 10000, "pool.per_user", "%d is not from 0 to 10000", p.PerUser)
-	c.requiref(p.MinIdle >= 0 && p.MinIdle <= 100, "pool.keep", "%d is not from 0 to 100", p.MinIdle)
-	c.requiref(p.PerEngine == 0 || p.MinIdle <= p.PerEngine, "pool.keep", "%d is more than pool.per_engine, %d", p.MinIdle, p.PerEngine)
-	c.requiref(p.LifeSeconds == 0 || p.LifeSeconds >= 1 && p.LifeSeconds <= 604800, "pool.life_s", "%g is not 0, nor from 1 to 604800", p.LifeSeconds)
+	c.requiref(p.PerEngine >= 0 && p.PerEngine <= 10000, "pool.per_engine", "must be between 0 and 10000, got %d", p.PerEngine)
+	c.requiref(p.PerUser >= 0 && p.PerUser <= 10000, "pool.per_user", "must be between 0 and 10000, got %d", p.PerUser)
+	c.requiref(p.MinIdle >= 0 && p.MinIdle <= 100, "pool.keep", "must be between 0 and 100, got %d", p.MinIdle)
+	c.requiref(p.PerEngine == 0 || p.MinIdle <= p.PerEngine, "pool.keep", "must be at most pool.per_engine (%d), got %d", p.PerEngine, p.MinIdle)
+	c.requiref(p.LifeSeconds == 0 || p.LifeSeconds >= 1 && p.LifeSeconds <= 604800, "pool.life_s", "must be 0 or between 1 and 604800, got %g", p.LifeSeconds)
 }
 
-// Consul is where the list of engines is read.
+// Consul configures the Consul service from which the endpoint list is read.
 type Consul struct {
-	Address string `toml:"address"`
-	Service string `toml:"service"`
-	Token   string `toml:"token"`
-	Zone    string `toml:"zone"`
-	Kind    string `toml:"kind"`
+	Address string `toml:"address"` // address of the HTTP API, HOST:PORT
+	Service string `toml:"service"` // name under which engines are registered
+	Token   string `toml:"token"`   // access token; "" for none
+	Zone    string `toml:"zone"`    // zone of engines whose metadata has none; "" for the name of their datacenter
+	Kind    string `toml:"kind"`    // kind of engines whose metadata has none
 }
 
-// LoadPostgres reads the deploy file of the PostgreSQL frontend, and the settings that it names.
-// Its error lists all faults, each with its file, line and field (see FaultsOf).
+// LoadPostgres reads and validates the deploy file of the PostgreSQL frontend and the files that it names. The other files
+// are not read if the frontend is disabled. Its error holds all faults, each with its file, line and field (see FaultsOf).
 func LoadPostgres(path string) (*Postgres, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return &p, nil
 }
 
-// Classes lists the classes that statements are given.
+// Classes iterates over the names of the classes that the file assigns to statements. A name may occur more than once.
 func (p *Postgres) Classes() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if !yield(p.DefaultClass) || p.WriteClass != "" && !yield(p.WriteClass) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// loadUsers reads the file of users.
+// loadUsers reads the file of users and adds its faults to those of the deploy file.
 func (p *Postgres) loadUsers(c *checker, dir string) {
 	users, err := loadUsers(resolvePath(dir, p.Users), p.Site.Policy.Classes)
 	p.Logins = users
@@ -121,20 +121,21 @@
 		c.faults = append(c.faults, faults...)
 		return
 	}
-	c.addf("users", "%v", err)
+	c.addf("users", "must be a readable file: %v", err)
 }
 
-// loadSettings reads the file of settings, and reports whether their classes are known.
+// loadSettings reads the file of settings and adds its faults to those of the deploy file. It reports whether the settings
+// could be decoded.
 func (p *Postgres) loadSettings(c *checker, dir string) bool {
 	file := resolvePath(dir, p.Settings)
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		c.addf("settings", "%v", err)
+		c.addf("settings", "must be a readable file: %v", err)
 		return false
 	}
-	settings := &checker{file: file}
-	if !settings.settings(raw, &p.Site) {
-		c.faults = append(c.faults, settings.faults...)
+	settingsCheck := &checker{file: file}
+	if !settingsCheck.settings(raw, &p.Site) {
+		c.faults = append(c.faults, settingsCheck.faults...)
 		return false
 	}
 	return true
--- a/internal/config/postgres_check.go
+++ b/internal/config/postgres_check.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxTransactionSeconds = 86400
-	maxParameterNumber    = 65535 // the protocol counts parameters in 16 bits
+	maxTransactionSeconds = 86400 // one day
+	maxParameterNumber    = 65535 // the PostgreSQL protocol counts parameters in 16 bits
 )
 
-// check names what can't be used, and reads the files that the deploy file names.
+// check validates the fields and reads the files that they name. dir is the directory of the deploy file.
 func (p *Postgres) check(c *checker, dir string) {
 	p.checkScalars(c)
 	p.Pool.check(c)
@@ -23,7 +23,7 @@
 	}
 	p.checkReadOnlyFunctions(c)
 	if !p.loadSettings(c, dir) {
-		return // nothing is known of the classes
+		return // the remaining checks need the classes of the settings
 	}
 	classes := p.classesByName()
 	p.chooseWriteClass()
@@ -39,29 +39,32 @@
 	p.Engine.load(c, dir)
 }
 
+// checkScalars validates the fields that need no other file.
 func (p *Postgres) checkScalars(c *checker) {
 	c.requireAddress("listen", p.Listen)
 	c.requireAddress("consul.address", p.Consul.Address)
-	c.requiref(p.Consul.Service != "", "consul.service", "missing; wanted is the name that engines are registered under")
-	c.requiref(p.User != "", "user", "missing; wanted is the name that engines are spoken to in")
-	c.requiref(p.MemoryMB >= 0, "memory_mb", "%d is below 0", p.MemoryMB)
+	c.requiref(p.Consul.Service != "", "consul.service", "must be set to the name under which engines are registered")
+	c.requiref(p.User != "", "user", "must be set to the user name for connections to engines")
+	c.requiref(p.MemoryMB >= 0, "memory_mb", "must be at least 0, got %d", p.MemoryMB)
 	c.requireRanges([]numberRange{
 		{"transaction_idle_s", p.TransactionIdleSeconds, 0, maxTransactionSeconds},
 		{"transaction_most_s", p.TransactionMaxSeconds, 0, maxTransactionSeconds},
 	})
-	c.requiref(p.Sockets >= 0, "sockets", "%d is below 0", p.Sockets)
+	c.requiref(p.Sockets >= 0, "sockets", "must be at least 0, got %d", p.Sockets)
 }
 
+// checkReadOnlyFunctions validates the names of functions: NAME or SCHEMA.NAME, in lower case and without quotes.
 func (p *Postgres) checkReadOnlyFunctions(c *checker) {
 	for i, name := range p.ReadOnlyFunctions {
 		lowerCase := name == strings.ToLower(name)
 		plain := !strings.ContainsAny(name, " ()\"'")
 		qualifiedOnce := strings.Count(name, ".") <= 1
 		c.requiref(name != "" && lowerCase && plain && qualifiedOnce, fmt.Sprintf("read_only_functions[%d]", i),
-			"%q is no function's name in small letters, as in price_of or stock.price_of", name)
+			"must be a function name in lower case, such as price_of or stock.price_of, got %q", name)
 	}
 }
 
+// classesByName returns the classes of the settings by name.
 func (p *Postgres) classesByName() map[string]policy.Class {
 	classes := map[string]policy.Class{}
 	for _, class := range p.Site.Policy.Classes {
@@ -70,7 +73,8 @@
 	return classes
 }
 
-// chooseWriteClass sets the class of writes where the file names none: the first that runs once at most and in any order.
+// chooseWriteClass sets the default write class if the file names none: the first class that is executed at most once and
+// does not keep the order of keys.
 func (p *Postgres) chooseWriteClass() {
 	for _, class := range p.Site.Policy.Classes {
 		if p.WriteClass == "" && class.Idempotency == policy.NotIdempotent && !class.Ordered {
@@ -79,34 +83,36 @@
 	}
 }
 
+// checkDefaultClasses validates the default class and the write class. Neither may keep the order of keys, as they apply to
+// statements without a rule, and only a rule names the parameter that holds the key.
 func (p *Postgres) checkDefaultClasses(c *checker, classes map[string]policy.Class) {
 	for _, s := range []struct{ field, class string }{{"default_class", p.DefaultClass}, {"write_class", p.WriteClass}} {
-		c.requiref(!classes[s.class].Ordered, s.field, "class %q keeps the order of keys, and nothing names a key here", s.class)
+		c.requiref(!classes[s.class].Ordered, s.field, "must be a class without key order, as no key is known here, got %q", s.class)
 	}
-	c.requiref(!p.Site.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe: engines of the PostgreSQL wire are not probed")
+	c.requiref(!p.Site.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe must be false: the PostgreSQL protocol has no load requests")
 	_, known := classes[p.DefaultClass]
-	c.requiref(known, "default_class", "%q is no class of the settings", p.DefaultClass)
+	c.requiref(known, "default_class", "must be a class of the settings, got %q", p.DefaultClass)
 	if p.WriteClass == "" {
 		return
 	}
 	class, known := classes[p.WriteClass]
 	c.requiref(known && class.Idempotency == policy.NotIdempotent, "write_class",
-		"%q is no class of the settings whose effect is non_idempotent", p.WriteClass)
+		"must be a class of the settings with the effect non_idempotent, got %q", p.WriteClass)
 }
 
-// check names what can't be used of one rule.
+// check validates one rule. The prefix is its path, for faults.
 func (s *Statement) check(c *checker, prefix string, classes map[string]policy.Class) {
 	class, known := classes[s.Class]
 	writes := sqltext.EffectOf(s.Starts, nil).Effect == sqltext.Writes
-	c.requiref(s.Starts != "", prefix+"starts", "missing; wanted are the words that statements begin with")
-	c.requiref(known, prefix+"class", "%q is no class of the settings", s.Class)
-	c.requiref(s.Key >= 0 && s.Key <= maxParameterNumber, prefix+"key", "%d is no parameter's number, 1 to 65535", s.Key)
-	c.requiref(!class.Ordered || s.Key > 0, prefix+"key", "missing; class %q keeps the order of keys", s.Class)
-	c.requiref(!writes || !s.ReadOnly, prefix+"read_only", "%q writes", s.Starts)
-	c.requiref(!known || !writes || class.Idempotency != policy.Idempotent, prefix+"class", "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
+	c.requiref(s.Starts != "", prefix+"starts", "must be set to the words that statements begin with")
+	c.requiref(known, prefix+"class", "must be a class of the settings, got %q", s.Class)
+	c.requiref(s.Key >= 0 && s.Key <= maxParameterNumber, prefix+"key", "must be a parameter number between 1 and 65535, or 0 for no key, got %d", s.Key)
+	c.requiref(!class.Ordered || s.Key > 0, prefix+"key", "must be set, as class %q keeps the order of keys", s.Class)
+	c.requiref(!writes || !s.ReadOnly, prefix+"read_only", "must be false, as %q writes", s.Starts)
+	c.requiref(!known || !writes || class.Idempotency != policy.Idempotent, prefix+"class", "must not be an idempotent class, as %q writes, got %q", s.Starts, s.Class)
 }
 
-// resolvePath returns a path; a relative one counts from the folder.
+// resolvePath returns the path of a file. A relative path is taken as relative to dir.
 func resolvePath(dir, file string) string {
 	if filepath.IsAbs(file) {
 		return file
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -8,72 +8,72 @@
 	"gannetspur/policy"
 )
 
-// Site is one deployment's settings: those of the policy, and those that only the gateway around it
-// needs.
+// Site is the settings of one deployment: those of the policy, and those that only the gateway needs.
 type Site struct {
 	Policy           policy.Settings
-	Reports          []string // names of the load report's values, in order
-	Zones            []string // names by index
-	Kinds            []string // names by index
-	MaxStreams       int      // attempts on one connection at once
-	ConnectTimeout   time.Duration
-	IdleTimeout      time.Duration // after which engines close an idle connection
-	ProgressInterval time.Duration // between progress reports of an attempt
-	PeersAllowed     bool          // gateways may send each other messages
+	Reports          []string      // names of the values in a load report, in order
+	Zones            []string      // zone names by index
+	Kinds            []string      // engine kinds by index
+	MaxStreams       int           // limit on concurrent attempts on one connection
+	ConnectTimeout   time.Duration // for connecting to an engine; 0 if not set
+	IdleTimeout      time.Duration // idle time after which engines close a connection; 0 if not set
+	ProgressInterval time.Duration // between progress reports of an attempt; 0 if engines report none
+	PeersAllowed     bool          // front ends may send each other messages
 }
 
-// UnmarshalJSON reads the settings object of the simulator's first message.
+// UnmarshalJSON decodes the platform's settings object, which configuration files and the simulator's first message hold.
 func (s *Site) UnmarshalJSON(b []byte) error {
-	var p profile
-	if err := json.Unmarshal(b, &p); err != nil {
+	var decoded settingsJSON
+	if err := json.Unmarshal(b, &decoded); err != nil {
 		return err
 	}
-	set, err := p.settings()
+	policySettings, err := decoded.settings()
 	if err != nil {
 		return err
 	}
 	*s = Site{
-		Policy:           set,
-		Reports:          p.Report.Names,
-		Zones:            p.Zones,
-		Kinds:            p.Kinds,
-		MaxStreams:       p.Limits.MaxStreams,
-		ConnectTimeout:   FromMS(p.Limits.ConnectTimeoutMS),
-		IdleTimeout:      FromMS(p.Limits.IdleTimeoutMS),
-		ProgressInterval: set.ProgressInterval,
-		PeersAllowed:     p.Limits.PeersAllowed,
+		Policy:           policySettings,
+		Reports:          decoded.Report.Names,
+		Zones:            decoded.Zones,
+		Kinds:            decoded.Kinds,
+		MaxStreams:       decoded.Limits.MaxStreams,
+		ConnectTimeout:   FromMS(decoded.Limits.ConnectTimeoutMS),
+		IdleTimeout:      FromMS(decoded.Limits.IdleTimeoutMS),
+		ProgressInterval: policySettings.ProgressInterval,
+		PeersAllowed:     decoded.Limits.PeersAllowed,
 	}
 	return nil
 }
 
-// profile is the settings object as the platform writes it; keys that it does not name are skipped.
-// A field without a tag has the name of its key, which the errors of the decoder show.
-type profile struct {
-	Balancers       int              `json:"Balancers"`
-	Rank            *int             `json:"Rank"` // of this gateway, from 0
-	Zone            string           `json:"Zone"`
-	Classes         []profileClass   `json:"Classes"`
-	Kinds           []string         `json:"Kinds"`
-	Zones           []string         `json:"Zones"`
-	Projects        []profileTenant  `json:"Projects"`
-	OverQuotaWeight float64          `json:"over-share-worth"`
-	MembershipMode  string           `json:"membership-mode"`
-	CallIntervalMS  float64          `json:"round-ms"`
-	Goal            profileObjective `json:"Goal"`
-	Costs           profilePenalties `json:"Costs"`
-	Report          profileReport    `json:"Report"`
-	Contract        profileRules     `json:"Contract"`
-	Limits          profileLimits    `json:"Limits"`
-	Extra           profileEngines   `json:"Extra"`
+// settingsJSON is the settings object as the platform writes it. Unknown keys are ignored. Some tags differ from the key in
+// case: the decoder matches keys without regard to case, and its errors show the name in the tag.
+type settingsJSON struct {
+	Gateways        int           `json:"Balancers"`
+	Rank            *int          `json:"Rank"` // number of this gateway, from 0; nil if not given
+	Zone            string        `json:"Zone"`
+	Classes         []classJSON   `json:"Classes"`
+	Kinds           []string      `json:"Kinds"`
+	Zones           []string      `json:"Zones"`
+	Tenants         []tenantJSON  `json:"Projects"`
+	OverQuotaWeight float64       `json:"over-share-worth"`
+	MembershipMode  string        `json:"membership-mode"`
+	CallIntervalMS  float64       `json:"round-ms"`
+	Objective       objectiveJSON `json:"Goal"`
+	Penalties       penaltiesJSON `json:"Costs"`
+	Report          reportJSON    `json:"Report"`
+	Rules           rulesJSON     `json:"Contract"`
+	Limits          limitsJSON    `json:"Limits"`
+	Engines         enginesJSON   `json:"Extra"`
 }
 
-type profileClass struct {
+// classJSON is one class of queries. Times are in milliseconds.
+type classJSON struct {
 	Name               string   `json:"Name"`
 	LatencyObjectiveMS float64  `json:"aim-ms"`
 	ObjectiveStretch   float64  `json:"aim-stretch"`
 	TimeoutMS          float64  `json:"hard-limit-ms"`
-	Effect             string   `json:"Effect"`
-	Group              string   `json:"Group"`
+	Idempotency        string   `json:"Effect"`
+	DedupScope         string   `json:"Group"`
 	PriorityWeight     float64  `json:"importance"`
 	LateFraction       float64  `json:"late-share"`
 	Streaming          bool     `json:"streamed"`
@@ -83,32 +83,37 @@
 	Kinds              []string `json:"kinds-open"`
 }
 
-type profileTenant struct {
+// tenantJSON is one tenant.
+type tenantJSON struct {
 	Name  string  `json:"Name"`
-	Quota float64 `json:"quota-per-s"`
+	Quota float64 `json:"quota-per-s"` // queries per second
 	Share float64 `json:"Share"`
 }
 
-type profileObjective struct {
-	Whole       float64 `json:"Whole"`
+// objectiveJSON holds the weights of the parts of the policy's objective.
+type objectiveJSON struct {
+	Overall     float64 `json:"Whole"`
 	WorstClass  float64 `json:"worst-class"`
 	WorstTenant float64 `json:"worst-tenant"`
 	WorstWindow float64 `json:"worst-window"`
 }
 
-type profilePenalties struct {
+// penaltiesJSON holds what one unit of each side effect subtracts from the objective.
+type penaltiesJSON struct {
 	CrossZone   float64 `json:"cross-zone"`
-	Waste       float64 `json:"Waste"`
+	WastedWork  float64 `json:"Waste"`
 	LateFailure float64 `json:"late-fail"`
-	Probe       float64 `json:"Probe"`
+	LoadRequest float64 `json:"Probe"`
 }
 
-type profileReport struct {
-	How   string   `json:"How"`
-	Names []string `json:"Names"`
+// reportJSON describes the engines' load reports.
+type reportJSON struct {
+	Method string   `json:"How"`   // method of reporting; noReportsMethod for none
+	Names  []string `json:"Names"` // names of the reported values, in order
 }
 
-type profileRules struct {
+// rulesJSON holds the platform's rules on warm-up, draining, overload and retries. Times are in milliseconds.
+type rulesJSON struct {
 	AnswerSlackMS       float64 `json:"answer-slack-ms"`
 	ResubscribeWithinMS float64 `json:"ask-within-ms"`
 	WarmUpPeriodMS      float64 `json:"cold-ms"`
@@ -122,8 +127,9 @@
 	RetryBudgetWindowMS float64 `json:"look-back-ms"`
 }
 
-type profileLimits struct {
-	Cancel            bool    `json:"Cancel"`
+// limitsJSON says what the gateway may do, and how often. Times are in milliseconds.
+type limitsJSON struct {
+	AllowCancel       bool    `json:"Cancel"`
 	AllowLoadRequests bool    `json:"may-probe"`
 	PeersAllowed      bool    `json:"may-tell"`
 	ConnectTimeoutMS  float64 `json:"connect-timeout-ms"`
@@ -135,8 +141,9 @@
 	AllowHedging      bool    `json:"second-copies"`
 }
 
-// profileEngines describes the engines, by kind, and their classes' statements, by class.
-type profileEngines struct {
+// enginesJSON describes the engines. Cores and MemoryMB have one value for each kind; DataLoad, Threads and WaitsForDataLoad
+// have one for each class.
+type enginesJSON struct {
 	Cores              []float64 `json:"cores-by-kind"`
 	MemoryMB           []float64 `json:"memory-by-kind-mb"`
 	MaxGrantFraction   float64   `json:"grant-cap"`
@@ -150,7 +157,7 @@
 	WaitsForDataLoad   []bool    `json:"yields-to-loads"`
 }
 
-// Values of settings.
+// Values that the settings may have for effect, group and when-short.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentWithKey, "non_idempotent": policy.NotIdempotent,
@@ -164,56 +171,57 @@
 )
 
 const (
-	subscribeMode   = "on_request" // of membership-mode: the endpoint list comes to those who subscribe
-	noReportsMethod = "silent"     // of report.how: engines report no load
+	subscribeMode   = "on_request" // value of membership-mode: only subscribers receive the endpoint list
+	noReportsMethod = "silent"     // value of report.how: engines report no load
 )
 
-// settings maps the platform's settings to the policy's.
-func (p *profile) settings() (policy.Settings, error) {
-	shortage, ok := memoryShortages[p.Extra.MemoryShortage]
+// settings converts the platform's settings to the policy's.
+func (p *settingsJSON) settings() (policy.Settings, error) {
+	shortage, ok := memoryShortages[p.Engines.MemoryShortage]
 	if !ok {
-		return policy.Settings{}, fmt.Errorf("extra.when-short: unknown value %q", p.Extra.MemoryShortage)
+		return policy.Settings{}, fmt.Errorf("extra.when-short: unknown value %q", p.Engines.MemoryShortage)
 	}
 	classes, err := p.policyClasses()
 	if err != nil {
 		return policy.Settings{}, err
 	}
 	s := policy.Settings{
-		Gateways:         p.Balancers,
+		Gateways:         p.Gateways,
 		Zone:             p.Zone,
 		Classes:          classes,
 		OverQuotaWeight:  p.OverQuotaWeight,
-		ProgressInterval: FromMS(p.Extra.ProgressIntervalMS),
-		HonorsGrants:     p.Extra.HonorsGrants,
-		HonorsPriority:   p.Extra.HonorsPriority,
-		MaxGrantFraction: p.Extra.MaxGrantFraction,
+		ProgressInterval: FromMS(p.Engines.ProgressIntervalMS),
+		HonorsGrants:     p.Engines.HonorsGrants,
+		HonorsPriority:   p.Engines.HonorsPriority,
+		MaxGrantFraction: p.Engines.MaxGrantFraction,
 		MemoryShortage:   shortage,
-		ReportsCost:      p.Extra.ReportsCost,
-		ReportsLoad:      len(p.Report.Names) > 0 && p.Report.How != noReportsMethod,
+		ReportsCost:      p.Engines.ReportsCost,
+		ReportsLoad:      len(p.Report.Names) > 0 && p.Report.Method != noReportsMethod,
 		SubscribeToList:  p.MembershipMode == subscribeMode,
 		CallInterval:     FromMS(p.CallIntervalMS),
-		Rules:            p.Contract.rules(),
+		Rules:            p.Rules.rules(),
 		Limits:           p.Limits.limits(),
 		Objective: policy.Objective{
-			Overall: p.Goal.Whole, WorstClass: p.Goal.WorstClass, WorstTenant: p.Goal.WorstTenant, WorstWindow: p.Goal.WorstWindow,
+			Overall: p.Objective.Overall, WorstClass: p.Objective.WorstClass, WorstTenant: p.Objective.WorstTenant, WorstWindow: p.Objective.WorstWindow,
 		},
 		Penalties: policy.Penalties{
-			CrossZone: p.Costs.CrossZone, WastedWork: p.Costs.Waste, LateFailure: p.Costs.LateFailure, LoadRequest: p.Costs.Probe,
+			CrossZone: p.Penalties.CrossZone, WastedWork: p.Penalties.WastedWork, LateFailure: p.Penalties.LateFailure, LoadRequest: p.Penalties.LoadRequest,
 		},
 	}
 	if p.Rank != nil {
 		s.Rank = *p.Rank + 1 // the policy counts from 1
 	}
 	for i, name := range p.Kinds {
-		s.Kinds = append(s.Kinds, policy.Kind{Name: name, Cores: at(p.Extra.Cores, i), MemoryMB: at(p.Extra.MemoryMB, i)})
+		s.Kinds = append(s.Kinds, policy.Kind{Name: name, Cores: at(p.Engines.Cores, i), MemoryMB: at(p.Engines.MemoryMB, i)})
 	}
-	for _, t := range p.Projects {
+	for _, t := range p.Tenants {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
 	return s, nil
 }
 
-func (r *profileRules) rules() policy.Rules {
+// rules converts the rules to those of the policy.
+func (r *rulesJSON) rules() policy.Rules {
 	return policy.Rules{
 		AnswerSlack:       FromMS(r.AnswerSlackMS),
 		DrainGrace:        FromMS(r.DrainGraceMS),
@@ -229,11 +237,12 @@
 	}
 }
 
-func (l *profileLimits) limits() policy.Limits {
+// limits converts the limits to those of the policy.
+func (l *limitsJSON) limits() policy.Limits {
 	return policy.Limits{
 		MaxAttempts:       l.MaxAttempts,
 		AllowHedging:      l.AllowHedging,
-		AllowCancel:       l.Cancel,
+		AllowCancel:       l.AllowCancel,
 		AllowLoadRequests: l.AllowLoadRequests,
 		SendRetryAfter:    l.SendRetryAfter,
 		MaxRetryAfter:     FromMS(l.MaxRetryAfterMS),
@@ -241,16 +250,17 @@
 	}
 }
 
-func (p *profile) policyClasses() ([]policy.Class, error) {
+// policyClasses converts the classes to those of the policy.
+func (p *settingsJSON) policyClasses() ([]policy.Class, error) {
 	var classes []policy.Class
 	for i, c := range p.Classes {
-		idempotency, ok := idempotencies[c.Effect]
+		idempotency, ok := idempotencies[c.Idempotency]
 		if !ok {
-			return nil, fmt.Errorf("classes[%d].effect: unknown value %q", i, c.Effect)
+			return nil, fmt.Errorf("classes[%d].effect: unknown value %q", i, c.Idempotency)
 		}
-		scope, ok := dedupScopes[c.Group]
+		scope, ok := dedupScopes[c.DedupScope]
 		if !ok {
-			return nil, fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
+			return nil, fmt.Errorf("classes[%d].group: unknown value %q", i, c.DedupScope)
 		}
 		classes = append(classes, policy.Class{
 			Name:             c.Name,
@@ -259,14 +269,14 @@
 			Timeout:          FromMS(c.TimeoutMS),
 			PriorityWeight:   c.PriorityWeight,
 			LateFraction:     c.LateFraction,
-			Threads:          at(p.Extra.Threads, i),
+			Threads:          at(p.Engines.Threads, i),
 			Idempotency:      idempotency,
 			DedupScope:       scope,
 			DedupWindow:      FromMS(c.DedupWindowMS),
 			Streaming:        c.Streaming,
 			Ordered:          c.Ordered,
-			DataLoad:         at(p.Extra.DataLoad, i),
-			WaitsForDataLoad: at(p.Extra.WaitsForDataLoad, i),
+			DataLoad:         at(p.Engines.DataLoad, i),
+			WaitsForDataLoad: at(p.Engines.WaitsForDataLoad, i),
 			Zones:            c.Zones,
 			Kinds:            c.Kinds,
 		})
@@ -274,7 +284,7 @@
 	return classes, nil
 }
 
-// at returns the value of a list that a deployment may leave out or keep short, or zero.
+// at returns the i-th value of a list, or zero if the list is too short. Deployments may omit such a list or its end.
 func at[T any](list []T, i int) (v T) {
 	if i < len(list) {
 		return list[i]
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -11,32 +11,33 @@
 	"gannetspur/policy"
 )
 
-// Shapes says how statements are classed and costed by their shape: the table [shapes]
-// of the PostgreSQL front's deploy file, or a file of its own for the platform's front.
+// Shapes configures the cost model, which learns the cost of each query shape and derives classes and estimates from it. It
+// is the table [shapes] of the PostgreSQL frontend's deploy file, or a file of its own for the platform's frontend.
 type Shapes struct {
-	Enabled              bool         `toml:"enabled"`           // off: classes and estimates are what clients and rules say
-	MemoryKB             int          `toml:"memory_kb"`         // of records and their upkeep, 64 to a quarter of memory_mb; default: 2048
-	Hysteresis           float64      `toml:"hysteresis"`        // factor past the bound of a class before a shape changes over, 1 to 10; default: 1.3
-	CorrectEstimates     bool         `toml:"correct_estimates"` // the expected cost goes to the policy in place of the client's estimate
-	OnlyWithEstimate     bool         `toml:"only_told"`         // where clients give no estimate, the policy is given none
-	Snapshot             string       `toml:"snapshot"`          // file in which what was learned survives a restart; "": none
-	SnapshotEverySeconds float64      `toml:"snapshot_every_s"`  // 10 to 86400; default: 300
-	Classes              []ShapeClass `toml:"class"`             // of reading statements, the cheapest first; none: classes are not decided
+	Enabled              bool         `toml:"enabled"`           // false takes classes and estimates from clients and rules alone
+	MemoryKB             int          `toml:"memory_kb"`         // memory for shape records and their overhead, 64 to a quarter of memory_mb; 0 for 2048
+	Hysteresis           float64      `toml:"hysteresis"`        // factor by which a cost must pass a class's bound before the shape's class changes, 1 to 10; 0 for 1.3
+	CorrectEstimates     bool         `toml:"correct_estimates"` // the policy gets the learned cost in place of the client's estimate
+	OnlyWithEstimate     bool         `toml:"only_told"`         // without an estimate of the client, the policy gets none
+	Snapshot             string       `toml:"snapshot"`          // path of the file that keeps learned costs over a restart; "" for none
+	SnapshotEverySeconds float64      `toml:"snapshot_every_s"`  // interval between snapshots, 10 to 86,400; 0 for 300
+	Classes              []ShapeClass `toml:"class"`             // classes of reading statements by rising cost; empty if classes are not derived
 }
 
-// ShapeClass is a class that reading statements are sorted into.
+// ShapeClass is a class that reading statements are assigned to by their expected time.
 type ShapeClass struct {
 	Name   string  `toml:"name"`
-	UpToMS float64 `toml:"up_to_ms"` // expected time; the last class has none
+	UpToMS float64 `toml:"up_to_ms"` // upper bound of the expected time in milliseconds; 0 for the last class, which has none
 }
 
-// Defaults of Shapes.
+// Defaults of Shapes.MemoryKB and Shapes.SnapshotEverySeconds.
 const (
 	defaultShapesKB        = 2048
 	defaultSnapshotSeconds = 300
 )
 
-// check sets what is left out and names what can't be used.
+// check sets defaults and validates the fields. The prefix is the path of the table, for faults; classes are those of the
+// settings.
 func (s *Shapes) check(c *checker, prefix string, classes []policy.Class) {
 	if !s.Enabled {
 		return
@@ -50,34 +51,36 @@
 	if s.SnapshotEverySeconds == 0 {
 		s.SnapshotEverySeconds = defaultSnapshotSeconds
 	}
-	c.requiref(s.MemoryKB >= 64 && s.MemoryKB <= 1<<20, prefix+"memory_kb", "%d is not from 64 to 1048576", s.MemoryKB)
-	c.requiref(s.Hysteresis >= 1 && s.Hysteresis <= 10, prefix+"hysteresis", "%g is not from 1 to 10", s.Hysteresis)
-	c.requiref(s.SnapshotEverySeconds >= 10 && s.SnapshotEverySeconds <= 86400, prefix+"snapshot_every_s", "%g is not from 10 to 86400", s.SnapshotEverySeconds)
+	c.requiref(s.MemoryKB >= 64 && s.MemoryKB <= 1<<20, prefix+"memory_kb", "must be between 64 and 1048576, got %d", s.MemoryKB)
+	c.requiref(s.Hysteresis >= 1 && s.Hysteresis <= 10, prefix+"hysteresis", "must be between 1 and 10, got %g", s.Hysteresis)
+	c.requiref(s.SnapshotEverySeconds >= 10 && s.SnapshotEverySeconds <= 86400, prefix+"snapshot_every_s", "must be between 10 and 86400, got %g", s.SnapshotEverySeconds)
 	if s.Snapshot != "" {
 		_, err := os.Stat(filepath.Dir(s.Snapshot))
-		c.requiref(err == nil, prefix+"snapshot", "its folder can't be used: %v", err)
+		c.requiref(err == nil, prefix+"snapshot", "must be a file in an accessible directory: %v", err)
 	}
 	for i := range s.Classes {
 		s.checkClass(c, i, fmt.Sprintf("%sclass[%d].", prefix, i), classes)
 	}
 }
 
+// checkClass validates the i-th class. Reading statements may be repeated, so its class must be idempotent. All classes but
+// the last need rising bounds.
 func (s *Shapes) checkClass(c *checker, i int, prefix string, known []policy.Class) {
 	class := s.Classes[i]
 	found := slices.IndexFunc(known, func(k policy.Class) bool { return k.Name == class.Name })
-	c.requiref(found >= 0, prefix+"name", "%q is no class of the settings", class.Name)
+	c.requiref(found >= 0, prefix+"name", "must be a class of the settings, got %q", class.Name)
 	if found >= 0 {
-		c.requiref(known[found].Idempotency == policy.Idempotent, prefix+"name", "class %q is not safe to repeat; statements that read are sorted here", class.Name)
+		c.requiref(known[found].Idempotency == policy.Idempotent, prefix+"name", "must be an idempotent class, as it holds reading statements, got %q", class.Name)
 	}
 	if i == len(s.Classes)-1 {
-		c.requiref(class.UpToMS == 0, prefix+"up_to_ms", "the last class has no end")
+		c.requiref(class.UpToMS == 0, prefix+"up_to_ms", "must be left out in the last class, got %g", class.UpToMS)
 		return
 	}
 	rising := class.UpToMS > 0 && (i == 0 || class.UpToMS > s.Classes[i-1].UpToMS)
-	c.requiref(rising, prefix+"up_to_ms", "%g is not above the class before", class.UpToMS)
+	c.requiref(rising, prefix+"up_to_ms", "must be above 0 and the bound of the previous class, got %g", class.UpToMS)
 }
 
-// LoadShapes reads a file of its own, for the platform's front.
+// LoadShapes reads and validates a separate file for the platform's frontend. It may define no classes.
 func LoadShapes(path string) (*Shapes, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -86,7 +89,7 @@
 	var s Shapes
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &s) {
-		c.requiref(len(s.Classes) == 0, "class", "the platform's front is told its classes by the path, and sorts nothing into them")
+		c.requiref(len(s.Classes) == 0, "class", "must be left out: the platform's frontend takes classes from the request path")
 		s.check(c, "", nil)
 	}
 	if err := c.err(); err != nil {
@@ -104,5 +107,5 @@
 	return cfg
 }
 
-// SnapshotInterval is the time between snapshots.
+// SnapshotInterval returns the time between snapshots.
 func (s *Shapes) SnapshotInterval() time.Duration { return FromSeconds(s.SnapshotEverySeconds) }
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -9,50 +9,51 @@
 	decide "gannetspur/internal/decide/remotesite"
 )
 
-// Sites says which gateways at other sites this one works with: a file of its own, for both frontends. It is for installations
-// with several sites and a link between them.
+// Sites configures the forwarding of queries to gateways at other sites, over links between the sites. It has a file of its
+// own, which both frontends use.
 type Sites struct {
-	Site    string     `toml:"site"`    // where this gateway is
-	Gateway string     `toml:"gateway"` // its name there
-	Listen  string     `toml:"listen"`  // where gateways of other sites connect; "": it only dials
-	Admin   string     `toml:"admin"`   // the socket that operators speak to, where no file of upgrades names one; "": none
+	Site    string     `toml:"site"`    // name of this gateway's site
+	Gateway string     `toml:"gateway"` // name of this gateway within the site
+	Listen  string     `toml:"listen"`  // address for gateways of other sites, HOST:PORT; "" if this gateway only dials
+	Admin   string     `toml:"admin"`   // path of the admin socket if no upgrade file sets one; "" for none
 	Keys    SiteKeys   `toml:"keys"`
 	Peers   []SitePeer `toml:"peer"`
-	Pack    bool       `toml:"pack"` // bodies are packed by zstd where that pays
+	Pack    bool       `toml:"pack"` // bodies are compressed with zstd if that shrinks them enough
 
-	SharedDedup         bool    `toml:"keys_shared"`      // engines of all sites drop each other's repeats of a key
-	UnreachableAfterMS  float64 `toml:"silent_after_ms"`  // 300 to 60,000
-	SlowRTTMS           float64 `toml:"slow_above_ms"`    // 1 to 60,000
-	RampDurationSeconds float64 `toml:"cold_for_s"`       // 0 to 3,600
-	RampStart           float64 `toml:"cold_start"`       // 0.01 to 1
-	HopSlackMS          float64 `toml:"slack_ms"`         // 0 to 10,000
-	SpillBelow          float64 `toml:"spill_below"`      // 0 to 1
-	StopSpillAbove      float64 `toml:"stop_above"`       // spill_below to 1
-	MinPeerCapacity     float64 `toml:"take_above"`       // 0 to 1
-	LocalReserve        float64 `toml:"reserve"`          // 0 to 1
-	ThreadsPerCore      float64 `toml:"threads_per_core"` // 0.1 to 100
-	DigestIntervalMS    float64 `toml:"word_every_ms"`    // 20 to 10,000, a third of silent_after_ms at most
-	MinPriorityWeight   float64 `toml:"price"`            // 0 or above, in priority weight
-	AffinityBonus       float64 `toml:"affinity"`         // 0 to 1
-	HedgeRatio          float64 `toml:"hedge_share"`      // 0 to 1
+	SharedDedup         bool    `toml:"keys_shared"`      // engines of all sites drop each other's duplicates of a key
+	UnreachableAfterMS  float64 `toml:"silent_after_ms"`  // milliseconds without a reply until a peer is unreachable, 300 to 60,000
+	SlowRTTMS           float64 `toml:"slow_above_ms"`    // round trip in milliseconds above which a peer is slow, 1 to 60,000
+	RampDurationSeconds float64 `toml:"cold_for_s"`       // duration of a peer's recovery ramp, 0 to 3,600; at least as long as engines need
+	RampStart           float64 `toml:"cold_start"`       // fraction of a peer's capacity used at the ramp's start, 0.01 to 1
+	HopSlackMS          float64 `toml:"slack_ms"`         // milliseconds reserved from a query's time at each hop, 0 to 10,000
+	SpillBelow          float64 `toml:"spill_below"`      // free capacity here, as a fraction, below which queries may be forwarded, 0 to 1
+	StopSpillAbove      float64 `toml:"stop_above"`       // free capacity here above which forwarding stops, SpillBelow to 1
+	MinPeerCapacity     float64 `toml:"take_above"`       // free capacity that a peer must have, 0 to 1
+	LocalReserve        float64 `toml:"reserve"`          // capacity reserved for clients of this site, 0 to 1
+	ThreadsPerCore      float64 `toml:"threads_per_core"` // threads per core at which a site has no free capacity, 0.1 to 100
+	DigestIntervalMS    float64 `toml:"word_every_ms"`    // milliseconds between load digests, 20 to 10,000 and at most a third of UnreachableAfterMS
+	MinPriorityWeight   float64 `toml:"price"`            // priority weight below which queries are never forwarded, 0 to 1e9
+	AffinityBonus       float64 `toml:"affinity"`         // additional capacity required of a peer if a query's tables are warm here, 0 to 1
+	HedgeRatio          float64 `toml:"hedge_share"`      // limit on hedged requests per forwarded request, 0 to 1
 }
 
-// SiteKeys are files in PEM; relative names count from this file's folder.
+// SiteKeys names the files for authentication among gateways, in PEM format. Relative paths are relative to the directory of
+// the sites file.
 type SiteKeys struct {
-	Certificate string `toml:"certificate"` // of this gateway, which names it by the URI ringwood://SITE/GATEWAY
-	Key         string `toml:"key"`
-	Authority   string `toml:"authority"` // that peers' certificates are signed by
-	Revoked     string `toml:"revoked"`   // the authority's list of revoked certificates; "": none
+	Certificate string `toml:"certificate"` // certificate of this gateway, which names it by the URI ringwood://SITE/GATEWAY
+	Key         string `toml:"key"`         // private key of this gateway
+	Authority   string `toml:"authority"`   // certificate of the authority that signs the peers' certificates
+	Revoked     string `toml:"revoked"`     // certificate revocation list of the authority; "" for none
 }
 
 // SitePeer is a gateway at another site.
 type SitePeer struct {
 	Site    string `toml:"site"`
 	Gateway string `toml:"gateway"`
-	Address string `toml:"address"` // where it listens; it may be left out where it dials this one
+	Address string `toml:"address"` // address on which it listens, HOST:PORT; optional if the peer dials this gateway
 }
 
-// LoadSites reads the file. What the file leaves out is as remotesite.Defaults says.
+// LoadSites reads and validates the file at path. Thresholds and durations that are left out default to remotesite.Defaults.
 func LoadSites(path string) (*Sites, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -69,23 +70,24 @@
 	return &s, nil
 }
 
+// defaultSites returns the values of keys that are left out.
 func defaultSites() Sites {
-	d := decide.Defaults()
+	defaults := decide.Defaults()
 	return Sites{
-		UnreachableAfterMS:  milliseconds(d.UnreachableAfter),
-		SlowRTTMS:           milliseconds(d.SlowRTT),
-		RampDurationSeconds: d.RampDuration.Seconds(),
-		RampStart:           d.RampStart,
-		HopSlackMS:          milliseconds(d.HopSlack),
-		SpillBelow:          d.SpillBelow,
-		StopSpillAbove:      d.StopSpillAbove,
-		MinPeerCapacity:     d.MinPeerCapacity,
-		LocalReserve:        d.LocalReserve,
-		ThreadsPerCore:      d.ThreadsPerCore,
-		DigestIntervalMS:    milliseconds(d.DigestInterval),
-		MinPriorityWeight:   d.MinPriorityWeight,
-		AffinityBonus:       d.AffinityBonus,
-		HedgeRatio:          d.HedgeRatio,
+		UnreachableAfterMS:  milliseconds(defaults.UnreachableAfter),
+		SlowRTTMS:           milliseconds(defaults.SlowRTT),
+		RampDurationSeconds: defaults.RampDuration.Seconds(),
+		RampStart:           defaults.RampStart,
+		HopSlackMS:          milliseconds(defaults.HopSlack),
+		SpillBelow:          defaults.SpillBelow,
+		StopSpillAbove:      defaults.StopSpillAbove,
+		MinPeerCapacity:     defaults.MinPeerCapacity,
+		LocalReserve:        defaults.LocalReserve,
+		ThreadsPerCore:      defaults.ThreadsPerCore,
+		DigestIntervalMS:    milliseconds(defaults.DigestInterval),
+		MinPriorityWeight:   defaults.MinPriorityWeight,
+		AffinityBonus:       defaults.AffinityBonus,
+		HedgeRatio:          defaults.HedgeRatio,
 	}
 }
 
@@ -93,10 +95,11 @@
 	maxSitePeers    = 256
 	maxSiteNameSize = 63 // bytes
 
-	// staleDigestIntervals is after how many intervals a site's last digest of its load counts for nothing.
+	// staleDigestIntervals is the number of digest intervals after which a site's last load digest is ignored.
 	staleDigestIntervals = 8
 )
 
+// check validates the fields and resolves the paths of keys. dir is the directory of the sites file.
 func (s *Sites) check(c *checker, dir string) {
 	checkSiteName(c, "site", s.Site)
 	checkSiteName(c, "gateway", s.Gateway)
@@ -123,42 +126,44 @@
 	})
 }
 
+// checkPeers validates the peers and the addresses of those that this gateway dials.
 func (s *Sites) checkPeers(c *checker) {
-	c.requiref(len(s.Peers) <= maxSitePeers, "peer", "%d are too many, %d are the most", len(s.Peers), maxSitePeers)
+	c.requiref(len(s.Peers) <= maxSitePeers, "peer", "must be given at most %d times, got %d", maxSitePeers, len(s.Peers))
 	own := s.Site + "/" + s.Gateway
 	seen := map[string]bool{}
 	for i, peer := range s.Peers {
 		prefix := fmt.Sprintf("peer[%d].", i)
 		checkSiteName(c, prefix+"site", peer.Site)
 		checkSiteName(c, prefix+"gateway", peer.Gateway)
-		c.requiref(peer.Site != s.Site, prefix+"site", "%q is this gateway's own site", peer.Site)
+		c.requiref(peer.Site != s.Site, prefix+"site", "must be another site, got this gateway's own, %q", peer.Site)
 		name := peer.Site + "/" + peer.Gateway
-		c.requiref(!seen[name], prefix+"gateway", "%s is named twice", name)
+		c.requiref(!seen[name], prefix+"gateway", "must be unique, got %s twice", name)
 		seen[name] = true
 		switch {
 		case peer.Address != "":
 			c.requireAddress(prefix+"address", peer.Address)
-		case own < name: // of two gateways, the one whose name comes first dials
-			c.addf(prefix+"address", "missing; this gateway dials %s, whose name comes later", name)
+		case own < name: // of two gateways, the one with the lower name dials
+			c.addf(prefix+"address", "must be set: this gateway dials %s, as the lower name dials", name)
 		case s.Listen == "":
-			c.addf("listen", "missing; %s dials this gateway", name)
+			c.addf("listen", "must be set, as %s dials this gateway", name)
 		}
 	}
 }
 
+// checkSiteName records a fault unless the field is a valid name of a site or gateway.
 func checkSiteName(c *checker, field, name string) {
 	wellFormed := name != "" && len(name) <= maxSiteNameSize && strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
-	c.requiref(wellFormed, field, "%q is no name of 1 to 63 small letters, digits and hyphens", name)
+	c.requiref(wellFormed, field, "must be 1 to 63 lower-case letters, digits and hyphens, got %q", name)
 }
 
-// resolve makes the paths absolute or relative to the process's folder, and names those that are missing.
+// resolve prefixes relative paths with dir and records a fault for each required path that is missing.
 func (k *SiteKeys) resolve(c *checker, dir string) {
 	for _, required := range []struct {
 		field string
 		path  *string
 	}{{"keys.certificate", &k.Certificate}, {"keys.key", &k.Key}, {"keys.authority", &k.Authority}} {
 		if *required.path == "" {
-			c.addf(required.field, "missing; wanted is a file in PEM")
+			c.addf(required.field, "must be set to the path of a PEM file")
 			continue
 		}
 		*required.path = resolvePath(dir, *required.path)
@@ -168,7 +173,8 @@
 	}
 }
 
-// Decide returns the configuration of the decisions on other sites. maxAttempts bounds the attempts of one request over all sites.
+// Decide returns the configuration of the forwarding decisions. maxAttempts limits the attempts of one request over all
+// sites.
 func (s *Sites) Decide(maxAttempts int) decide.Config {
 	digestInterval := FromMS(s.DigestIntervalMS)
 	return decide.Config{
--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -8,37 +8,37 @@
 	"gannetspur/internal/decide/handover"
 )
 
-// Upgrade says how a new version takes over: a file of its own, for both fronts. It is for
-// installations where one machine runs the old and the new process side by side.
+// Upgrade configures the handover to a new version, for installations where one machine runs the old and the new process side
+// by side. It has a file of its own, which both frontends use.
 type Upgrade struct {
-	Admin   string `toml:"admin"`   // the socket that operators speak to, a path
-	Program string `toml:"program"` // what takes over; "": the program that runs, as it is on disk then
+	Admin   string `toml:"admin"`   // path of the admin socket
+	Program string `toml:"program"` // path of the new program; "" for the file of the running program, as it is at the upgrade
 
-	HelloTimeoutSeconds     float64 `toml:"greet_within_s"` // 0.1 to 600
-	WarmUpTimeoutSeconds    float64 `toml:"warm_within_s"`  // 0.1 to 600
-	ProbationSeconds        float64 `toml:"prove_for_s"`    // 0.1 to 600
-	MaxProbationSeconds     float64 `toml:"prove_within_s"` // at least prove_for_s, to 3600
-	HeartbeatTimeoutSeconds float64 `toml:"silent_for_s"`   // 0.3 to 60; a heartbeat comes every 0.1 s
-	MinSuccesses            int     `toml:"good_answers"`   // 0 to 1,000,000
-	MaxFailureFraction      float64 `toml:"bad_share"`      // 0 to 1
-	MaxMemoryMB             int     `toml:"most_memory_mb"` // 0: no bound
+	HelloTimeoutSeconds     float64 `toml:"greet_within_s"` // limit on the time until the new process's hello, 0.1 to 600
+	WarmUpTimeoutSeconds    float64 `toml:"warm_within_s"`  // limit on the time until it has applied the state, 0.1 to 600
+	ProbationSeconds        float64 `toml:"prove_for_s"`    // least time that it serves before it becomes the owner, 0.1 to 600
+	MaxProbationSeconds     float64 `toml:"prove_within_s"` // limit on that time if there is little work, ProbationSeconds to 3,600
+	HeartbeatTimeoutSeconds float64 `toml:"silent_for_s"`   // silence after which it is killed, 0.3 to 60; it sends a heartbeat every 0.1 s
+	MinSuccesses            int     `toml:"good_answers"`   // successful responses that it must give if there is work, 0 to 1,000,000
+	MaxFailureFraction      float64 `toml:"bad_share"`      // fraction of its responses that may fail above the usual rate, 0 to 1
+	MaxMemoryMB             int     `toml:"most_memory_mb"` // limit on its resident memory in MB, up to 1,000,000; 0 for no limit
 }
 
-// LoadUpgrade reads the file. What it leaves out is as handover.DefaultConfig says.
+// LoadUpgrade reads and validates the file at path. Timeouts and limits that are left out default to handover.DefaultConfig.
 func LoadUpgrade(path string) (*Upgrade, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
-	d := handover.DefaultConfig()
+	defaults := handover.DefaultConfig()
 	u := Upgrade{
-		HelloTimeoutSeconds:     d.GreetTimeout.Seconds(),
-		WarmUpTimeoutSeconds:    d.WarmTimeout.Seconds(),
-		ProbationSeconds:        d.MinProbation.Seconds(),
-		MaxProbationSeconds:     d.MaxProbation.Seconds(),
-		HeartbeatTimeoutSeconds: d.HeartbeatTimeout.Seconds(),
-		MinSuccesses:            d.MinSuccesses,
-		MaxFailureFraction:      d.MaxFailureRate,
+		HelloTimeoutSeconds:     defaults.GreetTimeout.Seconds(),
+		WarmUpTimeoutSeconds:    defaults.WarmTimeout.Seconds(),
+		ProbationSeconds:        defaults.MinProbation.Seconds(),
+		MaxProbationSeconds:     defaults.MaxProbation.Seconds(),
+		HeartbeatTimeoutSeconds: defaults.HeartbeatTimeout.Seconds(),
+		MinSuccesses:            defaults.MinSuccesses,
+		MaxFailureFraction:      defaults.MaxFailureRate,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &u) {
@@ -50,22 +50,24 @@
 	return &u, nil
 }
 
-// maxSocketPathBytes is what a unix socket's address holds (unix(7)), less the suffix of the name that it is bound to first.
+// maxSocketPathBytes is the size of the path in a Unix socket address (unix(7)), less room for the suffix of the temporary
+// name that the socket is bound to first.
 const maxSocketPathBytes = 96
 
+// check validates the fields and the files that they name.
 func (u *Upgrade) check(c *checker) {
 	_, err := os.Stat(filepath.Dir(u.Admin))
 	switch {
 	case u.Admin == "":
-		c.addf("admin", "missing; wanted is the path of the socket that operators speak to")
+		c.addf("admin", "must be set to the path of the admin socket")
 	case len(u.Admin) > maxSocketPathBytes:
-		c.addf("admin", "%d bytes are too many for a socket's path, %d are the most", len(u.Admin), maxSocketPathBytes)
+		c.addf("admin", "must be a socket path of at most %d bytes, got %d", maxSocketPathBytes, len(u.Admin))
 	case err != nil:
-		c.addf("admin", "its folder can't be used: %v", err)
+		c.addf("admin", "must be a path in an accessible directory: %v", err)
 	}
 	if u.Program != "" {
 		_, err := os.Stat(u.Program)
-		c.requiref(err == nil, "program", "it can't be started: %v", err)
+		c.requiref(err == nil, "program", "must be an existing file: %v", err)
 	}
 	c.requireRanges([]numberRange{
 		{"greet_within_s", u.HelloTimeoutSeconds, 0.1, 600},
@@ -79,7 +81,7 @@
 	})
 }
 
-// Decide returns the configuration of the handover's decisions.
+// Decide returns the configuration of the handover protocol.
 func (u *Upgrade) Decide() handover.Config {
 	return handover.Config{
 		GreetTimeout:     seconds(u.HelloTimeoutSeconds),
--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -8,25 +8,25 @@
 	"gannetspur/policy"
 )
 
-// users is a file of users.
-type users struct {
+// usersFile is the file of users who may sign in.
+type usersFile struct {
 	Users []struct {
 		Name       string   `toml:"name"`
-		Verifier   string   `toml:"verifier"`     // as ringwood users verifier prints it
-		Classes    []string `toml:"classes"`      // that it may ask for; empty: all
-		MaxClients int      `toml:"most_clients"` // 0: no limit of its own
+		Verifier   string   `toml:"verifier"`     // SCRAM verifier, as printed by "ringwood users verifier"
+		Classes    []string `toml:"classes"`      // classes that the user may request; empty for all
+		MaxClients int      `toml:"most_clients"` // limit on connections of this user; 0 for none
 	} `toml:"user"`
 }
 
-// loadUsers reads a file of users, whose classes must be among the settings'.
+// loadUsers reads and validates a file of users. Their classes must be among the given classes of the settings.
 func loadUsers(path string, classes []policy.Class) ([]scramauth.User, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("users: %w", err)
 	}
-	var u users
+	var file usersFile
 	c := &checker{file: path}
-	if !decodeTOML(c, raw, &u) {
+	if !decodeTOML(c, raw, &file) {
 		return nil, c.err()
 	}
 	known, seen := map[string]bool{}, map[string]bool{}
@@ -34,19 +34,19 @@
 		known[class.Name] = true
 	}
 	var all []scramauth.User
-	for i, user := range u.Users {
+	for i, user := range file.Users {
 		prefix := fmt.Sprintf("user[%d].", i)
-		v, err := scramauth.ParseVerifier(user.Verifier)
-		c.requiref(err == nil, prefix+"verifier", "%v", err)
-		c.requiref(user.Name != "" && len(user.Name) <= 63, prefix+"name", "%q is not of 1 to 63 bytes", user.Name)
-		c.requiref(!seen[user.Name], prefix+"name", "%q is named twice", user.Name)
-		c.requiref(user.MaxClients >= 0, prefix+"most_clients", "%d is below 0", user.MaxClients)
+		verifier, err := scramauth.ParseVerifier(user.Verifier)
+		c.requiref(err == nil, prefix+"verifier", "must be a SCRAM verifier: %v", err)
+		c.requiref(user.Name != "" && len(user.Name) <= 63, prefix+"name", "must be 1 to 63 bytes long, got %q", user.Name)
+		c.requiref(!seen[user.Name], prefix+"name", "must be unique, got %q twice", user.Name)
+		c.requiref(user.MaxClients >= 0, prefix+"most_clients", "must be at least 0, got %d", user.MaxClients)
 		for _, class := range user.Classes {
-			c.requiref(known[class], prefix+"classes", "%q is no class of the settings", class)
+			c.requiref(known[class], prefix+"classes", "must be classes of the settings, got %q", class)
 		}
 		seen[user.Name] = true
-		all = append(all, scramauth.User{Name: user.Name, Verifier: v, Classes: user.Classes, MaxClients: user.MaxClients})
+		all = append(all, scramauth.User{Name: user.Name, Verifier: verifier, Classes: user.Classes, MaxClients: user.MaxClients})
 	}
-	c.requiref(len(all) > 0, "user", "there is none: nobody could log in")
+	c.requiref(len(all) > 0, "user", "must be given at least once, or nobody could sign in")
 	return all, c.err()
 }
