--- a/internal/discovery/consul/entries.go
+++ b/internal/discovery/consul/entries.go
@@ -13,7 +13,7 @@
 
 const maxPort = 1<<16 - 1
 
-// registration is what is read of one element of the catalogue's answer.
+// registration is one element of a catalog response, reduced to the fields that are used.
 type registration struct {
 	Node           string            `json:"Node"`
 	Address        string            `json:"Address"`
@@ -25,11 +25,14 @@
 	ServiceMeta    map[string]string `json:"ServiceMeta"`
 }
 
+// valid reports whether the registration has a service ID and a usable port.
 func (r *registration) valid() bool {
 	return r.ServiceID != "" && r.ServicePort >= 1 && r.ServicePort <= maxPort
 }
 
-// engine is the entry of the endpoint list, without its state.
+// engine returns the entry of the endpoint list for the registration, without its state. Zone and
+// kind are taken from the service metadata, else the node metadata, else the options. A zone that is
+// in none of them is the datacenter.
 func (r *registration) engine(opts Options) core.Engine {
 	host := cmp.Or(r.ServiceAddress, r.Address)
 	e := core.Engine{
@@ -47,10 +50,10 @@
 	return e
 }
 
-// engineID joins a service's id with its node's name: service ids are unique on a node only.
+// engineID joins the node name and the service ID, as service IDs are unique only within a node.
 func engineID(node, service string) string { return node + "/" + service }
 
-// healthEntry is what is read of one element of the health API's answer.
+// healthEntry is one element of a health API response, reduced to the fields that are used.
 type healthEntry struct {
 	Node struct {
 		Node string `json:"Node"`
@@ -65,10 +68,12 @@
 	} `json:"Checks"`
 }
 
+// engineID returns the ID under which the engine is listed.
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
 
-// state maps the checks to an engine's state: in maintenance, or where its metadata say so, it
-// drains; critical means that it can't be sent to; all else is live.
+// state derives the engine's state from its checks and metadata. An engine in maintenance is
+// draining, whatever its other checks say; otherwise one with a critical check has departed; otherwise
+// the metadata draining=true marks it as draining. All other engines are live.
 func (e *healthEntry) state() policy.EngineState {
 	state := policy.EngineLive
 	if e.Service.Meta["draining"] == "true" {
--- a/internal/discovery/consul/query.go
+++ b/internal/discovery/consul/query.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	maxAnswer    = 8 << 20          // bytes
-	queryWait    = 30 * time.Second // after which a blocking query returns without a change
-	queryGrace   = 5 * time.Second  // that a server may add to it
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 5 * time.Second
-	// minQueryInterval is the least time between the starts of two queries that succeeded. Guards
-	// against an index that changes without pause.
+	maxResponseBytes = 8 << 20
+	queryWait        = 30 * time.Second // time after which a blocking query returns without a change
+	queryGrace       = 5 * time.Second  // time that a server may add to queryWait
+	firstBackoff     = 100 * time.Millisecond
+	maxBackoff       = 5 * time.Second
+	// minQueryInterval is the minimum time between the starts of two successful queries. It limits
+	// the load from an index that changes continuously.
 	minQueryInterval = 20 * time.Millisecond
 )
 
-var errAnswerTooLarge = errors.New("answer too large")
+var errResponseTooLarge = errors.New("response too large")
 
-// query is one path of the HTTP API, to be asked again and again. Its goroutine has it alone; post
-// and countError hand over to that of the watcher.
+// query is a blocking query of one path of the HTTP API, which is repeated. It belongs to the
+// goroutine of its poll.
 type query struct {
 	client     *http.Client
 	opts       Options
-	path       string
-	post       func(func())
-	countError func()
+	path       string       // up to the name of the service
+	post       func(func()) // runs a function on the watcher's goroutine
+	countError func()       // counts a failure; must run on the watcher's goroutine
 	log        *slog.Logger
 }
 
+// newQuery returns the query of a service for an API path that ends in a slash.
 func (w *Watcher) newQuery(opts Options, path string) *query {
 	return &query{
 		client: w.client, opts: opts, path: path, post: w.post, log: w.log,
@@ -45,20 +46,20 @@
 	}
 }
 
-// poll makes blocking queries until the context ends, and has each new list taken on the watcher's
-// goroutine. A query that fails is retried after a backoff, for the present list at once.
-func poll[T any](ctx context.Context, q *query, take func([]T)) {
-	var index uint64 // of the latest list; 0: answer at once
+// poll makes blocking queries until the context ends and passes each new list to handle on the
+// watcher's goroutine. After a failure and a backoff it asks for the current list without blocking.
+func poll[T any](ctx context.Context, q *query, handle func([]T)) {
+	var index uint64 // index of the latest list; 0 requests an immediate response
 	backoff := firstBackoff
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		var list []T
 		next, err := q.fetch(ctx, index, &list)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			q.failed(err, backoff)
+			q.reportFailure(err, backoff)
 			sleep(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 			index = 0
@@ -67,31 +68,33 @@
 		backoff = firstBackoff
 		if next != index {
 			q.post(func() {
-				if ctx.Err() == nil { // else Watch has gone over to another service meanwhile
-					take(list)
+				if ctx.Err() == nil { // otherwise Watch has switched to another service in the meantime
+					handle(list)
 				}
 			})
 		}
-		index = following(index, next)
-		sleep(ctx, minQueryInterval-time.Since(began))
+		index = nextIndex(index, next)
+		sleep(ctx, minQueryInterval-time.Since(start))
 	}
 }
 
-// following is the index of the next query. It begins anew where the index went back: the servers
-// were restored or replaced.
-func following(index, next uint64) uint64 {
-	if next < index {
+// nextIndex returns the index of the next query, given those of the last query and its response. It
+// returns 0 if the index decreased, as it does after the servers were restored or replaced. It
+// returns at least 1 otherwise, so that the next query blocks.
+func nextIndex(last, response uint64) uint64 {
+	if response < last {
 		return 0
 	}
-	return max(next, 1)
+	return max(response, 1)
 }
 
-func (q *query) failed(err error, backoff time.Duration) {
+// reportFailure counts and logs a failed query.
+func (q *query) reportFailure(err error, backoff time.Duration) {
 	q.post(q.countError)
 	q.log.Warn("consul.failed", "consul", q.opts.Address, "path", q.path, "error", err, "retry_in", backoff)
 }
 
-// sleep waits, until the context ends at the latest.
+// sleep waits for the duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -102,7 +105,8 @@
 	}
 }
 
-// fetch makes one blocking query and reads the answer into list. next is the index of the answer.
+// fetch makes one blocking query and decodes the response into list, a pointer to a slice. next is the
+// index of the response.
 func (q *query) fetch(ctx context.Context, index uint64, list any) (next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryWait+queryGrace)
 	defer cancel()
@@ -118,25 +122,26 @@
 		return 0, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
-		return 0, fmt.Errorf("read the answer: %w", err)
-	case len(body) > maxAnswer:
-		return 0, fmt.Errorf("%w: over %d bytes", errAnswerTooLarge, maxAnswer)
+		return 0, fmt.Errorf("read response: %w", err)
+	case len(body) > maxResponseBytes:
+		return 0, fmt.Errorf("%w: more than %d bytes", errResponseTooLarge, maxResponseBytes)
 	case resp.StatusCode != http.StatusOK:
-		return 0, fmt.Errorf("status %s: %.100s", resp.Status, strings.TrimSpace(string(body)))
+		return 0, fmt.Errorf("unexpected status %s: %.100s", resp.Status, strings.TrimSpace(string(body)))
 	}
 	next, err = strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("X-Consul-Index: %w", err)
+		return 0, fmt.Errorf("parse X-Consul-Index header: %w", err)
 	}
 	if err := json.Unmarshal(body, list); err != nil {
-		return 0, fmt.Errorf("read the answer: %w", err)
+		return 0, fmt.Errorf("decode response: %w", err)
 	}
 	return next, nil
 }
 
+// url returns the URL of a query that blocks until the index passes the given one.
 func (q *query) url(index uint64) string {
 	u := url.URL{Scheme: "http", Host: q.opts.Address, Path: q.path + q.opts.Service}
 	u.RawQuery = url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {queryWait.String()}}.Encode()
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -1,5 +1,5 @@
-// Package consul watches a service in Consul by blocking queries to its catalogue and health API,
-// and tells which engines are live, draining or departed.
+// Package consul watches a service in Consul by blocking queries to its catalog and health APIs, and
+// publishes which engines are live, draining or departed.
 package consul
 
 import (
@@ -15,35 +15,38 @@
 	"gannetspur/policy"
 )
 
-// Options come from the deploy file.
+// Options select the service to watch. They come from the deploy file.
 type Options struct {
-	Address string // host:port of the HTTP API
-	Service string
-	Token   string // "": none
-	Zone    string // of engines whose metadata name none
-	Kind    string // of engines whose metadata name none
+	Address string // address of the HTTP API, HOST:PORT
+	Service string // name of the service
+	Token   string // access token; "" for none
+	Zone    string // zone of engines whose metadata has none; "" for the name of their datacenter
+	Kind    string // kind of engines whose metadata has none
 }
 
-// Watcher watches one service: the catalogue tells what is registered and where, the health API
-// whether it may be sent to. All of it belongs to the goroutine that owns the endpoint list, but
-// for the two goroutines that Watch starts: each runs one query after the other, hands what it
-// reads over by post, and ends with its context. Nobody waits for them: what they hand over once
-// their context has ended is dropped.
+// Watcher watches one service. The catalog says which engines are registered and at which address;
+// the health API says which of them may receive queries.
+//
+// A watcher belongs to the goroutine that owns the endpoint list. Watch starts two more goroutines,
+// one for each API. Each runs one query after another, passes the results on by post, and ends with
+// its context. Nothing waits for them to end: results that arrive after their context has ended are
+// dropped.
 type Watcher struct {
-	post      func(func()) // to the goroutine that owns the endpoint list
+	post      func(func()) // runs a function on the goroutine that owns the endpoint list
 	endpoints endpoint.Updater
 	counters  *metrics.Counters
 	log       *slog.Logger
 	client    *http.Client
 
 	opts       Options
-	stopWatch  context.CancelFunc            // ends the present watch
-	registered []registration                // nil: not known yet
-	health     map[string]policy.EngineState // by engine id; nil: not known yet
-	published  map[string]core.Engine        // the entries published last, by id
+	stopWatch  context.CancelFunc            // ends the current watch
+	registered []registration                // nil until the catalog has responded
+	health     map[string]policy.EngineState // state by engine ID; nil until the health API has responded
+	published  map[string]core.Engine        // entries published last, by engine ID
 }
 
-// New returns a watcher whose updates are made by way of post.
+// New returns a watcher that updates the endpoints through post, which must run a function on the
+// goroutine that owns the endpoint list.
 func New(post func(func()), endpoints endpoint.Updater, counters *metrics.Counters, log *slog.Logger) *Watcher {
 	return &Watcher{
 		post: post, endpoints: endpoints, counters: counters, log: log,
@@ -52,18 +55,18 @@
 	}
 }
 
-// Restore takes what another watcher has published: engines that the first lists lack have departed
-// then. It comes before Watch.
+// Restore sets the engines that another watcher has published, such as one of the previous process. Those that the first lists do not
+// contain are then published as departed. It must be called before Watch.
 func (w *Watcher) Restore(engines []core.Engine) {
 	for _, e := range engines {
 		w.published[e.ID] = e
 	}
 }
 
-// Watch goes over to the service that the options name, and watches it until the context ends or
-// Watch is called again. What was published before holds until the new lists are here: an engine
-// that they lack has departed then. It is for the goroutine that owns the endpoint list and does
-// not block.
+// Watch switches to the service of the options and watches it until the context ends or Watch is
+// called again. Entries published before stay valid until the new lists have arrived; engines that
+// these do not contain are then published as departed. Watch must be called on the goroutine that owns
+// the endpoint list. It does not block.
 func (w *Watcher) Watch(ctx context.Context, opts Options) {
 	w.stopWatch()
 	ctx, w.stopWatch = context.WithCancel(ctx)
@@ -71,16 +74,18 @@
 	w.opts = opts
 	w.registered = nil
 	w.health = nil
-	go poll(ctx, w.newQuery(opts, "/v1/catalog/service/"), w.takeCatalogue)
-	go poll(ctx, w.newQuery(opts, "/v1/health/service/"), w.takeHealth)
+	go poll(ctx, w.newQuery(opts, "/v1/catalog/service/"), w.setCatalog)
+	go poll(ctx, w.newQuery(opts, "/v1/health/service/"), w.setHealth)
 }
 
-func (w *Watcher) takeCatalogue(list []registration) {
-	w.registered = append([]registration{}, list...) // not nil, also where nothing is registered
+// setCatalog stores a new list of the catalog and publishes the changes.
+func (w *Watcher) setCatalog(list []registration) {
+	w.registered = append([]registration{}, list...) // not nil, even if the list is empty
 	w.publish()
 }
 
-func (w *Watcher) takeHealth(list []healthEntry) {
+// setHealth stores a new list of the health API and publishes the changes.
+func (w *Watcher) setHealth(list []healthEntry) {
 	w.health = map[string]policy.EngineState{}
 	for i := range list {
 		w.health[list[i].engineID()] = list[i].state()
@@ -88,8 +93,8 @@
 	w.publish()
 }
 
-// publish updates what has changed once both lists are here. An engine that is no longer registered
-// has departed; one that the health API does not name yet is not listed.
+// publish updates the endpoints that changed, once both lists have arrived. An engine that is no
+// longer in both lists has departed.
 func (w *Watcher) publish() {
 	if w.registered == nil || w.health == nil {
 		return
@@ -116,13 +121,13 @@
 	w.endpoints.UpdateEndpoints(policy.ListChanges, changed)
 }
 
-// merge joins both lists by the engine's id.
+// merge joins both lists by engine ID. An engine that the health API does not list yet is left out.
 func (w *Watcher) merge() map[string]core.Engine {
 	merged := map[string]core.Engine{}
 	for i := range w.registered {
 		r := &w.registered[i]
 		if !r.valid() {
-			w.log.Warn("consul.invalid-registration", "consul", w.opts.Address, "error", "it has no id or no port")
+			w.log.Warn("consul.invalid-registration", "consul", w.opts.Address, "error", "no service ID, or a port outside 1 to 65535")
 			continue
 		}
 		e := r.engine(w.opts)
--- a/internal/discovery/endpoint/endpoint.go
+++ b/internal/discovery/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint holds what the sources of the endpoint list share.
+// Package endpoint holds the types and helpers that all sources of the endpoint list share.
 package endpoint
 
 import (
@@ -8,16 +8,17 @@
 	"gannetspur/policy"
 )
 
-// maxBootMS bounds the boot times that are believed, some 280 years from 1970 on.
+// maxBootMS is the exclusive upper bound of plausible boot times in milliseconds of Unix time, about 280 years after 1970.
 const maxBootMS = 1 << 43
 
-// Updater takes the endpoint list of discovery, or a change to it.
+// Updater receives the endpoint list, or a change to it, from discovery.
 type Updater interface {
+	// UpdateEndpoints replaces the list by the engines or applies them as changes, depending on the mode.
 	UpdateEndpoints(mode policy.ListMode, engines []core.Engine)
 }
 
-// SetBootTime sets when an engine started, in milliseconds of Unix time. A time that can't be
-// believed, 0 among them, leaves the start unknown.
+// SetBootTime sets the start of an engine from its boot time in milliseconds of Unix time. An
+// implausible time, including 0, leaves the start unknown.
 func SetBootTime(e *core.Engine, bootMS uint64) {
 	if bootMS == 0 || bootMS >= maxBootMS {
 		return
--- a/internal/discovery/eventbus/frame.go
+++ b/internal/discovery/eventbus/frame.go
@@ -7,34 +7,35 @@
 	"gannetspur/policy"
 )
 
-// A frame is a length, and so many bytes: the event's number, its kind and its payload. Numbers
-// are big-endian.
+// Sizes in bytes. A frame consists of its length, the event number, the kind and the payload. The
+// length does not count itself. Numbers are big-endian.
 const (
-	lengthSize = 4
-	numberSize = 8
-	kindSize   = 1
-	headSize   = lengthSize + numberSize + kindSize
-	minFrame   = numberSize + kindSize
-	maxFrame   = 1 << 20 // behind the length
+	lengthSize     = 4
+	numberSize     = 8
+	kindSize       = 1
+	headerSize     = lengthSize + numberSize + kindSize
+	minFrameLength = numberSize + kindSize
+	maxFrameLength = 1 << 20
 )
 
 // frame is one message of the bus.
 type frame struct {
-	number  uint64
+	number  uint64 // event number
 	kind    frameKind
-	payload []byte // within the buffer
+	payload []byte // slice of the parsed buffer
 }
 
-// frameKind is what a frame holds.
+// frameKind says what a frame contains.
 type frameKind byte
 
 const (
-	kindHeartbeat frameKind = 0
-	kindFullList  frameKind = 1
-	kindChanges   frameKind = 2
+	kindHeartbeat frameKind = 0 // sent while there are no events
+	kindFullList  frameKind = 1 // the complete endpoint list
+	kindChanges   frameKind = 2 // changed entries of the endpoint list
 )
 
-// listMode is what an event does to the endpoint list. A heartbeat changes nothing.
+// listMode returns how a frame of this kind changes the endpoint list. A heartbeat is treated as an
+// event without changes.
 func (k frameKind) listMode() (policy.ListMode, error) {
 	switch k {
 	case kindFullList:
@@ -42,18 +43,18 @@
 	case kindHeartbeat, kindChanges:
 		return policy.ListChanges, nil
 	}
-	return 0, fmt.Errorf("a frame of unknown kind %d", k)
+	return 0, fmt.Errorf("unknown frame kind %d", k)
 }
 
-// parseFrame reads the first frame of b. size is how many bytes it takes; 0 while it is not
-// complete.
+// parseFrame parses the first frame of b. size is the number of bytes of the frame, or 0 if b does
+// not hold a complete frame yet.
 func parseFrame(b []byte) (f frame, size int, err error) {
 	if len(b) < lengthSize {
 		return frame{}, 0, nil
 	}
 	length := binary.BigEndian.Uint32(b)
-	if length < minFrame || length > maxFrame {
-		return frame{}, 0, fmt.Errorf("a frame of %d bytes", length)
+	if length < minFrameLength || length > maxFrameLength {
+		return frame{}, 0, fmt.Errorf("frame length must be between %d and %d bytes, got %d", minFrameLength, maxFrameLength, length)
 	}
 	size = lengthSize + int(length)
 	if len(b) < size {
@@ -62,7 +63,7 @@
 	f = frame{
 		number:  binary.BigEndian.Uint64(b[lengthSize:]),
 		kind:    frameKind(b[lengthSize+numberSize]),
-		payload: b[headSize:size],
+		payload: b[headerSize:size],
 	}
 	return f, size, nil
 }
--- a/internal/discovery/eventbus/record.go
+++ b/internal/discovery/eventbus/record.go
@@ -10,29 +10,30 @@
 	"gannetspur/policy"
 )
 
-// Offsets within a record of one engine. Numbers are big-endian; bytes that are not named here are
-// of no use.
+// Offsets in bytes within the record of one engine. Numbers are big-endian. Bytes that are not listed
+// here are ignored.
 const (
 	idOffset     = 0  // 4 bytes
 	ipOffset     = 4  // 4 bytes, IPv4
 	portOffset   = 8  // 2 bytes
 	stateOffset  = 10 // 1 byte
-	zoneOffset   = 11 // 1 byte, an index
-	kindOffset   = 12 // 1 byte, an index
+	zoneOffset   = 11 // 1 byte, an index into the zones of the settings
+	kindOffset   = 12 // 1 byte, an index into the kinds of the settings
 	cellOffset   = 13 // 2 bytes
-	bootOffset   = 19 // 8 bytes, milliseconds of Unix time; 0: not known
+	bootOffset   = 19 // 8 bytes, milliseconds of Unix time; 0 if unknown
 	recordLength = 27
 )
 
-// recordStates are the engine states by their number in a record.
+// recordStates maps the state number in a record to the engine state.
 var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted}
 
-// recordDecoder reads the records of an event.
+// recordDecoder decodes the records in an event. zones and kinds are the names by index.
 type recordDecoder struct{ zones, kinds []string }
 
+// decode returns the engines of an event, whose payload is a sequence of records.
 func (d recordDecoder) decode(payload []byte) ([]core.Engine, error) {
 	if len(payload)%recordLength != 0 {
-		return nil, fmt.Errorf("%d bytes are not a multiple of a record", len(payload))
+		return nil, fmt.Errorf("payload length must be a multiple of %d bytes, got %d", recordLength, len(payload))
 	}
 	list := make([]core.Engine, 0, len(payload)/recordLength)
 	for ; len(payload) > 0; payload = payload[recordLength:] {
@@ -45,10 +46,11 @@
 	return list, nil
 }
 
+// decodeRecord decodes a record of recordLength bytes.
 func (d recordDecoder) decodeRecord(b []byte) (core.Engine, error) {
 	state := int(b[stateOffset])
 	if state >= len(recordStates) {
-		return core.Engine{}, fmt.Errorf("unknown state %d", state)
+		return core.Engine{}, fmt.Errorf("unknown engine state %d", state)
 	}
 	ip := netip.AddrFrom4([4]byte(b[ipOffset:portOffset]))
 	e := core.Engine{
@@ -63,7 +65,7 @@
 	return e, nil
 }
 
-// nameAt is a list's entry; "" where the settings lack it.
+// nameAt returns the name at the index, or "" if the settings have no such entry.
 func nameAt(names []string, index byte) string {
 	if int(index) < len(names) {
 		return names[index]
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	maxSilence   = 2500 * time.Millisecond // the bus sends a heartbeat each second
+	maxSilence   = 2500 * time.Millisecond // time without a frame until reconnecting; the bus sends a heartbeat each second
 	dialTimeout  = time.Second
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
 )
 
 var (
-	errSilent = errors.New("no frame for too long")
-	errClosed = errors.New("connection closed")
+	errSilent = errors.New("no frame received within the time limit")
+	errClosed = errors.New("connection closed by the event bus")
 )
 
-// Options say which bus is watched.
+// Options select the event bus to watch and the event to start after.
 type Options struct {
-	Address   string
-	LastEvent uint64 // number of the last event taken; 0: none
-	// Zones and Kinds are the lists of the settings that records give indexes into.
+	Address   string // HOST:PORT
+	LastEvent uint64 // number of the last event applied; 0 for none
+	// Zones and Kinds are the lists of the settings that records refer to by index.
 	Zones, Kinds []string
 }
 
-// Watcher keeps one connection to the bus, and reconnects behind the last event that it took. It
-// belongs to the loop's goroutine and starts none of its own.
+// Watcher keeps one connection to the event bus. After a reconnect it resumes after the last event
+// that it applied. It belongs to the loop's goroutine and starts no other.
 type Watcher struct {
 	loop      *netio.Loop
 	address   string
@@ -44,18 +44,18 @@
 	counters  *metrics.Counters
 	log       *slog.Logger
 
-	lastEvent  uint64
-	conn       *netio.Conn // nil: there is none
-	dials      int         // begun
-	cancelDial func()      // of the latest; nil: there was none
-	retry      *timerqueue.Entry
-	backoff    time.Duration // before the next dial
-	silence    *timerqueue.Entry
-	maxSilence time.Duration
-	stopped    bool
+	lastEvent    uint64            // number of the last event applied
+	conn         *netio.Conn       // nil while not connected
+	dialCount    int               // number of dials started, which identifies the latest
+	cancelDial   func()            // cancels the latest dial; nil before the first
+	retryTimer   *timerqueue.Entry // starts the next dial; nil before the first retry
+	backoff      time.Duration     // delay before the next retry
+	silenceTimer *timerqueue.Entry // ends a connection without frames; nil before the first connection
+	maxSilence   time.Duration     // the constant maxSilence, except in tests
+	stopped      bool              // Stop was called
 }
 
-// New returns a watcher that goes on after the last event of the options, once it is started.
+// New returns a watcher that resumes after the last event of the options once it is started.
 func New(loop *netio.Loop, opts Options, endpoints endpoint.Updater, counters *metrics.Counters, log *slog.Logger) *Watcher {
 	return &Watcher{
 		loop: loop, address: opts.Address, decoder: recordDecoder{zones: opts.Zones, kinds: opts.Kinds},
@@ -64,21 +64,21 @@
 	}
 }
 
-// LastEvent is the number of the last event taken.
+// LastEvent returns the number of the last event applied, or 0 if there is none.
 func (w *Watcher) LastEvent() uint64 { return w.lastEvent }
 
-// Start connects, and again whenever the connection ends or falls silent, until Stop.
+// Start connects, and reconnects whenever the connection ends or is silent for too long, until Stop.
 func (w *Watcher) Start() {
-	w.dials++
-	dial := w.dials
-	w.cancelDial = w.loop.DialReserved(w.address, dialTimeout, maxFrame+lengthSize, w, func(c *netio.Conn, err error) {
-		w.dialed(dial, c, err)
+	w.dialCount++
+	dial := w.dialCount
+	w.cancelDial = w.loop.DialReserved(w.address, dialTimeout, maxFrameLength+lengthSize, w, func(c *netio.Conn, err error) {
+		w.handleDial(dial, c, err)
 	})
 }
 
-// dialed takes the end of a dial.
-func (w *Watcher) dialed(dial int, c *netio.Conn, err error) {
-	superseded := w.stopped || dial != w.dials
+// handleDial handles the result of a dial. The connection of a superseded dial is closed.
+func (w *Watcher) handleDial(dial int, c *netio.Conn, err error) {
+	superseded := w.stopped || dial != w.dialCount
 	switch {
 	case superseded && err != nil:
 	case superseded:
@@ -88,12 +88,12 @@
 	default:
 		w.conn = c
 		c.Write(binary.BigEndian.AppendUint64(nil, w.lastEvent))
-		w.expectFrame()
+		w.resetSilenceTimer()
 	}
 }
 
-// SwitchTo goes over to the bus at another address, behind the last event taken. Where the address
-// is the same it reconnects only if it is not connected.
+// SwitchTo connects to the event bus at another address and resumes after the last event applied. If
+// the address is unchanged, it reconnects only if there is no connection.
 func (w *Watcher) SwitchTo(address string) {
 	if w.stopped || address == w.address && w.conn != nil {
 		return
@@ -105,65 +105,68 @@
 	w.Start()
 }
 
-// Stop ends the connection for good.
+// Stop ends the connection and prevents any other.
 func (w *Watcher) Stop() {
 	w.stopped = true
 	w.disconnect()
 }
 
-// disconnect lets go of the present bus: its connection, its dial and the next retry.
+// disconnect ends the connection, the dial in progress and the timers.
 func (w *Watcher) disconnect() {
-	w.silence.Stop()
-	w.retry.Stop()
+	w.silenceTimer.Stop()
+	w.retryTimer.Stop()
 	if w.cancelDial != nil {
 		w.cancelDial()
 	}
 	w.closeConn()
 }
 
+// closeConn closes the connection, if there is one, without a reconnect.
 func (w *Watcher) closeConn() {
 	c := w.conn
 	if c == nil {
 		return
 	}
-	w.conn = nil // before Close, which may call Closed
+	w.conn = nil // reset before Close, which may call Closed
 	c.Close()
 }
 
-// expectFrame restarts the wait for the next frame. Guards against a bus that vanishes without
-// closing: its connection would stay open forever.
-func (w *Watcher) expectFrame() {
-	w.silence.Stop()
-	w.silence = w.loop.Timers.Add(w.loop.Now()+w.maxSilence, func() {
+// resetSilenceTimer restarts the wait for the next frame. Without it, the connection to a bus that
+// disappears without closing it would stay open forever.
+func (w *Watcher) resetSilenceTimer() {
+	w.silenceTimer.Stop()
+	w.silenceTimer = w.loop.Timers.Add(w.loop.Now()+w.maxSilence, func() {
 		if w.conn != nil {
 			w.fail(errSilent)
 		}
 	})
 }
 
-// fail ends the connection and has another one follow.
+// fail ends the connection and schedules a reconnect.
 func (w *Watcher) fail(err error) {
 	w.closeConn()
 	w.reconnectLater(err)
 }
 
+// reconnectLater logs the error and schedules a dial after the backoff, which it doubles up to
+// maxBackoff.
 func (w *Watcher) reconnectLater(err error) {
-	w.silence.Stop()
+	w.silenceTimer.Stop()
 	if w.stopped {
 		return
 	}
 	w.counters.Add("bus.reconnects")
 	w.log.Warn("bus.lost", "bus", w.address, "error", err, "retry_in", w.backoff)
-	w.retry = w.loop.Timers.Add(w.loop.Now()+w.backoff, w.Start)
+	w.retryTimer = w.loop.Timers.Add(w.loop.Now()+w.backoff, w.Start)
 	w.backoff = min(2*w.backoff, maxBackoff)
 }
 
-// Data takes the frames that are complete. It is netio's call.
+// Data handles all complete frames in the buffer. It implements netio.Handler.
 func (w *Watcher) Data(c *netio.Conn, in *netio.Buffer) {
 	for c == w.conn {
 		f, size, err := parseFrame(in.Bytes())
 		if err == nil && size > 0 {
-			err = w.takeFrame(f)
+			err = w.handleFrame(f)
 			in.Consume(size)
 		}
 		if err != nil {
@@ -176,7 +179,7 @@
 	}
 }
 
-// Closed reconnects. It is netio's call.
+// Closed schedules a reconnect. It implements netio.Handler.
 func (w *Watcher) Closed(c *netio.Conn, err error) {
 	if c != w.conn {
 		return
@@ -188,10 +191,10 @@
 	w.reconnectLater(err)
 }
 
-// takeFrame takes one frame: a heartbeat, or an event, which it skips if it was taken before.
-func (w *Watcher) takeFrame(f frame) error {
+// handleFrame handles a heartbeat or applies an event. An event that was applied before is skipped.
+func (w *Watcher) handleFrame(f frame) error {
 	w.backoff = firstBackoff
-	w.expectFrame()
+	w.resetSilenceTimer()
 	mode, err := f.kind.listMode()
 	if err != nil {
 		return err
