--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,13 +9,13 @@
 	"gannetspur/policy"
 )
 
-// A configuration that can't be used is refused with the name of the field.
-func TestFaultsNameTheField(t *testing.T) {
+// TestParseFaults checks that the error of an invalid configuration names the field.
+func TestParseFaults(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/toy/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := string(raw)
+	valid := string(raw)
 	for _, tt := range []struct{ old, new, field string }{
 		{`"listen": "127.0.0.1:9090"`, `"listen": "nowhere"`, "listen"},
 		{`"listen": "127.0.0.1:9090"`, `"listen": 5`, "listen"},
@@ -30,15 +30,15 @@
 		{``, ``, ""},
 		{`"when-short": "queue"`, `"when-short": "odd"`, "extra.when-short"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tt.old, tt.new, 1)))
+		_, err := Parse([]byte(strings.Replace(valid, tt.old, tt.new, 1)))
 		if tt.field == "" {
 			if err != nil {
-				t.Errorf("a good one: %v", err)
+				t.Errorf("Parse() of a valid configuration: error %v, want none", err)
 			}
 			continue
 		}
 		if err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("%s: got %v, want the name %s", tt.new, err, tt.field)
+			t.Errorf("Parse() with %s: error %v, want one that names %s", tt.new, err, tt.field)
 		}
 	}
 	c, err := Parse(raw)
@@ -46,12 +46,13 @@
 		t.Fatal(err)
 	}
 	if e := c.Known[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineLive || e.StartKnown || c.Offset != 1 {
-		t.Errorf("read %+v", c)
+		t.Errorf("Parse() = %+v, want the live engine s-00000001 of unknown start first, and offset 1", c)
 	}
 }
 
-// So is a deploy file of the second front; without an address it is off.
-func TestPostgresFaultsNameTheField(t *testing.T) {
+// TestLoadPostgresFaults checks that the error of an invalid deploy file names the field, and that a
+// file without a listen address is valid.
+func TestLoadPostgresFaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +88,7 @@
 		}
 		_, err := LoadPostgres(path)
 		if (err == nil) != (tt.field == "") || err != nil && !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("%s: got %v, want the name %q", tt.new, err, tt.field)
+			t.Errorf("LoadPostgres() with %s: error %v, want the field %q, where \"\" is no error", tt.new, err, tt.field)
 		}
 	}
 }
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestSettingsKeys guards the settings' keys, as operators write them, against renames of the fields behind them: another
-// value of a key that the gateway reads shows in what is read, and one of a key that it skips does not.
+// TestSettingsKeys guards the keys of the settings against a rename of a Go field that changes its key. It changes the value
+// of each key: for a key that the gateway reads, the decoded settings must differ; for one that it skips, they must not.
 func TestSettingsKeys(t *testing.T) {
 	raw, err := os.ReadFile("testdata/all-settings.json")
 	if err != nil {
@@ -31,26 +31,26 @@
 		}
 		columns := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 		if len(columns) != 3 {
-			t.Fatalf("settings-keys.tsv: %q has not three columns", line)
+			t.Fatalf("settings-keys.tsv: line %q has %d columns, want 3", line, len(columns))
 		}
 		key, use, other := columns[0], columns[1], columns[2]
 		listed++
 		t.Run(key, func(t *testing.T) {
 			var got Site
 			if err := json.Unmarshal(withSetting(t, raw, key, other), &got); err != nil {
-				t.Fatalf("settings with %s = %s: %v", key, other, err)
+				t.Fatalf("decode settings with %s = %s: %v", key, other, err)
 			}
 			if read := !reflect.DeepEqual(got, want); read != (use == "read") {
-				t.Errorf("a change of %s shows = %v, and the table says that it is %s", key, read, use)
+				t.Errorf("decoded settings differ after a change of %s = %v, want %v: the key is listed as %s", key, read, use == "read", use)
 			}
 		})
 	}
 	if listed != countSettings(t, raw) {
-		t.Errorf("the table lists %d keys, the settings have %d", listed, countSettings(t, raw))
+		t.Errorf("settings-keys.tsv lists %d keys, want the %d of all-settings.json", listed, countSettings(t, raw))
 	}
 }
 
-// withSetting returns the settings with one key changed. "[]" in a key stands for the first of a list.
+// withSetting returns the settings with the value of one key replaced. "[]" in a key selects the first element of a list.
 func withSetting(t *testing.T, raw []byte, key, value string) []byte {
 	t.Helper()
 	var document map[string]any
@@ -69,7 +69,7 @@
 	}
 	last := parts[len(parts)-1]
 	if _, ok := object[last]; !ok {
-		t.Fatalf("all-settings.json has no %s", key)
+		t.Fatalf("all-settings.json has no key %s", key)
 	}
 	object[last] = json.RawMessage(value)
 	changed, err := json.Marshal(document)
@@ -79,7 +79,7 @@
 	return changed
 }
 
-// countSettings counts the keys that hold a value, or a list of values.
+// countSettings counts the keys whose value is a scalar or a list of scalars. Of a list of objects it counts the first.
 func countSettings(t *testing.T, raw []byte) int {
 	t.Helper()
 	var document any
@@ -106,8 +106,8 @@
 	return count(document)
 }
 
-// TestEventSum holds the sums that version c18a9bd makes of the endpoint list's events. A process that takes another's place
-// compares its sum with that of the other, which may be of that version.
+// TestEventSum compares the checksums of known events with those that version c18a9bd computed. A process that replaces
+// another compares its checksum with that of the other process, which may run that version.
 func TestEventSum(t *testing.T) {
 	tests := []struct {
 		file string
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestSettingsTypeErrors holds what operators read of a setting of the wrong type: the fault of each key that the gateway
-// reads, as the code before the fields were renamed named it.
+// TestSettingsTypeErrors guards the fault that operators see for a setting of the wrong type, for each key that the gateway
+// reads. A rename of a Go field would change the name in the fault; the expected texts were recorded before such renames.
 func TestSettingsTypeErrors(t *testing.T) {
 	raw, err := os.ReadFile("testdata/all-settings.json")
 	if err != nil {
@@ -157,6 +157,6 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("faults:\n%s\nwant:\n%s", got.String(), want)
+		t.Errorf("faults of wrong types: got\n%s\nwant\n%s", got.String(), want)
 	}
 }
--- a/internal/config/shapes_test.go
+++ b/internal/config/shapes_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Each class that statements are sorted into must be one of the settings', safe to repeat, and above the one before.
-func TestShapeClassFaultsNameTheField(t *testing.T) {
+// TestShapeClassFaults checks that each class of reading statements must be a class of the settings, idempotent, and have a
+// bound above that of the previous class.
+func TestShapeClassFaults(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -19,11 +20,11 @@
 	}
 	withoutShapes, _, _ := strings.Cut(string(deploy), "[shapes]")
 	tests := map[string]struct{ classes, field string }{
-		"valid":           {"[[shapes.class]]\nname = \"lookup\"\nup_to_ms = 800\n[[shapes.class]]\nname = \"report\"\n", ""},
-		"unknown":         {"[[shapes.class]]\nname = \"odd\"\n", "shapes.class[0].name"},
-		"not idempotent":  {"[[shapes.class]]\nname = \"load\"\n", "shapes.class[0].name"},
-		"last has an end": {"[[shapes.class]]\nname = \"lookup\"\nup_to_ms = 800\n", "shapes.class[0].up_to_ms"},
-		"no end":          {"[[shapes.class]]\nname = \"lookup\"\n[[shapes.class]]\nname = \"report\"\n", "shapes.class[0].up_to_ms"},
+		"valid":               {"[[shapes.class]]\nname = \"lookup\"\nup_to_ms = 800\n[[shapes.class]]\nname = \"report\"\n", ""},
+		"unknown class":       {"[[shapes.class]]\nname = \"odd\"\n", "shapes.class[0].name"},
+		"not idempotent":      {"[[shapes.class]]\nname = \"load\"\n", "shapes.class[0].name"},
+		"bound of last class": {"[[shapes.class]]\nname = \"lookup\"\nup_to_ms = 800\n", "shapes.class[0].up_to_ms"},
+		"missing bound":       {"[[shapes.class]]\nname = \"lookup\"\n[[shapes.class]]\nname = \"report\"\n", "shapes.class[0].up_to_ms"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -40,12 +41,12 @@
 			faults := FaultsOf(err)
 			if tt.field == "" {
 				if err != nil {
-					t.Errorf("LoadPostgres() = %v, want no fault", err)
+					t.Errorf("LoadPostgres() error = %v, want none", err)
 				}
 				return
 			}
 			if len(faults) != 1 || faults[0].Field != tt.field {
-				t.Errorf("faults = %v, want one of %s", faults, tt.field)
+				t.Errorf("faults = %v, want one fault of %s", faults, tt.field)
 			}
 		})
 	}
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The deploy file is good, and says what the decisions' defaults are.
-func TestSitesFile(t *testing.T) {
+// TestSitesDeployFile checks that the deploy file is valid and sets the defaults of the forwarding decisions.
+func TestSitesDeployFile(t *testing.T) {
 	s, err := LoadSites("../../deploy/sites.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -22,20 +22,20 @@
 	want := decide.Defaults()
 	want.MaxAttempts = 3
 	if diff := cmp.Diff(want, s.Decide(3)); diff != "" {
-		t.Error(diff)
+		t.Errorf("Decide(3) (-want +got):\n%s", diff)
 	}
 	if s.Keys.Key != filepath.Join("../../deploy", "sites/lalitpur-1.key") || len(s.Peers) != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("LoadSites() = %+v, want one peer and the key ../../deploy/sites/lalitpur-1.key", s)
 	}
 }
 
-// Every fault is named with its line.
+// TestSitesFaults checks that each fault has its field and line.
 func TestSitesFaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/sites.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, tt := range []struct{ old, new, want string }{
+	for _, tt := range []struct{ old, new, field string }{
 		{`site = "lalitpur" `, `site = "Lalitpur" `, "site"},
 		{`gateway = "lalitpur-1"`, `gateway = ""`, "gateway"},
 		{`listen = "127.0.0.1:7443"`, `listen = "nowhere"`, "listen"},
@@ -51,18 +51,18 @@
 		path := filepath.Join(t.TempDir(), "sites.toml")
 		text := strings.Replace(string(raw), tt.old, tt.new, 1)
 		if text == string(raw) {
-			t.Fatalf("the deploy file has no %q", tt.old)
+			t.Fatalf("deploy/sites.toml does not contain %q", tt.old)
 		}
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := LoadSites(path)
 		faults := FaultsOf(err)
-		if !slices.ContainsFunc(faults, func(f Fault) bool { return f.Field == tt.want && f.Line > 0 }) {
-			t.Errorf("%s: %v", tt.want, err)
+		if !slices.ContainsFunc(faults, func(f Fault) bool { return f.Field == tt.field && f.Line > 0 }) {
+			t.Errorf("LoadSites() with %s: error %v, want a fault of %s with its line", tt.new, err, tt.field)
 		}
 	}
 	if d := decide.Defaults(); d.DigestMaxAge != 8*d.DigestInterval || d.UnreachableAfter < 3*d.DigestInterval || d.DigestInterval < 20*time.Millisecond {
-		t.Errorf("the defaults don't fit each other: %+v", d)
+		t.Errorf("Defaults() = %+v, want DigestMaxAge = 8 * DigestInterval, UnreachableAfter >= 3 * DigestInterval and DigestInterval >= 20 ms", d)
 	}
 }
--- a/internal/config/users_test.go
+++ b/internal/config/users_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-const office = `[[user]]
+const officeUser = `[[user]]
 name = "office"
 verifier = "SCRAM-SHA-256$4096:W22ZaJ0SNY7soEsUEjb6gQ==$WG5d8oPm3OtcPnkdi4Uo7BkeZkBFzpcXkuLmtbsT4qY=:wfPLwcE6nTWhTAmQ7tl2KeoiWGPlZqQxSrmfPwDl2dU="
 classes = ["lookup"]
 most_clients = 2
 `
 
-// Users are read beside the deploy file, and every fault is named with its file and line.
-func TestUsers(t *testing.T) {
-	read := func(users string) (*Postgres, error) {
+// TestLoadUsers checks that users are read from a file beside the deploy file, and that each fault has its file and line.
+func TestLoadUsers(t *testing.T) {
+	load := func(users string) (*Postgres, error) {
 		dir := t.TempDir()
 		for _, name := range []string{"postgres.toml", "postgres-settings.json"} {
 			raw, err := os.ReadFile(filepath.Join("../../deploy", name))
@@ -34,24 +34,24 @@
 		}
 		return LoadPostgres(filepath.Join(dir, "postgres.toml"))
 	}
-	p, err := read(office)
+	p, err := load(officeUser)
 	if err != nil || len(p.Logins) != 1 || p.Logins[0].Name != "office" || p.Logins[0].MaxClients != 2 {
-		t.Fatalf("%+v, %v", p, err)
+		t.Fatalf("LoadPostgres() = %+v, %v, want the user office with 2 clients", p, err)
 	}
-	for _, tt := range []struct{ old, new, want string }{
+	for _, tt := range []struct{ old, new, field string }{
 		{`"office"`, `""`, "user[0].name"}, {"4096", "1", "user[0].verifier"}, {`"lookup"`, `"sums"`, "user[0].classes"}, {"most_clients = 2", "most_clients = -1", "user[0].most_clients"},
 		{"classes =", "class =", "user.class"},
 	} {
-		_, err := read(strings.Replace(office, tt.old, tt.new, 1))
+		_, err := load(strings.Replace(officeUser, tt.old, tt.new, 1))
 		if !slices.ContainsFunc(FaultsOf(err), func(f Fault) bool {
-			return f.Field == tt.want && (f.Line > 0 || tt.want == "user.class") && strings.HasSuffix(f.File, "users.toml")
+			return f.Field == tt.field && (f.Line > 0 || tt.field == "user.class") && strings.HasSuffix(f.File, "users.toml")
 		}) {
-			t.Errorf("%s: %v", tt.want, err)
+			t.Errorf("LoadPostgres() with %s: error %v, want a fault of %s in users.toml with its line", tt.new, err, tt.field)
 		}
 	}
-	for _, none := range []string{"", office + office} {
-		if _, err := read(none); err == nil {
-			t.Errorf("read %q", none)
+	for _, invalid := range []string{"", officeUser + officeUser} {
+		if _, err := load(invalid); err == nil {
+			t.Errorf("LoadPostgres() with the users %q: no error, want one", invalid)
 		}
 	}
 }
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -18,8 +18,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// stateNames are the names of engine states by value.
 var stateNames = [...]string{"departed", "draining", "live"}
 
+// recorder is an endpoint.Updater that sends each update as text.
 type recorder chan string
 
 func (r recorder) UpdateEndpoints(_ policy.ListMode, list []core.Engine) {
@@ -30,19 +32,19 @@
 	r <- strings.Join(entries, "; ")
 }
 
-// agent stands in for a Consul agent: it holds a query until its index passes the one that was
-// asked with, and fails as many queries as a test says.
-type agent struct {
-	mu      sync.Mutex
-	changed chan struct{}
-	index   uint64
-	failing int
-	engines map[string]string // checks by service id, as "passing", "critical", "maintenance"
-	queries []string          // path and token of each query
+// fakeAgent is a Consul agent. It blocks a query until the current index differs from that of the
+// query, and fails as many queries as a test sets.
+type fakeAgent struct {
+	mu       sync.Mutex
+	changed  chan struct{} // closed at the next change
+	index    uint64
+	failures int               // number of queries still to fail
+	engines  map[string]string // check by service ID: "passing", "warning", "critical" or "maintenance"
+	queries  []string          // path and token of each query
 }
 
-// locked runs f while no query is answered, and has those that are held looked at again.
-func (a *agent) locked(f func()) {
+// update changes the agent by f and wakes the blocked queries.
+func (a *fakeAgent) update(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f()
@@ -50,9 +52,9 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *fakeAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	for r.URL.Query().Get("index") == strconv.FormatUint(a.index, 10) && a.failing == 0 {
+	for r.URL.Query().Get("index") == strconv.FormatUint(a.index, 10) && a.failures == 0 {
 		changed := a.changed
 		a.mu.Unlock()
 		select {
@@ -64,8 +66,8 @@
 	}
 	defer a.mu.Unlock()
 	a.queries = append(a.queries, r.URL.Path+" "+r.Header.Get("X-Consul-Token"))
-	if a.failing > 0 {
-		a.failing--
+	if a.failures > 0 {
+		a.failures--
 		http.Error(w, "no leader", http.StatusInternalServerError)
 		return
 	}
@@ -86,15 +88,16 @@
 	_, _ = fmt.Fprintf(w, "[%s]", strings.Join(list, ","))
 }
 
-// An engine is live, in maintenance, critical and deregistered in turn; queries fail meanwhile, and
-// the index goes back as after a restore. Each change is published once.
-func TestWatchesHealth(t *testing.T) {
-	a := &agent{index: 50, engines: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
+// TestWatchStateChanges checks that each change of an engine is published once: it is live, in
+// maintenance, critical, live again and deregistered. In between, queries fail, and the index decreases
+// as it does after a restore of the servers.
+func TestWatchStateChanges(t *testing.T) {
+	a := &fakeAgent{index: 50, engines: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
 	srv := httptest.NewServer(a)
 	t.Cleanup(srv.Close)
 	updates := make(recorder, 10)
-	var owner sync.Mutex // stands for the goroutine that owns the endpoint list
-	post := func(f func()) { owner.Lock(); defer owner.Unlock(); f() }
+	var ownerMu sync.Mutex // in place of the goroutine that owns the endpoint list
+	post := func(f func()) { ownerMu.Lock(); defer ownerMu.Unlock(); f() }
 	counters := metrics.New()
 	w := New(post, updates, counters, slog.New(slog.DiscardHandler))
 	opts := Options{Address: strings.TrimPrefix(srv.URL, "http://"), Service: "stock", Token: "tok", Zone: "hall-a"}
@@ -105,18 +108,18 @@
 	}{
 		{func() {}, "live"},
 		{func() { a.index++; a.engines["e1"] = "maintenance" }, "draining"},
-		{func() { a.failing = 2; a.index++; a.engines["e1"] = "critical" }, "departed"},
+		{func() { a.failures = 2; a.index++; a.engines["e1"] = "critical" }, "departed"},
 		{func() { a.index = 3; a.engines["e1"] = "warning" }, "live"},
 		{func() { a.index++; delete(a.engines, "e1") }, "departed"},
 	} {
-		a.locked(step.change)
+		a.update(step.change)
 		select {
 		case got := <-updates:
 			if diff := cmp.Diff("n1/e1 127.0.0.1:70 hall-a/std-8 "+step.want, got); diff != "" {
 				t.Errorf("update (-want +got):\n%s", diff)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("no update says that it is %s", step.want)
+			t.Fatalf("no update within 10 s, want the state %s", step.want)
 		}
 	}
 	post(func() {
@@ -124,16 +127,16 @@
 			t.Errorf("consul.errors = %d, want 2", n)
 		}
 	})
-	a.locked(func() {
+	a.update(func() {
 		for _, path := range []string{"/v1/catalog/service/stock tok", "/v1/health/service/stock tok"} {
 			if !strings.Contains(strings.Join(a.queries, "\n"), path) {
-				t.Errorf("no query for %s", path)
+				t.Errorf("queries = %q, want one for %s", a.queries, path)
 			}
 		}
 	})
 	select {
 	case extra := <-updates:
-		t.Errorf("one more update: %s", extra)
+		t.Errorf("additional update %q, want none", extra)
 	default:
 	}
 }
--- a/internal/discovery/eventbus/frame_test.go
+++ b/internal/discovery/eventbus/frame_test.go
@@ -12,12 +12,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// appendFrame returns the bytes of a frame.
 func appendFrame(number uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	b = append(binary.BigEndian.AppendUint64(b, number), kind)
 	return append(b, payload...)
 }
 
+// record returns the bytes of the record of an engine at 127.0.0.9, with the second zone, the first kind and cell 3.
 func record(id uint32, port uint16, state byte, bootMS uint64) []byte {
 	b := binary.BigEndian.AppendUint32(nil, id)
 	b = binary.BigEndian.AppendUint16(append(b, 127, 0, 0, 9), port)
@@ -25,8 +27,9 @@
 	return binary.BigEndian.AppendUint64(b, bootMS)
 }
 
-// The bus's bytes are fixed: an event of each kind, with each state, cut short at each length.
-func TestWireForm(t *testing.T) {
+// TestWireFormat checks the decoding of recorded bytes, which the event bus defines: a frame of each
+// kind, records of each state, and each frame and payload truncated to every length.
+func TestWireFormat(t *testing.T) {
 	decoder := recordDecoder{zones: []string{"hall-a", "hall-b"}, kinds: []string{"std-8"}}
 	for name, tt := range map[string]struct {
 		bytes string
@@ -62,7 +65,7 @@
 			}
 			f, size, err := parseFrame(append(b, 0xaa))
 			if err != nil || size != len(b) || f.kind != tt.kind || f.number != binary.BigEndian.Uint64(b[4:]) {
-				t.Fatalf("parseFrame() = %+v, %d, %v; want kind %d of %d bytes", f, size, err, tt.kind, len(b))
+				t.Fatalf("parseFrame() = %+v, %d, %v, want kind %d, number %d and size %d", f, size, err, tt.kind, binary.BigEndian.Uint64(b[4:]), len(b))
 			}
 			if mode, err := f.kind.listMode(); err != nil || mode != tt.mode {
 				t.Errorf("listMode() = %v, %v, want %v", mode, err, tt.mode)
@@ -72,52 +75,52 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(append([]core.Engine{}, tt.want...), got); diff != "" {
-				t.Errorf("engines (-want +got):\n%s", diff)
+				t.Errorf("decode() (-want +got):\n%s", diff)
 			}
 			for n := range b {
 				if _, size, err := parseFrame(b[:n]); size != 0 || err != nil {
-					t.Errorf("parseFrame(the first %d bytes) = size %d, error %v, want an incomplete frame", n, size, err)
+					t.Errorf("parseFrame() of the first %d bytes = size %d, error %v, want 0 and none", n, size, err)
 				}
 			}
 			for n := range f.payload {
 				if _, err := decoder.decode(f.payload[:n]); (err == nil) != (n%recordLength == 0) {
-					t.Errorf("decode(the first %d bytes of the payload): error %v", n, err)
+					t.Errorf("decode() of the first %d bytes of the payload: error %v, want an error = %v", n, err, n%recordLength != 0)
 				}
 			}
 		})
 	}
 }
 
-// What no bus sends is refused.
-func TestWireFormRefused(t *testing.T) {
+// TestWireFormatErrors checks that invalid lengths, kinds and states are rejected.
+func TestWireFormatErrors(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"too short a frame": {0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1},
-		"too long a frame":  {0, 0x10, 0, 1},
+		"length below the minimum": {0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1},
+		"length above the maximum": {0, 0x10, 0, 1},
 	} {
 		if _, _, err := parseFrame(b); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s: parseFrame() returned no error, want one", name)
 		}
 	}
 	if _, err := frameKind(3).listMode(); err == nil {
-		t.Error("a frame of kind 3 was taken")
+		t.Error("listMode() of frame kind 3 returned no error, want one")
 	}
 	const unknownState = 3
 	if _, err := (recordDecoder{}).decode(record(7, 70, unknownState, 0)); err == nil {
-		t.Error("a record of an unknown state was taken")
+		t.Errorf("decode() of a record with state %d returned no error, want one", unknownState)
 	}
 }
 
-// Frames from a broken bus are refused, never read past their end.
+// FuzzParse checks that arbitrary bytes are decoded or rejected without reading past their end.
 func FuzzParse(f *testing.F) {
 	f.Add(appendFrame(4, 2, record(7, 70, 0, 0)...))
 	f.Add([]byte{0, 0, 0, 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		parsed, size, err := parseFrame(b)
 		if size > len(b) || err != nil && size != 0 {
-			t.Fatalf("%d of %d bytes, %v", size, len(b), err)
+			t.Fatalf("parseFrame() = size %d, error %v, want at most %d, and 0 with an error", size, err, len(b))
 		}
-		if list, err := (recordDecoder{}).decode(parsed.payload); err == nil && len(list)*recordLength != len(parsed.payload) {
-			t.Fatalf("%d records of %d bytes", len(list), len(parsed.payload))
+		if engines, err := (recordDecoder{}).decode(parsed.payload); err == nil && len(engines)*recordLength != len(parsed.payload) {
+			t.Fatalf("decode() = %d engines of a payload of %d bytes, want one for every %d bytes", len(engines), len(parsed.payload), recordLength)
 		}
 	})
 }
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -18,15 +18,18 @@
 
 // update is one call of an endpoint.Updater.
 type update struct {
-	mode policy.ListMode
-	list []core.Engine
+	mode    policy.ListMode
+	engines []core.Engine
 }
 
+// recorder is an endpoint.Updater that sends each update.
 type recorder chan update
 
-func (r recorder) UpdateEndpoints(mode policy.ListMode, list []core.Engine) { r <- update{mode, list} }
+func (r recorder) UpdateEndpoints(mode policy.ListMode, engines []core.Engine) {
+	r <- update{mode, engines}
+}
 
-// run starts the watcher on its loop, and ends both with the test.
+// run starts the watcher and its loop, and stops both at the end of the test.
 func run(t *testing.T, loop *netio.Loop, w *Watcher) {
 	t.Helper()
 	loop.Post(w.Start)
@@ -38,32 +41,32 @@
 	})
 }
 
-// The bus dies between two events, in the middle of a frame, and comes back: the
-// watcher resumes from the last number that it has taken. What comes twice counts once, and
-// garbage ends the connection alone.
-func TestResumesFromLastEvent(t *testing.T) {
+// TestResumeAfterLastEvent checks that the watcher resumes after the last event applied when the bus
+// fails between two events, in the middle of a frame. An event that is sent again is applied once, and
+// an invalid frame ends only the connection.
+func TestResumeAfterLastEvent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	starts := make(chan uint64, 10)
-	scripts := [][]byte{
+	resumedAfter := make(chan uint64, 10) // event number that each connection begins with
+	responses := [][]byte{                // by connection
 		append(appendFrame(4, 1, record(7, 70, 0, 0)...), appendFrame(5, 2, record(8, 80, 0, 5000)...)[:20]...),
 		append(appendFrame(0, 0), appendFrame(5, 9)...),
 		append(appendFrame(4, 1), appendFrame(5, 2, record(8, 80, 1, 5000)...)...),
 	}
 	go func() {
-		for _, s := range scripts {
+		for _, response := range responses {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			var b [8]byte
 			_, _ = io.ReadFull(c, b[:])
-			starts <- binary.BigEndian.Uint64(b[:])
-			_, _ = c.Write(s)
-			if len(starts) < len(scripts) {
+			resumedAfter <- binary.BigEndian.Uint64(b[:])
+			_, _ = c.Write(response)
+			if len(resumedAfter) < len(responses) {
 				_ = c.Close()
 			}
 		}
@@ -81,7 +84,7 @@
 		case u := <-updates:
 			got = append(got, u)
 		case <-time.After(10 * time.Second):
-			t.Fatalf("updates = %v, want 2", got)
+			t.Fatalf("got the updates %v within 10 s, want 2", got)
 		}
 	}
 	one := core.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
@@ -91,14 +94,14 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(update{})); diff != "" {
 		t.Errorf("updates (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]uint64{3, 4, 4}, []uint64{<-starts, <-starts, <-starts}); diff != "" {
-		t.Errorf("numbers sent on connecting (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]uint64{3, 4, 4}, []uint64{<-resumedAfter, <-resumedAfter, <-resumedAfter}); diff != "" {
+		t.Errorf("event numbers sent on connecting (-want +got):\n%s", diff)
 	}
 }
 
-// The watcher gives a bus up that vanishes without closing, and reconnects, also where connections
-// have taken all descriptors that they may.
-func TestSilentBus(t *testing.T) {
+// TestReconnectAfterSilence checks that the watcher closes a connection without frames and reconnects,
+// even if connections already use all descriptors of their limit.
+func TestReconnectAfterSilence(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +118,7 @@
 	}
 	run(t, loop, w)
 	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
-	for range 2 { // both stay open
+	for range 2 { // the bus closes neither connection
 		c, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
