--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -26,7 +26,7 @@
 	return position + ": " + f.Field + ": " + f.Want
 }
 
-// Faults are all errors that one pass over a file found.
+// Faults are all errors found in a file and in the files that it names.
 type Faults []Fault
 
 // Error returns one line for each fault.
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -10,7 +10,8 @@
 	"gannetspur/internal/scramauth"
 )
 
-// Postgres is the deploy file of the PostgreSQL frontend. Relative paths are relative to the directory of the file.
+// Postgres is the deploy file of the PostgreSQL frontend. Relative paths in it are relative to its directory, except for
+// Shapes.Snapshot.
 type Postgres struct {
 	Listen     string `toml:"listen"`       // address for clients, HOST:PORT; "" disables the frontend
 	Settings   string `toml:"settings"`     // path of the JSON file with the settings
@@ -48,11 +49,11 @@
 	ReadOnly bool   `toml:"read_only"` // the statements only read, although their text cannot show it
 }
 
-// Pool limits the connections to each engine. A limit of 0 is no limit.
+// Pool limits the connections to each engine. A limit of 0 is no limit, except for MinIdle.
 type Pool struct {
 	PerEngine   int     `toml:"per_engine"` // connections to one engine, up to 10,000
 	PerUser     int     `toml:"per_user"`   // connections to one engine in use by one user, up to 10,000
-	MinIdle     int     `toml:"keep"`       // connections opened in advance and kept open while idle; up to 100, and PerEngine if that is set
+	MinIdle     int     `toml:"keep"`       // connections opened in advance and kept open while idle, up to 100, and to PerEngine if that is set; 0 for none
 	LifeSeconds float64 `toml:"life_s"`     // age from which a connection is closed after its statement, 1 to 604,800
 }
 
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -19,7 +19,7 @@
 	Hysteresis           float64      `toml:"hysteresis"`        // factor by which a cost must pass a class's bound before the shape's class changes, 1 to 10; 0 for 1.3
 	CorrectEstimates     bool         `toml:"correct_estimates"` // the policy gets the learned cost in place of the client's estimate
 	OnlyWithEstimate     bool         `toml:"only_told"`         // without an estimate of the client, the policy gets none
-	Snapshot             string       `toml:"snapshot"`          // path of the file that keeps learned costs over a restart; "" for none
+	Snapshot             string       `toml:"snapshot"`          // path of the file that keeps learned costs over a restart, relative to the working directory; "" for none
 	SnapshotEverySeconds float64      `toml:"snapshot_every_s"`  // interval between snapshots, 10 to 86,400; 0 for 300
 	Classes              []ShapeClass `toml:"class"`             // classes of reading statements by rising cost; empty if classes are not derived
 }
