--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -14,7 +14,7 @@
 	faults Faults
 }
 
-// addf records a fault of a field. The message says what the field must be and what it is.
+// addf records a fault of a field. The message says what is wrong: in most cases what the field must be and what it is.
 func (c *checker) addf(field, format string, args ...any) {
 	fault := Fault{File: c.file, Field: field, Want: fmt.Sprintf(format, args...)}
 	if c.locate != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,8 +25,8 @@
 	Listen   string  // address on which clients connect
 	Control  string  // address of the control API for operators; "" disables it
 	Seed     uint64  // seed of the random number generator
-	MemoryMB int     // memory limit in MB; 0 for the default of the gateway
-	Sockets  int     // limit on open file descriptors; 0 for the default of the gateway
+	MemoryMB int     // memory limit in MB; with 0 there is none, and buffers are sized for the gateway's default
+	Sockets  int     // limit on open file descriptors; with 0 there is none, and the limit on clients follows from the gateway's default
 	Bus      string  // address of the event bus
 	Offset   uint64  // number of the last known event; 0 if there is none
 	Known    []Event // events from which the initial endpoint list is built, in order
@@ -39,8 +39,8 @@
 // Event is one change to the endpoint list, or the complete list. Config.EventSum encodes it under the field names that
 // earlier versions used, so that checksums of different versions can be compared.
 type Event struct {
-	Complete bool          `json:"Whole"` // Engines is the complete list and replaces the one before
-	Engines  []core.Engine `json:"Engines"`
+	Complete bool          `json:"Whole"`   // Engines is the complete list and replaces the one before
+	Engines  []core.Engine `json:"Engines"` // all engines of a complete list, otherwise those that changed
 }
 
 // configFile is the configuration as the platform writes it.
@@ -85,8 +85,8 @@
 	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineDeparted,
 }
 
-// EventSum returns a checksum of the known events. If it is equal in two processes, they give the events that follow the
-// same numbers.
+// EventSum returns a checksum of the known events and of the number of the last one. If it is equal in two processes, the
+// events that follow have the same numbers in both.
 func (c *Config) EventSum() (uint64, error) {
 	b, err := json.Marshal([]any{c.Offset, c.Known})
 	if err != nil {
@@ -105,9 +105,10 @@
 	return parse(raw, path)
 }
 
-// Parse reads and validates a configuration. Its faults have "configuration" in place of a file name.
+// Parse validates a configuration that is held in memory. Its faults have "configuration" in place of a file name.
 func Parse(raw []byte) (*Config, error) { return parse(raw, "configuration") }
 
+// parse validates a configuration. The path is used in faults.
 func parse(raw []byte, path string) (*Config, error) {
 	check := &checker{file: path, locate: func(field string) int { return jsonLine(raw, field) }}
 	var f configFile
@@ -142,7 +143,9 @@
 	return c, nil
 }
 
-// addJSONError records the error that stopped the JSON decoder as a fault.
+// addJSONError records the error that stopped the JSON decoder as the first fault. The decoder of the settings object names
+// fields relative to that object, so a field that is found there gets the prefix "settings.". A syntax error names no field
+// and is located by its offset.
 func (c *checker) addJSONError(raw []byte, err error) {
 	field, problem := splitFieldError(err)
 	inSettings := jsonLine(raw, "settings."+field) > jsonLine(raw, "settings")
@@ -198,16 +201,16 @@
 func CheckSettings(path string, raw []byte) error {
 	c := &checker{file: path}
 	var s Site
-	if !c.settings(raw, &s) {
+	if !c.decodeSettings(raw, &s) {
 		return c.err()
 	}
 	c.requiref(len(s.Policy.Classes) > 0, "classes", "must list at least one class")
 	return c.err()
 }
 
-// settings decodes the settings object and records the fault of the first invalid field. It reports whether the object
-// could be decoded.
-func (c *checker) settings(raw []byte, s *Site) bool {
+// decodeSettings decodes the settings object and records the fault of the first invalid field. It reports whether the
+// object could be decoded.
+func (c *checker) decodeSettings(raw []byte, s *Site) bool {
 	c.locate = func(field string) int { return jsonLine(raw, field) }
 	err := json.Unmarshal(raw, s)
 	if err == nil {
@@ -254,8 +257,8 @@
 	return e
 }
 
-// startTime converts milliseconds of Unix time to the policy's time, which counts from the same origin, and reports whether
-// the start is known. 0 stands for an unknown start long ago.
+// startTime converts the start of an engine from milliseconds of Unix time to the policy's time, which counts from the same
+// origin, and reports whether the start is known. 0 and below stand for a start that is unknown, but long ago.
 func startTime(ms float64) (time.Duration, bool) {
 	if ms <= 0 {
 		return 0, false
@@ -263,7 +266,7 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// fieldError puts the field in front of a type error of the JSON decoder. Other errors are returned as they are.
+// fieldError rewords a type error of the JSON decoder as FIELD: PROBLEM. Other errors are returned as they are.
 func fieldError(err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -9,12 +9,12 @@
 // Fault is one error in a file, located by line and settings key.
 type Fault struct {
 	File  string // path of the file; "" if the error is not about a file
-	Line  int    // line number from 1; 0 if the field is missing or its line is unknown
+	Line  int    // line number from 1; for a missing field that of the table or object around it, if there is one; 0 if unknown
 	Field string // path of the key, such as statement[0].class; "" if the error is about the file as a whole
 	Want  string // what is wrong and what is allowed
 }
 
-// Error returns the fault in the form FILE:LINE: FIELD: PROBLEM, without the parts that are unknown.
+// Error returns the fault in the form FILE:LINE: FIELD: PROBLEM, without the line or field if it is unknown.
 func (f Fault) Error() string {
 	position := f.File
 	if f.Line > 0 {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	decide "gannetspur/internal/decide/membership"
+	"gannetspur/internal/decide/membership"
 )
 
 // Fleet configures the membership protocol among front ends. It has a file of its own.
@@ -18,12 +18,12 @@
 	Peers  string     `toml:"peers"`
 	Listen string     `toml:"listen"` // with Peers = "file": this front end's IPv4 address and port, as other members reach it
 	Seeds  []string   `toml:"seeds"`  // with Peers = "file": addresses of members to contact first
-	Keys   []FleetKey `toml:"key"`    // with Peers = "file": the key that signs messages; two while it is being rotated
+	Keys   []FleetKey `toml:"key"`    // with Peers = "file": the key of messages, or two during a rotation: the first signs, both are accepted
 	Admin  string     `toml:"admin"`  // path of the admin socket if no other file sets one; "" for none
 
 	HeartbeatMS    float64 `toml:"beat_ms"`     // interval between heartbeats in milliseconds, 100 to 10,000
 	BytesPerSecond float64 `toml:"bytes_per_s"` // limit on the rate of sent bytes, 100 to 1,000,000
-	BurstBytes     float64 `toml:"burst_bytes"` // bytes that may be sent at once, 1,000 to 10,000,000
+	BurstBytes     float64 `toml:"burst_bytes"` // bytes that may be sent at once after a quiet time, 1,000 to 10,000,000
 }
 
 // FleetKey is a numbered secret that the members share.
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	defaults := decide.DefaultConfig()
+	defaults := membership.DefaultConfig()
 	f := Fleet{
 		HeartbeatMS:    milliseconds(defaults.HeartbeatInterval),
 		BytesPerSecond: defaults.BytesPerSecond,
@@ -99,7 +99,8 @@
 	c.requiref(reachable, field, "must be an IPv4 address and port that other members can reach, got %q", address)
 }
 
-// load reads the secret from its file.
+// load validates the number and reads the secret from its file. The prefix is the path of the key, for faults; dir is the
+// directory of the fleet file.
 func (k *FleetKey) load(c *checker, prefix, dir string) {
 	c.requiref(k.Number >= 1 && k.Number <= 255, prefix+"number", "must be between 1 and 255, got %d", k.Number)
 	if k.File == "" {
@@ -118,8 +119,8 @@
 
 // Decide returns the configuration of the membership protocol. Its timeouts are the defaults, scaled with the heartbeat
 // interval.
-func (f *Fleet) Decide() decide.Config {
-	cfg := decide.DefaultConfig()
+func (f *Fleet) Decide() membership.Config {
+	cfg := membership.DefaultConfig()
 	interval := FromMS(f.HeartbeatMS)
 	scale := func(timeout time.Duration) time.Duration {
 		return time.Duration(float64(timeout) * float64(interval) / float64(cfg.HeartbeatInterval))
--- a/internal/config/locate.go
+++ b/internal/config/locate.go
@@ -9,11 +9,11 @@
 )
 
 // tomlLine returns the line of a field such as statement[1].class in a TOML document, or 0 if it is not found. For a missing
-// field it returns the line of the header of its table.
+// field, and for a field that is a table itself, it returns the line of the table's header.
 func tomlLine(raw []byte, field string) int {
 	wanted := splitTOMLField(field)
 	header := tomlHeader{}
-	fallback := 0
+	headerLine := 0            // line of the header of the field's table
 	counts := map[string]int{} // number of tables seen so far, by array of tables
 	for n, line := range bytes.Split(raw, []byte("\n")) {
 		text := strings.TrimSpace(string(line))
@@ -27,10 +27,10 @@
 		}
 		header = parseTOMLHeader(text, counts)
 		if header == wanted.tomlHeader || header.table == field {
-			fallback = n + 1
+			headerLine = n + 1
 		}
 	}
-	return fallback
+	return headerLine
 }
 
 // tomlHeader identifies a table, or one element of an array of tables.
@@ -48,20 +48,21 @@
 // splitTOMLField splits the path of a field into its table and key. The index of a list element is dropped: every element is
 // located at the line of the list's key.
 func splitTOMLField(field string) tomlField {
-	split := tomlField{name: field}
+	parsed := tomlField{name: field}
 	if dot := strings.LastIndexByte(field, '.'); dot >= 0 {
-		split.table = field[:dot]
-		split.name = field[dot+1:]
+		parsed.table = field[:dot]
+		parsed.name = field[dot+1:]
 	}
-	split.name, _, _ = strings.Cut(split.name, "[")
-	if bracket := strings.LastIndexByte(split.table, '['); bracket >= 0 {
-		split.index, _ = strconv.Atoi(strings.TrimSuffix(split.table[bracket+1:], "]"))
-		split.table = split.table[:bracket]
+	parsed.name, _, _ = strings.Cut(parsed.name, "[")
+	if bracket := strings.LastIndexByte(parsed.table, '['); bracket >= 0 {
+		parsed.index, _ = strconv.Atoi(strings.TrimSuffix(parsed.table[bracket+1:], "]"))
+		parsed.table = parsed.table[:bracket]
 	}
-	return split
+	return parsed
 }
 
-// parseTOMLHeader parses the header line of a table. An element of an array of tables is counted in counts.
+// parseTOMLHeader parses the header line of a table. For an element of an array of tables it takes the index from counts, the
+// number of elements so far by array, and adds the element.
 func parseTOMLHeader(line string, counts map[string]int) tomlHeader {
 	withoutComment, _, _ := strings.Cut(line, "#")
 	name := strings.TrimSpace(strings.Trim(withoutComment, "[] \t"))
@@ -90,7 +91,7 @@
 	longest int // length of that prefix; -1 if none
 }
 
-// walk reads the next value, which is at path, with all that it contains.
+// walk reads the next value, whose path is given, and visits every path within it.
 func (l *jsonLocator) walk(path string) error {
 	token, err := l.decoder.Token()
 	if err != nil {
@@ -111,6 +112,7 @@
 	return err
 }
 
+// walkObject visits the members of an object up to its closing delimiter.
 func (l *jsonLocator) walkObject(path string) error {
 	for l.decoder.More() {
 		key, err := l.decoder.Token()
@@ -129,6 +131,7 @@
 	return nil
 }
 
+// walkList visits the elements of a list up to its closing delimiter.
 func (l *jsonLocator) walkList(path string) error {
 	for i := 0; l.decoder.More(); i++ {
 		element := fmt.Sprintf("%s[%d]", path, i)
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// visit records the current line if path is the longest prefix of the field's path so far.
+// visit records the current line if the path is the longest prefix of the field's path so far.
 func (l *jsonLocator) visit(path string) {
 	isPrefix := l.field == path || strings.HasPrefix(l.field, path+".") || strings.HasPrefix(l.field, path+"[")
 	if !isPrefix || len(path) <= l.longest {
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -15,9 +15,9 @@
 type Postgres struct {
 	Listen     string `toml:"listen"`       // address for clients, HOST:PORT; "" disables the frontend
 	Settings   string `toml:"settings"`     // path of the JSON file with the settings
-	MemoryMB   int    `toml:"memory_mb"`    // memory limit in MB; 0 for the default of the gateway
-	Sockets    int    `toml:"sockets"`      // limit on open file descriptors; 0 for the default of the gateway
-	MaxClients int    `toml:"most_clients"` // limit on client connections; 0 for as many as Sockets permits
+	MemoryMB   int    `toml:"memory_mb"`    // memory limit in MB; with 0 there is none, and buffers are sized for the gateway's default
+	Sockets    int    `toml:"sockets"`      // number of file descriptors that the process may open, from which the limit on clients follows; 0 for the gateway's default
+	MaxClients int    `toml:"most_clients"` // limit on client connections, if lower than the one that follows from Sockets; 0 for that one
 	Users      string `toml:"users"`        // path of the file of users; "" admits every client without authentication
 	User       string `toml:"user"`         // user name for connections to engines
 	Database   string `toml:"database"`     // database for connections to engines; "" for the name of the user
@@ -30,10 +30,10 @@
 	TransactionIdleSeconds float64 `toml:"transaction_idle_s"` // limit on the time between statements of a transaction; 0 for 10 s
 	TransactionMaxSeconds  float64 `toml:"transaction_most_s"` // limit on the duration of a transaction; 0 for 60 s
 	ConnectTimeoutMS       float64 `toml:"connect_timeout_ms"` // for connecting to an engine and signing in; 0 for 1000 ms
-	IdleCloseMS            float64 `toml:"idle_close_ms"`      // time after which an idle connection to an engine is closed; 0 for never
+	IdleCloseMS            float64 `toml:"idle_close_ms"`      // idle time after which a connection to an engine, other than the Pool.MinIdle that stay open, is closed; 0 for never
 
 	DefaultClass      string      `toml:"default_class"`       // class of statements that neither a comment nor a rule assigns one to
-	WriteClass        string      `toml:"write_class"`         // class of statements that may write and have no class of their own; "" for the first non-idempotent class without key order
+	WriteClass        string      `toml:"write_class"`         // class of statements that may write and have no class from a comment or rule; "" for the first non-idempotent class without key order
 	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names of functions that only read, qualified by schema if needed
 	Statements        []Statement `toml:"statement"`           // rules that assign classes, in order of precedence
 
@@ -53,8 +53,8 @@
 type Pool struct {
 	PerEngine   int     `toml:"per_engine"` // connections to one engine, up to 10,000
 	PerUser     int     `toml:"per_user"`   // connections to one engine in use by one user, up to 10,000
-	MinIdle     int     `toml:"keep"`       // connections opened in advance and kept open while idle, up to 100, and to PerEngine if that is set; 0 for none
-	LifeSeconds float64 `toml:"life_s"`     // age from which a connection is closed after its statement, 1 to 604,800
+	MinIdle     int     `toml:"keep"`       // connections opened in advance and kept open while idle, at most 100 and, if that is set, PerEngine; 0 for none
+	LifeSeconds float64 `toml:"life_s"`     // age from which a connection is closed after its statement, 1 to 604,800 (a week)
 }
 
 // check validates the limits.
@@ -135,7 +135,7 @@
 		return false
 	}
 	settingsCheck := &checker{file: file}
-	if !settingsCheck.settings(raw, &p.Site) {
+	if !settingsCheck.decodeSettings(raw, &p.Site) {
 		c.faults = append(c.faults, settingsCheck.faults...)
 		return false
 	}
--- a/internal/config/postgres_check.go
+++ b/internal/config/postgres_check.go
@@ -23,7 +23,7 @@
 	}
 	p.checkReadOnlyFunctions(c)
 	if !p.loadSettings(c, dir) {
-		return // the remaining checks need the classes of the settings
+		return // most of the remaining checks need the classes of the settings
 	}
 	classes := p.classesByName()
 	p.chooseWriteClass()
@@ -83,11 +83,11 @@
 	}
 }
 
-// checkDefaultClasses validates the default class and the write class. Neither may keep the order of keys, as they apply to
-// statements without a rule, and only a rule names the parameter that holds the key.
+// checkDefaultClasses validates the default class, the write class and the use of load requests in the settings. Neither class
+// may keep the order of keys: they apply to statements without a comment or rule that names the parameter of the key.
 func (p *Postgres) checkDefaultClasses(c *checker, classes map[string]policy.Class) {
 	for _, s := range []struct{ field, class string }{{"default_class", p.DefaultClass}, {"write_class", p.WriteClass}} {
-		c.requiref(!classes[s.class].Ordered, s.field, "must be a class without key order, as no key is known here, got %q", s.class)
+		c.requiref(!classes[s.class].Ordered, s.field, "must be a class without key order, as its statements name no key, got %q", s.class)
 	}
 	c.requiref(!p.Site.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe must be false: the PostgreSQL protocol has no load requests")
 	_, known := classes[p.DefaultClass]
@@ -100,7 +100,7 @@
 		"must be a class of the settings with the effect non_idempotent, got %q", p.WriteClass)
 }
 
-// check validates one rule. The prefix is its path, for faults.
+// check validates one rule. The prefix is the path of the rule, for faults; classes are those of the settings by name.
 func (s *Statement) check(c *checker, prefix string, classes map[string]policy.Class) {
 	class, known := classes[s.Class]
 	writes := sqltext.EffectOf(s.Starts, nil).Effect == sqltext.Writes
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	decide "gannetspur/internal/decide/costmodel"
+	"gannetspur/internal/decide/costmodel"
 	"gannetspur/policy"
 )
 
@@ -16,9 +16,9 @@
 type Shapes struct {
 	Enabled              bool         `toml:"enabled"`           // false takes classes and estimates from clients and rules alone
 	MemoryKB             int          `toml:"memory_kb"`         // memory for shape records and their overhead, 64 to a quarter of memory_mb; 0 for 2048
-	Hysteresis           float64      `toml:"hysteresis"`        // factor by which a cost must pass a class's bound before the shape's class changes, 1 to 10; 0 for 1.3
-	CorrectEstimates     bool         `toml:"correct_estimates"` // the policy gets the learned cost in place of the client's estimate
-	OnlyWithEstimate     bool         `toml:"only_told"`         // without an estimate of the client, the policy gets none
+	Hysteresis           float64      `toml:"hysteresis"`        // factor by which the cost of a shape must pass a class's bound before the class changes, 1 to 10; 0 for 1.3
+	CorrectEstimates     bool         `toml:"correct_estimates"` // true gives the policy the learned cost in place of the client's estimate
+	OnlyWithEstimate     bool         `toml:"only_told"`         // true gives the policy no estimate for queries without one of the client
 	Snapshot             string       `toml:"snapshot"`          // path of the file that keeps learned costs over a restart, relative to the working directory; "" for none
 	SnapshotEverySeconds float64      `toml:"snapshot_every_s"`  // interval between snapshots, 10 to 86,400; 0 for 300
 	Classes              []ShapeClass `toml:"class"`             // classes of reading statements by rising cost; empty if classes are not derived
@@ -46,7 +46,7 @@
 		s.MemoryKB = defaultShapesKB
 	}
 	if s.Hysteresis == 0 {
-		s.Hysteresis = decide.DefaultHysteresis
+		s.Hysteresis = costmodel.DefaultHysteresis
 	}
 	if s.SnapshotEverySeconds == 0 {
 		s.SnapshotEverySeconds = defaultSnapshotSeconds
@@ -99,10 +99,10 @@
 }
 
 // Decide returns the configuration of the cost model.
-func (s *Shapes) Decide() decide.Config {
-	cfg := decide.Config{Hysteresis: s.Hysteresis}
+func (s *Shapes) Decide() costmodel.Config {
+	cfg := costmodel.Config{Hysteresis: s.Hysteresis}
 	for _, c := range s.Classes {
-		cfg.Classes = append(cfg.Classes, decide.Class{Name: c.Name, MaxWorkMS: c.UpToMS})
+		cfg.Classes = append(cfg.Classes, costmodel.Class{Name: c.Name, MaxWorkMS: c.UpToMS})
 	}
 	return cfg
 }
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"strings"
 
-	decide "gannetspur/internal/decide/remotesite"
+	"gannetspur/internal/decide/remotesite"
 )
 
 // Sites configures the forwarding of queries to gateways at other sites, over links between the sites. It has a file of its
@@ -18,22 +18,22 @@
 	Admin   string     `toml:"admin"`   // path of the admin socket if no upgrade file sets one; "" for none
 	Keys    SiteKeys   `toml:"keys"`
 	Peers   []SitePeer `toml:"peer"`
-	Pack    bool       `toml:"pack"` // bodies are compressed with zstd if that shrinks them enough
+	Pack    bool       `toml:"pack"` // true: bodies are compressed with zstd if that shrinks them enough
 
-	SharedDedup         bool    `toml:"keys_shared"`      // engines of all sites drop each other's duplicates of a key
+	SharedDedup         bool    `toml:"keys_shared"`      // true: engines of all sites drop each other's duplicates of an idempotency key
 	UnreachableAfterMS  float64 `toml:"silent_after_ms"`  // milliseconds without a reply until a peer is unreachable, 300 to 60,000
 	SlowRTTMS           float64 `toml:"slow_above_ms"`    // round trip in milliseconds above which a peer is slow, 1 to 60,000
-	RampDurationSeconds float64 `toml:"cold_for_s"`       // duration of a peer's recovery ramp, 0 to 3,600; at least as long as engines need
-	RampStart           float64 `toml:"cold_start"`       // fraction of a peer's capacity used at the ramp's start, 0.01 to 1
-	HopSlackMS          float64 `toml:"slack_ms"`         // milliseconds reserved from a query's time at each hop, 0 to 10,000
+	RampDurationSeconds float64 `toml:"cold_for_s"`       // seconds over which a peer that was unreachable gets its full load again, 0 to 3,600; at least as long as engines need to warm up
+	RampStart           float64 `toml:"cold_start"`       // fraction of its acceptable work that the peer is sent at the start of this time, 0.01 to 1
+	HopSlackMS          float64 `toml:"slack_ms"`         // milliseconds of a query's remaining time that each hop reserves for the response, 0 to 10,000
 	SpillBelow          float64 `toml:"spill_below"`      // free capacity here, as a fraction, below which queries may be forwarded, 0 to 1
-	StopSpillAbove      float64 `toml:"stop_above"`       // free capacity here above which forwarding stops, SpillBelow to 1
-	MinPeerCapacity     float64 `toml:"take_above"`       // free capacity that a peer must have, 0 to 1
-	LocalReserve        float64 `toml:"reserve"`          // capacity reserved for clients of this site, 0 to 1
+	StopSpillAbove      float64 `toml:"stop_above"`       // free capacity here, as a fraction, above which forwarding stops, SpillBelow to 1
+	MinPeerCapacity     float64 `toml:"take_above"`       // free capacity, as a fraction, that a peer must have, 0 to 1
+	LocalReserve        float64 `toml:"reserve"`          // fraction of the capacity here that is reserved for clients of this site, 0 to 1
 	ThreadsPerCore      float64 `toml:"threads_per_core"` // threads per core at which a site has no free capacity, 0.1 to 100
 	DigestIntervalMS    float64 `toml:"word_every_ms"`    // milliseconds between load digests, 20 to 10,000 and at most a third of UnreachableAfterMS
 	MinPriorityWeight   float64 `toml:"price"`            // priority weight below which queries are never forwarded, 0 to 1e9
-	AffinityBonus       float64 `toml:"affinity"`         // additional capacity required of a peer if a query's tables are warm here, 0 to 1
+	AffinityBonus       float64 `toml:"affinity"`         // additional free capacity that a peer must have if a query's tables are warm here, 0 to 1
 	HedgeRatio          float64 `toml:"hedge_share"`      // limit on hedged requests per forwarded request, 0 to 1
 }
 
@@ -48,9 +48,9 @@
 
 // SitePeer is a gateway at another site.
 type SitePeer struct {
-	Site    string `toml:"site"`
-	Gateway string `toml:"gateway"`
-	Address string `toml:"address"` // address on which it listens, HOST:PORT; optional if the peer dials this gateway
+	Site    string `toml:"site"`    // name of the peer's site
+	Gateway string `toml:"gateway"` // name of the peer within its site
+	Address string `toml:"address"` // address on which the peer listens, HOST:PORT; optional if the peer dials this gateway
 }
 
 // LoadSites reads and validates the file at path. Thresholds and durations that are left out default to remotesite.Defaults.
@@ -72,7 +72,7 @@
 
 // defaultSites returns the values of keys that are left out.
 func defaultSites() Sites {
-	defaults := decide.Defaults()
+	defaults := remotesite.Defaults()
 	return Sites{
 		UnreachableAfterMS:  milliseconds(defaults.UnreachableAfter),
 		SlowRTTMS:           milliseconds(defaults.SlowRTT),
@@ -126,7 +126,8 @@
 	})
 }
 
-// checkPeers validates the peers and the addresses of those that this gateway dials.
+// checkPeers validates the peers. Of two gateways, the one whose SITE/GATEWAY is lower in byte order dials, so it needs the
+// address of the other, which must listen.
 func (s *Sites) checkPeers(c *checker) {
 	c.requiref(len(s.Peers) <= maxSitePeers, "peer", "must be given at most %d times, got %d", maxSitePeers, len(s.Peers))
 	own := s.Site + "/" + s.Gateway
@@ -142,7 +143,7 @@
 		switch {
 		case peer.Address != "":
 			c.requireAddress(prefix+"address", peer.Address)
-		case own < name: // of two gateways, the one with the lower name dials
+		case own < name:
 			c.addf(prefix+"address", "must be set: this gateway dials %s, as the lower name dials", name)
 		case s.Listen == "":
 			c.addf("listen", "must be set, as %s dials this gateway", name)
@@ -175,9 +176,9 @@
 
 // Decide returns the configuration of the forwarding decisions. maxAttempts limits the attempts of one request over all
 // sites.
-func (s *Sites) Decide(maxAttempts int) decide.Config {
+func (s *Sites) Decide(maxAttempts int) remotesite.Config {
 	digestInterval := FromMS(s.DigestIntervalMS)
-	return decide.Config{
+	return remotesite.Config{
 		UnreachableAfter:  FromMS(s.UnreachableAfterMS),
 		SlowRTT:           FromMS(s.SlowRTTMS),
 		RampDuration:      FromSeconds(s.RampDurationSeconds),
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/remotesite"
+	"gannetspur/internal/decide/remotesite"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decide.Defaults()
+	want := remotesite.Defaults()
 	want.MaxAttempts = 3
 	if diff := cmp.Diff(want, s.Decide(3)); diff != "" {
 		t.Errorf("Decide(3) (-want +got):\n%s", diff)
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestSitesFaults checks that each fault has its field and line.
+// TestSitesFaults checks that each fault has its field and line, and that the default digest interval fits the
+// defaults that depend on it.
 func TestSitesFaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/sites.toml")
 	if err != nil {
@@ -62,7 +63,7 @@
 			t.Errorf("LoadSites() with %s: error %v, want a fault of %s with its line", tt.new, err, tt.field)
 		}
 	}
-	if d := decide.Defaults(); d.DigestMaxAge != 8*d.DigestInterval || d.UnreachableAfter < 3*d.DigestInterval || d.DigestInterval < 20*time.Millisecond {
+	if d := remotesite.Defaults(); d.DigestMaxAge != 8*d.DigestInterval || d.UnreachableAfter < 3*d.DigestInterval || d.DigestInterval < 20*time.Millisecond {
 		t.Errorf("Defaults() = %+v, want DigestMaxAge = 8 * DigestInterval, UnreachableAfter >= 3 * DigestInterval and DigestInterval >= 20 ms", d)
 	}
 }
--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -15,13 +15,13 @@
 	Program string `toml:"program"` // path of the new program; "" for the file of the running program, as it is at the upgrade
 
 	HelloTimeoutSeconds     float64 `toml:"greet_within_s"` // limit on the time until the new process's hello, 0.1 to 600
-	WarmUpTimeoutSeconds    float64 `toml:"warm_within_s"`  // limit on the time until it has applied the state, 0.1 to 600
-	ProbationSeconds        float64 `toml:"prove_for_s"`    // least time that it serves before it becomes the owner, 0.1 to 600
-	MaxProbationSeconds     float64 `toml:"prove_within_s"` // limit on that time if there is little work, ProbationSeconds to 3,600
-	HeartbeatTimeoutSeconds float64 `toml:"silent_for_s"`   // silence after which it is killed, 0.3 to 60; it sends a heartbeat every 0.1 s
-	MinSuccesses            int     `toml:"good_answers"`   // successful responses that it must give if there is work, 0 to 1,000,000
-	MaxFailureFraction      float64 `toml:"bad_share"`      // fraction of its responses that may fail above the usual rate, 0 to 1
-	MaxMemoryMB             int     `toml:"most_memory_mb"` // limit on its resident memory in MB, up to 1,000,000; 0 for no limit
+	WarmUpTimeoutSeconds    float64 `toml:"warm_within_s"`  // limit on the time until the new process has applied the transferred state, 0.1 to 600
+	ProbationSeconds        float64 `toml:"prove_for_s"`    // minimum time that the new process serves before it takes over for good, 0.1 to 600
+	MaxProbationSeconds     float64 `toml:"prove_within_s"` // maximum of that time, reached if there is little work, ProbationSeconds to 3,600
+	HeartbeatTimeoutSeconds float64 `toml:"silent_for_s"`   // silence after which the new process is killed, 0.3 to 60; it sends a heartbeat every 0.1 s
+	MinSuccesses            int     `toml:"good_answers"`   // successful responses that the new process must give if there is work, 0 to 1,000,000
+	MaxFailureFraction      float64 `toml:"bad_share"`      // fraction of the new process's responses that may fail above the usual rate, 0 to 1
+	MaxMemoryMB             int     `toml:"most_memory_mb"` // limit on the new process's resident memory in MB, up to 1,000,000; 0 for no limit
 }
 
 // LoadUpgrade reads and validates the file at path. Timeouts and limits that are left out default to handover.DefaultConfig.
@@ -54,7 +54,7 @@
 // name that the socket is bound to first.
 const maxSocketPathBytes = 96
 
-// check validates the fields and the files that they name.
+// check validates the fields, and that the directory of the socket and the program exist.
 func (u *Upgrade) check(c *checker) {
 	_, err := os.Stat(filepath.Dir(u.Admin))
 	switch {
--- a/internal/config/users.go
+++ b/internal/config/users.go
@@ -18,7 +18,7 @@
 	} `toml:"user"`
 }
 
-// loadUsers reads and validates a file of users. Their classes must be among the given classes of the settings.
+// loadUsers reads and validates a file of users. classes are those of the settings; the users' classes must be among them.
 func loadUsers(path string, classes []policy.Class) ([]scramauth.User, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -29,24 +29,24 @@
 	if !decodeTOML(c, raw, &file) {
 		return nil, c.err()
 	}
-	known, seen := map[string]bool{}, map[string]bool{}
+	knownClasses, seenNames := map[string]bool{}, map[string]bool{}
 	for _, class := range classes {
-		known[class.Name] = true
+		knownClasses[class.Name] = true
 	}
-	var all []scramauth.User
+	var users []scramauth.User
 	for i, user := range file.Users {
 		prefix := fmt.Sprintf("user[%d].", i)
 		verifier, err := scramauth.ParseVerifier(user.Verifier)
 		c.requiref(err == nil, prefix+"verifier", "must be a SCRAM verifier: %v", err)
 		c.requiref(user.Name != "" && len(user.Name) <= 63, prefix+"name", "must be 1 to 63 bytes long, got %q", user.Name)
-		c.requiref(!seen[user.Name], prefix+"name", "must be unique, got %q twice", user.Name)
+		c.requiref(!seenNames[user.Name], prefix+"name", "must be unique, got %q twice", user.Name)
 		c.requiref(user.MaxClients >= 0, prefix+"most_clients", "must be at least 0, got %d", user.MaxClients)
 		for _, class := range user.Classes {
-			c.requiref(known[class], prefix+"classes", "must be classes of the settings, got %q", class)
+			c.requiref(knownClasses[class], prefix+"classes", "must be classes of the settings, got %q", class)
 		}
-		seen[user.Name] = true
-		all = append(all, scramauth.User{Name: user.Name, Verifier: verifier, Classes: user.Classes, MaxClients: user.MaxClients})
+		seenNames[user.Name] = true
+		users = append(users, scramauth.User{Name: user.Name, Verifier: verifier, Classes: user.Classes, MaxClients: user.MaxClients})
 	}
-	c.requiref(len(all) > 0, "user", "must be given at least once, or nobody could sign in")
-	return all, c.err()
+	c.requiref(len(users) > 0, "user", "must be given at least once, or nobody could sign in")
+	return users, c.err()
 }
--- a/internal/discovery/consul/query.go
+++ b/internal/discovery/consul/query.go
@@ -16,9 +16,9 @@
 
 const (
 	maxResponseBytes = 8 << 20
-	queryWait        = 30 * time.Second // time after which a blocking query returns without a change
-	queryGrace       = 5 * time.Second  // time that a server may add to queryWait
-	firstBackoff     = 100 * time.Millisecond
+	queryWait        = 30 * time.Second       // time after which a blocking query returns without a change
+	queryGrace       = 5 * time.Second        // time that a server may add to queryWait
+	firstBackoff     = 100 * time.Millisecond // delay after a failure, doubled after each further one
 	maxBackoff       = 5 * time.Second
 	// minQueryInterval is the minimum time between the starts of two successful queries. It limits
 	// the load from an index that changes continuously.
@@ -27,12 +27,12 @@
 
 var errResponseTooLarge = errors.New("response too large")
 
-// query is a blocking query of one path of the HTTP API, which is repeated. It belongs to the
-// goroutine of its poll.
+// query is a blocking query of one path of the HTTP API, which poll repeats. It belongs to the
+// goroutine that runs poll.
 type query struct {
 	client     *http.Client
 	opts       Options
-	path       string       // up to the name of the service
+	path       string       // API path that the name of the service is appended to
 	post       func(func()) // runs a function on the watcher's goroutine
 	countError func()       // counts a failure; must run on the watcher's goroutine
 	log        *slog.Logger
@@ -54,7 +54,7 @@
 	for ctx.Err() == nil {
 		start := time.Now()
 		var list []T
-		next, err := q.fetch(ctx, index, &list)
+		responseIndex, err := q.fetch(ctx, index, &list)
 		if ctx.Err() != nil {
 			return
 		}
@@ -66,14 +66,14 @@
 			continue
 		}
 		backoff = firstBackoff
-		if next != index {
+		if responseIndex != index {
 			q.post(func() {
 				if ctx.Err() == nil { // otherwise Watch has switched to another service in the meantime
 					handle(list)
 				}
 			})
 		}
-		index = nextIndex(index, next)
+		index = nextIndex(index, responseIndex)
 		sleep(ctx, minQueryInterval-time.Since(start))
 	}
 }
@@ -105,9 +105,9 @@
 	}
 }
 
-// fetch makes one blocking query and decodes the response into list, a pointer to a slice. next is the
-// index of the response.
-func (q *query) fetch(ctx context.Context, index uint64, list any) (next uint64, err error) {
+// fetch makes one blocking query and decodes the response into list, a pointer to a slice. It returns
+// the index of the response.
+func (q *query) fetch(ctx context.Context, index uint64, list any) (responseIndex uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryWait+queryGrace)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, q.url(index), nil)
@@ -131,17 +131,18 @@
 	case resp.StatusCode != http.StatusOK:
 		return 0, fmt.Errorf("unexpected status %s: %.100s", resp.Status, strings.TrimSpace(string(body)))
 	}
-	next, err = strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
+	responseIndex, err = strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("parse X-Consul-Index header: %w", err)
 	}
 	if err := json.Unmarshal(body, list); err != nil {
 		return 0, fmt.Errorf("decode response: %w", err)
 	}
-	return next, nil
+	return responseIndex, nil
 }
 
-// url returns the URL of a query that blocks until the index passes the given one.
+// url returns the URL of a query that blocks until the index passes the given one. With index 0 it
+// does not block.
 func (q *query) url(index uint64) string {
 	u := url.URL{Scheme: "http", Host: q.opts.Address, Path: q.path + q.opts.Service}
 	u.RawQuery = url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {queryWait.String()}}.Encode()
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// Restore sets the engines that another watcher has published, such as one of the previous process. Those that the first lists do not
-// contain are then published as departed. It must be called before Watch.
+// Restore sets the engines that another watcher has published, such as one of the previous process.
+// Those that the first lists do not contain are then published as departed. Restore must be called
+// before Watch.
 func (w *Watcher) Restore(engines []core.Engine) {
 	for _, e := range engines {
 		w.published[e.ID] = e
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -21,7 +21,7 @@
 // stateNames are the names of engine states by value.
 var stateNames = [...]string{"departed", "draining", "live"}
 
-// recorder is an endpoint.Updater that sends each update as text.
+// recorder is an endpoint.Updater that sends each update as text on the channel.
 type recorder chan string
 
 func (r recorder) UpdateEndpoints(_ policy.ListMode, list []core.Engine) {
@@ -32,14 +32,14 @@
 	r <- strings.Join(entries, "; ")
 }
 
-// fakeAgent is a Consul agent. It blocks a query until the current index differs from that of the
-// query, and fails as many queries as a test sets.
+// fakeAgent is a Consul agent with one service. It blocks a query until the current index differs from
+// that of the query, and fails as many queries as a test sets.
 type fakeAgent struct {
 	mu       sync.Mutex
-	changed  chan struct{} // closed at the next change
-	index    uint64
+	changed  chan struct{}     // closed at the next change
+	index    uint64            // current index
 	failures int               // number of queries still to fail
-	engines  map[string]string // check by service ID: "passing", "warning", "critical" or "maintenance"
+	engines  map[string]string // state of the check by service ID: "passing", "warning", "critical" or "maintenance"
 	queries  []string          // path and token of each query
 }
 
--- a/internal/discovery/eventbus/frame.go
+++ b/internal/discovery/eventbus/frame.go
@@ -11,7 +11,7 @@
 // length does not count itself. Numbers are big-endian.
 const (
 	lengthSize     = 4
-	numberSize     = 8
+	numberSize     = 8 // event number
 	kindSize       = 1
 	headerSize     = lengthSize + numberSize + kindSize
 	minFrameLength = numberSize + kindSize
@@ -29,7 +29,7 @@
 type frameKind byte
 
 const (
-	kindHeartbeat frameKind = 0 // sent while there are no events
+	kindHeartbeat frameKind = 0 // sent regularly to show that the bus is alive
 	kindFullList  frameKind = 1 // the complete endpoint list
 	kindChanges   frameKind = 2 // changed entries of the endpoint list
 )
@@ -46,8 +46,8 @@
 	return 0, fmt.Errorf("unknown frame kind %d", k)
 }
 
-// parseFrame parses the first frame of b. size is the number of bytes of the frame, or 0 if b does
-// not hold a complete frame yet.
+// parseFrame parses the first frame of b. size is the number of bytes of the frame, including its
+// length, or 0 if b does not hold a complete frame yet.
 func parseFrame(b []byte) (f frame, size int, err error) {
 	if len(b) < lengthSize {
 		return frame{}, 0, nil
--- a/internal/discovery/eventbus/frame_test.go
+++ b/internal/discovery/eventbus/frame_test.go
@@ -19,7 +19,8 @@
 	return append(b, payload...)
 }
 
-// record returns the bytes of the record of an engine at 127.0.0.9, with the second zone, the first kind and cell 3.
+// record returns the bytes of the record of an engine at 127.0.0.9, with the second zone, the first kind and cell 3. The four
+// bytes between cell and boot time are ignored.
 func record(id uint32, port uint16, state byte, bootMS uint64) []byte {
 	b := binary.BigEndian.AppendUint32(nil, id)
 	b = binary.BigEndian.AppendUint16(append(b, 127, 0, 0, 9), port)
@@ -27,7 +28,7 @@
 	return binary.BigEndian.AppendUint64(b, bootMS)
 }
 
-// TestWireFormat checks the decoding of recorded bytes, which the event bus defines: a frame of each
+// TestWireFormat checks the decoding of fixed bytes in the format of the event bus: a frame of each
 // kind, records of each state, and each frame and payload truncated to every length.
 func TestWireFormat(t *testing.T) {
 	decoder := recordDecoder{zones: []string{"hall-a", "hall-b"}, kinds: []string{"std-8"}}
--- a/internal/discovery/eventbus/record.go
+++ b/internal/discovery/eventbus/record.go
@@ -27,7 +27,7 @@
 // recordStates maps the state number in a record to the engine state.
 var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted}
 
-// recordDecoder decodes the records in an event. zones and kinds are the names by index.
+// recordDecoder decodes the records in an event. It holds the names of zones and kinds by index.
 type recordDecoder struct{ zones, kinds []string }
 
 // decode returns the engines of an event, whose payload is a sequence of records.
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -17,7 +17,7 @@
 const (
 	maxSilence   = 2500 * time.Millisecond // time without a frame until reconnecting; the bus sends a heartbeat each second
 	dialTimeout  = time.Second
-	firstBackoff = 50 * time.Millisecond
+	firstBackoff = 50 * time.Millisecond // delay before the first retry, doubled before each further one
 	maxBackoff   = time.Second
 )
 
@@ -34,8 +34,9 @@
 	Zones, Kinds []string
 }
 
-// Watcher keeps one connection to the event bus. After a reconnect it resumes after the last event
-// that it applied. It belongs to the loop's goroutine and starts no other.
+// Watcher keeps one connection to the event bus and applies its events to the endpoint list. After a
+// reconnect it resumes after the last event applied. It belongs to the loop's goroutine and starts none
+// itself.
 type Watcher struct {
 	loop      *netio.Loop
 	address   string
@@ -179,7 +180,7 @@
 	}
 }
 
-// Closed schedules a reconnect. It implements netio.Handler.
+// Closed schedules a reconnect if the current connection has ended. It implements netio.Handler.
 func (w *Watcher) Closed(c *netio.Conn, err error) {
 	if c != w.conn {
 		return
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -22,7 +22,7 @@
 	engines []core.Engine
 }
 
-// recorder is an endpoint.Updater that sends each update.
+// recorder is an endpoint.Updater that sends each update on the channel.
 type recorder chan update
 
 func (r recorder) UpdateEndpoints(mode policy.ListMode, engines []core.Engine) {
@@ -51,7 +51,7 @@
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	resumedAfter := make(chan uint64, 10) // event number that each connection begins with
-	responses := [][]byte{                // by connection
+	responses := [][]byte{                // by connection; the last connection stays open
 		append(appendFrame(4, 1, record(7, 70, 0, 0)...), appendFrame(5, 2, record(8, 80, 0, 5000)...)[:20]...),
 		append(appendFrame(0, 0), appendFrame(5, 9)...),
 		append(appendFrame(4, 1), appendFrame(5, 2, record(8, 80, 1, 5000)...)...),
@@ -87,10 +87,10 @@
 			t.Fatalf("got the updates %v within 10 s, want 2", got)
 		}
 	}
-	one := core.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
-	two := core.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
+	liveEngine := core.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
+	drainingEngine := core.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
 		State: policy.EngineDraining, Started: 5 * time.Second, StartKnown: true}}
-	want := []update{{policy.ListFull, []core.Engine{one}}, {policy.ListChanges, []core.Engine{two}}}
+	want := []update{{policy.ListFull, []core.Engine{liveEngine}}, {policy.ListChanges, []core.Engine{drainingEngine}}}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(update{})); diff != "" {
 		t.Errorf("updates (-want +got):\n%s", diff)
 	}
