--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -51,7 +51,7 @@
 func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return config.Fault{File: path, Want: err.Error()}
+		return config.Fault{File: path, Problem: err.Error()}
 	}
 	switch {
 	case filepath.Ext(path) == ".json" && bytes.Contains(raw, []byte(`"settings"`)):
@@ -69,7 +69,7 @@
 	case filepath.Ext(path) == ".toml":
 		_, err = config.LoadShapes(path)
 	default:
-		err = config.Fault{File: path, Want: "unknown file type: the name ends in neither .json nor .toml"}
+		err = config.Fault{File: path, Problem: "unknown file type: the name ends in neither .json nor .toml"}
 	}
 	return err
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -64,7 +64,7 @@
 		return nil
 	}
 	for _, fault := range config.FaultsOf(err) {
-		log.Error("cannot serve", "file", fault.File, "line", fault.Line, "field", fault.Field, "error", fault.Want)
+		log.Error("cannot serve", "file", fault.File, "line", fault.Line, "field", fault.Field, "error", fault.Problem)
 	}
 	return errReported
 }
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return config.Site{}, fmt.Errorf("start this from the repository's root: %w", err)
 	}
-	return p.Site, nil
+	return p.SiteSettings, nil
 }
 
 type fleetExperiment struct {
--- a/internal/backend/lineproto/backend.go
+++ b/internal/backend/lineproto/backend.go
@@ -17,7 +17,7 @@
 const defaultConnectTimeout = 250 * time.Millisecond
 
 var (
-	_ core.Links        = (*Backend)(nil)
+	_ core.Backend      = (*Backend)(nil)
 	_ core.LoadReporter = (*Backend)(nil)
 )
 
@@ -59,7 +59,7 @@
 		c = b.dial(engine)
 	}
 	s := &stream{attempt: a, connection: c}
-	a.LinkState = s
+	a.BackendState = s
 	c.streams[a.Request.ID] = s
 	c.lastUsed = b.core.Now()
 	if c.socket != nil {
@@ -82,7 +82,7 @@
 // yet (its request will carry the priority), if only further pages of its result are missing, or if the
 // connection has closed.
 func (b *Backend) SetPriority(a *core.Attempt, priority int) {
-	s, ok := a.LinkState.(*stream)
+	s, ok := a.BackendState.(*stream)
 	if !ok || !s.written || s.result.missing > 0 || s.connection.socket == nil {
 		return
 	}
--- a/internal/backend/lineproto/cancel.go
+++ b/internal/backend/lineproto/cancel.go
@@ -47,7 +47,7 @@
 // Cancel cancels an attempt. It returns false if the core must wait for EndAttempt because the
 // statement may still be running at the engine, and true if the attempt is over.
 func (b *Backend) Cancel(a *core.Attempt) bool {
-	s, ok := a.LinkState.(*stream)
+	s, ok := a.BackendState.(*stream)
 	if !ok {
 		return true
 	}
--- a/internal/backend/lineproto/connection.go
+++ b/internal/backend/lineproto/connection.go
@@ -46,14 +46,14 @@
 // partialAnswer tracks the time of an incomplete answer in the buffer.
 type partialAnswer struct {
 	startedAt time.Duration     // when its first byte was seen; 0: no incomplete answer
-	timer     *timerqueue.Entry // aborts the connection if the answer is not complete in time
+	timer     *timerqueue.Timer // aborts the connection if the answer is not complete in time
 }
 
 // dial starts a connection to an engine. Attempts can be added to it at once and are written when it is open.
 func (b *Backend) dial(engine *backend.Engine[*connection]) *connection {
 	c := &connection{backend: b, engine: engine, streams: map[string]*stream{}, cancelledIDs: newCancelledIDs()}
 	engine.Connections = append(engine.Connections, c)
-	b.counters.Add("links.dialed")
+	b.counters.Inc("links.dialed")
 	b.loop.Dial(engine.Addr, b.site.ConnectTimeout, maxBufferBytes, c, c.dialed)
 	return c
 }
@@ -208,7 +208,7 @@
 	}
 	s := c.streams[a.id]
 	if s == nil {
-		c.backend.counters.Add("links.late-answer")
+		c.backend.counters.Inc("links.late-answer")
 		return nil
 	}
 	if s.cancelling() {
@@ -254,7 +254,7 @@
 	c.retired = true
 	c.socket = nil
 	c.partial.timer.Stop()
-	c.backend.counters.Add("links.ended." + outcome.String())
+	c.backend.counters.Inc("links.ended." + outcome.String())
 	c.engine.Remove(c)
 	if c.healthCheck != nil {
 		c.healthCheck.finish(outcome, policy.LoadReport{})
--- a/internal/backend/lineproto/health_check.go
+++ b/internal/backend/lineproto/health_check.go
@@ -18,7 +18,7 @@
 type healthCheck struct {
 	connection *connection
 	tag        string            // identifies the answer
-	timer      *timerqueue.Entry // ends the check after the connect timeout
+	timer      *timerqueue.Timer // ends the check after the connect timeout
 }
 
 // RequestLoadReport starts a health check of an engine, on an open connection if there is one. An engine
--- a/internal/backend/lineproto/pages.go
+++ b/internal/backend/lineproto/pages.go
@@ -63,7 +63,7 @@
 // pages are here, so that another attempt can serve the client if the engine is lost before that.
 func (c *connection) handleFirstPage(s *stream, a answer) error {
 	if s.result.pages != nil { // a duplicate of a valid answer
-		c.backend.counters.Add("links.doubled-answer")
+		c.backend.counters.Inc("links.doubled-answer")
 		return nil
 	}
 	count, err := pageCount(a.fields)
--- a/internal/backend/lineproto/stream.go
+++ b/internal/backend/lineproto/stream.go
@@ -16,7 +16,7 @@
 	attempt          *core.Attempt
 	connection       *connection
 	written          bool              // the request was written to the socket
-	cancelRetryTimer *timerqueue.Entry // repeats an unconfirmed cancellation; nil: not cancelling
+	cancelRetryTimer *timerqueue.Timer // repeats an unconfirmed cancellation; nil: not cancelling
 	result           pageSet           // pages received so far
 	report           core.Report       // for the core at the end of the attempt
 }
--- a/internal/backend/postgres/backend.go
+++ b/internal/backend/postgres/backend.go
@@ -35,8 +35,8 @@
 }
 
 var (
-	_ core.Links          = (*Backend)(nil)
-	_ core.StreamingLinks = (*Backend)(nil)
+	_ core.Backend          = (*Backend)(nil)
+	_ core.StreamingBackend = (*Backend)(nil)
 )
 
 // Backend holds the connections to all engines.
@@ -77,7 +77,7 @@
 
 // Continue runs the next statement of a transaction on its connection.
 func (b *Backend) Continue(a *core.Attempt) {
-	c, ok := a.LinkState.(*connection)
+	c, ok := a.BackendState.(*connection)
 	if !ok || c.query.attempt != a || c.socket == nil { // the end of the connection is about to end the attempt
 		return
 	}
--- a/internal/backend/postgres/cancel_request.go
+++ b/internal/backend/postgres/cancel_request.go
@@ -15,12 +15,12 @@
 // connection of its own, and the attempt's connection is not used again: the CancelRequest could arrive
 // late and end whatever ran there next.
 func (b *Backend) Cancel(a *core.Attempt) bool {
-	w, waiting := a.LinkState.(*waiter)
+	w, waiting := a.BackendState.(*waiter)
 	if waiting {
 		w.leave()
 		return true
 	}
-	c, ok := a.LinkState.(*connection)
+	c, ok := a.BackendState.(*connection)
 	switch {
 	case !ok || c.query.attempt != a:
 		return true
@@ -50,7 +50,7 @@
 // requestCancel has the engine cancel what runs on the connection.
 func (c *connection) requestCancel() {
 	b := c.backend
-	b.counters.Add("links.cancelled")
+	b.counters.Inc("links.cancelled")
 	key := c.startup.cancelKey
 	if key == nil {
 		return
--- a/internal/backend/postgres/connection.go
+++ b/internal/backend/postgres/connection.go
@@ -35,7 +35,7 @@
 	idle        bool // the pool counts on it for a statement
 	retired     bool // takes no more statements
 	lastUsed    time.Duration
-	stallTimer  *timerqueue.Entry // ends it in the middle of a message
+	stallTimer  *timerqueue.Timer // ends it in the middle of a message
 	closeReason core.Outcome      // why it is being closed from this side
 
 	startup  startup
@@ -54,7 +54,7 @@
 		session: newSession(), prepared: newPreparedStatements(),
 	}
 	engine.Connections = append(engine.Connections, c)
-	b.counters.Add("links.dialed")
+	b.counters.Inc("links.dialed")
 	deadline := b.loop.Now() + b.options.ConnectTimeout
 	b.loop.Dial(engine.Addr, b.options.ConnectTimeout, maxBufferBytes, c, func(socket *netio.Conn, err error) {
 		if err != nil {
@@ -169,7 +169,7 @@
 	c.leaveIdle()
 	c.enginePool.pool.ConnectionClosed()
 	c.stallTimer.Stop()
-	c.backend.counters.Add("links.ended." + outcome.String())
+	c.backend.counters.Inc("links.ended." + outcome.String())
 	c.engine.Remove(c)
 	if c.query.attempt != nil {
 		c.endDisconnected(outcome)
--- a/internal/backend/postgres/connection_pool.go
+++ b/internal/backend/postgres/connection_pool.go
@@ -31,7 +31,7 @@
 	attempt    *core.Attempt
 	ticket     *connpool.Ticket
 	enginePool *enginePool
-	timer      *timerqueue.Entry // ends the attempt without a connection
+	timer      *timerqueue.Timer // ends the attempt without a connection
 }
 
 // Owner returns the attempt that waits.
@@ -121,10 +121,10 @@
 	ticket, decision := p.pool.Acquire(b.core.Now(), user, deadline)
 	switch decision {
 	case connpool.Queued:
-		b.counters.Add("links.waited")
+		b.counters.Inc("links.waited")
 		w := &waiter{backend: b, attempt: a, ticket: ticket, enginePool: p}
 		p.waiting[ticket] = w
-		a.LinkState = w
+		a.BackendState = w
 		w.timer = b.loop.Timers.Add(deadline, w.timeOut)
 	case connpool.Rejected:
 		b.core.EndAttempt(a, core.OutcomeNoFreeConnection, core.Report{})
--- a/internal/backend/postgres/query.go
+++ b/internal/backend/postgres/query.go
@@ -30,7 +30,7 @@
 func (c *connection) startQuery(a *core.Attempt, ticket *connpool.Ticket) {
 	c.query = query{attempt: a, ticket: ticket}
 	c.resetResponse()
-	a.LinkState = c
+	a.BackendState = c
 	if c.startup.done {
 		c.writeStatement()
 	}
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -16,7 +16,7 @@
 
 // addf records a fault of a field. The message says what is wrong: in most cases what the field must be and what it is.
 func (c *checker) addf(field, format string, args ...any) {
-	fault := Fault{File: c.file, Field: field, Want: fmt.Sprintf(format, args...)}
+	fault := Fault{File: c.file, Field: field, Problem: fmt.Sprintf(format, args...)}
 	if c.locate != nil {
 		fault.Line = c.locate(field)
 	}
@@ -77,7 +77,7 @@
 
 // tomlFault converts an error of the TOML decoder to a fault, with its line and key if the error has them.
 func tomlFault(file string, err error) Fault {
-	fault := Fault{File: file, Want: err.Error()}
+	fault := Fault{File: file, Problem: err.Error()}
 	var parseErr toml.ParseError
 	if !errors.As(err, &parseErr) {
 		return fault
@@ -85,7 +85,7 @@
 	fault.Line = parseErr.Position.Line
 	fault.Field = parseErr.LastKey
 	if parseErr.Message != "" {
-		fault.Want = parseErr.Message
+		fault.Problem = parseErr.Message
 	}
 	return fault
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,16 +21,16 @@
 
 // Config is the platform's configuration of one gateway process. Addresses have the form HOST:PORT.
 type Config struct {
-	Name     string  // name of this gateway
-	Listen   string  // address on which clients connect
-	Control  string  // address of the control API for operators; "" disables it
-	Seed     uint64  // seed of the random number generator
-	MemoryMB int     // memory limit in MB; with 0 there is none, and buffers are sized for the gateway's default
-	Sockets  int     // limit on open file descriptors; with 0 there is none, and the limit on clients follows from the gateway's default
-	Bus      string  // address of the event bus
-	Offset   uint64  // number of the last known event; 0 if there is none
-	Known    []Event // events from which the initial endpoint list is built, in order
-	Site     Site    // settings of the deployment
+	Name           string  // name of this gateway
+	Listen         string  // address on which clients connect
+	Control        string  // address of the control API for operators; "" disables it
+	Seed           uint64  // seed of the random number generator
+	MemoryMB       int     // memory limit in MB; with 0 there is none, and buffers are sized for the gateway's default
+	MaxDescriptors int     // limit on open file descriptors; with 0 there is none, and the limit on clients follows from the gateway's default
+	BusAddress     string  // address of the event bus
+	LastEvent      uint64  // number of the last known event; 0 if there is none
+	KnownEvents    []Event // events from which the initial endpoint list is built, in order
+	Site           Site    // settings of the deployment
 
 	PeerListen string   // address on which datagrams of other front ends arrive
 	Peers      []string // addresses of all front ends of the tier, including this one
@@ -85,10 +85,10 @@
 	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineDeparted,
 }
 
-// EventSum returns a checksum of the known events and of the number of the last one. If it is equal in two processes, the
+// EventChecksum returns a checksum of the known events and of the number of the last one. If it is equal in two processes, the
 // events that follow have the same numbers in both.
-func (c *Config) EventSum() (uint64, error) {
-	b, err := json.Marshal([]any{c.Offset, c.Known})
+func (c *Config) EventChecksum() (uint64, error) {
+	b, err := json.Marshal([]any{c.LastEvent, c.KnownEvents})
 	if err != nil {
 		return 0, fmt.Errorf("configuration: known: %w", err)
 	}
@@ -117,15 +117,15 @@
 		return nil, check.err()
 	}
 	c := &Config{
-		Name:       f.Name,
-		Listen:     f.Listen,
-		Control:    f.Control,
-		MemoryMB:   int(f.Limits.MemoryMB),
-		Sockets:    int(f.Limits.Sockets),
-		Bus:        f.Bus,
-		Offset:     f.Known.Offset,
-		PeerListen: f.PeerListen,
-		Peers:      f.Peers,
+		Name:           f.Name,
+		Listen:         f.Listen,
+		Control:        f.Control,
+		MemoryMB:       int(f.Limits.MemoryMB),
+		MaxDescriptors: int(f.Limits.Sockets),
+		BusAddress:     f.Bus,
+		LastEvent:      f.Known.Offset,
+		PeerListen:     f.PeerListen,
+		Peers:          f.Peers,
 	}
 	f.checkAddresses(check)
 	c.readSeed(check, f.Seed)
@@ -192,8 +192,8 @@
 			prefix := fmt.Sprintf("known.batch[%d].topology.targets[%d].", i, j)
 			event.Engines = append(event.Engines, target.engine(check, prefix))
 		}
-		c.Offset = max(c.Offset, batch.Offset)
-		c.Known = append(c.Known, event)
+		c.LastEvent = max(c.LastEvent, batch.Offset)
+		c.KnownEvents = append(c.KnownEvents, event)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := c.Known[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineLive || e.StartKnown || c.Offset != 1 {
+	if e := c.KnownEvents[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineLive || e.StartKnown || c.LastEvent != 1 {
 		t.Errorf("Parse() = %+v, want the live engine s-00000001 of unknown start first, and offset 1", c)
 	}
 }
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -122,7 +122,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, err := c.EventSum(); got != tt.want || err != nil {
+			if got, err := c.EventChecksum(); got != tt.want || err != nil {
 				t.Errorf("EventSum() = %#016x, %v, want %#016x", got, err, tt.want)
 			}
 		})
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -8,10 +8,10 @@
 
 // Fault is one error in a file, located by line and settings key.
 type Fault struct {
-	File  string // path of the file; "" if the error is not about a file
-	Line  int    // line number from 1; for a missing field that of the table or object around it, if there is one; 0 if unknown
-	Field string // path of the key, such as statement[0].class; "" if the error is about the file as a whole
-	Want  string // what is wrong and what is allowed
+	File    string // path of the file; "" if the error is not about a file
+	Line    int    // line number from 1; for a missing field that of the table or object around it, if there is one; 0 if unknown
+	Field   string // path of the key, such as statement[0].class; "" if the error is about the file as a whole
+	Problem string // what is wrong and what is allowed
 }
 
 // Error returns the fault in the form FILE:LINE: FIELD: PROBLEM, without the line or field if it is unknown.
@@ -21,9 +21,9 @@
 		position += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Field == "" {
-		return position + ": " + f.Want
+		return position + ": " + f.Problem
 	}
-	return position + ": " + f.Field + ": " + f.Want
+	return position + ": " + f.Field + ": " + f.Problem
 }
 
 // Faults are all errors found in a file and in the files that it names.
@@ -52,5 +52,5 @@
 	if errors.As(err, &fault) {
 		return Faults{fault}
 	}
-	return Faults{{Want: err.Error()}}
+	return Faults{{Problem: err.Error()}}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -117,9 +117,9 @@
 	c.requiref(size >= minSecretBytes && size <= maxSecretBytes, prefix+"file", "must hold between 16 and 1024 bytes, got %d", size)
 }
 
-// Decide returns the configuration of the membership protocol. Its timeouts are the defaults, scaled with the heartbeat
+// MembershipConfig returns the configuration of the membership protocol. Its timeouts are the defaults, scaled with the heartbeat
 // interval.
-func (f *Fleet) Decide() membership.Config {
+func (f *Fleet) MembershipConfig() membership.Config {
 	cfg := membership.DefaultConfig()
 	interval := FromMS(f.HeartbeatMS)
 	scale := func(timeout time.Duration) time.Duration {
--- a/internal/config/postgres_check.go
+++ b/internal/config/postgres_check.go
@@ -31,7 +31,7 @@
 	for i, statement := range p.Statements {
 		statement.check(c, fmt.Sprintf("statement[%d].", i), classes)
 	}
-	p.Shapes.check(c, "shapes.", p.Site.Policy.Classes)
+	p.Shapes.check(c, "shapes.", p.SiteSettings.Policy.Classes)
 	if p.Users != "" {
 		p.loadUsers(c, dir)
 	}
@@ -50,7 +50,7 @@
 		{"transaction_idle_s", p.TransactionIdleSeconds, 0, maxTransactionSeconds},
 		{"transaction_most_s", p.TransactionMaxSeconds, 0, maxTransactionSeconds},
 	})
-	c.requiref(p.Sockets >= 0, "sockets", "must be at least 0, got %d", p.Sockets)
+	c.requiref(p.MaxDescriptors >= 0, "sockets", "must be at least 0, got %d", p.MaxDescriptors)
 }
 
 // checkReadOnlyFunctions validates the names of functions: NAME or SCHEMA.NAME, in lower case and without quotes.
@@ -67,7 +67,7 @@
 // classesByName returns the classes of the settings by name.
 func (p *Postgres) classesByName() map[string]policy.Class {
 	classes := map[string]policy.Class{}
-	for _, class := range p.Site.Policy.Classes {
+	for _, class := range p.SiteSettings.Policy.Classes {
 		classes[class.Name] = class
 	}
 	return classes
@@ -76,7 +76,7 @@
 // chooseWriteClass sets the default write class if the file names none: the first class that is executed at most once and
 // does not keep the order of keys.
 func (p *Postgres) chooseWriteClass() {
-	for _, class := range p.Site.Policy.Classes {
+	for _, class := range p.SiteSettings.Policy.Classes {
 		if p.WriteClass == "" && class.Idempotency == policy.NotIdempotent && !class.Ordered {
 			p.WriteClass = class.Name
 		}
@@ -89,7 +89,7 @@
 	for _, s := range []struct{ field, class string }{{"default_class", p.DefaultClass}, {"write_class", p.WriteClass}} {
 		c.requiref(!classes[s.class].Ordered, s.field, "must be a class without key order, as its statements name no key, got %q", s.class)
 	}
-	c.requiref(!p.Site.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe must be false: the PostgreSQL protocol has no load requests")
+	c.requiref(!p.SiteSettings.Policy.Limits.AllowLoadRequests, "settings", "limits.may-probe must be false: the PostgreSQL protocol has no load requests")
 	_, known := classes[p.DefaultClass]
 	c.requiref(known, "default_class", "must be a class of the settings, got %q", p.DefaultClass)
 	if p.WriteClass == "" {
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -223,17 +223,17 @@
 // policyRules converts the rules to those of the policy.
 func (r *rulesJSON) policyRules() policy.Rules {
 	return policy.Rules{
-		AnswerSlack:       FromMS(r.AnswerSlackMS),
-		DrainGrace:        FromMS(r.DrainGraceMS),
-		WarmUpMinCapacity: r.WarmUpMinCapacity,
-		WarmUpPeriod:      FromMS(r.WarmUpPeriodMS),
-		OverloadMultiple:  r.OverloadMultiple,
-		OverloadWindow:    FromMS(r.OverloadWindowMS),
-		SettleTime:        FromMS(r.SettleTimeMS),
-		RetryBudgetBase:   r.RetryBudgetBase,
-		RetryBudgetRatio:  r.RetryBudgetRatio,
-		RetryBudgetWindow: FromMS(r.RetryBudgetWindowMS),
-		ResubscribeWithin: FromMS(r.ResubscribeWithinMS),
+		AnswerGracePeriod:  FromMS(r.AnswerSlackMS),
+		DrainTimeout:       FromMS(r.DrainGraceMS),
+		WarmUpMinCapacity:  r.WarmUpMinCapacity,
+		WarmUpPeriod:       FromMS(r.WarmUpPeriodMS),
+		OverloadMultiple:   r.OverloadMultiple,
+		OverloadWindow:     FromMS(r.OverloadWindowMS),
+		SettleTime:         FromMS(r.SettleTimeMS),
+		RetryBudgetBase:    r.RetryBudgetBase,
+		RetryBudgetRatio:   r.RetryBudgetRatio,
+		RetryBudgetWindow:  FromMS(r.RetryBudgetWindowMS),
+		ResubscribeTimeout: FromMS(r.ResubscribeWithinMS),
 	}
 }
 
@@ -263,22 +263,22 @@
 			return nil, fmt.Errorf("classes[%d].group: unknown value %q", i, c.DedupScope)
 		}
 		classes = append(classes, policy.Class{
-			Name:             c.Name,
-			LatencyObjective: FromMS(c.LatencyObjectiveMS),
-			ObjectiveStretch: c.ObjectiveStretch,
-			Timeout:          FromMS(c.TimeoutMS),
-			PriorityWeight:   c.PriorityWeight,
-			LateFraction:     c.LateFraction,
-			Threads:          at(p.Engines.Threads, i),
-			Idempotency:      idempotency,
-			DedupScope:       scope,
-			DedupWindow:      FromMS(c.DedupWindowMS),
-			Streaming:        c.Streaming,
-			Ordered:          c.Ordered,
-			DataLoad:         at(p.Engines.DataLoad, i),
-			WaitsForDataLoad: at(p.Engines.WaitsForDataLoad, i),
-			Zones:            c.Zones,
-			Kinds:            c.Kinds,
+			Name:              c.Name,
+			LatencyObjective:  FromMS(c.LatencyObjectiveMS),
+			ObjectiveStretch:  c.ObjectiveStretch,
+			Timeout:           FromMS(c.TimeoutMS),
+			PriorityWeight:    c.PriorityWeight,
+			LateValueFraction: c.LateFraction,
+			Threads:           at(p.Engines.Threads, i),
+			Idempotency:       idempotency,
+			DedupScope:        scope,
+			DedupWindow:       FromMS(c.DedupWindowMS),
+			Streaming:         c.Streaming,
+			Ordered:           c.Ordered,
+			DataLoad:          at(p.Engines.DataLoad, i),
+			WaitsForDataLoad:  at(p.Engines.WaitsForDataLoad, i),
+			Zones:             c.Zones,
+			Kinds:             c.Kinds,
 		})
 	}
 	return classes, nil
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -98,8 +98,8 @@
 	return &s, nil
 }
 
-// Decide returns the configuration of the cost model.
-func (s *Shapes) Decide() costmodel.Config {
+// CostModelConfig returns the configuration of the cost model.
+func (s *Shapes) CostModelConfig() costmodel.Config {
 	cfg := costmodel.Config{Hysteresis: s.Hysteresis}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, costmodel.Class{Name: c.Name, MaxWorkMS: c.UpToMS})
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -12,13 +12,13 @@
 // Sites configures the forwarding of queries to gateways at other sites, over links between the sites. It has a file of its
 // own, which both frontends use.
 type Sites struct {
-	Site    string     `toml:"site"`    // name of this gateway's site
-	Gateway string     `toml:"gateway"` // name of this gateway within the site
-	Listen  string     `toml:"listen"`  // address for gateways of other sites, HOST:PORT; "" if this gateway only dials
-	Admin   string     `toml:"admin"`   // path of the admin socket if no upgrade file sets one; "" for none
-	Keys    SiteKeys   `toml:"keys"`
-	Peers   []SitePeer `toml:"peer"`
-	Pack    bool       `toml:"pack"` // true: bodies are compressed with zstd if that shrinks them enough
+	Site     string     `toml:"site"`    // name of this gateway's site
+	Gateway  string     `toml:"gateway"` // name of this gateway within the site
+	Listen   string     `toml:"listen"`  // address for gateways of other sites, HOST:PORT; "" if this gateway only dials
+	Admin    string     `toml:"admin"`   // path of the admin socket if no upgrade file sets one; "" for none
+	Keys     SiteKeys   `toml:"keys"`
+	Peers    []SitePeer `toml:"peer"`
+	Compress bool       `toml:"pack"` // true: bodies are compressed with zstd if that shrinks them enough
 
 	SharedDedup         bool    `toml:"keys_shared"`      // true: engines of all sites drop each other's duplicates of an idempotency key
 	UnreachableAfterMS  float64 `toml:"silent_after_ms"`  // milliseconds without a reply until a peer is unreachable, 300 to 60,000
@@ -174,9 +174,9 @@
 	}
 }
 
-// Decide returns the configuration of the forwarding decisions. maxAttempts limits the attempts of one request over all
+// ForwardingConfig returns the configuration of the forwarding decisions. maxAttempts limits the attempts of one request over all
 // sites.
-func (s *Sites) Decide(maxAttempts int) remotesite.Config {
+func (s *Sites) ForwardingConfig(maxAttempts int) remotesite.Config {
 	digestInterval := FromMS(s.DigestIntervalMS)
 	return remotesite.Config{
 		UnreachableAfter:  FromMS(s.UnreachableAfterMS),
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -21,7 +21,7 @@
 	}
 	want := remotesite.Defaults()
 	want.MaxAttempts = 3
-	if diff := cmp.Diff(want, s.Decide(3)); diff != "" {
+	if diff := cmp.Diff(want, s.ForwardingConfig(3)); diff != "" {
 		t.Errorf("Decide(3) (-want +got):\n%s", diff)
 	}
 	if s.Keys.Key != filepath.Join("../../deploy", "sites/lalitpur-1.key") || len(s.Peers) != 1 {
--- a/internal/config/upgrade.go
+++ b/internal/config/upgrade.go
@@ -32,13 +32,13 @@
 	}
 	defaults := handover.DefaultConfig()
 	u := Upgrade{
-		HelloTimeoutSeconds:     defaults.GreetTimeout.Seconds(),
-		WarmUpTimeoutSeconds:    defaults.WarmTimeout.Seconds(),
+		HelloTimeoutSeconds:     defaults.HelloTimeout.Seconds(),
+		WarmUpTimeoutSeconds:    defaults.WarmUpTimeout.Seconds(),
 		ProbationSeconds:        defaults.MinProbation.Seconds(),
 		MaxProbationSeconds:     defaults.MaxProbation.Seconds(),
 		HeartbeatTimeoutSeconds: defaults.HeartbeatTimeout.Seconds(),
 		MinSuccesses:            defaults.MinSuccesses,
-		MaxFailureFraction:      defaults.MaxFailureRate,
+		MaxFailureFraction:      defaults.MaxFailureFraction,
 	}
 	c := &checker{file: path}
 	if decodeTOML(c, raw, &u) {
@@ -81,16 +81,16 @@
 	})
 }
 
-// Decide returns the configuration of the handover protocol.
-func (u *Upgrade) Decide() handover.Config {
+// HandoverConfig returns the configuration of the handover protocol.
+func (u *Upgrade) HandoverConfig() handover.Config {
 	return handover.Config{
-		GreetTimeout:     seconds(u.HelloTimeoutSeconds),
-		WarmTimeout:      seconds(u.WarmUpTimeoutSeconds),
-		MinProbation:     seconds(u.ProbationSeconds),
-		MaxProbation:     seconds(u.MaxProbationSeconds),
-		HeartbeatTimeout: seconds(u.HeartbeatTimeoutSeconds),
-		MinSuccesses:     u.MinSuccesses,
-		MaxFailureRate:   u.MaxFailureFraction,
-		MaxMemory:        int64(u.MaxMemoryMB) << 20,
+		HelloTimeout:       seconds(u.HelloTimeoutSeconds),
+		WarmUpTimeout:      seconds(u.WarmUpTimeoutSeconds),
+		MinProbation:       seconds(u.ProbationSeconds),
+		MaxProbation:       seconds(u.MaxProbationSeconds),
+		HeartbeatTimeout:   seconds(u.HeartbeatTimeoutSeconds),
+		MinSuccesses:       u.MinSuccesses,
+		MaxFailureFraction: u.MaxFailureFraction,
+		MaxMemory:          int64(u.MaxMemoryMB) << 20,
 	}
 }
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -15,7 +15,7 @@
 )
 
 // FormatFigures formats figures as the body of /metrics, one per line: lb.NAME:VALUE|TYPE.
-func FormatFigures(f core.Figures) []byte {
+func FormatFigures(f core.Stats) []byte {
 	var out metricWriter
 	for _, class := range f.Classes {
 		out.add("calls."+class.Class+".success", class.Served, counter)
@@ -44,10 +44,10 @@
 }
 
 // addPeers adds the metrics of the other front ends of the fleet.
-func (w *metricWriter) addPeers(p *core.PeerFigures) {
+func (w *metricWriter) addPeers(p *core.PeerStats) {
 	w.add("peers_live", int64(p.Live), gauge)
 	w.add("peers_named", int64(p.Known), gauge)
-	w.add("peers_cut", int64(p.Unreachable), gauge)
+	w.add("peers_cut", int64(p.PartlyReachable), gauge)
 	w.add("peers_gone", int64(p.Dead), gauge)
 	w.add("peers_view", int64(p.ViewNumber), gauge)
 	var majority int64
--- a/internal/control/figures_test.go
+++ b/internal/control/figures_test.go
@@ -25,14 +25,14 @@
 lb.peers_view:42|g
 lb.peers_majority:1|g
 `
-	figures := core.Figures{
-		Classes:         []core.ClassFigures{{Class: "lookup", Served: 812, Rejected: 3, Failed: 1}},
+	figures := core.Stats{
+		Classes:         []core.ClassStats{{Class: "lookup", Served: 812, Rejected: 3, Failed: 1}},
 		AttemptsWritten: 900, InFlight: 14, EnginesListed: 8, EnginesDown: 2,
 	}
 	if diff := cmp.Diff(withoutPeers, string(FormatFigures(figures))); diff != "" {
 		t.Errorf("FormatFigures without peers (-want +got):\n%s", diff)
 	}
-	figures.Peers = &core.PeerFigures{Live: 5, Known: 7, Unreachable: 1, Dead: 2, ViewNumber: 42, Majority: true}
+	figures.Peers = &core.PeerStats{Live: 5, Known: 7, PartlyReachable: 1, Dead: 2, ViewNumber: 42, Majority: true}
 	if diff := cmp.Diff(withoutPeers+peers, string(FormatFigures(figures))); diff != "" {
 		t.Errorf("FormatFigures with peers (-want +got):\n%s", diff)
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -36,7 +36,7 @@
 	// Ready returns nil if this process can serve clients, or the reason why it cannot.
 	Ready() error
 	// Figures returns the current metrics of the gateway.
-	Figures() core.Figures
+	Figures() core.Stats
 	// DisableEngine stops sending requests to an engine. It fails if no engine has the id, or if too
 	// many engines are disabled.
 	DisableEngine(id string) error
@@ -96,7 +96,7 @@
 	server     *Server
 	netConn    *netio.Conn
 	acceptedAt time.Duration     // on the loop's clock
-	timeout    *timerqueue.Entry // closes the connection unless its request is complete by then
+	timeout    *timerqueue.Timer // closes the connection unless its request is complete by then
 	done       bool              // the request was answered, or the connection was closed
 }
 
@@ -105,7 +105,7 @@
 	if c.done {
 		return
 	}
-	c.server.counters.Add("control.silent")
+	c.server.counters.Inc("control.silent")
 	c.finish()
 	c.netConn.Abort()
 }
@@ -133,10 +133,10 @@
 		response, fault = c.server.handle(request)
 	}
 	if fault != nil {
-		c.server.counters.Add("control.refused")
+		c.server.counters.Inc("control.refused")
 		response = errorResponse(fault)
 	} else {
-		c.server.counters.Add("control.answered")
+		c.server.counters.Inc("control.answered")
 	}
 	response.Close = true
 	in.Consume(in.Len())
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -42,10 +42,10 @@
 		a.EngineError = r.engineError
 	}
 	a.Sent = a.Sent || r.PriorSentAt > 0 || len(r.attempts) > 0
-	c.counters.Add("answered." + a.Verdict.String() + "." + r.Class)
+	c.counters.Inc("answered." + a.Verdict.String() + "." + r.Class)
 	c.figures.countAnswer(r.Class, a.Verdict)
 	if a.DeadlinePassed {
-		c.counters.Add("answered-late." + r.Class)
+		c.counters.Inc("answered-late." + r.Class)
 	}
 	c.requests.markAnswered(r)
 	c.dropForwarded(r)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -12,13 +12,13 @@
 
 // Attempt is one send of a request to one engine.
 type Attempt struct {
-	Request   *Request
-	Engine    string        // engine id, not an address: a new engine may reuse that of a departed one
-	Timeout   time.Duration // time from SentAt in which the engine has to answer
-	SentAt    time.Duration // time on the core's clock
-	MemoryMB  float64       // memory granted to the attempt; 0: the engine chooses
-	Priority  int           // priority granted by the policy
-	LinkState LinkState     // state kept by the backend; nil once the attempt has ended
+	Request      *Request
+	Engine       string        // engine id, not an address: a new engine may reuse that of a departed one
+	Timeout      time.Duration // time from SentAt in which the engine has to answer
+	SentAt       time.Duration // time on the core's clock
+	MemoryMB     float64       // memory granted to the attempt; 0: the engine chooses
+	Priority     int           // priority granted by the policy
+	BackendState BackendState  // state kept by the backend; nil once the attempt has ended
 
 	number        int // the policy's number of the attempt within its query, from 0
 	ended         bool
@@ -27,7 +27,7 @@
 	sitesNotified bool              // RemoteSites.AttemptStarted was called
 	streaming     bool              // a part of its answer was relayed, and more follow
 	writeDeadline time.Duration     // from this time on it may not be written; 0: no limit
-	timer         *timerqueue.Entry // ends the attempt as timed out
+	timer         *timerqueue.Timer // ends the attempt as timed out
 }
 
 // Ended reports whether the attempt has ended.
@@ -55,9 +55,9 @@
 	a.writeDeadline = c.keyedWriteDeadline(r)
 	r.attempts = append(r.attempts, a)
 	r.outstanding++
-	c.counters.Add("sent." + r.Class)
+	c.counters.Inc("sent." + r.Class)
 	if len(r.attempts) > 1 {
-		c.counters.Add("sent-again." + r.Class)
+		c.counters.Inc("sent-again." + r.Class)
 	}
 	alreadyAnswered := r.answered // the policy decided on the send before it learned of the answer
 	overBudget := r.MaxSends > 0 && r.SendCount() > r.MaxSends
@@ -113,7 +113,7 @@
 	over := c.links.Cancel(a)
 	if !over {
 		a.timer.Stop()
-		c.counters.Add("settling." + a.Request.Class)
+		c.counters.Inc("settling." + a.Request.Class)
 		return
 	}
 	if !a.written { // it was still waiting for a connection
@@ -127,7 +127,7 @@
 	if a.ended {
 		return
 	}
-	c.counters.Add("notes")
+	c.counters.Inc("notes")
 	c.notifyPolicy(policy.AttemptProgress{Query: a.Request.queryNumber, Attempt: a.number, Kind: kind, Value: value})
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,7 +26,7 @@
 	counters *metrics.Counters
 	log      *slog.Logger
 
-	links     Links
+	links     Backend
 	sites     RemoteSites // nil if there is no other site
 	observers observers
 
@@ -80,8 +80,8 @@
 	return c, nil
 }
 
-// SetLinks sets the backend that carries attempts to engines.
-func (c *Core) SetLinks(l Links) { c.links = l }
+// SetBackend sets the backend that carries attempts to engines.
+func (c *Core) SetBackend(l Backend) { c.links = l }
 
 // SetRemoteSites sets the component that forwards requests to other sites.
 func (c *Core) SetRemoteSites(s RemoteSites) { c.sites = s }
@@ -103,8 +103,8 @@
 	return class, ok
 }
 
-// LongestDeadline returns the longest client timeout of all classes.
-func (c *Core) LongestDeadline() (longest time.Duration) {
+// LongestTimeout returns the longest client timeout of all classes.
+func (c *Core) LongestTimeout() (longest time.Duration) {
 	for _, class := range c.classes {
 		longest = max(longest, class.Timeout)
 	}
--- a/internal/core/end_attempt.go
+++ b/internal/core/end_attempt.go
@@ -19,16 +19,16 @@
 // a timeout or cancellation is ignored.
 func (c *Core) EndAttempt(a *Attempt, outcome Outcome, report Report) {
 	if a.ended {
-		c.counters.Add("end-ignored." + outcome.String())
+		c.counters.Inc("end-ignored." + outcome.String())
 		return
 	}
 	r := a.Request
 	a.ended = true
 	a.timer.Stop()
-	a.LinkState = nil
+	a.BackendState = nil
 	a.neverRan = outcome.PolicyResult().NeverRan()
 	r.outstanding--
-	c.counters.Add("ended." + outcome.String())
+	c.counters.Inc("ended." + outcome.String())
 	if a.sitesNotified {
 		c.sites.AttemptEnded(a, outcome, report)
 	}
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -31,7 +31,7 @@
 
 // UpdateEndpoints applies an endpoint list of discovery, or changes to one.
 func (c *Core) UpdateEndpoints(mode policy.ListMode, engines []Engine) {
-	c.counters.Add("roster.events")
+	c.counters.Inc("roster.events")
 	update := policy.EngineList{Mode: mode}
 	before := c.endpoints.engines
 	if mode == policy.ListFull || mode == policy.ListCached {
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -7,42 +7,42 @@
 	"gannetspur/policy"
 )
 
-// Figures are the statistics that operators read. Totals count from the start of the process.
-type Figures struct {
-	Classes         []ClassFigures // sorted by class name
-	AttemptsWritten int64          // attempts completely written to engines
-	InFlight        int            // accepted requests without a final answer
-	EnginesListed   int            // engines that discovery lists
-	EnginesDown     int            // listed engines that operators disabled or the policy ejected
-	Peers           *PeerFigures   // nil if the gateway does not take part in a membership
+// Stats are the statistics that operators read. Totals count from the start of the process.
+type Stats struct {
+	Classes         []ClassStats // sorted by class name
+	AttemptsWritten int64        // attempts completely written to engines
+	InFlight        int          // accepted requests without a final answer
+	EnginesListed   int          // engines that discovery lists
+	EnginesDown     int          // listed engines that operators disabled or the policy ejected
+	Peers           *PeerStats   // nil if the gateway does not take part in a membership
 }
 
-// ClassFigures counts the final answers to requests of one class, by verdict.
-type ClassFigures struct {
+// ClassStats counts the final answers to requests of one class, by verdict.
+type ClassStats struct {
 	Class                    string // name of the class
 	Served, Rejected, Failed int64
 }
 
-// PeerFigures describes the membership of a site's gateways, this one included.
-type PeerFigures struct {
-	Live        int  // gateways in the membership view
-	Known       int  // gateways known, in any state, or configured
-	Unreachable int  // gateways that some others can't reach, or that can reach none of the others
-	Dead        int  // gateways declared dead, and those that none of their monitors can reach
-	ViewNumber  int  // number of the membership view
-	Majority    bool // whether more than half of the gateways known recently are in the view
+// PeerStats describes the membership of a site's gateways, this one included.
+type PeerStats struct {
+	Live            int  // gateways in the membership view
+	Known           int  // gateways known, in any state, or configured
+	PartlyReachable int  // gateways that some others can't reach, or that can reach none of the others
+	Dead            int  // gateways declared dead, and those that none of their monitors can reach
+	ViewNumber      int  // number of the membership view
+	Majority        bool // whether more than half of the gateways known recently are in the view
 }
 
 // figures holds the totals that are reported in Figures and used nowhere else.
 type figures struct {
-	byClass         map[string]*ClassFigures // by class name
+	byClass         map[string]*ClassStats // by class name
 	attemptsWritten int64
 }
 
 func newFigures(classes []policy.Class) figures {
-	f := figures{byClass: map[string]*ClassFigures{}}
+	f := figures{byClass: map[string]*ClassStats{}}
 	for _, class := range classes {
-		f.byClass[class.Name] = &ClassFigures{Class: class.Name}
+		f.byClass[class.Name] = &ClassStats{Class: class.Name}
 	}
 	return f
 }
@@ -63,16 +63,16 @@
 	}
 }
 
-// Figures returns a copy of the current figures. Peers is nil: the core knows no peers.
-func (c *Core) Figures() Figures {
-	f := Figures{
+// Stats returns a copy of the current figures. Peers is nil: the core knows no peers.
+func (c *Core) Stats() Stats {
+	f := Stats{
 		AttemptsWritten: c.figures.attemptsWritten, InFlight: c.requests.unanswered,
 		EnginesListed: c.endpoints.admin.ListedCount(),
 	}
 	for _, counts := range c.figures.byClass {
 		f.Classes = append(f.Classes, *counts)
 	}
-	slices.SortFunc(f.Classes, func(a, b ClassFigures) int { return cmp.Compare(a.Class, b.Class) })
+	slices.SortFunc(f.Classes, func(a, b ClassStats) int { return cmp.Compare(a.Class, b.Class) })
 	for id := range c.endpoints.engines {
 		if c.endpoints.admin.Disabled(id) || c.policy.gateway.IsEjected(id) {
 			f.EnginesDown++
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.core.SetLinks(fixtureLinks{f})
+	f.core.SetBackend(fixtureLinks{f})
 	f.core.SetRemoteSites(fixtureSites{f})
 	var list []Engine
 	for i := range engines {
@@ -66,7 +66,7 @@
 // advance moves the clock forward and runs the timers that are due.
 func (f *fixture) advance(d time.Duration) {
 	f.now += d
-	f.timers.Sweep(f.now)
+	f.timers.RunDue(f.now)
 }
 
 func (f *fixture) record(format string, args ...any) {
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -27,7 +27,7 @@
 // ReturnForwarded, or the end of the request. If none has come by the time until, the core cancels the
 // request at the other site and answers that it failed.
 func (c *Core) Forwarded(r *Request, until time.Duration) {
-	c.counters.Add("away." + r.Class)
+	c.counters.Inc("away." + r.Class)
 	r.remote.forwardedAt = c.clock.Now()
 	r.remote.timer = c.timers.Add(until, func() {
 		c.RecordRemoteSend(r, r.remote.forwardedAt)
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -54,7 +54,7 @@
 func (c *Core) register(r *Request) {
 	r.priority = normalPriority
 	c.requests.add(r)
-	c.counters.Add("taken." + r.Class)
+	c.counters.Inc("taken." + r.Class)
 }
 
 // admit passes a request to the policy, which sends or rejects it.
@@ -62,7 +62,7 @@
 	r.admitted = true
 	c.notifyPolicy(policy.QueryArrived{
 		Query: r.queryNumber, Class: r.Class, Key: r.SerialKey, DataSet: r.DataSet, Deadline: r.Deadline,
-		Work: r.Work, MemoryMB: r.MemoryMB, Repeat: r.ClientRetry,
+		Work: r.Work, MemoryMB: r.MemoryMB, ClientRetry: r.ClientRetry,
 	})
 }
 
@@ -71,7 +71,7 @@
 	if !c.requests.isOpen(r) {
 		return
 	}
-	c.counters.Add("gone." + r.Class)
+	c.counters.Inc("gone." + r.Class)
 	c.requests.markAnswered(r)
 	c.dropForwarded(r)
 	c.cancelInFlight(r)
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -2,8 +2,8 @@
 
 import "gannetspur/policy"
 
-// Links is a backend: it carries attempts to engines over one wire protocol.
-type Links interface {
+// Backend is a backend: it carries attempts to engines over one wire protocol.
+type Backend interface {
 	// Send starts an attempt. The backend calls Core.EndAttempt when the attempt ends.
 	Send(a *Attempt)
 	// Cancel cancels an attempt that has not ended, and reports whether the attempt is over.
@@ -23,9 +23,9 @@
 	RequestLoadReport(engine string)
 }
 
-// StreamingLinks is implemented by Links that support streaming requests: those with more
+// StreamingBackend is implemented by Links that support streaming requests: those with more
 // statements and answers after the first, such as transactions.
-type StreamingLinks interface {
+type StreamingBackend interface {
 	// Continue sends the next statement, a.Request.Statement, on the attempt's connection.
 	Continue(a *Attempt)
 }
--- a/internal/core/overrides.go
+++ b/internal/core/overrides.go
@@ -25,7 +25,7 @@
 }
 
 func (c *Core) overrideChanged(id string) {
-	c.counters.Add("bans.called")
+	c.counters.Inc("bans.called")
 	c.log.Info("override.changed", "engine", id, "disabled", c.endpoints.admin.Disabled(id))
 	c.republish([]string{id})
 	if c.observers.overridesChanged != nil {
--- a/internal/core/payload.go
+++ b/internal/core/payload.go
@@ -20,8 +20,8 @@
 	Fingerprint() [2]uint64
 }
 
-// LinkState is a backend's own state of an attempt.
-type LinkState interface {
+// BackendState is a backend's own state of an attempt.
+type BackendState interface {
 	// Owner returns the attempt that the state belongs to.
 	Owner() *Attempt
 }
--- a/internal/core/policy_loop.go
+++ b/internal/core/policy_loop.go
@@ -59,23 +59,23 @@
 	case policy.RequestLoadReport:
 		c.requestLoadReport(a.Engine)
 	case policy.Subscribe: // the core is always subscribed
-		c.counters.Add("policy.ignored")
+		c.counters.Inc("policy.ignored")
 	}
 }
 
 func (c *Core) requestLoadReport(engine string) {
 	reporter, ok := c.links.(LoadReporter)
 	if !ok { // this wire protocol has no load reports
-		c.counters.Add("policy.ignored")
+		c.counters.Inc("policy.ignored")
 		return
 	}
-	c.counters.Add("probes.sent")
+	c.counters.Inc("probes.sent")
 	reporter.RequestLoadReport(engine)
 }
 
 // EndLoadReport ends a LoadReporter.RequestLoadReport. The outcome tells whether the engine answered;
 // load is the reported load, if any.
 func (c *Core) EndLoadReport(engine string, outcome Outcome, load policy.LoadReport) {
-	c.counters.Add("probes.ended." + outcome.String())
+	c.counters.Inc("probes.ended." + outcome.String())
 	c.notifyPolicy(policy.LoadReportReceived{Engine: engine, Result: outcome.PolicyResult(), Load: load})
 }
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -43,7 +43,7 @@
 	_ StreamingClient    = (*replay)(nil)
 	_ CostObserver       = (*replay)(nil)
 	_ LoadReporter       = replayLinks{}
-	_ StreamingLinks     = replayLinks{}
+	_ StreamingBackend   = replayLinks{}
 	_ DisconnectDetector = (*fixture)(nil)
 )
 
@@ -81,7 +81,7 @@
 	if r.core, err = New(settings, seed, r, r.timers, r.counters, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	r.core.SetLinks(replayLinks{r})
+	r.core.SetBackend(replayLinks{r})
 	r.core.SetCostObserver(r)
 	r.core.OnFirstSend(func(q *Request, at time.Duration) { r.record("first send %s %d", q.ID, at) })
 	r.core.OnOverridesChanged(func() { r.record("bans changed") })
@@ -189,7 +189,7 @@
 	for range 1500 {
 		r.step()
 		r.now += time.Duration(r.random.IntN(20)) * time.Millisecond
-		r.timers.Sweep(r.now)
+		r.timers.RunDue(r.now)
 	}
 	for len(r.openRequests) > 1 { // Shutdown answers requests in map order
 		r.disconnect(r.openRequests[0])
@@ -199,7 +199,7 @@
 	for _, a := range append(r.attempts, r.awaitingEngine...) {
 		r.core.EndAttempt(a, OutcomeConnectionReset, Report{})
 	}
-	figures := r.core.Figures()
+	figures := r.core.Stats()
 	r.record("figures %d %d %d %d", figures.AttemptsWritten, figures.InFlight, figures.EnginesListed, figures.EnginesDown)
 	for _, c := range figures.Classes {
 		r.record("class %s %d %d %d", c.Class, c.Served, c.Rejected, c.Failed)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -64,7 +64,7 @@
 
 // remoteState is the state of a request that was forwarded to another site.
 type remoteState struct {
-	timer       *timerqueue.Entry // ends the wait for the other site; nil if the request is not at one
+	timer       *timerqueue.Timer // ends the wait for the other site; nil if the request is not at one
 	forwardedAt time.Duration     // time on the core's clock
 	// policyAnswer is the policy's rejection or failure of the request here, while the request is at
 	// the other site; nil if there was none. See Core.Hedge.
--- a/internal/decide/costmodel/model.go
+++ b/internal/decide/costmodel/model.go
@@ -46,7 +46,7 @@
 	Hysteresis float64
 	// Each of these switches off a part of the model, to measure what it contributes: the profiles of
 	// values, the prior, the decay of older costs, and the client's hint.
-	NoParameters, NoPrior, NoForgetting, NoHint bool
+	NoParameters, NoPrior, NoDecay, NoHint bool
 }
 
 // DefaultHysteresis is the hysteresis of a configuration that sets none.
@@ -54,7 +54,7 @@
 
 // decay returns whether older costs lose weight under this configuration.
 func (c *Config) decay() Decay {
-	if c.NoForgetting {
+	if c.NoDecay {
 		return WithoutDecay
 	}
 	return WithDecay
--- a/internal/decide/costmodel/model_test.go
+++ b/internal/decide/costmodel/model_test.go
@@ -112,7 +112,7 @@
 // executions, and that it doesn't without forgetting.
 func TestCostShiftIsFollowed(t *testing.T) {
 	for _, forget := range []bool{true, false} {
-		w := newWorkload(Config{Classes: classes(), NoForgetting: !forget})
+		w := newWorkload(Config{Classes: classes(), NoDecay: !forget})
 		w.learn(200, 150)
 		w.learn(25, 1500)
 		if got := w.estimate().Work; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
--- a/internal/decide/costmodel/replay_test.go
+++ b/internal/decide/costmodel/replay_test.go
@@ -42,7 +42,7 @@
 		"no-classes":    {},
 		"no-parameters": {Classes: classes(), NoParameters: true},
 		"no-prior":      {Classes: classes(), NoPrior: true},
-		"no-forgetting": {Classes: classes(), NoForgetting: true},
+		"no-forgetting": {Classes: classes(), NoDecay: true},
 		"no-hint":       {Classes: classes(), NoHint: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -50,22 +50,22 @@
 // HeartbeatTimeout, which counts from the target's latest message. The target's failure rate is
 // judged only once it has given MinSuccesses responses, successful or not.
 type Config struct {
-	GreetTimeout     time.Duration // until the target's hello; if too short, upgrades fail on a slow disk
-	WarmTimeout      time.Duration // until the target has applied the state and is ready
-	MinProbation     time.Duration // the target serves at least this long before ownership is committed
-	MaxProbation     time.Duration // end of a probation with fewer than MinSuccesses successes; above MinProbation
-	HeartbeatTimeout time.Duration // a target that sends no message for this long during its probation is killed
-	MinSuccesses     int           // successes that end the probation before MaxProbation
-	MaxFailureRate   float64       // fraction of the target's responses that may be failures, 0 to 1, plus an allowance for the source's usual rate
-	MaxMemory        int64         // resident memory of the target in bytes; 0: no limit
+	HelloTimeout       time.Duration // until the target's hello; if too short, upgrades fail on a slow disk
+	WarmUpTimeout      time.Duration // until the target has applied the state and is ready
+	MinProbation       time.Duration // the target serves at least this long before ownership is committed
+	MaxProbation       time.Duration // end of a probation with fewer than MinSuccesses successes; above MinProbation
+	HeartbeatTimeout   time.Duration // a target that sends no message for this long during its probation is killed
+	MinSuccesses       int           // successes that end the probation before MaxProbation
+	MaxFailureFraction float64       // fraction of the target's responses that may be failures, 0 to 1, plus an allowance for the source's usual rate
+	MaxMemory          int64         // resident memory of the target in bytes; 0: no limit
 }
 
 // DefaultConfig returns limits for a machine that can run both processes side by side without
 // overload.
 func DefaultConfig() Config {
 	return Config{
-		GreetTimeout: 5 * time.Second, WarmTimeout: 10 * time.Second, MinProbation: 3 * time.Second, MaxProbation: 15 * time.Second,
-		HeartbeatTimeout: time.Second, MinSuccesses: 20, MaxFailureRate: 0.1,
+		HelloTimeout: 5 * time.Second, WarmUpTimeout: 10 * time.Second, MinProbation: 3 * time.Second, MaxProbation: 15 * time.Second,
+		HeartbeatTimeout: time.Second, MinSuccesses: 20, MaxFailureFraction: 0.1,
 	}
 }
 
--- a/internal/decide/handover/model_test.go
+++ b/internal/decide/handover/model_test.go
@@ -69,8 +69,8 @@
 
 func modelConfig() Config {
 	return Config{
-		GreetTimeout: timeUnit, WarmTimeout: timeUnit, MinProbation: timeUnit, MaxProbation: timeUnit,
-		HeartbeatTimeout: timeUnit, MinSuccesses: 1, MaxFailureRate: 0.5,
+		HelloTimeout: timeUnit, WarmUpTimeout: timeUnit, MinProbation: timeUnit, MaxProbation: timeUnit,
+		HeartbeatTimeout: timeUnit, MinSuccesses: 1, MaxFailureFraction: 0.5,
 	}
 }
 
--- a/internal/decide/handover/recovery.go
+++ b/internal/decide/handover/recovery.go
@@ -20,7 +20,7 @@
 	InFlight         bool
 	Idempotency      Idempotency
 	Sent             bool          // the request is sent to an engine after this record, so it may have run
-	FirstSend        time.Duration // when any process first sent it, on the clock that both processes share
+	FirstSentAt      time.Duration // when any process first sent it, on the clock that both processes share
 	KeyWindow        time.Duration // if IdempotentWithKey: engines drop a repeat until this long after FirstSend
 	Deadline         time.Duration // when the client gives up, on the same clock as FirstSend
 	ResponseLength   int           // bytes of the response that is being written; 0: none yet
@@ -61,7 +61,7 @@
 		return ReportDeadlineExceeded
 	case !r.Sent || r.Idempotency == Idempotent:
 		return Resend
-	case r.Idempotency == IdempotentWithKey && now < r.FirstSend+r.KeyWindow-keyWindowMargin:
+	case r.Idempotency == IdempotentWithKey && now < r.FirstSentAt+r.KeyWindow-keyWindowMargin:
 		return Resend
 	}
 	return ReportInDoubt
--- a/internal/decide/handover/replay_test.go
+++ b/internal/decide/handover/replay_test.go
@@ -60,7 +60,7 @@
 func (d digest) text() string { return hex.EncodeToString(d.Sum(nil)) }
 
 func (d digest) addRequest(r Request) {
-	d.add("request", r.InFlight, int(r.Idempotency), r.Sent, int64(r.FirstSend), int64(r.KeyWindow), int64(r.Deadline), r.ResponseLength, r.ResponseRecorded)
+	d.add("request", r.InFlight, int(r.Idempotency), r.Sent, int64(r.FirstSentAt), int64(r.KeyWindow), int64(r.Deadline), r.ResponseLength, r.ResponseRecorded)
 }
 
 // replaySource feeds source machines with pseudorandom streams of events, among them some that can't
@@ -72,8 +72,8 @@
 		cfg := DefaultConfig()
 		if r.IntN(3) == 0 {
 			cfg = Config{
-				GreetTimeout: randomDuration(r, 2000), WarmTimeout: randomDuration(r, 2000), MinProbation: randomDuration(r, 3000), MaxProbation: randomDuration(r, 9000),
-				HeartbeatTimeout: randomDuration(r, 2000), MinSuccesses: r.IntN(40), MaxFailureRate: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
+				HelloTimeout: randomDuration(r, 2000), WarmUpTimeout: randomDuration(r, 2000), MinProbation: randomDuration(r, 3000), MaxProbation: randomDuration(r, 9000),
+				HeartbeatTimeout: randomDuration(r, 2000), MinSuccesses: r.IntN(40), MaxFailureFraction: float64(r.IntN(5)) / 10, MaxMemory: int64(r.IntN(2)) * 1000,
 			}
 		}
 		replaySourceOnce(d, r, NewSource(cfg, Version{1, r.IntN(3)}))
@@ -174,7 +174,7 @@
 
 func anyRequest(r *rand.Rand) Request {
 	return Request{
-		InFlight: r.IntN(3) > 0, Idempotency: Idempotency(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSend: randomDuration(r, 3000), KeyWindow: randomDuration(r, 9000),
+		InFlight: r.IntN(3) > 0, Idempotency: Idempotency(r.IntN(3)), Sent: r.IntN(2) > 0, FirstSentAt: randomDuration(r, 3000), KeyWindow: randomDuration(r, 9000),
 		Deadline: randomDuration(r, 9000), ResponseLength: r.IntN(3), ResponseRecorded: r.IntN(2) > 0,
 	}
 }
@@ -292,7 +292,7 @@
 		case 0:
 			now = request.Deadline + time.Duration(r.IntN(3)-1)
 		case 1:
-			now = request.FirstSend + request.KeyWindow - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
+			now = request.FirstSentAt + request.KeyWindow - 50*time.Millisecond + time.Duration(r.IntN(3)-1)
 		}
 		d.add(int(Recover(request, r.IntN(3), now)))
 	}
--- a/internal/decide/handover/source.go
+++ b/internal/decide/handover/source.go
@@ -87,7 +87,7 @@
 		return []SourceEffect{ReportOutcome{Failure{Reason: UpgradeOrShutdownInProgress}}}
 	}
 	s.enter(AwaitingHello, now)
-	s.probation = newProbation(s.cfg.MaxFailureRate, event.UsualFailureRate, now)
+	s.probation = newProbation(s.cfg.MaxFailureFraction, event.UsualFailureRate, now)
 	s.failure = Failure{}
 	return []SourceEffect{StartTarget{}}
 }
@@ -225,9 +225,9 @@
 func (s *Source) checkTimeouts(now time.Duration) []SourceEffect {
 	elapsed := now - s.phaseSince
 	switch {
-	case s.phase == AwaitingHello && elapsed >= s.cfg.GreetTimeout:
+	case s.phase == AwaitingHello && elapsed >= s.cfg.HelloTimeout:
 		return s.fail(now, HelloTimedOut)
-	case s.phase == WarmingUp && elapsed >= s.cfg.WarmTimeout:
+	case s.phase == WarmingUp && elapsed >= s.cfg.WarmUpTimeout:
 		return s.fail(now, WarmUpTimedOut)
 	case s.phase == Probation && now-s.probation.lastMessage >= s.cfg.HeartbeatTimeout:
 		return s.fail(now, HeartbeatTimedOut)
--- a/internal/decide/membership/config.go
+++ b/internal/decide/membership/config.go
@@ -43,9 +43,9 @@
 	FrameOverheadBytes int
 	// MaxDatagramBytes is the largest datagram, without the caller's overhead.
 	MaxDatagramBytes int
-	// Closed restricts the membership to the members that the settings name. False also accepts members discovered from
+	// ConfiguredMembersOnly restricts the membership to the members that the settings name. False also accepts members discovered from
 	// records.
-	Closed bool
+	ConfiguredMembersOnly bool
 }
 
 // DefaultConfig returns settings for an installation whose front ends are within 20 ms of each other.
--- a/internal/decide/membership/member_table.go
+++ b/internal/decide/membership/member_table.go
@@ -44,7 +44,7 @@
 	if n.members.byID[id] != nil {
 		return true
 	}
-	if n.config.Closed {
+	if n.config.ConfiguredMembersOnly {
 		return false
 	}
 	if len(n.members.sorted) >= maxMembers {
--- a/internal/decide/membership/replay_test.go
+++ b/internal/decide/membership/replay_test.go
@@ -37,7 +37,7 @@
 	{name: "small", members: 5, duration: 70 * time.Second, delay: 20 * time.Millisecond},
 	{name: "lossy", members: 9, duration: 60 * time.Second, loss: 0.3, delay: 40 * time.Millisecond},
 	{name: "slow", members: 7, duration: 60 * time.Second, loss: 0.05, delay: 900 * time.Millisecond},
-	{name: "closed", members: 6, duration: 60 * time.Second, delay: 20 * time.Millisecond, config: func(c *Config) { c.Closed = true }},
+	{name: "closed", members: 6, duration: 60 * time.Second, delay: 20 * time.Millisecond, config: func(c *Config) { c.ConfiguredMembersOnly = true }},
 	{name: "signed", members: 8, duration: 60 * time.Second, loss: 0.1, delay: 20 * time.Millisecond, config: func(c *Config) {
 		c.FrameOverheadBytes += 25
 		c.MaxDatagramBytes -= 25
--- a/internal/discovery/consul/query.go
+++ b/internal/discovery/consul/query.go
@@ -42,7 +42,7 @@
 func (w *Watcher) newQuery(opts Options, path string) *query {
 	return &query{
 		client: w.client, opts: opts, path: path, post: w.post, log: w.log,
-		countError: func() { w.counters.Add("consul.errors") },
+		countError: func() { w.counters.Inc("consul.errors") },
 	}
 }
 
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -100,7 +100,7 @@
 	if w.registered == nil || w.health == nil {
 		return
 	}
-	w.counters.Add("consul.events")
+	w.counters.Inc("consul.events")
 	current := w.merge()
 	var changed []core.Engine
 	for id, e := range current {
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -49,9 +49,9 @@
 	conn         *netio.Conn       // nil while not connected
 	dialCount    int               // number of dials started, which identifies the latest
 	cancelDial   func()            // cancels the latest dial; nil before the first
-	retryTimer   *timerqueue.Entry // starts the next dial; nil before the first retry
+	retryTimer   *timerqueue.Timer // starts the next dial; nil before the first retry
 	backoff      time.Duration     // delay before the next retry
-	silenceTimer *timerqueue.Entry // ends a connection without frames; nil before the first connection
+	silenceTimer *timerqueue.Timer // ends a connection without frames; nil before the first connection
 	maxSilence   time.Duration     // the constant maxSilence, except in tests
 	stopped      bool              // Stop was called
 }
@@ -156,7 +156,7 @@
 	if w.stopped {
 		return
 	}
-	w.counters.Add("bus.reconnects")
+	w.counters.Inc("bus.reconnects")
 	w.log.Warn("bus.lost", "bus", w.address, "error", err, "retry_in", w.backoff)
 	w.retryTimer = w.loop.Timers.Add(w.loop.Now()+w.backoff, w.Start)
 	w.backoff = min(2*w.backoff, maxBackoff)
@@ -208,7 +208,7 @@
 		return fmt.Errorf("event %d: %w", f.number, err)
 	}
 	w.lastEvent = f.number
-	w.counters.Add("bus.events")
+	w.counters.Inc("bus.events")
 	w.endpoints.UpdateEndpoints(mode, engines)
 	return nil
 }
--- a/internal/frontend/httpapi/connection.go
+++ b/internal/frontend/httpapi/connection.go
@@ -23,7 +23,7 @@
 	orphan   *core.Orphan  // state of the first request if a process that died had received it; nil: none
 	arrivals arrivals      // receive times of the bytes in the buffer
 
-	requestTimer *timerqueue.Entry // closes the connection if its request is not complete in time; nil: not running
+	requestTimer *timerqueue.Timer // closes the connection if its request is not complete in time; nil: not running
 	lastActivity time.Duration     // time of the latest received part of a request or sent response; initially of the accept
 
 	partialRequest  bool // the buffer holds an incomplete request
--- a/internal/frontend/httpapi/frontend.go
+++ b/internal/frontend/httpapi/frontend.go
@@ -59,8 +59,8 @@
 
 // hooks are callbacks for the handover of connections to another process; each may be nil.
 type hooks struct {
-	onAccept       func(*netio.Conn) // called for each accepted connection
-	onSharedChange func([]byte)      // called with each encoded change of the state that connections share
+	onAccept            func(*netio.Conn) // called for each accepted connection
+	onSharedStateChange func([]byte)      // called with each encoded change of the state that connections share
 }
 
 // New returns a frontend that passes its requests to the core.
@@ -108,7 +108,7 @@
 func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
 func (f *Frontend) accept(socket *netio.Conn) netio.Handler {
-	f.counters.Add("rest.connections")
+	f.counters.Inc("rest.connections")
 	c := &conn{frontend: f, socket: socket, lastActivity: f.loop.Now()}
 	f.add(c)
 	c.startRequestTimer()
--- a/internal/frontend/httpapi/handover.go
+++ b/internal/frontend/httpapi/handover.go
@@ -42,24 +42,24 @@
 // registered. Nil removes the callback.
 func (f *Frontend) OnAccept(fn func(*netio.Conn)) { f.hooks.onAccept = fn }
 
-// OnSharedChange sets the callback for changes of the state that connections share, encoded for
+// OnSharedStateChange sets the callback for changes of the state that connections share, encoded for
 // ApplySharedState. It is called before any response that depends on the change. Nil removes it.
-func (f *Frontend) OnSharedChange(fn func([]byte)) { f.hooks.onSharedChange = fn }
+func (f *Frontend) OnSharedStateChange(fn func([]byte)) { f.hooks.onSharedStateChange = fn }
 
-// OnUnknownCall does nothing: this frontend has no requests that only another process can answer.
-func (f *Frontend) OnUnknownCall(func([]byte)) {}
+// OnUnknownRequest does nothing: this frontend has no requests that only another process can answer.
+func (f *Frontend) OnUnknownRequest(func([]byte)) {}
 
-// HandleForwardedCall does nothing: no process forwards requests of this frontend.
-func (f *Frontend) HandleForwardedCall([]byte) {}
+// HandleForwardedRequest does nothing: no process forwards requests of this frontend.
+func (f *Frontend) HandleForwardedRequest([]byte) {}
 
-// publishResults reports newly held results to the OnSharedChange callback.
+// publishResults reports newly held results to the OnSharedStateChange callback.
 func (f *Frontend) publishResults(results ...resultState) {
-	if f.hooks.onSharedChange == nil || len(results) == 0 {
+	if f.hooks.onSharedStateChange == nil || len(results) == 0 {
 		return
 	}
 	encoded, err := cbor.Marshal(results)
 	if err == nil { // marshalling these types never fails
-		f.hooks.onSharedChange(encoded)
+		f.hooks.onSharedStateChange(encoded)
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // ApplySharedState adds the results that another process encoded with SharedState or reported
-// through OnSharedChange.
+// through OnSharedStateChange.
 func (f *Frontend) ApplySharedState(encoded []byte) error {
 	var results []resultState
 	if err := cbor.Unmarshal(encoded, &results); err != nil {
--- a/internal/frontend/httpapi/handover_test.go
+++ b/internal/frontend/httpapi/handover_test.go
@@ -76,7 +76,7 @@
 	}
 	var sharedState, change []byte
 	runOnLoop(source, func() {
-		source.OnSharedChange(func(b []byte) { change = b })
+		source.OnSharedStateChange(func(b []byte) { change = b })
 		source.holdResult(newResult("/more/x-1"))
 		sharedState = source.SharedState()
 		source.publishResults(newResult("/more/x-2"))
--- a/internal/frontend/httpapi/limits.go
+++ b/internal/frontend/httpapi/limits.go
@@ -39,7 +39,7 @@
 	now := f.loop.Now()
 	for c := range f.connections {
 		if c.request == nil && now-c.lastActivity > idleTimeout {
-			f.counters.Add("rest.idle-closed")
+			f.counters.Inc("rest.idle-closed")
 			c.end()
 		}
 	}
@@ -58,7 +58,7 @@
 			f.retryEviction()
 			return
 		}
-		f.counters.Add("rest.closed-for-room")
+		f.counters.Inc("rest.closed-for-room")
 		candidate.end()
 	}
 }
@@ -136,7 +136,7 @@
 	if c.ended {
 		return
 	}
-	c.frontend.counters.Add("rest.too-slow")
+	c.frontend.counters.Inc("rest.too-slow")
 	if c.socket.Unread() == 0 {
 		c.end()
 		return
--- a/internal/frontend/httpapi/response.go
+++ b/internal/frontend/httpapi/response.go
@@ -33,7 +33,7 @@
 // reject answers an invalid request and closes the connection. The bytes after an invalid request
 // cannot be trusted, and a client that keeps sending invalid requests has to reconnect for each.
 func (c *conn) reject(err *http1.StatusError) {
-	c.frontend.counters.Add("rest.bad-calls")
+	c.frontend.counters.Inc("rest.bad-calls")
 	c.closeAfterResponse = true
 	c.respond(err.Status, 0, encodeError(err.Message))
 }
--- a/internal/frontend/postgres/cancel.go
+++ b/internal/frontend/postgres/cancel.go
@@ -28,7 +28,7 @@
 	if c.inFlight.request == nil || !isAuthentic {
 		return
 	}
-	f.counters.Add("pgwire.cancels")
+	f.counters.Inc("pgwire.cancels")
 	c.cancelRequest()
 }
 
--- a/internal/frontend/postgres/classify.go
+++ b/internal/frontend/postgres/classify.go
@@ -46,7 +46,7 @@
 	if onlyReads {
 		return classification{class: class, keyParameter: wanted.keyParameter, classByShape: !wanted.explicit}, nil
 	}
-	f.counters.Add("pgwire.may-write")
+	f.counters.Inc("pgwire.may-write")
 	if wanted.explicit {
 		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", wanted.name, effect)
 		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
--- a/internal/frontend/postgres/connection.go
+++ b/internal/frontend/postgres/connection.go
@@ -29,7 +29,7 @@
 	inFlight      inFlightRequest
 
 	out        messageWriter
-	stallTimer *timerqueue.Entry // ends a connection that stops in the middle of a message
+	stallTimer *timerqueue.Timer // ends a connection that stops in the middle of a message
 }
 
 // lifecycle is how far a connection is.
@@ -74,7 +74,7 @@
 // Data reads messages until one waits for its answer.
 func (c *connection) Data(_ *netio.Conn, in *netio.Buffer) {
 	if err := c.readMessages(in); err != nil {
-		c.frontend.counters.Add("pgwire.malformed")
+		c.frontend.counters.Inc("pgwire.malformed")
 		c.fatal(asProtocolError(err))
 		return
 	}
@@ -111,7 +111,7 @@
 func (c *connection) startStallTimer() {
 	f := c.frontend
 	c.stallTimer = f.loop.Timers.Add(f.loop.Now()+stallTimeout, func() {
-		f.counters.Add("pgwire.stalled")
+		f.counters.Inc("pgwire.stalled")
 		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
 	})
 }
@@ -207,7 +207,7 @@
 // fail answers a message with its one ErrorResponse. What follows is skipped up to the next Sync;
 // behind a Query nothing is.
 func (c *connection) fail(e *pgproto.Error) {
-	c.frontend.counters.Add("pgwire.errors." + e.Code)
+	c.frontend.counters.Inc("pgwire.errors." + e.Code)
 	c.out.errorResponse(e)
 	switch {
 	case c.transaction == nil:
--- a/internal/frontend/postgres/frontend.go
+++ b/internal/frontend/postgres/frontend.go
@@ -81,7 +81,7 @@
 func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
 func (f *Frontend) accept(socket *netio.Conn) netio.Handler {
-	f.counters.Add("pgwire.connections")
+	f.counters.Inc("pgwire.connections")
 	f.lastProcessID++
 	c := f.addConnection(socket, f.lastProcessID)
 	if f.onAccept != nil {
--- a/internal/frontend/postgres/handover.go
+++ b/internal/frontend/postgres/handover.go
@@ -61,16 +61,16 @@
 // OnAccept sets who hears of each connection that is accepted, once its handler is there.
 func (f *Frontend) OnAccept(fn func(*netio.Conn)) { f.onAccept = fn }
 
-// OnSharedChange is for what connections share beside SharedState; here there is none.
-func (f *Frontend) OnSharedChange(func([]byte)) {}
+// OnSharedStateChange is for what connections share beside SharedState; here there is none.
+func (f *Frontend) OnSharedStateChange(func([]byte)) {}
 
-// OnUnknownCall sets who hears of a CancelRequest whose connection is not here: another process may
+// OnUnknownRequest sets who hears of a CancelRequest whose connection is not here: another process may
 // have it. nil: nobody.
-func (f *Frontend) OnUnknownCall(fn func([]byte)) { f.onUnknownCancel = fn }
+func (f *Frontend) OnUnknownRequest(fn func([]byte)) { f.onUnknownCancel = fn }
 
-// HandleForwardedCall takes a CancelRequest that another process received. It is forwarded no
+// HandleForwardedRequest takes a CancelRequest that another process received. It is forwarded no
 // further.
-func (f *Frontend) HandleForwardedCall(body []byte) {
+func (f *Frontend) HandleForwardedRequest(body []byte) {
 	forward := f.onUnknownCancel
 	f.onUnknownCancel = nil
 	f.cancel(body)
@@ -208,7 +208,7 @@
 	for i, state := range states {
 		s, e := c.frontend.prepare(state.Query, state.ParameterTypes, statementContext{})
 		if e != nil {
-			c.frontend.counters.Add("pgwire.statements-dropped")
+			c.frontend.counters.Inc("pgwire.statements-dropped")
 			continue
 		}
 		s.description = state.Description
@@ -224,7 +224,7 @@
 func (c *connection) restorePortal(state portalState, s *statement) {
 	values, ok := readBind(&pgproto.Reader{Rest: slices.Clone(state.Bind)})
 	if s == nil || !ok {
-		c.frontend.counters.Add("pgwire.portals-dropped")
+		c.frontend.counters.Inc("pgwire.portals-dropped")
 		return
 	}
 	p := &portal{
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -20,7 +20,7 @@
 func (c *connection) startLogin() error {
 	f := c.frontend
 	if wait := f.loginLimit.RetryAfter(f.loop.Now(), remoteHost(c.socket)); wait > 0 {
-		f.counters.Add("pgwire.logins-held-off")
+		f.counters.Inc("pgwire.logins-held-off")
 		c.fatal(newError(codeInvalidAuthorization, "too many failed logins from this address; try again in %d s", int(wait.Seconds())+1))
 		return nil
 	}
@@ -90,7 +90,7 @@
 		c.fatal(newError(codeTooManyConnections, "too many connections for role %q", c.user))
 		return
 	}
-	f.counters.Add("pgwire.logins")
+	f.counters.Inc("pgwire.logins")
 	c.completeStartup()
 }
 
@@ -98,7 +98,7 @@
 func (c *connection) rejectLogin(cause error) error {
 	f := c.frontend
 	f.loginLimit.RecordFailure(f.loop.Now(), remoteHost(c.socket))
-	f.counters.Add("pgwire.logins-failed")
+	f.counters.Inc("pgwire.logins-failed")
 	if errors.Is(cause, scramauth.ErrMalformedMessage) {
 		return newError(codeProtocolViolation, "malformed SCRAM message")
 	}
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -69,7 +69,7 @@
 	t.Helper()
 	c, loop := newTestCore(t, counters)
 	links := &replayLinks{core: c, loop: loop, hanging: make(chan bool, 1)}
-	c.SetLinks(links)
+	c.SetBackend(links)
 	f := New(loop, c, opts, counters)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/internal/frontend/postgres/tls.go
+++ b/internal/frontend/postgres/tls.go
@@ -30,13 +30,13 @@
 	c.socket.StartServerTLS(f.opts.TLS, startupTimeout, func(s tls.ConnectionState, err error) {
 		switch {
 		case err != nil:
-			f.counters.Add("pgwire.tls-failed")
+			f.counters.Inc("pgwire.tls-failed")
 		case !acceptable(s):
-			f.counters.Add("pgwire.tls-failed")
+			f.counters.Inc("pgwire.tls-failed")
 			c.ended = true
 			c.socket.Close()
 		default:
-			f.counters.Add("pgwire.tls")
+			f.counters.Inc("pgwire.tls")
 		}
 	})
 }
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -19,8 +19,8 @@
 	failed     bool              // all but its end is rejected
 	committing bool              // its COMMIT is in flight
 	implicit   bool              // of one Query with several statements, and ended with it
-	idleTimer  *timerqueue.Entry
-	limitTimer *timerqueue.Entry
+	idleTimer  *timerqueue.Timer
+	limitTimer *timerqueue.Timer
 }
 
 // detach separates a transaction from its request, whose answer is no longer waited for.
@@ -82,7 +82,7 @@
 	if c.ended || c.transaction == nil {
 		return
 	}
-	c.frontend.counters.Add("pgwire.transactions-expired")
+	c.frontend.counters.Inc("pgwire.transactions-expired")
 	if c.transaction.committing {
 		return
 	}
@@ -111,7 +111,7 @@
 // closeTransaction ends the client's transaction.
 func (c *connection) closeTransaction() {
 	c.transaction.stopTimers()
-	c.frontend.counters.Add("pgwire.transactions")
+	c.frontend.counters.Inc("pgwire.transactions")
 	c.transaction = nil
 	c.dropPortals()
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -159,7 +159,7 @@
 		return admin.Reply{Problem: input.err.Error(), Done: true}
 	}
 	defer func() { _ = input.listener.Close() }() // a duplicate of the descriptor
-	build, err := handover.CheckProgram(input.program, input.listener, input.connections, p.upgrades.settings.Decide().GreetTimeout)
+	build, err := handover.CheckProgram(input.program, input.listener, input.connections, p.upgrades.settings.HandoverConfig().HelloTimeout)
 	reply := admin.Reply{Build: build, Done: true}
 	if err != nil {
 		reply.Problem = err.Error()
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -81,8 +81,8 @@
 }
 
 // Figures returns the metrics of this process.
-func (o controlOperations) Figures() core.Figures {
-	figures := o.process.core.Figures()
+func (o controlOperations) Figures() core.Stats {
+	figures := o.process.core.Stats()
 	figures.Peers = o.process.peerFigures()
 	return figures
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,7 +158,7 @@
 		return fmt.Errorf("shapes: memory_kb: %d exceeds a quarter of the memory limit, %d", s.MemoryKB, maxKB)
 	}
 	shapes, err := queryshape.NewService(queryshape.Settings{
-		Model:            s.Decide(),
+		Model:            s.CostModelConfig(),
 		Bytes:            s.MemoryKB << 10,
 		ReplaceHints:     s.CorrectEstimates,
 		RequireHint:      s.OnlyWithEstimate,
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -36,7 +36,7 @@
 	}
 	p.members = &membershipNode{path: path, file: file}
 	options := &p.members.options
-	options.Config = file.Decide()
+	options.Config = file.MembershipConfig()
 	options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	if file.Peers == "platform" {
 		return p.configurePlatformMembers(options)
@@ -45,7 +45,7 @@
 	options.Listen = file.Listen
 	options.Self = memberID(listenAddr)
 	for _, seed := range file.Seeds {
-		options.Named = append(options.Named, memberID(netip.MustParseAddrPort(seed)))
+		options.ConfiguredMembers = append(options.ConfiguredMembers, memberID(netip.MustParseAddrPort(seed)))
 	}
 	options.AddressOf = func(id decide.ID) (netip.AddrPort, bool) { return memberAddress(id), true }
 	options.MemberAt = func(a netip.AddrPort) (decide.ID, bool) { return memberID(a), a.Addr().Is4() && a.Port() > 0 }
@@ -70,7 +70,7 @@
 func (p *process) configurePlatformMembers(options *membership.Options) error {
 	platform, ok := p.protocol.(*platformProtocol)
 	if !ok {
-		return config.Fault{File: p.members.path, Field: "peers", Want: "the value \"platform\" requires the platform front end"}
+		return config.Fault{File: p.members.path, Field: "peers", Problem: "the value \"platform\" requires the platform front end"}
 	}
 	cfg := platform.config
 	if !cfg.Site.PeersAllowed || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
@@ -86,7 +86,7 @@
 		id := decide.ID(i + 1)
 		addresses = append(addresses, address)
 		ids[address] = id
-		options.Named = append(options.Named, id)
+		options.ConfiguredMembers = append(options.ConfiguredMembers, id)
 		if peer == cfg.PeerListen {
 			options.Self = id
 		}
@@ -95,7 +95,7 @@
 		return errors.New("configuration: peer_listen is not among peers")
 	}
 	options.Listen = cfg.PeerListen
-	options.Config.Closed = true
+	options.Config.ConfiguredMembersOnly = true
 	options.AddressOf = func(id decide.ID) (netip.AddrPort, bool) {
 		if id < 1 || int(id) > len(addresses) {
 			return netip.AddrPort{}, false
@@ -134,7 +134,7 @@
 	}
 	p.members.service = service
 	p.members.waitingForAddress = false
-	p.log.Info("members", "addr", service.Addr(), "self", uint64(options.Self), "named", len(options.Named), "carried", len(options.SavedState) > 0)
+	p.log.Info("members", "addr", service.Addr(), "self", uint64(options.Self), "named", len(options.ConfiguredMembers), "carried", len(options.SavedState) > 0)
 	return nil
 }
 
@@ -203,19 +203,19 @@
 }
 
 // peerFigures returns the metrics of other front ends for the control endpoint; nil means that this process is not a member.
-func (p *process) peerFigures() *core.PeerFigures {
+func (p *process) peerFigures() *core.PeerStats {
 	member := p.member()
 	if member == nil {
 		return nil
 	}
 	stats := member.Stats()
-	return &core.PeerFigures{
-		Live:        stats.Live,
-		Known:       stats.Named,
-		Unreachable: stats.PartlyReachable,
-		Dead:        stats.Dead + stats.Unreachable,
-		ViewNumber:  int(stats.View.Number),
-		Majority:    stats.Majority,
+	return &core.PeerStats{
+		Live:            stats.Live,
+		Known:           stats.KnownMembers,
+		PartlyReachable: stats.PartlyReachable,
+		Dead:            stats.Dead + stats.Unreachable,
+		ViewNumber:      int(stats.View.Number),
+		Majority:        stats.Majority,
 	}
 }
 
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -37,15 +37,15 @@
 	if err != nil {
 		return err
 	}
-	platform.endpointChecksum, err = cfg.EventSum()
+	platform.endpointChecksum, err = cfg.EventChecksum()
 	if err != nil {
 		return err
 	}
-	limits := limits{memoryMB: cfg.MemoryMB, sockets: cfg.Sockets, maxClients: maxClientsFor(cfg.Sockets)}
+	limits := limits{memoryMB: cfg.MemoryMB, sockets: cfg.MaxDescriptors, maxClients: maxClientsFor(cfg.MaxDescriptors)}
 	if err := p.assembleCore(cfg.Site.Policy, cfg.Seed, limits); err != nil {
 		return err
 	}
-	p.core.SetLinks(lineproto.New(p.loop, p.core, cfg.Site, p.counters, p.log))
+	p.core.SetBackend(lineproto.New(p.loop, p.core, cfg.Site, p.counters, p.log))
 	if err := p.assembleSites(sitesPath, lineproto.Codec{}, cfg.Site.Policy); err != nil {
 		return err
 	}
@@ -97,25 +97,25 @@
 }
 
 func (p *platformProtocol) watchEndpoints(known *handover.ProcessState) {
-	last := p.config.Offset
+	last := p.config.LastEvent
 	if known != nil { // the core already has the endpoint list of the other process
 		last = max(last, known.LastEvent)
 	} else {
 		p.applyKnownEvents()
 	}
-	if p.config.Bus == "" {
+	if p.config.BusAddress == "" {
 		return
 	}
 	g := p.process
 	p.watch = eventbus.New(g.loop, eventbus.Options{
-		Address: p.config.Bus, LastEvent: last, Zones: p.config.Site.Zones, Kinds: p.config.Site.Kinds,
+		Address: p.config.BusAddress, LastEvent: last, Zones: p.config.Site.Zones, Kinds: p.config.Site.Kinds,
 	}, g.core, g.counters, g.log)
 	p.watch.Start()
 }
 
 // applyKnownEvents passes the endpoint events of the configuration to the core.
 func (p *platformProtocol) applyKnownEvents() {
-	for _, event := range p.config.Known {
+	for _, event := range p.config.KnownEvents {
 		mode := policy.ListChanges
 		if event.Complete {
 			mode = policy.ListFull
@@ -131,7 +131,7 @@
 	return p.watch.LastEvent()
 }
 
-func (p *platformProtocol) reloadable() bool { return p.config.Bus != "" }
+func (p *platformProtocol) reloadable() bool { return p.config.BusAddress != "" }
 
 // reload switches to the event bus in the current configuration file. Other changes need a restart.
 func (p *platformProtocol) reload() error {
@@ -139,12 +139,12 @@
 	if err != nil {
 		return err
 	}
-	if next.Bus == "" {
+	if next.BusAddress == "" {
 		return errors.New("configuration: bus: missing")
 	}
-	p.config.Bus = next.Bus
+	p.config.BusAddress = next.BusAddress
 	if p.watch != nil {
-		p.watch.SwitchTo(next.Bus)
+		p.watch.SwitchTo(next.BusAddress)
 	}
 	return nil
 }
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -37,15 +37,15 @@
 	if err != nil || deploy.Listen == "" {
 		return err
 	}
-	limits := limits{memoryMB: deploy.MemoryMB, sockets: deploy.Sockets}
-	if err := p.assembleCore(deploy.Site.Policy, uint64(os.Getpid()), limits); err != nil {
+	limits := limits{memoryMB: deploy.MemoryMB, sockets: deploy.MaxDescriptors}
+	if err := p.assembleCore(deploy.SiteSettings.Policy, uint64(os.Getpid()), limits); err != nil {
 		return err
 	}
-	p.core.SetLinks(pgbackend.New(p.loop, p.core, backendOptions(deploy, limits), p.counters, p.log))
-	if err := p.assembleSites(sitesPath, pgbackend.Codec{}, deploy.Site.Policy); err != nil {
+	p.core.SetBackend(pgbackend.New(p.loop, p.core, backendOptions(deploy, limits), p.counters, p.log))
+	if err := p.assembleSites(sitesPath, pgbackend.Codec{}, deploy.SiteSettings.Policy); err != nil {
 		return err
 	}
-	if err := p.assembleCostModel(&deploy.Shapes, &deploy.Site, false); err != nil {
+	if err := p.assembleCostModel(&deploy.Shapes, &deploy.SiteSettings, false); err != nil {
 		return err
 	}
 	pg := &postgresProtocol{process: p, ctx: ctx, path: path, deploy: deploy}
@@ -70,8 +70,8 @@
 			MaxConnections: deploy.Pool.PerEngine,
 			MaxPerUser:     deploy.Pool.PerUser,
 			MinConnections: deploy.Pool.MinIdle,
-			IdleTimeout:    config.FromMS(deploy.IdleCloseMS),
-			MaxLifetime:    config.FromSeconds(deploy.Pool.LifeSeconds),
+			IdleTimeout:    config.FromMS(deploy.IdleTimeoutMS),
+			MaxLifetime:    config.FromSeconds(deploy.Pool.MaxLifetimeSeconds),
 		},
 	}
 }
@@ -82,7 +82,7 @@
 		DefaultClass:           deploy.DefaultClass,
 		WriteClass:             deploy.WriteClass,
 		ReadOnlyFunctions:      sqltext.FunctionSet{},
-		MaxClients:             maxClientsFor(deploy.Sockets),
+		MaxClients:             maxClientsFor(deploy.MaxDescriptors),
 		MaxHeldBytes:           limits{memoryMB: deploy.MemoryMB}.memoryFraction(6),
 		Shapes:                 p.process.shapes,
 		IdleTransactionTimeout: config.FromSeconds(deploy.TransactionIdleSeconds),
--- a/internal/gateway/replacement.go
+++ b/internal/gateway/replacement.go
@@ -16,12 +16,12 @@
 // and otherwise serves from the configuration.
 func (p *process) startOnPlatformSocket(platform *platformProtocol) error {
 	coordinator, err := takeover.New(p.loop, p.core, filepath.Join(os.TempDir(), stateFolder), takeover.Options{
-		EventSourceSum: platform.endpointChecksum,
-		State:          p.stateForReplacement,
-		ApplyState:     p.resumeFromReplaced,
-		StartAlone:     func() { p.serve(nil) },
-		OnLimitShare:   func(share float64) { p.setLimitShare(platform, share) },
-		OnReplaced:     func() { p.releaseClients(platform) },
+		EventSourceChecksum: platform.endpointChecksum,
+		State:               p.stateForReplacement,
+		ApplyState:          p.resumeFromReplaced,
+		StartAlone:          func() { p.serve(nil) },
+		OnLimitShare:        func(share float64) { p.setLimitShare(platform, share) },
+		OnReplaced:          func() { p.releaseClients(platform) },
 	}, p.log)
 	if err != nil { // not fatal: it serves, but no other process can take over from it
 		p.log.Error("takeover.unavailable", "error", err)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -46,11 +46,11 @@
 // Requests that are still open shortly before the platform's kill get a final response.
 func (p *process) beginShutdown() {
 	start := p.loop.Now()
-	answerAfter := min(p.core.LongestDeadline(), maxKillDeadline) + killMargin - answerBeforeKill
+	answerAfter := min(p.core.LongestTimeout(), maxKillDeadline) + killMargin - answerBeforeKill
 	p.log.Info("stopping")
 	p.leaveSites()
 	if p.coordinator != nil {
-		p.coordinator.ShuttingDown() // if another process has replaced this one, it continues the membership
+		p.coordinator.AnnounceShutdown() // if another process has replaced this one, it continues the membership
 	}
 	p.leaveMembership()
 	if p.shapes != nil {
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -34,11 +34,11 @@
 		err = errors.Join(err, p.protocol.reload())
 	}
 	if err != nil {
-		p.counters.Add("reload.failed")
+		p.counters.Inc("reload.failed")
 		p.log.Warn("reload.failed", "error", err, "then", "the previous configuration stays in effect")
 		return
 	}
-	p.counters.Add("reload.done")
+	p.counters.Inc("reload.done")
 	p.log.Info("reload.done")
 	if source := p.upgradeSource(); source != nil {
 		source.ForwardReload()
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -35,15 +35,15 @@
 	self, peers := siteNames(s)
 	keys, err := link.LoadKeys(link.Files(s.Keys), self)
 	if err != nil {
-		return config.Fault{File: path, Field: "keys", Want: err.Error()}
+		return config.Fault{File: path, Field: "keys", Problem: err.Error()}
 	}
 	service, err := forwarding.New(p.core, p.loop.Timers, forwarding.Options{
 		Name:     self,
 		Start:    rand.Uint64(),
-		Config:   s.Decide(settings.Limits.MaxAttempts),
+		Config:   s.ForwardingConfig(settings.Limits.MaxAttempts),
 		Settings: settings,
 		Codec:    codec,
-		Pack:     s.Pack,
+		Pack:     s.Compress,
 		Held:     p.limits.memoryFraction(8) / max(len(peers), 1),
 	}, p.counters, p.log)
 	if err != nil {
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -75,7 +75,7 @@
 		Reload:     p.reload,
 		Abort:      func() { p.fail(errCannotTakeOver) },
 	}, p.counters, p.log)
-	p.loop.Post(func() { p.target.Begin(BuildName()) })
+	p.loop.Post(func() { p.target.Start(BuildName()) })
 	return nil
 }
 
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -58,14 +58,14 @@
 // openUpgrades prepares this process to hand over to a new version.
 func (p *process) openUpgrades() {
 	p.upgrades.source = handover.NewSource(p.loop, p.protocol.frontend(), handover.SourceOptions{
-		Program:       handover.Program{Path: p.upgrades.program, Args: os.Args[1:]},
-		Config:        p.upgrades.settings.Decide(),
-		State:         p.state,
-		Counters:      p.counters.All,
-		BeginShutdown: p.beginShutdown,
-		OnHandedOver:  p.closeUnmovable,
-		OnReturned:    p.resumeMembership,
-		Exit:          p.exitAfterHandover,
+		Program:          handover.Program{Path: p.upgrades.program, Args: os.Args[1:]},
+		Config:           p.upgrades.settings.HandoverConfig(),
+		State:            p.state,
+		Counters:         p.counters.All,
+		BeginShutdown:    p.beginShutdown,
+		OnHandedOver:     p.closeUnmovable,
+		OnServingResumed: p.resumeMembership,
+		Exit:             p.exitAfterHandover,
 	}, p.counters, p.log)
 }
 
@@ -82,7 +82,7 @@
 // exitAfterHandover ends the loop after a handover, once no request from or to another site is open or the longest deadline
 // has passed.
 func (p *process) exitAfterHandover() {
-	deadline := p.loop.Now() + p.core.LongestDeadline()
+	deadline := p.loop.Now() + p.core.LongestTimeout()
 	var poll func()
 	poll = func() {
 		now := p.loop.Now()
--- a/internal/handover/effects.go
+++ b/internal/handover/effects.go
@@ -22,7 +22,7 @@
 type effectQueue struct {
 	pending         []decide.SourceEffect
 	running         bool              // runEffects is executing effects; nested calls of it do nothing
-	resumeTimer     *timerqueue.Entry // continues with postponed effects
+	resumeTimer     *timerqueue.Timer // continues with postponed effects
 	windowStart     time.Duration     // when the current window of pollInterval started
 	windowTransfers int               // transfers since windowStart
 }
@@ -141,8 +141,8 @@
 		s.frontend.Listener().Pause()
 	case decide.StartAccepting:
 		s.frontend.Listener().Resume()
-		if s.opts.OnReturned != nil {
-			s.opts.OnReturned()
+		if s.opts.OnServingResumed != nil {
+			s.opts.OnServingResumed()
 		}
 	case decide.SendCommit:
 		s.send(&SharedState{s.frontend.SharedState()})
--- a/internal/handover/frontend.go
+++ b/internal/handover/frontend.go
@@ -15,22 +15,22 @@
 	Listener() *netio.Listener
 	// OnAccept sets the function that is called with each accepted connection.
 	OnAccept(func(*netio.Conn))
-	// OnSharedChange sets the function that is called when the shared state changes, with the changed
+	// OnSharedStateChange sets the function that is called when the shared state changes, with the changed
 	// part in the encoding that ApplySharedState decodes. It is called before any response that
 	// relies on the change. Nil unsets the function.
-	OnSharedChange(func([]byte))
-	// OnUnknownCall sets the function that is called with each call that this process can't answer
+	OnSharedStateChange(func([]byte))
+	// OnUnknownRequest sets the function that is called with each call that this process can't answer
 	// but the other one may be able to, such as PostgreSQL's CancelRequest for a connection that this
 	// process does not have. Nil unsets the function.
-	OnUnknownCall(func([]byte))
+	OnUnknownRequest(func([]byte))
 	// SharedState returns the encoded state that all connections share, such as the results held for
 	// clients to fetch.
 	SharedState() []byte
 	// ApplySharedState applies state of the other process: the result of its SharedState, or a change
-	// that the function set by its OnSharedChange was called with.
+	// that the function set by its OnSharedStateChange was called with.
 	ApplySharedState([]byte) error
-	// HandleForwardedCall answers a call that the other process could not answer.
-	HandleForwardedCall([]byte)
+	// HandleForwardedRequest answers a call that the other process could not answer.
+	HandleForwardedRequest([]byte)
 	// RestoreConnection decodes a state that Transferable.EncodeState has encoded. It returns a
 	// function that creates the handler of a connection in that state.
 	RestoreConnection(state []byte) (func(*netio.Conn) netio.Handler, error)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -27,11 +27,11 @@
 // version can ignore increments Minor, any other change increments Major.
 var Version = decide.Version{Major: 1, Minor: 0}
 
-// CountAnswers returns the number of successful answers counted so far, and the number of
+// AnswerTotals returns the number of successful answers counted so far, and the number of
 // failures: rejected requests, failed requests and calls that the frontend itself refused. The
 // pgwire.errors of the PostgreSQL frontend include its rejected and failed requests, so the larger of
 // the two numbers is returned instead of their sum.
-func CountAnswers(c *metrics.Counters) (successes, failures int64) {
+func AnswerTotals(c *metrics.Counters) (successes, failures int64) {
 	successes = c.Sum("answered.served.")
 	failures = c.Sum("answered.refused.") + c.Sum("answered.failed.") + c.Get("rest.bad-calls")
 	return successes, max(failures, c.Sum("pgwire.errors."))
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -107,7 +107,7 @@
 		Data []byte `cbor:"1,keyasint"`
 	}
 	// ForwardedCall holds a call that the sender can't answer but the other process may be able to,
-	// for Frontend.HandleForwardedCall.
+	// for Frontend.HandleForwardedRequest.
 	ForwardedCall struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
@@ -179,6 +179,6 @@
 func (m *RequestRecord) request() decide.Request {
 	return decide.Request{
 		InFlight: true, Idempotency: decide.Idempotency(m.Idempotency), Sent: true,
-		FirstSend: m.FirstSend, KeyWindow: m.KeyWindow, Deadline: m.Deadline,
+		FirstSentAt: m.FirstSend, KeyWindow: m.KeyWindow, Deadline: m.Deadline,
 	}
 }
--- a/internal/handover/source.go
+++ b/internal/handover/source.go
@@ -30,9 +30,9 @@
 	BeginShutdown func()
 	// OnHandedOver is called when the target becomes the owner; it may be nil.
 	OnHandedOver func()
-	// OnReturned is called when this process accepts connections again, because the target has died
+	// OnServingResumed is called when this process accepts connections again, because the target has died
 	// as the owner; it may be nil.
-	OnReturned func()
+	OnServingResumed func()
 	// Exit ends this process. It is called when the target is the owner and all connections are
 	// transferred or closed.
 	Exit func()
@@ -59,7 +59,7 @@
 	target      *targetProcess // nil if no target is running
 	connections connectionTable
 	effects     effectQueue
-	pollTimer   *timerqueue.Entry
+	pollTimer   *timerqueue.Timer
 }
 
 // upgradeAttempt holds the state of the upgrade in progress, or of the last one.
@@ -83,7 +83,7 @@
 // sampleQuality updates the usual failure rate of this process's answers, with which the target's
 // is compared.
 func (s *Source) sampleQuality() {
-	s.quality.sample(CountAnswers(s.counters))
+	s.quality.sample(AnswerTotals(s.counters))
 	s.loop.Timers.Add(s.loop.Now()+qualitySampleInterval, s.sampleQuality)
 }
 
@@ -189,14 +189,14 @@
 // startForwarding forwards changes of the frontend's shared state, and calls that it can't answer, to
 // the target.
 func (s *Source) startForwarding() {
-	s.frontend.OnSharedChange(func(b []byte) { s.send(&SharedState{b}) })
-	s.frontend.OnUnknownCall(func(b []byte) { s.send(&ForwardedCall{b}) })
+	s.frontend.OnSharedStateChange(func(b []byte) { s.send(&SharedState{b}) })
+	s.frontend.OnUnknownRequest(func(b []byte) { s.send(&ForwardedCall{b}) })
 }
 
 // stopForwarding undoes startForwarding.
 func (s *Source) stopForwarding() {
-	s.frontend.OnSharedChange(nil)
-	s.frontend.OnUnknownCall(nil)
+	s.frontend.OnSharedStateChange(nil)
+	s.frontend.OnUnknownRequest(nil)
 }
 
 // reportOutcome logs and counts the result of the upgrade and reports it to the requester.
@@ -204,10 +204,10 @@
 	s.stopForwarding()
 	took := s.loop.Now() - s.attempt.startedAt
 	if failure.Failed() {
-		s.counters.Add("upgrade.returned")
+		s.counters.Inc("upgrade.returned")
 		s.log.Warn("upgrade.returned", "why", failure.String(), "took", took)
 	} else {
-		s.counters.Add("upgrade.done")
+		s.counters.Inc("upgrade.done")
 		s.log.Info("upgrade.done", "took", took, "build", s.attempt.build, "in_flight", s.connections.localCount())
 		if s.target != nil { // requests that this process still completes may change the shared state
 			s.startForwarding()
--- a/internal/handover/source_target.go
+++ b/internal/handover/source_target.go
@@ -121,7 +121,7 @@
 			s.log.Warn("upgrade.shared", "error", err)
 		}
 	case *ForwardedCall:
-		s.frontend.HandleForwardedCall(m.Data)
+		s.frontend.HandleForwardedRequest(m.Data)
 	default:
 		s.log.Warn("upgrade.odd-message", "kind", m.kind())
 	}
--- a/internal/handover/target.go
+++ b/internal/handover/target.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// Begin sends the Hello, with the build of this program, and starts the heartbeats and a goroutine that
+// Start sends the Hello, with the build of this program, and starts the heartbeats and a goroutine that
 // reads the channel. The goroutine returns when the source has died or exited.
-func (t *Target) Begin(build string) {
+func (t *Target) Start(build string) {
 	t.core.OnFirstSend(t.recordRequest)
-	t.frontend.OnSharedChange(func(b []byte) { t.send(&SharedState{b}) })
-	t.frontend.OnUnknownCall(func(b []byte) { t.send(&ForwardedCall{b}) })
+	t.frontend.OnSharedStateChange(func(b []byte) { t.send(&SharedState{b}) })
+	t.frontend.OnUnknownRequest(func(b []byte) { t.send(&ForwardedCall{b}) })
 	go func() {
 		err := t.channel.Read(func(m Message, fds []int) { t.loop.Post(func() { t.handleMessage(m, fds) }) })
 		t.loop.Post(func() { t.channelEnded(err) })
@@ -87,7 +87,7 @@
 		return
 	}
 	if t.machine.Serving() {
-		successes, failures := CountAnswers(t.counters)
+		successes, failures := AnswerTotals(t.counters)
 		t.send(&Heartbeat{
 			Successes: int(successes - t.lastReported.successes),
 			Failures:  int(failures - t.lastReported.failures),
@@ -135,7 +135,7 @@
 	case *State:
 		t.applyState(m)
 	case *Serve:
-		t.setLastReported(CountAnswers(t.counters))
+		t.setLastReported(AnswerTotals(t.counters))
 		t.step(decide.ServeRequested{})
 	case *OwnershipCommit:
 		t.step(decide.OwnershipCommitted{})
@@ -150,7 +150,7 @@
 			t.log.Warn("upgrade.shared", "error", err)
 		}
 	case *ForwardedCall:
-		t.frontend.HandleForwardedCall(m.Data)
+		t.frontend.HandleForwardedRequest(m.Data)
 	default:
 		t.log.Warn("upgrade.odd-message", "kind", m.kind())
 	}
@@ -192,7 +192,7 @@
 		t.send(&ConnectionClosed{m.Conn})
 		return
 	}
-	t.counters.Add("upgrade.adopted")
+	t.counters.Inc("upgrade.adopted")
 	t.step(decide.ConnectionReceived{Conn: decide.ConnID(m.Conn)})
 }
 
@@ -223,8 +223,8 @@
 		t.log.Warn("upgrade.channel", "error", err)
 	}
 	t.sourceExited = true
-	t.frontend.OnSharedChange(nil)
-	t.frontend.OnUnknownCall(nil)
+	t.frontend.OnSharedStateChange(nil)
+	t.frontend.OnUnknownRequest(nil)
 	_ = t.channel.Close() // it has been read to its end
 	t.step(decide.SourceExited{})
 }
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -67,9 +67,9 @@
 		s.log.Warn("upgrade.lost-connection", "error", err)
 		return
 	}
-	s.counters.Add("upgrade.taken-back")
+	s.counters.Inc("upgrade.taken-back")
 	if orphan.MustFail {
-		s.counters.Add("upgrade.in-doubt")
+		s.counters.Inc("upgrade.in-doubt")
 	}
 }
 
@@ -98,7 +98,7 @@
 		return core.Orphan{}, err
 	}
 	if remainder := r.unwrittenOutput(position); len(remainder) > 0 {
-		s.counters.Add("upgrade.answers-finished")
+		s.counters.Inc("upgrade.answers-finished")
 		c.Write(remainder)
 	}
 	if r.closing {
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -24,7 +24,7 @@
 type controlled struct{ core *core.Core }
 
 func (c controlled) Ready() error                  { return nil }
-func (c controlled) Figures() core.Figures         { return c.core.Figures() }
+func (c controlled) Figures() core.Stats           { return c.core.Stats() }
 func (c controlled) DisableEngine(id string) error { return c.core.DisableEngine(id) }
 func (c controlled) EnableEngine(id string) error  { return c.core.EnableEngine(id) }
 
@@ -218,10 +218,10 @@
 			}
 		}
 	}
-	var f core.Figures
-	g.do(func() { f = g.core.Figures() })
-	i := slices.IndexFunc(f.Classes, func(c core.ClassFigures) bool { return c.Class == "lookup" })
-	if diff := cmp.Diff(core.ClassFigures{Class: "lookup", Served: want[200], Rejected: want[503], Failed: want[500]}, f.Classes[i]); diff != "" {
+	var f core.Stats
+	g.do(func() { f = g.core.Stats() })
+	i := slices.IndexFunc(f.Classes, func(c core.ClassStats) bool { return c.Class == "lookup" })
+	if diff := cmp.Diff(core.ClassStats{Class: "lookup", Served: want[200], Rejected: want[503], Failed: want[500]}, f.Classes[i]); diff != "" {
 		t.Error(diff)
 	}
 	if f.InFlight != 0 || f.EnginesListed != 1 || f.AttemptsWritten != wants {
@@ -258,15 +258,15 @@
 			t.Fatalf("discovery says %d: %s", state, got)
 		}
 	}
-	var f core.Figures
-	g.do(func() { f = g.core.Figures() })
+	var f core.Stats
+	g.do(func() { f = g.core.Stats() })
 	if f.EnginesListed != 1 || f.EnginesDown != 1 {
 		t.Errorf("%+v", f)
 	}
 	if got := operate(t, addr, "POST", "/engines/enable", out); got != "200 {}" {
 		t.Fatal(got)
 	}
-	g.do(func() { f = g.core.Figures() })
+	g.do(func() { f = g.core.Stats() })
 	if f.EnginesDown != 0 {
 		t.Errorf("%+v", f)
 	}
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -130,7 +130,7 @@
 	t.Helper()
 	g.site.MaxStreams = 32
 	g.lines = lineproto.New(g.loop, g.core, g.site, g.stats, g.log)
-	g.core.SetLinks(g.lines)
+	g.core.SetBackend(g.lines)
 	f := httpapi.New(g.loop, g.core, g.options, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	t := g.t
 	t.Helper()
 	g.engine.User, g.engine.Database = "ringwood", "register"
-	g.core.SetLinks(pgbackend.New(g.loop, g.core, g.engine, g.stats, g.log))
+	g.core.SetBackend(pgbackend.New(g.loop, g.core, g.engine, g.stats, g.log))
 	if g.pgwire.DefaultClass == "" {
 		g.pgwire = pgfrontend.Options{
 			DefaultClass: "lookup", WriteClass: "write", Rules: []pgfrontend.Rule{{Starts: "insert into", Class: "load", Key: 1}},
--- a/internal/membership/overview.go
+++ b/internal/membership/overview.go
@@ -9,7 +9,7 @@
 // Stats are the numbers that the control endpoint reports. Members are counted by state.
 type Stats struct {
 	Live            int // members in the view
-	Named           int // known members in any state, including this one
+	KnownMembers    int // known members in any state, including this one
 	Suspect         int // members that some others do not hear, for a cause not known yet
 	PartlyReachable int // members that some others hear and some do not
 	Dead            int // members declared dead
@@ -32,7 +32,7 @@
 		stats.SelfSuspicion = reason.String()
 	}
 	for _, member := range s.node.Snapshot(s.loop.Now()) {
-		stats.Named++
+		stats.KnownMembers++
 		switch member.State {
 		case decide.Suspect:
 			stats.Suspect++
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -24,8 +24,8 @@
 	Listen string
 	// Self is the ID of this member.
 	Self decide.ID
-	// Named are the members that the settings name.
-	Named []decide.ID
+	// ConfiguredMembers are the members that the settings name.
+	ConfiguredMembers []decide.ID
 	// AddressOf returns the address of a member, and false if it has none.
 	AddressOf func(decide.ID) (netip.AddrPort, bool)
 	// MemberAt returns the member at an address, and false if there is none.
@@ -48,7 +48,7 @@
 	socket   *netio.DatagramSocket
 	counters *metrics.Counters
 	log      *slog.Logger
-	ticker   *timerqueue.Entry
+	ticker   *timerqueue.Timer
 	stopped  bool // whether it has left or another process has taken over the member
 }
 
@@ -69,7 +69,7 @@
 		}
 	}
 	if s.node == nil {
-		s.node = decide.New(options.Config, options.Self, incarnationAt(now), options.Named, now, options.Random)
+		s.node = decide.New(options.Config, options.Self, incarnationAt(now), options.ConfiguredMembers, now, options.Random)
 	}
 	s.tick()
 	return s, nil
@@ -103,7 +103,7 @@
 	if saved.Self != s.options.Self {
 		return nil, fmt.Errorf("membership: saved state belongs to member %d, not to this member %d", saved.Self, s.options.Self)
 	}
-	return decide.Resume(s.options.Config, saved, incarnationAt(now), s.options.Named, now, s.options.Random)
+	return decide.Resume(s.options.Config, saved, incarnationAt(now), s.options.ConfiguredMembers, now, s.options.Random)
 }
 
 // SaveState returns the encoded state for the process that replaces this one.
@@ -168,10 +168,10 @@
 	}
 	id, ok := s.options.MemberAt(from)
 	if !ok {
-		s.counters.Add("members.dropped.foreign")
+		s.counters.Inc("members.dropped.foreign")
 		return
 	}
-	s.counters.Add("members.datagrams-in")
+	s.counters.Inc("members.datagrams-in")
 	s.handle(decide.DatagramReceived{From: id, Payload: payload})
 }
 
@@ -179,7 +179,7 @@
 func (s *Service) countRejection(err error) {
 	var reason rejection
 	if errors.As(err, &reason) {
-		s.counters.Add("members.dropped." + string(reason))
+		s.counters.Inc("members.dropped." + string(reason))
 	}
 }
 
@@ -190,10 +190,10 @@
 		case decide.Send:
 			s.send(action)
 		case decide.ViewChanged:
-			s.counters.Add("members.views")
+			s.counters.Inc("members.views")
 			s.log.Info("members.view", "number", action.View.Number, "digest", formatDigest(action.View), "size", action.View.Size, "majority", action.Majority)
 		case decide.MemberReport:
-			s.counters.Add("members.reports." + action.State.String())
+			s.counters.Inc("members.reports." + action.State.String())
 			s.log.Info("members.state", "member", uint64(action.Member), "state", action.State.String(), "why", action.Reason.String(), "witnesses", action.Witnesses)
 		}
 	}
@@ -206,17 +206,17 @@
 func (s *Service) send(action decide.Send) {
 	to, ok := s.options.AddressOf(action.To)
 	if !ok {
-		s.counters.Add("members.unreachable")
+		s.counters.Inc("members.unreachable")
 		return
 	}
 	datagram := action.Payload
 	if s.options.Keys != nil {
 		datagram = s.options.Keys.seal(s.loop.Now(), to, datagram)
 	}
-	s.counters.Add("members.datagrams-out")
+	s.counters.Inc("members.datagrams-out")
 	s.counters.AddN("members.bytes-out", int64(len(datagram)))
 	if err := s.socket.Send(to, datagram); err != nil { // equivalent to a datagram lost in transit
-		s.counters.Add("members.unsent")
+		s.counters.Inc("members.unsent")
 	}
 }
 
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -17,8 +17,8 @@
 // New returns an empty set of counters.
 func New() *Counters { return &Counters{counts: map[string]int64{}} }
 
-// Add adds 1 to a counter.
-func (c *Counters) Add(name string) { c.counts[name]++ }
+// Inc adds 1 to a counter.
+func (c *Counters) Inc(name string) { c.counts[name]++ }
 
 // AddN adds n to a counter.
 func (c *Counters) AddN(name string, n int64) { c.counts[name] += n }
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -10,7 +10,7 @@
 
 func TestCounters(t *testing.T) {
 	c := New()
-	c.Add("taken.lookup")
+	c.Inc("taken.lookup")
 	c.AddN("taken.report", 3)
 	c.Set("answered", 9)
 	c.Set("answered", 2)
--- a/internal/netio/connection.go
+++ b/internal/netio/connection.go
@@ -47,7 +47,7 @@
 
 	// For the loop's goroutine.
 	ended           bool              // Closed was called, or the socket was detached
-	lingerTimer     *timerqueue.Entry // ends a connection that is closing
+	lingerTimer     *timerqueue.Timer // ends a connection that is closing
 	onWritten       func()            // called once all is written
 	writtenPosition int64             // of what is written next, while there is a journal
 	basePosition    int64             // of the buffer's first byte of all, while there is a journal
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -67,7 +67,7 @@
 	defer timer.Stop()
 	for !l.stopping {
 		l.work.run()
-		l.Timers.Sweep(l.Now())
+		l.Timers.RunDue(l.Now())
 		wait := l.untilNextTimer()
 		if wait <= 0 || l.stopping {
 			continue
--- a/internal/queryshape/service_snapshot.go
+++ b/internal/queryshape/service_snapshot.go
@@ -21,7 +21,7 @@
 		estimator, err = Restore(s.options(), snapshot)
 	}
 	if err != nil {
-		s.counters.Add("shapes.snapshot-unusable")
+		s.counters.Inc("shapes.snapshot-unusable")
 		aside := file + ".unusable"
 		s.log.Warn("shapes.snapshot-unusable", "file", file, "error", err, "aside", aside, "rename", os.Rename(file, aside))
 		return nil
@@ -55,11 +55,11 @@
 func (s *Service) saved(err error) {
 	s.saving = false
 	if err != nil {
-		s.counters.Add("shapes.snapshot-failed")
+		s.counters.Inc("shapes.snapshot-failed")
 		s.log.Warn("shapes.snapshot-failed", "file", s.settings.SnapshotFile, "error", err)
 		return
 	}
-	s.counters.Add("shapes.snapshots")
+	s.counters.Inc("shapes.snapshots")
 }
 
 // Encode returns a snapshot for another process.
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -115,7 +115,7 @@
 	if bits&bitWorkEstimated != 0 {
 		query.Work = config.FromMS(workMS)
 	}
-	query.Repeat = bits&bitRetry != 0
+	query.ClientRetry = bits&bitRetry != 0
 	return query
 }
 
--- a/internal/site/forwarding/forward.go
+++ b/internal/site/forwarding/forward.go
@@ -93,7 +93,7 @@
 	if decide.MayAttempt(s.cfg, &q, 0) {
 		return false
 	}
-	s.stats.Add("site.key-over")
+	s.stats.Inc("site.key-over")
 	s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true})
 	return true
 }
@@ -131,7 +131,7 @@
 	if r.IdempotencyKey != "" {
 		s.keys.Record(now, r.IdempotencyKey, now, decide.OtherSite)
 	}
-	s.stats.Add("site.crossed." + r.Class)
+	s.stats.Inc("site.crossed." + r.Class)
 	s.hedge.RecordForward(now)
 	s.core.Forwarded(r, r.Deadline-s.opts.Settings.CallInterval)
 	if after, known := s.hedge.Delay(r.Class); known && class.Idempotency == policy.Idempotent && now+after < r.Deadline {
@@ -148,7 +148,7 @@
 	now := s.clock.Now()
 	q := s.query(c.r, false)
 	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.r.Class)) {
-		s.stats.Add("site.hedged." + c.r.Class)
+		s.stats.Inc("site.hedged." + c.r.Class)
 		s.core.Hedge(c.r)
 	}
 }
@@ -165,7 +165,7 @@
 	if c == nil {
 		return
 	}
-	s.stats.Add("site.given-up." + r.Class)
+	s.stats.Inc("site.given-up." + r.Class)
 	s.forget(c)
 	c.link.mux.Cancel(c.stream)
 }
@@ -185,12 +185,12 @@
 	q := s.query(r, c.turned)
 	switch decide.AfterFailure(s.cfg, &q, end) {
 	case decide.RunLocally:
-		s.stats.Add("site.run-here." + r.Class)
+		s.stats.Inc("site.run-here." + r.Class)
 		s.core.ReturnForwarded(r)
 	case decide.ReportRejected:
 		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Rejected, RetryAfter: a.RetryAfter})
 	default:
-		s.stats.Add("site.doubt." + r.Class)
+		s.stats.Inc("site.doubt." + r.Class)
 		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, EngineError: a.EngineError})
 	}
 }
@@ -200,7 +200,7 @@
 	s, c := l.service, l.forwarded[stream]
 	l.recordReply(0)
 	if c == nil {
-		s.stats.Add("site.late")
+		s.stats.Inc("site.late")
 		return
 	}
 	now := s.clock.Now()
@@ -213,7 +213,7 @@
 	}
 	switch {
 	case err != nil: // it ran, and nothing spoilt is passed on
-		s.stats.Add("site.unreadable")
+		s.stats.Inc("site.unreadable")
 		s.log.Warn("site.unreadable", "peer", l.peer.name.String(), "error", err)
 		s.end(c, decide.InDoubt, core.Answer{}, a.SendCount)
 	case a.Verdict == 2:
@@ -221,7 +221,7 @@
 		s.recordServed(c, now, a)
 		s.core.CompleteForwarded(c.r, answer)
 	case !a.MayHaveRun && (a.Verdict == 1 || !a.IsError):
-		s.stats.Add("site.turned-away-there." + c.r.Class)
+		s.stats.Inc("site.turned-away-there." + c.r.Class)
 		s.end(c, decide.NeverRan, answer, a.SendCount)
 	case a.IsError: // an engine's word on the statement: another would say the same
 		s.forget(c)
@@ -239,5 +239,5 @@
 	c.r.PriorSends -= c.grant - min(a.SendCount, c.grant)
 	c.link.peer.RecordSuccess(now)
 	s.hedge.RecordLatency(c.r.Class, now-c.at)
-	s.stats.Add("site.served-there." + c.r.Class)
+	s.stats.Inc("site.served-there." + c.r.Class)
 }
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -76,7 +76,7 @@
 	late := l.mux.LateFrames
 	n, err := l.mux.Input(b)
 	for range l.mux.LateFrames - late {
-		l.service.stats.Add("site.late")
+		l.service.stats.Inc("site.late")
 	}
 	return n, err
 }
@@ -144,7 +144,7 @@
 func (l *Link) returnForwarded(why string) {
 	for _, id := range sorted(l.forwarded) {
 		if c := l.forwarded[id]; c != nil {
-			l.service.stats.Add("site.taken-back." + why)
+			l.service.stats.Inc("site.taken-back." + why)
 			l.service.end(c, decide.InDoubt, core.Answer{}, 0)
 		}
 	}
--- a/internal/site/forwarding/reports.go
+++ b/internal/site/forwarding/reports.go
@@ -52,7 +52,7 @@
 }
 
 func (s *Service) recordEvent(e Event) {
-	s.stats.Add("site.state." + e.To)
+	s.stats.Inc("site.state." + e.To)
 	s.log.Info("site.state", "peer", e.Peer.String(), "from", e.From, "to", e.To, "why", e.Why)
 	if s.events = append(s.events, e); len(s.events) > maxEvents {
 		s.events = slices.Delete(s.events, 0, 1)
--- a/internal/site/forwarding/serve.go
+++ b/internal/site/forwarding/serve.go
@@ -20,7 +20,7 @@
 	now := s.clock.Now()
 	class, ok := s.core.Class(a.Class)
 	refuse := func(why string) {
-		s.stats.Add("site.not-taken." + why)
+		s.stats.Inc("site.not-taken." + why)
 		l.answer(stream, message.Response{Verdict: uint8(core.Rejected)}, nil)
 	}
 	raw, err := s.packer.Unpack(statement, a.UncompressedSize)
@@ -56,7 +56,7 @@
 	f := &servedRequest{link: l, stream: stream, r: r}
 	r.Client = f
 	l.served[stream] = f
-	s.stats.Add("site.taken." + a.Class)
+	s.stats.Inc("site.taken." + a.Class)
 	s.core.Accept(r)
 }
 
@@ -64,7 +64,7 @@
 func (l *Link) HandleCancel(stream uint32) {
 	if f := l.served[stream]; f != nil {
 		delete(l.served, stream)
-		l.service.stats.Add("site.cancelled." + f.r.Class)
+		l.service.stats.Inc("site.cancelled." + f.r.Class)
 		l.service.core.ClientDisconnected(f.r)
 	}
 }
@@ -83,7 +83,7 @@
 	if a.Verdict == core.Served {
 		var err error
 		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > message.MaxBodySize {
-			s.stats.Add("site.unwritable")
+			s.stats.Inc("site.unwritable")
 			h.Verdict, body = uint8(core.Failed), nil
 		}
 	} else if a.EngineError != nil {
--- a/internal/site/link/connection.go
+++ b/internal/site/link/connection.go
@@ -28,7 +28,7 @@
 	peer    identity
 	dialled bool
 	link    *forwarding.Link
-	expiry  *timerqueue.Entry // of the peer's certificate
+	expiry  *timerqueue.Timer // of the peer's certificate
 
 	// For the loop's goroutine:
 	writes  int      // buffers that wait for the socket
@@ -78,7 +78,7 @@
 	close(c.toWrite)
 	go c.shut()
 	r := c.runner
-	r.counters.Add("site.links-ended")
+	r.counters.Inc("site.links-ended")
 	if cause != nil && !errors.Is(cause, io.EOF) {
 		r.log.Warn("site.link-ended", "peer", c.peer.name.String(), "error", cause)
 	}
--- a/internal/site/link/dial.go
+++ b/internal/site/link/dial.go
@@ -46,7 +46,7 @@
 // dial connects to a peer in a goroutine, which ends within handshakeTimeout.
 func (r *Runner) dial(p *remote) {
 	p.dialling = true
-	r.counters.Add("site.dialled")
+	r.counters.Inc("site.dialled")
 	peer := p.Peer
 	go func() {
 		socket, proven, err := r.connect(peer)
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, y, err := sitelink.Pair(dir, sitelink.Options{Settings: p.Site.Policy, Engines: 1, Pack: true, Answer: rows}, nil)
+	x, y, err := sitelink.Pair(dir, sitelink.Options{Settings: p.SiteSettings.Policy, Engines: 1, Pack: true, Answer: rows}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/site/link/runner.go
+++ b/internal/site/link/runner.go
@@ -135,7 +135,7 @@
 	}
 	c.link = link
 	r.conns[c] = true
-	r.counters.Add("site.links")
+	r.counters.Inc("site.links")
 	// What a certificate has proven ends with it.
 	validFor := time.Until(peer.certificate.NotAfter)
 	c.expiry = r.timers.Add(r.loop.Now()+validFor, func() { c.Close(fmt.Errorf("%w: its certificate has ended", ErrKeys)) })
@@ -146,6 +146,6 @@
 }
 
 func (r *Runner) linkFailed(peer string, err error) {
-	r.counters.Add("site.link-failed")
+	r.counters.Inc("site.link-failed")
 	r.log.Warn("site.link-failed", "peer", peer, "error", err)
 }
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -21,11 +21,11 @@
 
 // Options configure a Coordinator. The functions are called on the loop's goroutine.
 type Options struct {
-	// EventSourceSum is a checksum of the configuration of endpoint lists. Two processes number events
+	// EventSourceChecksum is a checksum of the configuration of endpoint lists. Two processes number events
 	// in the same way only if their checksums are equal.
-	EventSourceSum uint64
-	State          func() *handover.ProcessState      // returns the state of this process
-	ApplyState     func(*handover.ProcessState) error // applies another process's state to this one
+	EventSourceChecksum uint64
+	State               func() *handover.ProcessState      // returns the state of this process
+	ApplyState          func(*handover.ProcessState) error // applies another process's state to this one
 	// StartAlone starts serving from the configuration, without another process's state.
 	StartAlone func()
 	// OnLimitShare is called with the share of the limits that this process may use, 0 to 1, when the
@@ -72,9 +72,9 @@
 	c.scanRepeatedly()
 }
 
-// ShuttingDown announces to the others that this process was told to shut down, and checks whether it
+// AnnounceShutdown announces to the others that this process was told to shut down, and checks whether it
 // has already been replaced.
-func (c *Coordinator) ShuttingDown() {
+func (c *Coordinator) AnnounceShutdown() {
 	c.self.ShuttingDown = true
 	c.writeState()
 	if c.self.Ready {
@@ -88,7 +88,7 @@
 // writeState replaces this process's state file. If that fails, for example because the disk is full,
 // this process continues; a process that would take over from it then starts from its configuration.
 func (c *Coordinator) writeState() {
-	s := State{Process: c.self, Overrides: c.core.Overrides(), EventSourceSum: c.opts.EventSourceSum}
+	s := State{Process: c.self, Overrides: c.core.Overrides(), EventSourceSum: c.opts.EventSourceChecksum}
 	if c.self.StateWritten {
 		encoded, err := c.opts.State().Encode()
 		if err != nil {
@@ -205,7 +205,7 @@
 	if len(unknown) > 0 {
 		c.log.Warn("takeover.unknown-sections", "sections", unknown, "then", "they are ignored")
 	}
-	if s.EventSourceSum != c.opts.EventSourceSum { // it numbers events differently
+	if s.EventSourceSum != c.opts.EventSourceChecksum { // it numbers events differently
 		state.LastEvent = 0
 	}
 	return c.opts.ApplyState(state)
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -39,7 +39,7 @@
 		with("whole", func(*decide.Config) {}),
 		with("no parameters", func(c *decide.Config) { c.NoParameters = true }),
 		with("no prior", func(c *decide.Config) { c.NoPrior = true }),
-		with("no forgetting", func(c *decide.Config) { c.NoForgetting = true }),
+		with("no forgetting", func(c *decide.Config) { c.NoDecay = true }),
 		with("no hint", func(c *decide.Config) { c.NoHint = true }),
 	}
 }
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -23,7 +23,7 @@
 	down    bool
 	listed  bool
 	started time.Duration
-	timer   *timerqueue.Entry
+	timer   *timerqueue.Timer
 	last    uint64
 	out     map[uint64]*running
 }
@@ -146,7 +146,7 @@
 func (l *links) Send(a *core.Attempt) {
 	e := l.engine(a.Engine)
 	r := &running{a: a, g: l.g, life: l.life, e: e, mark: a.Request.Statement.SQL()}
-	a.LinkState = r
+	a.BackendState = r
 	w := l.g.w
 	w.after(lan, func() {
 		switch {
@@ -214,7 +214,7 @@
 
 // Cancel gives an attempt up.
 func (l *links) Cancel(a *core.Attempt) bool {
-	if r, ok := a.LinkState.(*running); ok && r.e != nil && r.e.out[r.id] == r {
+	if r, ok := a.BackendState.(*running); ok && r.e != nil && r.e.out[r.id] == r {
 		r.e.cancel(r)
 	}
 	return true
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -117,7 +117,7 @@
 	lives   int
 	core    *core.Core
 	timers  *timerqueue.Queue // of its own: they end with it
-	wake    *timerqueue.Entry
+	wake    *timerqueue.Timer
 	service *forwarding.Service
 	stats   *metrics.Counters
 	dead    bool
@@ -128,7 +128,7 @@
 
 func (g *gateway) skew() time.Duration { return time.Duration(g.site.n) * g.w.opts.Skew }
 
-func (w *World) after(d time.Duration, f func()) *timerqueue.Entry {
+func (w *World) after(d time.Duration, f func()) *timerqueue.Timer {
 	return w.queue.Add(w.now+max(d, 0), f)
 }
 
@@ -179,7 +179,7 @@
 			break
 		}
 		w.now = max(w.now, at)
-		w.queue.Sweep(w.now)
+		w.queue.RunDue(w.now)
 	}
 	if w.err != nil {
 		return nil, w.err
@@ -224,7 +224,7 @@
 	if g.core, err = core.New(set, seed, g, g.timers, g.stats, log); err != nil {
 		return err
 	}
-	g.core.SetLinks(&links{g: g, life: g.lives})
+	g.core.SetBackend(&links{g: g, life: g.lives})
 	o := forwarding.Options{Name: g.name(), Start: uint64(g.lives), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
 	for i := range w.opts.Sites { // those that come later are peers too
 		if w.opts.Way != Alone && i != g.site.n && w.near(i, g.site.n) {
@@ -281,7 +281,7 @@
 	life := g.lives
 	g.wake = g.w.queue.Add(max(at-g.skew(), g.w.now), func() {
 		if g.lives == life && !g.dead {
-			g.timers.Sweep(g.Now())
+			g.timers.RunDue(g.Now())
 			g.arm()
 		}
 	})
--- a/internal/testbed/simulation/fleet_test.go
+++ b/internal/testbed/simulation/fleet_test.go
@@ -24,7 +24,7 @@
 	cfg := decide.Defaults()
 	cfg.SharedDedup = true
 	return Options{
-		Site: p.Site, Config: cfg, Way: Ours, Sites: 2, Gateways: 2, Engines: 2, Engine: enginemodel.Usual(), Rate: 12, Loads: 0.08, Reports: 0.14, Writes: 0.04,
+		Site: p.SiteSettings, Config: cfg, Way: Ours, Sites: 2, Gateways: 2, Engines: 2, Engine: enginemodel.Usual(), Rate: 12, Loads: 0.08, Reports: 0.14, Writes: 0.04,
 		Estimates: true, ToldAfter: time.Second, Elsewhere: 0.5, Delay: 20 * time.Millisecond, Bandwidth: 10e6, Pack: true, Warm: 17 * time.Second, Span: 60 * time.Second, Seed: 1,
 	}
 }
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -117,7 +117,7 @@
 	if n.Core, err = core.New(set, 1, n.Loop, n.Loop.Timers, n.Counters, log); err != nil {
 		return nil, err
 	}
-	n.Core.SetLinks(n)
+	n.Core.SetBackend(n)
 	cfg := decide.Defaults()
 	cfg.SharedDedup, cfg.UnreachableAfter, cfg.DigestInterval, cfg.RampDuration = true, 600*time.Millisecond, 50*time.Millisecond, 0
 	if n.Service, err = forwarding.New(n.Core, n.Loop.Timers, forwarding.Options{
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -15,12 +15,12 @@
 // Queue holds timers ordered by due time; timers due at the same time are in the order in which they
 // were added. It is not safe for concurrent use.
 type Queue struct {
-	tree    *btree.BTreeG[*Entry]
+	tree    *btree.BTreeG[*Timer]
 	lastSeq uint64 // seq of the entry added last
 }
 
-// Entry is one timer of a queue.
-type Entry struct {
+// Timer is one timer of a queue.
+type Timer struct {
 	due   time.Duration
 	seq   uint64 // position in the order of adding, from 1
 	run   func()
@@ -32,7 +32,7 @@
 	return &Queue{tree: btree.NewG(btreeDegree, before)}
 }
 
-func before(a, b *Entry) bool {
+func before(a, b *Timer) bool {
 	if a.due != b.due {
 		return a.due < b.due
 	}
@@ -41,16 +41,16 @@
 
 // Add schedules run to be called by the first Sweep at or after the time due. The returned entry can
 // be used to stop it.
-func (q *Queue) Add(due time.Duration, run func()) *Entry {
+func (q *Queue) Add(due time.Duration, run func()) *Timer {
 	q.lastSeq++
-	e := &Entry{due: due, seq: q.lastSeq, run: run, queue: q}
+	e := &Timer{due: due, seq: q.lastSeq, run: run, queue: q}
 	q.tree.ReplaceOrInsert(e)
 	return e
 }
 
 // Stop removes the entry from its queue. Stopping a nil entry, or one that has run or was
 // stopped, does nothing.
-func (e *Entry) Stop() {
+func (e *Timer) Stop() {
 	if e == nil || e.queue == nil {
 		return
 	}
@@ -60,17 +60,17 @@
 
 // release drops the references to the queue and the function, so that a caller that keeps the entry
 // does not keep them in memory.
-func (e *Entry) release() {
+func (e *Timer) release() {
 	e.queue = nil
 	e.run = nil
 }
 
-// Sweep runs all entries that are due at the time now. Entries added during the sweep wait for the
+// RunDue runs all entries that are due at the time now. Entries added during the sweep wait for the
 // next one even if they are due already: otherwise an entry that adds itself again could block the
 // event loop forever.
-func (q *Queue) Sweep(now time.Duration) {
+func (q *Queue) RunDue(now time.Duration) {
 	lastBefore := q.lastSeq
-	var deferred []*Entry
+	var deferred []*Timer
 	for {
 		e, ok := q.tree.Min()
 		if !ok || e.due > now {
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -13,7 +13,7 @@
 func TestSweep(t *testing.T) {
 	q := New()
 	var got []int
-	add := func(due int) *Entry { return q.Add(time.Duration(due), func() { got = append(got, due) }) }
+	add := func(due int) *Timer { return q.Add(time.Duration(due), func() { got = append(got, due) }) }
 	add(30)
 	stopped := add(20)
 	add(10)
@@ -21,14 +21,14 @@
 	var rearm func()
 	rearm = func() { got = append(got, 0); q.Add(5, rearm) }
 	q.Add(5, rearm)
-	q.Sweep(25)
+	q.RunDue(25)
 	if diff := cmp.Diff([]int{0, 10}, got); diff != "" {
 		t.Errorf("entries run by the first sweep (-want +got):\n%s", diff)
 	}
 	if due, ok := q.Next(); !ok || due != 5 || q.Len() != 2 {
 		t.Errorf("Next() = %v, %v with %d entries, want 5ns, true with 2", due, ok, q.Len())
 	}
-	q.Sweep(30)
+	q.RunDue(30)
 	if diff := cmp.Diff([]int{0, 10, 0, 30}, got); diff != "" {
 		t.Errorf("entries run by both sweeps (-want +got):\n%s", diff)
 	}
@@ -42,8 +42,8 @@
 		q.Add(1, func() {})
 		added.Stop()
 	})
-	q.Sweep(1)
-	q.Sweep(1)
+	q.RunDue(1)
+	q.RunDue(1)
 	if q.Len() != 0 {
 		t.Errorf("Len() = %d, want 0", q.Len())
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,7 +17,7 @@
 	if g.queries[ev.Query] != nil {
 		return
 	}
-	if !ev.Repeat {
+	if !ev.ClientRetry {
 		g.traffic.arrivals++
 	}
 	g.retries.recordArrival(g.now)
--- a/policy/driver_test.go
+++ b/policy/driver_test.go
@@ -35,7 +35,7 @@
 				PriorityWeight: 1, Threads: 1, Idempotency: Idempotent, Zones: []string{"b"}},
 		},
 		Rules: Rules{
-			AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, WarmUpMinCapacity: 0.3,
+			AnswerGracePeriod: 20 * time.Millisecond, DrainTimeout: time.Second, WarmUpMinCapacity: 0.3,
 			WarmUpPeriod: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
 			SettleTime: 700 * time.Millisecond,
 		},
--- a/policy/event.go
+++ b/policy/event.go
@@ -9,15 +9,15 @@
 // QueryArrived reports a new query. The client must then get exactly one final answer: a response
 // (AttemptEnded with Final set), a Reject or a Fail.
 type QueryArrived struct {
-	Query    uint64 // ID; a client's retry has a new one
-	Class    string
-	Tenant   string        // empty: none
-	Key      string        // ordering key within the class; empty: none
-	DataSet  int64         // data set that the query reads or writes
-	Deadline time.Duration // instant at which the client stops waiting
-	Work     time.Duration // estimated work, summed over its threads; 0: no estimate
-	MemoryMB float64       // estimated memory; 0: no estimate
-	Repeat   bool          // the client marks the query as its own retry
+	Query       uint64 // ID; a client's retry has a new one
+	Class       string
+	Tenant      string        // empty: none
+	Key         string        // ordering key within the class; empty: none
+	DataSet     int64         // data set that the query reads or writes
+	Deadline    time.Duration // instant at which the client stops waiting
+	Work        time.Duration // estimated work, summed over its threads; 0: no estimate
+	MemoryMB    float64       // estimated memory; 0: no estimate
+	ClientRetry bool          // the client marks the query as its own retry
 }
 
 // Result is the outcome of an attempt.
--- a/policy/replay_world_test.go
+++ b/policy/replay_world_test.go
@@ -224,7 +224,7 @@
 	q := &replayQuery{class: class, work: work, memory: 20 + 400*sim.rng.Float64()*sim.rng.Float64()}
 	sim.queries[id] = q
 	ev := policy.QueryArrived{Query: id, Class: class.Name, DataSet: int64(sim.rng.ExpFloat64() * 4), Deadline: sim.now + class.Timeout,
-		Repeat: sim.rng.IntN(20) == 0}
+		ClientRetry: sim.rng.IntN(20) == 0}
 	if len(sim.settings.Tenants) > 0 {
 		ev.Tenant = []string{"t0", "t1", "t2", "", "unheard-of"}[min(int(sim.rng.ExpFloat64()*1.2), 4)]
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -66,20 +66,20 @@
 	Name             string
 	LatencyObjective time.Duration // a response within this time has its full value; above 0
 	// ObjectiveStretch extends the latency objective by this many times the query's work per thread.
-	ObjectiveStretch float64
-	Timeout          time.Duration // longest time that a client waits; above 0
-	PriorityWeight   float64       // value of a response that meets the objective
-	LateFraction     float64       // fraction of that value which a late response has
-	Threads          float64       // threads that run one query; 0 counts as 1
-	Idempotency      Idempotency
-	DedupScope       DedupScope    // for IdempotentWithKey
-	DedupWindow      time.Duration // for IdempotentWithKey: how long engines remember a key
-	Streaming        bool          // responses are streamed, and StreamStarted reports their start
-	Ordered          bool          // queries of one ordering key run one at a time, in the order of arrival
-	DataLoad         bool          // a query locks its data set on its engine while it runs
-	WaitsForDataLoad bool          // a query waits while a data load locks its data set
-	Zones            []string      // zones where its queries may run; empty: any
-	Kinds            []string      // machine kinds on which its queries may run; empty: any
+	ObjectiveStretch  float64
+	Timeout           time.Duration // longest time that a client waits; above 0
+	PriorityWeight    float64       // value of a response that meets the objective
+	LateValueFraction float64       // fraction of that value which a late response has
+	Threads           float64       // threads that run one query; 0 counts as 1
+	Idempotency       Idempotency
+	DedupScope        DedupScope    // for IdempotentWithKey
+	DedupWindow       time.Duration // for IdempotentWithKey: how long engines remember a key
+	Streaming         bool          // responses are streamed, and StreamStarted reports their start
+	Ordered           bool          // queries of one ordering key run one at a time, in the order of arrival
+	DataLoad          bool          // a query locks its data set on its engine while it runs
+	WaitsForDataLoad  bool          // a query waits while a data load locks its data set
+	Zones             []string      // zones where its queries may run; empty: any
+	Kinds             []string      // machine kinds on which its queries may run; empty: any
 }
 
 // Kind is one kind of machine.
@@ -98,10 +98,10 @@
 
 // Rules holds the parameters of the rules that every attempt and every final answer must obey.
 type Rules struct {
-	// AnswerSlack is how long after its deadline a query may still get its final answer.
-	AnswerSlack time.Duration
-	// DrainGrace is the time within which the attempts at a draining engine must end.
-	DrainGrace time.Duration
+	// AnswerGracePeriod is how long after its deadline a query may still get its final answer.
+	AnswerGracePeriod time.Duration
+	// DrainTimeout is the time within which the attempts at a draining engine must end.
+	DrainTimeout time.Duration
 	// WarmUpMinCapacity is the smallest fraction of its capacity that an engine has after a start.
 	WarmUpMinCapacity float64
 	// WarmUpPeriod is the time after a start by which an engine is warm.
@@ -118,8 +118,8 @@
 	// RetryBudgetRatio is the number of further retries for each query that arrived within the window.
 	RetryBudgetRatio  float64
 	RetryBudgetWindow time.Duration // 0: retries are not limited
-	// ResubscribeWithin is the time within which a lost subscription must be renewed.
-	ResubscribeWithin time.Duration
+	// ResubscribeTimeout is the time within which a lost subscription must be renewed.
+	ResubscribeTimeout time.Duration
 }
 
 // Limits holds what the deployment permits.
