--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -49,7 +49,7 @@
 			return http1.Response{}, http1.NewStatusError(http.StatusServiceUnavailable, "%s", err)
 		}
 	case pathMetrics:
-		return http1.Response{Status: http.StatusOK, ContentType: typeText, Body: FormatFigures(s.gateway.Figures())}, nil
+		return http1.Response{Status: http.StatusOK, ContentType: typeText, Body: FormatStats(s.gateway.Stats())}, nil
 	case pathDisable:
 		return changeEngine(request.Body, s.gateway.DisableEngine)
 	case pathEnable:
--- a/internal/control/calls_test.go
+++ b/internal/control/calls_test.go
@@ -17,8 +17,8 @@
 	calls    []string // as "disable ID" or "enable ID"
 }
 
-func (g *fakeGateway) Ready() error        { return g.notReady }
-func (g *fakeGateway) Figures() core.Stats { return core.Stats{} }
+func (g *fakeGateway) Ready() error      { return g.notReady }
+func (g *fakeGateway) Stats() core.Stats { return core.Stats{} }
 func (g *fakeGateway) DisableEngine(id string) error {
 	g.calls = append(g.calls, "disable "+id)
 	return known(id)
--- a/internal/control/figures.go
+++ b/internal/control/figures.go
@@ -14,20 +14,20 @@
 	gauge   metricType = 'g' // goes up and down
 )
 
-// FormatFigures formats figures as the body of /metrics, one per line: lb.NAME:VALUE|TYPE.
-func FormatFigures(f core.Stats) []byte {
+// FormatStats formats statistics as the body of /metrics, one per line: lb.NAME:VALUE|TYPE.
+func FormatStats(s core.Stats) []byte {
 	var out metricWriter
-	for _, class := range f.Classes {
+	for _, class := range s.Classes {
 		out.add("calls."+class.Class+".success", class.Served, counter)
 		out.add("calls."+class.Class+".busy", class.Rejected, counter)
 		out.add("calls."+class.Class+".failure", class.Failed, counter)
 	}
-	out.add("backend_calls", f.AttemptsWritten, counter)
-	out.add("inflight", int64(f.InFlight), gauge)
-	out.add("hosts_listed", int64(f.EnginesListed), gauge)
-	out.add("hosts_down", int64(f.EnginesDown), gauge)
-	if f.Peers != nil {
-		out.addPeers(f.Peers)
+	out.add("backend_calls", s.AttemptsWritten, counter)
+	out.add("inflight", int64(s.InFlight), gauge)
+	out.add("hosts_listed", int64(s.EnginesListed), gauge)
+	out.add("hosts_down", int64(s.EnginesDown), gauge)
+	if s.Peers != nil {
+		out.addPeers(s.Peers)
 	}
 	return out.text
 }
--- a/internal/control/figures_test.go
+++ b/internal/control/figures_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestFormatFigures compares the body of /metrics with and without a fleet.
-func TestFormatFigures(t *testing.T) {
+// TestFormatStats compares the body of /metrics with and without a fleet.
+func TestFormatStats(t *testing.T) {
 	const withoutPeers = `lb.calls.lookup.success:812|c
 lb.calls.lookup.busy:3|c
 lb.calls.lookup.failure:1|c
@@ -25,15 +25,15 @@
 lb.peers_view:42|g
 lb.peers_majority:1|g
 `
-	figures := core.Stats{
+	stats := core.Stats{
 		Classes:         []core.ClassStats{{Class: "lookup", Served: 812, Rejected: 3, Failed: 1}},
 		AttemptsWritten: 900, InFlight: 14, EnginesListed: 8, EnginesDown: 2,
 	}
-	if diff := cmp.Diff(withoutPeers, string(FormatFigures(figures))); diff != "" {
-		t.Errorf("FormatFigures without peers (-want +got):\n%s", diff)
+	if diff := cmp.Diff(withoutPeers, string(FormatStats(stats))); diff != "" {
+		t.Errorf("FormatStats without peers (-want +got):\n%s", diff)
 	}
-	figures.Peers = &core.PeerStats{Live: 5, Known: 7, PartlyReachable: 1, Dead: 2, ViewNumber: 42, Majority: true}
-	if diff := cmp.Diff(withoutPeers+peers, string(FormatFigures(figures))); diff != "" {
-		t.Errorf("FormatFigures with peers (-want +got):\n%s", diff)
+	stats.Peers = &core.PeerStats{Live: 5, Known: 7, PartlyReachable: 1, Dead: 2, ViewNumber: 42, Majority: true}
+	if diff := cmp.Diff(withoutPeers+peers, string(FormatStats(stats))); diff != "" {
+		t.Errorf("FormatStats with peers (-want +got):\n%s", diff)
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,5 +1,5 @@
 // Package control implements the control endpoint, an HTTP/1.1 server at an address of its own,
-// through which operators read figures and disable engines. Each connection carries one request
+// through which operators read statistics and disable engines. Each connection carries one request
 // and is closed after the response.
 package control
 
@@ -35,8 +35,8 @@
 type Gateway interface {
 	// Ready returns nil if this process can serve clients, or the reason why it cannot.
 	Ready() error
-	// Figures returns the current metrics of the gateway.
-	Figures() core.Stats
+	// Stats returns the current statistics of the gateway.
+	Stats() core.Stats
 	// DisableEngine stops sending requests to an engine. It fails if no engine has the id, or if too
 	// many engines are disabled.
 	DisableEngine(id string) error
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -43,7 +43,7 @@
 	}
 	a.Sent = a.Sent || r.PriorSentAt > 0 || len(r.attempts) > 0
 	c.counters.Inc("answered." + a.Verdict.String() + "." + r.Class)
-	c.figures.countAnswer(r.Class, a.Verdict)
+	c.stats.countAnswer(r.Class, a.Verdict)
 	if a.DeadlinePassed {
 		c.counters.Inc("answered-late." + r.Class)
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -73,7 +73,7 @@
 	if c.observers.firstSend != nil && len(r.attempts) == 1 {
 		c.observers.firstSend(r, a.SentAt)
 	}
-	c.links.Send(a)
+	c.backend.Send(a)
 }
 
 // startTimeout sets the timer that ends the attempt as timed out. The timeout begins at the time
@@ -92,7 +92,7 @@
 	for _, a := range r.attempts {
 		if !a.ended {
 			a.Priority = g.Priority
-			c.links.SetPriority(a, g.Priority)
+			c.backend.SetPriority(a, g.Priority)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 // cancel cancels an attempt and ends it with the outcome, unless the backend must wait until the
 // engine can no longer run it: the backend then ends it.
 func (c *Core) cancel(a *Attempt, outcome Outcome) {
-	over := c.links.Cancel(a)
+	over := c.backend.Cancel(a)
 	if !over {
 		a.timer.Stop()
 		c.counters.Inc("settling." + a.Request.Class)
@@ -145,7 +145,7 @@
 	if windowClosed || !c.endpoints.usable(a.Engine) {
 		return false
 	}
-	c.figures.attemptsWritten++
+	c.stats.attemptsWritten++
 	a.written = true
 	return true
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,14 +26,14 @@
 	counters *metrics.Counters
 	log      *slog.Logger
 
-	links     Backend
+	backend   Backend
 	sites     RemoteSites // nil if there is no other site
 	observers observers
 
 	policy    policyLoop
 	requests  requestTable
 	endpoints endpointList
-	figures   figures
+	stats     stats
 
 	classes map[string]policy.Class // by name
 	// callInterval is the period of the event loop. A request that is not served counts as late from
@@ -61,7 +61,7 @@
 }
 
 // New returns a core with the given settings. The seed initializes the policy's random numbers.
-// SetLinks must be called before the core receives any event. New returns an error if the policy
+// SetBackend must be called before the core receives any event. New returns an error if the policy
 // rejects the settings.
 func New(settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, log *slog.Logger) (*Core, error) {
 	gateway, err := policy.New(settings, seed)
@@ -71,7 +71,7 @@
 	c := &Core{
 		clock: clock, timers: timers, counters: counters, log: log,
 		policy: policyLoop{gateway: gateway}, requests: newRequestTable(),
-		endpoints: newEndpointList(), figures: newFigures(settings.Classes),
+		endpoints: newEndpointList(), stats: newStats(settings.Classes),
 		classes: map[string]policy.Class{}, callInterval: settings.CallInterval,
 	}
 	for _, class := range settings.Classes {
@@ -81,7 +81,7 @@
 }
 
 // SetBackend sets the backend that carries attempts to engines.
-func (c *Core) SetBackend(l Backend) { c.links = l }
+func (c *Core) SetBackend(b Backend) { c.backend = b }
 
 // SetRemoteSites sets the component that forwards requests to other sites.
 func (c *Core) SetRemoteSites(s RemoteSites) { c.sites = s }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -67,7 +67,7 @@
 }
 
 func (c *Core) updateEngine(e Engine) {
-	c.links.UpdateEngine(e)
+	c.backend.UpdateEngine(e)
 	if c.sites != nil {
 		c.sites.UpdateEngine(e)
 	}
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -33,23 +33,23 @@
 	Majority        bool // whether more than half of the gateways known recently are in the view
 }
 
-// figures holds the totals that are reported in Figures and used nowhere else.
-type figures struct {
+// stats holds the totals that are reported in Stats and used nowhere else.
+type stats struct {
 	byClass         map[string]*ClassStats // by class name
 	attemptsWritten int64
 }
 
-func newFigures(classes []policy.Class) figures {
-	f := figures{byClass: map[string]*ClassStats{}}
+func newStats(classes []policy.Class) stats {
+	s := stats{byClass: map[string]*ClassStats{}}
 	for _, class := range classes {
-		f.byClass[class.Name] = &ClassStats{Class: class.Name}
+		s.byClass[class.Name] = &ClassStats{Class: class.Name}
 	}
-	return f
+	return s
 }
 
 // countAnswer counts a final answer.
-func (f *figures) countAnswer(class string, v Verdict) {
-	counts := f.byClass[class]
+func (s *stats) countAnswer(class string, v Verdict) {
+	counts := s.byClass[class]
 	if counts == nil { // the settings have no such class; the policy rejects its requests
 		return
 	}
@@ -63,20 +63,20 @@
 	}
 }
 
-// Stats returns a copy of the current figures. Peers is nil: the core knows no peers.
+// Stats returns a copy of the current statistics. Peers is nil: the core knows no peers.
 func (c *Core) Stats() Stats {
-	f := Stats{
-		AttemptsWritten: c.figures.attemptsWritten, InFlight: c.requests.unanswered,
+	s := Stats{
+		AttemptsWritten: c.stats.attemptsWritten, InFlight: c.requests.unanswered,
 		EnginesListed: c.endpoints.admin.ListedCount(),
 	}
-	for _, counts := range c.figures.byClass {
-		f.Classes = append(f.Classes, *counts)
+	for _, counts := range c.stats.byClass {
+		s.Classes = append(s.Classes, *counts)
 	}
-	slices.SortFunc(f.Classes, func(a, b ClassStats) int { return cmp.Compare(a.Class, b.Class) })
+	slices.SortFunc(s.Classes, func(a, b ClassStats) int { return cmp.Compare(a.Class, b.Class) })
 	for id := range c.endpoints.engines {
 		if c.endpoints.admin.Disabled(id) || c.policy.gateway.IsEjected(id) {
-			f.EnginesDown++
+			s.EnginesDown++
 		}
 	}
-	return f
+	return s
 }
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.core.SetBackend(fixtureLinks{f})
+	f.core.SetBackend(fixtureBackend{f})
 	f.core.SetRemoteSites(fixtureSites{f})
 	var list []Engine
 	for i := range engines {
@@ -82,24 +82,24 @@
 }
 func (f *fixture) Disconnected() bool { return f.disconnected }
 
-// UpdateEngine implements the method that Links and RemoteSites share.
+// UpdateEngine implements the method that Backend and RemoteSites share.
 func (f *fixture) UpdateEngine(Engine) {}
 
-type fixtureLinks struct{ *fixture }
+type fixtureBackend struct{ *fixture }
 
-func (l fixtureLinks) Send(a *Attempt) {
-	l.sent = append(l.sent, a)
-	if !l.core.BeginWrite(a) {
-		l.core.EndAttempt(a, OutcomeNotSent, Report{})
+func (b fixtureBackend) Send(a *Attempt) {
+	b.sent = append(b.sent, a)
+	if !b.core.BeginWrite(a) {
+		b.core.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
-	l.record("send")
+	b.record("send")
 }
 
-func (l fixtureLinks) SetPriority(*Attempt, int) {}
+func (b fixtureBackend) SetPriority(*Attempt, int) {}
 
-func (l fixtureLinks) Cancel(*Attempt) bool {
-	l.record("cancel attempt")
+func (b fixtureBackend) Cancel(*Attempt) bool {
+	b.record("cancel attempt")
 	return true
 }
 
--- a/internal/core/links.go
+++ b/internal/core/links.go
@@ -2,7 +2,7 @@
 
 import "gannetspur/policy"
 
-// Backend is a backend: it carries attempts to engines over one wire protocol.
+// Backend carries attempts to engines over one wire protocol.
 type Backend interface {
 	// Send starts an attempt. The backend calls Core.EndAttempt when the attempt ends.
 	Send(a *Attempt)
@@ -16,14 +16,14 @@
 	UpdateEngine(e Engine)
 }
 
-// LoadReporter is implemented by Links that can ask engines for their load.
+// LoadReporter is implemented by a Backend that can ask engines for their load.
 type LoadReporter interface {
 	// RequestLoadReport asks an engine for a load report. The backend calls Core.EndLoadReport once
 	// for each request.
 	RequestLoadReport(engine string)
 }
 
-// StreamingBackend is implemented by Links that support streaming requests: those with more
+// StreamingBackend is implemented by a Backend that supports streaming requests: those with more
 // statements and answers after the first, such as transactions.
 type StreamingBackend interface {
 	// Continue sends the next statement, a.Request.Statement, on the attempt's connection.
--- a/internal/core/policy_loop.go
+++ b/internal/core/policy_loop.go
@@ -64,7 +64,7 @@
 }
 
 func (c *Core) requestLoadReport(engine string) {
-	reporter, ok := c.links.(LoadReporter)
+	reporter, ok := c.backend.(LoadReporter)
 	if !ok { // this wire protocol has no load reports
 		c.counters.Inc("policy.ignored")
 		return
--- a/internal/core/replay_test.go
+++ b/internal/core/replay_test.go
@@ -42,8 +42,8 @@
 var (
 	_ StreamingClient    = (*replay)(nil)
 	_ CostObserver       = (*replay)(nil)
-	_ LoadReporter       = replayLinks{}
-	_ StreamingBackend   = replayLinks{}
+	_ LoadReporter       = replayBackend{}
+	_ StreamingBackend   = replayBackend{}
 	_ DisconnectDetector = (*fixture)(nil)
 )
 
@@ -81,7 +81,7 @@
 	if r.core, err = New(settings, seed, r, r.timers, r.counters, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	r.core.SetBackend(replayLinks{r})
+	r.core.SetBackend(replayBackend{r})
 	r.core.SetCostObserver(r)
 	r.core.OnFirstSend(func(q *Request, at time.Duration) { r.record("first send %s %d", q.ID, at) })
 	r.core.OnOverridesChanged(func() { r.record("bans changed") })
@@ -117,49 +117,49 @@
 
 func (r *replay) RequestDone(q *Request) { r.record("over %s", q.ID) }
 
-// replayLinks is the fake backend.
-type replayLinks struct{ *replay }
+// replayBackend is the fake backend.
+type replayBackend struct{ *replay }
 
-func (l replayLinks) Send(a *Attempt) {
-	ok := l.core.BeginWrite(a)
-	l.record("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Timeout), a.MemoryMB, a.Priority, ok)
+func (b replayBackend) Send(a *Attempt) {
+	ok := b.core.BeginWrite(a)
+	b.record("send %s %s %d %g %d %t", a.Request.ID, a.Engine, int64(a.Timeout), a.MemoryMB, a.Priority, ok)
 	if !ok {
-		l.core.EndAttempt(a, OutcomeNotSent, Report{})
+		b.core.EndAttempt(a, OutcomeNotSent, Report{})
 		return
 	}
-	l.attempts = append(l.attempts, a)
+	b.attempts = append(b.attempts, a)
 }
 
-func (l replayLinks) Cancel(a *Attempt) bool {
+func (b replayBackend) Cancel(a *Attempt) bool {
 	mustAwait := a.MustAwaitEngine()
-	l.record("drop %s %s %t", a.Request.ID, a.Engine, mustAwait)
+	b.record("drop %s %s %t", a.Request.ID, a.Engine, mustAwait)
 	if mustAwait {
-		l.awaitingEngine = append(l.awaitingEngine, a)
+		b.awaitingEngine = append(b.awaitingEngine, a)
 	}
 	return !mustAwait
 }
 
-func (l replayLinks) SetPriority(a *Attempt, priority int) {
-	l.record("hurry %s %s %d", a.Request.ID, a.Engine, priority)
+func (b replayBackend) SetPriority(a *Attempt, priority int) {
+	b.record("hurry %s %s %d", a.Request.ID, a.Engine, priority)
 }
 
-func (l replayLinks) UpdateEngine(e Engine) {
+func (b replayBackend) UpdateEngine(e Engine) {
 	if e.State != policy.EngineDeparted { // engines missing from a full list are reported in map order
-		l.record("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.StartKnown)
+		b.record("engine %s %s %d %d %t", e.ID, e.Addr, int(e.State), int64(e.Started), e.StartKnown)
 	}
 }
 
-func (l replayLinks) RequestLoadReport(engine string) {
-	l.record("probe %s", engine)
-	if l.random.IntN(2) == 0 {
-		l.core.EndLoadReport(engine, OutcomeServed, policy.LoadReport{})
+func (b replayBackend) RequestLoadReport(engine string) {
+	b.record("probe %s", engine)
+	if b.random.IntN(2) == 0 {
+		b.core.EndLoadReport(engine, OutcomeServed, policy.LoadReport{})
 		return
 	}
-	l.core.EndLoadReport(engine, OutcomeConnectTimeout, policy.LoadReport{})
+	b.core.EndLoadReport(engine, OutcomeConnectTimeout, policy.LoadReport{})
 }
 
-func (l replayLinks) Continue(a *Attempt) {
-	l.record("continue %s %s %v", a.Request.ID, a.Engine, a.Request.Statement)
+func (b replayBackend) Continue(a *Attempt) {
+	b.record("continue %s %s %v", a.Request.ID, a.Engine, a.Request.Statement)
 }
 
 // replaySites is the fake of the other sites.
@@ -199,9 +199,9 @@
 	for _, a := range append(r.attempts, r.awaitingEngine...) {
 		r.core.EndAttempt(a, OutcomeConnectionReset, Report{})
 	}
-	figures := r.core.Stats()
-	r.record("figures %d %d %d %d", figures.AttemptsWritten, figures.InFlight, figures.EnginesListed, figures.EnginesDown)
-	for _, c := range figures.Classes {
+	stats := r.core.Stats()
+	r.record("figures %d %d %d %d", stats.AttemptsWritten, stats.InFlight, stats.EnginesListed, stats.EnginesDown)
+	for _, c := range stats.Classes {
 		r.record("class %s %d %d %d", c.Class, c.Served, c.Rejected, c.Failed)
 	}
 	var counts strings.Builder
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -36,7 +36,7 @@
 // the timeout. It returns false if the request is answered or has no streaming attempt in flight, or
 // if the backend does not support streaming.
 func (c *Core) Continue(r *Request, statement Statement, timeout time.Duration) bool {
-	links, ok := c.links.(StreamingBackend)
+	backend, ok := c.backend.(StreamingBackend)
 	if !ok || r.answered || len(r.attempts) == 0 {
 		return false
 	}
@@ -46,6 +46,6 @@
 	}
 	r.Statement = statement
 	c.startTimeout(a, c.clock.Now(), timeout)
-	links.Continue(a)
+	backend.Continue(a)
 	return true
 }
--- a/internal/frontend/postgres/replay_engine_test.go
+++ b/internal/frontend/postgres/replay_engine_test.go
@@ -10,8 +10,8 @@
 	"gannetspur/internal/pgproto"
 )
 
-// replayLinks is an engine that answers by the text of a statement.
-type replayLinks struct {
+// replayBackend is a backend whose engine answers by the text of a statement.
+type replayBackend struct {
 	core       *core.Core
 	loop       *netio.Loop
 	transcript strings.Builder
@@ -20,74 +20,74 @@
 }
 
 // loseLatest breaks the connection of the attempt that was served last. Call on the loop.
-func (l *replayLinks) loseLatest() {
-	l.core.EndAttempt(l.latest, core.OutcomeConnectionReset, core.Report{})
+func (b *replayBackend) loseLatest() {
+	b.core.EndAttempt(b.latest, core.OutcomeConnectionReset, core.Report{})
 }
 
-func (l *replayLinks) Send(a *core.Attempt) {
-	l.loop.Post(func() {
+func (b *replayBackend) Send(a *core.Attempt) {
+	b.loop.Post(func() {
 		switch {
 		case a.Ended():
-		case !l.core.BeginWrite(a):
-			l.core.EndAttempt(a, core.OutcomeNotSent, core.Report{})
+		case !b.core.BeginWrite(a):
+			b.core.EndAttempt(a, core.OutcomeNotSent, core.Report{})
 		default:
-			l.record(a, "first true")
-			l.serve(a)
+			b.record(a, "first true")
+			b.serve(a)
 		}
 	})
 }
 
-func (l *replayLinks) Continue(a *core.Attempt) {
-	l.loop.Post(func() {
+func (b *replayBackend) Continue(a *core.Attempt) {
+	b.loop.Post(func() {
 		if !a.Ended() {
-			l.record(a, "first false")
-			l.serve(a)
+			b.record(a, "first false")
+			b.serve(a)
 		}
 	})
 }
 
-func (l *replayLinks) SetPriority(*core.Attempt, int) {}
-func (l *replayLinks) UpdateEngine(core.Engine)       {}
+func (b *replayBackend) SetPriority(*core.Attempt, int) {}
+func (b *replayBackend) UpdateEngine(core.Engine)       {}
 
-func (l *replayLinks) Cancel(a *core.Attempt) bool {
-	fmt.Fprintf(&l.transcript, "cancel %s\n", a.Request.ID)
+func (b *replayBackend) Cancel(a *core.Attempt) bool {
+	fmt.Fprintf(&b.transcript, "cancel %s\n", a.Request.ID)
 	return true
 }
 
 // record writes down a statement as it came to the engine.
-func (l *replayLinks) record(a *core.Attempt, position string) {
+func (b *replayBackend) record(a *core.Attempt, position string) {
 	r := a.Request
 	s := r.Statement.(*pgproto.Statement)
-	fmt.Fprintf(&l.transcript, "%s class %s keys %q %q data set %d %s streaming %t ",
+	fmt.Fprintf(&b.transcript, "%s class %s keys %q %q data set %d %s streaming %t ",
 		r.ID, r.Class, r.IdempotencyKey, r.SerialKey, r.DataSet, position, r.Streaming)
-	fmt.Fprintf(&l.transcript, "query %q types %x bind %x describe %t ", s.Query, s.ParameterTypes, s.Bind, s.DescribeOnly)
-	fmt.Fprintf(&l.transcript, "begin %q ends %t sets %q taints %t user %q settings",
+	fmt.Fprintf(&b.transcript, "query %q types %x bind %x describe %t ", s.Query, s.ParameterTypes, s.Bind, s.DescribeOnly)
+	fmt.Fprintf(&b.transcript, "begin %q ends %t sets %q taints %t user %q settings",
 		s.BeginQuery, s.EndsTransaction, s.ChangedSetting, s.TaintsSession, s.User)
 	for _, set := range s.Settings {
-		fmt.Fprintf(&l.transcript, " %s: %q", set.Name, set.Text)
+		fmt.Fprintf(&b.transcript, " %s: %q", set.Name, set.Text)
 	}
-	l.transcript.WriteString("\n")
+	b.transcript.WriteString("\n")
 }
 
-func (l *replayLinks) serve(a *core.Attempt) {
-	l.latest = a
+func (b *replayBackend) serve(a *core.Attempt) {
+	b.latest = a
 	r := a.Request
 	s := r.Statement.(*pgproto.Statement)
 	goesOn := r.Streaming && !s.EndsTransaction
 	runs := func(what string) bool { return strings.Contains(s.Query, what) && !s.DescribeOnly }
 	switch {
 	case runs("hang"):
-		l.hanging <- true
+		b.hanging <- true
 	case runs("lose"):
-		l.core.EndAttempt(a, core.OutcomeConnectionReset, core.Report{})
+		b.core.EndAttempt(a, core.OutcomeConnectionReset, core.Report{})
 	case strings.Contains(s.Query, "fail") && goesOn:
-		l.core.RelayPart(a, core.Report{EngineError: replayError()})
+		b.core.RelayPart(a, core.Report{EngineError: replayError()})
 	case strings.Contains(s.Query, "fail"):
-		l.core.EndAttempt(a, core.OutcomeStatementRejected, core.Report{EngineError: replayError()})
+		b.core.EndAttempt(a, core.OutcomeStatementRejected, core.Report{EngineError: replayError()})
 	case goesOn:
-		l.core.RelayPart(a, core.Report{Result: replayResult(s)})
+		b.core.RelayPart(a, core.Report{Result: replayResult(s)})
 	default:
-		l.core.EndAttempt(a, core.OutcomeServed, core.Report{Result: replayResult(s)})
+		b.core.EndAttempt(a, core.OutcomeServed, core.Report{Result: replayResult(s)})
 	}
 }
 
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -61,15 +61,15 @@
 	r.run()
 	r.stop()
 	sums := fmt.Sprintf("errors %d all %d\n", counters.Sum("pgwire.errors."), counters.Sum("pgwire."))
-	return r.read, r.links.transcript.String() + sums
+	return r.read, r.backend.transcript.String() + sums
 }
 
 // startScripted starts a frontend whose engine is scripted.
 func startScripted(t *testing.T, opts Options, counters *metrics.Counters) *replayClient {
 	t.Helper()
 	c, loop := newTestCore(t, counters)
-	links := &replayLinks{core: c, loop: loop, hanging: make(chan bool, 1)}
-	c.SetBackend(links)
+	backend := &replayBackend{core: c, loop: loop, hanging: make(chan bool, 1)}
+	c.SetBackend(backend)
 	f := New(loop, c, opts, counters)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 		loop.Post(loop.Stop)
 		<-done
 	}
-	return &replayClient{t: t, loop: loop, front: f, links: links, stop: stop}
+	return &replayClient{t: t, loop: loop, front: f, backend: backend, stop: stop}
 }
 
 func replayOptions(seed uint64) Options {
@@ -106,16 +106,16 @@
 
 // replayClient sends batches of messages and reads all that comes back.
 type replayClient struct {
-	t      *testing.T
-	loop   *netio.Loop
-	front  *Frontend
-	links  *replayLinks
-	stop   func() // ends the loop
-	random *rand.Rand
-	conn   net.Conn
-	cancel []byte // body of a CancelRequest
-	read   []byte
-	lost   bool // the one connection to an engine that is lost
+	t       *testing.T
+	loop    *netio.Loop
+	front   *Frontend
+	backend *replayBackend
+	stop    func() // ends the loop
+	random  *rand.Rand
+	conn    net.Conn
+	cancel  []byte // body of a CancelRequest
+	read    []byte
+	lost    bool // the one connection to an engine that is lost
 }
 
 var replayQueries = []string{
@@ -338,7 +338,7 @@
 	select {
 	case <-over:
 		return
-	case <-r.links.hanging:
+	case <-r.backend.hanging:
 	}
 	conn, err := net.Dial("tcp", r.front.Addr())
 	if err != nil {
--- a/internal/frontend/postgres/transaction_test.go
+++ b/internal/frontend/postgres/transaction_test.go
@@ -20,7 +20,7 @@
 	}
 	begin := step{query: "begin", want: "C(BEGIN) Z(T)"}
 	update := step{query: "update t set a = 1", want: "C(UPDATE) Z(T)"}
-	lose := func(r *replayClient) { r.links.loseLatest() }
+	lose := func(r *replayClient) { r.backend.loseLatest() }
 	drain := func(r *replayClient) { r.front.Drain() }
 	for name, test := range map[string]struct {
 		opts  Options
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -49,14 +49,14 @@
 // platform's frontend cannot use them up.
 func (p *process) reserveDescriptors() {
 	_, isPlatform := p.protocol.(*platformProtocol)
-	if !isPlatform || p.limits.sockets <= 0 {
+	if !isPlatform || p.limits.maxDescriptors <= 0 {
 		return
 	}
 	spare := spareDescriptors + netio.ReservedDescriptors
 	if p.control != "" {
 		spare += control.Descriptors
 	}
-	if err := p.loop.LimitDescriptors(p.limits.sockets, spare); err != nil { // not fatal: it serves without the reserve
+	if err := p.loop.LimitDescriptors(p.limits.maxDescriptors, spare); err != nil { // not fatal: it serves without the reserve
 		p.log.Warn("descriptors.uncounted", "error", err)
 	}
 }
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// Figures returns the metrics of this process.
-func (o controlOperations) Figures() core.Stats {
-	figures := o.process.core.Stats()
-	figures.Peers = o.process.peerFigures()
-	return figures
+// Stats returns the statistics of this process.
+func (o controlOperations) Stats() core.Stats {
+	stats := o.process.core.Stats()
+	stats.Peers = o.process.peerStats()
+	return stats
 }
 
 // DisableEngine stops sending requests to an engine.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -134,7 +134,7 @@
 	p.limits = limits
 	limitRuntime(limits.memoryMB)
 	var err error
-	p.loop, err = netio.New(limits.sockets)
+	p.loop, err = netio.New(limits.maxDescriptors)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	defaultMemoryMB = 192  // if the configuration has no memory limit
-	defaultSockets  = 1024 // if the configuration has no descriptor limit
+	defaultMemoryMB       = 192  // if the configuration has no memory limit
+	defaultMaxDescriptors = 1024 // if the configuration has no descriptor limit
 
 	// minClients is the number of clients that are admitted however low the descriptor limit is.
 	minClients = 8
@@ -21,9 +21,9 @@
 
 // limits are the configured resource limits of this process. Zero means not configured.
 type limits struct {
-	memoryMB   int // memory in MiB
-	sockets    int // file descriptors
-	maxClients int // client connections
+	memoryMB       int // memory in MiB
+	maxDescriptors int // file descriptors
+	maxClients     int // client connections
 }
 
 // memoryFraction returns 1/n of the memory limit, in bytes.
@@ -40,11 +40,11 @@
 
 // maxClientsFor returns the number of clients that a descriptor limit allows. A quarter of the descriptors is left to
 // engines, discovery and the program itself.
-func maxClientsFor(sockets int) int {
-	if sockets <= 0 {
-		sockets = defaultSockets
+func maxClientsFor(maxDescriptors int) int {
+	if maxDescriptors <= 0 {
+		maxDescriptors = defaultMaxDescriptors
 	}
-	return max(sockets*3/4-closingClients, minClients)
+	return max(maxDescriptors*3/4-closingClients, minClients)
 }
 
 // limitRuntime sets the garbage collector's limit to 60% of the memory limit, so that the process stays well below it, and
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// peerFigures returns the metrics of other front ends for the control endpoint; nil means that this process is not a member.
-func (p *process) peerFigures() *core.PeerStats {
+// peerStats returns the statistics of other front ends for the control endpoint; nil means that this process is not a member.
+func (p *process) peerStats() *core.PeerStats {
 	member := p.member()
 	if member == nil {
 		return nil
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	limits := limits{memoryMB: cfg.MemoryMB, sockets: cfg.MaxDescriptors, maxClients: maxClientsFor(cfg.MaxDescriptors)}
+	limits := limits{memoryMB: cfg.MemoryMB, maxDescriptors: cfg.MaxDescriptors, maxClients: maxClientsFor(cfg.MaxDescriptors)}
 	if err := p.assembleCore(cfg.Site.Policy, cfg.Seed, limits); err != nil {
 		return err
 	}
--- a/internal/gateway/postgres.go
+++ b/internal/gateway/postgres.go
@@ -37,7 +37,7 @@
 	if err != nil || deploy.Listen == "" {
 		return err
 	}
-	limits := limits{memoryMB: deploy.MemoryMB, sockets: deploy.MaxDescriptors}
+	limits := limits{memoryMB: deploy.MemoryMB, maxDescriptors: deploy.MaxDescriptors}
 	if err := p.assembleCore(deploy.SiteSettings.Policy, uint64(os.Getpid()), limits); err != nil {
 		return err
 	}
--- a/internal/gateway/upgrade.go
+++ b/internal/gateway/upgrade.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// exitAfterHandover ends the loop after a handover, once no request from or to another site is open or the longest deadline
+// exitAfterHandover ends the loop after a handover, once no request from or to another site is open or the longest timeout
 // has passed.
 func (p *process) exitAfterHandover() {
 	deadline := p.loop.Now() + p.core.LongestTimeout()
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -24,7 +24,7 @@
 type controlled struct{ core *core.Core }
 
 func (c controlled) Ready() error                  { return nil }
-func (c controlled) Figures() core.Stats           { return c.core.Stats() }
+func (c controlled) Stats() core.Stats             { return c.core.Stats() }
 func (c controlled) DisableEngine(id string) error { return c.core.DisableEngine(id) }
 func (c controlled) EnableEngine(id string) error  { return c.core.EnableEngine(id) }
 
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -125,16 +125,16 @@
 	}
 }
 
-// links is a gateway's way to its engines.
-type links struct {
+// backend is a gateway's way to its engines.
+type backend struct {
 	g    *gateway
 	life int
 }
 
-func (l *links) UpdateEngine(core.Engine)       {}
-func (l *links) SetPriority(*core.Attempt, int) {}
-func (l *links) engine(id string) *engine {
-	for _, e := range l.g.site.engines {
+func (b *backend) UpdateEngine(core.Engine)       {}
+func (b *backend) SetPriority(*core.Attempt, int) {}
+func (b *backend) engine(id string) *engine {
+	for _, e := range b.g.site.engines {
 		if e.id == id {
 			return e
 		}
@@ -143,19 +143,19 @@
 }
 
 // Send begins an attempt.
-func (l *links) Send(a *core.Attempt) {
-	e := l.engine(a.Engine)
-	r := &running{a: a, g: l.g, life: l.life, e: e, mark: a.Request.Statement.SQL()}
+func (b *backend) Send(a *core.Attempt) {
+	e := b.engine(a.Engine)
+	r := &running{a: a, g: b.g, life: b.life, e: e, mark: a.Request.Statement.SQL()}
 	a.BackendState = r
-	w := l.g.w
+	w := b.g.w
 	w.after(lan, func() {
 		switch {
-		case a.Ended() || l.g.lives != l.life || l.g.dead:
+		case a.Ended() || b.g.lives != b.life || b.g.dead:
 		case e == nil:
 			r.end(core.OutcomeNoAddress, core.Report{})
 		case e.down:
 			r.end(core.OutcomeConnectionRefused, core.Report{})
-		case !l.g.core.BeginWrite(a):
+		case !b.g.core.BeginWrite(a):
 			r.end(core.OutcomeNotSent, core.Report{})
 		default:
 			e.take(r)
@@ -213,7 +213,7 @@
 }
 
 // Cancel gives an attempt up.
-func (l *links) Cancel(a *core.Attempt) bool {
+func (b *backend) Cancel(a *core.Attempt) bool {
 	if r, ok := a.BackendState.(*running); ok && r.e != nil && r.e.out[r.id] == r {
 		r.e.cancel(r)
 	}
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -224,7 +224,7 @@
 	if g.core, err = core.New(set, seed, g, g.timers, g.stats, log); err != nil {
 		return err
 	}
-	g.core.SetBackend(&links{g: g, life: g.lives})
+	g.core.SetBackend(&backend{g: g, life: g.lives})
 	o := forwarding.Options{Name: g.name(), Start: uint64(g.lives), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
 	for i := range w.opts.Sites { // those that come later are peers too
 		if w.opts.Way != Alone && i != g.site.n && w.near(i, g.site.n) {
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -78,7 +78,7 @@
 	name     forwarding.Name
 }
 
-// UpdateEngine, SetPriority, Cancel and Send are those of core.Links.
+// UpdateEngine, SetPriority, Cancel and Send are those of core.Backend.
 func (n *Node) UpdateEngine(core.Engine)       {}
 func (n *Node) SetPriority(*core.Attempt, int) {}
 func (n *Node) Cancel(a *core.Attempt) bool {
