--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -23,7 +23,7 @@
 // BufferedBytes and SetBufferBudget may be called from any goroutine. Before Run, all else is for
 // the goroutine that calls it; from then on for the loop's alone.
 type Loop struct {
-	// Timers are swept in each iteration. They are for the loop's goroutine.
+	// Timers run in each iteration in which they are due. They are for the loop's goroutine.
 	Timers *timerqueue.Queue
 
 	poller *poller
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,4 +1,4 @@
-// Package timerqueue implements a queue of timers for an event loop. The loop calls Sweep once per
+// Package timerqueue implements a queue of timers for an event loop. The loop calls RunDue once per
 // iteration to run the timers that are due.
 package timerqueue
 
@@ -16,7 +16,7 @@
 // were added. It is not safe for concurrent use.
 type Queue struct {
 	tree    *btree.BTreeG[*Timer]
-	lastSeq uint64 // seq of the entry added last
+	lastSeq uint64 // seq of the timer added last
 }
 
 // Timer is one timer of a queue.
@@ -24,7 +24,7 @@
 	due   time.Duration
 	seq   uint64 // position in the order of adding, from 1
 	run   func()
-	queue *Queue // nil once the entry has run or was stopped
+	queue *Queue // nil once the timer has run or was stopped
 }
 
 // New returns an empty queue.
@@ -39,68 +39,68 @@
 	return a.seq < b.seq
 }
 
-// Add schedules run to be called by the first Sweep at or after the time due. The returned entry can
+// Add schedules run to be called by the first RunDue at or after the time due. The returned timer can
 // be used to stop it.
 func (q *Queue) Add(due time.Duration, run func()) *Timer {
 	q.lastSeq++
-	e := &Timer{due: due, seq: q.lastSeq, run: run, queue: q}
-	q.tree.ReplaceOrInsert(e)
-	return e
+	t := &Timer{due: due, seq: q.lastSeq, run: run, queue: q}
+	q.tree.ReplaceOrInsert(t)
+	return t
 }
 
-// Stop removes the entry from its queue. Stopping a nil entry, or one that has run or was
+// Stop removes the timer from its queue. Stopping a nil timer, or one that has run or was
 // stopped, does nothing.
-func (e *Timer) Stop() {
-	if e == nil || e.queue == nil {
+func (t *Timer) Stop() {
+	if t == nil || t.queue == nil {
 		return
 	}
-	e.queue.tree.Delete(e)
-	e.release()
+	t.queue.tree.Delete(t)
+	t.release()
 }
 
-// release drops the references to the queue and the function, so that a caller that keeps the entry
+// release drops the references to the queue and the function, so that a caller that keeps the timer
 // does not keep them in memory.
-func (e *Timer) release() {
-	e.queue = nil
-	e.run = nil
+func (t *Timer) release() {
+	t.queue = nil
+	t.run = nil
 }
 
-// RunDue runs all entries that are due at the time now. Entries added during the sweep wait for the
-// next one even if they are due already: otherwise an entry that adds itself again could block the
+// RunDue runs all timers that are due at the time now. Timers added during the call wait for the
+// next one even if they are due already: otherwise a timer that adds itself again could block the
 // event loop forever.
 func (q *Queue) RunDue(now time.Duration) {
 	lastBefore := q.lastSeq
 	var deferred []*Timer
 	for {
-		e, ok := q.tree.Min()
-		if !ok || e.due > now {
+		t, ok := q.tree.Min()
+		if !ok || t.due > now {
 			break
 		}
 		q.tree.DeleteMin()
-		if e.seq > lastBefore {
-			deferred = append(deferred, e)
+		if t.seq > lastBefore {
+			deferred = append(deferred, t)
 			continue
 		}
-		run := e.run
-		e.release()
+		run := t.run
+		t.release()
 		run()
 	}
-	for _, e := range deferred {
-		stopped := e.queue == nil
+	for _, t := range deferred {
+		stopped := t.queue == nil
 		if !stopped {
-			q.tree.ReplaceOrInsert(e)
+			q.tree.ReplaceOrInsert(t)
 		}
 	}
 }
 
-// Next returns the due time of the earliest entry. ok is false if the queue is empty.
+// Next returns the due time of the earliest timer. ok is false if the queue is empty.
 func (q *Queue) Next() (due time.Duration, ok bool) {
-	e, ok := q.tree.Min()
+	t, ok := q.tree.Min()
 	if !ok {
 		return 0, false
 	}
-	return e.due, true
+	return t.due, true
 }
 
-// Len returns the number of entries.
+// Len returns the number of timers.
 func (q *Queue) Len() int { return q.tree.Len() }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -7,10 +7,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Entries run in order of due time, then in the order in which they were added. An entry stopped by
-// an earlier one does not run. An entry that adds itself again for the same time waits for the next
-// sweep.
-func TestSweep(t *testing.T) {
+// Timers run in order of due time, then in the order in which they were added. A timer stopped by
+// an earlier one does not run. A timer that adds itself again for the same time waits for the next
+// call of RunDue.
+func TestRunDue(t *testing.T) {
 	q := New()
 	var got []int
 	add := func(due int) *Timer { return q.Add(time.Duration(due), func() { got = append(got, due) }) }
@@ -23,22 +23,22 @@
 	q.Add(5, rearm)
 	q.RunDue(25)
 	if diff := cmp.Diff([]int{0, 10}, got); diff != "" {
-		t.Errorf("entries run by the first sweep (-want +got):\n%s", diff)
+		t.Errorf("timers run by the first RunDue (-want +got):\n%s", diff)
 	}
 	if due, ok := q.Next(); !ok || due != 5 || q.Len() != 2 {
-		t.Errorf("Next() = %v, %v with %d entries, want 5ns, true with 2", due, ok, q.Len())
+		t.Errorf("Next() = %v, %v with %d timers, want 5ns, true with 2", due, ok, q.Len())
 	}
 	q.RunDue(30)
 	if diff := cmp.Diff([]int{0, 10, 0, 30}, got); diff != "" {
-		t.Errorf("entries run by both sweeps (-want +got):\n%s", diff)
+		t.Errorf("timers run by both calls of RunDue (-want +got):\n%s", diff)
 	}
 }
 
-// An entry that is added and stopped within the same sweep never runs, though it is due already.
-func TestStopWithinSameSweep(t *testing.T) {
+// A timer that is added and stopped within the same RunDue never runs, though it is due already.
+func TestStopWithinSameRunDue(t *testing.T) {
 	q := New()
 	q.Add(1, func() {
-		added := q.Add(1, func() { t.Error("got a call of a stopped entry, want none") })
+		added := q.Add(1, func() { t.Error("got a call of a stopped timer, want none") })
 		q.Add(1, func() {})
 		added.Stop()
 	})
@@ -48,6 +48,6 @@
 		t.Errorf("Len() = %d, want 0", q.Len())
 	}
 	if _, ok := q.Next(); ok {
-		t.Error("Next() on an empty queue: got an entry, want none")
+		t.Error("Next() on an empty queue: got a timer, want none")
 	}
 }
