--- a/internal/decide/costmodel/model_test.go
+++ b/internal/decide/costmodel/model_test.go
@@ -109,14 +109,14 @@
 }
 
 // TestCostShiftIsFollowed checks that the estimate follows a shift of the cost by a factor of ten within 25
-// executions, and that it doesn't without forgetting.
+// executions, and that it doesn't without decay.
 func TestCostShiftIsFollowed(t *testing.T) {
-	for _, forget := range []bool{true, false} {
-		w := newWorkload(Config{Classes: classes(), NoDecay: !forget})
+	for _, decay := range []bool{true, false} {
+		w := newWorkload(Config{Classes: classes(), NoDecay: !decay})
 		w.learn(200, 150)
 		w.learn(25, 1500)
-		if got := w.estimate().Work; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
-			t.Errorf("forgetting %v: estimate after the cost went from 150 to 1500 ms = %.0f ms, want 1000 to 2000 with forgetting and at most 1000 without", forget, got)
+		if got := w.estimate().Work; decay && (got < 1000 || got > 2000) || !decay && got > 1000 {
+			t.Errorf("decay %v: estimate after the cost went from 150 to 1500 ms = %.0f ms, want 1000 to 2000 with decay and at most 1000 without", decay, got)
 		}
 	}
 }
--- a/internal/decide/handover/probation.go
+++ b/internal/decide/handover/probation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The target's failure rate may exceed Config.MaxFailureRate by usualFailureFactor times the usual
+// The target's failure rate may exceed Config.MaxFailureFraction by usualFailureFactor times the usual
 // failure rate of the source, and by maxFailureAllowance at most. Under overload rejections are
 // normal and no reason to roll back.
 const (
@@ -14,12 +14,12 @@
 type probation struct {
 	lastMessage         time.Duration // when the target's latest message arrived, or the upgrade began
 	successes, failures int           // responses of the target
-	maxFailureRate      float64       // Config.MaxFailureRate plus the allowance for the source's usual failure rate
+	maxFailureFraction  float64       // Config.MaxFailureFraction plus the allowance for the source's usual failure rate
 }
 
-func newProbation(maxFailureRate, usualFailureRate float64, now time.Duration) probation {
+func newProbation(maxFailureFraction, usualFailureRate float64, now time.Duration) probation {
 	allowance := min(usualFailureFactor*max(usualFailureRate, 0), maxFailureAllowance)
-	return probation{lastMessage: now, maxFailureRate: maxFailureRate + allowance}
+	return probation{lastMessage: now, maxFailureFraction: maxFailureFraction + allowance}
 }
 
 // count adds the responses that a heartbeat reports.
@@ -45,7 +45,7 @@
 // that it could be judged by.
 func (p *probation) evaluate(cfg Config, elapsed time.Duration, inFlight int) (probationResult, FailureReason) {
 	total := p.successes + p.failures
-	if total >= cfg.MinSuccesses && float64(p.failures) > p.maxFailureRate*float64(total) {
+	if total >= cfg.MinSuccesses && float64(p.failures) > p.maxFailureFraction*float64(total) {
 		return probationFailed, TooManyFailures
 	}
 	if elapsed < cfg.MinProbation || p.successes < cfg.MinSuccesses && elapsed < cfg.MaxProbation {
--- a/internal/decide/handover/recovery.go
+++ b/internal/decide/handover/recovery.go
@@ -21,8 +21,8 @@
 	Idempotency      Idempotency
 	Sent             bool          // the request is sent to an engine after this record, so it may have run
 	FirstSentAt      time.Duration // when any process first sent it, on the clock that both processes share
-	KeyWindow        time.Duration // if IdempotentWithKey: engines drop a repeat until this long after FirstSend
-	Deadline         time.Duration // when the client gives up, on the same clock as FirstSend
+	KeyWindow        time.Duration // if IdempotentWithKey: engines drop a repeat until this long after FirstSentAt
+	Deadline         time.Duration // when the client gives up, on the same clock as FirstSentAt
 	ResponseLength   int           // bytes of the response that is being written; 0: none yet
 	ResponseRecorded bool          // the record includes those bytes, so that the source can write them itself
 }
@@ -33,7 +33,7 @@
 // Values of Recovery.
 const (
 	NothingToRecover       Recovery = iota // there is no request, or its response was written completely
-	Resend                                 // send it to an engine, for the first time or again, with its key and FirstSend
+	Resend                                 // send it to an engine, for the first time or again, with its key and FirstSentAt
 	ReportInDoubt                          // it may have run and must not be repeated: tell the client so at once
 	ReportDeadlineExceeded                 // tell the client that the deadline has passed
 	CloseConnection                        // part of a lost response was written: close, so that the client notices
--- a/internal/decide/membership/config.go
+++ b/internal/decide/membership/config.go
@@ -43,8 +43,8 @@
 	FrameOverheadBytes int
 	// MaxDatagramBytes is the largest datagram, without the caller's overhead.
 	MaxDatagramBytes int
-	// ConfiguredMembersOnly restricts the membership to the members that the settings name. False also accepts members discovered from
-	// records.
+	// ConfiguredMembersOnly restricts the membership to the members that the settings name. False also accepts members
+	// discovered from records.
 	ConfiguredMembersOnly bool
 }
 
--- a/internal/handover/frontend.go
+++ b/internal/handover/frontend.go
@@ -19,7 +19,7 @@
 	// part in the encoding that ApplySharedState decodes. It is called before any response that
 	// relies on the change. Nil unsets the function.
 	OnSharedStateChange(func([]byte))
-	// OnUnknownRequest sets the function that is called with each call that this process can't answer
+	// OnUnknownRequest sets the function that is called with each request that this process can't answer
 	// but the other one may be able to, such as PostgreSQL's CancelRequest for a connection that this
 	// process does not have. Nil unsets the function.
 	OnUnknownRequest(func([]byte))
@@ -29,7 +29,7 @@
 	// ApplySharedState applies state of the other process: the result of its SharedState, or a change
 	// that the function set by its OnSharedStateChange was called with.
 	ApplySharedState([]byte) error
-	// HandleForwardedRequest answers a call that the other process could not answer.
+	// HandleForwardedRequest answers a request that the other process could not answer.
 	HandleForwardedRequest([]byte)
 	// RestoreConnection decodes a state that Transferable.EncodeState has encoded. It returns a
 	// function that creates the handler of a connection in that state.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -28,7 +28,7 @@
 var Version = decide.Version{Major: 1, Minor: 0}
 
 // AnswerTotals returns the number of successful answers counted so far, and the number of
-// failures: rejected requests, failed requests and calls that the frontend itself refused. The
+// failures: rejected requests, failed requests and requests that the frontend itself refused. The
 // pgwire.errors of the PostgreSQL frontend include its rejected and failed requests, so the larger of
 // the two numbers is returned instead of their sum.
 func AnswerTotals(c *metrics.Counters) (successes, failures int64) {
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -41,13 +41,13 @@
 		Data       []byte        `cbor:"4,keyasint"`
 	}
 	// RequestRecord reports that the target is about to send the request in flight on a connection
-	// to an engine. Idempotency is a decide.Idempotency. FirstSend is when any process first sent the
+	// to an engine. Idempotency is a decide.Idempotency. FirstSentAt is when any process first sent the
 	// request. KeyWindow is how long engines drop a repeat of a request with an idempotency key.
 	// Deadline is when the client stops waiting.
 	RequestRecord struct {
 		Conn        uint32        `cbor:"1,keyasint"`
 		Idempotency uint8         `cbor:"2,keyasint"`
-		FirstSend   time.Duration `cbor:"3,keyasint"`
+		FirstSentAt time.Duration `cbor:"3,keyasint"`
 		KeyWindow   time.Duration `cbor:"4,keyasint"`
 		Deadline    time.Duration `cbor:"5,keyasint"`
 	}
@@ -106,7 +106,7 @@
 	SharedState struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
-	// ForwardedCall holds a call that the sender can't answer but the other process may be able to,
+	// ForwardedCall holds a request that the sender can't answer but the other process may be able to,
 	// for Frontend.HandleForwardedRequest.
 	ForwardedCall struct {
 		Data []byte `cbor:"1,keyasint"`
@@ -179,6 +179,6 @@
 func (m *RequestRecord) request() decide.Request {
 	return decide.Request{
 		InFlight: true, Idempotency: decide.Idempotency(m.Idempotency), Sent: true,
-		FirstSentAt: m.FirstSend, KeyWindow: m.KeyWindow, Deadline: m.Deadline,
+		FirstSentAt: m.FirstSentAt, KeyWindow: m.KeyWindow, Deadline: m.Deadline,
 	}
 }
--- a/internal/handover/recorder.go
+++ b/internal/handover/recorder.go
@@ -28,14 +28,14 @@
 }
 
 // recordRequest reports to the source that a request is about to be sent to an engine.
-func (t *Target) recordRequest(r *core.Request, firstSend time.Duration) {
+func (t *Target) recordRequest(r *core.Request, firstSentAt time.Duration) {
 	recorder := t.recorders[r.Client]
 	if recorder == nil {
 		return
 	}
 	class, _ := t.core.Class(r.Class)
 	t.send(&RequestRecord{
-		Conn: recorder.conn, Idempotency: uint8(class.Idempotency), FirstSend: firstSend, KeyWindow: class.DedupWindow, Deadline: r.Deadline,
+		Conn: recorder.conn, Idempotency: uint8(class.Idempotency), FirstSentAt: firstSentAt, KeyWindow: class.DedupWindow, Deadline: r.Deadline,
 	})
 }
 
--- a/internal/handover/retained.go
+++ b/internal/handover/retained.go
@@ -130,7 +130,7 @@
 func (r *retainedConnection) orphanedRequest(now time.Duration) core.Orphan {
 	orphan := core.Orphan{ReceivedAt: r.receivedAt}
 	if r.request != nil {
-		orphan.FirstSentAt = r.request.FirstSend
+		orphan.FirstSentAt = r.request.FirstSentAt
 		orphan.MustFail = decide.Recover(r.request.request(), 0, now) != decide.Resend
 	}
 	return orphan
--- a/internal/handover/retained_test.go
+++ b/internal/handover/retained_test.go
@@ -15,7 +15,7 @@
 func TestRetainedConnection(t *testing.T) {
 	r := &retainedConnection{fd: -1, state: []byte("0"), input: []byte("abc"), inputOffset: 97}
 	r.recordInput(&InputRecord{Offset: 100, Data: []byte("defgh"), ReceivedAt: time.Second})
-	r.request = &RequestRecord{FirstSend: 2 * time.Second}
+	r.request = &RequestRecord{FirstSentAt: 2 * time.Second}
 	r.recordOutput(&OutputRecord{Offset: 50, Data: []byte("part"), Idle: false})
 	if string(r.input) != "abcdefgh" || r.request == nil || string(r.state) != "0" {
 		t.Errorf("with a request in flight: got %+v, want input abcdefgh, the request and state 0", r)
@@ -69,13 +69,13 @@
 		want    core.Orphan
 	}{
 		"not sent":       {nil, core.Orphan{ReceivedAt: time.Second}},
-		"not idempotent": {&RequestRecord{FirstSend: 2 * time.Second, Deadline: time.Minute}, core.Orphan{ReceivedAt: time.Second, FirstSentAt: 2 * time.Second, MustFail: true}},
+		"not idempotent": {&RequestRecord{FirstSentAt: 2 * time.Second, Deadline: time.Minute}, core.Orphan{ReceivedAt: time.Second, FirstSentAt: 2 * time.Second, MustFail: true}},
 		"idempotent": {
-			&RequestRecord{Idempotency: uint8(decide.Idempotent), FirstSend: 2 * time.Second, Deadline: time.Minute},
+			&RequestRecord{Idempotency: uint8(decide.Idempotent), FirstSentAt: 2 * time.Second, Deadline: time.Minute},
 			core.Orphan{ReceivedAt: time.Second, FirstSentAt: 2 * time.Second},
 		},
 		"key window over": {
-			&RequestRecord{Idempotency: uint8(decide.IdempotentWithKey), FirstSend: 2 * time.Second, KeyWindow: 8 * time.Second, Deadline: time.Minute},
+			&RequestRecord{Idempotency: uint8(decide.IdempotentWithKey), FirstSentAt: 2 * time.Second, KeyWindow: 8 * time.Second, Deadline: time.Minute},
 			core.Orphan{ReceivedAt: time.Second, FirstSentAt: 2 * time.Second, MustFail: true},
 		},
 	} {
--- a/internal/handover/source_target.go
+++ b/internal/handover/source_target.go
@@ -76,7 +76,7 @@
 	state.Clock = Clock{Now: s.loop.Now(), Monotonic: monotonicNow()}
 	state.Shared = s.frontend.SharedState()
 	m, err := state.message()
-	if err != nil { // the target gets no state, so the upgrade fails when WarmTimeout expires
+	if err != nil { // the target gets no state, so the upgrade fails when WarmUpTimeout expires
 		s.log.Error("upgrade.state", "error", err)
 		return
 	}
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -29,7 +29,7 @@
 	{"ready", &Ready{}, 0},
 	{"alive", &Heartbeat{Successes: 17, Failures: 3, InFlight: 300}, 0},
 	{"input", &InputRecord{Conn: 70000, Offset: 1 << 40, ReceivedAt: 90 * time.Minute, Data: []byte("GET /x\x00\xff")}, 0},
-	{"sending", &RequestRecord{Conn: 7, Idempotency: 1, FirstSend: 3 * time.Second, KeyWindow: 12 * time.Second, Deadline: time.Minute}, 0},
+	{"sending", &RequestRecord{Conn: 7, Idempotency: 1, FirstSentAt: 3 * time.Second, KeyWindow: 12 * time.Second, Deadline: time.Minute}, 0},
 	{"output", &OutputRecord{Conn: 7, Offset: 99, Data: []byte("HTTP/1.1 200 OK"), Idle: true, Closing: true, Consumed: 1 << 33, State: []byte{0xa1, 1, 0xf5}}, 0},
 	{"output-unsettled", &OutputRecord{Conn: 7, Offset: 99, Data: []byte("part")}, 0},
 	{"closed", &ConnectionClosed{Conn: 1 << 31}, 0},
--- a/internal/handover/target.go
+++ b/internal/handover/target.go
@@ -41,7 +41,7 @@
 	recorders    map[core.Client]*recorder           // by the handler, if that is a client of the core
 }
 
-// NewTarget returns a Target that communicates with its source over ch. The caller has to call Begin.
+// NewTarget returns a Target that communicates with its source over ch. The caller has to call Start.
 func NewTarget(loop *netio.Loop, c *core.Core, frontend Frontend, ch *Channel, opts TargetOptions, counters *metrics.Counters, log *slog.Logger) *Target {
 	return &Target{
 		loop: loop, core: c, frontend: frontend, channel: ch, opts: opts, counters: counters, log: log,
--- a/internal/membership/overview.go
+++ b/internal/membership/overview.go
@@ -42,7 +42,7 @@
 			stats.Dead++
 		case decide.Unreachable:
 			stats.Unreachable++
-		default: // alive members are counted by the view, unknown and departed ones only in Named
+		default: // alive members are counted by the view, unknown and departed ones only in KnownMembers
 		}
 	}
 	return stats
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -88,7 +88,7 @@
 // writeState replaces this process's state file. If that fails, for example because the disk is full,
 // this process continues; a process that would take over from it then starts from its configuration.
 func (c *Coordinator) writeState() {
-	s := State{Process: c.self, Overrides: c.core.Overrides(), EventSourceSum: c.opts.EventSourceChecksum}
+	s := State{Process: c.self, Overrides: c.core.Overrides(), EventSourceChecksum: c.opts.EventSourceChecksum}
 	if c.self.StateWritten {
 		encoded, err := c.opts.State().Encode()
 		if err != nil {
@@ -205,7 +205,7 @@
 	if len(unknown) > 0 {
 		c.log.Warn("takeover.unknown-sections", "sections", unknown, "then", "they are ignored")
 	}
-	if s.EventSourceSum != c.opts.EventSourceChecksum { // it numbers events differently
+	if s.EventSourceChecksum != c.opts.EventSourceChecksum { // it numbers events differently
 		state.LastEvent = 0
 	}
 	return c.opts.ApplyState(state)
--- a/internal/takeover/folder_test.go
+++ b/internal/takeover/folder_test.go
@@ -27,7 +27,7 @@
 func testState(f *Folder) *State {
 	return &State{
 		Process:   decide.Process{ID: f.Self(), StartedAt: time.Hour, Ready: true, KnownProcesses: []string{"x"}, StateWritten: true},
-		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceSum: 1 << 63, ProcessState: []byte("world"),
+		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceChecksum: 1 << 63, ProcessState: []byte("world"),
 	}
 }
 
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -16,9 +16,9 @@
 // tags are part of the stored format.
 type State struct {
 	decide.Process
-	Overrides      adminstate.Overrides `cbor:"Bans"`   // the operators' overrides, by engine ID
-	EventSourceSum uint64               `cbor:"Events"` // checksum of the configuration of endpoint lists
-	ProcessState   []byte               `cbor:"World"`  // encoded handover.ProcessState; nil if no process waits for it
+	Overrides           adminstate.Overrides `cbor:"Bans"`   // the operators' overrides, by engine ID
+	EventSourceChecksum uint64               `cbor:"Events"` // checksum of the configuration of endpoint lists
+	ProcessState        []byte               `cbor:"World"`  // encoded handover.ProcessState; nil if no process waits for it
 }
 
 // A state file consists of a magic number of four bytes, the format version (1 byte), a checksum of
--- a/internal/takeover/stored_test.go
+++ b/internal/takeover/stored_test.go
@@ -20,10 +20,10 @@
 	"waiting.state": {Process: decide.Process{ID: "17-1", StartedAt: 90 * time.Hour}, Overrides: adminstate.Overrides{}},
 	"serving.state": {
 		Process:   decide.Process{ID: "18-2", StartedAt: 91 * time.Hour, Ready: true, ShuttingDown: true, KnownProcesses: []string{"17-1", "19-3"}, StateWritten: true},
-		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceSum: 1<<63 + 5, ProcessState: []byte("what it knows"),
+		Overrides: adminstate.Overrides{"s-1": {Disabled: true, At: time.Minute}}, EventSourceChecksum: 1<<63 + 5, ProcessState: []byte("what it knows"),
 	},
 	"returned.state": {
-		Process: decide.Process{ID: "19-3", Ready: true}, EventSourceSum: 7,
+		Process: decide.Process{ID: "19-3", Ready: true}, EventSourceChecksum: 7,
 		Overrides: adminstate.Overrides{"s-1": {At: time.Hour, DisabledSince: time.Minute}},
 	},
 }
