--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,7 +36,7 @@
 	Peers      []string // addresses of all front ends of the tier, including this one
 }
 
-// Event is one change to the endpoint list, or the complete list. Config.EventSum encodes it under the field names that
+// Event is one change to the endpoint list, or the complete list. Config.EventChecksum encodes it under the field names that
 // earlier versions used, so that checksums of different versions can be compared.
 type Event struct {
 	Complete bool          `json:"Whole"`   // Engines is the complete list and replaces the one before
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -106,9 +106,9 @@
 	return count(document)
 }
 
-// TestEventSum compares the checksums of known events with those that version c18a9bd computed. A process that replaces
+// TestEventChecksum compares the checksums of known events with those that version c18a9bd computed. A process that replaces
 // another compares its checksum with that of the other process, which may run that version.
-func TestEventSum(t *testing.T) {
+func TestEventChecksum(t *testing.T) {
 	tests := []struct {
 		file string
 		want uint64
@@ -123,7 +123,7 @@
 				t.Fatal(err)
 			}
 			if got, err := c.EventChecksum(); got != tt.want || err != nil {
-				t.Errorf("EventSum() = %#016x, %v, want %#016x", got, err, tt.want)
+				t.Errorf("EventChecksum() = %#016x, %v, want %#016x", got, err, tt.want)
 			}
 		})
 	}
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -17,7 +17,7 @@
 	SettingsFile   string `toml:"settings"`     // path of the JSON file with the settings
 	MemoryMB       int    `toml:"memory_mb"`    // memory limit in MB; with 0 there is none, and buffers are sized for the gateway's default
 	MaxDescriptors int    `toml:"sockets"`      // number of file descriptors that the process may open, from which the limit on clients follows; 0 for the gateway's default
-	MaxClients     int    `toml:"most_clients"` // limit on client connections, if lower than the one that follows from Sockets; 0 for that one
+	MaxClients     int    `toml:"most_clients"` // limit on client connections, if lower than the one that follows from MaxDescriptors; 0 for that one
 	Users          string `toml:"users"`        // path of the file of users; "" admits every client without authentication
 	User           string `toml:"user"`         // user name for connections to engines
 	Database       string `toml:"database"`     // database for connections to engines; "" for the name of the user
@@ -38,7 +38,7 @@
 	Statements        []Statement `toml:"statement"`           // rules that assign classes, in order of precedence
 
 	Logins       []scramauth.User `toml:"-"` // content of the file Users
-	SiteSettings Site             `toml:"-"` // content of the file Settings
+	SiteSettings Site             `toml:"-"` // content of the file SettingsFile
 }
 
 // Statement is a rule that assigns a class to the statements that begin with given words.
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -75,7 +75,7 @@
 	Idempotency        string   `json:"Effect"`        // a key of idempotencies
 	DedupScope         string   `json:"Group"`         // a key of dedupScopes: the engines that drop repeats of an idempotency key
 	PriorityWeight     float64  `json:"importance"`    // value of a response in time
-	LateFraction       float64  `json:"late-share"`    // fraction of this value that a late response has
+	LateValueFraction  float64  `json:"late-share"`    // fraction of this value that a late response has
 	Streaming          bool     `json:"streamed"`      // responses are streamed
 	DedupWindowMS      float64  `json:"window-ms"`     // time for which engines drop repeats of an idempotency key
 	Ordered            bool     `json:"in-order"`      // queries of one key run one at a time, in the order of arrival
@@ -114,17 +114,17 @@
 
 // rulesJSON holds the platform's rules on warm-up, draining, overload and retries. Fields that end in MS are in milliseconds.
 type rulesJSON struct {
-	AnswerSlackMS       float64 `json:"answer-slack-ms"`        // how late a final response may be
-	ResubscribeWithinMS float64 `json:"ask-within-ms"`          // a lost subscription must be renewed within this time
-	WarmUpPeriodMS      float64 `json:"cold-ms"`                // an engine is warm at the latest after this time from its start
-	OverloadWindowMS    float64 `json:"fall-ms"`                // an engine that warms up fails if it is overloaded for this long; 0 if it does not fail
-	WarmUpMinCapacity   float64 `json:"start-capacity"`         // lowest fraction of its capacity that an engine has after its start
-	DrainGraceMS        float64 `json:"stop-sending-within-ms"` // attempts at a draining engine must stop within this time
-	OverloadMultiple    float64 `json:"tip-multiple"`           // multiple of its capacity at which an engine that warms up is overloaded
-	SettleTimeMS        float64 `json:"settle-after-doubt-ms"`  // pause of an ordering key after an attempt that may still run
-	RetryBudgetBase     float64 `json:"extra-free"`             // retries within the window regardless of the traffic
-	RetryBudgetRatio    float64 `json:"resend-ratio"`           // additional retries for each query that arrived within the window
-	RetryBudgetWindowMS float64 `json:"look-back-ms"`           // length of the window of the retry budget; 0 for unlimited retries
+	AnswerGracePeriodMS  float64 `json:"answer-slack-ms"`        // how late a final response may be
+	ResubscribeTimeoutMS float64 `json:"ask-within-ms"`          // a lost subscription must be renewed within this time
+	WarmUpPeriodMS       float64 `json:"cold-ms"`                // an engine is warm at the latest after this time from its start
+	OverloadWindowMS     float64 `json:"fall-ms"`                // an engine that warms up fails if it is overloaded for this long; 0 if it does not fail
+	WarmUpMinCapacity    float64 `json:"start-capacity"`         // lowest fraction of its capacity that an engine has after its start
+	DrainTimeoutMS       float64 `json:"stop-sending-within-ms"` // attempts at a draining engine must stop within this time
+	OverloadMultiple     float64 `json:"tip-multiple"`           // multiple of its capacity at which an engine that warms up is overloaded
+	SettleTimeMS         float64 `json:"settle-after-doubt-ms"`  // pause of an ordering key after an attempt that may still run
+	RetryBudgetBase      float64 `json:"extra-free"`             // retries within the window regardless of the traffic
+	RetryBudgetRatio     float64 `json:"resend-ratio"`           // additional retries for each query that arrived within the window
+	RetryBudgetWindowMS  float64 `json:"look-back-ms"`           // length of the window of the retry budget; 0 for unlimited retries
 }
 
 // limitsJSON says what the gateway may do, and how often. Fields that end in MS are in milliseconds.
@@ -223,8 +223,8 @@
 // policyRules converts the rules to those of the policy.
 func (r *rulesJSON) policyRules() policy.Rules {
 	return policy.Rules{
-		AnswerGracePeriod:  FromMS(r.AnswerSlackMS),
-		DrainTimeout:       FromMS(r.DrainGraceMS),
+		AnswerGracePeriod:  FromMS(r.AnswerGracePeriodMS),
+		DrainTimeout:       FromMS(r.DrainTimeoutMS),
 		WarmUpMinCapacity:  r.WarmUpMinCapacity,
 		WarmUpPeriod:       FromMS(r.WarmUpPeriodMS),
 		OverloadMultiple:   r.OverloadMultiple,
@@ -233,7 +233,7 @@
 		RetryBudgetBase:    r.RetryBudgetBase,
 		RetryBudgetRatio:   r.RetryBudgetRatio,
 		RetryBudgetWindow:  FromMS(r.RetryBudgetWindowMS),
-		ResubscribeTimeout: FromMS(r.ResubscribeWithinMS),
+		ResubscribeTimeout: FromMS(r.ResubscribeTimeoutMS),
 	}
 }
 
@@ -268,7 +268,7 @@
 			ObjectiveStretch:  c.ObjectiveStretch,
 			Timeout:           FromMS(c.TimeoutMS),
 			PriorityWeight:    c.PriorityWeight,
-			LateValueFraction: c.LateFraction,
+			LateValueFraction: c.LateValueFraction,
 			Threads:           at(p.Engines.Threads, i),
 			Idempotency:       idempotency,
 			DedupScope:        scope,
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Settings describes the deployment of a gateway. It does not change while the gateway runs. No decision
-// reads OverQuotaWeight, Objective, Penalties, Class.LateFraction, Class.Streaming, Tenant.Share,
-// Rules.AnswerSlack, Rules.DrainGrace, Rules.ResubscribeWithin or Limits.ConnectTimeout.
+// reads OverQuotaWeight, Objective, Penalties, Class.LateValueFraction, Class.Streaming, Tenant.Share,
+// Rules.AnswerGracePeriod, Rules.DrainTimeout, Rules.ResubscribeTimeout or Limits.ConnectTimeout.
 type Settings struct {
 	// Gateways is the number of gateways that share the engines, including this one; at least 1.
 	Gateways         int
