--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -31,7 +31,7 @@
 
 // UpdateEndpoints applies an endpoint list of discovery, or changes to one.
 func (c *Core) UpdateEndpoints(mode policy.ListMode, engines []Engine) {
-	c.counters.Add("roster.events")
+	c.counters.Inc("roster.events")
 	update := policy.EngineList{Mode: mode}
 	before := c.endpoints.engines
 	if mode == policy.ListFull || mode == policy.ListCached {
@@ -67,7 +67,7 @@
 }
 
 func (c *Core) updateEngine(e Engine) {
-	c.links.UpdateEngine(e)
+	c.backend.UpdateEngine(e)
 	if c.sites != nil {
 		c.sites.UpdateEngine(e)
 	}
--- a/internal/decide/handover/recovery.go
+++ b/internal/decide/handover/recovery.go
@@ -20,9 +20,9 @@
 	InFlight         bool
 	Idempotency      Idempotency
 	Sent             bool          // the request is sent to an engine after this record, so it may have run
-	FirstSend        time.Duration // when any process first sent it, on the clock that both processes share
-	KeyWindow        time.Duration // if IdempotentWithKey: engines drop a repeat until this long after FirstSend
-	Deadline         time.Duration // when the client gives up, on the same clock as FirstSend
+	FirstSentAt      time.Duration // when any process first sent it, on the clock that both processes share
+	KeyWindow        time.Duration // if IdempotentWithKey: engines drop a repeat until this long after FirstSentAt
+	Deadline         time.Duration // when the client gives up, on the same clock as FirstSentAt
 	ResponseLength   int           // bytes of the response that is being written; 0: none yet
 	ResponseRecorded bool          // the record includes those bytes, so that the source can write them itself
 }
@@ -33,7 +33,7 @@
 // Values of Recovery.
 const (
 	NothingToRecover       Recovery = iota // there is no request, or its response was written completely
-	Resend                                 // send it to an engine, for the first time or again, with its key and FirstSend
+	Resend                                 // send it to an engine, for the first time or again, with its key and FirstSentAt
 	ReportInDoubt                          // it may have run and must not be repeated: tell the client so at once
 	ReportDeadlineExceeded                 // tell the client that the deadline has passed
 	CloseConnection                        // part of a lost response was written: close, so that the client notices
@@ -61,7 +61,7 @@
 		return ReportDeadlineExceeded
 	case !r.Sent || r.Idempotency == Idempotent:
 		return Resend
-	case r.Idempotency == IdempotentWithKey && now < r.FirstSend+r.KeyWindow-keyWindowMargin:
+	case r.Idempotency == IdempotentWithKey && now < r.FirstSentAt+r.KeyWindow-keyWindowMargin:
 		return Resend
 	}
 	return ReportInDoubt
--- a/internal/handover/source_target.go
+++ b/internal/handover/source_target.go
@@ -76,7 +76,7 @@
 	state.Clock = Clock{Now: s.loop.Now(), Monotonic: monotonicNow()}
 	state.Shared = s.frontend.SharedState()
 	m, err := state.message()
-	if err != nil { // the target gets no state, so the upgrade fails when WarmTimeout expires
+	if err != nil { // the target gets no state, so the upgrade fails when WarmUpTimeout expires
 		s.log.Error("upgrade.state", "error", err)
 		return
 	}
@@ -121,7 +121,7 @@
 			s.log.Warn("upgrade.shared", "error", err)
 		}
 	case *ForwardedCall:
-		s.frontend.HandleForwardedCall(m.Data)
+		s.frontend.HandleForwardedRequest(m.Data)
 	default:
 		s.log.Warn("upgrade.odd-message", "kind", m.kind())
 	}
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -23,7 +23,7 @@
 // BufferedBytes and SetBufferBudget may be called from any goroutine. Before Run, all else is for
 // the goroutine that calls it; from then on for the loop's alone.
 type Loop struct {
-	// Timers are swept in each iteration. They are for the loop's goroutine.
+	// Timers run in each iteration in which they are due. They are for the loop's goroutine.
 	Timers *timerqueue.Queue
 
 	poller *poller
@@ -67,7 +67,7 @@
 	defer timer.Stop()
 	for !l.stopping {
 		l.work.run()
-		l.Timers.Sweep(l.Now())
+		l.Timers.RunDue(l.Now())
 		wait := l.untilNextTimer()
 		if wait <= 0 || l.stopping {
 			continue
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,4 +1,4 @@
-// Package timerqueue implements a queue of timers for an event loop. The loop calls Sweep once per
+// Package timerqueue implements a queue of timers for an event loop. The loop calls RunDue once per
 // iteration to run the timers that are due.
 package timerqueue
 
@@ -15,16 +15,16 @@
 // Queue holds timers ordered by due time; timers due at the same time are in the order in which they
 // were added. It is not safe for concurrent use.
 type Queue struct {
-	tree    *btree.BTreeG[*Entry]
-	lastSeq uint64 // seq of the entry added last
+	tree    *btree.BTreeG[*Timer]
+	lastSeq uint64 // seq of the timer added last
 }
 
-// Entry is one timer of a queue.
-type Entry struct {
+// Timer is one timer of a queue.
+type Timer struct {
 	due   time.Duration
 	seq   uint64 // position in the order of adding, from 1
 	run   func()
-	queue *Queue // nil once the entry has run or was stopped
+	queue *Queue // nil once the timer has run or was stopped
 }
 
 // New returns an empty queue.
@@ -32,75 +32,75 @@
 	return &Queue{tree: btree.NewG(btreeDegree, before)}
 }
 
-func before(a, b *Entry) bool {
+func before(a, b *Timer) bool {
 	if a.due != b.due {
 		return a.due < b.due
 	}
 	return a.seq < b.seq
 }
 
-// Add schedules run to be called by the first Sweep at or after the time due. The returned entry can
+// Add schedules run to be called by the first RunDue at or after the time due. The returned timer can
 // be used to stop it.
-func (q *Queue) Add(due time.Duration, run func()) *Entry {
+func (q *Queue) Add(due time.Duration, run func()) *Timer {
 	q.lastSeq++
-	e := &Entry{due: due, seq: q.lastSeq, run: run, queue: q}
-	q.tree.ReplaceOrInsert(e)
-	return e
+	t := &Timer{due: due, seq: q.lastSeq, run: run, queue: q}
+	q.tree.ReplaceOrInsert(t)
+	return t
 }
 
-// Stop removes the entry from its queue. Stopping a nil entry, or one that has run or was
+// Stop removes the timer from its queue. Stopping a nil timer, or one that has run or was
 // stopped, does nothing.
-func (e *Entry) Stop() {
-	if e == nil || e.queue == nil {
+func (t *Timer) Stop() {
+	if t == nil || t.queue == nil {
 		return
 	}
-	e.queue.tree.Delete(e)
-	e.release()
+	t.queue.tree.Delete(t)
+	t.release()
 }
 
-// release drops the references to the queue and the function, so that a caller that keeps the entry
+// release drops the references to the queue and the function, so that a caller that keeps the timer
 // does not keep them in memory.
-func (e *Entry) release() {
-	e.queue = nil
-	e.run = nil
+func (t *Timer) release() {
+	t.queue = nil
+	t.run = nil
 }
 
-// Sweep runs all entries that are due at the time now. Entries added during the sweep wait for the
-// next one even if they are due already: otherwise an entry that adds itself again could block the
+// RunDue runs all timers that are due at the time now. Timers added during the call wait for the
+// next one even if they are due already: otherwise a timer that adds itself again could block the
 // event loop forever.
-func (q *Queue) Sweep(now time.Duration) {
+func (q *Queue) RunDue(now time.Duration) {
 	lastBefore := q.lastSeq
-	var deferred []*Entry
+	var deferred []*Timer
 	for {
-		e, ok := q.tree.Min()
-		if !ok || e.due > now {
+		t, ok := q.tree.Min()
+		if !ok || t.due > now {
 			break
 		}
 		q.tree.DeleteMin()
-		if e.seq > lastBefore {
-			deferred = append(deferred, e)
+		if t.seq > lastBefore {
+			deferred = append(deferred, t)
 			continue
 		}
-		run := e.run
-		e.release()
+		run := t.run
+		t.release()
 		run()
 	}
-	for _, e := range deferred {
-		stopped := e.queue == nil
+	for _, t := range deferred {
+		stopped := t.queue == nil
 		if !stopped {
-			q.tree.ReplaceOrInsert(e)
+			q.tree.ReplaceOrInsert(t)
 		}
 	}
 }
 
-// Next returns the due time of the earliest entry. ok is false if the queue is empty.
+// Next returns the due time of the earliest timer. ok is false if the queue is empty.
 func (q *Queue) Next() (due time.Duration, ok bool) {
-	e, ok := q.tree.Min()
+	t, ok := q.tree.Min()
 	if !ok {
 		return 0, false
 	}
-	return e.due, true
+	return t.due, true
 }
 
-// Len returns the number of entries.
+// Len returns the number of timers.
 func (q *Queue) Len() int { return q.tree.Len() }
