--- a/internal/netio/buffer.go
+++ b/internal/netio/buffer.go
@@ -1,40 +1,41 @@
 package netio
 
-// maxIdleCapacity is the capacity up to which an empty buffer keeps its memory, in bytes.
+// maxIdleCapacity is the largest capacity, in bytes, that an empty buffer keeps allocated.
 const maxIdleCapacity = 16 << 10
 
-// Buffer holds what was received and not yet parsed. It grows as needed and is
-// compacted in place, so that a connection needs no second one. It is for one goroutine at a time;
-// a handler may use it until it returns from Data.
+// Buffer holds the bytes that were received and not yet parsed. It grows as needed and is
+// compacted in place, so that a connection needs no second buffer. Only one goroutine may use it at a
+// time; a handler may use it until it returns from Data.
 type Buffer struct {
-	data  []byte
-	start int   // of what is not consumed
-	taken int64 // bytes consumed in all
+	data     []byte
+	start    int   // index in data of the first byte that is not consumed
+	consumed int64 // total number of bytes consumed
 }
 
-// Bytes returns what has not been consumed. It is valid until the next call.
+// Bytes returns the bytes that are not consumed. The slice is valid until the next method call.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
-// Len returns the number of bytes not consumed.
+// Len returns the number of bytes that are not consumed.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// Taken returns the number of bytes consumed since the start.
-func (b *Buffer) Taken() int64 { return b.taken }
+// Taken returns the total number of bytes consumed since the buffer was created.
+func (b *Buffer) Taken() int64 { return b.consumed }
 
 // Consume drops the first n bytes.
 func (b *Buffer) Consume(n int) {
 	b.start += n
-	b.taken += int64(n)
+	b.consumed += int64(n)
 	if b.start < len(b.data) {
 		return
 	}
 	b.data = b.data[:0]
 	b.start = 0
-	if cap(b.data) > maxIdleCapacity { // one large message must not hold its memory for ever
+	if cap(b.data) > maxIdleCapacity { // one large message must not keep its memory allocated for the connection's lifetime
 		b.data = nil
 	}
 }
 
+// append adds p, after moving the unconsumed bytes to the front if p would not fit behind them.
 func (b *Buffer) append(p []byte) {
 	if b.start > 0 && len(b.data)+len(p) > cap(b.data) {
 		n := copy(b.data, b.data[b.start:])
--- a/internal/netio/connection.go
+++ b/internal/netio/connection.go
@@ -12,82 +12,83 @@
 )
 
 const (
-	// maxFlushTime is how long a closed connection may take to send what waits.
+	// maxFlushTime bounds how long a connection that is closing may take to send its pending writes.
 	maxFlushTime = 3 * time.Second
-	// maxDrainTime is how long reading continues after this side has shut its writes, for the peer to
-	// close its side too.
+	// maxDrainTime bounds how long input is read and dropped after this side has shut down its write
+	// side, while the peer has not closed its own.
 	maxDrainTime = 500 * time.Millisecond
-	// maxDrainBytes is how much is read in that time; the rest stays in the socket. Guards against
-	// the cost of a peer that goes on sending.
+	// maxDrainBytes bounds how many bytes are read during that time; the rest stays in the socket.
+	// It limits the cost of a peer that keeps sending.
 	maxDrainBytes = 256 << 10
 )
 
-// Handler receives the input and the end of one connection, on the loop's goroutine.
+// Handler handles the input and the end of one connection. Its methods are called on the loop's goroutine.
 type Handler interface {
-	// Data is called when the buffer has grown. What it does not consume stays in the buffer. The connection's
-	// lock is held: Conn.Unread, Conn.SetJournal and Conn.Detach must not be called from here.
+	// Data is called when bytes were added to the buffer. Bytes that it does not consume stay in the
+	// buffer. The connection's lock is held during the call: Data must not call Conn.Unread,
+	// Conn.SetJournal or Conn.Detach.
 	Data(c *Conn, in *Buffer)
-	// Closed is called when the connection has ended, once; err is nil where the peer or Close
-	// ended it in the usual way.
+	// Closed is called once, when the connection has ended. err is nil if the peer or Close ended it
+	// normally.
 	Closed(c *Conn, err error)
 }
 
-// Conn is one connection. Disconnected may be called from any goroutine; all other methods are for the
-// loop's.
+// Conn is one TCP connection of a loop. Disconnected may be called from any goroutine; all other methods
+// may be called only on the loop's goroutine.
 type Conn struct {
-	// Set before the poller has the connection, and not changed.
+	// Set before the connection is added to the poller, and not changed afterwards.
 	loop      *Loop
 	socket    *nbio.Conn
 	handler   Handler
 	readLimit int
-	post      func(func()) // has something done on the loop's goroutine
-	onEnd     func()       // called once it has ended
-	shared    bool         // another process may hold the same socket
-	dialed    bool         // from here
+	post      func(func()) // queues a function for the loop's goroutine
+	onEnd     func()       // called once the connection has ended
+	shared    bool         // another process may have the same socket open
+	dialed    bool         // opened by Dial rather than accepted or attached
 
-	// For the loop's goroutine.
+	// Used only on the loop's goroutine.
 	ended           bool              // Closed was called, or the socket was detached
-	lingerTimer     *timerqueue.Timer // ends a connection that is closing
-	onWritten       func()            // called once all is written
-	writtenPosition int64             // of what is written next, while there is a journal
-	basePosition    int64             // of the buffer's first byte of all, while there is a journal
-	tls             *tlsSession       // nil: plain
-
-	// For any goroutine.
-	closing          atomic.Bool  // from here: what is read is dropped, and nothing more is written
-	disconnected     atomic.Bool  // the socket is closed; Closed follows
-	readStopped      atomic.Bool  // nothing more is read
-	readAheadLimited atomic.Bool  // the handler takes nothing at present
-	pendingBytes     atomic.Int64 // not yet written
-	notifyWritten    atomic.Bool  // the loop waits until there are none
-
-	mu             sync.Mutex // for what the poller's goroutine and the loop's share
-	journal        Journal    // nil: none. Changed by the loop, which reads it without the lock
-	readPosition   int64      // of what is read next, while there is a journal
-	in             Buffer
-	dataScheduled  bool // a call of Data is on its way
-	readPaused     bool // there may be more to read, and the buffer is full
-	discardedBytes int  // since closing
+	lingerTimer     *timerqueue.Timer // closes the socket of a closing connection when its time is up
+	onWritten       func()            // called once nothing is pending; may be nil
+	writtenPosition int64             // stream position of the next byte to write, while there is a journal
+	basePosition    int64             // stream position of the first byte that the buffer ever held, while there is a journal
+	tls             *tlsSession       // nil for a connection without TLS
+
+	// Used on any goroutine.
+	closing          atomic.Bool  // Close was called: input is dropped, and no further write is accepted
+	disconnected     atomic.Bool  // the socket is closed; the call of Closed follows
+	readStopped      atomic.Bool  // the socket is not read any more
+	readAheadLimited atomic.Bool  // the handler consumes nothing at present, see LimitReadAhead
+	pendingBytes     atomic.Int64 // bytes accepted by Write that the socket has not taken yet
+	notifyWritten    atomic.Bool  // written is to be called once pendingBytes is zero
+
+	mu             sync.Mutex // guards the fields below, which the poller's and the loop's goroutine share
+	journal        Journal    // nil if there is none; only the loop changes it, and reads it without the lock
+	readPosition   int64      // stream position of the next byte to read, while there is a journal
+	in             Buffer     // bytes read from the socket, encrypted ones on a TLS connection
+	dataScheduled  bool       // a call of deliver is queued
+	readPaused     bool       // reading stopped at a full buffer; the socket may hold more
+	discardedBytes int        // bytes read and dropped since Close
 }
 
-// connOptions says how a connection begins.
+// connOptions holds the initial settings of a connection.
 type connOptions struct {
-	readLimit    int
-	unread       []byte // read before, by another owner of the socket
-	highPriority bool
-	shared       bool // another process may hold the same socket
-	dialed       bool
-	accept       func(*Conn) Handler
-	onEnd        func() // called on the loop's goroutine once it has ended
+	readLimit    int                 // bytes that the buffer may hold before reading pauses
+	unread       []byte              // bytes that a previous owner read from the socket and did not consume
+	highPriority bool                // its events are handled before all other posted work
+	shared       bool                // another process may have the same socket open
+	dialed       bool                // opened by Dial rather than accepted or attached
+	accept       func(*Conn) Handler // returns the connection's handler
+	onEnd        func()              // called on the loop's goroutine once the connection has ended
 }
 
-// open hands a connected socket to the poller.
+// open makes a connection of a connected socket and adds it to the poller.
 func (l *Loop) open(socket *nbio.Conn, o connOptions) (*Conn, error) {
 	c := new(Conn)
 	c.initialize(l, socket, o)
 	c.handler = o.accept(c)
 	socket.SetSession(c)
-	l.poller.barrier.wait(socket.Hash()) // not earlier: no close by the loop may come between
+	l.poller.barrier.wait(socket.Hash()) // directly before the add: the loop must not close a socket in between
 	l.conns[c] = struct{}{}
 	if err := l.poller.add(socket); err != nil {
 		_ = socket.Close()
@@ -97,8 +98,8 @@
 	return c, nil
 }
 
-// initialize sets what the poller reads, under the lock that the poller takes before it reads a field. A
-// composite literal would write the lock itself without holding it.
+// initialize sets the fields that the poller's goroutine reads, holding the lock that it takes before it
+// reads them. A composite literal would write the mutex itself without holding it.
 func (c *Conn) initialize(l *Loop, socket *nbio.Conn, o connOptions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,26 +127,26 @@
 // RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() string { return c.socket.RemoteAddr().String() }
 
-// Disconnected reports whether the socket is closed. Closed is called in a later iteration.
+// Disconnected reports whether the socket is closed. Handler.Closed is called in a later iteration of the loop.
 func (c *Conn) Disconnected() bool { return c.disconnected.Load() }
 
-// Ended reports whether the connection has ended and Closed was called, or it was detached.
+// Ended reports whether the connection was detached, or has ended and Handler.Closed was called.
 func (c *Conn) Ended() bool { return c.ended }
 
-// Close ends the connection gracefully: pending writes are sent, the write side is shut, and what the
-// peer still sends is read and dropped until it closes its side, for maxDrainTime at most. Data is not
-// called again; Closed is, later. Guards against a reset, by which a close over unread bytes destroys
-// responses that the peer has not read, and against accepting a request that came in the moment of the
-// close.
+// Close ends the connection gracefully: pending writes are sent, the write side is shut down, and what the
+// peer still sends is read and dropped until it closes its side, for at most maxDrainTime. Data is not
+// called again; Closed is called later. Closing a socket that holds unread bytes would send a reset, which
+// destroys responses that the peer has not read yet. Dropping the input also means that no request
+// that arrives at the moment of the close is accepted.
 func (c *Conn) Close() {
 	if c.closing.Load() || c.ended {
 		return
 	}
 	if c.tls != nil && c.tls.established {
-		_ = c.tls.conn.CloseWrite() // lets the peer know that nothing was cut off
+		_ = c.tls.conn.CloseWrite() // close_notify tells the peer that nothing was truncated
 	}
 	c.closing.Store(true)
-	c.ScheduleData() // drops what is in the buffer, and resumes reading
+	c.ScheduleData() // drops the buffered bytes, and resumes reading
 	if c.pendingBytes.Load() == 0 {
 		c.closeWrite()
 		return
@@ -154,38 +155,39 @@
 	c.WhenWritten(nil)
 }
 
-// closeWrite shuts the write side, and waits for the peer to close its own.
+// closeWrite shuts down the write side, and gives the peer maxDrainTime to close its own.
 func (c *Conn) closeWrite() {
-	c.socket.Lock() // the poller closes under it, and the number may be another's then
+	c.socket.Lock() // the poller closes under this lock; after that the descriptor number may belong to another socket
 	closed, _ := c.socket.IsClosed()
 	if !closed {
-		_ = unix.Shutdown(c.socket.Hash(), unix.SHUT_WR) // fails where the peer has reset it, which the poller sees too
+		_ = unix.Shutdown(c.socket.Hash(), unix.SHUT_WR) // fails if the peer has reset the connection, which the poller notices too
 	}
 	c.socket.Unlock()
 	c.lingerTimer.Stop()
 	c.lingerFor(maxDrainTime)
 }
 
-// lingerFor bounds how long a connection that is closing stays open.
+// lingerFor has the socket of a closing connection closed after d.
 func (c *Conn) lingerFor(d time.Duration) {
 	c.lingerTimer = c.loop.Timers.Add(c.loop.Now()+d, func() { c.closeSocket(nil) })
 }
 
-// Abort ends the connection at once.
+// Abort closes the connection at once; pending writes are dropped.
 func (c *Conn) Abort() { c.closeSocket(nil) }
 
 // closeSocket closes the socket at once; pending writes are dropped. It is called on the loop's
-// goroutine, and on the poller's while that handles an event of the connection.
+// goroutine, and on the poller's goroutine while it handles an event of the connection.
 func (c *Conn) closeSocket(err error) {
 	fd := c.socket.Hash()
-	if c.shared && isConnectedTo(fd, c.socket.RemoteAddr()) { // else it is closed, and its number another's
+	if c.shared && isConnectedTo(fd, c.socket.RemoteAddr()) { // otherwise it is closed, and its number belongs to another socket
 		c.loop.poller.forget(fd)
 	}
-	_ = c.socket.CloseWithError(err) // it always succeeds, or was closed before
-	c.loop.poller.barrier.closed(fd)
+	_ = c.socket.CloseWithError(err) // fails only if the socket was closed before
+	c.loop.poller.barrier.recordClose(fd)
 }
 
-// end drops the state of a connection whose socket is closed, and notifies its handler.
+// end releases the state of a connection whose socket is closed, and calls Handler.Closed. Only the first
+// call has an effect.
 func (c *Conn) end(err error) {
 	if c.ended {
 		return
--- a/internal/netio/connection_read.go
+++ b/internal/netio/connection_read.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// errBufferBudget ends a connection that would take more than is left for all buffers.
+// errBufferBudget is the error of a connection that was closed because it exceeded the buffer budget.
 var errBufferBudget = errors.New("the buffers of all connections are full")
 
-// read takes what the socket has until the buffer is full. It runs on the poller's goroutine when
-// there is new data, and on the loop's when the buffer is below its limit again. It reports whether
-// another process may hold the socket and its peer has closed it.
+// read reads from the socket until it is empty or the buffer is full. It runs on the poller's goroutine when
+// there is new data, and on the loop's when the buffer is below its limit again. sharedEnd is true if
+// another process may have the socket open and the peer has closed its side.
 func (c *Conn) read(buffer []byte) (sharedEnd bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,14 +42,14 @@
 	return sharedEnd
 }
 
-// mustPause reports whether the buffer is full. What a dialed peer sent before its end can't stay in the
-// socket: the poller closes it.
+// mustPause reports whether reading must stop because the buffer is full. Once a dialed peer has closed
+// its side, reading continues past the limit: the poller closes the socket, and what stayed in it would be lost.
 func (c *Conn) mustPause() bool {
 	return c.in.Len() >= c.bufferLimit() && (!c.dialed || !hungUp(c.socket.Hash()))
 }
 
-// receive reads once into the buffer. An error of the socket, or a buffer past the budget, closes it.
-// more is false at the end of what there is; at the end of the stream the poller closes.
+// receive reads once into the buffer. It closes the socket on a read error, or if the buffers exceed their
+// budget. more is false if the socket has nothing more to read; at the end of the stream the poller closes it.
 func (c *Conn) receive(buffer []byte) (n int, more bool) {
 	var err error
 	if c.journal != nil {
@@ -71,19 +71,21 @@
 	return 0, false
 }
 
-// chargeBudget closes a connection that takes more than is left of the buffer budget. Guards against
-// many peers that each stop in the middle of a long message.
+// chargeBudget adds n bytes to the total of all buffers. If the total exceeds the buffer budget and this
+// connection holds more than one read, it closes the connection. This limits the memory that many peers can
+// occupy by each stopping in the middle of a long message.
 func (c *Conn) chargeBudget(n int) {
 	if c.loop.bufferedBytes.Add(int64(n)) <= c.loop.bufferBudget.Load() || c.in.Len() <= readSize {
 		return
 	}
 	c.readStopped.Store(true)
-	c.loop.bufferedBytes.Add(-int64(c.in.Len())) // now, as others need it
+	c.loop.bufferedBytes.Add(-int64(c.in.Len())) // at once rather than in end, as other connections need the memory
 	c.in = Buffer{}
 	c.closeSocket(errBufferBudget)
 }
 
-// discard reads once from a connection that is closing. more is false at the end of what there is.
+// discard reads once from a connection that is closing, and drops the bytes. It stops reading for good
+// after maxDrainBytes. more is false if the socket has nothing more to read.
 func (c *Conn) discard(buffer []byte) (more bool) {
 	n, err := c.socket.Read(buffer)
 	c.discardedBytes += max(n, 0)
@@ -93,8 +95,8 @@
 	return n > 0 || errors.Is(err, syscall.EINTR)
 }
 
-// bufferLimit is how much the buffer may hold before reading pauses; the peer's own writes then
-// wait. It has to be enough for the largest message, which may be passed by one read.
+// bufferLimit returns how many bytes the buffer may hold before reading pauses, so that the peer's writes
+// block. It has to be enough for the largest message; one read may exceed it.
 func (c *Conn) bufferLimit() int {
 	if c.readAheadLimited.Load() {
 		return min(readSize, c.readLimit)
@@ -102,11 +104,11 @@
 	return c.readLimit
 }
 
-// LimitReadAhead keeps what is read ahead small while the handler consumes nothing, because a request
-// of the client is in flight. ScheduleData must be called after it is lifted.
+// LimitReadAhead sets whether the buffer is limited to one read. The handler sets the limit while it consumes
+// nothing because a request of the client is in flight, and must call ScheduleData after it lifts it.
 func (c *Conn) LimitReadAhead(limited bool) { c.readAheadLimited.Store(limited) }
 
-// ScheduleData has Data called once more, for what an earlier call left in the buffer.
+// ScheduleData has Data called once more, for the bytes that an earlier call left in the buffer.
 func (c *Conn) ScheduleData() { c.loop.Post(c.deliver) }
 
 // deliver passes the buffer to the handler, and resumes reading once the buffer is below its limit.
@@ -126,11 +128,12 @@
 	}
 }
 
-// handleInput has the buffer consumed. The lock is held.
+// handleInput passes the buffer to the handler, by way of TLS if there is any, or drops it if the connection
+// is closing. The lock is held.
 func (c *Conn) handleInput() {
 	before := c.in.Len()
 	switch {
-	case c.closing.Load(): // a request that is read now would be answered by nobody
+	case c.closing.Load(): // nothing would answer a request that is read now
 		c.in.Consume(before)
 	case c.tls != nil:
 		c.tls.deliver()
@@ -140,7 +143,8 @@
 	c.loop.bufferedBytes.Add(int64(c.in.Len() - before))
 }
 
-// Unread returns the number of bytes received that the handler has not consumed.
+// Unread returns the number of received bytes that the handler has not consumed; on a TLS connection it
+// adds up the decrypted bytes and the encrypted ones in the connection's buffer.
 func (c *Conn) Unread() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,9 +154,9 @@
 	return c.in.Len()
 }
 
-// hungUp reports whether the peer has closed its side, or the connection has ended.
+// hungUp reports whether the peer has closed its side, or the connection has ended or failed.
 func hungUp(fd int) bool {
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, _ := unix.Poll(poll, 0) // fails only for want of kernel memory
+	n, _ := unix.Poll(poll, 0) // fails only if the kernel has no memory
 	return n > 0
 }
--- a/internal/netio/connection_write.go
+++ b/internal/netio/connection_write.go
@@ -1,10 +1,11 @@
 package netio
 
-// MaxPendingWrite bounds what a slow reader may leave unsent, in bytes; past it the connection is closed.
+// MaxPendingWrite bounds, in bytes, the pending writes of one connection. A peer that reads so slowly that
+// they exceed it has its connection closed.
 const MaxPendingWrite = 8 << 20
 
-// Write sends, or queues what the socket does not take at once. It reports whether it did either. If not,
-// no byte was or will be sent, and Closed is called.
+// Write sends p, and queues what the socket does not take at once. It reports whether p was sent or queued.
+// If not, no byte of it was or will be sent, and Closed is called.
 func (c *Conn) Write(p []byte) bool {
 	if c.ended || c.closing.Load() || len(p) == 0 {
 		return false
@@ -15,7 +16,7 @@
 	return c.writeSocket(p)
 }
 
-// writeSocket sends bytes as they are.
+// writeSocket sends p to the socket without encrypting it. Its result is that of Write.
 func (c *Conn) writeSocket(p []byte) bool {
 	if c.ended || c.closing.Load() || len(p) == 0 {
 		return false
@@ -25,17 +26,18 @@
 		c.writtenPosition += int64(len(p))
 	}
 	c.pendingBytes.Add(int64(len(p)))
-	if _, err := c.socket.Write(p); err != nil { // that has closed the connection, if it was not before
-		c.loop.poller.barrier.closed(c.socket.Hash())
+	if _, err := c.socket.Write(p); err != nil { // the failed write has closed the connection, unless it was closed before
+		c.loop.poller.barrier.recordClose(c.socket.Hash())
 		return false
 	}
 	return true
 }
 
-// Pending returns the number of bytes that are not sent yet.
+// Pending returns the number of written bytes that the socket has not taken yet.
 func (c *Conn) Pending() int { return int(c.pendingBytes.Load()) }
 
-// WhenWritten has f called in a later iteration, once nothing is pending.
+// WhenWritten has f called once, in a later iteration of the loop, when nothing is pending. It replaces the
+// function of an earlier call; f may be nil.
 func (c *Conn) WhenWritten(f func()) {
 	c.onWritten = f
 	c.notifyWritten.Store(true)
@@ -44,15 +46,16 @@
 	}
 }
 
-// sent records bytes that the socket took. It is called on the goroutine that wrote them, the loop's or
-// the poller's.
+// sent subtracts n bytes that the socket has taken from the pending ones. It is called on the goroutine that
+// wrote them, the loop's or the poller's.
 func (c *Conn) sent(n int) {
 	if c.pendingBytes.Add(-int64(n)) == 0 && c.notifyWritten.Load() {
 		c.loop.Post(c.written)
 	}
 }
 
-// written calls what WhenWritten was given.
+// written calls the function of WhenWritten if nothing is pending, and shuts down the write side of a
+// connection that is closing.
 func (c *Conn) written() {
 	if c.pendingBytes.Load() > 0 || !c.notifyWritten.Swap(false) {
 		return
--- a/internal/netio/datagram_socket.go
+++ b/internal/netio/datagram_socket.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// maxDatagramSize is more than any user accepts, in bytes: what is longer is cut to this length.
+	// maxDatagramSize is the size, in bytes, to which longer datagrams are truncated. It is more than any
+	// user of the socket accepts.
 	maxDatagramSize = 512
-	// maxWaitingDatagrams bounds the datagrams that wait for the loop. Guards against a flood: what is beyond is
-	// dropped, as it would be in a full socket.
+	// maxWaitingDatagrams bounds the datagrams that wait for the loop's goroutine. In a flood, further ones
+	// are dropped, as they would be by a full socket.
 	maxWaitingDatagrams = 512
-	// datagramErrorPause is the rest after a failed read.
+	// datagramErrorPause is the delay after a failed read.
 	datagramErrorPause = time.Millisecond
 )
 
-// DatagramSocket is a UDP socket of a loop. ListenDatagrams starts a goroutine that reads it and posts what
-// came; Close ends that goroutine. Its methods may be called from any goroutine.
+// DatagramSocket is a UDP socket of a loop. ListenDatagrams starts a goroutine that reads it and posts each
+// datagram to the loop; Close ends that goroutine. Its methods may be called from any goroutine.
 type DatagramSocket struct {
 	loop     *Loop
 	conn     *net.UDPConn
 	rawWrite func(func(uintptr) bool) error
-	isIPv4   bool
-	waiting  atomic.Int64
-	dropped  atomic.Int64
+	isIPv4   bool         // the socket's family is AF_INET rather than AF_INET6
+	waiting  atomic.Int64 // datagrams posted to the loop and not received yet
+	dropped  atomic.Int64 // datagrams dropped because of maxWaitingDatagrams
 }
 
-// ListenDatagrams opens a UDP socket. receive is called on the loop's goroutine and owns the bytes.
+// ListenDatagrams opens a UDP socket bound to addr. receive is called on the loop's goroutine for each datagram
+// and owns its bytes.
 func (l *Loop) ListenDatagrams(addr string, receive func(from netip.AddrPort, b []byte)) (*DatagramSocket, error) {
 	local, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -57,12 +59,13 @@
 	return unmapped(d.conn.LocalAddr().(*net.UDPAddr).AddrPort())
 }
 
-// Dropped returns how many datagrams were dropped because too many waited for the loop.
+// Dropped returns the number of datagrams that were dropped because too many waited for the loop.
 func (d *DatagramSocket) Dropped() int64 { return d.dropped.Load() }
 
 // Close closes the socket and ends the goroutine that reads it.
 func (d *DatagramSocket) Close() { _ = d.conn.Close() }
 
+// read posts each datagram to the loop until the socket is closed.
 func (d *DatagramSocket) read(receive func(netip.AddrPort, []byte)) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -70,7 +73,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an ICMP error for what was sent before, say
+		if err != nil { // for example an ICMP error for a datagram that was sent before
 			time.Sleep(datagramErrorPause)
 			continue
 		}
@@ -87,10 +90,12 @@
 	}
 }
 
-// unmapped returns an address in the form of the settings, whichever socket it came through.
+// unmapped returns an IPv4-mapped IPv6 address as IPv4, the form that the settings use, whichever family
+// the socket has. Other addresses are unchanged.
 func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// Send sends one datagram, or drops it where the socket's buffer is full: it never blocks.
+// Send sends one datagram. It never blocks: if the socket's buffer is full, it drops the datagram and returns
+// an error.
 func (d *DatagramSocket) Send(to netip.AddrPort, b []byte) error {
 	sockaddr, err := d.sockaddr(to)
 	if err != nil {
@@ -107,13 +112,13 @@
 	return sendErr
 }
 
-// sockaddr returns an address in the form of the socket's family.
+// sockaddr converts an address to the socket's address family.
 func (d *DatagramSocket) sockaddr(to netip.AddrPort) (unix.Sockaddr, error) {
 	if !d.isIPv4 {
 		return &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}, nil
 	}
 	if !to.Addr().Unmap().Is4() {
-		return nil, fmt.Errorf("datagrams: %s can't be reached from an IPv4 address", to)
+		return nil, fmt.Errorf("datagrams: %s can't be reached from an IPv4 socket", to)
 	}
 	return &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().Unmap().As4()}, nil
 }
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -11,9 +11,10 @@
 	"github.com/lesismal/nbio"
 )
 
-// Dial connects within the time-out and calls done on the loop's goroutine. The handler is called
-// only after done has returned. Calling the returned function cancels the dial; done is called all
-// the same.
+// Dial connects to addr within timeout and calls done on the loop's goroutine, with the connection or an
+// error. The handler is called only after done has returned. The returned function cancels the dial;
+// done is called in that case too. readLimit is the number of bytes that the buffer may hold before
+// reading pauses. The dial fails with EMFILE if the descriptor budget is used up.
 func (l *Loop) Dial(addr string, timeout time.Duration, readLimit int, h Handler, done func(*Conn, error)) (cancel func()) {
 	if !l.descriptors.allowsDial(len(l.conns), l.dials) {
 		l.Post(func() { done(nil, fmt.Errorf("dial %s: %w", addr, syscall.EMFILE)) })
@@ -22,8 +23,8 @@
 	return l.DialReserved(addr, timeout, readLimit, h, done)
 }
 
-// DialReserved is Dial for the one connection that descriptors are reserved for. It connects on a goroutine of
-// its own, which ends with the dial, by the time-out at the latest.
+// DialReserved is Dial without the check of the descriptor budget, for the one connection that has reserved
+// descriptors. It connects on a separate goroutine, which ends with the dial, at the latest at its timeout.
 func (l *Loop) DialReserved(addr string, timeout time.Duration, readLimit int, h Handler, done func(*Conn, error)) (cancel func()) {
 	l.dials++
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -44,6 +45,7 @@
 	return cancel
 }
 
+// dial connects to addr and prepares the socket for the poller.
 func dial(ctx context.Context, addr string) (*nbio.Conn, error) {
 	var dialer net.Dialer
 	std, err := dialer.DialContext(ctx, "tcp", addr)
@@ -58,6 +60,6 @@
 	return socket, nil
 }
 
-// IsConnectionRefused reports whether a dial failed because the other side rejected it, rather than by
-// silence or for want of descriptors here.
+// IsConnectionRefused reports whether a dial failed because the other side refused the connection, rather than by
+// a timeout or because no descriptor was free.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -1,6 +1,7 @@
-// Package netio runs the sockets. A poller (nbio) reads into the buffer of each connection on a
-// goroutine of its own; everything else happens on the one goroutine that calls Loop.Run, here
-// called the loop's goroutine. Each type says which of its methods other goroutines may call.
+// Package netio provides the event loop and its sockets. A poller (nbio) reads into the buffer of each
+// connection on a goroutine of its own; everything else happens on the one goroutine that calls Loop.Run,
+// called the loop's goroutine here. The comment of each type says which of its methods other goroutines
+// may call.
 package netio
 
 import (
@@ -13,36 +14,38 @@
 	"gannetspur/internal/timerqueue"
 )
 
-// DefaultBufferBudget is the buffer budget of a new loop, in bytes.
+// DefaultBufferBudget is the buffer budget of a new loop, in bytes, see Loop.SetBufferBudget.
 const DefaultBufferBudget = 48 << 20
 
-// maxSleep bounds one sleep of a loop that has no timers.
+// maxSleep bounds how long a loop without timers sleeps at once.
 const maxSleep = time.Hour
 
 // Loop owns the sockets, the timers and the goroutine on which all handlers run. Post,
-// BufferedBytes and SetBufferBudget may be called from any goroutine. Before Run, all else is for
-// the goroutine that calls it; from then on for the loop's alone.
+// BufferedBytes and SetBufferBudget may be called from any goroutine. All other methods may be called before
+// Run by the goroutine that will call it, and from then on only on the loop's goroutine.
 type Loop struct {
-	// Timers run in each iteration in which they are due. They are for the loop's goroutine.
+	// Timers holds the loop's timers; each iteration runs those that are due. It may be used only on the
+	// loop's goroutine.
 	Timers *timerqueue.Queue
 
 	poller *poller
 	work   workQueue
 
-	// For any goroutine.
-	bufferBudget  atomic.Int64
-	bufferedBytes atomic.Int64
+	// Used on any goroutine.
+	bufferBudget  atomic.Int64 // in bytes, see SetBufferBudget
+	bufferedBytes atomic.Int64 // bytes that the buffers of all connections hold
 
-	// For the loop's goroutine.
+	// Used only on the loop's goroutine.
 	clock       clock
 	conns       map[*Conn]struct{}
-	dials       int // in progress
+	dials       int // number of dials in progress
 	descriptors descriptorBudget
 	readBuffer  []byte
 	stopping    bool
 }
 
-// New starts the poller. maxDescriptors is the limit of the process.
+// New returns a loop and starts its poller. maxDescriptors is the process's descriptor limit; 0 keeps nbio's
+// default size of its table of connections.
 func New(maxDescriptors int) (*Loop, error) {
 	l := &Loop{
 		Timers:     timerqueue.New(),
@@ -60,8 +63,9 @@
 	return l, nil
 }
 
-// Run runs iterations until Stop: everything that was posted, then every timer that is due. It
-// returns once all connections are closed and the poller has ended, or maxStopWait has passed.
+// Run runs iterations until Stop is called. Each one runs everything that was posted, then every timer that is
+// due. After the last, Run closes all connections and returns once the poller has ended or maxStopWait has
+// passed.
 func (l *Loop) Run() {
 	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
@@ -84,7 +88,7 @@
 	l.poller.stop()
 }
 
-// untilNextTimer returns how long the loop may sleep if nothing is posted.
+// untilNextTimer returns how long the loop may sleep if nothing is posted; it is not positive if a timer is due.
 func (l *Loop) untilNextTimer() time.Duration {
 	at, ok := l.Timers.Next()
 	if !ok {
@@ -93,46 +97,48 @@
 	return at - l.Now()
 }
 
-// Stop ends Run after the present iteration.
+// Stop ends Run after the current iteration.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Post has f called on the loop's goroutine. It may be called from any goroutine.
+// Post queues f to be called on the loop's goroutine. It may be called from any goroutine.
 func (l *Loop) Post(f func()) { l.work.post(f) }
 
-// Now returns the time since the Unix epoch by a clock that never goes back: the system's at the
-// start, and monotonic from there.
+// Now returns the time since the Unix epoch by a clock that never goes back: it starts at the system's time and
+// is monotonic from then on.
 func (l *Loop) Now() time.Duration { return l.clock.now() }
 
-// AdvanceClock sets the clock to now, unless that is in its past. Two processes of one machine share a
-// clock by it.
+// AdvanceClock sets the clock to now, unless that would set it back. It lets two processes of one machine
+// share a clock.
 func (l *Loop) AdvanceClock(now time.Duration) { l.clock.advance(now) }
 
-// SetBufferBudget bounds what the buffers of all connections hold together, in bytes. Past it the
-// next connection to take more than one read ends. It may be called from any goroutine.
+// SetBufferBudget bounds the bytes that the buffers of all connections hold together. Once the budget is
+// exceeded, the next connection that reads and holds more than one read (readSize) is closed. It may be called
+// from any goroutine.
 func (l *Loop) SetBufferBudget(bytes int64) { l.bufferBudget.Store(bytes) }
 
-// BufferedBytes returns what the buffers of all connections hold. It may be called from any goroutine.
+// BufferedBytes returns the number of bytes that the buffers of all connections hold. It may be called from any goroutine.
 func (l *Loop) BufferedBytes() int64 { return l.bufferedBytes.Load() }
 
-// Conns returns the open connections, in no order.
+// Conns returns the open connections, in no particular order.
 func (l *Loop) Conns() iter.Seq[*Conn] { return maps.Keys(l.conns) }
 
 // ConnCount returns the number of open connections.
 func (l *Loop) ConnCount() int { return len(l.conns) }
 
-// workQueue holds the functions that wait for the loop. post and postFirst may be called from any
-// goroutine, run from the loop's alone.
+// workQueue holds the functions that wait to be run on the loop's goroutine. post and postFirst may be called
+// from any goroutine, run only from the loop's.
 type workQueue struct {
-	wake chan struct{} // of capacity one
+	wake chan struct{} // of capacity one; has an element if there is new work
 
 	mu     sync.Mutex
 	queue  []func()
-	urgent []func() // each waits for one other function at most
+	urgent []func() // run before the next function of queue
 
-	hasUrgent atomic.Bool
-	spare     []func() // memory of the last iteration's queue, for the loop's goroutine
+	hasUrgent atomic.Bool // urgent is not empty
+	spare     []func()    // the last iteration's queue, emptied for reuse; only for the loop's goroutine
 }
 
+// post has f run after all that is queued.
 func (w *workQueue) post(f func()) {
 	w.mu.Lock()
 	w.queue = append(w.queue, f)
@@ -140,7 +146,8 @@
 	w.signal()
 }
 
-// postFirst has f run before all that post has queued.
+// postFirst has f run as urgent work, before all that post has queued: it waits for at most one other
+// function of post.
 func (w *workQueue) postFirst(f func()) {
 	w.mu.Lock()
 	w.urgent = append(w.urgent, f)
@@ -149,14 +156,16 @@
 	w.signal()
 }
 
+// signal wakes the loop.
 func (w *workQueue) signal() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // it is awake, or about to be
+	default: // a wake-up is pending already
 	}
 }
 
-// run runs what was posted before it began, and urgent work in between.
+// run runs the functions that were posted before it began, and before each of them and at the end the urgent
+// ones.
 func (w *workQueue) run() {
 	w.mu.Lock()
 	work := w.queue
@@ -171,6 +180,7 @@
 	w.runUrgent()
 }
 
+// runUrgent runs the urgent functions posted so far.
 func (w *workQueue) runUrgent() {
 	if !w.hasUrgent.Load() {
 		return
@@ -185,7 +195,7 @@
 	}
 }
 
-// clock is a Unix time that never goes back.
+// clock is a Unix clock that never goes back.
 type clock struct {
 	origin time.Time     // with a monotonic reading
 	unix   time.Duration // the clock's time at origin
@@ -196,10 +206,12 @@
 	return clock{origin: now, unix: time.Duration(now.UnixNano())}
 }
 
+// now returns the time since the Unix epoch.
 func (c *clock) now() time.Duration { return c.unix + time.Since(c.origin) }
 
+// advance sets the clock to now, unless that would set it back.
 func (c *clock) advance(now time.Duration) {
-	present := c.now()
+	current := c.now()
 	c.origin = time.Now()
-	c.unix = max(now, present)
+	c.unix = max(now, current)
 }
--- a/internal/netio/poller.go
+++ b/internal/netio/poller.go
@@ -18,23 +18,26 @@
 )
 
 const (
-	// readSize is how much one read takes, in bytes. A connection whose read-ahead is limited goes
-	// on being read up to this size.
+	// readSize is the maximum size of one read, in bytes. A connection whose read-ahead is limited is still
+	// read until its buffer holds this much.
 	readSize = 32 << 10
-	// tableMargin is how many entries nbio's table of connections has past the descriptor limit.
+	// tableMargin is the number of entries that nbio's table of connections has beyond the descriptor limit.
 	tableMargin = 64
-	// maxStopWait bounds the wait for the poller at the end.
+	// maxStopWait bounds how long stop waits for the poller's goroutine to end.
 	maxStopWait = 100 * time.Millisecond
 )
 
-// poller is nbio's engine with one poller. Its callbacks run on the engine's goroutine, which newPoller starts
-// and stop ends; its methods are for the loop's goroutine.
+// poller is an nbio engine with one poller. Its callbacks run on the engine's goroutine, which newPoller starts
+// and stop ends, called the poller's goroutine in this package; its methods may be called only on the loop's
+// goroutine.
 type poller struct {
 	engine  *nbio.Engine
 	barrier *pollerBarrier
-	epolls  []int // epoll descriptors of the process that may hold connections
+	epolls  []int // epoll descriptors in which connections may be registered
 }
 
+// newPoller starts the poller. maxDescriptors is the process's descriptor limit; 0 keeps nbio's default size of
+// its table of connections.
 func newPoller(maxDescriptors int) (*poller, error) {
 	logging.SetLevel(logging.LevelNone)
 	if maxDescriptors > 0 {
@@ -42,10 +45,10 @@
 	}
 	p := &poller{engine: nbio.NewEngine(nbio.Config{
 		Name: "ringwood", NPoller: 1, ReadBufferSize: readSize,
-		// Edge-triggered, so that what is not read because a buffer is full raises no further event.
+		// Edge-triggered, so that input left in a socket because a buffer is full raises no further event.
 		MaxWriteBufferSize: MaxPendingWrite, EpollMod: nbio.EPOLLET,
 	})}
-	// Where the system gives no pair of sockets, the program serves without the barrier.
+	// If no socket pair can be opened, the poller works without the barrier.
 	p.barrier, _ = newPollerBarrier()
 	watched := p.barrier.watched
 	p.handleEvents(watched)
@@ -61,18 +64,19 @@
 	return p, nil
 }
 
-// handleEvents has the engine's events reach the connections and the barrier.
+// handleEvents sets the engine's callbacks, which pass events to the connections and to the barrier, whose
+// socket is watched (nil if there is no barrier).
 func (p *poller) handleEvents(watched *nbio.Conn) {
 	p.engine.OnOpen(func(*nbio.Conn) {})
 	buffer := make([]byte, readSize)
 	p.engine.OnRead(func(socket *nbio.Conn) {
 		if socket == watched {
-			p.barrier.reached(socket)
+			p.barrier.handleByte(socket)
 			return
 		}
 		c, ok := socket.Session().(*Conn)
 		if ok && c.read(buffer) {
-			c.closeSocket(io.EOF) // the poller would close it, and leave its epoll entry
+			c.closeSocket(io.EOF) // the poller would close the socket too, but leave it in epoll
 		}
 	})
 	p.engine.OnWrittenSize(func(socket *nbio.Conn, _ []byte, n int) {
@@ -88,7 +92,7 @@
 	})
 }
 
-// add has the poller watch a connection.
+// add has the poller watch a connection's socket.
 func (p *poller) add(socket *nbio.Conn) error {
 	if _, err := p.engine.AddConn(socket); err != nil {
 		return fmt.Errorf("poll the connection: %w", err)
@@ -96,16 +100,16 @@
 	return nil
 }
 
-// forget removes a descriptor from epoll. nbio leaves that to the kernel, which does it when a descriptor is
-// closed, but not while another is open on the same socket, here or in another process: its events would
-// then be taken for those of the next connection with the number.
+// forget removes a descriptor from epoll. nbio leaves that to the kernel, which removes a descriptor when it is
+// closed, but not while another descriptor of the same socket is open, here or in another process. The
+// socket's events would then be taken for those of the next connection with the same descriptor number.
 func (p *poller) forget(fd int) {
 	for _, epoll := range p.epolls {
-		_ = unix.EpollCtl(epoll, unix.EPOLL_CTL_DEL, fd, nil) // one of them has it
+		_ = unix.EpollCtl(epoll, unix.EPOLL_CTL_DEL, fd, nil) // fails for all but the one that has it
 	}
 }
 
-// stop ends the poller's goroutine. One that takes longer than maxStopWait ends with the process.
+// stop ends the poller's goroutine. If that takes longer than maxStopWait, stop returns before it has ended.
 func (p *poller) stop() {
 	p.barrier.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), maxStopWait)
@@ -113,9 +117,9 @@
 	_ = p.engine.Shutdown(ctx)
 }
 
-// pollerSocket makes a connection nbio's, with a descriptor that no program started from here inherits, as
-// nbio's own way would have it. Guards against a peer that sees no end of a connection while another process
-// holds it, and against a table that fills up over generations of upgrades.
+// pollerSocket converts a connection to one of nbio and sets close-on-exec on its descriptor, which nbio itself
+// does not, so that no child process inherits it. Otherwise a peer would not see the end of a connection while
+// another process has it open, and the descriptor table would fill up over a series of upgrades.
 func pollerSocket(std net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
@@ -126,9 +130,9 @@
 	return socket, err
 }
 
-// epollDescriptors are the epoll descriptors that nbio may have its connections in: the one with the watched
-// connection, or all of this process where there is none. They, and what else nbio has opened for itself, are
-// kept from programs that are started from here.
+// epollDescriptors returns the epoll descriptors in which nbio may have registered its connections: the one that
+// contains the watched connection, or all of this process if watched is nil. It sets close-on-exec on them and
+// on the other anonymous descriptors that nbio opened for itself, so that no child process inherits them.
 func epollDescriptors(watched *nbio.Conn) (epolls []int) {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -144,19 +148,19 @@
 		if !strings.Contains(target, "eventpoll") {
 			continue
 		}
-		if watched == nil || watches(fd, watched.Hash()) {
+		if watched == nil || epollContains(fd, watched.Hash()) {
 			epolls = append(epolls, fd)
 		}
 	}
 	return epolls
 }
 
-// watches reports whether an epoll descriptor has another in it: adding one that is there already is refused
-// (epoll_ctl(2), EEXIST).
-func watches(epoll, fd int) bool {
+// epollContains reports whether fd is registered in an epoll descriptor: adding one that is there already fails
+// with EEXIST, see epoll_ctl(2).
+func epollContains(epoll, fd int) bool {
 	err := unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{})
 	if err == nil {
-		_ = unix.EpollCtl(epoll, unix.EPOLL_CTL_DEL, fd, nil) // added just now
+		_ = unix.EpollCtl(epoll, unix.EPOLL_CTL_DEL, fd, nil) // it was not registered: remove it again
 	}
 	return errors.Is(err, unix.EEXIST)
 }
--- a/internal/netio/poller_barrier.go
+++ b/internal/netio/poller_barrier.go
@@ -10,28 +10,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollerBarrier keeps the number of a closed descriptor from a new connection until the poller is through with
-// the events that it had fetched before. Guards against a stale event: epoll_wait(2) returns many at once, each
-// with a number alone, and nbio looks the connection up when it comes to it. Where the loop has closed one
-// meanwhile and the number is another's, the end of the first would end the second.
+// pollerBarrier delays the reuse of a closed descriptor's number by a new connection until the poller has handled
+// the events that it had fetched before the close. It guards against stale events: epoll_wait(2) returns several
+// events at once, each with only a descriptor number, and nbio looks up the connection when it handles the
+// event. If the loop has closed that connection meanwhile and a new one has its number, the hang-up event of the
+// first connection would close the second.
 //
-// A byte is written to a socket that the poller watches. Once the poller reads it, all that it had fetched before
-// the byte was written is handled, as only one byte is in flight at a time: its event is of a later epoll_wait.
+// The barrier writes a byte to a socket that the poller watches. As only one byte is in flight at a time, the
+// byte's event is returned by a later epoll_wait; once the poller reads the byte, it has handled all events that
+// it had fetched before the byte was written.
 //
-// closed and wait are called on the loop's goroutine (closed on the poller's too, for a connection that it
-// ends), reached on the poller's, and stop on the loop's at the end.
+// recordClose and wait are called on the loop's goroutine (recordClose on the poller's too, for a connection that
+// it closes), handleByte on the poller's, and stop on the loop's when the poller is stopped.
 type pollerBarrier struct {
 	mu      sync.Mutex
 	cond    sync.Cond
-	watched *nbio.Conn     // nil: there is no barrier
-	writeFD int            // the other end of watched
-	closes  map[int]uint64 // by descriptor: the sequence number of its close, until the poller is past it
-	last    uint64         // the last sequence number in closes
-	covered uint64         // the last sequence number that the byte in flight stands for
+	watched *nbio.Conn     // read end, which the poller watches; nil if there is no barrier
+	writeFD int            // write end
+	closes  map[int]uint64 // by descriptor, the sequence number of its close; deleted once the number may be reused
+	last    uint64         // sequence number of the last recorded close
+	covered uint64         // sequence number of the last close recorded before the byte in flight was written
 	pending bool           // a byte is in flight
 }
 
-// newPollerBarrier returns a barrier that holds nobody up where it fails.
+// newPollerBarrier returns a barrier. Together with an error it returns one whose wait never blocks.
 func newPollerBarrier() (*pollerBarrier, error) {
 	b := &pollerBarrier{writeFD: -1, closes: map[int]uint64{}}
 	b.cond.L = &b.mu
@@ -39,7 +41,7 @@
 	if err != nil {
 		return b, fmt.Errorf("socketpair: %w", err)
 	}
-	watched, err := watchedEnd(pair[0])
+	watched, err := readEnd(pair[0])
 	if err != nil {
 		_ = unix.Close(pair[1])
 		return b, fmt.Errorf("socketpair: %w", err)
@@ -49,8 +51,8 @@
 	return b, nil
 }
 
-// watchedEnd makes a socket nbio's. It takes the descriptor.
-func watchedEnd(fd int) (*nbio.Conn, error) {
+// readEnd converts one socket of the pair to a connection of nbio. It takes over the descriptor.
+func readEnd(fd int) (*nbio.Conn, error) {
 	file := os.NewFile(uintptr(fd), "barrier")
 	std, err := net.FileConn(file)
 	_ = file.Close()
@@ -65,9 +67,10 @@
 	return socket, nil
 }
 
-// closed notes that a connection was closed other than by the poller for an event of its. What the poller itself
-// closes has no other event behind it: the kernel has one entry for each.
-func (b *pollerBarrier) closed(fd int) {
+// recordClose records that a descriptor was closed, other than by the poller itself while it handled an event of
+// that descriptor. Such a close needs no record: epoll_wait returns one event per descriptor at most, so the
+// poller has no further one for it.
+func (b *pollerBarrier) recordClose(fd int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.watched == nil {
@@ -80,17 +83,18 @@
 	}
 }
 
-// send writes the byte. The lock is held.
+// send writes a byte that covers all closes recorded so far. The lock is held.
 func (b *pollerBarrier) send() {
 	b.covered = b.last
 	b.pending = true
 	if _, err := unix.Write(b.writeFD, []byte{1}); err != nil {
-		b.release() // the socket can't be full; without it there is no barrier
+		b.release() // the socket can't be full, so it is unusable: go on without a barrier
 	}
 }
 
-// reached notes that the poller has come to the byte. One read takes it; another byte raises another event.
-func (b *pollerBarrier) reached(socket *nbio.Conn) {
+// handleByte reads the byte on the poller's goroutine and ends the waits for the closes that it covers. If further
+// closes were recorded meanwhile, it sends another byte, which raises another event.
+func (b *pollerBarrier) handleByte(socket *nbio.Conn) {
 	var buffer [8]byte
 	if n, _ := socket.Read(buffer[:]); n <= 0 {
 		return
@@ -109,8 +113,8 @@
 	b.cond.Broadcast()
 }
 
-// wait returns once the descriptor's number may be a new connection's: after the poller's present iteration
-// at the latest.
+// wait blocks until a new connection may use the descriptor number fd. Unless the number was closed lately, it
+// returns at once.
 func (b *pollerBarrier) wait(fd int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,14 +123,14 @@
 	}
 }
 
-// stop ends all waits: the poller ends.
+// stop ends all waits, as the poller is about to end.
 func (b *pollerBarrier) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.release()
 }
 
-// release holds nobody up from now on. The lock is held.
+// release closes the write end and ends all waits; later ones return at once. The lock is held.
 func (b *pollerBarrier) release() {
 	if b.watched != nil {
 		_ = unix.Close(b.writeFD)
--- a/internal/netio/tls.go
+++ b/internal/netio/tls.go
@@ -9,51 +9,53 @@
 	"time"
 )
 
-// tlsReadSize is how much is decrypted at once, in bytes: one record of TLS.
+// tlsReadSize is the number of bytes decrypted at once: the maximum plaintext of one TLS record.
 const tlsReadSize = 16 << 10
 
-// tlsSession is the TLS of a connection. startTLS runs the handshake on a goroutine of its own, as crypto/tls
-// can't be suspended in the middle of one; that goroutine ends with the handshake, by its time-out at the latest.
-// From then on the session is for the loop's goroutine, and reads what there is: a Read that finds nothing fails
-// with errPipeEmpty, after which crypto/tls continues where it was.
+// tlsSession is the TLS session of a connection. startTLS runs the handshake on a goroutine of its own, as
+// crypto/tls can't suspend a handshake; that goroutine ends with the handshake, at the latest at its timeout.
+// From then on the session is used only on the loop's goroutine and never blocks: a Read that finds no input
+// fails with errPipeEmpty, and the next Read continues where it stopped.
 type tlsSession struct {
 	c           *Conn
 	conn        *tls.Conn
-	pipe        *tlsPipe
-	plain       Buffer
-	established bool
-	buffer      []byte
+	pipe        *tlsPipe // carries the encrypted bytes between conn and the connection
+	plain       Buffer   // decrypted bytes that the handler has not consumed
+	established bool     // the handshake has succeeded
+	buffer      []byte   // scratch memory of decrypt
 }
 
-// StartServerTLS begins TLS on a connection, as its server. What lies in its buffer is taken as the
-// handshake's beginning. done is called at the handshake's end, on the loop's goroutine; on an error the
-// connection is closed after it. From then on the handler is given plain bytes, and Write
-// encrypts; nothing may be written before. Such a connection can't be detached.
+// StartServerTLS starts TLS on a connection, in the server's role. Bytes that are already in its buffer are taken as
+// the beginning of the handshake. done is called on the loop's goroutine at the end of the handshake, unless the
+// connection has ended by then; if its error is not nil, the connection is closed afterwards. From then on the
+// handler receives decrypted bytes, and Write encrypts; nothing may be written before that. Such a connection
+// can't be detached.
 func (c *Conn) StartServerTLS(cfg *tls.Config, timeout time.Duration, done func(tls.ConnectionState, error)) {
 	c.startTLS(func(p net.Conn) *tls.Conn { return tls.Server(p, cfg) }, timeout, done)
 }
 
-// StartClientTLS begins TLS as the side that has dialled.
+// StartClientTLS is StartServerTLS in the client's role.
 func (c *Conn) StartClientTLS(cfg *tls.Config, timeout time.Duration, done func(tls.ConnectionState, error)) {
 	c.startTLS(func(p net.Conn) *tls.Conn { return tls.Client(p, cfg) }, timeout, done)
 }
 
-// UsesTLS reports whether the connection has, or begins, TLS.
+// UsesTLS reports whether TLS was started on the connection, also while the handshake is in progress.
 func (c *Conn) UsesTLS() bool { return c.tls != nil }
 
-func (c *Conn) startTLS(side func(net.Conn) *tls.Conn, timeout time.Duration, done func(tls.ConnectionState, error)) {
+// startTLS runs the handshake of the TLS connection that newConn returns for a pipe.
+func (c *Conn) startTLS(newConn func(net.Conn) *tls.Conn, timeout time.Duration, done func(tls.ConnectionState, error)) {
 	s := &tlsSession{c: c, buffer: make([]byte, tlsReadSize)}
 	s.pipe = &tlsPipe{blocking: true, addr: c.socket.RemoteAddr(), write: func(b []byte) {
-		own := append([]byte(nil), b...)
-		c.loop.Post(func() { c.writeSocket(own) })
+		data := append([]byte(nil), b...)
+		c.loop.Post(func() { c.writeSocket(data) })
 	}}
 	s.pipe.ready = sync.NewCond(&s.pipe.mu)
-	s.conn = side(s.pipe)
+	s.conn = newConn(s.pipe)
 	c.tls = s
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	go func() {
 		defer cancel()
-		stop := context.AfterFunc(ctx, s.pipe.close) // a Read that waits ends
+		stop := context.AfterFunc(ctx, s.pipe.close) // unblocks a waiting Read
 		err := s.conn.HandshakeContext(ctx)
 		stop()
 		c.loop.Post(func() { s.handshakeEnded(err, done) })
@@ -61,7 +63,7 @@
 	c.ScheduleData()
 }
 
-// handshakeEnded makes the session the loop's.
+// handshakeEnded makes the session non-blocking, for use on the loop's goroutine, and calls done.
 func (s *tlsSession) handshakeEnded(err error, done func(tls.ConnectionState, error)) {
 	s.pipe.makeNonBlocking(func(b []byte) { s.c.writeSocket(b) })
 	if s.c.ended {
@@ -76,14 +78,15 @@
 	s.c.deliver()
 }
 
-// end drops what is buffered, and ends a handshake that waits. The connection's lock is held.
+// end drops the buffered bytes, and ends a handshake that waits for input. The connection's lock is held.
 func (s *tlsSession) end() {
 	s.c.loop.bufferedBytes.Add(-int64(s.plain.Len()))
 	s.plain = Buffer{}
 	s.pipe.close()
 }
 
-// write encrypts. A failure closes the connection.
+// write encrypts and sends p. It reports whether it succeeded; before the end of the handshake it
+// sends nothing. A failure closes the connection.
 func (s *tlsSession) write(p []byte) bool {
 	if !s.established {
 		return false
@@ -92,8 +95,8 @@
 	return err == nil
 }
 
-// feed moves what was read of the socket to the pipe, unless the pipe holds a record's worth already. It
-// reports whether it moved anything.
+// feed moves the bytes that were read from the socket to the pipe, unless the pipe already holds tlsReadSize bytes
+// or more. It reports whether it moved any.
 func (s *tlsSession) feed() bool {
 	in := &s.c.in
 	if in.Len() == 0 || s.pipe.len() >= tlsReadSize {
@@ -104,7 +107,7 @@
 	return true
 }
 
-// deliver decrypts what has come and passes it to the handler, up to the buffer's limit. The connection's
+// deliver decrypts the input and passes it to the handler, up to the buffer's limit. The connection's
 // lock is held.
 func (s *tlsSession) deliver() {
 	s.feed()
@@ -118,16 +121,17 @@
 			if !s.feed() {
 				return
 			}
-		case err != nil: // the end of the stream, or what is no TLS
+		case err != nil: // the end of the stream, or invalid TLS data
 			s.c.closeSocket(err)
 			return
-		case s.plain.Len() >= s.c.bufferLimit(): // the handler calls ScheduleData
+		case s.plain.Len() >= s.c.bufferLimit(): // the handler calls ScheduleData once it can consume more
 			return
 		}
 	}
 }
 
-// decrypt reads until the plain buffer is full or an error, and calls the handler.
+// decrypt decrypts until the plain buffer is at its limit or a read fails, and passes the buffer to the handler.
+// It returns the error of the read.
 func (s *tlsSession) decrypt() (err error) {
 	c := s.c
 	before := s.plain.Len()
--- a/internal/netio/tls_pipe.go
+++ b/internal/netio/tls_pipe.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// errPipeEmpty is returned where there is nothing to read yet. It is temporary: crypto/tls would return any
-// other error from all later reads as well.
+// errPipeEmpty is returned by a non-blocking Read if there is nothing to read yet. It is a temporary error, as
+// crypto/tls would return any other error from all later reads as well.
 var errPipeEmpty error = pipeEmptyError{}
 
+// pipeEmptyError implements net.Error.
 type pipeEmptyError struct{}
 
 func (pipeEmptyError) Error() string   { return "nothing to read yet" }
 func (pipeEmptyError) Timeout() bool   { return true }
 func (pipeEmptyError) Temporary() bool { return true }
 
-// tlsPipe is the net.Conn that crypto/tls reads and writes. Read and Write are called on the handshake's
-// goroutine until it has ended, and on the loop's from then on; the other methods on the loop's, but for close,
-// which any goroutine may call.
+// tlsPipe is the net.Conn that crypto/tls reads from and writes to. Read and Write are called on the handshake's
+// goroutine until the handshake has ended, and on the loop's from then on; the other methods on the loop's,
+// except close, which may be called on any goroutine.
 type tlsPipe struct {
 	mu       sync.Mutex
-	ready    *sync.Cond
-	in       Buffer
-	closed   bool
-	blocking bool // Read waits for bytes
-	write    func([]byte)
-	addr     net.Addr
+	ready    *sync.Cond   // signals new input, or the close
+	in       Buffer       // encrypted bytes for Read
+	closed   bool         // Read returns io.EOF once in is empty
+	blocking bool         // Read waits for input rather than failing with errPipeEmpty
+	write    func([]byte) // sends encrypted bytes; must not keep the slice
+	addr     net.Addr     // the peer's address
 }
 
+// Read returns encrypted input. Without any, it waits while the pipe is blocking, else fails with errPipeEmpty.
 func (p *tlsPipe) Read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,12 +49,13 @@
 	return n, nil
 }
 
+// Write passes encrypted output to the write function. It never fails.
 func (p *tlsPipe) Write(b []byte) (int, error) {
 	p.write(b)
 	return len(b), nil
 }
 
-// feed adds bytes for Read.
+// feed adds input for Read.
 func (p *tlsPipe) feed(b []byte) {
 	p.mu.Lock()
 	p.in.append(b)
@@ -60,7 +63,7 @@
 	p.ready.Signal()
 }
 
-// close ends a Read that waits.
+// close has Read return io.EOF once the input is used up, and unblocks a Read that waits.
 func (p *tlsPipe) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -68,7 +71,7 @@
 	p.ready.Signal()
 }
 
-// makeNonBlocking has Read wait no more, and Write go to another function.
+// makeNonBlocking makes Read fail with errPipeEmpty rather than wait, and replaces the write function.
 func (p *tlsPipe) makeNonBlocking(write func([]byte)) {
 	p.mu.Lock()
 	p.blocking = false
@@ -76,27 +79,27 @@
 	p.mu.Unlock()
 }
 
-// len returns how many bytes wait to be read.
+// len returns the number of bytes that are not read yet.
 func (p *tlsPipe) len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.in.Len()
 }
 
-// Close does nothing: the connection closes the socket.
+// Close does nothing, as the connection itself closes the socket.
 func (p *tlsPipe) Close() error { return nil }
 
-// LocalAddr is the peer's address, as that of this end is not used.
+// LocalAddr returns the peer's address; the local one is not used.
 func (p *tlsPipe) LocalAddr() net.Addr { return p.addr }
 
-// RemoteAddr is the peer's address.
+// RemoteAddr returns the peer's address.
 func (p *tlsPipe) RemoteAddr() net.Addr { return p.addr }
 
-// SetDeadline does nothing: the loop's timers end a connection.
+// SetDeadline does nothing, as the loop's timers end a connection.
 func (p *tlsPipe) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline does nothing.
+// SetReadDeadline does nothing, see SetDeadline.
 func (p *tlsPipe) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline does nothing.
+// SetWriteDeadline does nothing, see SetDeadline.
 func (p *tlsPipe) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/netio/transfer.go
+++ b/internal/netio/transfer.go
@@ -9,14 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrConnEnded is returned for a connection that has ended and can't be detached any more.
+// ErrConnEnded is returned by Conn.Detach for a connection that has ended, or can't be detached because it is
+// closing, uses TLS or has pending writes.
 var ErrConnEnded = errors.New("the connection has ended")
 
+// errNoDescriptorFree is returned by Loop.Attach if the socket could not be prepared for the poller.
 var errNoDescriptorFree = errors.New("no descriptor is free")
 
-// Detach takes a connection out of the loop without ending it. It returns the descriptor, which the
-// caller owns then, and what was read and not consumed. Neither side of the connection
-// notices; Closed is not called. Nothing may wait to be written.
+// Detach removes a connection from the loop without ending it. It returns a descriptor of its socket, which the
+// caller owns, and the bytes that were read and not consumed, nil if there are none. The peer does not notice,
+// and Handler.Closed is not called. It fails if the connection has ended, is closing, uses TLS or has pending
+// writes.
 func (c *Conn) Detach() (fd int, unread []byte, err error) {
 	if c.ended || c.closing.Load() || c.tls != nil || c.pendingBytes.Load() > 0 {
 		return -1, nil, ErrConnEnded
@@ -31,7 +34,7 @@
 		return -1, nil, err
 	}
 	c.readStopped.Store(true)
-	unread = append([]byte(nil), c.in.Bytes()...) // nil where there is nothing
+	unread = append([]byte(nil), c.in.Bytes()...) // nil if there are none
 	c.loop.bufferedBytes.Add(-int64(c.in.Len()))
 	c.in = Buffer{}
 	c.ended = true
@@ -41,7 +44,7 @@
 	return fd, unread, nil
 }
 
-// duplicate takes the socket out of epoll and returns another descriptor of it.
+// duplicate removes the socket from epoll and returns a duplicate of its descriptor.
 func (c *Conn) duplicate() (int, error) {
 	own := c.socket.Hash()
 	c.loop.poller.forget(own)
@@ -49,7 +52,7 @@
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", ErrConnEnded, err)
 	}
-	// Guards against a poller that has closed it meanwhile: the number may be another's.
+	// The poller may have closed the socket meanwhile, and the descriptor number may belong to another one.
 	if !isConnectedTo(fd, c.socket.RemoteAddr()) {
 		_ = unix.Close(fd)
 		return -1, ErrConnEnded
@@ -57,7 +60,7 @@
 	return fd, nil
 }
 
-// isConnectedTo reports whether a descriptor is a socket with this peer.
+// isConnectedTo reports whether a descriptor is a TCP socket connected to peer.
 func isConnectedTo(fd int, peer net.Addr) bool {
 	sockaddr, err := unix.Getpeername(fd)
 	if err != nil {
@@ -76,8 +79,9 @@
 	return false
 }
 
-// Attach adds a connected TCP socket to the loop, with bytes that were read of it before. It owns the
-// descriptor. The handler receives the bytes in a later iteration.
+// Attach adds a connected TCP socket to the loop, with the bytes that were read from it before and not consumed.
+// It takes over the descriptor fd, also on an error. readLimit is the number of bytes that the buffer may hold
+// before reading pauses. The handler receives the unread bytes in a later iteration of the loop.
 func (l *Loop) Attach(fd, readLimit int, unread []byte, accept func(*Conn) Handler) (*Conn, error) {
 	file := os.NewFile(uintptr(fd), "connection")
 	std, err := net.FileConn(file)
@@ -85,7 +89,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("attach: %w", err)
 	}
-	socket := convert(std)
+	socket := pollerSocketWithRetry(std)
 	if socket == nil {
 		return nil, fmt.Errorf("attach: %w", errNoDescriptorFree)
 	}
