--- a/internal/netio/connection_test.go
+++ b/internal/netio/connection_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bytes lie unread, more than are ever read, when a connection is closed: its peer has what was written
-// and then the end, not a reset, and the handler hears of nothing more.
+// Closing a connection while its socket holds unread bytes, more of them than the buffer takes, must not reset it:
+// the peer receives what was written and then the end of the stream, and the handler gets no further call of Data.
 func TestCloseWithUnreadData(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
@@ -20,7 +20,7 @@
 	sent := make(chan error, 1)
 	l.Post(func() {
 		go func() {
-			_, err := client.Write(make([]byte, 200<<10)) // a third of it fits into the buffer
+			_, err := client.Write(make([]byte, 200<<10)) // a third of this fits into the buffer
 			sent <- err
 		}()
 		for c.Unread() == 0 {
@@ -31,21 +31,21 @@
 	})
 	b, err := io.ReadAll(client)
 	if string(b) != "the last" || err != nil {
-		t.Errorf("the peer has %q, %v", b, err)
+		t.Errorf("the peer received %q, error %v; want %q and no error", b, err, "the last")
 	}
-	if err := await(t, "what was written ahead", sent); err != nil {
+	if err := await(t, "the end of the peer's write", sent); err != nil {
 		t.Error(err)
 	}
 	_ = client.Close()
 	_ = await(t, "the end", h.closed)
 	select {
 	case got := <-h.received:
-		t.Errorf("the handler has %d bytes that came after it had closed", len(got))
+		t.Errorf("the handler received %d bytes after Close, want none", len(got))
 	default:
 	}
 }
 
-// A peer that never closes its side is left in the end, however much it goes on sending.
+// A connection that is closed ends in the end even if its peer never closes its side and keeps sending.
 func TestCloseWithPeerThatStaysOpen(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
@@ -67,7 +67,7 @@
 	await(t, "the end at the peer", written)
 }
 
-// Small writes go out at once: what the system holds back would go with a reset.
+// Small writes are sent at once (TCP_NODELAY): bytes that the kernel holds back would be lost in a reset.
 func TestSmallWritesAreNotDelayed(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
@@ -83,12 +83,12 @@
 	})
 	for name, c := range map[string]*Conn{"accepted": await(t, "a connection", h.accepted), "dialed": await(t, "a connection", dialed)} {
 		if on, err := unix.GetsockoptInt(c.socket.Hash(), unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || on == 0 {
-			t.Errorf("%s: TCP_NODELAY is %d, %v", name, on, err)
+			t.Errorf("%s connection: got TCP_NODELAY %d, error %v; want it set", name, on, err)
 		}
 	}
 }
 
-// A connection whose peer has reset it just before it is closed ends once.
+// A connection that its peer resets just before Close ends once, and not with net.ErrClosed.
 func TestCloseAfterReset(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
@@ -103,15 +103,15 @@
 		c.Close()
 	})
 	if err := await(t, "the end", h.closed); errors.Is(err, net.ErrClosed) {
-		t.Error(err)
+		t.Errorf("the connection ended with %v, want any error but net.ErrClosed", err)
 	}
 }
 
-// byteCounter counts all that it is told.
+// byteCounter is a handler that consumes and counts all input.
 type byteCounter struct {
 	n       int
-	counted chan int // the count after each call; nil: not wanted
-	closed  chan int
+	counted chan int // receives the count after each call of Data; nil if not wanted
+	closed  chan int // receives the count at the end of the connection
 }
 
 func (h *byteCounter) Data(_ *Conn, in *Buffer) {
@@ -124,8 +124,8 @@
 
 func (h *byteCounter) Closed(*Conn, error) { h.closed <- h.n }
 
-// A peer that was dialed writes more than a buffer holds, and closes, while the loop stands still: the handler has all
-// of it before it hears of the end.
+// A dialed peer writes more than the buffer's limit and closes while the loop's goroutine is busy: the handler
+// receives all of it before Closed is called. The poller closes the socket, and bytes left in it would be lost.
 func TestDataBeforePeerClose(t *testing.T) {
 	const size = 60 << 10 // two reads
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,6 +154,6 @@
 		})
 	})
 	if n := await(t, "the end", h.closed); n != size {
-		t.Errorf("%d bytes of %d", n, size)
+		t.Errorf("the handler received %d bytes, want %d", n, size)
 	}
 }
--- a/internal/netio/descriptor_budget_test.go
+++ b/internal/netio/descriptor_budget_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// Where connections have taken all descriptors that they may, a dial fails and one by DialReserved succeeds.
+// Once connections hold all descriptors of their budget, Dial fails and DialReserved succeeds.
 func TestReservedDescriptors(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
 	ln, _ := serve(t, l, h)
 	await(t, "a connection", h.accepted)
-	ends := make(chan error, 2)
+	results := make(chan error, 2)
 	l.Post(func() {
 		if err := l.LimitDescriptors(1, 0); err != nil {
 			t.Error(err)
 		}
-		report := func(_ *Conn, err error) { ends <- err }
+		report := func(_ *Conn, err error) { results <- err }
 		l.Dial(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), report)
 		l.DialReserved(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), report)
 	})
-	if err := await(t, "an end", ends); !IsDescriptorShortage(err) {
-		t.Errorf("a dial: %v", err)
+	if err := await(t, "the end of Dial", results); !IsDescriptorShortage(err) {
+		t.Errorf("Dial returned %v, want a descriptor shortage", err)
 	}
-	if err := await(t, "an end", ends); err != nil {
-		t.Errorf("the reserved dial: %v", err)
+	if err := await(t, "the end of DialReserved", results); err != nil {
+		t.Errorf("DialReserved returned %v, want no error", err)
 	}
 }
 
-// Each dial counts two descriptors, each connection one; without a limit all dials begin.
+// Each dial counts as two descriptors, each connection as one; without a limit every dial is allowed.
 func TestDescriptorBudget(t *testing.T) {
 	budget := descriptorBudget{process: 100, reserved: 40}
 	for _, c := range []struct {
@@ -43,12 +43,12 @@
 	} {
 		budget.setShare(c.share)
 		if got := budget.allowsDial(c.conns, c.dials); got != c.want {
-			t.Errorf("%s: dial allowed = %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got allowsDial %v, want %v", c.name, got, c.want)
 		}
 	}
 	var unlimited descriptorBudget
 	unlimited.setShare(0.5)
 	if !unlimited.allowsDial(1<<20, 1<<20) {
-		t.Error("a dial was rejected without a limit")
+		t.Error("got a dial rejected without a limit, want it allowed")
 	}
 }
--- a/internal/netio/echo_bench_test.go
+++ b/internal/netio/echo_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkEcho is one exchange of a small message with a handler that sends it back.
+// BenchmarkEcho measures the round trip of a 100-byte message to a handler that sends it back.
 func BenchmarkEcho(b *testing.B) {
 	l, err := New(0)
 	if err != nil {
@@ -26,13 +26,13 @@
 		_ = client.Close()
 		_ = ln.Close()
 	})
-	message, answer := make([]byte, 100), make([]byte, 100)
+	message, response := make([]byte, 100), make([]byte, 100)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := client.Write(message); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := client.Read(answer); err != nil {
+		if _, err := client.Read(response); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/netio/goroutines_test.go
+++ b/internal/netio/goroutines_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// These tests are for the race detector: what a type lets any goroutine call is called while the loop's and the
-// poller's goroutines work.
+// These tests are meant for the race detector: they call the methods that any goroutine may call while the
+// loop's and the poller's goroutines are at work.
 
 const (
-	testGoroutines = 4
-	testCalls      = 50
+	testGoroutines = 4  // goroutines of callConcurrently
+	testCalls      = 50 // calls on each of them
 )
 
-// fromGoroutines calls f on several goroutines, some times on each, and returns when all have ended.
-func fromGoroutines(f func()) {
+// callConcurrently calls f testCalls times on each of testGoroutines goroutines, and returns once all have ended.
+func callConcurrently(f func()) {
 	var all sync.WaitGroup
 	for range testGoroutines {
 		all.Go(func() {
@@ -30,7 +30,7 @@
 	all.Wait()
 }
 
-// onLoop calls f on the loop's goroutine and returns after it.
+// onLoop calls f on the loop's goroutine and returns once f has.
 func onLoop(t *testing.T, l *Loop, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -38,10 +38,10 @@
 		f()
 		close(done)
 	})
-	await(t, "call on the loop", done)
+	await(t, "a call on the loop", done)
 }
 
-// echo is a handler that sends back what it is told.
+// echo is a handler that sends back its input. closed receives the error of Closed.
 type echo struct{ closed chan error }
 
 func (h echo) Data(c *Conn, in *Buffer) {
@@ -51,7 +51,7 @@
 
 func (h echo) Closed(_ *Conn, err error) { h.closed <- err }
 
-// exchange writes and reads back what an echo returns, until stop is closed.
+// exchange writes single bytes and reads back their echo until stop is closed.
 func exchange(client net.Conn, stop <-chan struct{}) error {
 	b := make([]byte, 1)
 	for {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Other goroutines post, read and set the buffer budget and ask whether a connection has ended, while bytes come
-// and go: each posted function runs once, on one goroutine.
+// While a client exchanges bytes with the loop, other goroutines post functions, set the buffer budget, read
+// BufferedBytes and call Disconnected. Each posted function must run exactly once, on the loop's goroutine.
 func TestLoopFromOtherGoroutines(t *testing.T) {
 	l := startLoop(t)
 	ln, err := Listen("127.0.0.1:0")
@@ -88,19 +88,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := await(t, "connection", conns)
+	c := await(t, "a connection", conns)
 	stop, exchanged := make(chan struct{}), make(chan error, 1)
 	go func() { exchanged <- exchange(client, stop) }()
-	ran := 0 // without a lock: the loop's goroutine alone changes it
-	fromGoroutines(func() {
+	ran := 0 // needs no lock, as only the loop's goroutine uses it
+	callConcurrently(func() {
 		l.Post(func() { ran++ })
 		l.work.postFirst(func() { ran++ })
 		l.SetBufferBudget(DefaultBufferBudget)
-		if l.BufferedBytes() < 0 {
-			t.Error("the buffers hold less than nothing")
+		if n := l.BufferedBytes(); n < 0 {
+			t.Errorf("got BufferedBytes %d, want 0 or more", n)
 		}
 		if c.Disconnected() {
-			t.Error("the connection has ended")
+			t.Error("got a disconnected connection, want an open one")
 		}
 		runtime.Gosched()
 	})
@@ -110,15 +110,15 @@
 		}
 	})
 	close(stop)
-	if err := await(t, "end of the exchange", exchanged); err != nil {
+	if err := await(t, "the end of the exchange", exchanged); err != nil {
 		t.Error(err)
 	}
 	_ = client.Close()
-	_ = await(t, "end", h.closed)
+	_ = await(t, "the end", h.closed)
 }
 
-// Other goroutines pause and resume a listener and ask for its address while clients come: all are accepted in the end. Two
-// close it at once.
+// Other goroutines pause and resume a listener while clients connect: all clients are accepted in the end. Then two
+// goroutines close it at the same time.
 func TestListenerFromOtherGoroutines(t *testing.T) {
 	l := startLoop(t)
 	ln, err := Listen("127.0.0.1:0")
@@ -143,39 +143,40 @@
 		}
 		dialed <- nil
 	}()
-	fromGoroutines(func() {
+	callConcurrently(func() {
 		ln.Pause()
 		runtime.Gosched()
 		ln.Resume()
 	})
 	ln.Resume()
-	if err := await(t, "end of dialling", dialed); err != nil {
+	if err := await(t, "the end of dialing", dialed); err != nil {
 		t.Fatal(err)
 	}
 	for range clients {
-		await(t, "connection", accepted)
+		await(t, "a connection", accepted)
 	}
 	var closers sync.WaitGroup
 	for range 2 {
-		closers.Go(func() { _ = ln.Close() }) // the second finds it closed
+		closers.Go(func() { _ = ln.Close() }) // the second call fails, as it is closed
 	}
 	closers.Wait()
 }
 
-// Other goroutines send datagrams and ask how many were dropped while the socket is read, and close it.
+// Other goroutines send datagrams and call Dropped while the socket is read: each datagram is received or counted as
+// dropped. Then several goroutines close the socket.
 func TestDatagramSocketFromOtherGoroutines(t *testing.T) {
 	l := startLoop(t)
-	received := 0 // without a lock: the loop's goroutine alone changes it
+	received := 0 // needs no lock, as only the loop's goroutine uses it
 	d, err := l.ListenDatagrams("127.0.0.1:0", func(netip.AddrPort, []byte) { received++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromGoroutines(func() {
+	callConcurrently(func() {
 		if err := d.Send(d.Addr(), []byte("x")); err != nil {
 			t.Error(err)
 		}
-		if d.Dropped() < 0 {
-			t.Error("fewer than none were dropped")
+		if n := d.Dropped(); n < 0 {
+			t.Errorf("got Dropped %d, want 0 or more", n)
 		}
 	})
 	const sent = testGoroutines * testCalls
@@ -186,8 +187,8 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("of %d datagrams some never came", sent)
+			t.Fatalf("got fewer than the %d sent datagrams received or dropped within %v", sent, awaitLimit)
 		}
 	}
-	fromGoroutines(d.Close)
+	callConcurrently(d.Close)
 }
--- a/internal/netio/helpers_test.go
+++ b/internal/netio/helpers_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// awaitLimit bounds each wait of a test.
+// awaitLimit bounds how long a test waits for one event.
 const awaitLimit = 5 * time.Second
 
-// recorder is a handler that passes on what it is told of one connection. It consumes two bytes of each call.
+// recorder is a handler that reports the events of its connection on channels. Each call of Data consumes at most
+// two bytes.
 type recorder struct {
-	received chan string
-	closed   chan error
-	accepted chan *Conn
+	received chan string // the whole buffer at each call of Data
+	closed   chan error  // the error of Closed
+	accepted chan *Conn  // the connection, at each call of accept
 }
 
 func newRecorder() *recorder {
@@ -27,13 +28,13 @@
 
 func (r *recorder) Closed(_ *Conn, err error) { r.closed <- err }
 
-// accept is the recorder as the handler of an accepted connection.
+// accept returns the recorder as the handler of c.
 func (r *recorder) accept(c *Conn) Handler {
 	r.accepted <- c
 	return r
 }
 
-// startLoop is a loop that runs until the test's end.
+// startLoop returns a loop that runs until the end of the test.
 func startLoop(t *testing.T) *Loop {
 	t.Helper()
 	l, err := New(0)
@@ -45,7 +46,8 @@
 	return l
 }
 
-// serve is a listener of a loop whose connections the recorder has, and a client of it.
+// serve returns a listener of a loop, with the recorder as the handler of its connections, and a client that is
+// connected to it.
 func serve(t *testing.T, l *Loop, r *recorder) (*Listener, net.Conn) {
 	t.Helper()
 	ln, err := Listen("127.0.0.1:0")
@@ -58,13 +60,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = client.Close() // some tests have closed it
+		_ = client.Close() // fails if the test has closed it
 		_ = ln.Close()
 	})
 	return ln, client
 }
 
-// tcpPair is both ends of a connection, and another descriptor of the server's.
+// tcpPair returns both ends of a TCP connection, and a duplicate of the server's descriptor.
 func tcpPair(t *testing.T) (client, server *net.TCPConn, serverFD int) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,20 +87,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = dialed.Close() // some tests have closed them
+		_ = dialed.Close() // fails if the test has closed it
 		_ = accepted.Close()
 		_ = file.Close()
 	})
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn), int(file.Fd())
 }
 
-// await receives within awaitLimit.
+// await receives from c, and fails the test if nothing arrives within awaitLimit.
 func await[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(awaitLimit):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
--- a/internal/netio/journal_test.go
+++ b/internal/netio/journal_test.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// journalRecorder is a journal that passes on what it is told, in order.
+// journalRecorder is a journal that reports its entries on a channel, in order.
 type journalRecorder struct{ entries chan string }
 
 func (r journalRecorder) Input(_ *Conn, _ int64, b []byte) { r.entries <- "in " + string(b) }
@@ -15,8 +15,8 @@
 
 func (r journalRecorder) Ended(*Conn) { r.entries <- "end" }
 
-// A journal is given bytes before they are consumed or written, at the positions that the
-// kernel reports, and is told of the connection's end.
+// A journal records bytes before they are consumed or written, its positions agree with those that the kernel
+// reports, and it is notified of the connection's end.
 func TestJournal(t *testing.T) {
 	l := startLoop(t)
 	client, server, fd := tcpPair(t)
@@ -38,25 +38,25 @@
 		}
 		conns <- c
 	})
-	c := await(t, "connection", conns)
+	c := await(t, "a connection", conns)
 	_, _ = client.Write([]byte("abc"))
-	if got := await(t, "record", r.entries); got != "in abc" {
-		t.Errorf("recorded %q", got)
+	if got := await(t, "a journal entry", r.entries); got != "in abc" {
+		t.Errorf("got journal entry %q, want %q", got, "in abc")
 	}
 	await(t, "data", h.received)
-	done := make(chan int64, 2)
+	consumed := make(chan int64, 2)
 	l.Post(func() {
-		done <- c.ConsumedPosition() - start.Read
+		consumed <- c.ConsumedPosition() - start.Read
 		c.Write([]byte("xyz"))
 	})
-	if n := await(t, "position", done); n != 2 {
-		t.Errorf("consumed to %d, want 2", n)
+	if n := await(t, "the position", consumed); n != 2 {
+		t.Errorf("got consumed position %d after the start, want 2", n)
 	}
-	if got := await(t, "record", r.entries); got != "out xyz" {
-		t.Errorf("recorded %q", got)
+	if got := await(t, "a journal entry", r.entries); got != "out xyz" {
+		t.Errorf("got journal entry %q, want %q", got, "out xyz")
 	}
 	_ = client.Close()
-	if got := await(t, "record", r.entries); got != "end" {
-		t.Errorf("recorded %q", got)
+	if got := await(t, "a journal entry", r.entries); got != "end" {
+		t.Errorf("got journal entry %q, want %q", got, "end")
 	}
 }
--- a/internal/netio/listener_test.go
+++ b/internal/netio/listener_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A listener is closed at once though its accept hangs in the kernel, as another process that holds the socket has made it a
-// blocking one. Guards against a loop that blocks in Close until the next client comes.
+// Another process that shares a listener's socket may make it blocking, so that an accept blocks in the kernel. Close
+// must return soon all the same. Otherwise the loop would block in Close until the next client connects.
 func TestCloseOfBlockingListener(t *testing.T) {
 	l := startLoop(t)
 	r := &recorder{accepted: make(chan *Conn, 2), closed: make(chan error, 2)}
@@ -31,7 +31,7 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	dial() // whether the accept waits in the poller or in the kernel: after this one it is in the kernel
+	dial() // the accept may wait in Go's poller now; after this client the next one blocks in the kernel
 	<-r.accepted
 	closed := make(chan struct{})
 	l.Post(func() {
@@ -41,7 +41,7 @@
 	select {
 	case <-closed:
 	case <-time.After(awaitLimit):
-		t.Error("the loop waits for the next client")
+		t.Error("Close blocked until the next client, want it to return within maxCloseWait")
 		dial()
 		<-closed
 	}
--- a/internal/netio/loop_test.go
+++ b/internal/netio/loop_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A loop that is told to stop does not sleep first until something else happens.
+// After Stop a loop does not sleep until its next event first.
 func TestStopDoesNotSleep(t *testing.T) {
 	for name, stop := range map[string]func(*Loop){
-		"by a timer": func(l *Loop) { l.Timers.Add(l.Now(), l.Stop) },
-		"by a timer, as another is far away": func(l *Loop) {
+		"stopped by its only timer": func(l *Loop) { l.Timers.Add(l.Now(), l.Stop) },
+		"stopped by a timer while another is due in an hour": func(l *Loop) {
 			l.Timers.Add(l.Now(), l.Stop)
 			l.Timers.Add(l.Now()+time.Hour, func() {})
 		},
@@ -28,14 +28,15 @@
 		select {
 		case <-done:
 		case <-time.After(awaitLimit):
-			t.Errorf("%s: it continues", name)
+			t.Errorf("%s: Run has not returned after %v, want it to return at once", name, awaitLimit)
 			l.Post(func() {})
 			<-done
 		}
 	}
 }
 
-// Urgent work waits for one other function at most, and work that is posted by another waits for the next iteration.
+// Urgent functions wait for at most one other function, and a function that is posted by another one waits for the
+// next iteration.
 func TestWorkOrder(t *testing.T) {
 	w := workQueue{wake: make(chan struct{}, 1)}
 	var order []string
@@ -49,24 +50,24 @@
 	w.postFirst(note("urgent"))
 	w.run()
 	if got, want := strings.Join(order, ", "), "urgent, first, urgent by first, second"; got != want {
-		t.Errorf("ran %s, want %s", got, want)
+		t.Errorf("got order %s, want %s", got, want)
 	}
 	w.run()
 	if got, want := order[len(order)-1], "posted by first"; got != want {
-		t.Errorf("ran %s last, want %s", got, want)
+		t.Errorf("got %s as the last function, want %s", got, want)
 	}
 }
 
-// The clock goes forward to what it is set to, and never back.
+// advance sets the clock forward and never back.
 func TestAdvanceClock(t *testing.T) {
 	c := newClock()
 	start := c.now()
 	c.advance(start + time.Hour)
 	if ahead := c.now(); ahead < start+time.Hour {
-		t.Errorf("%v after the start, want an hour", ahead-start)
+		t.Errorf("got the clock %v after the start, want an hour or more", ahead-start)
 	}
 	c.advance(start)
 	if now := c.now(); now < start+time.Hour {
-		t.Errorf("the clock went back to %v after the start", now-start)
+		t.Errorf("got the clock set back to %v after the start, want an hour or more", now-start)
 	}
 }
--- a/internal/netio/tls_test.go
+++ b/internal/netio/tls_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// selfSigned is a server's certificate for 127.0.0.1, and the pool that trusts it.
+// selfSigned returns a self-signed server certificate for 127.0.0.1, and a pool that trusts it.
 func selfSigned(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -37,8 +37,9 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool
 }
 
-// A handshake runs on goroutines of its own at both ends, one in each of two loops, and hands the session to the loop: what
-// either side writes then, of several records, comes to the other as plain bytes.
+// A TLS client in one loop connects to a TLS server in another. Each handshake runs on a goroutine of its own and then
+// passes the session to its loop. Data of several records that either side writes afterwards reaches the other
+// side's handler decrypted.
 func TestTLSBetweenLoops(t *testing.T) {
 	certificate, pool := selfSigned(t)
 	serverLoop, clientLoop := startLoop(t), startLoop(t)
@@ -68,39 +69,39 @@
 			conns <- c
 		})
 	})
-	c := await(t, "connection", conns)
+	c := await(t, "a connection", conns)
 	for range 2 {
-		if err := await(t, "handshake", handshakes); err != nil {
+		if err := await(t, "the handshake", handshakes); err != nil {
 			t.Fatal(err)
 		}
 	}
 	const size = 3*tlsReadSize + 7
 	clientLoop.Post(func() {
 		if !c.UsesTLS() || !c.Write([]byte(strings.Repeat("x", size))) {
-			t.Error("the client did not write over TLS")
+			t.Error("got a connection without TLS or a failed write, want a write over TLS")
 		}
 	})
-	for await(t, "echo", client.counted) < size {
+	for await(t, "the echo", client.counted) < size {
 	}
 	clientLoop.Post(c.Close)
-	if n := await(t, "end at the client", client.closed); n != size {
+	if n := await(t, "the end at the client", client.closed); n != size {
 		t.Errorf("the client received %d bytes, want %d", n, size)
 	}
-	_ = await(t, "end at the server", server.closed)
+	_ = await(t, "the end at the server", server.closed)
 }
 
-// A handshake that the peer never begins ends with its time-out, and its goroutine with it.
+// If the peer never starts the handshake, the handshake fails at its timeout, and the connection is closed.
 func TestTLSHandshakeTimeout(t *testing.T) {
 	l := startLoop(t)
 	r := newRecorder()
 	serve(t, l, r)
-	c := await(t, "connection", r.accepted)
+	c := await(t, "a connection", r.accepted)
 	handshake := make(chan error, 1)
 	l.Post(func() {
 		c.StartServerTLS(&tls.Config{}, 20*time.Millisecond, func(_ tls.ConnectionState, err error) { handshake <- err })
 	})
-	if err := await(t, "end of the handshake", handshake); err == nil {
-		t.Error("the handshake succeeded without a client")
+	if err := await(t, "the end of the handshake", handshake); err == nil {
+		t.Error("got a successful handshake without a client, want an error")
 	}
-	_ = await(t, "end", r.closed)
+	_ = await(t, "the end", r.closed)
 }
--- a/internal/netio/transfer_test.go
+++ b/internal/netio/transfer_test.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A connection goes from one loop to another with what was read of it, while a duplicate of
-// it stays open: its peer notices nothing, the first loop is told nothing more of it (also not
-// under the number of its descriptor, which another has next), and its listener can pause.
+// A connection moves from one loop to another together with its unread bytes, while a duplicate of its socket stays
+// open. The peer notices nothing, and the first loop gets no further event of the connection, also not for the next
+// connection that has the same descriptor number. The first loop's listener can pause and resume.
 func TestDetachAttach(t *testing.T) {
 	loops := [2]*Loop{}
 	for i := range loops {
@@ -19,14 +19,14 @@
 	ln, client := serve(t, loops[0], first)
 	_, _ = client.Write([]byte("abcdef"))
 	if got := await(t, "data", first.received); got != "abcdef" {
-		t.Errorf("the first loop read %q", got)
+		t.Errorf("the first loop got %q, want %q", got, "abcdef")
 	}
-	c := await(t, "connection", first.accepted)
+	c := await(t, "a connection", first.accepted)
 	kept := make(chan int, 1)
 	loops[0].Post(func() {
 		fd, unread, err := c.Detach()
 		if err != nil || string(unread) != "cdef" {
-			t.Errorf("detached with %q, %v", unread, err)
+			t.Errorf("Detach returned unread bytes %q, error %v; want %q and no error", unread, err, "cdef")
 		}
 		dup, _ := unix.Dup(fd)
 		kept <- dup
@@ -36,41 +36,41 @@
 			}
 		})
 	})
-	duplicate := await(t, "duplicate", kept)
+	duplicate := await(t, "the duplicate", kept)
 	defer func() { _ = unix.Close(duplicate) }()
-	if got := await(t, "what was read before", second.received); got != "cdef" {
-		t.Errorf("the second loop took %q", got)
+	if got := await(t, "the unread bytes", second.received); got != "cdef" {
+		t.Errorf("the second loop got %q, want %q", got, "cdef")
 	}
-	await(t, "pause", ln.Pause())
-	other, err := net.Dial("tcp", ln.Addr().String()) // it is in the backlog
+	await(t, "the pause", ln.Pause())
+	other, err := net.Dial("tcp", ln.Addr().String()) // stays in the backlog during the pause
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = other.Close() }()
 	_, _ = client.Write([]byte("gh"))
 	if got := await(t, "new data", second.received); got != "efgh" {
-		t.Errorf("the second loop read %q", got)
+		t.Errorf("the second loop got %q, want %q", got, "efgh")
 	}
 	select {
 	case <-first.accepted:
-		t.Error("a paused listener accepted")
+		t.Error("the paused listener accepted a connection, want none")
 	case got := <-first.received:
-		t.Errorf("the first loop read %q", got)
+		t.Errorf("the first loop got %q after the transfer, want nothing", got)
 	default:
 	}
 	ln.Resume()
-	await(t, "connection after the pause", first.accepted)
-	d := await(t, "connection", second.accepted)
+	await(t, "a connection after the pause", first.accepted)
+	d := await(t, "a connection", second.accepted)
 	loops[1].Post(func() { d.Write([]byte("ok")) })
 	b := make([]byte, 2)
 	if _, err := client.Read(b); err != nil || string(b) != "ok" {
-		t.Errorf("the client read %q, %v", b, err)
+		t.Errorf("the client read %q, error %v; want %q and no error", b, err, "ok")
 	}
 	_ = client.Close()
-	_ = await(t, "end", second.closed)
+	_ = await(t, "the end", second.closed)
 	select {
 	case err := <-first.closed:
-		t.Errorf("the first loop was told of the end: %v", err)
+		t.Errorf("the first loop called Closed with error %v, want no call", err)
 	default:
 	}
 }
