--- a/internal/netio/connection.go
+++ b/internal/netio/connection.go
@@ -17,8 +17,8 @@
 	// maxDrainTime bounds how long input is read and dropped after this side has shut down its write
 	// side, while the peer has not closed its own.
 	maxDrainTime = 500 * time.Millisecond
-	// maxDrainBytes bounds how many bytes are read during that time; the rest stays in the socket.
-	// It limits the cost of a peer that keeps sending.
+	// maxDrainBytes bounds how many bytes a closing connection reads and drops, but for the last read, which
+	// may exceed it; the rest stays in the socket. It limits the cost of a peer that keeps sending.
 	maxDrainBytes = 256 << 10
 )
 
@@ -82,13 +82,14 @@
 	onEnd        func()              // called on the loop's goroutine once the connection has ended
 }
 
-// open makes a connection of a connected socket and adds it to the poller.
+// open returns a Conn for a connected socket and adds the socket to the poller.
 func (l *Loop) open(socket *nbio.Conn, o connOptions) (*Conn, error) {
 	c := new(Conn)
 	c.initialize(l, socket, o)
 	c.handler = o.accept(c)
 	socket.SetSession(c)
-	l.poller.barrier.wait(socket.Hash()) // directly before the add: the loop must not close a socket in between
+	// The wait is directly before the add, so that the loop can't close another socket in between.
+	l.poller.barrier.wait(socket.Hash())
 	l.conns[c] = struct{}{}
 	if err := l.poller.add(socket); err != nil {
 		_ = socket.Close()
@@ -98,8 +99,8 @@
 	return c, nil
 }
 
-// initialize sets the fields that the poller's goroutine reads, holding the lock that it takes before it
-// reads them. A composite literal would write the mutex itself without holding it.
+// initialize sets the fields that the poller's goroutine reads. It holds the mutex, as the poller's goroutine
+// locks it before it reads them. A composite literal would write the mutex itself without holding it.
 func (c *Conn) initialize(l *Loop, socket *nbio.Conn, o connOptions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,10 +135,10 @@
 func (c *Conn) Ended() bool { return c.ended }
 
 // Close ends the connection gracefully: pending writes are sent, the write side is shut down, and what the
-// peer still sends is read and dropped until it closes its side, for at most maxDrainTime. Data is not
-// called again; Closed is called later. Closing a socket that holds unread bytes would send a reset, which
-// destroys responses that the peer has not read yet. Dropping the input also means that no request
-// that arrives at the moment of the close is accepted.
+// peer still sends is read and dropped until it closes its side, up to maxDrainTime and maxDrainBytes. Data
+// is not called again; Closed is called later. Closing a socket that holds unread bytes would send a reset,
+// which destroys responses that the peer has not read yet. Dropping the input also means that no request that
+// arrives at the moment of the close is accepted.
 func (c *Conn) Close() {
 	if c.closing.Load() || c.ended {
 		return
@@ -167,7 +168,7 @@
 	c.lingerFor(maxDrainTime)
 }
 
-// lingerFor has the socket of a closing connection closed after d.
+// lingerFor starts the timer that closes the socket of a closing connection after d.
 func (c *Conn) lingerFor(d time.Duration) {
 	c.lingerTimer = c.loop.Timers.Add(c.loop.Now()+d, func() { c.closeSocket(nil) })
 }
@@ -179,7 +180,7 @@
 // goroutine, and on the poller's goroutine while it handles an event of the connection.
 func (c *Conn) closeSocket(err error) {
 	fd := c.socket.Hash()
-	if c.shared && isConnectedTo(fd, c.socket.RemoteAddr()) { // otherwise it is closed, and its number belongs to another socket
+	if c.shared && isConnectedTo(fd, c.socket.RemoteAddr()) { // a closed socket's number may belong to another connection
 		c.loop.poller.forget(fd)
 	}
 	_ = c.socket.CloseWithError(err) // fails only if the socket was closed before
--- a/internal/netio/connection_read.go
+++ b/internal/netio/connection_read.go
@@ -10,17 +10,18 @@
 // errBufferBudget is the error of a connection that was closed because it exceeded the buffer budget.
 var errBufferBudget = errors.New("the buffers of all connections are full")
 
-// read reads from the socket until it is empty or the buffer is full. It runs on the poller's goroutine when
-// there is new data, and on the loop's when the buffer is below its limit again. sharedEnd is true if
-// another process may have the socket open and the peer has closed its side.
-func (c *Conn) read(buffer []byte) (sharedEnd bool) {
+// read reads from the socket until it is empty or the connection's buffer is full. It runs on the poller's
+// goroutine when there is new data, and on the loop's when the buffer is below its limit again. scratch is the
+// memory for one read; its content does not matter. sharedEnd is true if another process may have the socket
+// open and the peer has closed its side.
+func (c *Conn) read(scratch []byte) (sharedEnd bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sharedEnd = c.shared && hungUp(c.socket.Hash())
 	received := false
 	for !c.readStopped.Load() {
 		if c.closing.Load() {
-			if !c.discard(buffer) {
+			if !c.discard(scratch) {
 				break
 			}
 			continue
@@ -29,7 +30,7 @@
 			c.readPaused = true
 			break
 		}
-		n, more := c.receive(buffer)
+		n, more := c.receive(scratch)
 		received = received || n > 0
 		if !more {
 			break
@@ -48,17 +49,18 @@
 	return c.in.Len() >= c.bufferLimit() && (!c.dialed || !hungUp(c.socket.Hash()))
 }
 
-// receive reads once into the buffer. It closes the socket on a read error, or if the buffers exceed their
-// budget. more is false if the socket has nothing more to read; at the end of the stream the poller closes it.
-func (c *Conn) receive(buffer []byte) (n int, more bool) {
+// receive reads once and appends the bytes to the connection's buffer. It closes the socket on a read error, or
+// if the buffers exceed their budget. more is false if the socket has nothing more to read; at the end of the
+// stream the poller closes it.
+func (c *Conn) receive(scratch []byte) (n int, more bool) {
 	var err error
 	if c.journal != nil {
-		n, err = c.readJournaled(buffer)
+		n, err = c.readJournaled(scratch)
 	} else {
-		n, err = c.socket.Read(buffer)
+		n, err = c.socket.Read(scratch)
 	}
 	if n > 0 {
-		c.in.append(buffer[:n])
+		c.in.append(scratch[:n])
 		c.chargeBudget(n)
 		return n, true
 	}
@@ -72,8 +74,8 @@
 }
 
 // chargeBudget adds n bytes to the total of all buffers. If the total exceeds the buffer budget and this
-// connection holds more than one read, it closes the connection. This limits the memory that many peers can
-// occupy by each stopping in the middle of a long message.
+// connection holds more than one read (readSize), it closes the connection. This limits the memory that many
+// peers can occupy by each stopping in the middle of a long message.
 func (c *Conn) chargeBudget(n int) {
 	if c.loop.bufferedBytes.Add(int64(n)) <= c.loop.bufferBudget.Load() || c.in.Len() <= readSize {
 		return
@@ -86,8 +88,8 @@
 
 // discard reads once from a connection that is closing, and drops the bytes. It stops reading for good
 // after maxDrainBytes. more is false if the socket has nothing more to read.
-func (c *Conn) discard(buffer []byte) (more bool) {
-	n, err := c.socket.Read(buffer)
+func (c *Conn) discard(scratch []byte) (more bool) {
+	n, err := c.socket.Read(scratch)
 	c.discardedBytes += max(n, 0)
 	if c.discardedBytes > maxDrainBytes {
 		c.readStopped.Store(true)
@@ -96,7 +98,7 @@
 }
 
 // bufferLimit returns how many bytes the buffer may hold before reading pauses, so that the peer's writes
-// block. It has to be enough for the largest message; one read may exceed it.
+// block. readLimit has to be enough for the largest message. The last read may exceed the limit.
 func (c *Conn) bufferLimit() int {
 	if c.readAheadLimited.Load() {
 		return min(readSize, c.readLimit)
@@ -108,7 +110,7 @@
 // nothing because a request of the client is in flight, and must call ScheduleData after it lifts it.
 func (c *Conn) LimitReadAhead(limited bool) { c.readAheadLimited.Store(limited) }
 
-// ScheduleData has Data called once more, for the bytes that an earlier call left in the buffer.
+// ScheduleData schedules another call of Data, for the bytes that an earlier call left in the buffer.
 func (c *Conn) ScheduleData() { c.loop.Post(c.deliver) }
 
 // deliver passes the buffer to the handler, and resumes reading once the buffer is below its limit.
--- a/internal/netio/connection_test.go
+++ b/internal/netio/connection_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A connection that is closed ends in the end even if its peer never closes its side and keeps sending.
+// After Close, a connection ends even if its peer never closes its side and keeps sending.
 func TestCloseWithPeerThatStaysOpen(t *testing.T) {
 	l := startLoop(t)
 	h := newRecorder()
--- a/internal/netio/connection_write.go
+++ b/internal/netio/connection_write.go
@@ -5,7 +5,9 @@
 const MaxPendingWrite = 8 << 20
 
 // Write sends p, and queues what the socket does not take at once. It reports whether p was sent or queued.
-// If not, no byte of it was or will be sent, and Closed is called.
+// If not, no byte of it was or will be sent, and the connection has ended or is ending, unless p is empty or the
+// TLS handshake is in progress. On a TLS connection, an error of the socket is not reported here; it closes the
+// connection.
 func (c *Conn) Write(p []byte) bool {
 	if c.ended || c.closing.Load() || len(p) == 0 {
 		return false
@@ -36,7 +38,7 @@
 // Pending returns the number of written bytes that the socket has not taken yet.
 func (c *Conn) Pending() int { return int(c.pendingBytes.Load()) }
 
-// WhenWritten has f called once, in a later iteration of the loop, when nothing is pending. It replaces the
+// WhenWritten schedules one call of f, in a later iteration of the loop, when nothing is pending. It replaces the
 // function of an earlier call; f may be nil.
 func (c *Conn) WhenWritten(f func()) {
 	c.onWritten = f
--- a/internal/netio/datagram_socket.go
+++ b/internal/netio/datagram_socket.go
@@ -27,10 +27,10 @@
 type DatagramSocket struct {
 	loop     *Loop
 	conn     *net.UDPConn
-	rawWrite func(func(uintptr) bool) error
-	isIPv4   bool         // the socket's family is AF_INET rather than AF_INET6
-	waiting  atomic.Int64 // datagrams posted to the loop and not received yet
-	dropped  atomic.Int64 // datagrams dropped because of maxWaitingDatagrams
+	rawWrite func(func(uintptr) bool) error // calls a function with the socket's descriptor, see syscall.RawConn.Write
+	isIPv4   bool                           // the socket's family is AF_INET rather than AF_INET6
+	waiting  atomic.Int64                   // datagrams posted to the loop and not received yet
+	dropped  atomic.Int64                   // datagrams dropped because of maxWaitingDatagrams
 }
 
 // ListenDatagrams opens a UDP socket bound to addr. receive is called on the loop's goroutine for each datagram
--- a/internal/netio/descriptor_budget_test.go
+++ b/internal/netio/descriptor_budget_test.go
@@ -18,10 +18,10 @@
 		l.DialReserved(ln.Addr().String(), maxFlushTime, 1024, newRecorder(), report)
 	})
 	if err := await(t, "the end of Dial", results); !IsDescriptorShortage(err) {
-		t.Errorf("Dial returned %v, want a descriptor shortage", err)
+		t.Errorf("Dial reported %v, want a descriptor shortage", err)
 	}
 	if err := await(t, "the end of DialReserved", results); err != nil {
-		t.Errorf("DialReserved returned %v, want no error", err)
+		t.Errorf("DialReserved reported %v, want no error", err)
 	}
 }
 
--- a/internal/netio/journal.go
+++ b/internal/netio/journal.go
@@ -52,13 +52,13 @@
 
 // readJournaled peeks at the socket's input, records it in the journal, and only then reads it: if the
 // process dies at any point in between, every byte is in the socket or in the journal. The lock is held.
-func (c *Conn) readJournaled(buffer []byte) (int, error) {
-	n, _, err := syscall.Recvfrom(c.socket.Hash(), buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+func (c *Conn) readJournaled(scratch []byte) (int, error) {
+	n, _, err := syscall.Recvfrom(c.socket.Hash(), scratch, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	if err != nil || n == 0 {
 		return 0, err
 	}
-	c.journal.Input(c, c.readPosition, buffer[:n])
-	n, err = c.socket.Read(buffer[:n])
+	c.journal.Input(c, c.readPosition, scratch[:n])
+	n, err = c.socket.Read(scratch[:n])
 	if n > 0 {
 		c.readPosition += int64(n)
 	}
--- a/internal/netio/listener.go
+++ b/internal/netio/listener.go
@@ -16,7 +16,7 @@
 	// acceptPause is the delay after a failed accept. Without it the goroutine would spin while the
 	// descriptor table is full, as the listener stays readable all that time.
 	acceptPause = 20 * time.Millisecond
-	// maxConvertAttempts bounds how often a connection that has no descriptor for its duplicate tries again,
+	// maxConvertAttempts bounds how often pollerSocketWithRetry tries to get a descriptor for one connection,
 	// at intervals of acceptPause.
 	maxConvertAttempts = 250
 	// maxCloseWait bounds how long Listener.Close blocks its caller.
@@ -26,8 +26,8 @@
 // Listener accepts connections for a loop. It can be paused with its socket open: clients that connect
 // meanwhile wait in the backlog. Its methods may be called from any goroutine.
 type Listener struct {
-	// HighPriority has the events of its connections handled before all other posted work. It must be set
-	// before Serve.
+	// HighPriority makes the loop handle the events of the listener's connections before all other posted
+	// work. It must be set before Serve.
 	HighPriority bool
 
 	tcp    *net.TCPListener
@@ -165,7 +165,7 @@
 type acceptor struct {
 	loop      *Loop
 	listener  *Listener
-	readLimit int
+	readLimit int                 // bytes that a connection's buffer may hold before reading pauses
 	post      func(func())        // queues a function for the loop's goroutine
 	accept    func(*Conn) Handler // called on the loop's goroutine
 	slots     chan struct{}       // semaphore with one element per open connection; nil for no limit
@@ -199,7 +199,7 @@
 		return
 	}
 	a.post(func() {
-		// On an error, open has the handler's Closed called.
+		// The error needs no handling here: open passes it to the handler's Closed.
 		_, _ = a.loop.open(socket, connOptions{
 			readLimit: a.readLimit, highPriority: a.listener.HighPriority, accept: a.accept, onEnd: a.releaseSlot,
 		})
@@ -219,7 +219,7 @@
 }
 
 // pollerSocketWithRetry converts a connection to one of nbio, which takes a second descriptor for a moment. If none
-// is free, it waits for one and blocks its caller, so that nothing else is accepted meanwhile: closing the
+// is free, it waits for one. It blocks its caller meanwhile, so that an acceptor accepts nothing else: closing the
 // connection would reject a client, and accepting more would use up the descriptors that become free. If none
 // becomes free in maxConvertAttempts, or on any other error, it closes the connection and returns nil.
 func pollerSocketWithRetry(std net.Conn) *nbio.Conn {
--- a/internal/netio/loop.go
+++ b/internal/netio/loop.go
@@ -40,7 +40,7 @@
 	conns       map[*Conn]struct{}
 	dials       int // number of dials in progress
 	descriptors descriptorBudget
-	readBuffer  []byte
+	readBuffer  []byte // scratch memory for reads on the loop's goroutine
 	stopping    bool
 }
 
@@ -138,7 +138,7 @@
 	spare     []func()    // the last iteration's queue, emptied for reuse; only for the loop's goroutine
 }
 
-// post has f run after all that is queued.
+// post queues f after all other functions.
 func (w *workQueue) post(f func()) {
 	w.mu.Lock()
 	w.queue = append(w.queue, f)
@@ -146,8 +146,8 @@
 	w.signal()
 }
 
-// postFirst has f run as urgent work, before all that post has queued: it waits for at most one other
-// function of post.
+// postFirst queues f as urgent work, which runs before all functions that post has queued. Of those, it waits for
+// at most the one that is running.
 func (w *workQueue) postFirst(f func()) {
 	w.mu.Lock()
 	w.urgent = append(w.urgent, f)
--- a/internal/netio/loop_test.go
+++ b/internal/netio/loop_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// After Stop a loop does not sleep until its next event first.
+// Run returns after Stop without sleeping until the next timer or posted function first.
 func TestStopDoesNotSleep(t *testing.T) {
 	for name, stop := range map[string]func(*Loop){
 		"stopped by its only timer": func(l *Loop) { l.Timers.Add(l.Now(), l.Stop) },
--- a/internal/netio/poller.go
+++ b/internal/netio/poller.go
@@ -28,8 +28,8 @@
 )
 
 // poller is an nbio engine with one poller. Its callbacks run on the engine's goroutine, which newPoller starts
-// and stop ends, called the poller's goroutine in this package; its methods may be called only on the loop's
-// goroutine.
+// and stop ends, called the poller's goroutine in this package. forget may be called on any goroutine, the other
+// methods only on the loop's.
 type poller struct {
 	engine  *nbio.Engine
 	barrier *pollerBarrier
@@ -109,7 +109,8 @@
 	}
 }
 
-// stop ends the poller's goroutine. If that takes longer than maxStopWait, stop returns before it has ended.
+// stop ends the poller's goroutine. If that takes longer than maxStopWait, stop returns earlier, and the goroutine
+// ends with the process at the latest.
 func (p *poller) stop() {
 	p.barrier.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), maxStopWait)
--- a/internal/netio/poller_barrier.go
+++ b/internal/netio/poller_barrier.go
@@ -67,9 +67,9 @@
 	return socket, nil
 }
 
-// recordClose records that a descriptor was closed, other than by the poller itself while it handled an event of
-// that descriptor. Such a close needs no record: epoll_wait returns one event per descriptor at most, so the
-// poller has no further one for it.
+// recordClose records that Conn.closeSocket or a failed write closed a descriptor. A descriptor that nbio closes
+// while it handles an event of that descriptor needs no record: epoll_wait returns at most one event per
+// descriptor, so the poller holds no further one for it.
 func (b *pollerBarrier) recordClose(fd int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,8 +113,9 @@
 	b.cond.Broadcast()
 }
 
-// wait blocks until a new connection may use the descriptor number fd. Unless the number was closed lately, it
-// returns at once.
+// wait blocks until a new connection may use the descriptor number fd. If no recorded close of that number is left,
+// it returns at once; otherwise once the poller has read the byte in flight and, if that was written before the
+// close, one more.
 func (b *pollerBarrier) wait(fd int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/netio/poller_barrier_test.go
+++ b/internal/netio/poller_barrier_test.go
@@ -64,7 +64,7 @@
 	// The first connection blocks the poller. Its next iteration then fetches the input of the second connection
 	// and the hang-up of the old one, in this order.
 	_, _ = peers[0].Write([]byte("a"))
-	await(t, "the poller", journals[0].entered)
+	await(t, "the poller's read of the first connection", journals[0].entered)
 	_, _ = peers[1].Write([]byte("b"))
 	_ = oldPeer.Close()
 	for info := (&unix.TCPInfo{}); info.State != tcpCloseWait; {
@@ -74,7 +74,7 @@
 		}
 	}
 	journals[0].proceed <- struct{}{}
-	await(t, "the poller's next iteration", journals[1].entered)
+	await(t, "the poller's read of the second connection", journals[1].entered)
 
 	number := old.socket.Hash()
 	attached := duplicateForNumber(t, fd, number)
@@ -95,7 +95,7 @@
 	journals[1].proceed <- struct{}{}
 	got := await(t, "the new connection", newNumber)
 	_, _ = peers[0].Write([]byte("a")) // handled in a later iteration
-	await(t, "the poller", journals[0].entered)
+	await(t, "the poller's read of the first connection", journals[0].entered)
 	journals[0].proceed <- struct{}{}
 	_, _ = newPeer.Write([]byte("x"))
 	select {
--- a/internal/netio/tls.go
+++ b/internal/netio/tls.go
@@ -22,7 +22,7 @@
 	pipe        *tlsPipe // carries the encrypted bytes between conn and the connection
 	plain       Buffer   // decrypted bytes that the handler has not consumed
 	established bool     // the handshake has succeeded
-	buffer      []byte   // scratch memory of decrypt
+	scratch     []byte   // memory for one read by decrypt
 }
 
 // StartServerTLS starts TLS on a connection, in the server's role. Bytes that are already in its buffer are taken as
@@ -44,7 +44,7 @@
 
 // startTLS runs the handshake of the TLS connection that newConn returns for a pipe.
 func (c *Conn) startTLS(newConn func(net.Conn) *tls.Conn, timeout time.Duration, done func(tls.ConnectionState, error)) {
-	s := &tlsSession{c: c, buffer: make([]byte, tlsReadSize)}
+	s := &tlsSession{c: c, scratch: make([]byte, tlsReadSize)}
 	s.pipe = &tlsPipe{blocking: true, addr: c.socket.RemoteAddr(), write: func(b []byte) {
 		data := append([]byte(nil), b...)
 		c.loop.Post(func() { c.writeSocket(data) })
@@ -85,8 +85,8 @@
 	s.pipe.close()
 }
 
-// write encrypts and sends p. It reports whether it succeeded; before the end of the handshake it
-// sends nothing. A failure closes the connection.
+// write encrypts and sends p. It reports whether p was encrypted; before the end of the handshake it sends
+// nothing and returns false. An error of the socket closes the connection and is not reported.
 func (s *tlsSession) write(p []byte) bool {
 	if !s.established {
 		return false
@@ -137,8 +137,8 @@
 	before := s.plain.Len()
 	for s.plain.Len() < c.bufferLimit() && err == nil {
 		var n int
-		n, err = s.conn.Read(s.buffer)
-		s.plain.append(s.buffer[:n])
+		n, err = s.conn.Read(s.scratch)
+		s.plain.append(s.scratch[:n])
 	}
 	length := s.plain.Len()
 	c.loop.bufferedBytes.Add(int64(length - before))
--- a/internal/netio/tls_pipe.go
+++ b/internal/netio/tls_pipe.go
@@ -63,7 +63,7 @@
 	p.ready.Signal()
 }
 
-// close has Read return io.EOF once the input is used up, and unblocks a Read that waits.
+// close makes Read return io.EOF once the input is used up, and unblocks a Read that waits.
 func (p *tlsPipe) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -95,7 +95,7 @@
 // RemoteAddr returns the peer's address.
 func (p *tlsPipe) RemoteAddr() net.Addr { return p.addr }
 
-// SetDeadline does nothing, as the loop's timers end a connection.
+// SetDeadline does nothing: the context ends a handshake, and the loop's timers end a connection.
 func (p *tlsPipe) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing, see SetDeadline.
--- a/internal/netio/tls_test.go
+++ b/internal/netio/tls_test.go
@@ -90,7 +90,8 @@
 	_ = await(t, "the end at the server", server.closed)
 }
 
-// If the peer never starts the handshake, the handshake fails at its timeout, and the connection is closed.
+// If the peer never starts the handshake, the handshake fails at its timeout, which ends its goroutine, and the
+// connection is closed.
 func TestTLSHandshakeTimeout(t *testing.T) {
 	l := startLoop(t)
 	r := newRecorder()
--- a/internal/netio/transfer.go
+++ b/internal/netio/transfer.go
@@ -10,16 +10,15 @@
 )
 
 // ErrConnEnded is returned by Conn.Detach for a connection that has ended, or can't be detached because it is
-// closing, uses TLS or has pending writes.
+// closing, uses TLS or has pending writes, or because no descriptor is free for the duplicate.
 var ErrConnEnded = errors.New("the connection has ended")
 
 // errNoDescriptorFree is returned by Loop.Attach if the socket could not be prepared for the poller.
 var errNoDescriptorFree = errors.New("no descriptor is free")
 
-// Detach removes a connection from the loop without ending it. It returns a descriptor of its socket, which the
-// caller owns, and the bytes that were read and not consumed, nil if there are none. The peer does not notice,
-// and Handler.Closed is not called. It fails if the connection has ended, is closing, uses TLS or has pending
-// writes.
+// Detach removes a connection from the loop without ending it. It returns a duplicate of the socket's descriptor,
+// which the caller owns, and the bytes that were read and not consumed, nil if there are none. The peer does not
+// notice, and Handler.Closed is not called. See ErrConnEnded for the cases in which it fails.
 func (c *Conn) Detach() (fd int, unread []byte, err error) {
 	if c.ended || c.closing.Load() || c.tls != nil || c.pendingBytes.Load() > 0 {
 		return -1, nil, ErrConnEnded
@@ -46,9 +45,9 @@
 
 // duplicate removes the socket from epoll and returns a duplicate of its descriptor.
 func (c *Conn) duplicate() (int, error) {
-	own := c.socket.Hash()
-	c.loop.poller.forget(own)
-	fd, err := unix.FcntlInt(uintptr(own), unix.F_DUPFD_CLOEXEC, 0)
+	original := c.socket.Hash()
+	c.loop.poller.forget(original)
+	fd, err := unix.FcntlInt(uintptr(original), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", ErrConnEnded, err)
 	}
--- a/internal/netio/transfer_test.go
+++ b/internal/netio/transfer_test.go
@@ -22,21 +22,21 @@
 		t.Errorf("the first loop got %q, want %q", got, "abcdef")
 	}
 	c := await(t, "a connection", first.accepted)
-	kept := make(chan int, 1)
+	duplicates := make(chan int, 1)
 	loops[0].Post(func() {
 		fd, unread, err := c.Detach()
 		if err != nil || string(unread) != "cdef" {
 			t.Errorf("Detach returned unread bytes %q, error %v; want %q and no error", unread, err, "cdef")
 		}
 		dup, _ := unix.Dup(fd)
-		kept <- dup
+		duplicates <- dup
 		loops[1].Post(func() {
 			if _, err := loops[1].Attach(fd, 1<<16, unread, second.accept); err != nil {
 				t.Error(err)
 			}
 		})
 	})
-	duplicate := await(t, "the duplicate", kept)
+	duplicate := await(t, "the duplicate", duplicates)
 	defer func() { _ = unix.Close(duplicate) }()
 	if got := await(t, "the unread bytes", second.received); got != "cdef" {
 		t.Errorf("the second loop got %q, want %q", got, "cdef")
