--- a/internal/backend/postgres/backend.go
+++ b/internal/backend/postgres/backend.go
@@ -1,5 +1,5 @@
-// Package postgres runs attempts on engines that speak the PostgreSQL wire protocol:
-// one attempt at a time on a connection, which is used again.
+// Package postgres runs attempts on engines that speak the PostgreSQL wire protocol. It pools the
+// connections to each engine; a connection runs one attempt at a time.
 package postgres
 
 import (
@@ -17,21 +17,21 @@
 )
 
 const (
-	// MaxResultBytes bounds the rows of one result, which is held until it is complete.
+	// MaxResultBytes is the maximum size in bytes of the rows of one result. A result is buffered until it is complete.
 	MaxResultBytes = 4 << 20
-	// defaultMaxBufferedBytes and defaultConnectTimeout apply where the options have none.
+	// defaultMaxBufferedBytes and defaultConnectTimeout replace options that are zero or negative.
 	defaultMaxBufferedBytes = 48 << 20
 	defaultConnectTimeout   = time.Second
 )
 
-// Options configure how the backend connects to engines.
+// Options configures how the backend connects to engines.
 type Options struct {
 	User, Database   string
-	Password         string          // for engines that require SCRAM-SHA-256; "": none
-	TLS              *tls.Config     // nil: connections are not encrypted; else an engine that declines is not used
-	ConnectTimeout   time.Duration   // for the connection and its startup together
-	Pool             connpool.Limits // of the connections to each engine
-	MaxBufferedBytes int             // of the rows of all results that are being received
+	Password         string          // for engines that require SCRAM-SHA-256; empty if there is none
+	TLS              *tls.Config     // nil disables encryption; otherwise an engine that declines TLS is not used
+	ConnectTimeout   time.Duration   // maximum time for connecting and the startup together; 0 means 1 s
+	Pool             connpool.Limits // limits for the connections to each engine
+	MaxBufferedBytes int             // maximum size of the rows of all incomplete results together; 0 means 48 MiB
 }
 
 var (
@@ -39,7 +39,7 @@
 	_ core.StreamingBackend = (*Backend)(nil)
 )
 
-// Backend holds the connections to all engines.
+// Backend runs attempts on pooled connections to all engines.
 type Backend struct {
 	loop          *netio.Loop
 	core          *core.Core
@@ -48,11 +48,11 @@
 	log           *slog.Logger
 	engines       *backend.EngineSet[*connection]
 	pools         map[string]*enginePool // by engine ID
-	bufferedBytes int                    // of the rows that are being received
-	scramClient   *scram.Client          // caches what it has computed for each engine's salt; nil: no password
+	bufferedBytes int                    // size of the rows of all incomplete results
+	scramClient   *scram.Client          // caches the keys derived for each engine's salt; nil without a usable password
 }
 
-// New returns a backend that reports to the core.
+// New returns a backend that reports the results and ends of attempts to c.
 func New(loop *netio.Loop, c *core.Core, options Options, counters *metrics.Counters, log *slog.Logger) *Backend {
 	if options.ConnectTimeout <= 0 {
 		options.ConnectTimeout = defaultConnectTimeout
@@ -67,7 +67,7 @@
 	}
 	if options.Password != "" {
 		client, err := scram.SHA256.NewClient("", options.Password, "")
-		if err != nil { // the text can't be a password: engines will reject it
+		if err != nil { // the password contains prohibited characters; connections to engines that require a password will fail
 			log.Error("engine.password", "error", err)
 		}
 		b.scramClient = client
@@ -78,12 +78,12 @@
 // Continue runs the next statement of a transaction on its connection.
 func (b *Backend) Continue(a *core.Attempt) {
 	c, ok := a.BackendState.(*connection)
-	if !ok || c.query.attempt != a || c.socket == nil { // the end of the connection is about to end the attempt
+	if !ok || c.query.attempt != a || c.socket == nil { // the connection has ended, and its end will end the attempt
 		return
 	}
 	c.resetResponse()
 	c.writeStatement()
 }
 
-// SetPriority does nothing: the protocol has no priorities.
+// SetPriority does nothing because the protocol has no priorities.
 func (b *Backend) SetPriority(*core.Attempt, int) {}
--- a/internal/backend/postgres/cancel_request.go
+++ b/internal/backend/postgres/cancel_request.go
@@ -8,16 +8,16 @@
 	"gannetspur/internal/pgproto"
 )
 
-// maxCancelConnectTime bounds the connect of a CancelRequest, which is of no use much later.
+// maxCancelConnectTime is the maximum time to connect for a CancelRequest, which would be useless much later.
 const maxCancelConnectTime = time.Second
 
-// Cancel cancels an attempt, and reports whether it is over. Where it was written, the engine is told on a
-// connection of its own, and the attempt's connection is not used again: the CancelRequest could arrive
-// late and end whatever ran there next.
+// Cancel cancels an attempt, and reports whether it is over. If the statement was already written, Cancel
+// sends a CancelRequest on a separate connection, and the attempt's connection is not reused: the
+// CancelRequest could arrive late and cancel the next statement there.
 func (b *Backend) Cancel(a *core.Attempt) bool {
 	w, waiting := a.BackendState.(*waiter)
 	if waiting {
-		w.leave()
+		w.dequeue()
 		return true
 	}
 	c, ok := a.BackendState.(*connection)
@@ -33,7 +33,7 @@
 		return false
 	}
 	c.clearQuery()
-	if !c.query.written { // the connection is still being opened, for whoever comes next
+	if !c.query.written { // the connection is still starting up, and the next attempt can use it
 		b.dispatch(c.engine.ID)
 		return true
 	}
@@ -42,12 +42,12 @@
 	return true
 }
 
-// canAwaitEnd reports whether the answer, or the end of the connection, will show that the statement is over.
+// canAwaitEnd reports whether the response, or the end of the connection, will show that the statement has ended.
 func (c *connection) canAwaitEnd() bool {
 	return c.query.written && c.socket != nil && !c.retired && c.startup.cancelKey != nil
 }
 
-// requestCancel has the engine cancel what runs on the connection.
+// requestCancel asks the engine to cancel the statement that runs on the connection.
 func (c *connection) requestCancel() {
 	b := c.backend
 	b.counters.Inc("links.cancelled")
@@ -64,10 +64,10 @@
 	})
 }
 
-// cancelConnection handles a connection for a CancelRequest, which has no answer.
+// cancelConnection handles the connection of a CancelRequest, to which engines send no response.
 type cancelConnection struct{}
 
-// Data drops what comes.
+// Data discards all received data.
 func (cancelConnection) Data(_ *netio.Conn, in *netio.Buffer) { in.Consume(in.Len()) }
 
 // Closed does nothing.
--- a/internal/backend/postgres/connection.go
+++ b/internal/backend/postgres/connection.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// maxMessagePause is how long an engine may send nothing in the middle of a message.
+	// maxMessagePause is the maximum time between two reads within one message.
 	maxMessagePause = 2 * time.Second
 	maxMessageBytes = MaxResultBytes
 	maxBufferBytes  = maxMessageBytes + 64<<10
 )
 
 var (
-	errMessageStalled    = errors.New("a message stopped in the middle")
+	errMessageStalled    = errors.New("timeout in the middle of a message")
 	errUnexpectedMessage = errors.New("unexpected message")
 )
 
-// connection is one connection to an engine, from the start of its dial.
+// connection is a connection to an engine. It exists from the moment at which dialing starts.
 type connection struct {
 	backend    *Backend
 	engine     *backend.Engine[*connection]
 	enginePool *enginePool
-	socket     *netio.Conn // nil until it is up, and once it has ended
+	socket     *netio.Conn // nil before the connection is established and after it has ended
 
-	idle        bool // the pool counts on it for a statement
-	retired     bool // takes no more statements
-	lastUsed    time.Duration
-	stallTimer  *timerqueue.Timer // ends it in the middle of a message
-	closeReason core.Outcome      // why it is being closed from this side
+	idle        bool              // the pool counts the connection as idle
+	retired     bool              // the connection takes no more statements
+	lastUsed    time.Duration     // when the connection was last in use or kept by the pool, on the core's clock
+	stallTimer  *timerqueue.Timer // aborts the connection if a message stays incomplete
+	closeReason core.Outcome      // why the gateway closes the connection; OutcomeUnknown if it does not
 
 	startup  startup
 	session  session
@@ -45,9 +45,11 @@
 	response response
 }
 
-// Owner returns the attempt that the connection carries, or nil.
+// Owner returns the attempt that is assigned to the connection, or nil.
 func (c *connection) Owner() *core.Attempt { return c.query.attempt }
 
+// dial opens a connection to the engine. The returned connection accepts an attempt at once, and sends its
+// statement after the startup.
 func (b *Backend) dial(engine *backend.Engine[*connection]) *connection {
 	c := &connection{
 		backend: b, engine: engine, enginePool: b.poolOf(engine.ID),
@@ -67,7 +69,7 @@
 	return c
 }
 
-// Retire makes the connection take no more statements.
+// Retire prevents the connection from taking more statements, and closes it when it is free.
 func (c *connection) Retire() {
 	c.retired = true
 	c.leaveIdle()
@@ -76,6 +78,7 @@
 	}
 }
 
+// close closes the connection. Only the reason of the first call is kept.
 func (c *connection) close(reason core.Outcome) {
 	if c.closeReason == core.OutcomeUnknown {
 		c.closeReason = reason
@@ -87,7 +90,7 @@
 	}
 }
 
-// abort ends the connection, and what is open on it, on something that can't be read.
+// abort logs err, a violation of the protocol by the engine, and closes the connection. Its attempt fails.
 func (c *connection) abort(err error) {
 	if c.socket == nil || c.closeReason != core.OutcomeUnknown {
 		return
@@ -96,7 +99,7 @@
 	c.close(core.OutcomeUnreadable)
 }
 
-// Data handles the messages that are complete.
+// Data handles all complete messages in the buffer.
 func (c *connection) Data(_ *netio.Conn, in *netio.Buffer) {
 	if c.startup.awaitingTLS {
 		c.handleTLSAnswer(in)
@@ -123,12 +126,13 @@
 	}
 }
 
+// handleMessage handles one message. message is the whole message, and body its part after the header.
 func (c *connection) handleMessage(kind byte, body, message []byte) error {
 	switch kind {
 	case pgproto.MessageParameterStatus:
 		c.handleParameterStatus(message)
 		return nil
-	case pgproto.MessageNoticeResponse, pgproto.MessageNotificationResponse: // they are the session's, which no client owns
+	case pgproto.MessageNoticeResponse, pgproto.MessageNotificationResponse: // they concern the session, which belongs to no client
 		return nil
 	case pgproto.MessageErrorResponse:
 		return c.handleError(body)
@@ -141,18 +145,18 @@
 	case c.session.resetting:
 		return nil
 	case c.query.attempt == nil:
-		return fmt.Errorf("%w: %q on an idle connection", errUnexpectedMessage, kind)
+		return fmt.Errorf("%w %q on an idle connection", errUnexpectedMessage, kind)
 	}
 	return c.handleResponseMessage(kind, body, message)
 }
 
-// Closed ends what was open on the connection.
+// Closed handles the end of the socket: it ends the connection's attempt.
 func (c *connection) Closed(*netio.Conn, error) {
 	switch {
 	case c.closeReason != core.OutcomeUnknown:
 	case c.query.attempt == nil:
 		c.closeReason = core.OutcomeIdleClosed
-	case !c.query.written: // its startup was cut off: nothing of the attempt was sent
+	case !c.query.written: // the connection ended during the startup, before the statement was sent
 		c.closeReason = core.OutcomeConnectionRefused
 	default:
 		c.closeReason = core.OutcomeConnectionReset
@@ -160,7 +164,7 @@
 	c.disconnected(c.closeReason)
 }
 
-// disconnected ends what was open on the connection, and lets the pool fill its place.
+// disconnected ends the connection's attempt and removes the connection, so that the pool can replace it.
 func (c *connection) disconnected(outcome core.Outcome) {
 	wasUp := c.startup.done
 	c.retired = true
@@ -175,12 +179,13 @@
 		c.endDisconnected(outcome)
 	}
 	c.backend.dispatch(c.engine.ID)
-	if wasUp { // otherwise nothing listens there, and dialing at once would go on for ever
+	if wasUp { // without this check, an engine that refuses connections would be dialed in an endless loop
 		c.backend.openAhead(c.engine.ID)
 	}
 }
 
-// endDisconnected ends the attempt of a connection that has ended.
+// endDisconnected ends the attempt of a connection that has ended. The report includes the engine's error, if
+// one was received.
 func (c *connection) endDisconnected(outcome core.Outcome) {
 	a := c.query.attempt
 	if c.query.cancelled {
@@ -194,7 +199,7 @@
 	c.backend.core.EndAttempt(a, outcome, report)
 }
 
-// watchIdle closes the connection once it has been idle for too long, unless the pool keeps it.
+// watchIdle closes the connection after the pool's idle timeout, unless the pool keeps it.
 func (c *connection) watchIdle() {
 	idleTimeout := c.backend.options.Pool.IdleTimeout
 	if idleTimeout <= 0 {
@@ -216,7 +221,7 @@
 	})
 }
 
-// watchAge retires the connection at the end of its lifetime.
+// watchAge retires the connection at the end of its lifetime, which has a random part.
 func (c *connection) watchAge() {
 	lifetime := c.enginePool.pool.Lifetime(rand.Float64())
 	if lifetime <= 0 {
--- a/internal/backend/postgres/connection_pool.go
+++ b/internal/backend/postgres/connection_pool.go
@@ -14,14 +14,14 @@
 	"gannetspur/policy"
 )
 
-// noConnectionMargin is how long before its time-out an attempt that waits for a connection ends: its client is
-// told that it has never run, and may be retried. At the time-out itself only an attempt of unknown state would be seen.
+// noConnectionMargin is how long before its timeout an attempt that waits for a connection ends. Its client then
+// learns that the statement has not run and can be retried. At the timeout itself, the attempt's state would be unknown.
 const noConnectionMargin = 20 * time.Millisecond
 
-// enginePool is the connection pool of one engine, and the attempts that wait for it.
+// enginePool is the connection pool of one engine, with the attempts that wait for a connection.
 type enginePool struct {
 	pool    connpool.Pool
-	live    bool // connections are opened ahead
+	live    bool // the engine is live: connections are opened before a statement needs them
 	waiting map[*connpool.Ticket]*waiter
 }
 
@@ -31,26 +31,26 @@
 	attempt    *core.Attempt
 	ticket     *connpool.Ticket
 	enginePool *enginePool
-	timer      *timerqueue.Timer // ends the attempt without a connection
+	timer      *timerqueue.Timer // ends the attempt if no connection is free in time
 }
 
 // Owner returns the attempt that waits.
 func (w *waiter) Owner() *core.Attempt { return w.attempt }
 
-// leave takes the attempt out of the queue.
-func (w *waiter) leave() {
+// dequeue removes the attempt from the queue.
+func (w *waiter) dequeue() {
 	w.timer.Stop()
 	delete(w.enginePool.waiting, w.ticket)
 	w.enginePool.pool.Release(w.backend.core.Now(), w.ticket)
 }
 
-// timeOut ends the attempt, for which no connection was free in time.
+// timeOut ends the attempt because no connection was free in time.
 func (w *waiter) timeOut() {
-	w.leave()
+	w.dequeue()
 	w.backend.core.EndAttempt(w.attempt, core.OutcomeNoFreeConnection, core.Report{})
 }
 
-// poolOf returns the pool of an engine, which it creates on the first call.
+// poolOf returns the pool of an engine, and creates it if necessary.
 func (b *Backend) poolOf(engineID string) *enginePool {
 	p := b.pools[engineID]
 	if p == nil {
@@ -63,8 +63,9 @@
 	return p
 }
 
-// UpdateEngine applies an entry of the endpoint list. Guards against sending what waited for a connection to an engine
-// that drains or that operators have disabled: it may wait for longer than an engine that drains may be sent to.
+// UpdateEngine applies an entry of the endpoint list. If the engine is not live (it drains, or operators have
+// disabled it), the attempts that wait for a connection end: they could wait for longer than a draining engine may
+// still be sent statements.
 func (b *Backend) UpdateEngine(entry core.Engine) {
 	b.engines.Update(entry)
 	p := b.poolOf(entry.ID)
@@ -79,21 +80,21 @@
 		outcome = core.OutcomeNoAddress
 	}
 	for _, w := range p.waitersInOrder() {
-		w.leave()
+		w.dequeue()
 		b.core.EndAttempt(w.attempt, outcome, core.Report{})
 	}
 	b.dropPool(entry.ID)
 }
 
-// waitersInOrder lists the waiters in the order in which their attempts were sent.
+// waitersInOrder returns the waiters in the order in which their attempts were sent.
 func (p *enginePool) waitersInOrder() []*waiter {
 	return slices.SortedFunc(maps.Values(p.waiting), func(a, b *waiter) int {
 		return cmp.Compare(a.attempt.SentAt, b.attempt.SentAt)
 	})
 }
 
-// dropPool drops the pool of an engine that the endpoint list does not have, once its connections have ended: those
-// count if the engine comes back before.
+// dropPool deletes the pool of an engine that is not on the endpoint list once it has no open connections and no
+// waiters. Until then the pool is kept: if the engine returns, its open connections still count towards the limits.
 func (b *Backend) dropPool(engineID string) {
 	p := b.pools[engineID]
 	if p == nil || b.engines.Get(engineID) != nil {
@@ -104,7 +105,7 @@
 	}
 }
 
-// Send starts an attempt on an idle connection, on a new one, or when one is free.
+// Send starts an attempt on an idle or new connection, or queues it until a connection is free.
 func (b *Backend) Send(a *core.Attempt) {
 	engine := b.engines.Get(a.Engine)
 	if engine == nil {
@@ -133,8 +134,8 @@
 	}
 }
 
-// retireDisconnected has the pool no longer count on connections that have ended before their Closed is called. Guards
-// against a statement that is assigned to one of them.
+// retireDisconnected removes idle connections from the pool whose socket has ended but whose Closed method has not
+// been called yet. Otherwise a statement could be assigned to one of them.
 func retireDisconnected(engine *backend.Engine[*connection]) {
 	for _, c := range engine.Connections {
 		if c.idle && c.socket.Disconnected() {
@@ -144,7 +145,7 @@
 	}
 }
 
-// run gives an attempt the connection that the pool has decided on.
+// run starts an attempt on an idle or a new connection, as the pool decided.
 func (b *Backend) run(engine *backend.Engine[*connection], a *core.Attempt, ticket *connpool.Ticket, decision connpool.Decision) {
 	var c *connection
 	if decision == connpool.UseIdle {
@@ -156,16 +157,17 @@
 	c.startQuery(a, ticket)
 }
 
+// idleConnection returns an idle connection to the engine.
 func idleConnection(engine *backend.Engine[*connection]) *connection {
 	for _, c := range engine.Connections {
 		if c.idle {
 			return c
 		}
 	}
-	return nil // the pool counts one at least
+	return nil // not reached: the pool has counted at least one idle connection
 }
 
-// dispatch runs waiting attempts, as far as the pool has connections for them.
+// dispatch starts waiting attempts while the pool has connections for them.
 func (b *Backend) dispatch(engineID string) {
 	p := b.pools[engineID]
 	engine := b.engines.Get(engineID)
@@ -186,7 +188,7 @@
 	}
 }
 
-// openAhead opens a connection ahead of its first statement where the pool wants one.
+// openAhead opens a connection before a statement needs it, if the pool asks for one.
 func (b *Backend) openAhead(engineID string) {
 	p := b.pools[engineID]
 	engine := b.engines.Get(engineID)
@@ -204,7 +206,7 @@
 	}
 }
 
-// becomeIdle gives a connection without a statement to the pool, or closes it.
+// becomeIdle returns a free connection to the pool, or closes it if it is retired.
 func (c *connection) becomeIdle() {
 	if c.retired {
 		c.close(core.OutcomeIdleClosed)
@@ -217,7 +219,7 @@
 	}
 }
 
-// leaveIdle has the pool no longer count on the connection.
+// leaveIdle removes the connection from the pool's idle connections.
 func (c *connection) leaveIdle() {
 	if c.idle {
 		c.idle = false
--- a/internal/backend/postgres/prepared.go
+++ b/internal/backend/postgres/prepared.go
@@ -7,32 +7,35 @@
 )
 
 const (
-	maxPreparedStatements = 32      // on one connection
-	maxPreparedBytes      = 4 << 10 // of the text and types of each, which are kept
+	// maxPreparedStatements is the maximum number of named statements on one connection.
+	maxPreparedStatements = 32
+	// maxPreparedBytes is the maximum size of the text and parameter types of a named statement, which stay in memory.
+	maxPreparedBytes = 4 << 10
 )
 
-// SQLSTATEs of an engine that can't run a prepared statement any more.
+// SQLSTATE codes with which an engine reports that it can no longer run a prepared statement.
 const (
-	sqlstateInvalidStatementName = "26000" // it has dropped the name
-	sqlstateFeatureNotSupported  = "0A000" // its result would have other columns than when it was prepared
+	sqlstateInvalidStatementName = "26000" // the engine has dropped the name
+	sqlstateFeatureNotSupported  = "0A000" // the columns of the result have changed since the statement was prepared
 )
 
-// preparedStatements are the statements that stay prepared on one connection.
+// preparedStatements is the set of named statements that stay prepared on one connection.
 type preparedStatements struct {
-	names      map[string]string // by key
-	lastNumber int               // in the last name given
+	names      map[string]string // by the key that preparedKey returns
+	lastNumber int               // number in the latest name
 }
 
 func newPreparedStatements() preparedStatements {
 	return preparedStatements{names: map[string]string{}}
 }
 
-// preparedKey identifies what a name stands for: text and parameter types.
+// preparedKey returns the key of a statement: its text and its parameter types.
 func preparedKey(statement *pgproto.Statement) string {
 	return statement.Query + "\x00" + string(statement.ParameterTypes)
 }
 
-// newName returns a name for a statement that is about to be prepared; "" if it is not to be kept.
+// newName returns a name for a statement that is about to be prepared. The name is empty if there are already
+// maxPreparedStatements names or if the key is longer than maxPreparedBytes.
 func (p *preparedStatements) newName(key string) string {
 	if len(p.names) >= maxPreparedStatements || len(key) > maxPreparedBytes {
 		return ""
@@ -43,9 +46,9 @@
 
 func (p *preparedStatements) clear() { clear(p.names) }
 
-// prepare returns the name of the statement, and adds a Parse if it is not prepared on this connection. A long
-// one, one past maxPreparedStatements and one of a transaction use the unnamed statement: in a transaction, a name
-// that the engine has dropped would abort it.
+// prepare returns the encoded name of the statement, and appends a Parse if it is not prepared on this connection.
+// Long statements, those beyond maxPreparedStatements and those of a transaction use the unnamed statement: in a
+// transaction, a name that the engine has dropped would abort the transaction.
 func (c *connection) prepare(messages []byte, statement *pgproto.Statement) (name, appended []byte) {
 	c.query.preparedKey = ""
 	c.query.newName = ""
@@ -62,20 +65,21 @@
 	return name, appendParse(messages, name, statement)
 }
 
+// appendParse appends a Parse that prepares the statement under a name.
 func appendParse(messages, name []byte, statement *pgproto.Statement) []byte {
 	return pgproto.AppendMessage(messages, pgproto.MessageParse, name, pgproto.CString(statement.Query), statement.ParameterTypes)
 }
 
-// recordPrepared keeps the name of the statement that the engine has just prepared.
+// recordPrepared stores the name of the statement that the engine has just prepared, unless it is unnamed.
 func (c *connection) recordPrepared() {
 	if c.query.newName != "" {
 		c.prepared.names[c.query.preparedKey] = c.query.newName
 	}
 }
 
-// dropStaleName reports whether an error concerns a name from an earlier attempt, and drops the name: the engine has
-// dropped it, or what it stands for has changed. Both show before BindComplete, so
-// nothing has run, and without the name the statement may well succeed.
+// dropStaleName reports whether an error concerns a name from an earlier attempt, and if so removes the name: the
+// engine has dropped it, or the statement's columns have changed. Engines report both errors before BindComplete,
+// so the statement has not run, and it may succeed when it is prepared again.
 func (c *connection) dropStaleName(code string) bool {
 	_, reused := c.prepared.names[c.query.preparedKey]
 	if !reused || c.query.newName != "" || c.response.bound {
--- a/internal/backend/postgres/query.go
+++ b/internal/backend/postgres/query.go
@@ -6,18 +6,19 @@
 	"gannetspur/internal/pgproto"
 )
 
-// query is the attempt on a connection, which may still wait for the connection's startup.
+// query is the attempt that is assigned to a connection, with its progress. The attempt may still wait for the
+// connection's startup.
 type query struct {
-	attempt     *core.Attempt // nil: none
-	ticket      *connpool.Ticket
-	written     bool
-	continued   bool   // a part of the answer was passed on, and its transaction goes on
-	cancelled   bool   // its end at the engine is waited for
-	preparedKey string // of its statement, unless that belongs to a transaction
-	newName     string // that its Parse gives; "": none
+	attempt     *core.Attempt    // nil if the connection is free
+	ticket      *connpool.Ticket // the pool's record of the attempt; nil without an attempt
+	written     bool             // the statement was written to the connection
+	continued   bool             // a partial response was relayed, and the transaction is still open
+	cancelled   bool             // the attempt was cancelled, and waits for the engine to end the statement
+	preparedKey string           // key of the statement; empty if it belongs to a transaction
+	newName     string           // name that the Parse of the statement creates; empty if there is none
 }
 
-// statement returns what the attempt runs, or nil if there is none.
+// statement returns the statement of the connection's attempt, or nil if there is none.
 func (c *connection) statement() *pgproto.Statement {
 	if c.query.attempt == nil {
 		return nil
@@ -26,7 +27,7 @@
 	return statement
 }
 
-// startQuery runs an attempt on the connection, once its startup is done.
+// startQuery assigns an attempt to the connection, and writes its statement if the startup is complete.
 func (c *connection) startQuery(a *core.Attempt, ticket *connpool.Ticket) {
 	c.query = query{attempt: a, ticket: ticket}
 	c.resetResponse()
@@ -36,8 +37,8 @@
 	}
 }
 
-// writeStatement sends the statement in one write: parsed where this connection has not
-// prepared it yet, bound, described and executed.
+// writeStatement sends the messages of the statement in one write: Parse if the statement is not yet prepared on
+// this connection, then Bind, Describe and Execute.
 func (c *connection) writeStatement() {
 	statement := c.statement()
 	if statement == nil || !c.backend.core.BeginWrite(c.query.attempt) {
@@ -49,20 +50,20 @@
 	if sent || c.query.continued {
 		return
 	}
-	c.query.written = false // the connection has ended: the statement has never run
+	c.query.written = false // the connection has ended, so the statement has not run
 	c.retired = true
 	c.finish(core.OutcomeNotSent, core.Report{})
 }
 
-// encodeStatement returns the messages that run a statement, with the settings and the beginning of a transaction
-// that it needs ahead of it.
+// encodeStatement returns the messages that run a statement, preceded by those that apply its settings and begin
+// its transaction.
 func (c *connection) encodeStatement(statement *pgproto.Statement) (messages []byte) {
 	if !c.query.continued {
-		messages, c.response.preludes = c.session.appendSettings(messages, statement.Settings)
+		messages, c.response.precedingStatements = c.session.appendSettings(messages, statement.Settings)
 	}
 	if statement.BeginQuery != "" {
-		messages = appendPrelude(messages, statement.BeginQuery)
-		c.response.preludes++
+		messages = appendPrecedingStatement(messages, statement.BeginQuery)
+		c.response.precedingStatements++
 	}
 	name, messages := c.prepare(messages, statement)
 	if statement.DescribeOnly {
@@ -75,7 +76,8 @@
 	return pgproto.AppendMessage(messages, pgproto.MessageSync)
 }
 
-// finish takes the attempt off the connection, gives the connection back and ends the attempt.
+// finish ends the attempt. Before that, it removes the attempt from the connection, and returns the connection to
+// the pool, resets its session or closes it.
 func (c *connection) finish(outcome core.Outcome, report core.Report) {
 	a := c.query.attempt
 	statement := c.statement()
@@ -98,7 +100,7 @@
 	c.backend.core.EndAttempt(a, outcome, report)
 }
 
-// clearQuery takes the attempt off the connection.
+// clearQuery removes the attempt from the connection, and releases its buffered rows and its ticket.
 func (c *connection) clearQuery() {
 	if c.response.result != nil {
 		c.backend.bufferedBytes -= len(c.response.result.Rows)
--- a/internal/backend/postgres/replay_test.go
+++ b/internal/backend/postgres/replay_test.go
@@ -122,12 +122,12 @@
 }
 
 func (c replaySession) applySettings(settings []pgproto.Setting) (messages []byte) {
-	messages, c.response.preludes = c.session.appendSettings(nil, settings)
+	messages, c.response.precedingStatements = c.session.appendSettings(nil, settings)
 	return messages
 }
 
 func (c replaySession) state() string {
-	return fmt.Sprintf("bound=%t preludes=%d complete=%t held=%d named=%v settings=%v %s", c.response.bound, c.response.preludes,
+	return fmt.Sprintf("bound=%t preludes=%d complete=%t held=%d named=%v settings=%v %s", c.response.bound, c.response.precedingStatements,
 		c.response.complete, c.backend.bufferedBytes, sortedPairs(c.prepared.names), sortedPairs(c.session.settings),
 		resultText(c.response.result))
 }
--- a/internal/backend/postgres/response.go
+++ b/internal/backend/postgres/response.go
@@ -9,23 +9,23 @@
 )
 
 var (
-	errTransactionOpen    = errors.New("the session is left in a transaction")
-	errIncompleteResponse = errors.New("a response without an end")
+	errTransactionOpen    = errors.New("unexpected transaction status in ReadyForQuery")
+	errIncompleteResponse = errors.New("ReadyForQuery before the response was complete")
 )
 
-// response is what has come of the answer to a statement.
+// response is the received part of the response to a statement.
 type response struct {
-	result   *pgproto.Result
-	bound    bool // BindComplete has come: the statement may be running
-	preludes int  // statements ahead of it whose CommandComplete has not come
-	complete bool // CommandComplete or EmptyQueryResponse has come
-	failure  *pgproto.Error
+	result              *pgproto.Result
+	bound               bool           // BindComplete was received: the statement may be running
+	precedingStatements int            // number of preceding statements whose CommandComplete was not received yet
+	complete            bool           // CommandComplete or EmptyQueryResponse was received
+	failure             *pgproto.Error // latest error from the engine; nil if there is none
 }
 
-// resetResponse makes the connection ready for the next response.
+// resetResponse prepares the connection for the next response.
 func (c *connection) resetResponse() { c.response = response{result: &pgproto.Result{}} }
 
-// handleResponseMessage takes one message of a response.
+// handleResponseMessage handles one message of a response.
 func (c *connection) handleResponseMessage(kind byte, body, message []byte) error {
 	result := c.response.result
 	switch kind {
@@ -48,12 +48,12 @@
 		result.EmptyQuery = true
 		c.response.complete = true
 	default:
-		return fmt.Errorf("%w: %q in a response", errUnexpectedMessage, kind)
+		return fmt.Errorf("%w %q in a response", errUnexpectedMessage, kind)
 	}
 	return nil
 }
 
-// handleRow holds a row until the result is complete, as far as the bounds allow.
+// handleRow buffers a row, or rejects the result if it exceeds a limit.
 func (c *connection) handleRow(message []byte) {
 	result := c.response.result
 	switch {
@@ -69,7 +69,7 @@
 	c.backend.bufferedBytes += len(message)
 }
 
-// rejectResult ends an attempt whose response is still coming, and is too large.
+// rejectResult cancels and ends an attempt whose response is too large and not yet complete.
 func (c *connection) rejectResult(code, text string) {
 	a := c.query.attempt
 	c.backend.Cancel(a)
@@ -77,9 +77,10 @@
 	c.backend.core.EndAttempt(a, core.OutcomeResultTooLarge, core.Report{EngineError: reason})
 }
 
+// handleCommandComplete handles the end of a preceding statement, or of the statement itself.
 func (c *connection) handleCommandComplete(body []byte) error {
-	if c.response.preludes > 0 {
-		c.response.preludes--
+	if c.response.precedingStatements > 0 {
+		c.response.precedingStatements--
 		c.response.bound = false
 		return nil
 	}
@@ -87,27 +88,29 @@
 	c.response.result.Tag = tag.CString()
 	c.response.complete = true
 	if !tag.Complete() {
-		return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
+		return fmt.Errorf("%w: invalid CommandComplete", pgproto.ErrMalformed)
 	}
 	return nil
 }
 
-// handleParameterStatus keeps what a client's SET reports. All else is the session's, which no client owns.
+// handleParameterStatus adds a changed parameter to the result if a client's SET is running. Any other
+// ParameterStatus concerns the session, which belongs to no client.
 func (c *connection) handleParameterStatus(message []byte) {
 	statement := c.statement()
-	if statement == nil || statement.ChangedSetting == "" || c.response.preludes > 0 {
+	if statement == nil || statement.ChangedSetting == "" || c.response.precedingStatements > 0 {
 		return
 	}
 	c.response.result.ParameterStatus = append(c.response.result.ParameterStatus, message...)
 }
 
+// handleError stores an error from the engine. Errors during the startup and FATAL errors close the connection.
 func (c *connection) handleError(body []byte) error {
 	failure, err := pgproto.ReadError(body)
 	if err != nil {
 		return err
 	}
 	c.response.failure = failure
-	if c.response.preludes > 0 { // which settings the session has now is not known
+	if c.response.precedingStatements > 0 { // it is unknown which settings the session has now
 		c.retired = true
 	}
 	if !c.startup.done || failure.Severity == "FATAL" {
@@ -116,7 +119,8 @@
 	return nil
 }
 
-// handleReadyForQuery takes the end of the startup, of a session's reset, of a statement or of a transaction's part.
+// handleReadyForQuery handles the end of the startup, of a session reset, of a statement, or of one response within
+// a transaction.
 func (c *connection) handleReadyForQuery(body []byte) error {
 	if len(body) != 1 {
 		return errTransactionOpen
@@ -134,18 +138,18 @@
 		c.completeStartup()
 		return nil
 	case c.query.attempt == nil:
-		return fmt.Errorf("%w: ReadyForQuery on an idle connection", errUnexpectedMessage)
+		return fmt.Errorf("%w ReadyForQuery on an idle connection", errUnexpectedMessage)
 	}
 	return c.finishStatement()
 }
 
-// finishStatement ends the attempt at the end of its response.
+// finishStatement ends the attempt at the end of its response, with the outcome that the response shows.
 func (c *connection) finishStatement() error {
 	statement := c.statement()
 	failure := c.response.failure
 	described := statement.DescribeOnly && c.response.result.ParameterDescription != nil
 	switch {
-	case failure != nil && statement.EndsTransaction: // it was rolled back, and the engine says why
+	case failure != nil && statement.EndsTransaction: // the transaction was rolled back, and the error gives the reason
 		c.finish(core.OutcomeStatementRejected, core.Report{EngineError: failure})
 	case failure != nil && c.dropStaleName(failure.Code):
 		c.finish(core.OutcomeNotSent, core.Report{})
@@ -159,7 +163,7 @@
 	return nil
 }
 
-// relayPart passes on an answer within a transaction: a result, or the error that has failed it.
+// relayPart relays a response within a transaction to the client: a result, or the error that failed the transaction.
 func (c *connection) relayPart() error {
 	if c.response.failure == nil && !c.response.complete {
 		return errIncompleteResponse
--- a/internal/backend/postgres/session.go
+++ b/internal/backend/postgres/session.go
@@ -8,31 +8,33 @@
 	"gannetspur/internal/pgproto"
 )
 
-// session is what a connection's engine keeps between statements.
+// session is the state that the engine keeps for a connection between statements.
 type session struct {
-	settings  map[string]string // the SET that made each, by name
-	resetting bool              // DISCARD ALL is under way: no statement may use the session yet
+	settings  map[string]string // text of the SET statement that applied each setting, by the setting's name
+	resetting bool              // DISCARD ALL is running: no statement may use the session yet
 }
 
+// newSession returns the state of a new session, which has no settings of clients.
 func newSession() session { return session{settings: map[string]string{}} }
 
-// appendSettings adds the messages that give the session the settings that a statement runs under, and reset
-// others: none, where it has them. count is the number of statements in these messages.
+// appendSettings appends the messages that change the session's settings to those that a statement needs: RESET for
+// the others, SET for those that differ. It appends nothing if the settings already match. count is the number of
+// statements in the appended messages.
 func (s *session) appendSettings(messages []byte, settings []pgproto.Setting) (appended []byte, count int) {
-	if len(settings) == 0 && len(s.settings) == 0 { // nearly all statements
+	if len(settings) == 0 && len(s.settings) == 0 { // the case of nearly all statements
 		return messages, 0
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.settings)) {
 		wanted := slices.ContainsFunc(settings, func(setting pgproto.Setting) bool { return setting.Name == name })
 		if !wanted {
-			messages = appendPrelude(messages, "RESET "+name)
+			messages = appendPrecedingStatement(messages, "RESET "+name)
 			delete(s.settings, name)
 			count++
 		}
 	}
 	for _, setting := range settings {
 		if s.settings[setting.Name] != setting.Text {
-			messages = appendPrelude(messages, setting.Text)
+			messages = appendPrecedingStatement(messages, setting.Text)
 			s.settings[setting.Name] = setting.Text
 			count++
 		}
@@ -40,9 +42,8 @@
 	return messages, count
 }
 
-// resetSession has the engine discard what a transaction has left in the session, before another
-// client's statement runs in it. Guards against settings and temporary tables of one client
-// that another would see.
+// resetSession makes the engine discard the state that a transaction or statement has left in the session.
+// Otherwise another client could see the settings and temporary tables of this one.
 func (c *connection) resetSession() {
 	if c.retired || c.socket == nil {
 		return
@@ -58,7 +59,7 @@
 	})
 }
 
-// completeReset gives the connection back to the pool.
+// completeReset returns the connection to the pool, or the engine's error if the reset failed.
 func (c *connection) completeReset() error {
 	if c.response.failure != nil {
 		return c.response.failure
--- a/internal/backend/postgres/sqlstate.go
+++ b/internal/backend/postgres/sqlstate.go
@@ -6,7 +6,7 @@
 	"gannetspur/policy"
 )
 
-// SQLSTATEs, and the classes that their first two characters name.
+// SQLSTATE codes, and SQLSTATE classes (the first two characters of a code).
 const (
 	sqlstateOutOfMemory          = "53200"
 	sqlstateProgramLimitExceeded = "54000"
@@ -23,9 +23,8 @@
 	classInternalError         = "XX"
 )
 
-// sqlstateOutcome classifies an engine's error. What the engine is short of, or that it is
-// about to stop, is no answer to the statement: another engine may serve it. A
-// fault of the statement's own would be the same everywhere.
+// sqlstateOutcome returns the outcome for an engine's error. If the engine lacks resources or shuts down, another
+// engine may serve the statement. An error in the statement itself would recur on every engine.
 func sqlstateOutcome(code string) core.Outcome {
 	switch code[:2] {
 	case classInsufficientResources:
@@ -38,9 +37,10 @@
 	return core.OutcomeStatementRejected
 }
 
+// interventionOutcome returns the outcome for an error of class 57, operator intervention.
 func interventionOutcome(code string) core.Outcome {
 	switch code {
-	case sqlstateCannotConnectNow, sqlstateAdminShutdown: // a statement that ran is rolled back
+	case sqlstateCannotConnectNow, sqlstateAdminShutdown: // a running statement is rolled back
 		return core.OutcomeEngineFull
 	case sqlstateQueryCanceled:
 		return core.OutcomeTimeout
@@ -48,9 +48,9 @@
 	return core.OutcomeEngineError
 }
 
-// failureOutcome classifies the error that ended the connection's attempt. Of what may run once only, an
-// engine that was short of something in the middle may have done some for good where
-// that is outside its transaction (a sequence, say): no other is asked.
+// failureOutcome returns the outcome for the error that ended the statement. If the engine lacked resources, a
+// statement that is not idempotent is still not sent to another engine: the first may have made changes that a
+// rollback does not undo, such as advancing a sequence.
 func (c *connection) failureOutcome(statement *pgproto.Statement) core.Outcome {
 	outcome := sqlstateOutcome(c.response.failure.Code)
 	class, _ := c.backend.core.Class(c.query.attempt.Request.Class)
@@ -60,13 +60,13 @@
 	return outcome
 }
 
-// fatalOutcome classifies an error with which the engine ends the connection.
+// fatalOutcome returns the outcome for an error with which the engine ends the connection.
 func (c *connection) fatalOutcome() core.Outcome {
 	outcome := sqlstateOutcome(c.response.failure.Code)
 	switch {
-	case !c.query.written && outcome != core.OutcomeEngineFull: // it does not concern the statement, which was not sent
+	case !c.query.written && outcome != core.OutcomeEngineFull: // the error does not concern the statement, which was not sent
 		return core.OutcomeConnectionRefused
-	case c.query.written && outcome != core.OutcomeTimeout: // between a commit and its answer, either may be true
+	case c.query.written && outcome != core.OutcomeTimeout: // the engine may have ended between the commit and its response, so the statement's effect is unknown
 		return core.OutcomeEngineError
 	}
 	return outcome
--- a/internal/backend/postgres/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -15,24 +15,24 @@
 	"github.com/xdg-go/scram"
 )
 
-// applicationName is what engines show of these connections.
+// applicationName is the application_name that engines show for the gateway's connections.
 const applicationName = "ringwood"
 
 var (
-	errPasswordNotProved = errors.New("the engine has not proved that it knows the password")
-	errAuthentication    = errors.New("the engine requires an unsupported kind of authentication, or there is no password")
+	errPasswordNotProved = errors.New("the engine did not prove that it knows the password")
+	errAuthentication    = errors.New("unsupported authentication method, or no password configured")
 )
 
-// startup is the state of a connection before its first statement.
+// startup is the progress of a connection's startup, with the cancel key that the engine sends in it.
 type startup struct {
-	done        bool // and the connection has not ended since
-	awaitingTLS bool // the engine has not agreed to TLS, or its handshake is not over
-	scram       *scram.ClientConversation
-	cancelKey   []byte // process and secret, as a CancelRequest has them; nil: not known
+	done        bool                      // the startup is complete, and the connection has not ended since
+	awaitingTLS bool                      // the answer to the SSLRequest or the end of the TLS handshake is pending
+	scram       *scram.ClientConversation // nil before the engine requests SCRAM
+	cancelKey   []byte                    // process ID and secret key, encoded as in a CancelRequest; nil if unknown
 }
 
-// beginStartup requests TLS or sends the startup message. Guards against an engine that accepts connections and
-// then says nothing.
+// beginStartup requests TLS or sends the startup message. It closes the connection at the deadline, because an
+// engine may accept connections without ever responding.
 func (c *connection) beginStartup(deadline time.Duration) {
 	if c.backend.options.TLS != nil {
 		c.startup.awaitingTLS = true
@@ -47,6 +47,7 @@
 	})
 }
 
+// writeStartup sends the startup message.
 func (c *connection) writeStartup() {
 	options := c.backend.options
 	var parameters []byte
@@ -57,8 +58,8 @@
 	c.socket.Write(pgproto.AppendStartup(nil, pgproto.Version, parameters))
 }
 
-// handleTLSAnswer takes the engine's answer to an SSLRequest, one byte. Guards against an engine, or whoever is
-// in its place, that declines or sends more than that unencrypted.
+// handleTLSAnswer handles the engine's answer to an SSLRequest, which is one byte. It closes the connection if the
+// engine, or an attacker between it and the gateway, declines TLS or sends further unencrypted bytes.
 func (c *connection) handleTLSAnswer(in *netio.Buffer) {
 	if in.Len() == 0 || c.socket.UsesTLS() {
 		return
@@ -82,6 +83,7 @@
 	})
 }
 
+// handleStartupMessage handles a message that only the startup contains.
 func (c *connection) handleStartupMessage(kind byte, body []byte) error {
 	switch kind {
 	case pgproto.MessageAuthentication:
@@ -90,10 +92,10 @@
 		c.startup.cancelKey = append([]byte{}, body...)
 		return nil
 	}
-	return fmt.Errorf("%w: %q during the startup", errUnexpectedMessage, kind)
+	return fmt.Errorf("%w %q during the startup", errUnexpectedMessage, kind)
 }
 
-// completeStartup runs the statement that waits for the connection, or gives the connection to the pool.
+// completeStartup writes the statement that waits for the connection, or adds the connection to the pool.
 func (c *connection) completeStartup() {
 	c.startup.done = true
 	c.lastUsed = c.backend.core.Now()
@@ -107,7 +109,7 @@
 	c.backend.openAhead(c.engine.ID)
 }
 
-// authenticate takes one step of the engine's authentication: none, or SCRAM (RFC 5802), by which
+// authenticate handles one Authentication message. Supported are no authentication and SCRAM (RFC 5802), in which
 // both sides prove that they know the password.
 func (c *connection) authenticate(body []byte) error {
 	r := pgproto.Reader{Rest: body}
@@ -138,11 +140,12 @@
 	return fmt.Errorf("%w (%d)", errAuthentication, code)
 }
 
-// offersSCRAM reports whether a list of mechanisms, each ended by a zero, has the one that is supported.
+// offersSCRAM reports whether a list of zero-terminated mechanism names contains SCRAM-SHA-256.
 func offersSCRAM(mechanisms []byte) bool {
 	return strings.Contains("\x00"+string(mechanisms), "\x00"+scramauth.Mechanism+"\x00")
 }
 
+// startSCRAM sends the client's first SCRAM message.
 func (c *connection) startSCRAM() error {
 	c.startup.scram = c.backend.scramClient.NewConversation()
 	first, err := scramStep(c.startup.scram, "")
@@ -154,6 +157,7 @@
 	return nil
 }
 
+// scramStep returns the client's response to a challenge.
 func scramStep(conversation *scram.ClientConversation, challenge string) (string, error) {
 	response, err := conversation.Step(challenge)
 	if err != nil {
--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -5,22 +5,23 @@
 	"fmt"
 )
 
-// sqlStateLength is the length of an SQLSTATE code.
+// sqlStateLength is the length of an SQLSTATE code in bytes.
 const sqlStateLength = 5
 
-// Error is an ErrorResponse.
+// Error is an ErrorResponse. Fields that the message does not have are empty.
 type Error struct {
-	Severity string
-	Code     string // SQLSTATE
+	Severity string // such as ERROR or FATAL
+	Code     string // SQLSTATE code
 	Message  string
 	Hint     string
-	// Raw is the body as an engine sent it; it passes on unchanged.
+	// Raw is the body as an engine sent it, which is relayed unchanged. It is nil for errors of the gateway itself.
 	Raw []byte
 }
 
+// Error returns the SQLSTATE code and the message.
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-// AsError finds the engine's error in the chain of err; nil: there is none.
+// AsError returns the first Error in the chain of err, or nil if there is none.
 func AsError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// Body returns the body of the message.
+// Body returns the body of the ErrorResponse: Raw if it is set, otherwise the encoded fields.
 func (e *Error) Body() []byte {
 	if e.Raw != nil {
 		return e.Raw
@@ -47,7 +48,7 @@
 	return append(b, 0)
 }
 
-// ReadError reads an ErrorResponse or a NoticeResponse.
+// ReadError decodes the body of an ErrorResponse or a NoticeResponse.
 func ReadError(body []byte) (*Error, error) {
 	e := &Error{Raw: append([]byte{}, body...)}
 	r := Reader{Rest: body}
@@ -65,7 +66,7 @@
 		}
 	}
 	if !r.Complete() || len(e.Code) != sqlStateLength {
-		return nil, fmt.Errorf("%w: an error response", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid ErrorResponse", ErrMalformed)
 	}
 	return e, nil
 }
--- a/internal/pgproto/message_test.go
+++ b/internal/pgproto/message_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("%d of %d bytes: size %d, error %v", n, len(message), size, err)
 		}
 	}
-	for _, length := range []int{7, MaxStartup + 1} {
+	for _, length := range []int{7, MaxStartupBytes + 1} {
 		if _, _, _, err := ReadStartup(Int32(length)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("length %d: error %v, want %v", length, err, ErrMalformed)
 		}
--- a/internal/pgproto/message_types.go
+++ b/internal/pgproto/message_types.go
@@ -1,6 +1,6 @@
 package pgproto
 
-// Types of the messages that clients send behind their startup.
+// Types of the messages that clients send after the startup message.
 const (
 	MessageBind         byte = 'B'
 	MessageClose        byte = 'C'
@@ -12,7 +12,7 @@
 	MessageFlush        byte = 'H'
 	MessageFunctionCall byte = 'F'
 	MessageParse        byte = 'P'
-	MessagePassword     byte = 'p' // also SASLInitialResponse and SASLResponse
+	MessagePassword     byte = 'p' // also the type of SASLInitialResponse and SASLResponse
 	MessageQuery        byte = 'Q'
 	MessageSync         byte = 'S'
 	MessageTerminate    byte = 'X'
@@ -40,19 +40,19 @@
 	MessageRowDescription           byte = 'T'
 )
 
-// Answers to SSLRequest and GSSENCRequest: one byte, no message.
+// Answers to SSLRequest and GSSENCRequest. Each is a single byte without a message header.
 const (
 	EncryptionAccepted byte = 'S'
 	EncryptionDeclined byte = 'N'
 )
 
-// What Describe and Close name.
+// Kinds of objects that Describe and Close refer to.
 const (
 	TargetStatement byte = 'S'
 	TargetPortal    byte = 'P'
 )
 
-// Transaction status of ReadyForQuery.
+// Transaction status values in ReadyForQuery.
 const (
 	TransactionIdle   byte = 'I'
 	TransactionOpen   byte = 'T'
--- a/internal/pgproto/reader.go
+++ b/internal/pgproto/reader.go
@@ -5,20 +5,20 @@
 	"encoding/binary"
 )
 
-// Reader reads the fields of a body one after the other. Past the end it returns zeros and
-// sets Invalid.
+// Reader decodes the fields of a message body in order. A read past the end returns a zero value,
+// discards the rest of the body and sets Invalid.
 type Reader struct {
-	Rest    []byte // what is not read yet
-	Invalid bool
+	Rest    []byte // unread part of the body
+	Invalid bool   // a field was incomplete
 }
 
-// invalidate ends the body.
+// invalidate sets Invalid and discards the rest of the body.
 func (r *Reader) invalidate() {
 	r.Invalid = true
 	r.Rest = nil
 }
 
-// Bytes reads n bytes.
+// Bytes reads n bytes. The result shares the memory of the body.
 func (r *Reader) Bytes(n int) []byte {
 	if n < 0 || n > len(r.Rest) {
 		r.invalidate()
@@ -29,7 +29,7 @@
 	return field
 }
 
-// CString reads a string up to its zero byte.
+// CString reads a zero-terminated string, and returns it without the zero byte.
 func (r *Reader) CString() string {
 	length := bytes.IndexByte(r.Rest, 0)
 	if length < 0 {
@@ -49,7 +49,7 @@
 	return 0
 }
 
-// Int16 reads a signed number of two bytes.
+// Int16 reads a signed 16-bit number.
 func (r *Reader) Int16() int {
 	if b := r.Bytes(2); b != nil {
 		return int(int16(binary.BigEndian.Uint16(b)))
@@ -57,10 +57,10 @@
 	return 0
 }
 
-// Count reads a number of elements, in two bytes without a sign.
+// Count reads a number of elements, an unsigned 16-bit number.
 func (r *Reader) Count() int { return r.Int16() & 0xffff }
 
-// Int32 reads a signed number of four bytes.
+// Int32 reads a signed 32-bit number.
 func (r *Reader) Int32() int {
 	if b := r.Bytes(4); b != nil {
 		return int(int32(binary.BigEndian.Uint32(b)))
@@ -68,5 +68,5 @@
 	return 0
 }
 
-// Complete reports whether all was read and nothing was missing.
+// Complete reports whether the whole body was read and no field was incomplete.
 func (r *Reader) Complete() bool { return !r.Invalid && len(r.Rest) == 0 }
--- a/internal/pgproto/result_formats.go
+++ b/internal/pgproto/result_formats.go
@@ -2,16 +2,17 @@
 
 import "encoding/binary"
 
-// Sizes of fields in Bind and RowDescription, in bytes.
+// Sizes in bytes of fields in Bind and RowDescription.
 const (
 	formatSize = 2
-	// columnSize is that of a column's table, attribute, type, type size and modifier, between its
-	// name and its format.
+	// columnSize is the size of the fields between a column's name and its format code: table OID,
+	// attribute number, type OID, type size and type modifier.
 	columnSize = 16
 )
 
-// WithResultFormats returns a copy of the body of a RowDescription that has the result
-// formats of a Bind, given as its body past the two names. A statement's own description has none yet.
+// WithResultFormats returns a copy of the body of a RowDescription, with the format codes replaced by
+// the result formats of a Bind. bind is the body of the Bind after the two names. The description of a
+// statement needs this because the formats are unknown before Bind.
 func WithResultFormats(description, bind []byte) ([]byte, error) {
 	formats, err := resultFormats(bind)
 	if err != nil {
@@ -27,7 +28,7 @@
 		switch {
 		case r.Invalid:
 			return nil, ErrMalformed
-		case len(formats) == 1: // it stands for all columns
+		case len(formats) == 1: // a single format applies to all columns
 			binary.BigEndian.PutUint16(field, uint16(formats[0]))
 		case i < len(formats):
 			binary.BigEndian.PutUint16(field, uint16(formats[i]))
@@ -36,12 +37,12 @@
 	return out, nil
 }
 
-// resultFormats reads the formats behind the values of the parameters.
+// resultFormats decodes the result formats of a Bind, which follow the parameter values.
 func resultFormats(bind []byte) ([]int, error) {
 	r := Reader{Rest: bind}
-	r.Bytes(formatSize * r.Count()) // of the parameters
+	r.Bytes(formatSize * r.Count()) // skip the parameter formats
 	for range r.Count() {
-		if length := r.Int32(); length > 0 { // -1: NULL
+		if length := r.Int32(); length > 0 { // a length of -1 stands for NULL
 			r.Bytes(length)
 		}
 		if r.Invalid {
--- a/internal/pgproto/statement.go
+++ b/internal/pgproto/statement.go
@@ -1,56 +1,60 @@
 package pgproto
 
-// Statement is one bound execution, or a request to describe a statement. Other sites receive it
-// in CBOR under the names in the tags.
+// Statement is one execution of a statement with bound parameters, or a request to describe a
+// statement. Other sites receive it in CBOR, with the field names in the tags.
 type Statement struct {
 	Query string `cbor:"Query"`
-	// ParameterTypes is the count and the types of the parameters, as in Parse.
+	// ParameterTypes is the number of parameters and their types, encoded as in Parse.
 	ParameterTypes []byte `cbor:"Types"`
-	// Bind is the body of a Bind past its two names: formats and values as they came.
+	// Bind is the body of the client's Bind after the two names: formats and parameter values, unchanged.
 	Bind []byte `cbor:"Bind"`
-	// DescribeOnly is set where nothing runs.
+	// DescribeOnly is true if the statement is only described, not executed.
 	DescribeOnly bool `cbor:"Describe"`
-	// BeginQuery begins the transaction, ahead of its first statement.
+	// BeginQuery is the statement that begins the transaction before this statement, the first one in
+	// it. It is empty for all other statements.
 	BeginQuery string `cbor:"Begin"`
-	// EndsTransaction is set where the statement ends its transaction.
+	// EndsTransaction is true if the statement ends its transaction.
 	EndsTransaction bool `cbor:"Ends"`
-	// Settings are those that the statement runs under, by name; others are as the engine has them.
+	// Settings lists the client's settings, which apply to the statement, in order of their names. All
+	// other settings have the engine's values.
 	Settings []Setting `cbor:"Settings"`
-	// ChangedSetting is the setting that the statement itself changes.
+	// ChangedSetting is the name of the setting that the statement changes, or empty if it changes none.
 	ChangedSetting string `cbor:"Sets"`
-	// TaintsSession is set where the statement may leave something in the engine's session.
+	// TaintsSession is true if the statement may change the state of the engine's session.
 	TaintsSession bool `cbor:"Taints"`
-	// User is whom it runs for, of those who share the connections. Other sites know their own.
+	// User is the user on whose behalf the statement runs, for sharing the connections among users. It
+	// is not sent to other sites, which have users of their own.
 	User string `cbor:"-"`
 }
 
 // SQL returns the statement's text.
 func (s *Statement) SQL() string { return s.Query }
 
-// Setting is one setting of a client.
+// Setting is a setting that a client has applied with SET.
 type Setting struct {
 	Name string `cbor:"Name"`
-	Text string `cbor:"Text"` // of the SET that made it
+	Text string `cbor:"Text"` // text of the SET statement
 }
 
-// Result is what an engine answered: the bodies of the messages as they came. Other sites
-// receive it in CBOR under the names in the tags.
+// Result is the response of an engine. The messages and message bodies in it are as the engine sent
+// them. Other sites receive it in CBOR, with the field names in the tags.
 type Result struct {
-	// ParameterDescription is set where only a description was requested.
+	// ParameterDescription is the body of ParameterDescription. It is nil unless the statement was only
+	// described.
 	ParameterDescription []byte `cbor:"Params"`
-	// RowDescription is nil where the engine answered NoData.
+	// RowDescription is the body of RowDescription, or nil if the engine sent NoData.
 	RowDescription []byte `cbor:"Fields"`
-	// Rows are complete DataRow messages in order.
+	// Rows holds the complete DataRow messages in order.
 	Rows []byte `cbor:"Rows"`
-	// RowCount is the number of rows.
+	// RowCount is the number of messages in Rows.
 	RowCount int `cbor:"Count"`
-	// Tag is that of CommandComplete.
+	// Tag is the command tag of CommandComplete.
 	Tag string `cbor:"Tag"`
-	// EmptyQuery is set where EmptyQueryResponse came in place of CommandComplete.
+	// EmptyQuery is true if the engine sent EmptyQueryResponse instead of CommandComplete.
 	EmptyQuery bool `cbor:"Empty"`
-	// ParameterStatus holds complete ParameterStatus messages, of a SET.
+	// ParameterStatus holds the complete ParameterStatus messages that a SET caused.
 	ParameterStatus []byte `cbor:"Status"`
 }
 
-// Size returns the number of bytes of all rows.
+// Size returns the size of all rows in bytes.
 func (r *Result) Size() int { return len(r.Rows) }
--- a/internal/scramauth/login.go
+++ b/internal/scramauth/login.go
@@ -7,26 +7,27 @@
 	"github.com/xdg-go/scram"
 )
 
-// Errors of a login.
 var (
-	ErrDenied           = errors.New("password authentication failed")
+	// ErrDenied is returned for an unknown user and for a wrong password alike.
+	ErrDenied = errors.New("password authentication failed")
+	// ErrMalformedMessage is returned if the client's first message is invalid.
 	ErrMalformedMessage = errors.New("malformed SCRAM message")
 )
 
-// Login is one attempt to sign in.
+// Login is one authentication exchange with a client.
 type Login struct {
 	conversation *scram.ServerConversation
-	known        bool
-	steps        int
+	known        bool // the user exists
+	steps        int  // number of messages received from the client
 }
 
-// StartLogin starts a login under a name. The name within SCRAM's own messages is ignored, as
-// PostgreSQL does.
+// StartLogin starts the login of the named user. As in PostgreSQL, the name within the SCRAM messages
+// is ignored.
 func (u *Users) StartLogin(name string) (*Login, error) {
 	credentials := u.decoyCredentials(name)
 	user := u.byName[name]
 	if user != nil {
-		credentials = user.Verifier.stored
+		credentials = user.Verifier.credentials
 	}
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return credentials, nil })
 	if err != nil {
@@ -35,8 +36,8 @@
 	return &Login{conversation: server.NewConversation(), known: user != nil}, nil
 }
 
-// Step takes a client's message and returns the response; done tells that the client has proved to
-// be the user.
+// Step handles a message from the client and returns the response. done is true once the client has
+// proved that it knows the user's password.
 func (l *Login) Step(message string) (response string, done bool, err error) {
 	l.steps++
 	response, err = l.conversation.Step(message)
--- a/internal/scramauth/verifier_test.go
+++ b/internal/scramauth/verifier_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored, err := c.GetStoredCredentialsWithError(v.stored.KeyFactors)
+	stored, err := c.GetStoredCredentialsWithError(v.credentials.KeyFactors)
 	if err != nil {
 		t.Fatal(err)
 	}
