--- a/internal/backend/postgres/response.go
+++ b/internal/backend/postgres/response.go
@@ -9,7 +9,7 @@
 )
 
 var (
-	errTransactionOpen    = errors.New("unexpected transaction status in ReadyForQuery")
+	errTransactionStatus  = errors.New("unexpected transaction status in ReadyForQuery")
 	errIncompleteResponse = errors.New("ReadyForQuery before the response was complete")
 )
 
@@ -123,13 +123,13 @@
 // a transaction.
 func (c *connection) handleReadyForQuery(body []byte) error {
 	if len(body) != 1 {
-		return errTransactionOpen
+		return errTransactionStatus
 	}
 	inTransaction := body[0] != pgproto.TransactionIdle
 	mayBeInTransaction := c.startup.done && c.query.attempt != nil && c.query.attempt.Request.Streaming
 	switch {
 	case inTransaction && !mayBeInTransaction:
-		return errTransactionOpen
+		return errTransactionStatus
 	case c.session.resetting:
 		return c.completeReset()
 	case inTransaction:
--- a/internal/backend/postgres/result_codec.go
+++ b/internal/backend/postgres/result_codec.go
@@ -33,7 +33,7 @@
 
 var decoder = newDecoder()
 
-// newDecoder returns a decoder that accepts only the forms of CBOR that Codec encodes.
+// newDecoder returns a decoder that rejects duplicate keys, unknown fields, indefinite lengths, tags and deep nesting.
 func newDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, IndefLength: cbor.IndefLengthForbidden,
--- a/internal/backend/postgres/stored_test.go
+++ b/internal/backend/postgres/stored_test.go
@@ -11,6 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// storedBytes returns the contents of a file in testdata.
 func storedBytes(t *testing.T, file string) []byte {
 	t.Helper()
 	stored, err := os.ReadFile("testdata/" + file)
@@ -20,7 +21,8 @@
 	return stored
 }
 
-// Statements that version c18a9bd encoded for another gateway are read, and encoded to the same bytes.
+// TestStoredStatements checks that statements that version c18a9bd encoded for another gateway are decoded
+// correctly and encoded to the same bytes. Otherwise gateways of different versions could not forward statements.
 func TestStoredStatements(t *testing.T) {
 	values := append(append(pgproto.Int32(3), "abc"...), pgproto.Int32(-1)...)
 	bind := append(append([]byte{0, 0, 0, 2}, values...), 0, 0)
@@ -37,11 +39,11 @@
 			var c Codec
 			got, err := c.ReadStatement(stored)
 			if diff := cmp.Diff(core.Statement(want), got); err != nil || diff != "" {
-				t.Fatal(err, diff)
+				t.Fatalf("ReadStatement: error %v, diff (-want +got):\n%s", err, diff)
 			}
 			encoded, err := c.Statement(got)
 			if err != nil || !bytes.Equal(encoded, stored) {
-				t.Errorf("encoded again = %x, %v, want %x", encoded, err, stored)
+				t.Errorf("encoding the decoded value = %x, error %v, want %x", encoded, err, stored)
 			}
 			checkDamaged(t, stored, func(b []byte) error {
 				_, err := c.ReadStatement(b)
@@ -51,7 +53,8 @@
 	}
 }
 
-// A result that version c18a9bd encoded for another gateway is read, and encoded to the same bytes.
+// TestStoredResult checks that a result that version c18a9bd encoded for another gateway is decoded correctly and
+// encoded to the same bytes. Otherwise gateways of different versions could not forward results.
 func TestStoredResult(t *testing.T) {
 	stored := storedBytes(t, "result.cbor")
 	row := pgproto.AppendMessage(nil, 'D', []byte{0, 1, 0, 0, 0, 2, 'x', 'y'})
@@ -67,11 +70,11 @@
 	var c Codec
 	got, err := c.ReadResult(stored)
 	if diff := cmp.Diff(core.Result(want), got); err != nil || diff != "" {
-		t.Fatal(err, diff)
+		t.Fatalf("ReadResult: error %v, diff (-want +got):\n%s", err, diff)
 	}
 	encoded, err := c.Result(got)
 	if err != nil || !bytes.Equal(encoded, stored) {
-		t.Errorf("encoded again = %x, %v, want %x", encoded, err, stored)
+		t.Errorf("encoding the decoded value = %x, error %v, want %x", encoded, err, stored)
 	}
 	checkDamaged(t, stored, func(b []byte) error {
 		result, err := c.ReadResult(b)
@@ -81,23 +84,23 @@
 		r := result.(*pgproto.Result)
 		rows, err := countRows(r.Rows)
 		if err != nil || rows != r.RowCount {
-			t.Errorf("%x was accepted with %d rows in place of %d, %v", b, rows, r.RowCount, err)
+			t.Errorf("ReadResult accepted %x: got %d rows, error %v, want %d rows as in RowCount", b, rows, err, r.RowCount)
 		}
 		return nil
 	})
 }
 
-// checkDamaged reads what is cut short, which must fail, and what has one bit flipped, which must not panic.
+// checkDamaged decodes truncated data, which must fail, and data with one flipped bit, which must not panic.
 func checkDamaged(t *testing.T, stored []byte, read func([]byte) error) {
 	t.Helper()
 	for end := range stored {
 		if err := read(stored[:end]); err == nil {
-			t.Errorf("%d of %d bytes were accepted", end, len(stored))
+			t.Errorf("the first %d of %d bytes were accepted, want an error", end, len(stored))
 		}
 	}
 	for i := range 8 * len(stored) {
 		corrupt := bytes.Clone(stored)
 		corrupt[i/8] ^= 1 << (i % 8)
-		_ = read(corrupt) // a flipped letter of a text is valid
+		_ = read(corrupt) // may succeed: a text with another letter is valid
 	}
 }
--- a/internal/pgproto/statement.go
+++ b/internal/pgproto/statement.go
@@ -15,8 +15,8 @@
 	BeginQuery string `cbor:"Begin"`
 	// EndsTransaction is true if the statement ends its transaction.
 	EndsTransaction bool `cbor:"Ends"`
-	// Settings lists the client's settings, which apply to the statement, in order of their names. All
-	// other settings have the engine's values.
+	// Settings lists the client's settings that apply to the statement, sorted by name. All other
+	// settings have the engine's values.
 	Settings []Setting `cbor:"Settings"`
 	// ChangedSetting is the name of the setting that the statement changes, or empty if it changes none.
 	ChangedSetting string `cbor:"Sets"`
