--- a/internal/backend/postgres/backend.go
+++ b/internal/backend/postgres/backend.go
@@ -26,7 +26,7 @@
 
 // Options configures how the backend connects to engines.
 type Options struct {
-	User, Database   string
+	User, Database   string          // sent to engines in the startup message
 	Password         string          // for engines that require SCRAM-SHA-256; empty if there is none
 	TLS              *tls.Config     // nil disables encryption; otherwise an engine that declines TLS is not used
 	ConnectTimeout   time.Duration   // maximum time for connecting and the startup together; 0 means 1 s
@@ -78,7 +78,7 @@
 // Continue runs the next statement of a transaction on its connection.
 func (b *Backend) Continue(a *core.Attempt) {
 	c, ok := a.BackendState.(*connection)
-	if !ok || c.query.attempt != a || c.socket == nil { // the connection has ended, and its end will end the attempt
+	if !ok || c.query.attempt != a || c.socket == nil { // the connection has ended, which has ended the attempt or is about to
 		return
 	}
 	c.resetResponse()
--- a/internal/backend/postgres/cancel_request.go
+++ b/internal/backend/postgres/cancel_request.go
@@ -11,9 +11,10 @@
 // maxCancelConnectTime is the maximum time to connect for a CancelRequest, which would be useless much later.
 const maxCancelConnectTime = time.Second
 
-// Cancel cancels an attempt, and reports whether it is over. If the statement was already written, Cancel
-// sends a CancelRequest on a separate connection, and the attempt's connection is not reused: the
-// CancelRequest could arrive late and cancel the next statement there.
+// Cancel cancels an attempt. It returns true if the attempt is over, and false if the attempt will end with the
+// engine's response or the end of the connection. If the statement was already written, Cancel sends a CancelRequest
+// on a separate connection, and the attempt's connection is not reused: the CancelRequest could arrive late and
+// cancel the next statement there.
 func (b *Backend) Cancel(a *core.Attempt) bool {
 	w, waiting := a.BackendState.(*waiter)
 	if waiting {
@@ -47,7 +48,8 @@
 	return c.query.written && c.socket != nil && !c.retired && c.startup.cancelKey != nil
 }
 
-// requestCancel asks the engine to cancel the statement that runs on the connection.
+// requestCancel asks the engine to cancel the statement that runs on the connection, if its cancel
+// key is known.
 func (c *connection) requestCancel() {
 	b := c.backend
 	b.counters.Inc("links.cancelled")
--- a/internal/backend/postgres/connection.go
+++ b/internal/backend/postgres/connection.go
@@ -16,8 +16,10 @@
 const (
 	// maxMessagePause is the maximum time between two reads within one message.
 	maxMessagePause = 2 * time.Second
+	// maxMessageBytes is the maximum length of a message from an engine.
 	maxMessageBytes = MaxResultBytes
-	maxBufferBytes  = maxMessageBytes + 64<<10
+	// maxBufferBytes is the size of the received data at which reading pauses. It must exceed the largest message.
+	maxBufferBytes = maxMessageBytes + 64<<10
 )
 
 var (
@@ -36,7 +38,7 @@
 	retired     bool              // the connection takes no more statements
 	lastUsed    time.Duration     // when the connection was last in use or kept by the pool, on the core's clock
 	stallTimer  *timerqueue.Timer // aborts the connection if a message stays incomplete
-	closeReason core.Outcome      // why the gateway closes the connection; OutcomeUnknown if it does not
+	closeReason core.Outcome      // first reason for closing the connection; OutcomeUnknown until there is one
 
 	startup  startup
 	session  session
@@ -69,7 +71,8 @@
 	return c
 }
 
-// Retire prevents the connection from taking more statements, and closes it when it is free.
+// Retire prevents the connection from taking more statements. An established connection without an attempt, or with
+// a cancelled one, is closed at once, and any other connection when it becomes free.
 func (c *connection) Retire() {
 	c.retired = true
 	c.leaveIdle()
@@ -90,7 +93,8 @@
 	}
 }
 
-// abort logs err, a violation of the protocol by the engine, and closes the connection. Its attempt fails.
+// abort logs err and closes the connection; its attempt fails. err says why the connection is unusable: the engine
+// violated the protocol, stopped in the middle of a message, or failed the login or the reset of the session.
 func (c *connection) abort(err error) {
 	if c.socket == nil || c.closeReason != core.OutcomeUnknown {
 		return
@@ -142,7 +146,7 @@
 	switch {
 	case !c.startup.done:
 		return c.handleStartupMessage(kind, body)
-	case c.session.resetting:
+	case c.session.resetting: // the response to DISCARD ALL, which ReadyForQuery ends
 		return nil
 	case c.query.attempt == nil:
 		return fmt.Errorf("%w %q on an idle connection", errUnexpectedMessage, kind)
@@ -199,7 +203,8 @@
 	c.backend.core.EndAttempt(a, outcome, report)
 }
 
-// watchIdle closes the connection after the pool's idle timeout, unless the pool keeps it.
+// watchIdle closes the connection after the pool's idle timeout, unless the pool keeps it. It checks again one
+// idle timeout after the connection was last in use or kept.
 func (c *connection) watchIdle() {
 	idleTimeout := c.backend.options.Pool.IdleTimeout
 	if idleTimeout <= 0 {
--- a/internal/backend/postgres/connection_pool.go
+++ b/internal/backend/postgres/connection_pool.go
@@ -21,8 +21,8 @@
 // enginePool is the connection pool of one engine, with the attempts that wait for a connection.
 type enginePool struct {
 	pool    connpool.Pool
-	live    bool // the engine is live: connections are opened before a statement needs them
-	waiting map[*connpool.Ticket]*waiter
+	live    bool                         // the engine is live: connections are opened before a statement needs them
+	waiting map[*connpool.Ticket]*waiter // by the pool's record of the attempt
 }
 
 // waiter is an attempt that waits for a connection.
--- a/internal/backend/postgres/prepared.go
+++ b/internal/backend/postgres/prepared.go
@@ -9,7 +9,8 @@
 const (
 	// maxPreparedStatements is the maximum number of named statements on one connection.
 	maxPreparedStatements = 32
-	// maxPreparedBytes is the maximum size of the text and parameter types of a named statement, which stay in memory.
+	// maxPreparedBytes is the maximum size in bytes of the text and parameter types of a named statement, which
+	// stay in memory.
 	maxPreparedBytes = 4 << 10
 )
 
@@ -25,6 +26,7 @@
 	lastNumber int               // number in the latest name
 }
 
+// newPreparedStatements returns an empty set.
 func newPreparedStatements() preparedStatements {
 	return preparedStatements{names: map[string]string{}}
 }
@@ -44,6 +46,7 @@
 	return "s" + strconv.Itoa(p.lastNumber)
 }
 
+// clear removes all names.
 func (p *preparedStatements) clear() { clear(p.names) }
 
 // prepare returns the encoded name of the statement, and appends a Parse if it is not prepared on this connection.
--- a/internal/backend/postgres/query.go
+++ b/internal/backend/postgres/query.go
@@ -47,7 +47,7 @@
 	}
 	c.query.written = true
 	sent := c.socket.Write(c.encodeStatement(statement))
-	if sent || c.query.continued {
+	if sent || c.query.continued { // if a continued statement was not sent, Closed is called and ends the attempt
 		return
 	}
 	c.query.written = false // the connection has ended, so the statement has not run
--- a/internal/backend/postgres/replay_test.go
+++ b/internal/backend/postgres/replay_test.go
@@ -139,7 +139,7 @@
 	return messages
 }
 
-// state formats the state of the connection for the digest.
+// state formats the state of the connection for the digest, which covers the labels too.
 func (c replaySession) state() string {
 	return fmt.Sprintf("bound=%t preludes=%d complete=%t held=%d named=%v settings=%v %s", c.response.bound, c.response.precedingStatements,
 		c.response.complete, c.backend.bufferedBytes, sortedPairs(c.prepared.names), sortedPairs(c.session.settings),
--- a/internal/backend/postgres/response.go
+++ b/internal/backend/postgres/response.go
@@ -15,11 +15,11 @@
 
 // response is the received part of the response to a statement.
 type response struct {
-	result              *pgproto.Result
-	bound               bool           // BindComplete was received: the statement may be running
-	precedingStatements int            // number of preceding statements whose CommandComplete was not received yet
-	complete            bool           // CommandComplete or EmptyQueryResponse was received
-	failure             *pgproto.Error // latest error from the engine; nil if there is none
+	result              *pgproto.Result // received part of the result; nil without an attempt
+	bound               bool            // BindComplete was received: the statement may be running
+	precedingStatements int             // number of statements sent ahead of the statement (SET, RESET, BEGIN) whose CommandComplete was not received yet
+	complete            bool            // CommandComplete or EmptyQueryResponse was received
+	failure             *pgproto.Error  // latest error from the engine; nil if there is none
 }
 
 // resetResponse prepares the connection for the next response.
--- a/internal/backend/postgres/result_codec.go
+++ b/internal/backend/postgres/result_codec.go
@@ -143,7 +143,7 @@
 		return nil, fmt.Errorf("%w: %w", errInvalidPayload, err)
 	}
 	if len(r.Rows) > MaxResultBytes || strings.IndexByte(r.Tag, 0) >= 0 {
-		return nil, fmt.Errorf("%w: the rows have %d bytes, more than %d, or the tag contains a NUL character", errInvalidPayload, len(r.Rows), MaxResultBytes)
+		return nil, fmt.Errorf("%w: rows of %d bytes (maximum %d), or a NUL character in the tag", errInvalidPayload, len(r.Rows), MaxResultBytes)
 	}
 	rows, err := countRows(r.Rows)
 	if err != nil {
--- a/internal/backend/postgres/session.go
+++ b/internal/backend/postgres/session.go
@@ -43,7 +43,8 @@
 }
 
 // resetSession makes the engine discard the state that a transaction or statement has left in the session.
-// Otherwise another client could see the settings and temporary tables of this one.
+// Otherwise another client could see this client's settings and temporary tables. If the reset takes longer than the
+// connect timeout, the connection is closed.
 func (c *connection) resetSession() {
 	if c.retired || c.socket == nil {
 		return
@@ -59,7 +60,7 @@
 	})
 }
 
-// completeReset returns the connection to the pool, or the engine's error if the reset failed.
+// completeReset makes the connection idle again. If the reset failed, it returns the engine's error instead.
 func (c *connection) completeReset() error {
 	if c.response.failure != nil {
 		return c.response.failure
--- a/internal/backend/postgres/startup.go
+++ b/internal/backend/postgres/startup.go
@@ -109,8 +109,8 @@
 	c.backend.openAhead(c.engine.ID)
 }
 
-// authenticate handles one Authentication message. Supported are no authentication and SCRAM (RFC 5802), in which
-// both sides prove that they know the password.
+// authenticate handles one Authentication message. The engine may require no authentication, or SCRAM (RFC
+// 5802), in which both sides prove that they know the password.
 func (c *connection) authenticate(body []byte) error {
 	r := pgproto.Reader{Rest: body}
 	code := r.Int32()
--- a/internal/pgproto/result_formats.go
+++ b/internal/pgproto/result_formats.go
@@ -11,8 +11,9 @@
 )
 
 // WithResultFormats returns a copy of the body of a RowDescription, with the format codes replaced by
-// the result formats of a Bind. bind is the body of the Bind after the two names. The description of a
-// statement needs this because the formats are unknown before Bind.
+// the result formats of a Bind. bind is the body of the Bind after the two names; if it contains no
+// result formats, the format codes are unchanged. The description of a statement needs this because the
+// formats are unknown before Bind.
 func WithResultFormats(description, bind []byte) ([]byte, error) {
 	formats, err := resultFormats(bind)
 	if err != nil {
--- a/internal/pgproto/statement.go
+++ b/internal/pgproto/statement.go
@@ -6,12 +6,13 @@
 	Query string `cbor:"Query"`
 	// ParameterTypes is the number of parameters and their types, encoded as in Parse.
 	ParameterTypes []byte `cbor:"Types"`
-	// Bind is the body of the client's Bind after the two names: formats and parameter values, unchanged.
+	// Bind is the body of the client's Bind after the two names: parameter formats, parameter values
+	// and result formats, unchanged.
 	Bind []byte `cbor:"Bind"`
 	// DescribeOnly is true if the statement is only described, not executed.
 	DescribeOnly bool `cbor:"Describe"`
-	// BeginQuery is the statement that begins the transaction before this statement, the first one in
-	// it. It is empty for all other statements.
+	// BeginQuery is the text of the statement that begins the transaction, if this statement is the first
+	// in a transaction. Otherwise it is empty.
 	BeginQuery string `cbor:"Begin"`
 	// EndsTransaction is true if the statement ends its transaction.
 	EndsTransaction bool `cbor:"Ends"`
@@ -22,8 +23,8 @@
 	ChangedSetting string `cbor:"Sets"`
 	// TaintsSession is true if the statement may change the state of the engine's session.
 	TaintsSession bool `cbor:"Taints"`
-	// User is the user on whose behalf the statement runs, for sharing the connections among users. It
-	// is not sent to other sites, which have users of their own.
+	// User is the user on whose behalf the statement runs. The connection pool limits the connections of
+	// each user. User is not sent to other sites, which have users of their own.
 	User string `cbor:"-"`
 }
 
--- a/internal/pgproto/stored_test.go
+++ b/internal/pgproto/stored_test.go
@@ -30,9 +30,9 @@
 	for _, c := range []struct {
 		name   string
 		file   string
-		target any // where the file is decoded into
+		target any // empty value into which the file is decoded
 		want   any
-		source any // what is encoded
+		source any // value whose encoding must equal the file
 	}{
 		{"statement", "testdata/statement.cbor", new(Statement), &storedStatement, &storedStatement},
 		{"statement with a user", "testdata/statement.cbor", new(Statement), &storedStatement, &withUser},
