--- a/internal/queryshape/cache.go
+++ b/internal/queryshape/cache.go
@@ -9,50 +9,52 @@
 	"github.com/maypok86/otter/v2"
 )
 
-// Fingerprint identifies a shape within this process.
+// Fingerprint identifies a query shape within this process.
 type Fingerprint = [2]uint64
 
-// CachedShape is a cached shape.
+// CachedShape is the cost record of a query shape with the shape's normal form.
 type CachedShape struct {
 	decide.ShapeRecord
-	NormalForm string // or the first MaxNormalForm bytes of it
-	Truncated  bool   // the normal form is longer: the shape can't be found again after a restart
+	NormalForm string // the first MaxNormalForm bytes of the normal form
+	Truncated  bool   // NormalForm is incomplete: the shape can't be identified after a restart
 }
 
-// MaxNormalForm bounds the normal form that is cached of one shape, in bytes.
+// MaxNormalForm is the maximum length of the normal form cached for one shape, in bytes.
 const MaxNormalForm = 1 << 10
 
-// entryOverheadBytes is what a cache takes for one entry beside the entry itself: the node of the
-// policy, the map's slot with its spare capacity, and the allocator's rounding. Measured with a
-// million shapes (docs/measurements/shapes.md) and rounded up.
+// entryOverheadBytes is the memory that a cache uses for one entry in addition to the entry
+// itself: the eviction policy's node, the map's slot with its spare capacity, and the allocator's
+// rounding. It was measured with a million shapes (docs/measurements/shapes.md) and rounded up.
 const entryOverheadBytes = 240
 
-// Size returns the bytes that an entry is counted as.
+// Size returns the number of bytes that the entry counts as in the bound of a cache.
 func (s *CachedShape) Size() int {
 	return int(unsafe.Sizeof(*s)) + len(s.NormalForm) + entryOverheadBytes
 }
 
-// Cache holds shapes within a number of bytes.
+// Cache is a cache of shapes with a bounded size. It belongs to one goroutine.
 type Cache interface {
-	// Get returns the shape of a fingerprint, or nil.
+	// Get returns the shape with a fingerprint, or nil.
 	Get(f Fingerprint) *CachedShape
+	// Add offers a shape to the cache, which may evict others or not admit the shape.
 	Add(f Fingerprint, s *CachedShape)
+	// Len returns the number of shapes.
 	Len() int
 	// Bytes returns the sum of the sizes of the shapes.
 	Bytes() int
-	// Each calls yield for each shape until it returns false.
+	// Each calls yield for each shape until yield returns false.
 	Each(yield func(Fingerprint, *CachedShape) bool)
 }
 
-// tinyLFU admits a new shape only where it has come more often than the one that it would evict
-// (Einziger, Friedman, Manes, "TinyLFU: A Highly Efficient Cache Admission Policy", 2017): a flood
-// of one-off shapes does not displace those that recur.
+// tinyLFU admits a new shape only if it has been requested more often than the one that it would
+// evict (Einziger, Friedman, Manes, "TinyLFU: A Highly Efficient Cache Admission Policy", 2017),
+// so that a flood of one-off shapes does not displace recurring ones.
 type tinyLFU struct {
 	*otter.Cache[Fingerprint, *CachedShape]
 }
 
-// NewTinyLFU returns a cache with the W-TinyLFU policy. Its maintenance runs in the caller's
-// goroutine.
+// NewTinyLFU returns a cache of the given size in bytes with the W-TinyLFU policy. Its maintenance
+// runs in the caller's goroutine.
 func NewTinyLFU(bytes int) (Cache, error) {
 	c, err := otter.New(&otter.Options[Fingerprint, *CachedShape]{
 		MaximumWeight: uint64(bytes),
--- a/internal/queryshape/cache_lru.go
+++ b/internal/queryshape/cache_lru.go
@@ -6,7 +6,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// lruCache is the interface that golang-lru's caches share.
+// lruCache is the common interface of golang-lru's caches.
 type lruCache interface {
 	Get(Fingerprint) (*CachedShape, bool)
 	Add(Fingerprint, *CachedShape)
@@ -15,25 +15,29 @@
 	Len() int
 }
 
+// plainLRU adapts golang-lru's Cache to lruCache: its Add has a result.
 type plainLRU struct {
 	*lru.Cache[Fingerprint, *CachedShape]
 }
 
 func (c plainLRU) Add(f Fingerprint, s *CachedShape) { c.Cache.Add(f, s) }
 
-// entryBoundedCache is a cache that bounds the number of its entries: those of typical statements
-// that its bytes hold.
+// entryBoundedCache is a Cache that bounds the number of its entries instead of their size. The
+// bound is the number of typical entries that fit in its bytes.
 type entryBoundedCache struct{ lruCache }
 
 // typicalNormalForm is the length of a typical normal form, in bytes.
 const typicalNormalForm = 120
 
+// entriesIn returns the number of typical entries that fit in a number of bytes, at least 1.
+
 func entriesIn(bytes int) int {
 	s := CachedShape{}
 	return max(bytes/(s.Size()+typicalNormalForm), 1)
 }
 
-// NewLRU returns a cache that evicts the least recently used shape, to be compared with W-TinyLFU.
+// NewLRU returns a cache of the given size in bytes that evicts the least recently used shape. It
+// serves as a baseline for comparisons with W-TinyLFU.
 func NewLRU(bytes int) (Cache, error) {
 	c, err := lru.New[Fingerprint, *CachedShape](entriesIn(bytes))
 	if err != nil {
@@ -42,7 +46,8 @@
 	return entryBoundedCache{plainLRU{c}}, nil
 }
 
-// New2Q returns a cache with the 2Q policy (Johnson, Shasha, 1994), to be compared with W-TinyLFU.
+// New2Q returns a cache of the given size in bytes with the 2Q policy (Johnson, Shasha, 1994). It
+// serves as a baseline for comparisons with W-TinyLFU.
 func New2Q(bytes int) (Cache, error) {
 	c, err := lru.New2Q[Fingerprint, *CachedShape](max(entriesIn(bytes), 2))
 	if err != nil {
--- a/internal/queryshape/estimator.go
+++ b/internal/queryshape/estimator.go
@@ -1,8 +1,8 @@
-// Package queryshape keeps what is known of the shapes of statements: it reads statements for the
-// frontends, caches the cost records of recurring shapes within a number of bytes, asks
-// internal/decide/costmodel what executions cost and which class they have, and stores
-// snapshots. Its knowledge serves estimates and classes alone: whether a statement may write is
-// decided by package sqltext, and nothing here relaxes that.
+// Package queryshape estimates the cost of statements from earlier executions of the same query
+// shape. It reads statements for the frontends, caches the cost records of recurring shapes in a
+// bounded amount of memory, obtains cost estimates and classes from internal/decide/costmodel, and
+// stores snapshots. What it has learned affects only estimates and classes: whether a statement
+// may write is decided by package sqltext, and nothing here relaxes that decision.
 package queryshape
 
 import (
@@ -16,33 +16,33 @@
 // Options configure an Estimator.
 type Options struct {
 	Model decide.Config
-	Bytes int   // bound of the cached records with their overhead; at least MinBytes
-	Cache Cache // in place of W-TinyLFU over Bytes
+	Bytes int   // maximum size of the cached records with their overhead; at least MinBytes
+	Cache Cache // replaces the W-TinyLFU cache of Bytes bytes; nil: none
 }
 
-// MinBytes is the smallest bound that holds the records of a few dozen shapes.
+// MinBytes is the minimum of Options.Bytes. It holds the records of a few dozen shapes.
 const MinBytes = 64 << 10
 
-// Estimator estimates the cost of statements by their shapes. It belongs to one goroutine.
+// Estimator estimates the cost of statements by their query shapes. It belongs to one goroutine.
 type Estimator struct {
 	reader   *sqltext.Reader
 	model    *decide.Model
 	cache    Cache
-	hashSeed uint64 // of the hashes of values
+	hashSeed uint64 // seed of the hashes of values
 	Stats    Stats
 }
 
-// Stats counts the calls of an Estimator.
+// Stats counts the operations of an Estimator since it was created.
 type Stats struct {
-	Hits    uint64 // executions whose shape was cached
-	Misses  uint64 // executions whose shape was not
-	Learned uint64
+	Hits    uint64 // estimated executions whose shape was cached
+	Misses  uint64 // estimated executions whose shape was not cached
+	Learned uint64 // executions whose reported cost was learned
 }
 
 // New returns an estimator that has learned nothing.
 func New(opts Options) (*Estimator, error) {
 	if opts.Bytes < MinBytes && opts.Cache == nil {
-		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.Bytes, MinBytes)
+		return nil, fmt.Errorf("shapes: cache size of %d bytes is too small, want at least %d", opts.Bytes, MinBytes)
 	}
 	e := &Estimator{reader: sqltext.NewReader(), model: decide.New(opts.Model), cache: opts.Cache, hashSeed: rand.Uint64()}
 	if e.cache == nil {
@@ -54,7 +54,7 @@
 	return e, nil
 }
 
-// Read reads a text. The statement holds on to it.
+// Read reads the text of a statement. The result keeps a reference to the text.
 func (e *Estimator) Read(text string) *Statement {
 	s := &Statement{}
 	e.readInto(s, text)
@@ -69,10 +69,11 @@
 	s.reading.NormalForm = nil
 }
 
+// noBinds are the values of an execution without parameters.
 var noBinds sqltext.Binds
 
-// Estimate returns an execution of a statement with its expected cost. knownClass is the index of
-// its class where that is decided already, else -1. binds may be nil.
+// Estimate returns an execution of a statement with its estimated cost. knownClass is the index of
+// its class if that is already decided, else -1. binds may be nil.
 func (e *Estimator) Estimate(s *Statement, binds *sqltext.Binds, knownClass int, hint Hint) *Execution {
 	x := &Execution{}
 	e.estimate(x, s, binds, knownClass, hint)
@@ -101,8 +102,8 @@
 	x.Estimate = e.model.Estimate(&x.query)
 }
 
-// Learn takes the reported cost of an execution. A shape that is not cached is offered to the
-// cache, which may not admit it.
+// Learn updates the model and the record of the shape with the reported cost of an execution. A
+// shape that is not cached is offered to the cache, which may not admit it.
 func (e *Estimator) Learn(x *Execution, outcome decide.Outcome) {
 	e.Stats.Learned++
 	fingerprint := x.statement.reading.Fingerprint
@@ -129,5 +130,5 @@
 // Len returns the number of cached shapes.
 func (e *Estimator) Len() int { return e.cache.Len() }
 
-// Bytes returns the size of the cached shapes.
+// Bytes returns the size of the cached shapes with their overhead.
 func (e *Estimator) Bytes() int { return e.cache.Bytes() }
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -14,18 +14,18 @@
 // Settings configure a Service.
 type Settings struct {
 	Model            decide.Config
-	Bytes            int           // bound of the cached records
-	ReplaceHints     bool          // policies are given the estimate in place of the client's hint
-	RequireHint      bool          // and nothing where the client gives no hint
-	SnapshotFile     string        // "": none
-	SnapshotInterval time.Duration // between snapshots
-	WorkReported     bool          // engines report the work; else elapsed times stand for it
+	Bytes            int           // maximum size of the cached records
+	ReplaceHints     bool          // policies get the estimate instead of the client's hint
+	RequireHint      bool          // ReplaceHints applies only to requests with a hint
+	SnapshotFile     string        // path; "": no snapshots
+	SnapshotInterval time.Duration // time between snapshots
+	WorkReported     bool          // engines report the work of attempts; if not, the elapsed time is used
 }
 
 var _ core.CostObserver = (*Service)(nil)
 
-// Service is the estimator of a gateway: frontends ask it about each request, and the core reports
-// to it what attempts have cost. It belongs to the loop's goroutine.
+// Service is the estimator of a gateway: frontends ask it for an estimate of each request, and the
+// core reports the cost of attempts to it. It belongs to the loop's goroutine.
 type Service struct {
 	estimator *Estimator
 	settings  Settings
@@ -34,16 +34,16 @@
 	counters  *metrics.Counters
 	log       *slog.Logger
 
-	saving         bool  // a snapshot is being written
-	replacedHints  int64 // requests whose hint was replaced by an estimate
-	freeExecutions []*Execution
+	saving         bool         // a snapshot is being written
+	replacedHints  int64        // requests whose hint was replaced by an estimate
+	freeExecutions []*Execution // executions for reuse
 }
 
-// classTable maps the classes of the settings to those of the cost model.
+// classTable maps the configured classes to those of the cost model.
 type classTable struct {
-	index   map[string]int
-	threads map[string]float64 // that a statement of the class uses at its engine
-	reading []policy.Class     // by the cost model's index
+	index   map[string]int     // index of each configured class by name
+	threads map[string]float64 // threads that a statement of the class uses on its engine, by name
+	reading []policy.Class     // classes of reading statements by the cost model's index
 }
 
 func newClassTable(classes []policy.Class, reading []decide.Class) classTable {
@@ -58,8 +58,8 @@
 	return t
 }
 
-// NewService returns a service that goes on from the snapshot, if there is one. A snapshot that
-// can't be used is logged and renamed to FILE.unusable.
+// NewService returns a service that starts from the snapshot file, if it exists. A snapshot that
+// can't be used is logged and renamed to FILE.unusable, and the service starts empty.
 func NewService(settings Settings, classes []policy.Class, loop *netio.Loop, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{settings: settings, classes: newClassTable(classes, settings.Model.Classes), loop: loop, counters: counters, log: log}
 	s.estimator = s.loadSnapshot()
--- a/internal/queryshape/service_requests.go
+++ b/internal/queryshape/service_requests.go
@@ -9,10 +9,11 @@
 	"gannetspur/policy"
 )
 
-// maxFreeExecutions bounds the executions that are kept for reuse; more requests are seldom open
-// at once.
+// maxFreeExecutions is the maximum number of executions that are kept for reuse. More requests are
+// rarely open at once.
 const maxFreeExecutions = 512
 
+// newExecution returns a zero Execution, reusing a free one if possible.
 func (s *Service) newExecution() *Execution {
 	n := len(s.freeExecutions)
 	if n == 0 {
@@ -23,7 +24,8 @@
 	return x
 }
 
-// executionOf returns the execution to be used for a statement: its own, if it has one.
+// executionOf returns the execution to use for a statement: its only one, if it was read by
+// ReadOnce, or else a new one.
 func (s *Service) executionOf(st *Statement) *Execution {
 	if st.execution != nil {
 		return st.execution
@@ -31,7 +33,7 @@
 	return s.newExecution()
 }
 
-// RequestDone takes a request's execution back for reuse.
+// RequestDone releases a request's execution for reuse.
 func (s *Service) RequestDone(r *core.Request) {
 	x, ok := r.CostContext.(*Execution)
 	if !ok {
@@ -44,16 +46,17 @@
 	}
 }
 
-// Read reads a statement and classifies its effect. readOnly are functions that operators have
-// declared to be read-only.
+// Read reads a statement and classifies its effect. readOnly are the functions that operators
+// have declared to be read-only.
 func (s *Service) Read(text string, readOnly sqltext.FunctionSet) *Statement {
 	s.enableEffects(readOnly)
 	defer s.disableEffects()
 	return s.estimator.Read(text)
 }
 
-// ReadOnce reads a statement that will have one execution, as that of a Query message. The
-// statement is stored in its execution, so that it allocates nothing; it is valid until RequestDone.
+// ReadOnce reads a statement that will have one execution, such as that of a Query message, and
+// classifies its effect. The statement is stored in the execution to avoid an allocation; it is
+// valid until RequestDone.
 func (s *Service) ReadOnce(text string, readOnly sqltext.FunctionSet) *Statement {
 	s.enableEffects(readOnly)
 	defer s.disableEffects()
@@ -70,13 +73,14 @@
 
 func (s *Service) disableEffects() { s.estimator.reader.ClassifyEffect = false }
 
-// EstimateRequest estimates a request whose class is already known, and gives the estimate to the
-// request if the settings say so.
+// EstimateRequest estimates the cost of a request whose class is already known, and replaces the
+// hint of the request by the estimate if the settings allow it.
 func (s *Service) EstimateRequest(r *core.Request, st *Statement, binds *sqltext.Binds) {
 	s.estimate(r, s.executionOf(st), st, binds)
 }
 
-// EstimateText reads a text for one request whose class is already known, and estimates that.
+// EstimateText reads the text of a request whose class is already known, sets the request's data
+// set and does the same as EstimateRequest.
 func (s *Service) EstimateText(r *core.Request, text string) {
 	x := s.newExecution()
 	s.estimator.readInto(&x.own, text)
@@ -98,8 +102,8 @@
 	s.apply(r, x, threads)
 }
 
-// Classify finds the class of a reading statement for which nobody has named one; ok is false
-// where statements are not classified.
+// Classify determines the class of a reading statement whose client has not named one. ok is false
+// if the cost model gives none.
 func (s *Service) Classify(st *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
 	x = s.executionOf(st)
 	s.estimator.estimate(x, st, binds, -1, Hint{})
@@ -109,12 +113,15 @@
 	return s.classes.reading[x.Estimate.Class], x, true
 }
 
-// ApplyEstimate gives the estimate of a classified execution to its request. Classes are bounded by
-// elapsed time, and policies take the work of all threads.
+// ApplyEstimate applies the estimate of a classified execution to its request. Classes are defined
+// by elapsed time while policies use the work of all threads, so the estimate is multiplied by the
+// threads of the class.
 func (s *Service) ApplyEstimate(r *core.Request, x *Execution) {
 	s.apply(r, x, s.classes.threads[r.Class])
 }
 
+// apply links the execution to its request and, if the settings allow it, replaces the request's
+// hints by the estimate. The estimated work is multiplied by threads.
 func (s *Service) apply(r *core.Request, x *Execution, threads float64) {
 	r.CostContext = x
 	if !s.settings.ReplaceHints || !x.Estimate.Known || s.settings.RequireHint && r.Work == 0 {
@@ -127,7 +134,7 @@
 	}
 }
 
-// AttemptServed learns what a request has cost.
+// AttemptServed learns the cost of a request from its served attempt.
 func (s *Service) AttemptServed(r *core.Request, report core.Report, elapsed time.Duration) {
 	work := report.Work
 	if work <= 0 {
@@ -136,9 +143,10 @@
 	s.learn(r, decide.Outcome{Work: milliseconds(work), MemoryMB: report.MemoryMB})
 }
 
-// AttemptTimedOut learns that a request would have cost more than the time that it was given.
+// AttemptTimedOut learns the elapsed time of an attempt that timed out as a lower bound of the
+// request's cost.
 func (s *Service) AttemptTimedOut(r *core.Request, elapsed time.Duration) {
-	if s.settings.WorkReported { // on a crowded engine an elapsed time says little of the work
+	if s.settings.WorkReported { // on an overloaded engine the elapsed time is a poor measure of the work
 		return
 	}
 	s.learn(r, decide.Outcome{Work: milliseconds(elapsed), LowerBound: true})
--- a/internal/queryshape/service_snapshot.go
+++ b/internal/queryshape/service_snapshot.go
@@ -6,7 +6,8 @@
 	"os"
 )
 
-// loadSnapshot restores the snapshot file of the settings; nil: there is none that can be used.
+// loadSnapshot restores an estimator from the configured snapshot file. It returns nil if there is
+// no usable snapshot.
 func (s *Service) loadSnapshot() *Estimator {
 	file := s.settings.SnapshotFile
 	if file == "" {
@@ -37,9 +38,9 @@
 	})
 }
 
-// Save writes a snapshot in the background, if the settings name a file. Only one is written at a
-// time, so that a disk that hangs blocks one goroutine; it ends with the write and reports to the
-// loop.
+// Save writes a snapshot in the background, if a file is configured. At most one is written at a
+// time, so that a hanging disk blocks only one goroutine. The goroutine ends with the write and
+// reports its result to the loop.
 func (s *Service) Save() {
 	if s.settings.SnapshotFile == "" || s.saving {
 		return
@@ -52,6 +53,7 @@
 	}()
 }
 
+// saved records the result of writing a snapshot.
 func (s *Service) saved(err error) {
 	s.saving = false
 	if err != nil {
@@ -62,11 +64,11 @@
 	s.counters.Inc("shapes.snapshots")
 }
 
-// Encode returns a snapshot for another process.
+// Encode returns an encoded snapshot for another process.
 func (s *Service) Encode() ([]byte, error) { return s.estimator.Snapshot().Encode() }
 
-// Restore goes on from what Encode returned in another process. On an error the service keeps what
-// it has learned.
+// Restore replaces what the service has learned by a snapshot that Encode returned in another
+// process. On an error the service is unchanged.
 func (s *Service) Restore(encoded []byte) error {
 	snapshot, err := DecodeSnapshot(encoded)
 	if err != nil {
--- a/internal/queryshape/snapshot.go
+++ b/internal/queryshape/snapshot.go
@@ -14,17 +14,17 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A snapshot is a header and a body. The header is the magic, a version (4 bytes), the length of
-// the body (8 bytes) and its xxhash (8 bytes), all big-endian; the body is a zstd frame of one
-// CBOR item.
+// An encoded snapshot is a header followed by a body. The header is the magic, a version (4
+// bytes), the length of the body (8 bytes) and its xxhash (8 bytes), all big-endian. The body is a
+// zstd frame of one CBOR item.
 const (
 	snapshotMagic       = "RWSHAPES"
 	snapshotVersion     = 1
 	snapshotHeaderBytes = len(snapshotMagic) + 4 + 8 + 8
-	maxSnapshotBytes    = 256 << 20 // of the item, against files that claim more
+	maxSnapshotBytes    = 256 << 20 // limit of the decompressed item, against decompression bombs
 )
 
-// Bounds of the CBOR item.
+// Limits of the CBOR item: nesting levels, elements of an array and pairs of a map.
 const (
 	maxSnapshotNesting = 16
 	maxSnapshotArray   = 1 << 20
@@ -39,17 +39,18 @@
 	ErrSnapshotCorrupt   = errors.New("corrupt snapshot")
 )
 
-// Snapshot is what an estimator has learned, in a form that outlives the process. Fingerprints are
-// computed anew when it is restored: their seeds are those of one process.
+// Snapshot is what an estimator has learned, in a form that can be stored. Fingerprints are not
+// stored but computed again when a snapshot is restored, because their seeds differ between
+// processes.
 type Snapshot struct {
-	Layout          int           `cbor:"1,keyasint"`
-	HashSeed        uint64        `cbor:"2,keyasint"` // of the hashes of values
+	Layout          int           `cbor:"1,keyasint"` // decide.StateLayout of the encoder
+	HashSeed        uint64        `cbor:"2,keyasint"` // seed of the hashes of values
 	Model           *decide.State `cbor:"3,keyasint"`
 	Shapes          []SavedShape  `cbor:"4,keyasint"`
-	TruncatedShapes int           `cbor:"5,keyasint"` // shapes left out, as their normal forms are too long to be found again
+	TruncatedShapes int           `cbor:"5,keyasint"` // number of shapes left out because their cached normal forms are incomplete
 }
 
-// SavedShape is one shape of a snapshot.
+// SavedShape is a query shape with its cost record in a snapshot.
 type SavedShape struct {
 	NormalForm string             `cbor:"1,keyasint"`
 	Record     decide.ShapeRecord `cbor:"2,keyasint"`
@@ -69,7 +70,7 @@
 	return s
 }
 
-// Restore returns an estimator that goes on from a snapshot.
+// Restore returns an estimator with the learned state of a snapshot.
 func Restore(opts Options, s *Snapshot) (*Estimator, error) {
 	e, err := New(opts)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return e, nil
 }
 
-// Encode returns the stored form of the snapshot.
+// Encode returns the snapshot as a header and a body.
 func (s *Snapshot) Encode() ([]byte, error) {
 	item, err := cbor.Marshal(s)
 	if err != nil {
@@ -97,7 +98,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
-	defer func() { _ = encoder.Close() }() // it has no stream to end
+	defer func() { _ = encoder.Close() }() // can't fail: EncodeAll writes to no stream
 	b := encoder.EncodeAll(item, make([]byte, snapshotHeaderBytes))
 	copy(b, snapshotMagic)
 	header := b[len(snapshotMagic):]
@@ -107,7 +108,8 @@
 	return b, nil
 }
 
-// DecodeSnapshot decodes what Encode returned. Its errors wrap one of this package's.
+// DecodeSnapshot decodes the result of Snapshot.Encode. An error for invalid input wraps one of the
+// errors above.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	body, err := snapshotBody(b)
 	if err != nil {
--- a/internal/queryshape/snapshot_file.go
+++ b/internal/queryshape/snapshot_file.go
@@ -19,8 +19,9 @@
 	return s, nil
 }
 
-// Write replaces a snapshot file atomically: it writes a temporary file beside it and renames that
-// once it is synced. A crash leaves the old file or the new one, never a part.
+// Write replaces a snapshot file atomically: it writes and syncs a temporary file in the same
+// directory and renames it. After a crash the file is the old one or the new one, never a partial
+// one.
 func (s *Snapshot) Write(path string) error {
 	b, err := s.Encode()
 	if err != nil {
@@ -38,7 +39,8 @@
 	return nil
 }
 
-// writeTemporary writes a synced file beside path and returns its name. On an error it leaves none.
+// writeTemporary writes and syncs a temporary file in the directory of path and returns its name.
+// On an error it removes the file.
 func writeTemporary(path string, b []byte) (name string, err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
@@ -58,7 +60,8 @@
 	return f.Name(), nil
 }
 
-// syncDirectory makes a rename within a directory durable, where the file system can do that.
+// syncDirectory makes a rename within a directory durable, if the file system supports that.
+// Errors are ignored: the file itself is already complete.
 func syncDirectory(path string) {
 	d, err := os.Open(path)
 	if err != nil {
--- a/internal/sqltext/bound_values.go
+++ b/internal/sqltext/bound_values.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// Binds are the values of one execution, as a Bind message of PostgreSQL has them.
+// Binds are the parameter values of one execution, as encoded in PostgreSQL's Bind message.
 type Binds struct {
-	Values  [][]byte // nil: null
-	Formats []byte   // two bytes each, as in the message: none, one for all, or one a value
-	Types   []byte   // object ids of four bytes each, as Parse or an engine tells them; may be short
+	Values  [][]byte // a nil element is NULL
+	Formats []byte   // format codes of two bytes each: none, one for all values, or one per value
+	Types   []byte   // object IDs of four bytes each, from Parse or an engine; may cover only the first values
 }
 
-// Sizes in messages, in bytes.
+// Sizes of fields in protocol messages, in bytes.
 const (
 	formatLen = 2
 	oidLen    = 4
@@ -21,16 +21,17 @@
 // binaryFormat is the low byte of the format code of binary values.
 const binaryFormat = 1
 
-// slotValue is the value of a slot in one execution: a literal of the statement, or bound.
+// slotValue is the value of a slot in one execution: a literal of the statement or a bound
+// value.
 type slotValue struct {
 	literal string
-	bound   []byte // nil: it is not bound, or null
-	binary  bool   // bound is in binary form
-	known   bool   // it is a literal, or there is a bound value for it
-	oid     uint32 // its type, where it is bound; 0: not known
+	bound   []byte // nil: the value is a literal, NULL, or missing from the Bind message
+	binary  bool   // bound is in binary format
+	known   bool   // the value is a literal, or was bound
+	oid     uint32 // object ID of a bound value's type; 0: unknown
 }
 
-// value finds the value of a parameter.
+// value returns the value of the parameter with the given number, which starts from 1.
 func (b *Binds) value(param int32) (v slotValue) {
 	n := int(param)
 	if len(b.Types) >= oidLen*n {
@@ -42,7 +43,7 @@
 	v.known = true
 	v.bound = b.Values[n-1]
 	switch {
-	case len(b.Formats) == formatLen: // one for all
+	case len(b.Formats) == formatLen: // one code for all values
 		v.binary = b.Formats[formatLen-1] == binaryFormat
 	case len(b.Formats) >= formatLen*n:
 		v.binary = b.Formats[formatLen*n-1] == binaryFormat
@@ -50,10 +51,10 @@
 	return v
 }
 
-// isNull tells whether a null is bound. s is the slot of the value.
+// isNull reports whether NULL is bound to the parameter of the slot s.
 func (v *slotValue) isNull(s *Slot) bool { return s.Param > 0 && v.known && v.bound == nil }
 
-// Object ids of types, from the catalogue pg_type.
+// Object IDs of types, from the catalog pg_type.
 const (
 	oidInt8        = 20
 	oidInt2        = 21
@@ -64,10 +65,11 @@
 	oidTimestamptz = 1184
 )
 
-// microsecondsPerDay is the unit of timestamps in binary form, in days.
+// microsecondsPerDay converts timestamps in binary format, which count microseconds, to days.
 const microsecondsPerDay = secondsPerDay * 1e6
 
-// binaryNumber reads a number in binary form, or a date or timestamp as days since 2000.
+// binaryNumber decodes a number in binary format, or a date or timestamp as days since
+// 2000-01-01.
 func binaryNumber(v []byte, oid uint32) (x float64, ok bool) {
 	switch len(v) {
 	case 2:
@@ -77,7 +79,7 @@
 		if oid == oidFloat4 {
 			return finite(float64(math.Float32frombits(u)))
 		}
-		return float64(int32(u)), true // a date is in days already
+		return float64(int32(u)), true // dates are encoded in days
 	case 8:
 		u := binary.BigEndian.Uint64(v)
 		switch oid {
@@ -94,18 +96,20 @@
 func finite(x float64) (float64, bool) { return x, !math.IsNaN(x) && !math.IsInf(x, 0) }
 
 const (
-	// maxTextArray is how much of a bound array in text form is read, in bytes. The rest is
-	// taken to hold as many elements for its length.
+	// maxTextArray is the length of the prefix of a bound array in text format that is read,
+	// in bytes. The rest is assumed to hold as many elements per byte.
 	maxTextArray = 1 << 16
-	// maxArrayDimensions is PostgreSQL's own limit, MAXDIM.
+	// maxArrayDimensions is PostgreSQL's limit, MAXDIM.
 	maxArrayDimensions = 6
-	// arrayHeaderLen and arrayDimensionLen are parts of an array in binary form, in bytes:
-	// number of dimensions, flags, element type; then size and lower bound for each.
+	// arrayHeaderLen and arrayDimensionLen are the lengths of the parts of an array in binary
+	// format, in bytes: the header holds the number of dimensions, flags and the element type;
+	// each dimension has a size and a lower bound.
 	arrayHeaderLen    = 12
 	arrayDimensionLen = 8
 )
 
-// boundArrayLen is the number of elements of a bound array.
+// boundArrayLen returns the number of elements of a bound array, estimated for a long one in
+// text format.
 func (v *slotValue) boundArrayLen() int {
 	if v.binary {
 		return binaryArrayLen(v.bound)
@@ -125,7 +129,7 @@
 	elements := 1
 	for i := range dimensions {
 		size := int(int32(binary.BigEndian.Uint32(v[arrayHeaderLen+arrayDimensionLen*i:])))
-		if size < 0 || elements*size > len(v) { // each element takes four bytes at least
+		if size < 0 || elements*size > len(v) { // each element takes at least four bytes
 			return 0
 		}
 		elements *= size
@@ -133,7 +137,7 @@
 	return elements
 }
 
-// textArrayLen counts the elements of an array as text, {a,"b,c"}.
+// textArrayLen counts the elements of an array in text format, such as {a,"b,c"}.
 func textArrayLen(s string) int {
 	if len(s) < len("{a}") || s[0] != '{' {
 		return 0
--- a/internal/sqltext/characters.go
+++ b/internal/sqltext/characters.go
@@ -8,11 +8,12 @@
 	nameStartClass
 	digitClass
 	operatorClass
-	namePartClass // may stand in a name behind its first character
-	capitalClass
+	namePartClass // allowed in a name after its first character
+	uppercaseClass
 	nonASCIIClass
 )
 
+// classes maps each byte to its character classes. Bytes of 0x80 and above count as letters.
 var classes = func() (t [256]characterClass) {
 	for _, c := range " \t\r\n\f\v" {
 		t[c] |= spaceClass
@@ -28,7 +29,7 @@
 		}
 	}
 	for c := 'A'; c <= 'Z'; c++ {
-		t[c] |= capitalClass
+		t[c] |= uppercaseClass
 	}
 	for c := 0x80; c < 256; c++ {
 		t[c] |= nonASCIIClass
@@ -39,15 +40,15 @@
 	return t
 }()
 
-// punctuation has the kind of each character that is a token by itself; End for others.
+// punctuation maps each character that forms a token by itself to its kind, others to End.
 var punctuation = [256]Kind{
 	'(': OpenParen, ')': CloseParen, '[': OpenBracket, ']': CloseBracket, ',': Comma, ';': Semicolon,
 }
 
-// caseBit is set in small letters and not in capitals.
+// caseBit is the ASCII bit that is set in lowercase letters and clear in uppercase ones.
 const caseBit = 0x20
 
-// lowerCase is the small form of each character that may stand in a name, 0 for others.
+// lowerCase maps each character that may be part of a name to its lowercase form, others to 0.
 var lowerCase = func() (t [256]uint8) {
 	for c := range t {
 		if classes[c]&namePartClass != 0 {
@@ -64,15 +65,15 @@
 func isDigit(c byte) bool { return classes[c]&digitClass != 0 }
 func isHex(c byte) bool   { return isDigit(c) || c|caseBit >= 'a' && c|caseBit <= 'f' }
 
-// equalFold compares a name without regard to case with one in small letters.
+// equalFold reports whether a name equals lower, which is in lowercase, ignoring case.
 func equalFold(s, lower string) bool { return len(s) == len(lower) && sameFold(s, lower) }
 
-// hasPrefixFold tells whether a name begins with a text in small letters, in any case.
+// hasPrefixFold reports whether a name begins with lower, which is in lowercase, ignoring case.
 func hasPrefixFold(s, lower string) bool {
 	return len(s) >= len(lower) && sameFold(s[:len(lower)], lower)
 }
 
-// sameFold is equalFold for texts of one length.
+// sameFold is equalFold for strings of equal length.
 func sameFold(s, lower string) bool {
 	for i := range len(lower) {
 		if lowerCase[s[i]] != lower[i] {
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -5,26 +5,26 @@
 	"unicode/utf8"
 )
 
-// Effect is what a statement may do to what is stored.
+// Effect says whether a statement may change stored data.
 type Effect uint8
 
-// Effects. The zero value is the most cautious: a statement whose effect is unknown may
-// write.
+// Effects of a statement. The zero value is the most cautious: a statement whose effect is
+// unknown may write.
 const (
-	Unknown Effect = iota // it may write
-	Writes                // it does, as far as its words tell
-	Reads                 // nothing in it is known to write, and all of it is known
+	Unknown Effect = iota // the statement may write
+	Writes                // the statement writes, judging by its keywords
+	Reads                 // every part of the statement is known to only read
 )
 
 var effectNames = [...]string{"can't be told", "writes", "reads"}
 
 func (e Effect) String() string { return effectNames[e] }
 
-// EffectVerdict is a statement's effect, and the word of it that decided.
+// EffectVerdict is a statement's effect with the word of the statement that decided it.
 type EffectVerdict struct {
 	Effect Effect
-	Reason string // a few words
-	Word   string // as it stands in the statement; "" where Reason says all
+	Reason string // short explanation for operators
+	Word   string // the deciding word as written in the statement; "" if no single word decided
 }
 
 func (v EffectVerdict) String() string {
@@ -34,19 +34,19 @@
 	return v.Word + ": " + v.Reason
 }
 
-// Reasons that more than one place gives. They go to operators.
+// Reasons that are used in more than one place. They are shown to operators.
 const (
 	reasonWrites          = "it writes"
 	reasonUnknownFunction = "a function not known to read only"
 )
 
-// EffectOf reads what a statement may do, and errs on the side of writing: it reads only
-// where its first word says so, no word in it writes or locks, and all functions and
-// operators that it names are known to read. readOnly are the functions that the operator
-// vouches for.
+// EffectOf classifies the effect of a statement conservatively: the result is Reads only if
+// its first word begins a reading statement, no word writes or locks, and all functions and
+// operators that it names are known to only read. readOnly names further functions that the
+// administrator has declared to be read-only.
 //
-// What a text can't show is not seen: a view or an operator over a function that writes, a
-// cast with a function of its own, and a column that is a function (t.f).
+// Writes that the text does not show are not detected: a view or an operator whose function
+// writes, a cast with a user-defined function, and a column that is a function call (t.f).
 func EffectOf(stmt string, readOnly FunctionSet) EffectVerdict {
 	l := Lexer{Src: stmt}
 	c := effectClassifier{readOnly: readOnly}
@@ -59,35 +59,35 @@
 	return c.verdict(&l)
 }
 
-// effectClassifier finds the effect of a statement from its tokens in turn.
+// effectClassifier determines the effect of a statement from its tokens, taken in order.
 type effectClassifier struct {
 	readOnly FunctionSet
-	worst    EffectVerdict // the first that does not read; Writes goes before Unknown
+	worst    EffectVerdict // first finding that is not Reads; Writes takes precedence over Unknown
 
-	begun   bool // the first word was read
-	explain explainState
-	depth   int // of parentheses
+	sawFirstWord bool // the first word has been read
+	explain      explainState
+	depth        int // nesting depth of parentheses
 
-	lastWord, beforeLastWord keyword // the last two tokens, where they are key words
-	lastKind, beforeLastKind Kind    // of the last two tokens
-	lastToken                Token   // but for dots
+	lastWord, beforeLastWord keyword // the last two tokens other than dots, if they are keywords
+	lastKind, beforeLastKind Kind    // kinds of the last two tokens
+	lastToken                Token   // the last token other than a dot
 	lastTraits               keywordTraits
-	schema                   Token // of lastToken, where it is qualified
-	hasDistinctOn            bool  // DISTINCT ON stands in the statement: a call may follow a parenthesis
+	schema                   Token // schema that qualifies lastToken; Kind End: none
+	hasDistinctOn            bool  // the statement has DISTINCT ON: a call may follow a closing parenthesis
 
-	ctes      depthSet // where a list of common table expressions (CTEs) is being read
-	expectCTE depthSet // where the next name is the name of one
-	lastIsCTE bool     // the last token is the name of one
+	ctes      depthSet // depths at which a list of common table expressions (CTEs) is being read
+	expectCTE depthSet // depths at which the next name is the name of a CTE
+	lastIsCTE bool     // the last name is the name of a CTE
 }
 
-// explainState is what EXPLAIN in front of a statement makes of it.
+// explainState is the state of a statement that begins with EXPLAIN.
 type explainState struct {
-	planOnly  bool // nothing yet says that the statement runs
-	inOptions bool // between EXPLAIN and its statement
+	planOnly  bool // no ANALYZE option has been seen: the statement is planned, not executed
+	inOptions bool // the current token is between EXPLAIN and the explained statement
 }
 
-// depthSet is a set of depths of parentheses, as bits. Deeper lists than it can hold are
-// not known as such; their columns look like calls.
+// depthSet is a bit set of nesting depths of parentheses. Lists of CTEs nested deeper than
+// maxSetDepth are not recognized: their column lists are taken for calls.
 type depthSet uint64
 
 const maxSetDepth = 63
@@ -103,23 +103,23 @@
 func (s *depthSet) add(depth int)     { *s |= depthBit(depth) }
 func (s *depthSet) remove(depth int)  { *s &^= depthBit(depth) }
 
-// report takes a finding. The first one stays, but Writes goes before Unknown.
+// report records a finding. The first one is kept, but Writes replaces Unknown.
 func (c *effectClassifier) report(effect Effect, word, reason string) {
 	if c.worst.Reason == "" || effect == Writes && c.worst.Effect == Unknown {
 		c.worst = EffectVerdict{Effect: effect, Reason: reason, Word: word}
 	}
 }
 
-// final tells that nothing later can change the verdict.
+// final reports whether no later token can change the verdict.
 func (c *effectClassifier) final() bool { return c.worst.Reason != "" && c.worst.Effect == Writes }
 
-// token takes the next token.
+// token processes the next token.
 func (c *effectClassifier) token(l *Lexer, t Token) {
 	word, traits := t.keyword(), t.traits()
 	schema := Token{}
 	switch t.Kind {
 	case Ident, QuotedIdent:
-		if c.lastKind == Dot { // a part of a longer name: no key word
+		if c.lastKind == Dot { // part of a qualified name, not a keyword
 			word, traits = keywordNone, 0
 			if c.beforeLastKind.isName() {
 				schema = c.lastToken
@@ -144,7 +144,7 @@
 	}
 	c.beforeLastKind = c.lastKind
 	c.lastKind = t.Kind
-	if t.Kind == Dot { // the name goes on
+	if t.Kind == Dot { // the qualified name continues
 		return
 	}
 	c.beforeLastWord = c.lastWord
@@ -154,12 +154,12 @@
 	c.schema = schema
 }
 
-// word classifies a name or key word.
+// word classifies a name or keyword.
 func (c *effectClassifier) word(text string, kind Kind, word keyword, traits keywordTraits) {
-	startsStatement := !c.begun || c.lastKind == OpenParen
+	startsStatement := !c.sawFirstWord || c.lastKind == OpenParen
 	switch {
-	case !c.begun:
-		c.begun = true
+	case !c.sawFirstWord:
+		c.sawFirstWord = true
 		c.firstWord(text, kind, word, traits)
 	case c.explain.inOptions:
 		c.explainOption(text, kind, traits)
@@ -170,7 +170,7 @@
 		c.report(Writes, text, reasonWrites)
 	}
 	c.lastIsCTE = false
-	if word == keywordWith && startsStatement { // elsewhere it is WITH ORDINALITY, WITH TIES or the like
+	if word == keywordWith && startsStatement { // elsewhere WITH belongs to WITH ORDINALITY, WITH TIES or the like
 		c.ctes.add(c.depth)
 		c.expectCTE.add(c.depth)
 	} else {
@@ -187,8 +187,8 @@
 	}
 }
 
-// trackCTEs notes the names of common table expressions, whose columns in parentheses are
-// no call, and DISTINCT ON.
+// trackCTEs recognizes the names of common table expressions, whose column lists in
+// parentheses are not calls, and DISTINCT ON.
 func (c *effectClassifier) trackCTEs(word keyword, traits keywordTraits) {
 	switch {
 	case word == keywordRecursive && c.lastWord == keywordWith:
@@ -215,7 +215,7 @@
 	}
 }
 
-// unknownCommand classifies a first word that neither reads nor writes as a key word.
+// unknownCommand classifies a first word that has neither readTrait nor writeTrait.
 func (c *effectClassifier) unknownCommand(text string, kind Kind) {
 	if kind == Ident {
 		switch strings.ToUpper(text) {
@@ -231,8 +231,8 @@
 	c.report(Unknown, text, "it begins no statement that is known to read")
 }
 
-// explainOption reads what stands between EXPLAIN and its statement. ANALYZE in any form
-// runs the statement; whatever is not known as an option begins it.
+// explainOption processes a word between EXPLAIN and the explained statement. ANALYZE in any
+// spelling executes the statement; a word that is not a known option begins the statement.
 func (c *effectClassifier) explainOption(text string, kind Kind, traits keywordTraits) {
 	option := unquoteName(text)
 	if strings.EqualFold(option, "analyze") || strings.EqualFold(option, "analyse") {
@@ -253,14 +253,14 @@
 	}
 }
 
-// verdict is the effect at the end of the text.
+// verdict returns the effect once the whole text has been read.
 func (c *effectClassifier) verdict(l *Lexer) EffectVerdict {
 	if c.worst.Reason != "" {
 		return c.worst
 	}
 	reason := ""
 	switch {
-	case !c.begun:
+	case !c.sawFirstWord:
 		reason = "no word begins it"
 	case l.Defects&UnterminatedText != 0:
 		reason = "a string, a name or a comment in it does not end"
--- a/internal/sqltext/effect_calls.go
+++ b/internal/sqltext/effect_calls.go
@@ -2,9 +2,10 @@
 
 import "strings"
 
-// openParen classifies a parenthesis: behind a name that is no key word it begins a call.
+// openParen classifies an opening parenthesis: after a name that is not a keyword it begins a
+// call.
 func (c *effectClassifier) openParen(l *Lexer) {
-	if !c.begun || c.explain.inOptions || c.explain.planOnly {
+	if !c.sawFirstWord || c.explain.inOptions || c.explain.planOnly {
 		return
 	}
 	if !c.lastToken.Kind.isName() || c.lastKind == Dot {
@@ -15,10 +16,10 @@
 		return
 	}
 	name := l.Text(c.lastToken)
-	keepsCapitals := false
+	hasUppercase := false
 	if c.lastToken.Kind == QuotedIdent {
 		name = unquoteName(name)
-		keepsCapitals = name != strings.ToLower(name)
+		hasUppercase = name != strings.ToLower(name)
 	}
 	if qualified {
 		schema := unquoteName(l.Text(c.schema))
@@ -28,21 +29,22 @@
 		}
 	}
 	switch {
-	case keepsCapitals: // the sets hold names in small letters only
+	case hasUppercase: // the sets hold lowercase names only
 		c.report(Unknown, name, reasonUnknownFunction)
 	case !readOnlyFunctions.has(name):
 		c.customCall(name)
 	}
 }
 
-// customCall classifies the call of a function that is none of PostgreSQL's own.
+// customCall classifies a call of a function that is not one of PostgreSQL's built-in ones.
 func (c *effectClassifier) customCall(name string) {
 	if !c.readOnly.has(name) {
 		c.report(Unknown, name, reasonUnknownFunction)
 	}
 }
 
-// isAliasColumns tells whether the parenthesis behind a name holds the columns of an alias.
+// isAliasColumns reports whether the parenthesis after a name begins the column list of an
+// alias.
 func (c *effectClassifier) isAliasColumns() bool {
 	if c.beforeLastWord == keywordAs {
 		return true
@@ -51,8 +53,8 @@
 	return c.beforeLastKind == CloseParen && !c.hasDistinctOn && !isKeyword
 }
 
-// isKeywordParen tells whether the parenthesis belongs to a key word, or holds the columns
-// of a common table expression.
+// isKeywordParen reports whether the parenthesis belongs to a keyword or begins the column
+// list of a common table expression.
 func (c *effectClassifier) isKeywordParen() bool {
 	if c.lastToken.Kind != Ident {
 		return false
@@ -61,7 +63,7 @@
 	case c.lastTraits&(reservedTrait|typeTrait) != 0, c.lastIsCTE:
 		return true
 	case c.lastWord == keywordOver || c.lastWord == keywordFilter:
-		return c.beforeLastKind == CloseParen // a call is finished, and this belongs to it
+		return c.beforeLastKind == CloseParen // the clause belongs to the call that has just ended
 	case c.lastTraits&infixTrait != 0:
 		return c.valueIsComplete()
 	case c.lastWord == keywordBy:
@@ -76,8 +78,8 @@
 	return false
 }
 
-// valueIsComplete tells whether a value ends before the last token, an infix word, which
-// then is no function's name.
+// valueIsComplete reports whether a value ends before the last token, an infix keyword. If so,
+// the keyword is an operator and not the name of a function.
 func (c *effectClassifier) valueIsComplete() bool {
 	switch c.beforeLastKind {
 	case CloseParen, QuotedIdent, String, Number, Param, CloseBracket:
--- a/internal/sqltext/effect_functions.go
+++ b/internal/sqltext/effect_functions.go
@@ -2,18 +2,19 @@
 
 import "strings"
 
-// FunctionSet names functions that only read, in small letters, with their schema where
-// they are not of pg_catalog.
+// FunctionSet is a set of read-only functions. Names are in lowercase and qualified by their
+// schema unless that is pg_catalog.
 type FunctionSet map[string]bool
 
-// has looks a name up without an allocation for names as they are usually written.
+// has reports whether the set holds a name, ignoring case. It does not allocate for a name
+// that is already in lowercase or is found as written.
 func (f FunctionSet) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
-// readOnlyFunctions are functions of pg_catalog that change nothing that is stored and nothing
-// of a session that a later statement could see. Left out on purpose: sequences
-// (nextval, setval), settings (set_config), locks, large objects, notifications,
-// signals to other sessions, and all that runs a statement given as text
-// (query_to_xml, ts_stat, ts_rewrite, dblink).
+// readOnlyFunctions are functions of pg_catalog that change neither stored data nor session
+// state that a later statement could see. Deliberately excluded are functions for sequences
+// (nextval, setval), settings (set_config), locks, large objects, notifications and signals to
+// other sessions, and all functions that execute a statement given as text (query_to_xml,
+// ts_stat, ts_rewrite, dblink).
 var readOnlyFunctions = func() FunctionSet {
 	f := FunctionSet{}
 	for _, name := range strings.Fields(`
@@ -68,7 +69,8 @@
 	return f
 }()
 
-// readOnlyOperators are those of pg_catalog; all of them read. Others may be anyone's.
+// readOnlyOperators are the operators of pg_catalog, all of which only read. Any other operator
+// may be user-defined and call a function that writes.
 var readOnlyOperators = func() map[string]bool {
 	operators := map[string]bool{}
 	for _, op := range strings.Fields("+ - * / % ^ |/ ||/ @ & | # ~ << >> < > <= >= = <> != || ~* !~ !~* ~~ ~~* !~~ !~~* " +
--- a/internal/sqltext/features.go
+++ b/internal/sqltext/features.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// Commands of Features.
+// Values of Features.Command.
 const (
 	CommandOther   byte = 0
 	CommandSelect  byte = 's'
@@ -11,21 +11,22 @@
 	CommandExplain byte = 'e'
 )
 
-// Features are what the words of a statement tell of its work.
+// Features are the properties of a statement's text from which its cost is estimated. The
+// numbers count occurrences in the whole statement, subqueries included.
 type Features struct {
-	Command    byte  // what it does; of a SELECT with a write within, the write
-	Tables     int32 // names behind FROM and JOIN
-	Joins      int32
+	Command    byte  // one of the Command constants; for a SELECT that contains a write, the write
+	Tables     int32 // FROM and JOIN keywords
+	Joins      int32 // JOIN keywords
 	Aggregates int32 // calls of aggregate functions
-	Windows    int32
-	Groups     int32 // GROUP BY
-	Sorts      int32 // ORDER BY
-	Distincts  int32
-	Selects    int32 // SELECT, those of subqueries and unions among them
-	Rows       int32 // of VALUES
+	Windows    int32 // OVER clauses
+	Groups     int32 // GROUP BY clauses
+	Sorts      int32 // ORDER BY clauses
+	Distincts  int32 // DISTINCT keywords, except those of IS [NOT] DISTINCT FROM
+	Selects    int32 // SELECT keywords, including those of subqueries and unions
+	Rows       int32 // rows of VALUES
 	Values     int32 // literals and parameters
-	Where      bool
-	Limited    bool
+	Where      bool  // the statement has a WHERE clause
+	Limited    bool  // the statement has a LIMIT or FETCH FIRST clause
 }
 
 func (f *Features) setCommand(command byte) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// countKeyword counts what a key word says of the statement's work.
+// countKeyword updates the features for a keyword.
 func (p *pass) countKeyword(word keyword) {
 	f := &p.out.Features
 	switch word {
@@ -44,7 +45,7 @@
 	case keywordInsert:
 		f.setCommand(CommandInsert)
 	case keywordUpdate:
-		if p.last != keywordFor { // FOR UPDATE locks
+		if p.last != keywordFor { // FOR UPDATE only locks rows
 			f.setCommand(CommandUpdate)
 		}
 	case keywordDelete:
@@ -59,7 +60,7 @@
 		f.Tables++
 		f.Joins++
 	case keywordGroup:
-		if p.last != keywordWithin { // WITHIN GROUP belongs to an aggregate
+		if p.last != keywordWithin { // WITHIN GROUP belongs to an aggregate call
 			f.Groups++
 		}
 	case keywordOrder:
@@ -77,18 +78,18 @@
 	}
 }
 
-// maxAggregateLen is the length of the longest name that isAggregate knows, and somewhat
-// more.
+// maxAggregateLen is an upper bound on the length of the names that isAggregate knows, in
+// bytes.
 const maxAggregateLen = 12
 
-// countAggregate counts the call of an aggregate function, where the name is one and a
+// countAggregate counts a call of an aggregate function if the name is that of one and a
 // parenthesis follows.
 func (p *pass) countAggregate(name string) {
 	src, at := p.lexer.Src, p.lexer.Pos
 	if at >= len(src) || len(name) > maxAggregateLen {
 		return
 	}
-	switch src[at] { // what follows at once tells most names from calls
+	switch src[at] { // the next byte already rules out a call for most names
 	case '(', ' ', '/', '\n', '\t', '\r':
 		if !isAggregate(name) {
 			return
@@ -100,7 +101,7 @@
 	}
 }
 
-// isAggregate tells whether a function of this name reads many rows into one.
+// isAggregate reports whether name is that of a common aggregate function.
 func isAggregate(name string) bool {
 	switch name[0] | caseBit {
 	case 'c':
--- a/internal/sqltext/fingerprint.go
+++ b/internal/sqltext/fingerprint.go
@@ -2,10 +2,10 @@
 
 import "hash/maphash"
 
-// fingerprinter hashes normal forms with two seeds, whole or part by part.
+// fingerprinter hashes normal forms with two random seeds, in one piece or in parts.
 type fingerprinter struct {
 	seeds   [2]maphash.Seed
-	partial [2]maphash.Hash // of the parts written so far
+	partial [2]maphash.Hash // hashes of the parts written so far
 }
 
 func newFingerprinter() fingerprinter {
@@ -26,21 +26,21 @@
 	return fingerprint
 }
 
-// start begins a form that comes in parts.
+// start begins a normal form that is written in parts.
 func (f *fingerprinter) start() {
 	for i, seed := range f.seeds {
 		f.partial[i].SetSeed(seed)
 	}
 }
 
-// write takes the next part.
+// write hashes the next part.
 func (f *fingerprinter) write(part []byte) {
 	for i := range f.partial {
-		_, _ = f.partial[i].Write(part) // it never fails
+		_, _ = f.partial[i].Write(part) // maphash.Hash.Write never fails
 	}
 }
 
-// sum is the fingerprint of the parts together.
+// sum returns the fingerprint of all parts written since start.
 func (f *fingerprinter) sum() (fingerprint [2]uint64) {
 	for i := range f.partial {
 		fingerprint[i] = f.partial[i].Sum64()
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -1,26 +1,28 @@
 package sqltext
 
-// keywordTraits are what a key word means to the readers of this package, as bits.
+// keywordTraits is a bit set of the properties of a keyword that this package uses.
 type keywordTraits uint16
 
 const (
-	// reservedTrait: the word is no function's name, so a parenthesis behind it is no call.
+	// reservedTrait: the word can't be the name of a function, so that a parenthesis after it
+	// does not begin a call.
 	reservedTrait keywordTraits = 1 << iota
-	// typeTrait: the word is a type or a form of PostgreSQL's own with a parenthesis behind
-	// it, and so no function's name either.
+	// typeTrait: the word is a built-in type or a built-in construct written with parentheses,
+	// so that it can't be the name of a function either.
 	typeTrait
-	// infixTrait: the word stands between two values. Behind a complete one it is no call.
+	// infixTrait: the word is used between two values. After a complete value it does not begin
+	// a call.
 	infixTrait
-	// writeTrait: the word begins or holds something that changes what is stored.
+	// writeTrait: the word marks a command or clause that changes stored data.
 	writeTrait
-	// beforeTableTrait: a table's name follows.
+	// beforeTableTrait: the word is followed by the name of a table.
 	beforeTableTrait
 	// readTrait: the word begins a statement that may only read.
 	readTrait
 )
 
-// keyword is a key word's number; keywordNone: none. A word has one also where no reader
-// asks for it by name, as the normal form sets a space behind any that has.
+// keyword identifies a keyword; keywordNone stands for other words. Some keywords have a number
+// although no code refers to it, because the normal form has a space after every word with one.
 type keyword uint8
 
 const (
@@ -90,15 +92,15 @@
 	keywordCoalesce
 )
 
-// keywordEntry is a key word in small letters and what is known of it.
+// keywordEntry is a keyword in lowercase with its number and traits.
 type keywordEntry struct {
 	text   string
 	number keyword
 	traits keywordTraits
 }
 
-// keywordList lists the key words (appendix C of the manual). Words that are not reserved
-// stand here only with the use that the readers make of them.
+// keywordList lists the keywords (appendix C of the manual). Words that are not reserved are
+// listed only if this package treats them specially.
 var keywordList = []keywordEntry{
 	{"all", keywordAll, reservedTrait},
 	{"analyse", keywordAnalyze, reservedTrait},
@@ -251,11 +253,12 @@
 	{"within", keywordWithin, 0},
 }
 
-// keywordIndexSize is a power of two well above the number of key words.
+// keywordIndexSize is a power of two well above the number of keywords, so that searches are
+// short.
 const keywordIndexSize = 1024
 
-// keywordIndex finds key words by the hash that the lexer makes while it reads a name. It
-// is a hash table with open addressing: an empty entry ends a search.
+// keywordIndex maps nameHash of a keyword to its entry. It is a hash table with open addressing:
+// an empty entry ends a search.
 var keywordIndex = func() (t [keywordIndexSize]keywordEntry) {
 	for _, e := range keywordList {
 		for i := nameHash(e.text, 0, len(e.text)); ; i++ {
@@ -268,18 +271,18 @@
 	return t
 }()
 
-// maxKeywordLen is the length of the longest key word.
+// maxKeywordLen is the length of the longest keyword, in bytes.
 const maxKeywordLen = 17
 
-// lookupKeyword finds a name among the key words, and gives its traits and number. info
-// holds the hash of the name and whether it has capitals.
+// lookupKeyword returns the traits and the number of a name that is a keyword, packed for
+// tokenInfo, or 0. info holds the hash of the name and whether it has uppercase letters.
 func lookupKeyword(name string, info tokenInfo) tokenInfo {
 	for i := uint32(info); ; i++ {
 		e := &keywordIndex[i%keywordIndexSize]
 		if len(e.text) == 0 {
 			return 0
 		}
-		if len(e.text) == len(name) && (name == e.text || info.hasCapitals() && sameFold(name, e.text)) {
+		if len(e.text) == len(name) && (name == e.text || info.hasUppercase() && sameFold(name, e.text)) {
 			return tokenInfo(e.traits)<<traitsShift | tokenInfo(e.number)<<keywordShift
 		}
 	}
--- a/internal/sqltext/leading_text.go
+++ b/internal/sqltext/leading_text.go
@@ -2,12 +2,12 @@
 
 import "strings"
 
-// noWord stands for the first word of a statement that begins with something else, most
-// often a parenthesis.
+// noWord is returned as the first word of a statement that begins with a token other than a
+// word, most often a parenthesis.
 const noWord = "("
 
-// LeadingComment is the text of the statement's first comment where nothing but space
-// stands before it.
+// LeadingComment returns the text of the comment that the statement begins with, ignoring
+// leading space. ok is false if there is none or it is not terminated.
 func LeadingComment(stmt string) (text string, ok bool) {
 	s := strings.TrimLeft(stmt, " \t\r\n\f\v")
 	switch {
@@ -23,8 +23,9 @@
 	return "", false
 }
 
-// FirstWord is the statement's first word in capitals, past comments, or "(" for what is no
-// word, and whether a second statement follows it.
+// FirstWord returns the statement's first word in uppercase, skipping comments, or "(" if the
+// statement begins with another token, or "" if it has no token. multiple reports whether a
+// second statement follows.
 func FirstWord(stmt string) (word string, multiple bool) {
 	l := Lexer{Src: stmt}
 	ended := false
@@ -44,15 +45,15 @@
 	return word, false
 }
 
-// SkipComments is the statement without the space and comments it begins with.
+// SkipComments returns the statement without its leading space and comments.
 func SkipComments(stmt string) string {
 	l := Lexer{Src: stmt}
 	l.skipSpaceAndComments()
 	return l.Src[l.Pos:]
 }
 
-// HasTokenPrefix tells whether a statement begins with the tokens of a text that has any.
-// Space, comments and, in key words and names without quotes, case don't count.
+// HasTokenPrefix reports whether a statement begins with the tokens of prefix; false if prefix
+// has none. Space, comments and the case of keywords and unquoted names are ignored.
 func HasTokenPrefix(stmt, prefix string) bool {
 	stmtLexer := Lexer{Src: stmt}
 	prefixLexer := Lexer{Src: prefix}
@@ -74,8 +75,8 @@
 	}
 }
 
-// ContainsName tells whether a text holds a name given in small letters, in any case,
-// wherever it stands.
+// ContainsName reports whether text contains name anywhere, even inside a longer word, ignoring
+// case. name is in lowercase and not empty.
 func ContainsName(text, name string) bool {
 	for i := 0; i+len(name) <= len(text); i++ {
 		if text[i]|caseBit == name[0] && sameFold(text[i:i+len(name)], name) {
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -1,39 +1,42 @@
 package sqltext
 
-// Defect is a set of reasons why the reading of a text can't be relied on, as bits.
+// Defect is a bit set of reasons why the tokens of a text may differ from those that an engine
+// reads.
 type Defect uint8
 
-// Defects.
+// Defects of a text.
 const (
-	// UnterminatedText: a string, a quoted name or a comment is open at the end.
+	// UnterminatedText: a string, a quoted name or a comment is not terminated.
 	UnterminatedText Defect = 1 << iota
-	// BackslashQuote: a backslash stands before a quote in an ordinary string. Where
-	// standard_conforming_strings is off the string goes on there.
+	// BackslashQuote: a backslash precedes a quote in an ordinary string. With
+	// standard_conforming_strings off, the quote does not end the string.
 	BackslashQuote
-	// UnicodeEscape: a name or string is written U&; its letters are not those it shows.
+	// UnicodeEscape: a name or string has the prefix U&, so that its value may differ from its
+	// spelling.
 	UnicodeEscape
-	// InvalidCharacter: a character that no rule of the lexer accepts, a NUL among them.
+	// InvalidCharacter: a character that no rule of the lexer accepts, such as NUL.
 	InvalidCharacter
-	// NonASCII: bytes above 0x7f stand in the text. No defect by itself, but the caller
-	// must know that the text is UTF-8 before it relies on where tokens end.
+	// NonASCII: the text has bytes above 0x7f. This is not a defect by itself, but the caller
+	// must verify that the text is UTF-8 before it relies on token boundaries.
 	NonASCII
 )
 
-// Lexer reads the tokens of one text in turn. Its zero value with Src set is ready; it
-// holds no other state than its position, so it can be copied to look ahead.
+// Lexer reads the tokens of one text in order. A Lexer with only Src set is ready for use. It
+// can be copied to look ahead.
 type Lexer struct {
 	Src     string
-	Pos     int
-	Defects Defect
+	Pos     int    // byte offset at which the next token is searched
+	Defects Defect // defects found so far
 }
 
-// Text is the token's own text.
+// Text returns the source text of a token.
 func (l *Lexer) Text(t Token) string { return l.Src[t.Start:t.End] }
 
-// Next reads one token. Space and comments before it are skipped.
+// Next reads the next token, skipping space and comments before it. At the end of the text it
+// returns a token of kind End.
 func (l *Lexer) Next() Token {
 	src, at := l.Src, l.Pos
-	if at < len(src) && src[at] == ' ' { // most tokens stand one space apart
+	if at < len(src) && src[at] == ' ' { // fast path: most tokens are separated by one space
 		at++
 		l.Pos = at
 	}
@@ -79,7 +82,7 @@
 	return Token{Kind: Invalid, Start: at, End: l.Pos}
 }
 
-// skipSpaceAndComments moves to the next token.
+// skipSpaceAndComments advances to the next token.
 func (l *Lexer) skipSpaceAndComments() {
 	src, i := l.Src, l.Pos
 	for i < len(src) {
@@ -103,8 +106,9 @@
 	l.Pos = i
 }
 
-// lineCommentEnd is where a -- comment ends: at a line feed or at a carriage return. Guards
-// against a statement hidden behind a return, which ends the comment for the engine.
+// lineCommentEnd returns the end of the -- comment whose text begins at i: the next line feed or
+// carriage return. A carriage return ends the comment for the engine too; skipping past it would
+// hide the statement text that follows.
 func lineCommentEnd(src string, i int) int {
 	for i < len(src) && src[i] != '\n' && src[i] != '\r' {
 		i++
@@ -112,7 +116,7 @@
 	return i
 }
 
-// blockCommentEnd is where the comment that begins at i ends. Block comments nest.
+// blockCommentEnd returns the end of the block comment that begins at i. Block comments nest.
 func blockCommentEnd(src string, i int) (end int, terminated bool) {
 	depth := 0
 	for i+1 < len(src) {
@@ -149,8 +153,8 @@
 	return t
 }
 
-// operator reads a run of operator characters. A comment within ends it, and it ends in +
-// or - only where one of ~ ! @ # % ^ & | ` ? is in it.
+// operator reads a run of operator characters. The start of a comment ends it, and it may end in
+// + or - only if it contains one of ~ ! @ # % ^ & | ` ?.
 func (l *Lexer) operator() Token {
 	src, start := l.Src, l.Pos
 	end, mayEndInSign := start, false
--- a/internal/sqltext/lexer_names.go
+++ b/internal/sqltext/lexer_names.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// identifier reads a name without quotes, a key word, or a string whose prefix is a letter.
+// identifier reads an unquoted name, a keyword, or a string whose prefix is a letter.
 func (l *Lexer) identifier() Token {
 	src, start := l.Src, l.Pos
 	end, seen := start, characterClass(0)
@@ -21,8 +21,8 @@
 		}
 	}
 	info := tokenInfo(nameHash(src, start, end))
-	if seen&capitalClass != 0 {
-		info |= 1 << capitalsShift
+	if seen&uppercaseClass != 0 {
+		info |= 1 << uppercaseShift
 	}
 	if end-start <= maxKeywordLen {
 		info |= lookupKeyword(src[start:end], info)
@@ -61,13 +61,14 @@
 	return Token{}, false
 }
 
-// quotedIdentifier reads a name in double quotes; body is the place behind the first one.
+// quotedIdentifier reads a name in double quotes; body is the offset after the opening quote.
 func (l *Lexer) quotedIdentifier(start, body int) Token {
 	l.Pos = l.quotedNameEnd(body)
 	return Token{Kind: QuotedIdent, Start: start, End: l.Pos}
 }
 
-// quotedNameEnd is the place behind the quote that ends a name. A doubled quote is part of it.
+// quotedNameEnd returns the offset after the closing quote of the quoted name whose text begins
+// at i. A doubled quote is part of the name.
 func (l *Lexer) quotedNameEnd(i int) int {
 	src := l.Src
 	for i < len(src) {
@@ -91,9 +92,9 @@
 	return len(src)
 }
 
-// nameHash hashes the name src[start:end] without regard to case, by its length and its
-// first and last eight letters. It finds key words and columns; nothing relies on two names
-// having two hashes. Names are read eight letters at a time, as one machine word.
+// nameHash hashes the length and the first and last eight letters of the name src[start:end],
+// ignoring case. It is used to look up keywords and to match columns; different names may have
+// equal hashes. Names are read eight letters at a time, as one machine word.
 func nameHash(src string, start, end int) uint32 {
 	const (
 		multiplier   = 0x9e3779b97f4a7c15
@@ -122,7 +123,8 @@
 	return uint32(h >> 32)
 }
 
-// loadWord reads eight letters; the compiler makes one load of it.
+// loadWord reads eight letters in little-endian order; the compiler merges the reads into one
+// load.
 func loadWord(s string) uint64 {
 	_ = s[7]
 	return uint64(s[0]) | uint64(s[1])<<8 | uint64(s[2])<<16 | uint64(s[3])<<24 |
--- a/internal/sqltext/lexer_numbers.go
+++ b/internal/sqltext/lexer_numbers.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// number reads a number. What follows at once, a letter say, is the next token, as it was
-// up to version 14 of PostgreSQL: later ones call it an error.
+// number reads a number. A letter directly after it begins the next token, as in PostgreSQL up
+// to version 14; later versions report an error.
 func (l *Lexer) number() Token {
 	src, start := l.Src, l.Pos
 	if end, ok := prefixedNumberEnd(src, start); ok {
@@ -9,7 +9,7 @@
 		return Token{Kind: Number, Start: start, End: end}
 	}
 	i := decimalDigitsEnd(src, start)
-	isRange := i+1 < len(src) && src[i+1] == '.' // 1..2, as in a loop's bounds
+	isRange := i+1 < len(src) && src[i+1] == '.' // 1..2, as in the bounds of a PL/pgSQL loop
 	if i < len(src) && src[i] == '.' && !isRange {
 		i = decimalDigitsEnd(src, i+1)
 	}
@@ -26,7 +26,8 @@
 	return Token{Kind: Number, Start: start, End: i}
 }
 
-// prefixedNumberEnd is the end of a number such as 0x1F, 0o17 or 0b11.
+// prefixedNumberEnd returns the end of a number with a prefix, such as 0x1F, 0o17 or 0b11. ok is
+// false if the text at start is not one.
 func prefixedNumberEnd(src string, start int) (end int, ok bool) {
 	digits := start + 2
 	if src[start] != '0' || digits >= len(src) {
@@ -41,7 +42,8 @@
 	return 0, false
 }
 
-// decimalDigitsEnd is the end of a run of digits, each with one underscore before it at most.
+// decimalDigitsEnd returns the end of the run of digits that begins at i. Each digit may have
+// one underscore before it.
 func decimalDigitsEnd(src string, i int) int {
 	for i < len(src) && (isDigit(src[i]) || src[i] == '_' && i+1 < len(src) && isDigit(src[i+1])) {
 		i++
--- a/internal/sqltext/lexer_strings.go
+++ b/internal/sqltext/lexer_strings.go
@@ -1,22 +1,22 @@
 package sqltext
 
-// backslashRule is what a backslash means in a string.
+// backslashRule is the meaning of a backslash in a string.
 type backslashRule uint8
 
 const (
-	literalBackslash  backslashRule = iota // it is a character like others
-	escapingBackslash                      // it escapes the next character, as in E'..'
+	literalBackslash  backslashRule = iota // an ordinary character
+	escapingBackslash                      // escapes the next character, as in E'..'
 )
 
-// stringToken reads a string; body is the place behind its first quote.
+// stringToken reads a string; body is the offset after its opening quote.
 func (l *Lexer) stringToken(start, body int, kind Kind, rule backslashRule) Token {
 	l.Pos = l.stringEnd(body, rule)
 	return Token{Kind: kind, Start: start, End: l.Pos}
 }
 
-// stringEnd is the place behind the quote that ends a string. A doubled quote is part of
-// the string, and so is one behind a backslash that escapes. A string goes on where nothing
-// but space with a line end in it lies between two parts.
+// stringEnd returns the offset after the closing quote of the string whose text begins at i. A
+// doubled quote is part of the string, and so is a quote after an escaping backslash. Two
+// strings separated only by space and -- comments that include a line end are one string.
 func (l *Lexer) stringEnd(i int, rule backslashRule) int {
 	src := l.Src
 	for i < len(src) {
@@ -50,7 +50,8 @@
 	return len(src)
 }
 
-// continuedString tells whether a string that ended goes on behind a line end, and where.
+// continuedString reports whether the string whose closing quote ends at i continues after a
+// line end. next is the offset after the next opening quote.
 func continuedString(src string, i int) (next int, ok bool) {
 	sawLineEnd := false
 	for i < len(src) {
@@ -113,8 +114,9 @@
 	return false
 }
 
-// findTag is the place of the tag from i on, -1 where there is none. Candidates begin at
-// dollar signs, and none is read twice: a tag has dollar signs at its ends only.
+// findTag returns the offset of the first occurrence of a dollar-quote tag at or after i, or -1.
+// It takes linear time: a tag has dollar signs only at its ends, so that a partial match can be
+// skipped without reading it again.
 func findTag(src string, i int, tag string) int {
 	for i+len(tag) <= len(src) {
 		if src[i] != '$' {
--- a/internal/sqltext/literal_values.go
+++ b/internal/sqltext/literal_values.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// unquoteString takes the quotes and prefix off a string; doubled quotes stay as they are.
+// unquoteString returns a string literal without its quotes and prefix. Doubled quotes stay
+// doubled, and text that is not a string literal is returned unchanged.
 func unquoteString(s string) string {
 	const maxPrefixLen = 2 // of U&'..'
 	if quote := strings.IndexByte(s, '\''); quote >= 0 && quote <= maxPrefixLen {
@@ -23,10 +24,11 @@
 	return s
 }
 
-// maxNumberLen is the length of the longest text that is read as a number, in bytes.
+// maxNumberLen is the maximum length of a text that is parsed as a number, in bytes.
 const maxNumberLen = 40
 
-// number reads a number, or a date or time as days.
+// number returns the value as a number; a date or timestamp is converted to days since
+// 2000-01-01. ok is false if it is neither.
 func (v *slotValue) number() (x float64, ok bool) {
 	text := v.literal
 	if v.bound != nil {
@@ -52,7 +54,7 @@
 	return finite(x)
 }
 
-// dateDays reads the date that a text begins with, YYYY-MM-DD, as days since 2000-01-01.
+// dateDays converts the date YYYY-MM-DD at the beginning of a text to days since 2000-01-01.
 func dateDays(s string) (days float64, ok bool) {
 	if len(s) < len("YYYY-MM-DD") || s[4] != '-' || s[7] != '-' {
 		return 0, false
@@ -66,11 +68,12 @@
 	return float64(civilDay(year, month, day) - dayOf2000), true
 }
 
-// dayOf2000 is civilDay of 2000-01-01.
+// dayOf2000 is the result of civilDay for 2000-01-01.
 const dayOf2000 = 730425
 
-// civilDay numbers the days of the calendar (Hinnant, "chrono-compatible low-level date
-// algorithms"). Its years begin in March, so that a leap day is the last of a year.
+// civilDay returns the serial number of a day of the Gregorian calendar (Hinnant,
+// "chrono-compatible low-level date algorithms"). Its years begin in March, so that a leap day
+// is the last day of a year.
 func civilDay(year, month, day int) int {
 	if month <= 2 {
 		year--
@@ -81,7 +84,7 @@
 	return 365*year + leapDays + dayOfYear
 }
 
-// decimal reads a number that is nothing but digits.
+// decimal parses a number that consists of decimal digits only.
 func decimal(s string) (n int, ok bool) {
 	for _, c := range []byte(s) {
 		if c < '0' || c > '9' {
@@ -92,10 +95,11 @@
 	return n, true
 }
 
-// maxIntervalFields is how many fields of an interval are read.
+// maxIntervalFields is the maximum number of fields of an interval that are read.
 const maxIntervalFields = 4
 
-// intervalDays reads an interval such as '3 months' or '1 year 2 days'.
+// intervalDays converts an interval such as '3 months' or '1 year 2 days' to days. Negative
+// fields count as positive.
 func intervalDays(s string) (days float64, ok bool) {
 	for n := 0; n < maxIntervalFields && s != ""; n++ {
 		s = strings.TrimLeft(s, " ")
@@ -130,8 +134,8 @@
 	secondsPerDay = 24 * 60 * 60
 )
 
-// toDays converts an amount of a unit of time to days. An unknown unit is taken as seconds,
-// the default of an interval.
+// toDays converts an amount of a unit of time to days. An unknown unit counts as seconds, the
+// default unit of an interval.
 func toDays(amount float64, unit string) float64 {
 	switch {
 	case hasPrefixFold(unit, "y"):
@@ -150,21 +154,22 @@
 	return amount / secondsPerDay
 }
 
-// PatternKind is where the first wildcard of a pattern stands.
+// PatternKind is the position of the first wildcard of a pattern.
 type PatternKind uint8
 
-// Kinds of pattern, the narrowest first.
+// Kinds of pattern, in order of increasing number of matches.
 const (
-	NoPattern       PatternKind = iota
-	ExactPattern                // there is no wildcard
-	PrefixPattern               // behind some letters: an index can serve it
-	LeadingWildcard             // in front, or the pattern is not known
+	NoPattern       PatternKind = iota // the statement has no pattern
+	ExactPattern                       // no wildcard
+	PrefixPattern                      // wildcard after a literal prefix: an index can be used
+	LeadingWildcard                    // wildcard at the beginning
 )
 
-// maxPatternLen is how much of a bound pattern is searched for its first wildcard, in bytes.
+// maxPatternLen is the length of the prefix of a bound pattern that is searched for a wildcard,
+// in bytes.
 const maxPatternLen = 64
 
-// patternKind finds the first wildcard of a pattern.
+// patternKind returns the kind of the pattern that is the value of the slot s.
 func (v *slotValue) patternKind(s *Slot) PatternKind {
 	if s.Param > 0 {
 		return patternKindOf(string(v.bound[:min(len(v.bound), maxPatternLen)]))
@@ -172,8 +177,8 @@
 	return patternKindOf(unquoteString(v.literal))
 }
 
-// patternKindOf finds the first wildcard of a pattern. A regular expression whose anchor a
-// wildcard follows counts as one with a wildcard in front.
+// patternKindOf returns the kind of a pattern of LIKE or of a regular expression. A regular
+// expression that begins with an anchor and a wildcard counts as a LeadingWildcard.
 func patternKindOf(pattern string) PatternKind {
 	for i := range len(pattern) {
 		switch pattern[i] {
@@ -189,17 +194,17 @@
 	return ExactPattern
 }
 
-// maxHashedValue is how much of a value goes into its hash, in bytes.
+// maxHashedValue is the length of the prefix of a value that is hashed, in bytes.
 const maxHashedValue = 64
 
-// Parameters of the hash FNV-1a with 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// hash hashes a value that is compared for equality, whichever way it came: an integer in
-// binary form has the hash of its digits. It is never 0.
+// hash returns a hash of a value that is compared for equality. It does not depend on the
+// encoding: an integer in binary format has the hash of its decimal digits. It is never 0.
 func (v *slotValue) hash(seed uint64) uint64 {
 	h := seed ^ fnvOffset
 	switch {
--- a/internal/sqltext/normal_form.go
+++ b/internal/sqltext/normal_form.go
@@ -1,38 +1,38 @@
 package sqltext
 
-// pass is the state of one reading of a statement. Its token method writes the normal form
-// and gathers slots and features on the way.
+// pass is the state of one pass over a statement. Its token method appends to the normal form
+// and collects slots and features.
 type pass struct {
 	lexer     Lexer
 	reader    *Reader
 	out       *Reading
-	form      []byte // the normal form so far, without what is hashed already
-	slotCount int
+	form      []byte // the normal form so far, without the parts that are already hashed
+	slotCount int    // number of reader.slots in use
 	group     tableGroupFinder
 
-	depth         int     // of parentheses and brackets
-	lastKind      Kind    // of the last token
-	last          keyword // the last token, where it is a key word
-	beforeLast    keyword // the token before it, where that is one
-	nameStart     int     // of the last name, in the form
+	depth         int     // nesting depth of parentheses and brackets
+	lastKind      Kind    // kind of the last token
+	last          keyword // the last token, if it is a keyword
+	beforeLast    keyword // the token before the last, if it is a keyword
+	nameStart     int     // offset of the last name in form
 	comparison    comparison
 	sign          sign
-	param         int  // the last parameter's number, while nothing but a cast is behind it
-	afterInterval bool // the last token is the word interval
+	param         int  // number of the last parameter, if only a cast has followed it; 0: none
+	afterInterval bool // the last token is the keyword INTERVAL
 
-	openLists      int // of the Reader's
-	statementEnded bool
+	openLists      int  // number of reader.lists in use
+	statementEnded bool // a semicolon has ended the first statement
 }
 
-// sign is a minus that belongs to the value behind it. The form drops it with the value.
+// sign is a minus sign that belongs to the value after it. The normal form replaces both by ?.
 type sign struct {
-	formStart int // 0: there is none
-	textStart int
+	formStart int // offset in the normal form; 0: no sign
+	textStart int // offset in the statement
 }
 
 func (s sign) pending() bool { return s.formStart > 0 }
 
-// firstWord finds the first word, and whether a second statement follows.
+// firstWord sets FirstWord and MultipleStatements of the Reading from the next token.
 func (p *pass) firstWord(t Token) {
 	switch {
 	case t.Kind == Semicolon:
@@ -47,13 +47,13 @@
 	}
 }
 
-// token takes one token into the normal form, the slots and the features.
+// token adds the next token to the normal form, the slots and the features.
 func (p *pass) token(t Token) {
 	word, traits := t.keyword(), t.traits()
-	if p.lastKind == Dot { // a part of a longer name
+	if p.lastKind == Dot { // part of a qualified name, not a keyword
 		word, traits = keywordNone, 0
 	}
-	if g := &p.group; !g.final { // most of tableGroupFinder.token, to save calls
+	if g := &p.group; !g.final { // most of tableGroupFinder.token is inlined here to save calls
 		switch {
 		case t.Kind == Dot || t.traits()&beforeTableTrait != 0:
 			g.token(&p.lexer, t)
@@ -86,17 +86,17 @@
 	p.lastKind = t.Kind
 }
 
-// noSpaceAfter has the kinds of token that no space follows in the normal form.
+// noSpaceAfter marks the kinds of token that are not followed by a space in the normal form.
 var noSpaceAfter = [kindCount]bool{End: true, Dot: true, OpenParen: true, OpenBracket: true, Cast: true}
 
-// space parts two tokens.
+// space separates the next token from the last one where the normal form requires it.
 func (p *pass) space() {
 	if !noSpaceAfter[p.lastKind] {
 		p.form = append(p.form, ' ')
 	}
 }
 
-// name takes a name or a key word.
+// name processes a name or keyword.
 func (p *pass) name(t Token, word keyword, traits keywordTraits) {
 	p.space()
 	p.nameStart = len(p.form)
@@ -104,7 +104,7 @@
 	switch {
 	case t.Kind == QuotedIdent:
 		p.form = appendQuoted(p.form, text)
-	case t.hasCapitals():
+	case t.hasUppercase():
 		p.form = appendLower(p.form, text)
 	default:
 		p.form = append(p.form, text...)
@@ -121,7 +121,7 @@
 	p.expectAfterKeyword(word, traits)
 }
 
-// operand takes a name that is no key word.
+// operand processes a name that is not a keyword.
 func (p *pass) operand(t Token, text string) {
 	p.comparison.name = t.nameHash()
 	if t.Kind == QuotedIdent {
@@ -131,12 +131,12 @@
 		p.countAggregate(text)
 	}
 	if p.comparison.role != RoleOther && (equalFold(text, "date") || equalFold(text, "timestamptz")) {
-		return // the type of a literal that comes next
+		return // the name is the type of the literal that follows
 	}
 	p.comparison.role = RoleOther
 }
 
-// value takes a literal or a parameter.
+// value processes a literal or a parameter.
 func (p *pass) value(t Token) {
 	p.out.Features.Values++
 	if p.sign.pending() {
@@ -151,12 +151,12 @@
 	}
 	p.afterInterval = false
 	if role == RoleList && p.inAlternatives() {
-		return // the slot of its list counts it
+		return // counted by the slot of its list
 	}
 	p.addSlot(t, role)
 }
 
-// punctuation takes punctuation and operators.
+// punctuation processes punctuation and operators.
 func (p *pass) punctuation(t Token) {
 	text := p.lexer.Src[t.Start:t.End]
 	p.afterInterval = false
@@ -228,7 +228,8 @@
 	p.expectAfterOperator(text)
 }
 
-// mayPrecedeSign tells whether a sign behind this part of a form stands apart from it.
+// mayPrecedeSign reports whether a sign after this part of the normal form is separated from the
+// preceding token.
 func mayPrecedeSign(form []byte) bool {
 	if len(form) == 0 {
 		return false
@@ -240,8 +241,8 @@
 	return false
 }
 
-// replaceGroupNumber puts # in place of the number of a schema's name, once the dot behind
-// it shows that it is one.
+// replaceGroupNumber replaces the number in the last name of the normal form by #. It is called
+// at a dot, which shows that the name may be a schema.
 func (p *pass) replaceGroupNumber() {
 	if !p.lastKind.isName() || p.nameStart >= len(p.form) {
 		return
@@ -256,7 +257,7 @@
 	}
 }
 
-// hashForm hashes what stands in the buffer and goes on with an empty one.
+// hashForm hashes the buffered part of the normal form and empties the buffer.
 func (p *pass) hashForm() {
 	if !p.out.Truncated {
 		p.reader.fingerprinter.start()
@@ -266,7 +267,7 @@
 	p.out.Truncated = true
 }
 
-// trimForm drops space at the end.
+// trimForm removes trailing spaces.
 func (p *pass) trimForm() {
 	for n := len(p.form); n > 0 && p.form[n-1] == ' '; n-- {
 		p.form = p.form[:n-1]
@@ -282,7 +283,8 @@
 	return b
 }
 
-// appendQuoted takes the quotes off a name that means the same without them.
+// appendQuoted appends a quoted name, without its quotes if it has the same meaning without
+// them.
 func appendQuoted(b []byte, s string) []byte {
 	if len(s) < 3 || s[0] != '"' || classes[s[1]]&nameStartClass == 0 {
 		return append(b, s...)
@@ -290,7 +292,7 @@
 	inner := s[1 : len(s)-1]
 	l := Lexer{Src: inner}
 	t := l.identifier()
-	if t.End < len(inner) || t.hasCapitals() || t.keyword() != keywordNone || t.traits() != 0 {
+	if t.End < len(inner) || t.hasUppercase() || t.keyword() != keywordNone || t.traits() != 0 {
 		return append(b, s...)
 	}
 	return append(b, inner...)
--- a/internal/sqltext/normal_form_lists.go
+++ b/internal/sqltext/normal_form_lists.go
@@ -1,25 +1,25 @@
 package sqltext
 
-// foldedList is a list of alternatives, or the rows of VALUES. The normal form keeps its
-// first element and those that differ from it.
+// foldedList is a list of alternatives (IN, ARRAY) or the rows of VALUES. The normal form keeps
+// only its first element and those that differ from the first.
 type foldedList struct {
-	rows         bool // rows of VALUES; else a list of alternatives
-	depth        int  // of its commas
-	start        int  // of its first element in the form
-	firstLen     int  // length of the first element; -1: that is not finished yet
-	elementStart int  // of the element being read
-	count        int
-	slot         int // that counts its alternatives; noSlot: none
-	rowValues    int // values of the first row, where it holds nothing else; 0: it does
+	rows         bool // the list holds rows of VALUES; else alternatives
+	depth        int  // nesting depth of its commas
+	start        int  // offset of its first element in the normal form
+	firstLen     int  // length of the first element in the normal form; -1: not complete yet
+	elementStart int  // offset of the current element in the normal form
+	count        int  // number of complete elements
+	slot         int  // index of the slot that counts its alternatives; noSlot: none
+	rowValues    int  // number of values of the first row; 0: the row holds anything but plain values
 }
 
-// noSlot is the slot of a list that has none.
+// noSlot marks a list without a slot.
 const noSlot = -1
 
-// maxNestedLists is how deep lists are folded within each other.
+// maxNestedLists is the number of nested lists that are folded.
 const maxNestedLists = 8
 
-// beginAlternatives begins a list behind the parenthesis or bracket just read.
+// beginAlternatives begins a list of alternatives after its opening parenthesis or bracket.
 func (p *pass) beginAlternatives() {
 	slot := noSlot
 	if p.slotCount < MaxSlots {
@@ -39,7 +39,7 @@
 	}
 }
 
-// pushList begins a list whose first element comes next.
+// pushList begins a list whose first element follows.
 func (p *pass) pushList(list foldedList) {
 	list.depth = p.depth
 	list.start = len(p.form)
@@ -49,7 +49,7 @@
 	p.openLists++
 }
 
-// inAlternatives tells whether the value just read is an element of a list of alternatives.
+// inAlternatives reports whether the current value is an element of a list of alternatives.
 func (p *pass) inAlternatives() bool {
 	if p.openLists == 0 {
 		return false
@@ -58,7 +58,7 @@
 	return !list.rows && list.depth == p.depth
 }
 
-// listToken ends an element, or the list, where this token does.
+// listToken ends the current element or list if the token does so.
 func (p *pass) listToken(t Token) {
 	list := &p.reader.lists[p.openLists-1]
 	switch {
@@ -76,8 +76,9 @@
 	}
 }
 
-// skipLikeElements skips elements that are plain values, as the first one is, but for the
-// last: lists of thousands are the longest statements that there are.
+// skipLikeElements skips the following elements, except the last one of the list, if they and
+// the first are plain values. The longest statements are those with lists of thousands of
+// elements; this is their fast path.
 func (p *pass) skipLikeElements(list *foldedList) {
 	switch {
 	case list.rows:
@@ -113,7 +114,8 @@
 	}
 }
 
-// skipPlainRow moves behind a row of so many plain values.
+// skipPlainRow advances l past a row of the given number of plain values. It returns false if
+// the next row is not of that form.
 func skipPlainRow(l *Lexer, values int) bool {
 	if l.Next().Kind != OpenParen {
 		return false
@@ -137,11 +139,11 @@
 
 func isPlainValue(t Token) bool { return t.Kind == String || t.Kind == Number }
 
-// plainRowValues is the number of values of a row's form that is nothing but values, as
-// (?, ?, ?) is; 0 for others.
+// plainRowValues returns the number of values of a row whose normal form holds only values, such
+// as (?, ?, ?), and 0 for other rows.
 func plainRowValues(form []byte) int {
 	const (
-		perValue  = len("?, ") // a row of one value has "(?)", three as well
+		perValue  = len("?, ") // the parentheses take as many bytes as one ", ": "(?)" has three bytes
 		repeating = "?, "
 	)
 	n := len(form)
@@ -157,7 +159,7 @@
 	return n / perValue
 }
 
-// endElement ends an element: one that repeats the first is left out.
+// endElement ends the current element and removes it from the normal form if it equals the first.
 func (p *pass) endElement(list *foldedList) {
 	list.count++
 	if list.firstLen < 0 {
@@ -173,7 +175,7 @@
 	}
 }
 
-// sameElement compares two elements without the comma and space before them.
+// sameElement reports whether two elements are equal apart from leading commas and spaces.
 func sameElement(a, b []byte) bool { return string(trimElement(a)) == string(trimElement(b)) }
 
 func trimElement(form []byte) []byte {
@@ -183,7 +185,7 @@
 	return form
 }
 
-// endLists ends the lists deeper than a depth.
+// endLists ends all lists that are nested deeper than depth.
 func (p *pass) endLists(depth int) {
 	for p.openLists > 0 && p.reader.lists[p.openLists-1].depth > depth {
 		list := &p.reader.lists[p.openLists-1]
--- a/internal/sqltext/reader.go
+++ b/internal/sqltext/reader.go
@@ -1,69 +1,70 @@
 package sqltext
 
-// Reading is what one pass over a statement tells. It belongs to its Reader.
+// Reading is the result of one pass over a statement. It is owned by its Reader.
 type Reading struct {
-	// Fingerprint is two hashes of the normal form with seeds of this process that nobody
-	// outside knows, 128 bits together, so that nobody can write a statement which shares
-	// the fingerprint of another. It means nothing to another process.
+	// Fingerprint is two 64-bit hashes of the normal form. Their seeds are random and secret
+	// to this Reader, so that no client can craft a statement with the fingerprint of another.
+	// It is meaningless in another process.
 	Fingerprint [2]uint64
-	// NormalForm is the statement with its values, comments, case and spacing taken out,
-	// and with lists of alternatives and rows of values as one. The number in the name of a
-	// schema is # there, so that statements on all table groups share one. Of a long one
-	// only the last part is here, and Truncated is set; the fingerprint is of all of it.
+	// NormalForm is the statement with each value replaced by ?, without comments, with case
+	// and spacing normalized, and with equal elements of lists and rows of VALUES folded into
+	// one. The number in the name of a schema is replaced by #, so that statements on different
+	// table groups share one normal form. If Truncated is set, the normal form was long and
+	// this is only its last part; the fingerprint covers all of it.
 	NormalForm    []byte
 	Truncated     bool
 	Features      Features
-	Slots         []Slot
-	TableGroup    int64
+	Slots         []Slot // the first MaxSlots values that the size of the result may depend on
+	TableGroup    int64  // see the function TableGroup; valid if HasTableGroup
 	HasTableGroup bool
 	Defects       Defect
-	// Effect is what EffectOf says, FirstWord and MultipleStatements what the function
-	// FirstWord does, read on the way where the Reader classifies effects. Else Effect is
-	// Unknown, the most cautious.
+	// Effect is the result of EffectOf; FirstWord and MultipleStatements are the results of the
+	// function FirstWord. They are set only if the Reader classifies effects; otherwise Effect
+	// is Unknown, the most cautious value.
 	Effect             EffectVerdict
-	FirstWord          string // as it stands in the text; "(" for what is no word
+	FirstWord          string // as written in the text; "(" if the statement begins with another token
 	MultipleStatements bool
-	// Restrictions counts the comparisons of a name with a value, which can narrow what is
-	// read. Unrestricted: one is written so that it holds for all rows (NULL IS NULL OR).
+	// Restrictions counts the comparisons of a name with a value, which can reduce the rows
+	// read. Unrestricted is set if a comparison is written so that it holds for all rows
+	// (NULL IS NULL OR ...).
 	Restrictions int
 	Unrestricted bool
 }
 
-// Reader reads statements. It allocates while its buffer grows and not after; it is for one
-// goroutine.
+// Reader reads statements. It allocates memory only while its buffer grows. It must not be used
+// by several goroutines at once.
 type Reader struct {
-	// ClassifyEffect has the effect read too. ReadOnlyFunctions are known to read only,
-	// beside PostgreSQL's own.
+	// ClassifyEffect makes Read classify the effect of statements. ReadOnlyFunctions are known
+	// to only read, in addition to PostgreSQL's built-in ones.
 	ClassifyEffect    bool
 	ReadOnlyFunctions FunctionSet
 
 	fingerprinter fingerprinter
-	normalForm    []byte
+	normalForm    []byte // buffer, reused by the next call of Read
 	slots         [MaxSlots]Slot
 	lists         [maxNestedLists]foldedList
-	effect        effectClassifier // apart from the pass, which is cleared for each statement
+	effect        effectClassifier // not in pass, which is cleared even if effects are not classified
 	out           Reading
 }
 
-// NewReader returns a reader whose fingerprints are its own.
+// NewReader returns a reader with its own random seeds for fingerprints.
 func NewReader() *Reader { return &Reader{fingerprinter: newFingerprinter()} }
 
 const (
-	// maxKeptBuffer is how large a buffer stays with its Reader, in bytes.
-	maxKeptBuffer = 64 << 10
-	// maxNormalForm is how long a normal form may become before it is hashed piece by
-	// piece, in bytes.
+	// maxRetainedBuffer is the capacity of the largest buffer that a Reader reuses, in bytes.
+	maxRetainedBuffer = 64 << 10
+	// maxNormalForm is the length above which a normal form is hashed in parts, in bytes.
 	maxNormalForm = 16 << 10
 )
 
-// Fingerprint is the fingerprint of a normal form that is not truncated.
+// Fingerprint returns the fingerprint of a normal form that is not truncated.
 func (r *Reader) Fingerprint(normalForm string) [2]uint64 {
 	return r.fingerprinter.ofString(normalForm)
 }
 
-// Read reads a statement. What it returns holds until the next call.
+// Read reads a statement. The result is valid until the next call.
 func (r *Reader) Read(stmt string) *Reading {
-	if cap(r.normalForm) > maxKeptBuffer {
+	if cap(r.normalForm) > maxRetainedBuffer {
 		r.normalForm = nil
 	}
 	r.out = Reading{}
--- a/internal/sqltext/replay_test.go
+++ b/internal/sqltext/replay_test.go
@@ -289,7 +289,7 @@
 func (r *replayRecord) tokens(text string) {
 	l := Lexer{Src: text}
 	for t := l.Next(); ; t = l.Next() {
-		r.line("tokens", uint64(t.Kind), int64(t.Start), int64(t.End), uint64(t.nameHash()), uint64(t.traits()), uint64(t.keyword()), t.hasCapitals(), l.Text(t))
+		r.line("tokens", uint64(t.Kind), int64(t.Start), int64(t.End), uint64(t.nameHash()), uint64(t.traits()), uint64(t.keyword()), t.hasUppercase(), l.Text(t))
 		if t.Kind == End {
 			break
 		}
--- a/internal/sqltext/size_profile.go
+++ b/internal/sqltext/size_profile.go
@@ -2,26 +2,27 @@
 
 import "math/bits"
 
-// Profile is what the values of one execution tell of its size.
+// Profile describes how the values of one execution affect the size of its result.
 type Profile struct {
-	Alternatives         int     // of the longest list; 0: no list
-	Span                 float64 // of the widest range with both ends: days of dates, else the difference; 0: none
-	HalfOpen             bool    // a range has one end only
-	Pattern              PatternKind
-	Limit                float64 // rows; 0: none
-	DisabledRestrictions int     // restrictions that a null switches off
-	Unrestricted         bool    // nothing narrows what is read
-	Rows                 int     // to be written
-	Column               uint32  // hash of the name that the longest list, or else the widest range, is of
-	Key                  uint64  // hash of the first value compared for equality; 0: none
+	Alternatives         int         // number of elements of the longest list; 0: no list
+	Span                 float64     // width of the widest closed range or interval: in days for dates, else the difference; 0: none
+	HalfOpen             bool        // a range has only one end, or an end whose value is unknown
+	Pattern              PatternKind // the least selective pattern
+	Limit                float64     // maximum number of rows; 0: none
+	DisabledRestrictions int         // restrictions disabled by a NULL, as in $1 IS NULL OR a = $1
+	Unrestricted         bool        // no restriction reduces the rows read
+	Rows                 int         // rows of VALUES
+	Column               uint32      // hash of the name that the longest list, or else the widest range, is compared with; 0: none
+	Key                  uint64      // hash of the first value compared for equality; 0: none
 }
 
-// maxSpan is the widest span that a Profile tells, in days or units of a number.
+// maxSpan is the upper limit of Profile.Span, in days or units of a number.
 const maxSpan = 1e12
 
-// Profile reads what the values tell: those in the text, and those bound.
+// Profile returns the profile of an execution from the literals of stmt, which is the text that
+// was read, and the bound values b. seed seeds Profile.Key.
 func (r *Reading) Profile(stmt string, b *Binds, seed uint64) (profile Profile) {
-	var p profiler // set field by field: a composite literal would be copied, arrays and all
+	var p profiler // set field by field: a composite literal would be copied with its arrays
 	p.profile = &profile
 	p.seed = seed
 	p.narrowing = r.Restrictions
@@ -44,14 +45,14 @@
 	}
 	p.matchBounds()
 	profile.Unrestricted = r.Unrestricted || p.narrowing <= 0 && r.Features.Command != CommandInsert
-	isSpan := profile.Span >= 0 // not so for NaN
+	isSpan := profile.Span >= 0 // false for NaN
 	if !isSpan || profile.Span > maxSpan {
 		profile.Span = maxSpan
 	}
 	return profile
 }
 
-// hasNullGuard tells whether a null in the parameter switches its restriction off.
+// hasNullGuard reports whether a NULL in the parameter disables its restriction.
 func (r *Reading) hasNullGuard(param int32) bool {
 	for i := range r.Slots {
 		if r.Slots[i].Param == param && r.Slots[i].NullGuard {
@@ -61,16 +62,17 @@
 	return false
 }
 
-// profiler makes the profile of one execution.
+// profiler computes the profile of one execution.
 type profiler struct {
 	profile   *Profile
-	seed      uint64
-	narrowing int // restrictions that narrow what is read
+	seed      uint64 // seed of Profile.Key
+	narrowing int    // number of restrictions that reduce the rows read
 	lower     rangeBounds
 	upper     rangeBounds
 }
 
-// rangeBounds are the lower or the upper ends of the ranges of a statement.
+// rangeBounds are the lower or the upper ends of the ranges of a statement, with the hashes of
+// the names that they are compared with.
 type rangeBounds struct {
 	values  [MaxSlots]float64
 	columns [MaxSlots]uint32
@@ -83,7 +85,7 @@
 	b.count++
 }
 
-// slot takes a value that is not null.
+// slot updates the profile for a value that is not NULL.
 func (p *profiler) slot(s *Slot, value *slotValue) {
 	switch s.Role {
 	case RoleEqual:
@@ -137,7 +139,8 @@
 	}
 }
 
-// matchBounds finds the widest range with both ends, and whether one has only one.
+// matchBounds pairs the lower and upper ends of ranges by column, finds the widest range and
+// sets HalfOpen if an end has no counterpart.
 func (p *profiler) matchBounds() {
 	for i := range p.lower.count {
 		column := p.lower.columns[i]
@@ -158,7 +161,7 @@
 	}
 }
 
-// span takes a range with both ends.
+// span updates the profile for a range with both ends.
 func (p *profiler) span(width float64, column uint32) {
 	if width <= p.profile.Span {
 		return
@@ -178,8 +181,8 @@
 	rowsBits     = 4
 )
 
-// Bucket is a coarse form of the profile: executions of one shape that share it are taken
-// to cost alike.
+// Bucket returns a coarse encoding of the profile. Executions of the same query shape and bucket
+// are assumed to have similar costs.
 func (p *Profile) Bucket() uint32 {
 	const maxAlternatives = 15
 	b := log2Bucket(float64(p.Alternatives), maxAlternatives)
@@ -197,8 +200,8 @@
 	return b
 }
 
-// log2Bucket is 0 for what is not there, else one more than the logarithm, and at most
-// maxBucket.
+// log2Bucket returns 0 if x is not positive, 1 if x is below 1, and otherwise one more than the
+// binary logarithm of x rounded down, but at most maxBucket.
 func log2Bucket(x float64, maxBucket uint32) uint32 {
 	const beyondAll = 1 << 40
 	switch {
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -1,56 +1,57 @@
 package sqltext
 
-// Role is what a value of a statement does there.
+// Role is the role of a value in a statement.
 type Role uint8
 
 // Roles of a value.
 const (
-	RoleOther      Role = iota
-	RoleEqual           // it is compared for equality
-	RoleList            // one of its alternatives is (IN, ANY)
-	RoleLowerBound      // lower end of a range
-	RoleUpperBound      // upper end of a range
-	RolePattern         // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
-	RoleLimit           // of rows
-	RoleInterval        // a span of time by itself, as in now() - interval '1 year'
+	RoleOther      Role = iota // none of the roles below
+	RoleEqual                  // compared for equality
+	RoleList                   // list of alternatives (IN, ANY, SOME)
+	RoleLowerBound             // lower end of a range
+	RoleUpperBound             // upper end of a range
+	RolePattern                // pattern of LIKE, ILIKE, SIMILAR TO or an operator such as ~ and ~~
+	RoleLimit                  // maximum number of rows
+	RoleInterval               // interval literal, as in now() - interval '1 year'
 )
 
-// Slot is one value of a statement that its size may depend on.
+// Slot is one value of a statement, or one list of values, that the size of the result may
+// depend on.
 type Slot struct {
 	Role      Role
-	NullGuard bool   // the statement asks whether it is null, as in $1 IS NULL OR a = $1
-	Column    uint32 // hash of the name that it is compared with; 0: none
-	Param     int32  // its number from 1; 0: a literal, which stands at Start
-	Start     int32
-	End       int32
-	Count     int32 // of alternatives in a list that is written out
+	NullGuard bool   // the statement tests the value for NULL, as in $1 IS NULL OR a = $1
+	Column    uint32 // hash of the name that the value is compared with; 0: none
+	Param     int32  // number of the parameter, from 1; 0: a literal or a list
+	Start     int32  // byte offset of a literal in the statement
+	End       int32  // byte offset of the end of a literal
+	Count     int32  // number of alternatives if the list is written out
 }
 
-// MaxSlots bounds the values of one statement that are looked at; of the others only the
-// number counts.
+// MaxSlots is the maximum number of values of one statement that are examined. Further values
+// are only counted.
 const MaxSlots = 24
 
-// comparison is what the pass knows of the value that comes next.
+// comparison is the context of the next value.
 type comparison struct {
-	name    uint32 // hash of the last name
-	role    Role   // of the next value
+	name    uint32 // hash of the last name; 0: none
+	role    Role   // role of the next value
 	column  uint32 // hash of the name that the next value is compared with
-	between bool   // AND leads to the upper end of a range
+	between bool   // the next AND belongs to BETWEEN and precedes the upper end of a range
 }
 
-// begin expects a value that is compared with the last name.
+// begin gives the next value a role in a comparison with the last name.
 func (c *comparison) begin(role Role) {
 	c.role = role
 	c.column = c.name
 }
 
-// clear expects nothing, and forgets the last name.
+// clear resets the role of the next value and the last name.
 func (c *comparison) clear() {
 	c.role = RoleOther
 	c.name = 0
 }
 
-// expectAfterKeyword sets what a value behind a key word is.
+// expectAfterKeyword sets the role of a value that follows a keyword.
 func (p *pass) expectAfterKeyword(word keyword, traits keywordTraits) {
 	c := &p.comparison
 	switch word {
@@ -79,9 +80,9 @@
 	case keywordIs:
 		p.nullTest()
 	case keywordSymmetric, keywordNot, keywordSimilar, keywordInterval, keywordArray:
-		// These keep what is compared.
+		// These leave the comparison unchanged.
 	default:
-		if traits&typeTrait == 0 { // timestamp and the like keep it, too
+		if traits&typeTrait == 0 { // so do the names of types, such as timestamp
 			c.role = RoleOther
 		}
 	}
@@ -92,7 +93,7 @@
 	p.out.Features.Limited = true
 }
 
-// expectAfterOperator sets what a value behind an operator is.
+// expectAfterOperator sets the role of a value that follows an operator.
 func (p *pass) expectAfterOperator(operator string) {
 	c := &p.comparison
 	switch operator {
@@ -109,7 +110,7 @@
 	}
 }
 
-// nullTest takes the word IS: what stands before it is asked whether it is null.
+// nullTest processes the keyword IS, which is taken to test the operand before it for NULL.
 func (p *pass) nullTest() {
 	if p.param > 0 {
 		for i := range p.slotCount {
@@ -125,7 +126,7 @@
 	p.comparison.role = RoleOther
 }
 
-// addSlot keeps the value just read, where its size may depend on it.
+// addSlot adds a slot for the current value if the size of the result may depend on it.
 func (p *pass) addSlot(t Token, role Role) {
 	if t.Kind == Param {
 		p.param = paramNumber(p.lexer.Src[t.Start+1 : t.End])
@@ -133,7 +134,7 @@
 		p.param = 0
 	}
 	role = p.countRestriction(role)
-	// Of values that have no part in it only parameters can turn out to be null guards.
+	// Of the values without a role, only parameters may matter: a null guard may follow.
 	irrelevant := role == RoleOther && (t.Kind != Param || p.out.Features.Command == CommandInsert)
 	if irrelevant || p.slotCount == MaxSlots {
 		return
@@ -158,8 +159,8 @@
 	p.comparison.role = RoleOther
 }
 
-// countRestriction counts a value that can narrow what is read, and gives its role: it has
-// none where nothing is compared with it, as in 1 = 1.
+// countRestriction counts a value that can reduce the rows read, and returns its role: RoleOther
+// if it is not compared with a name, as in 1 = 1.
 func (p *pass) countRestriction(role Role) Role {
 	switch role {
 	case RoleInterval:
@@ -173,10 +174,10 @@
 	return role
 }
 
-// maxParamNumber is one more than a Bind message can hold.
+// maxParamNumber is one more than the number of parameters that a Bind message can hold.
 const maxParamNumber = 1 << 16
 
-// paramNumber reads a parameter's number; those past what a message can hold are one.
+// paramNumber parses the number of a parameter. Greater numbers are returned as maxParamNumber.
 func paramNumber(digits string) (n int) {
 	for i := range len(digits) {
 		n = n*10 + int(digits[i]-'0')
--- a/internal/sqltext/split.go
+++ b/internal/sqltext/split.go
@@ -1,9 +1,9 @@
 package sqltext
 
-// SplitStatements parts a text into its statements, as PostgreSQL does for a simple Query:
-// at semicolons that stand in no parentheses, quotes or comments. What holds no token is
-// left out. A body in SQL (BEGIN ATOMIC) is not seen as one: its parts are no statements,
-// and an engine says so.
+// SplitStatements splits a text into its statements, as PostgreSQL does for a simple Query: at
+// semicolons outside parentheses, quotes and comments. Parts without a token are left out. The
+// body of a function in SQL (BEGIN ATOMIC) is not recognized: its parts are not valid
+// statements, and an engine reports an error for them.
 func SplitStatements(text string) (statements []string) {
 	l := Lexer{Src: text}
 	start, depth := 0, 0
--- a/internal/sqltext/table_group.go
+++ b/internal/sqltext/table_group.go
@@ -2,15 +2,16 @@
 
 import "strings"
 
-// ungroupedSchema is the schema whose number, if it has one, names no group.
+// ungroupedSchema is the prefix of the schemas whose number is not that of a table group.
 const ungroupedSchema = "staging"
 
-// maxGroupDigits bounds the number of a group, which has 63 bits.
+// maxGroupDigits is the maximum number of digits of a group's number, which must fit in 63 bits.
 const maxGroupDigits = 17
 
-// TableGroup is the number behind the underscore in the name of the statement's schema: 17
-// in sales_17.orders. Names in strings and comments don't count. A name where a table stands
-// (after FROM and the like) goes before others, which may be a column of an alias.
+// TableGroup returns the number after the underscore in the name of the statement's schema: 17
+// for sales_17.orders. Names in strings and comments are ignored. A name in the position of a
+// table (after FROM and similar keywords) takes precedence over others, which may be columns
+// qualified by an alias.
 func TableGroup(stmt string) (group int64, ok bool) {
 	l := Lexer{Src: stmt}
 	var finder tableGroupFinder
@@ -20,17 +21,17 @@
 	return finder.group, finder.found
 }
 
-// tableGroupFinder finds the table group in a run of tokens.
+// tableGroupFinder finds the table group in a sequence of tokens.
 type tableGroupFinder struct {
 	group       int64
-	found       bool
-	final       bool // the group stood where a table does: nothing later can change it
-	expectTable bool // a table's name stands here
-	name        Token
-	lastKind    Kind
+	found       bool  // group is valid
+	final       bool  // the group was found in the position of a table: no later name replaces it
+	expectTable bool  // the current position is that of a table
+	name        Token // the last name
+	lastKind    Kind  // kind of the last token
 }
 
-// token takes the next token.
+// token processes the next token.
 func (f *tableGroupFinder) token(l *Lexer, t Token) {
 	if f.final {
 		return
@@ -39,10 +40,10 @@
 	case Ident, QuotedIdent:
 		if f.lastKind != Dot && t.traits()&beforeTableTrait != 0 {
 			f.expectTable = true
-			f.lastKind = Operator // anything that a dot can't follow
+			f.lastKind = Operator // any kind that is not a name: a dot after a keyword is ignored
 			return
 		}
-		f.name = t // of a.b.c the last but one is the schema's
+		f.name = t // in a.b.c the name before the last dot is the schema
 	case Dot:
 		if f.lastKind.isName() {
 			f.schema(unquoteName(l.Text(f.name)))
@@ -54,7 +55,7 @@
 	f.lastKind = t.Kind
 }
 
-// schema takes a name that a dot follows.
+// schema processes a name that is followed by a dot.
 func (f *tableGroupFinder) schema(name string) {
 	group, ok := schemaGroup(name)
 	if ok && (f.expectTable || !f.found) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// schemaGroup reads the number of a schema's name.
+// schemaGroup returns the table group in the name of a schema.
 func schemaGroup(name string) (group int64, ok bool) {
 	underscore := strings.LastIndexByte(name, '_')
 	if underscore < 1 {
@@ -83,7 +84,7 @@
 	return group, true
 }
 
-// unquoteName takes the quotes off a name.
+// unquoteName returns a name without its quotes. Doubled quotes stay doubled.
 func unquoteName(name string) string {
 	if len(name) >= 2 && name[0] == '"' {
 		return strings.TrimSuffix(name[1:], `"`)
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -5,8 +5,8 @@
 
 // Kinds of token.
 const (
-	End          Kind = iota // the text is finished
-	Ident                    // a key word or a name without quotes
+	End          Kind = iota // end of the text
+	Ident                    // a keyword or an unquoted name
 	QuotedIdent              // a name in double quotes
 	String                   // '..', E'..', U&'..', N'..', with its continuations
 	BitString                // B'..', X'..'
@@ -21,41 +21,41 @@
 	OpenBracket              // [
 	CloseBracket             // ]
 	Cast                     // ::
-	Colon                    // : alone, or :=
+	Colon                    // : or :=
 	Semicolon                // ;
-	Invalid                  // a character that no rule accepts, or a lone $
+	Invalid                  // a character that no rule accepts, or a $ that begins no token
 
 	kindCount
 )
 
-// Token is one token: its kind and its place in the text, as byte offsets. The compiler
-// keeps a struct of four fields in registers; with a fifth, copying tokens took half the
-// time of reading a statement.
+// Token is a token's kind and its position in the text, as byte offsets. The compiler keeps a
+// struct of four fields in registers; with a fifth field, copying tokens took half the time of
+// reading a statement.
 type Token struct {
 	Start, End int
 	Kind       Kind
 	info       tokenInfo
 }
 
-// tokenInfo is what the lexer finds out about an Ident on its way, packed into one word:
-// the hash of the name (32 bits), then its traits (16) and number (8) as a key word, and
-// whether it has capitals.
+// tokenInfo holds further properties of an Ident, packed into one machine word from the lowest
+// bit: the hash of the name (32 bits), its keyword traits (16 bits), its keyword number (8 bits)
+// and whether it has uppercase letters.
 type tokenInfo uint64
 
 const (
-	traitsShift   = 32
-	keywordShift  = 48
-	capitalsShift = 56
+	traitsShift    = 32
+	keywordShift   = 48
+	uppercaseShift = 56
 )
 
-func (i tokenInfo) hasCapitals() bool { return i>>capitalsShift != 0 }
+func (i tokenInfo) hasUppercase() bool { return i>>uppercaseShift != 0 }
 
-// nameHash is the hash of an Ident without regard to case.
+// nameHash returns the hash of an Ident, which ignores case; 0 for other kinds.
 func (t Token) nameHash() uint32 { return uint32(t.info) }
 
 func (t Token) traits() keywordTraits { return keywordTraits(t.info >> traitsShift) }
 func (t Token) keyword() keyword      { return keyword(t.info >> keywordShift) }
-func (t Token) hasCapitals() bool     { return t.info.hasCapitals() }
+func (t Token) hasUppercase() bool    { return t.info.hasUppercase() }
 
-// isName tells whether the token is a name, with quotes or without, or a key word.
+// isName reports whether the token is a name, quoted or not, or a keyword.
 func (k Kind) isName() bool { return k == Ident || k == QuotedIdent }
