--- a/internal/queryshape/estimator_test.go
+++ b/internal/queryshape/estimator_test.go
@@ -7,7 +7,7 @@
 	decide "gannetspur/internal/decide/costmodel"
 )
 
-// newTestEstimator returns an estimator with two classes and fixtureOptions' bound.
+// newTestEstimator returns an empty estimator with fixtureOptions.
 func newTestEstimator(t *testing.T) *Estimator {
 	t.Helper()
 	e, err := New(fixtureOptions())
@@ -17,7 +17,8 @@
 	return e
 }
 
-// execute runs executions of a statement past an estimator, and lets one more arrive.
+// execute lets the estimator learn n executions of a statement, each with the given work in ms, and
+// estimate one more.
 func execute(e *Estimator, text string, n int, work float64) {
 	for range n {
 		e.Learn(e.Estimate(e.Read(text), nil, -1, Hint{}), decide.Outcome{Work: work, MemoryMB: 20})
@@ -25,12 +26,12 @@
 	e.Estimate(e.Read(text), nil, -1, Hint{})
 }
 
-// TestFlood checks that a flood of shapes that come once neither exceeds the bound nor evicts those
-// that recur.
-func TestFlood(t *testing.T) {
+// TestFloodKeepsRecurringShapes checks that a flood of one-off shapes neither exceeds the cache's
+// bound nor evicts recurring shapes.
+func TestFloodKeepsRecurringShapes(t *testing.T) {
 	e := newTestEstimator(t)
 	recurring := func(i int) string { return fmt.Sprintf("SELECT c%d FROM stock_1.orders WHERE part = 'p'", i) }
-	hits, asked := uint64(0), 0
+	hits, lookups := uint64(0), 0
 	for i := range 20000 {
 		execute(e, fmt.Sprintf("SELECT a FROM stock_1.tmp_%dx t%dx WHERE part = 'p'", i, i), 1, 200)
 		if i%4 == 0 {
@@ -38,19 +39,19 @@
 			e.Learn(e.Estimate(e.Read(recurring(i/4%50)), nil, -1, Hint{}), decide.Outcome{Work: 200})
 			if i > 5000 {
 				hits += e.Stats.Hits - before
-				asked++
+				lookups++
 			}
 		}
 	}
 	if e.Bytes() > 256<<10 {
-		t.Errorf("%d bytes held, %d allowed", e.Bytes(), 256<<10)
+		t.Errorf("cache size = %d bytes, want at most %d", e.Bytes(), 256<<10)
 	}
-	if rate := float64(hits) / float64(asked); rate < 0.95 {
-		t.Errorf("recurring shapes were found at %.2f", rate)
+	if rate := float64(hits) / float64(lookups); rate < 0.95 {
+		t.Errorf("hit rate of recurring shapes = %.2f, want at least 0.95", rate)
 	}
 }
 
-// BenchmarkRequest measures one request in all: read, estimated and learned.
+// BenchmarkRequest measures one request: reading, estimating and learning.
 func BenchmarkRequest(b *testing.B) {
 	e, err := New(Options{Bytes: 2 << 20})
 	if err != nil {
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -13,10 +13,10 @@
 	decide "gannetspur/internal/decide/costmodel"
 )
 
-// The files under testdata were written by the code before the package was reworked:
-// snapshot.rwshapes is a snapshot, snapshot.sha256 the digest of all its fields in the order
-// of writeSnapshot, and estimates.txt what that code expected of fixtureStatements after it
-// had restored the snapshot.
+// The files under testdata were written by an earlier version of this package: snapshot.rwshapes
+// is a snapshot, snapshot.sha256 is the digest of all its fields in the order of writeSnapshot,
+// and estimates.txt holds that version's estimates for fixtureStatements after it had restored
+// the snapshot.
 const (
 	fixtureSnapshot  = "testdata/snapshot.rwshapes"
 	fixtureDigest    = "testdata/snapshot.sha256"
@@ -45,8 +45,9 @@
 	return b
 }
 
-// TestFixtureSnapshot decodes the snapshot, compares every field, and encodes it again to the
-// same bytes: a stored name that changed would leave its field empty.
+// TestFixtureSnapshot checks that the snapshot of an earlier version decodes to the same fields
+// and encodes to the same bytes. It guards against a changed key of the stored form, which would
+// leave a field empty.
 func TestFixtureSnapshot(t *testing.T) {
 	raw := readFixture(t, fixtureSnapshot)
 	snap, err := DecodeSnapshot(raw)
@@ -58,60 +59,63 @@
 	if got, want := digest(fields.Bytes()), strings.TrimSpace(string(readFixture(t, fixtureDigest))); got != want {
 		t.Errorf("digest of the fields = %s, want %s", got, want)
 	}
-	again, err := snap.Encode()
+	encoded, err := snap.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again, raw) {
-		t.Errorf("the snapshot encodes to %d other bytes, want the same %d", len(again), len(raw))
+	if !bytes.Equal(encoded, raw) {
+		t.Errorf("the snapshot encodes to %d different bytes, want the %d bytes of the file", len(encoded), len(raw))
 	}
 }
 
-// TestFixtureEstimates restores the snapshot and compares what is expected of statements.
+// TestFixtureEstimates checks that the restored snapshot gives the same estimates as in the earlier
+// version.
 func TestFixtureEstimates(t *testing.T) {
 	snap, err := DecodeSnapshot(readFixture(t, fixtureSnapshot))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Restore(fixtureOptions(), snap)
+	e, err := Restore(fixtureOptions(), snap)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got bytes.Buffer
-	writeEstimates(&got, b)
+	writeEstimates(&got, e)
 	if want := readFixture(t, fixtureEstimates); got.String() != string(want) {
 		t.Errorf("estimates:\n%s\nwant:\n%s", got.String(), want)
 	}
 }
 
-// TestFixtureDamaged cuts the snapshot at each length and changes each byte: every one is
-// refused with a typed error.
+// TestFixtureDamaged checks that the snapshot truncated to any length, or with any byte changed, is
+// rejected with one of the package's errors.
 func TestFixtureDamaged(t *testing.T) {
 	raw := readFixture(t, fixtureSnapshot)
-	refused := func(b []byte) bool {
+	rejected := func(b []byte) bool {
 		_, err := DecodeSnapshot(b)
 		return errors.Is(err, ErrNotSnapshot) || errors.Is(err, ErrSnapshotVersion) || errors.Is(err, ErrSnapshotTruncated) || errors.Is(err, ErrSnapshotCorrupt)
 	}
 	for n := range raw {
-		if !refused(raw[:n]) {
-			t.Fatalf("cut at %d of %d bytes: not refused", n, len(raw))
+		if !rejected(raw[:n]) {
+			t.Fatalf("snapshot truncated to %d of %d bytes was accepted, want one of the package's errors", n, len(raw))
 		}
 	}
 	damaged := bytes.Clone(raw)
 	for n := range damaged {
 		damaged[n] ^= 0x11
-		if !refused(damaged) {
-			t.Fatalf("byte %d changed: not refused", n)
+		if !rejected(damaged) {
+			t.Fatalf("snapshot with byte %d changed was accepted, want one of the package's errors", n)
 		}
 		damaged[n] ^= 0x11
 	}
 }
 
-func writeEstimates(w *bytes.Buffer, b *Estimator) {
+// writeEstimates writes the estimates of fixtureStatements with and without a hint and for each
+// class, in the form of estimates.txt.
+func writeEstimates(w *bytes.Buffer, estimator *Estimator) {
 	for i, text := range fixtureStatements {
 		for _, hint := range []Hint{{}, {Work: 90, MemoryMB: 3}} {
 			for known := -1; known < 2; known++ {
-				e := b.Estimate(b.Read(text), nil, known, hint).Estimate
+				e := estimator.Estimate(estimator.Read(text), nil, known, hint).Estimate
 				fmt.Fprintf(w, "%d %g %d: %t %.9g ms, spread %.9g, %.9g MB, class %d;", i, hint.Work, known, e.Known, e.Work, e.P90Factor, e.MemoryMB, e.Class)
 				for _, v := range []decide.Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
 					fmt.Fprintf(w, " %.9g/%.9g/%.9g/%.9g", v.Center, v.Deviation, v.Samples, v.Weight)
@@ -122,7 +126,8 @@
 	}
 }
 
-// writeSnapshot writes every field, each behind its stored name.
+// writeSnapshot writes every field of a snapshot. The labels are those of the version that wrote
+// snapshot.sha256.
 func writeSnapshot(w *bytes.Buffer, s *Snapshot) {
 	fmt.Fprintf(w, "1 %d\n2 %d\n5 %d\n", s.Layout, s.HashSeed, s.TruncatedShapes)
 	prior := &s.Model.Prior
--- a/internal/queryshape/snapshot_test.go
+++ b/internal/queryshape/snapshot_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestSnapshot checks that what was learned survives a restart, where fingerprints have other
-// seeds.
+// TestSnapshot checks that what was learned survives a restart, although fingerprints then have
+// different seeds, and that writing a snapshot leaves no temporary file.
 func TestSnapshot(t *testing.T) {
 	e := newTestEstimator(t)
 	for i := range 30 {
@@ -27,25 +27,25 @@
 		t.Fatal(err)
 	}
 	if len(snap.Shapes) != 30 || snap.TruncatedShapes != 1 {
-		t.Errorf("%d shapes and %d truncated ones, want 30 and 1", len(snap.Shapes), snap.TruncatedShapes)
+		t.Errorf("snapshot has %d shapes and %d truncated ones, want 30 and 1", len(snap.Shapes), snap.TruncatedShapes)
 	}
-	again, err := Restore(Options{Bytes: 256 << 10}, snap)
+	restored, err := Restore(Options{Bytes: 256 << 10}, snap)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := "select C7 from stock_9.orders where part = $1"
-	before, after := e.Estimate(e.Read(text), nil, -1, Hint{}).Estimate.Work, again.Estimate(again.Read(text), nil, -1, Hint{}).Estimate.Work
+	before, after := e.Estimate(e.Read(text), nil, -1, Hint{}).Estimate.Work, restored.Estimate(restored.Read(text), nil, -1, Hint{}).Estimate.Work
 	if before != after || before < 350 || before > 550 {
 		t.Errorf("estimate after the restart = %.1f ms, want %.1f, between 350 and 550", after, before)
 	}
-	left, err := os.ReadDir(dir)
-	if err != nil || len(left) != 1 {
-		t.Errorf("files left: %v, %v", left, err)
+	files, err := os.ReadDir(dir)
+	if err != nil || len(files) != 1 {
+		t.Errorf("files after writing a snapshot = %v (error %v), want only the snapshot", files, err)
 	}
 }
 
-// TestDamagedSnapshots checks that a snapshot that is truncated, changed anywhere, of another
-// version or none at all is refused with the error for that.
+// TestDamagedSnapshots checks that input that is truncated, has a changed byte or trailing data, or
+// is of another version is rejected, with the specific error where there is one.
 func TestDamagedSnapshots(t *testing.T) {
 	e := newTestEstimator(t)
 	execute(e, "SELECT a FROM stock_1.parts WHERE part = 'p'", 5, 200)
@@ -53,27 +53,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range good { // each cut, and each changed byte
+	for n := range good { // truncate to each length and change each byte
 		if _, err := DecodeSnapshot(good[:n]); !errors.Is(err, ErrSnapshotTruncated) && !errors.Is(err, ErrNotSnapshot) {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("snapshot truncated to %d of %d bytes: error %v, want %v or %v", n, len(good), err, ErrSnapshotTruncated, ErrNotSnapshot)
 		}
 		bad := append([]byte{}, good...)
 		bad[n] ^= 0x40
 		if _, err := DecodeSnapshot(bad); err == nil {
-			t.Fatalf("byte %d changed: it was read", n)
+			t.Fatalf("snapshot with byte %d changed was accepted, want an error", n)
 		}
 	}
 	if _, err := DecodeSnapshot(append(append([]byte{}, good...), 0)); !errors.Is(err, ErrSnapshotCorrupt) {
-		t.Errorf("a byte behind the end: %v", err)
+		t.Errorf("snapshot with a trailing byte: error %v, want %v", err, ErrSnapshotCorrupt)
 	}
 	other := append([]byte{}, good...)
 	other[len(snapshotMagic)+3] = 99
 	if _, err := DecodeSnapshot(other); !errors.Is(err, ErrSnapshotVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("snapshot of version 99: error %v, want %v", err, ErrSnapshotVersion)
 	}
 }
 
-// FuzzSnapshot checks that any bytes are refused with a typed error, or can be restored.
+// FuzzSnapshot checks that any input is either rejected by DecodeSnapshot, or can be restored or is
+// rejected by Restore with ErrSnapshotCorrupt.
 func FuzzSnapshot(f *testing.F) {
 	e, err := New(Options{Bytes: 64 << 10})
 	if err != nil {
--- a/internal/sqltext/benchmark_test.go
+++ b/internal/sqltext/benchmark_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// usualReport is a statement with a value of most roles.
-const usualReport = "SELECT o.day, count(*), max(o.note) FROM sales_17.orders o JOIN sales_17.parts p ON p.id = o.part " +
+// reportStatement has values of most roles.
+const reportStatement = "SELECT o.day, count(*), max(o.note) FROM sales_17.orders o JOIN sales_17.parts p ON p.id = o.part " +
 	"WHERE o.tag = $1 AND o.day BETWEEN $2 AND $3 AND o.status IN ('open', 'late') GROUP BY o.day ORDER BY 1 LIMIT 50"
 
-// usualLookup is the form of most statements in the Board's traffic.
-const usualLookup = "SELECT part, n FROM stock_17.stock WHERE part = 'p-00017'"
+// lookupStatement has the form of most statements in the testbed's traffic.
+const lookupStatement = "SELECT part, n FROM stock_17.stock WHERE part = 'p-00017'"
 
 func BenchmarkReadLookup(b *testing.B) {
 	r := NewReader()
 	b.ReportAllocs()
-	b.SetBytes(int64(len(usualLookup)))
+	b.SetBytes(int64(len(lookupStatement)))
 	for b.Loop() {
-		p := r.Read(usualLookup).Profile(usualLookup, &Binds{}, 1)
+		p := r.Read(lookupStatement).Profile(lookupStatement, &Binds{}, 1)
 		_ = p.Bucket()
 	}
 }
@@ -38,14 +38,14 @@
 	r := NewReader()
 	binds := Binds{Values: [][]byte{[]byte("3f9c"), be(100, 4), be(130, 4)}, Formats: []byte{0, 0, 0, 1, 0, 1}, Types: append(append(be(25, 4), be(1082, 4)...), be(1082, 4)...)}
 	b.ReportAllocs()
-	b.SetBytes(int64(len(usualReport)))
+	b.SetBytes(int64(len(reportStatement)))
 	for b.Loop() {
-		p := r.Read(usualReport).Profile(usualReport, &binds, 1)
+		p := r.Read(reportStatement).Profile(reportStatement, &binds, 1)
 		_ = p.Bucket()
 	}
 }
 
-// longLiterals are the rows of an insert and the list of a lookup, of 20,000 elements each.
+// longLiterals returns the rows of an INSERT and the list of an IN, with 20,000 elements each.
 func longLiterals() (rows, list string) {
 	var rowText, listText strings.Builder
 	for i := range 20000 {
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -7,9 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// What may write is never taken for a reading statement, however it is written.
+// TestEffect checks the effect of statements of many forms, by EffectOf and by a Reader. It guards
+// above all against a statement that writes, or calls an unknown function, being classified as
+// Reads.
 func TestEffect(t *testing.T) {
-	more := FunctionSet{"stock.price_of": true, "is_open": true}
+	readOnly := FunctionSet{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
 		"DELETE FROM t":                Writes,
 		" /* c */ UPDATE t SET a = 1":  Writes,
@@ -78,30 +80,32 @@
 		"SELECT substring(a FROM 1 FOR 3), position('a' IN b) FROM t":                                   Reads,
 		"SELECT percentile_cont(0.5) WITHIN GROUP (ORDER BY a) FROM t GROUP BY GROUPING SETS ((a), ())": Reads,
 	} {
-		got := EffectOf(stmt, more)
+		got := EffectOf(stmt, readOnly)
 		if got.Effect != want {
-			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
+			t.Errorf("EffectOf(%q) = %v (%v), want %v", stmt, got.Effect, got, want)
 		}
 		r := NewReader()
-		r.ClassifyEffect, r.ReadOnlyFunctions = true, more
-		if also := r.Read(stmt).Effect; also != got {
-			t.Errorf("%s: %v on the way, %v by itself", stmt, also, got)
+		r.ClassifyEffect, r.ReadOnlyFunctions = true, readOnly
+		if fromReader := r.Read(stmt).Effect; fromReader != got {
+			t.Errorf("Read(%q).Effect = %v, want %v as from EffectOf", stmt, fromReader, got)
 		}
 	}
 }
 
-// However a reading statement is cut, nested or garbled, a write put behind it is seen.
+// TestEffectOfLongText checks that a locking clause after 1 MiB of repeated, nested or malformed
+// text is not overlooked.
 func TestEffectOfLongText(t *testing.T) {
 	for _, fill := range []string{"(", "[", "a,", "'x' ", "/* */", "E'\\\\' ", "$$x$$ ", "1.", "\"q\"", "WITH a AS (", "f.", "'a'\n"} {
 		text := "SELECT " + strings.Repeat(fill, 1<<20/len(fill)) + " 1 FOR UPDATE"
 		if got := EffectOf(text, nil); got.Effect == Reads {
-			t.Errorf("%d bytes of %q: %v", len(text), fill, got)
+			t.Errorf("effect of %d bytes of %q followed by FOR UPDATE = %v (%v), want other than %v", len(text), fill, got.Effect, got, Reads)
 		}
 	}
 }
 
-// A write stays one whatever comments, spaces and capitals stand between its words, and
-// whatever harmless text is wrapped round it.
+// TestWritesInDisguise checks that a statement that writes, or calls an unknown function, is never
+// classified as Reads, whatever comments and spaces separate its words, in either case, and inside
+// any enclosing statement.
 func TestWritesInDisguise(t *testing.T) {
 	writes := []string{
 		"DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t VALUES ( 1 )", "SELECT a INTO x FROM t", "SELECT setval ( 's' , 1 )",
@@ -123,7 +127,7 @@
 			b.WriteString(rapid.SampledFrom(separators).Draw(t, "separator"))
 		}
 		if got := EffectOf(b.String(), nil); got.Effect == Reads {
-			t.Fatalf("%q is taken as reading", b.String())
+			t.Fatalf("EffectOf(%q) = %v (%v), want other than %v", b.String(), got.Effect, got, Reads)
 		}
 	})
 }
--- a/internal/sqltext/normal_form_test.go
+++ b/internal/sqltext/normal_form_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Statements that differ in values, case, space, comments and the length of lists have
-// one normal form; others have their own.
+// TestNormalForm checks that statements that differ only in values, case, space, comments and the
+// length of lists have the same normal form.
 func TestNormalForm(t *testing.T) {
 	for want, stmts := range map[string][]string{
 		"select day, count(*) from sales_#.orders where tag = ? group by day": {
@@ -34,7 +34,7 @@
 		for _, s := range stmts {
 			r := NewReader()
 			if diff := cmp.Diff(want, string(r.Read(s).NormalForm)); diff != "" {
-				t.Errorf("%.80s:\n%s", s, diff)
+				t.Errorf("normal form of %.80q (-want +got):\n%s", s, diff)
 			}
 		}
 	}
--- a/internal/sqltext/replay_test.go
+++ b/internal/sqltext/replay_test.go
@@ -19,12 +19,13 @@
 
 var writeReplay = flag.Bool("write-replay", false, "write the digests of the replay instead of comparing them")
 
-// statementGenerator makes statements of every form that the package treats on its own,
-// and of none, from a seed.
+// statementGenerator generates statements from a seed: of every form that the package treats
+// specially, and malformed ones.
 type statementGenerator struct {
 	rng *rand.Rand
 }
 
+// pick returns one of the texts at random.
 func (g *statementGenerator) pick(all ...string) string { return all[g.rng.IntN(len(all))] }
 
 func (g *statementGenerator) name() string {
@@ -150,16 +151,17 @@
 		"SET LOCAL a.b = 'x'", "BEGIN", "commit", "Vacuum t", "LOCK t", "show timezone", "TABLE t", g.rows(), "grant all on t to u")
 }
 
-func (g *statementGenerator) garbage() string {
+// randomCharacters returns up to 59 random characters with a meaning to the lexer.
+func (g *statementGenerator) randomCharacters() string {
 	b := make([]byte, g.rng.IntN(60))
-	const marks = `'"$\/*-;:.,()[]{}%_ 	aAeEuU&xX09` + "\n\r\x00\x7f\x80\xff\xc3\xa4"
+	const characters = `'"$\/*-;:.,()[]{}%_ 	aAeEuU&xX09` + "\n\r\x00\x7f\x80\xff\xc3\xa4"
 	for i := range b {
-		b[i] = marks[g.rng.IntN(len(marks))]
+		b[i] = characters[g.rng.IntN(len(characters))]
 	}
 	return string(b)
 }
 
-// statement makes one statement, or a text that is none.
+// statement generates a statement or a malformed text.
 func (g *statementGenerator) statement() string {
 	text := ""
 	switch g.rng.IntN(10) {
@@ -176,7 +178,7 @@
 	case 5:
 		text = "(" + g.selects() + ") UNION (" + g.selects() + ")"
 	case 6:
-		text = g.garbage() + g.pick("", g.selects())
+		text = g.randomCharacters() + g.pick("", g.selects())
 	default:
 		text = g.selects()
 	}
@@ -185,7 +187,8 @@
 	return g.damaged(text)
 }
 
-// damaged cuts, overwrites or doubles a part of some texts.
+// damaged returns some texts unchanged and others cut, with random characters inserted, in
+// uppercase, with other separators or repeated.
 func (g *statementGenerator) damaged(text string) string {
 	if len(text) == 0 {
 		return text
@@ -197,7 +200,7 @@
 	case 1:
 		return text[at:]
 	case 2:
-		return text[:at] + g.garbage() + text[at:]
+		return text[:at] + g.randomCharacters() + text[at:]
 	case 3:
 		return strings.ToUpper(text)
 	case 4:
@@ -210,7 +213,7 @@
 	return text
 }
 
-// binds makes the values of an execution, some of them of a length that no type has.
+// binds generates the values of an execution, some of them with lengths that no type has.
 func (g *statementGenerator) binds() Binds {
 	var b Binds
 	oids := []uint64{20, 21, 23, 25, 700, 701, 1009, 1082, 1114, 1184}
@@ -246,12 +249,14 @@
 	return b
 }
 
-// replayRecord gathers what the package says of the statements, a digest for each area.
-// Its lines hold numbers and texts only: they don't depend on the names of types and fields.
+// replayRecord hashes the package's results for the statements, with one digest for each area.
+// Its lines hold only numbers and strings, so that they don't depend on the names of types and
+// fields.
 type replayRecord struct {
 	digests map[string]hash.Hash
 }
 
+// line adds one line of values to the digest of an area.
 func (r *replayRecord) line(area string, values ...any) {
 	if r.digests[area] == nil {
 		r.digests[area] = sha256.New()
@@ -270,7 +275,7 @@
 		case uint64:
 			text = strconv.FormatUint(v, 10)
 		default:
-			panic(fmt.Sprintf("%T has no form in the replay", v))
+			panic(fmt.Sprintf("replay: unsupported type %T", v))
 		}
 		_, _ = r.digests[area].Write([]byte(text + " "))
 	}
@@ -314,45 +319,46 @@
 		uint64(p.Bucket()))
 }
 
-func (r *replayRecord) shortReaders(text, other string, more FunctionSet) {
-	group, grouped := TableGroup(text)
-	comment, commented := LeadingComment(text)
-	first, several := FirstWord(text)
-	r.line("short readers", group, grouped, comment, commented, first, several, SkipComments(text), HasTokenPrefix(text, other), HasTokenPrefix(text, "select"),
+// textFunctions adds the results of the functions that work on a text without a Reader.
+func (r *replayRecord) textFunctions(text, prefix string, readOnly FunctionSet) {
+	group, hasGroup := TableGroup(text)
+	comment, hasComment := LeadingComment(text)
+	word, multiple := FirstWord(text)
+	r.line("short readers", group, hasGroup, comment, hasComment, word, multiple, SkipComments(text), HasTokenPrefix(text, prefix), HasTokenPrefix(text, "select"),
 		HasTokenPrefix(text, "WITH q"), ContainsName(text, "set_config"))
 	for _, part := range SplitStatements(text) {
 		r.line("split", part)
 	}
-	effect := EffectOf(text, more)
+	effect := EffectOf(text, readOnly)
 	r.line("effect", uint64(effect.Effect), effect.Reason, effect.Word, effect.String(), effect.Effect.String())
-	alone := EffectOf(text, nil)
-	r.line("effect", uint64(alone.Effect), alone.String())
+	builtInOnly := EffectOf(text, nil)
+	r.line("effect", uint64(builtInOnly.Effect), builtInOnly.String())
 }
 
-// What the package says of generated statements stays as it was: snapshots hold normal
-// forms, learnt costs hang on features and profiles, and routing on effects. The digests
-// were written by version c18a9bd.
+// TestReplay checks that the package's results for generated statements are unchanged: snapshots
+// store normal forms, learned costs depend on features and profiles, and routing depends on
+// effects. The digests were written by version c18a9bd.
 func TestReplay(t *testing.T) {
 	const statements = 6000
-	more := FunctionSet{"stock.price_of": true, "is_open": true}
+	readOnly := FunctionSet{"stock.price_of": true, "is_open": true}
 	generator := statementGenerator{rng: rand.New(rand.NewPCG(17, 4))}
-	judging, plain := NewReader(), NewReader()
-	judging.ClassifyEffect, judging.ReadOnlyFunctions = true, more
+	classifying, plain := NewReader(), NewReader()
+	classifying.ClassifyEffect, classifying.ReadOnlyFunctions = true, readOnly
 	record := replayRecord{digests: map[string]hash.Hash{}}
-	prints := map[[2]uint64]int64{}
+	firstStatement := map[[2]uint64]int64{} // index of the first statement with each fingerprint
 	for i := range int64(statements) {
 		text := generator.statement()
 		record.tokens(text)
-		record.shortReaders(text, generator.pick("SELECT DISTINCT", "-- c\nselect", "(select", "update sales_17.", "", "WITH"), more)
-		out := judging.Read(text)
+		record.textFunctions(text, generator.pick("SELECT DISTINCT", "-- c\nselect", "(select", "update sales_17.", "", "WITH"), readOnly)
+		out := classifying.Read(text)
 		record.reading(out)
-		if !out.Truncated && judging.Fingerprint(string(out.NormalForm)) != out.Fingerprint {
-			t.Fatalf("%q: its normal form has another fingerprint than the statement", text)
+		if got := classifying.Fingerprint(string(out.NormalForm)); !out.Truncated && got != out.Fingerprint {
+			t.Fatalf("fingerprint of the normal form of %q = %x, want %x as from Read", text, got, out.Fingerprint)
 		}
-		if _, known := prints[out.Fingerprint]; !known {
-			prints[out.Fingerprint] = i
+		if _, known := firstStatement[out.Fingerprint]; !known {
+			firstStatement[out.Fingerprint] = i
 		}
-		record.line("fingerprints", prints[out.Fingerprint]) // the first statement that shares it
+		record.line("fingerprints", firstStatement[out.Fingerprint])
 		for range 2 {
 			binds := generator.binds()
 			record.profile(out.Profile(text, &binds, uint64(i)))
@@ -371,6 +377,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), record.String()); diff != "" {
-		t.Errorf("the replay differs from version c18a9bd:\n%s", diff)
+		t.Errorf("replay differs from version c18a9bd (-want +got):\n%s", diff)
 	}
 }
--- a/internal/sqltext/size_profile_test.go
+++ b/internal/sqltext/size_profile_test.go
@@ -8,13 +8,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// be returns the low size bytes of n in big-endian order.
 func be(n uint64, size int) []byte {
 	b := make([]byte, 8)
 	binary.BigEndian.PutUint64(b, n)
 	return b[8-size:]
 }
 
-// array is an array as binary Binds hold it.
+// array returns a text array of n elements in PostgreSQL's binary format.
 func array(n int) []byte {
 	b := append(append(append(append(be(1, 4), be(0, 4)...), be(25, 4)...), be(uint64(n), 4)...), be(1, 4)...)
 	for range n {
@@ -23,7 +24,8 @@
 	return b
 }
 
-// The values of an execution tell when a shape of a usual lookup is a broad report.
+// TestProfile checks the profiles of literals and bound values. Executions of one query shape can
+// differ widely in cost, and only the profile tells a lookup from a report.
 func TestProfile(t *testing.T) {
 	text := func(v ...string) (b Binds) {
 		for _, s := range v {
@@ -78,12 +80,13 @@
 		got := r.Read(tt.stmt).Profile(tt.stmt, &tt.binds, 1)
 		got.Key, got.Column = 0, 0
 		if diff := cmp.Diff(tt.want, got); diff != "" {
-			t.Errorf("%.80s:\n%s", tt.stmt, diff)
+			t.Errorf("profile of %.80q (-want +got):\n%s", tt.stmt, diff)
 		}
 	}
 }
 
-// A value is the same key however it is written and bound.
+// TestProfileKey checks that a value has the same key as a literal, as a string and bound in text
+// or binary format.
 func TestProfileKey(t *testing.T) {
 	key := func(stmt string, b Binds) uint64 {
 		r := NewReader()
--- a/internal/sqltext/split_test.go
+++ b/internal/sqltext/split_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Statements are parted where PostgreSQL parts them.
+// TestSplitStatements checks that texts are split where PostgreSQL splits them.
 func TestSplitStatements(t *testing.T) {
 	for text, want := range map[string][]string{
 		"":                                  nil,
@@ -21,12 +21,12 @@
 		"a); b":                             {"a)", " b"},
 	} {
 		if diff := cmp.Diff(want, SplitStatements(text)); diff != "" {
-			t.Errorf("%q: %s", text, diff)
+			t.Errorf("SplitStatements(%q) (-want +got):\n%s", text, diff)
 		}
 	}
 }
 
-// Whatever comes, the parts lie in the text one behind the other and hold no further part.
+// FuzzSplit checks that the parts of any text are not empty and together not longer than the text.
 func FuzzSplit(f *testing.F) {
 	f.Add("SELECT 1; SELECT '")
 	f.Add("a;b;(;);c")
@@ -34,7 +34,7 @@
 		at := 0
 		for _, part := range SplitStatements(text) {
 			if len(part) == 0 || len(text)-at < len(part) {
-				t.Fatalf("%q of %q", part, text)
+				t.Fatalf("part %q of %q has %d bytes, want between 1 and the remaining %d", part, text, len(part), len(text)-at)
 			}
 			at += len(part)
 		}
--- a/internal/sqltext/table_group_test.go
+++ b/internal/sqltext/table_group_test.go
@@ -6,6 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// TestTableGroup checks the table group of statements; -1 stands for none.
 func TestTableGroup(t *testing.T) {
 	for stmt, want := range map[string]int64{
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": 17,
@@ -26,7 +27,7 @@
 			got = -1
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%s:\n%s", stmt, diff)
+			t.Errorf("TableGroup(%q) (-want +got):\n%s", stmt, diff)
 		}
 	}
 }
