--- a/internal/queryshape/cache.go
+++ b/internal/queryshape/cache.go
@@ -67,19 +67,25 @@
 	return tinyLFU{c}, nil
 }
 
+// Get implements Cache.
 func (c tinyLFU) Get(f Fingerprint) *CachedShape {
 	s, _ := c.GetIfPresent(f)
 	return s
 }
 
+// Add implements Cache.
 func (c tinyLFU) Add(f Fingerprint, s *CachedShape) { c.Set(f, s) }
-func (c tinyLFU) Len() int                          { return c.EstimatedSize() }
 
+// Len implements Cache. The number is an estimate.
+func (c tinyLFU) Len() int { return c.EstimatedSize() }
+
+// Bytes implements Cache.
 func (c tinyLFU) Bytes() int {
 	c.CleanUp()
 	return int(c.WeightedSize())
 }
 
+// Each implements Cache.
 func (c tinyLFU) Each(yield func(Fingerprint, *CachedShape) bool) {
 	c.CleanUp()
 	for f, s := range c.All() {
--- a/internal/queryshape/cache_lru.go
+++ b/internal/queryshape/cache_lru.go
@@ -20,6 +20,7 @@
 	*lru.Cache[Fingerprint, *CachedShape]
 }
 
+// Add implements lruCache.
 func (c plainLRU) Add(f Fingerprint, s *CachedShape) { c.Cache.Add(f, s) }
 
 // entryBoundedCache is a Cache that bounds the number of its entries instead of their size. The
@@ -56,16 +57,19 @@
 	return entryBoundedCache{c}, nil
 }
 
+// Get implements Cache.
 func (c entryBoundedCache) Get(f Fingerprint) *CachedShape {
 	s, _ := c.lruCache.Get(f)
 	return s
 }
 
+// Bytes implements Cache.
 func (c entryBoundedCache) Bytes() (n int) {
 	c.Each(func(_ Fingerprint, s *CachedShape) bool { n += s.Size(); return true })
 	return n
 }
 
+// Each implements Cache.
 func (c entryBoundedCache) Each(yield func(Fingerprint, *CachedShape) bool) {
 	for _, f := range c.Keys() {
 		if s, ok := c.Peek(f); ok && !yield(f, s) {
--- a/internal/queryshape/estimator.go
+++ b/internal/queryshape/estimator.go
@@ -61,6 +61,7 @@
 	return s
 }
 
+// readInto is Read into an existing Statement, whose storage is reused.
 func (e *Estimator) readInto(s *Statement, text string) {
 	s.text = text
 	s.reading = *e.reader.Read(text)
@@ -80,6 +81,7 @@
 	return x
 }
 
+// estimate is Estimate into an existing Execution.
 func (e *Estimator) estimate(x *Execution, s *Statement, binds *sqltext.Binds, knownClass int, hint Hint) {
 	if binds == nil {
 		binds = &noBinds
@@ -119,6 +121,8 @@
 	e.model.Learn(&x.query, outcome)
 }
 
+// newCachedShape returns an empty record for the shape of a statement. It reads the text again,
+// because a Statement does not keep the normal form.
 func (e *Estimator) newCachedShape(s *Statement) *CachedShape {
 	r := e.reader.Read(s.text)
 	return &CachedShape{
--- a/internal/queryshape/estimator_test.go
+++ b/internal/queryshape/estimator_test.go
@@ -7,7 +7,7 @@
 	decide "gannetspur/internal/decide/costmodel"
 )
 
-// newTestEstimator returns an empty estimator with fixtureOptions.
+// newTestEstimator returns an estimator with fixtureOptions that has learned nothing.
 func newTestEstimator(t *testing.T) *Estimator {
 	t.Helper()
 	e, err := New(fixtureOptions())
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -32,6 +32,7 @@
 	"SELECT c3 FROM stock_1.orders WHERE part = 'hot'",
 }
 
+// fixtureOptions returns the options of the estimators in the tests, with two classes.
 func fixtureOptions() Options {
 	return Options{Model: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10}
 }
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -46,6 +46,8 @@
 	reading []policy.Class     // classes of reading statements by the cost model's index
 }
 
+// newClassTable returns the table for the configured classes and those of the cost model, which
+// must be among the configured ones.
 func newClassTable(classes []policy.Class, reading []decide.Class) classTable {
 	t := classTable{index: map[string]int{}, threads: map[string]float64{}}
 	for i, c := range classes {
--- a/internal/queryshape/service_requests.go
+++ b/internal/queryshape/service_requests.go
@@ -49,8 +49,8 @@
 // Read reads a statement and classifies its effect. readOnly are the functions that operators
 // have declared to be read-only.
 func (s *Service) Read(text string, readOnly sqltext.FunctionSet) *Statement {
-	s.enableEffects(readOnly)
-	defer s.disableEffects()
+	s.enableEffectClassification(readOnly)
+	defer s.disableEffectClassification()
 	return s.estimator.Read(text)
 }
 
@@ -58,20 +58,21 @@
 // classifies its effect. The statement is stored in the execution to avoid an allocation; it is
 // valid until RequestDone.
 func (s *Service) ReadOnce(text string, readOnly sqltext.FunctionSet) *Statement {
-	s.enableEffects(readOnly)
-	defer s.disableEffects()
+	s.enableEffectClassification(readOnly)
+	defer s.disableEffectClassification()
 	x := s.newExecution()
 	s.estimator.readInto(&x.own, text)
 	x.own.execution = x
 	return &x.own
 }
 
-func (s *Service) enableEffects(readOnly sqltext.FunctionSet) {
+// enableEffectClassification makes the reader classify effects until disableEffectClassification.
+func (s *Service) enableEffectClassification(readOnly sqltext.FunctionSet) {
 	s.estimator.reader.ClassifyEffect = true
 	s.estimator.reader.ReadOnlyFunctions = readOnly
 }
 
-func (s *Service) disableEffects() { s.estimator.reader.ClassifyEffect = false }
+func (s *Service) disableEffectClassification() { s.estimator.reader.ClassifyEffect = false }
 
 // EstimateRequest estimates the cost of a request whose class is already known, and replaces the
 // hint of the request by the estimate if the settings allow it.
@@ -88,6 +89,7 @@
 	s.estimate(r, x, &x.own, nil)
 }
 
+// estimate estimates the cost of a request with the class and the hints that it has.
 func (s *Service) estimate(r *core.Request, x *Execution, st *Statement, binds *sqltext.Binds) {
 	class, ok := s.classes.index[r.Class]
 	if !ok {
@@ -152,6 +154,7 @@
 	s.learn(r, decide.Outcome{Work: milliseconds(elapsed), LowerBound: true})
 }
 
+// learn learns the outcome of a request's execution, if the request has one.
 func (s *Service) learn(r *core.Request, outcome decide.Outcome) {
 	if x, ok := r.CostContext.(*Execution); ok {
 		s.estimator.Learn(x, outcome)
--- a/internal/queryshape/service_snapshot.go
+++ b/internal/queryshape/service_snapshot.go
@@ -31,6 +31,7 @@
 	return estimator
 }
 
+// scheduleSnapshot sets a timer that writes a snapshot after each interval.
 func (s *Service) scheduleSnapshot() {
 	s.loop.Timers.Add(s.loop.Now()+s.settings.SnapshotInterval, func() {
 		s.Save()
--- a/internal/queryshape/snapshot.go
+++ b/internal/queryshape/snapshot.go
@@ -164,6 +164,7 @@
 	return body, nil
 }
 
+// decompressSnapshot decompresses a body. It reads at most maxSnapshotBytes.
 func decompressSnapshot(body []byte) ([]byte, error) {
 	decoder, err := zstd.NewReader(bytes.NewReader(body), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotBytes))
 	if err != nil {
--- a/internal/sqltext/bound_values.go
+++ b/internal/sqltext/bound_values.go
@@ -93,6 +93,7 @@
 	return 0, false
 }
 
+// finite returns x and whether it is neither NaN nor infinite.
 func finite(x float64) (float64, bool) { return x, !math.IsNaN(x) && !math.IsInf(x, 0) }
 
 const (
@@ -118,6 +119,8 @@
 	return textArrayLen(string(v.bound[:min(len(v.bound), maxTextArray)])) * parts
 }
 
+// binaryArrayLen returns the number of elements of an array in binary format, or 0 if the array is
+// malformed.
 func binaryArrayLen(v []byte) int {
 	if len(v) < arrayHeaderLen {
 		return 0
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -18,6 +18,7 @@
 
 var effectNames = [...]string{"can't be told", "writes", "reads"}
 
+// String returns the effect in words for operators.
 func (e Effect) String() string { return effectNames[e] }
 
 // EffectVerdict is a statement's effect with the word of the statement that decided it.
@@ -27,6 +28,7 @@
 	Word   string // the deciding word as written in the statement; "" if no single word decided
 }
 
+// String returns the deciding word, if there is one, and the reason.
 func (v EffectVerdict) String() string {
 	if v.Word == "" {
 		return v.Reason
@@ -92,6 +94,7 @@
 
 const maxSetDepth = 63
 
+// depthBit returns the set of one depth, or the empty set if the depth is out of range.
 func depthBit(depth int) depthSet {
 	if depth < 0 || depth > maxSetDepth {
 		return 0
--- a/internal/sqltext/effect_functions.go
+++ b/internal/sqltext/effect_functions.go
@@ -81,6 +81,8 @@
 	return operators
 }()
 
+// isReadOnlyOperator reports whether an operator of this name is known to only read. Every single
+// operator character except ` and ! is the name of a built-in operator.
 func isReadOnlyOperator(op string) bool {
 	if len(op) == 1 && op[0] != '`' && op[0] != '!' {
 		return true
--- a/internal/sqltext/features.go
+++ b/internal/sqltext/features.go
@@ -29,6 +29,8 @@
 	Limited    bool  // the statement has a LIMIT or FETCH FIRST clause
 }
 
+// setCommand sets the command unless another one was found before. A write replaces SELECT, so that
+// a SELECT with a write in a common table expression counts as the write.
 func (f *Features) setCommand(command byte) {
 	if f.Command == CommandOther || f.Command == CommandSelect && command != CommandSelect {
 		f.Command = command
--- a/internal/sqltext/fingerprint.go
+++ b/internal/sqltext/fingerprint.go
@@ -12,6 +12,7 @@
 	return fingerprinter{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}}
 }
 
+// ofBytes returns the fingerprint of a whole normal form.
 func (f *fingerprinter) ofBytes(form []byte) (fingerprint [2]uint64) {
 	for i, seed := range f.seeds {
 		fingerprint[i] = maphash.Bytes(seed, form)
@@ -19,6 +20,7 @@
 	return fingerprint
 }
 
+// ofString returns the same as ofBytes for a string.
 func (f *fingerprinter) ofString(form string) (fingerprint [2]uint64) {
 	for i, seed := range f.seeds {
 		fingerprint[i] = maphash.String(seed, form)
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -175,6 +175,7 @@
 	return Token{Kind: Operator, Start: start, End: end}
 }
 
+// beginsComment reports whether a comment begins at i.
 func beginsComment(src string, i int) bool {
 	return i+1 < len(src) && (src[i] == '-' && src[i+1] == '-' || src[i] == '/' && src[i+1] == '*')
 }
--- a/internal/sqltext/lexer_numbers.go
+++ b/internal/sqltext/lexer_numbers.go
@@ -51,6 +51,7 @@
 	return i
 }
 
+// hexDigitsEnd is decimalDigitsEnd for hexadecimal digits.
 func hexDigitsEnd(src string, i int) int {
 	for i < len(src) && (isHex(src[i]) || src[i] == '_' && i+1 < len(src) && isHex(src[i+1])) {
 		i++
--- a/internal/sqltext/literal_values.go
+++ b/internal/sqltext/literal_values.go
@@ -104,7 +104,7 @@
 	for n := 0; n < maxIntervalFields && s != ""; n++ {
 		s = strings.TrimLeft(s, " ")
 		amountEnd := 0
-		for amountEnd < len(s) && isAmount(s[amountEnd]) {
+		for amountEnd < len(s) && isAmountCharacter(s[amountEnd]) {
 			amountEnd++
 		}
 		amount, err := strconv.ParseFloat(s[:amountEnd], 64)
@@ -123,7 +123,8 @@
 	return days, ok
 }
 
-func isAmount(c byte) bool { return isDigit(c) || c == '.' || c == '-' || c == '+' }
+// isAmountCharacter reports whether c can be part of the amount of an interval field.
+func isAmountCharacter(c byte) bool { return isDigit(c) || c == '.' || c == '-' || c == '+' }
 
 const (
 	daysPerYear   = 365.25
--- a/internal/sqltext/normal_form.go
+++ b/internal/sqltext/normal_form.go
@@ -194,6 +194,8 @@
 	}
 }
 
+// openParen processes an opening parenthesis, which begins a list of alternatives after IN unless a
+// subquery follows.
 func (p *pass) openParen() {
 	if p.lastKind == Operator || p.lastKind == Comma || p.last != keywordNone {
 		p.space()
@@ -214,6 +216,7 @@
 	}
 }
 
+// operator processes an operator or a minus sign that belongs to the value after it.
 func (p *pass) operator(text string) {
 	p.sign.formStart = 0
 	beforeValue := p.lastKind == Operator || p.lastKind == OpenParen || p.lastKind == Comma || p.lastKind == OpenBracket ||
@@ -274,6 +277,7 @@
 	}
 }
 
+// appendLower appends a name in lowercase.
 func appendLower(b []byte, s string) []byte {
 	start := len(b)
 	b = append(b, s...)
--- a/internal/sqltext/normal_form_lists.go
+++ b/internal/sqltext/normal_form_lists.go
@@ -90,6 +90,7 @@
 	}
 }
 
+// skipAlternatives skips plain values as long as a comma follows, and counts them.
 func (p *pass) skipAlternatives(list *foldedList) {
 	for {
 		next := p.lexer
@@ -102,6 +103,7 @@
 	}
 }
 
+// skipRows skips rows of plain values as long as a comma follows, and counts them.
 func (p *pass) skipRows(list *foldedList) {
 	for {
 		next := p.lexer
@@ -137,6 +139,7 @@
 	}
 }
 
+// isPlainValue reports whether a token is a literal that the lists' fast path can skip.
 func isPlainValue(t Token) bool { return t.Kind == String || t.Kind == Number }
 
 // plainRowValues returns the number of values of a row whose normal form holds only values, such
@@ -178,6 +181,7 @@
 // sameElement reports whether two elements are equal apart from leading commas and spaces.
 func sameElement(a, b []byte) bool { return string(trimElement(a)) == string(trimElement(b)) }
 
+// trimElement returns an element without leading commas and spaces.
 func trimElement(form []byte) []byte {
 	for len(form) > 0 && (form[0] == ',' || form[0] == ' ') {
 		form = form[1:]
--- a/internal/sqltext/size_profile.go
+++ b/internal/sqltext/size_profile.go
@@ -113,6 +113,8 @@
 	}
 }
 
+// list updates the profile for a list of alternatives: written out, as a bound array, or as an
+// array literal.
 func (p *profiler) list(s *Slot, value *slotValue) {
 	alternatives := int(s.Count)
 	switch {
@@ -127,6 +129,7 @@
 	}
 }
 
+// bound records one end of a range.
 func (p *profiler) bound(s *Slot, value *slotValue) {
 	x, ok := value.number()
 	switch {
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// expectLimit notes that the next value limits the number of rows.
 func (p *pass) expectLimit() {
 	p.comparison.role = RoleLimit
 	p.out.Features.Limited = true
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -53,6 +53,7 @@
 // nameHash returns the hash of an Ident, which ignores case; 0 for other kinds.
 func (t Token) nameHash() uint32 { return uint32(t.info) }
 
+// traits and keyword return the keyword properties of an Ident; both are zero for other tokens.
 func (t Token) traits() keywordTraits { return keywordTraits(t.info >> traitsShift) }
 func (t Token) keyword() keyword      { return keyword(t.info >> keywordShift) }
 func (t Token) hasUppercase() bool    { return t.info.hasUppercase() }
