--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -22,7 +22,8 @@
 )
 
 // keyword identifies a keyword; keywordNone stands for other words. Some keywords have a number
-// although no code refers to it, because the normal form has a space after every word with one.
+// although no code refers to it by name, because in the normal form a word with a number is
+// separated from a parenthesis after it by a space.
 type keyword uint8
 
 const (
