--- a/internal/queryshape/cache_lru.go
+++ b/internal/queryshape/cache_lru.go
@@ -24,14 +24,13 @@
 func (c plainLRU) Add(f Fingerprint, s *CachedShape) { c.Cache.Add(f, s) }
 
 // entryBoundedCache is a Cache that bounds the number of its entries instead of their size. The
-// bound is the number of typical entries that fit in its bytes.
+// bound is the number of typical entries that fit in the configured number of bytes.
 type entryBoundedCache struct{ lruCache }
 
 // typicalNormalForm is the length of a typical normal form, in bytes.
 const typicalNormalForm = 120
 
 // entriesIn returns the number of typical entries that fit in a number of bytes, at least 1.
-
 func entriesIn(bytes int) int {
 	s := CachedShape{}
 	return max(bytes/(s.Size()+typicalNormalForm), 1)
--- a/internal/queryshape/estimator.go
+++ b/internal/queryshape/estimator.go
@@ -15,9 +15,9 @@
 
 // Options configure an Estimator.
 type Options struct {
-	Model decide.Config
-	Bytes int   // maximum size of the cached records with their overhead; at least MinBytes
-	Cache Cache // replaces the W-TinyLFU cache of Bytes bytes; nil: none
+	Model decide.Config // settings of the cost model
+	Bytes int           // maximum size of the cached records with their overhead; at least MinBytes unless Cache is set
+	Cache Cache         // cache to use, for which Bytes is ignored; nil: a W-TinyLFU cache of Bytes bytes
 }
 
 // MinBytes is the minimum of Options.Bytes. It holds the records of a few dozen shapes.
--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -154,31 +154,31 @@
 	}
 	for i := range state.FrequentValues.Sets {
 		for j := range state.FrequentValues.Sets[i] {
-			k, l := &state.FrequentValues.Sets[i][j], &state.SimilarValues.Sets[i][j]
-			fmt.Fprintf(w, "Common.Heavy %d %d %d %d\n", i, j, k.Key, k.Count)
-			writeTrack(w, "Offset", k.Offset)
-			writeTrack(w, "Prior", k.PriorError)
-			writeTrack(w, "Hint", k.HintError)
-			fmt.Fprintf(w, "Common.Like %d %d %d %d\n", i, j, l.Key, l.Count)
-			writeTrack(w, "Offset", l.Offset)
-			writeTrack(w, "Prior", l.PriorError)
-			writeTrack(w, "Hint", l.HintError)
+			frequent, similar := &state.FrequentValues.Sets[i][j], &state.SimilarValues.Sets[i][j]
+			fmt.Fprintf(w, "Common.Heavy %d %d %d %d\n", i, j, frequent.Key, frequent.Count)
+			writeTrack(w, "Offset", frequent.Offset)
+			writeTrack(w, "Prior", frequent.PriorError)
+			writeTrack(w, "Hint", frequent.HintError)
+			fmt.Fprintf(w, "Common.Like %d %d %d %d\n", i, j, similar.Key, similar.Count)
+			writeTrack(w, "Offset", similar.Offset)
+			writeTrack(w, "Prior", similar.PriorError)
+			writeTrack(w, "Hint", similar.HintError)
 		}
 	}
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
-		e := &saved.Record
-		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.NormalForm, e.Executions)
-		writeTrack(w, "All", e.Work)
-		writeTrack(w, "Offset", e.PriorError)
-		writeTrack(w, "Usual", e.PriorPrediction)
-		writeTrack(w, "Hint", e.HintError)
-		writeTrack(w, "Memory", e.MemoryHintError)
-		for j := range e.Buckets {
-			b := &e.Buckets[j]
-			fmt.Fprintf(w, "Buckets %d: Key %d Used %d Class %d\n", j, b.Key, b.LastUsed, b.HeldClass)
-			writeTrack(w, "Work", b.Work)
-			writeTrack(w, "Memory", b.Memory)
+		record := &saved.Record
+		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.NormalForm, record.Executions)
+		writeTrack(w, "All", record.Work)
+		writeTrack(w, "Offset", record.PriorError)
+		writeTrack(w, "Usual", record.PriorPrediction)
+		writeTrack(w, "Hint", record.HintError)
+		writeTrack(w, "Memory", record.MemoryHintError)
+		for j := range record.Buckets {
+			bucket := &record.Buckets[j]
+			fmt.Fprintf(w, "Buckets %d: Key %d Used %d Class %d\n", j, bucket.Key, bucket.LastUsed, bucket.HeldClass)
+			writeTrack(w, "Work", bucket.Work)
+			writeTrack(w, "Memory", bucket.Memory)
 		}
 	}
 }
--- a/internal/queryshape/service.go
+++ b/internal/queryshape/service.go
@@ -13,7 +13,7 @@
 
 // Settings configure a Service.
 type Settings struct {
-	Model            decide.Config
+	Model            decide.Config // settings of the cost model
 	Bytes            int           // maximum size of the cached records
 	ReplaceHints     bool          // policies get the estimate instead of the client's hint
 	RequireHint      bool          // ReplaceHints applies only to requests with a hint
--- a/internal/queryshape/service_snapshot.go
+++ b/internal/queryshape/service_snapshot.go
@@ -23,8 +23,8 @@
 	}
 	if err != nil {
 		s.counters.Inc("shapes.snapshot-unusable")
-		aside := file + ".unusable"
-		s.log.Warn("shapes.snapshot-unusable", "file", file, "error", err, "aside", aside, "rename", os.Rename(file, aside))
+		renamedTo := file + ".unusable"
+		s.log.Warn("shapes.snapshot-unusable", "file", file, "error", err, "aside", renamedTo, "rename", os.Rename(file, renamedTo))
 		return nil
 	}
 	s.log.Info("shapes.restored", "file", file, "shapes", estimator.Len())
--- a/internal/queryshape/snapshot.go
+++ b/internal/queryshape/snapshot.go
@@ -45,7 +45,7 @@
 type Snapshot struct {
 	Layout          int           `cbor:"1,keyasint"` // decide.StateLayout of the encoder
 	HashSeed        uint64        `cbor:"2,keyasint"` // seed of the hashes of values
-	Model           *decide.State `cbor:"3,keyasint"`
+	Model           *decide.State `cbor:"3,keyasint"` // learned state of the cost model
 	Shapes          []SavedShape  `cbor:"4,keyasint"`
 	TruncatedShapes int           `cbor:"5,keyasint"` // number of shapes left out because their cached normal forms are incomplete
 }
@@ -108,8 +108,8 @@
 	return b, nil
 }
 
-// DecodeSnapshot decodes the result of Snapshot.Encode. An error for invalid input wraps one of the
-// errors above.
+// DecodeSnapshot decodes the result of Snapshot.Encode. An error for invalid input wraps
+// ErrNotSnapshot, ErrSnapshotVersion, ErrSnapshotTruncated or ErrSnapshotCorrupt.
 func DecodeSnapshot(b []byte) (*Snapshot, error) {
 	body, err := snapshotBody(b)
 	if err != nil {
--- a/internal/queryshape/snapshot_test.go
+++ b/internal/queryshape/snapshot_test.go
@@ -90,7 +90,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := DecodeSnapshot(raw); err == nil {
 			if _, err := Restore(Options{Bytes: 64 << 10}, s); err != nil && !errors.Is(err, ErrSnapshotCorrupt) {
-				t.Fatal(err)
+				t.Fatalf("Restore of a decoded snapshot: error %v, want none or %v", err, ErrSnapshotCorrupt)
 			}
 		}
 	})
--- a/internal/sqltext/benchmark_test.go
+++ b/internal/sqltext/benchmark_test.go
@@ -36,7 +36,7 @@
 
 func BenchmarkRead(b *testing.B) {
 	r := NewReader()
-	binds := Binds{Values: [][]byte{[]byte("3f9c"), be(100, 4), be(130, 4)}, Formats: []byte{0, 0, 0, 1, 0, 1}, Types: append(append(be(25, 4), be(1082, 4)...), be(1082, 4)...)}
+	binds := Binds{Values: [][]byte{[]byte("3f9c"), bigEndian(100, 4), bigEndian(130, 4)}, Formats: []byte{0, 0, 0, 1, 0, 1}, Types: append(append(bigEndian(25, 4), bigEndian(1082, 4)...), bigEndian(1082, 4)...)}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(reportStatement)))
 	for b.Loop() {
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -169,6 +169,7 @@
 		startsStatement = startsStatement || !c.explain.inOptions
 	}
 	isFirstToken := c.lastToken.Kind == End
+	// The first word was classified above, and a name after AS is an alias.
 	if traits&writeTrait != 0 && c.lastWord != keywordAs && !c.explain.planOnly && !isFirstToken {
 		c.report(Writes, text, reasonWrites)
 	}
@@ -218,7 +219,8 @@
 	}
 }
 
-// unknownCommand classifies a first word that has neither readTrait nor writeTrait.
+// unknownCommand classifies a word that begins a statement, also after EXPLAIN ANALYZE, and has
+// neither readTrait nor writeTrait.
 func (c *effectClassifier) unknownCommand(text string, kind Kind) {
 	if kind == Ident {
 		switch strings.ToUpper(text) {
--- a/internal/sqltext/effect_calls.go
+++ b/internal/sqltext/effect_calls.go
@@ -24,7 +24,7 @@
 	if qualified {
 		schema := unquoteName(l.Text(c.schema))
 		if !equalFold(schema, "pg_catalog") {
-			c.customCall(schema + "." + name)
+			c.unlistedCall(schema + "." + name)
 			return
 		}
 	}
@@ -32,12 +32,13 @@
 	case hasUppercase: // the sets hold lowercase names only
 		c.report(Unknown, name, reasonUnknownFunction)
 	case !readOnlyFunctions.has(name):
-		c.customCall(name)
+		c.unlistedCall(name)
 	}
 }
 
-// customCall classifies a call of a function that is not one of PostgreSQL's built-in ones.
-func (c *effectClassifier) customCall(name string) {
+// unlistedCall classifies a call of a function that is not in readOnlyFunctions. The name is
+// qualified by its schema unless that is pg_catalog.
+func (c *effectClassifier) unlistedCall(name string) {
 	if !c.readOnly.has(name) {
 		c.report(Unknown, name, reasonUnknownFunction)
 	}
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -120,7 +120,7 @@
 		text := strings.Replace(rapid.SampledFrom(wraps).Draw(t, "wrap"), "%s", rapid.SampledFrom(writes).Draw(t, "write"), 1)
 		var b strings.Builder
 		for _, word := range strings.Fields(text) {
-			if !strings.ContainsAny(word, "'\"") && rapid.Bool().Draw(t, "small") {
+			if !strings.ContainsAny(word, "'\"") && rapid.Bool().Draw(t, "lowercase") {
 				word = strings.ToLower(word)
 			}
 			b.WriteString(word)
--- a/internal/sqltext/features.go
+++ b/internal/sqltext/features.go
@@ -17,7 +17,7 @@
 	Command    byte  // one of the Command constants; for a SELECT that contains a write, the write
 	Tables     int32 // FROM and JOIN keywords
 	Joins      int32 // JOIN keywords
-	Aggregates int32 // calls of aggregate functions
+	Aggregates int32 // calls of the aggregate functions that isAggregate knows
 	Windows    int32 // OVER clauses
 	Groups     int32 // GROUP BY clauses
 	Sorts      int32 // ORDER BY clauses
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -21,7 +21,7 @@
 	readTrait
 )
 
-// keyword identifies a keyword; keywordNone stands for other words. Some keywords have a number
+// keyword identifies a keyword; keywordNone stands for all other words. Some keywords have a number
 // although no code refers to it by name, because in the normal form a word with a number is
 // separated from a parenthesis after it by a space.
 type keyword uint8
--- a/internal/sqltext/leading_text.go
+++ b/internal/sqltext/leading_text.go
@@ -23,9 +23,9 @@
 	return "", false
 }
 
-// FirstWord returns the statement's first word in uppercase, skipping comments, or "(" if the
-// statement begins with another token, or "" if it has no token. multiple reports whether a
-// second statement follows.
+// FirstWord returns the statement's first word in uppercase, or "(" if the statement begins with
+// another token, or "" if the text has no statement. Comments and semicolons before it are
+// skipped. multiple reports whether a second statement follows.
 func FirstWord(stmt string) (word string, multiple bool) {
 	l := Lexer{Src: stmt}
 	ended := false
@@ -52,8 +52,9 @@
 	return l.Src[l.Pos:]
 }
 
-// HasTokenPrefix reports whether a statement begins with the tokens of prefix; false if prefix
-// has none. Space, comments and the case of keywords and unquoted names are ignored.
+// HasTokenPrefix reports whether a statement begins with the tokens of prefix. Space,
+// comments and the case of keywords and unquoted names are ignored. The result is false for a
+// prefix without tokens.
 func HasTokenPrefix(stmt, prefix string) bool {
 	stmtLexer := Lexer{Src: stmt}
 	prefixLexer := Lexer{Src: prefix}
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -25,7 +25,7 @@
 // can be copied to look ahead.
 type Lexer struct {
 	Src     string
-	Pos     int    // byte offset at which the next token is searched
+	Pos     int    // byte offset at which the search for the next token begins
 	Defects Defect // defects found so far
 }
 
--- a/internal/sqltext/lexer_names.go
+++ b/internal/sqltext/lexer_names.go
@@ -92,15 +92,15 @@
 	return len(src)
 }
 
-// nameHash hashes the length and the first and last eight letters of the name src[start:end],
+// nameHash hashes the length and the first and last eight bytes of the name src[start:end],
 // ignoring case. It is used to look up keywords and to match columns; different names may have
-// equal hashes. Names are read eight letters at a time, as one machine word.
+// equal hashes. Eight bytes are read at a time, as one machine word.
 func nameHash(src string, start, end int) uint32 {
 	const (
-		multiplier   = 0x9e3779b97f4a7c15
-		allCaseBits  = caseBit * 0x0101010101010101
-		wordLen      = 8
-		bitsOfLetter = 8
+		multiplier  = 0x9e3779b97f4a7c15
+		allCaseBits = caseBit * 0x0101010101010101
+		wordLen     = 8
+		bitsPerByte = 8
 	)
 	length := end - start
 	var first, last uint64
@@ -109,21 +109,21 @@
 		first = loadWord(src[start:end]) | allCaseBits
 		last = loadWord(src[end-wordLen:end]) | allCaseBits
 	case start+wordLen <= len(src):
-		letters := uint64(1)<<(bitsOfLetter*length) - 1
-		first = loadWord(src[start:])&letters | allCaseBits&letters
+		mask := uint64(1)<<(bitsPerByte*length) - 1
+		first = loadWord(src[start:])&mask | allCaseBits&mask
 	default:
-		letters := uint64(1)<<(bitsOfLetter*length) - 1
+		mask := uint64(1)<<(bitsPerByte*length) - 1
 		for i := end - 1; i >= start; i-- {
-			first = first<<bitsOfLetter | uint64(src[i])
+			first = first<<bitsPerByte | uint64(src[i])
 		}
-		first |= allCaseBits & letters
+		first |= allCaseBits & mask
 	}
 	h := (first ^ uint64(length)) * multiplier
 	h = (h ^ h>>29 ^ last) * multiplier
 	return uint32(h >> 32)
 }
 
-// loadWord reads eight letters in little-endian order; the compiler merges the reads into one
+// loadWord reads eight bytes in little-endian order; the compiler merges the reads into one
 // load.
 func loadWord(s string) uint64 {
 	_ = s[7]
--- a/internal/sqltext/normal_form_lists.go
+++ b/internal/sqltext/normal_form_lists.go
@@ -10,13 +10,14 @@
 	elementStart int  // offset of the current element in the normal form
 	count        int  // number of complete elements
 	slot         int  // index of the slot that counts its alternatives; noSlot: none
-	rowValues    int  // number of values of the first row; 0: the row holds anything but plain values
+	rowValues    int  // number of values of the first row; 0: the first row does not consist of values only
 }
 
 // noSlot marks a list without a slot.
 const noSlot = -1
 
-// maxNestedLists is the number of nested lists that are folded.
+// maxNestedLists is the maximum nesting depth of lists that are folded. Lists nested deeper are
+// kept as they are.
 const maxNestedLists = 8
 
 // beginAlternatives begins a list of alternatives after its opening parenthesis or bracket.
@@ -71,7 +72,7 @@
 		list.elementStart = len(p.form)
 	case t.Kind == CloseParen || t.Kind == CloseBracket:
 		p.endLists(p.depth - 1)
-	case list.rows && t.Kind != OpenParen:
+	case list.rows && t.Kind != OpenParen: // a token other than a row follows a row
 		p.endLists(p.depth - 1)
 	}
 }
--- a/internal/sqltext/reader.go
+++ b/internal/sqltext/reader.go
@@ -19,7 +19,7 @@
 	HasTableGroup bool
 	Defects       Defect
 	// Effect is the result of EffectOf; FirstWord and MultipleStatements are the results of the
-	// function FirstWord. They are set only if the Reader classifies effects; otherwise Effect
+	// function FirstWord, except for the case of the word. They are set only if the Reader classifies effects; otherwise Effect
 	// is Unknown, the most cautious value.
 	Effect             EffectVerdict
 	FirstWord          string // as written in the text; "(" if the statement begins with another token
@@ -43,7 +43,7 @@
 	normalForm    []byte // buffer, reused by the next call of Read
 	slots         [MaxSlots]Slot
 	lists         [maxNestedLists]foldedList
-	effect        effectClassifier // not in pass, which is cleared even if effects are not classified
+	effect        effectClassifier // kept out of pass, so that it is cleared only if effects are classified
 	out           Reading
 }
 
--- a/internal/sqltext/replay_test.go
+++ b/internal/sqltext/replay_test.go
@@ -223,11 +223,11 @@
 		switch g.rng.IntN(5) {
 		case 0:
 		case 1:
-			value = be(g.rng.Uint64(), []int{1, 2, 4, 8}[g.rng.IntN(4)])
+			value = bigEndian(g.rng.Uint64(), []int{1, 2, 4, 8}[g.rng.IntN(4)])
 		case 2:
-			value = be(uint64(g.rng.IntN(100000)), []int{2, 4, 8}[g.rng.IntN(3)])
+			value = bigEndian(uint64(g.rng.IntN(100000)), []int{2, 4, 8}[g.rng.IntN(3)])
 		case 3:
-			value = array(g.rng.IntN(30))
+			value = binaryTextArray(g.rng.IntN(30))
 			if g.rng.IntN(4) == 0 {
 				value = value[:g.rng.IntN(len(value))]
 			}
@@ -235,7 +235,7 @@
 			value = []byte(strings.Trim(g.value(), "'"))
 		}
 		b.Values = append(b.Values, value)
-		b.Types = append(b.Types, be(oid, 4)...)
+		b.Types = append(b.Types, bigEndian(oid, 4)...)
 		b.Formats = append(b.Formats, 0, byte(g.rng.IntN(2)))
 	}
 	switch g.rng.IntN(5) {
--- a/internal/sqltext/size_profile.go
+++ b/internal/sqltext/size_profile.go
@@ -143,7 +143,7 @@
 }
 
 // matchBounds pairs the lower and upper ends of ranges by column, finds the widest range and
-// sets HalfOpen if an end has no counterpart.
+// sets HalfOpen if a lower end has no upper end, or if there are only upper ends.
 func (p *profiler) matchBounds() {
 	for i := range p.lower.count {
 		column := p.lower.columns[i]
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -19,12 +19,12 @@
 // depend on.
 type Slot struct {
 	Role      Role
-	NullGuard bool   // the statement tests the value for NULL, as in $1 IS NULL OR a = $1
+	NullGuard bool   // the statement tests the value for NULL, as in $1 IS NULL OR a = $1 or coalesce($1, a)
 	Column    uint32 // hash of the name that the value is compared with; 0: none
 	Param     int32  // number of the parameter, from 1; 0: a literal or a list
 	Start     int32  // byte offset of a literal in the statement
 	End       int32  // byte offset of the end of a literal
-	Count     int32  // number of alternatives if the list is written out
+	Count     int32  // number of alternatives of a list that is written out; 1 for a single value
 }
 
 // MaxSlots is the maximum number of values of one statement that are examined. Further values
@@ -80,9 +80,9 @@
 	case keywordIs:
 		p.nullTest()
 	case keywordSymmetric, keywordNot, keywordSimilar, keywordInterval, keywordArray:
-		// These leave the comparison unchanged.
+		// These keywords leave the comparison unchanged.
 	default:
-		if traits&typeTrait == 0 { // so do the names of types, such as timestamp
+		if traits&typeTrait == 0 { // the name of a type, such as timestamp, leaves it unchanged too
 			c.role = RoleOther
 		}
 	}
--- a/internal/sqltext/table_group.go
+++ b/internal/sqltext/table_group.go
@@ -8,8 +8,8 @@
 // maxGroupDigits is the maximum number of digits of a group's number, which must fit in 63 bits.
 const maxGroupDigits = 17
 
-// TableGroup returns the number after the underscore in the name of the statement's schema: 17
-// for sales_17.orders. Names in strings and comments are ignored. A name in the position of a
+// TableGroup returns the number of the table group that a statement uses: the number after the
+// last underscore in the name of its schema, such as 17 for sales_17.orders. Names in strings and comments are ignored. A name in the position of a
 // table (after FROM and similar keywords) takes precedence over others, which may be columns
 // qualified by an alias.
 func TableGroup(stmt string) (group int64, ok bool) {
