--- a/internal/queryshape/fixture_test.go
+++ b/internal/queryshape/fixture_test.go
@@ -13,10 +13,10 @@
 	decide "gannetspur/internal/decide/costmodel"
 )
 
-// The files under testdata were written by the code before the package was reworked:
-// snapshot.rwshapes is a snapshot, snapshot.sha256 the digest of all its fields in the order
-// of writeSnapshot, and estimates.txt what that code expected of fixtureStatements after it
-// had restored the snapshot.
+// The files under testdata were written by an earlier version of this package: snapshot.rwshapes
+// is a snapshot, snapshot.sha256 is the digest of all its fields in the order of writeSnapshot,
+// and estimates.txt holds that version's estimates for fixtureStatements after it had restored
+// the snapshot.
 const (
 	fixtureSnapshot  = "testdata/snapshot.rwshapes"
 	fixtureDigest    = "testdata/snapshot.sha256"
@@ -32,6 +32,7 @@
 	"SELECT c3 FROM stock_1.orders WHERE part = 'hot'",
 }
 
+// fixtureOptions returns the options of the estimators in the tests, with two classes.
 func fixtureOptions() Options {
 	return Options{Model: decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 800}, {Name: "report"}}}, Bytes: 256 << 10}
 }
@@ -45,8 +46,9 @@
 	return b
 }
 
-// TestFixtureSnapshot decodes the snapshot, compares every field, and encodes it again to the
-// same bytes: a stored name that changed would leave its field empty.
+// TestFixtureSnapshot checks that the snapshot of an earlier version decodes to the same fields
+// and encodes to the same bytes. It guards against a changed key of the stored form, which would
+// leave a field empty.
 func TestFixtureSnapshot(t *testing.T) {
 	raw := readFixture(t, fixtureSnapshot)
 	snap, err := DecodeSnapshot(raw)
@@ -58,60 +60,63 @@
 	if got, want := digest(fields.Bytes()), strings.TrimSpace(string(readFixture(t, fixtureDigest))); got != want {
 		t.Errorf("digest of the fields = %s, want %s", got, want)
 	}
-	again, err := snap.Encode()
+	encoded, err := snap.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again, raw) {
-		t.Errorf("the snapshot encodes to %d other bytes, want the same %d", len(again), len(raw))
+	if !bytes.Equal(encoded, raw) {
+		t.Errorf("the snapshot encodes to %d different bytes, want the %d bytes of the file", len(encoded), len(raw))
 	}
 }
 
-// TestFixtureEstimates restores the snapshot and compares what is expected of statements.
+// TestFixtureEstimates checks that the restored snapshot gives the same estimates as in the earlier
+// version.
 func TestFixtureEstimates(t *testing.T) {
 	snap, err := DecodeSnapshot(readFixture(t, fixtureSnapshot))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Restore(fixtureOptions(), snap)
+	e, err := Restore(fixtureOptions(), snap)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got bytes.Buffer
-	writeEstimates(&got, b)
+	writeEstimates(&got, e)
 	if want := readFixture(t, fixtureEstimates); got.String() != string(want) {
 		t.Errorf("estimates:\n%s\nwant:\n%s", got.String(), want)
 	}
 }
 
-// TestFixtureDamaged cuts the snapshot at each length and changes each byte: every one is
-// refused with a typed error.
+// TestFixtureDamaged checks that the snapshot truncated to any length, or with any byte changed, is
+// rejected with one of the package's errors.
 func TestFixtureDamaged(t *testing.T) {
 	raw := readFixture(t, fixtureSnapshot)
-	refused := func(b []byte) bool {
+	rejected := func(b []byte) bool {
 		_, err := DecodeSnapshot(b)
 		return errors.Is(err, ErrNotSnapshot) || errors.Is(err, ErrSnapshotVersion) || errors.Is(err, ErrSnapshotTruncated) || errors.Is(err, ErrSnapshotCorrupt)
 	}
 	for n := range raw {
-		if !refused(raw[:n]) {
-			t.Fatalf("cut at %d of %d bytes: not refused", n, len(raw))
+		if !rejected(raw[:n]) {
+			t.Fatalf("snapshot truncated to %d of %d bytes was accepted, want one of the package's errors", n, len(raw))
 		}
 	}
 	damaged := bytes.Clone(raw)
 	for n := range damaged {
 		damaged[n] ^= 0x11
-		if !refused(damaged) {
-			t.Fatalf("byte %d changed: not refused", n)
+		if !rejected(damaged) {
+			t.Fatalf("snapshot with byte %d changed was accepted, want one of the package's errors", n)
 		}
 		damaged[n] ^= 0x11
 	}
 }
 
-func writeEstimates(w *bytes.Buffer, b *Estimator) {
+// writeEstimates writes the estimates of fixtureStatements with and without a hint and for each
+// class, in the form of estimates.txt.
+func writeEstimates(w *bytes.Buffer, estimator *Estimator) {
 	for i, text := range fixtureStatements {
 		for _, hint := range []Hint{{}, {Work: 90, MemoryMB: 3}} {
 			for known := -1; known < 2; known++ {
-				e := b.Estimate(b.Read(text), nil, known, hint).Estimate
+				e := estimator.Estimate(estimator.Read(text), nil, known, hint).Estimate
 				fmt.Fprintf(w, "%d %g %d: %t %.9g ms, spread %.9g, %.9g MB, class %d;", i, hint.Work, known, e.Known, e.Work, e.P90Factor, e.MemoryMB, e.Class)
 				for _, v := range []decide.Component{e.History, e.SimilarValues, e.Prior, e.Hint, e.FrequentValue} {
 					fmt.Fprintf(w, " %.9g/%.9g/%.9g/%.9g", v.Center, v.Deviation, v.Samples, v.Weight)
@@ -122,7 +127,8 @@
 	}
 }
 
-// writeSnapshot writes every field, each behind its stored name.
+// writeSnapshot writes every field of a snapshot. The labels are those of the version that wrote
+// snapshot.sha256.
 func writeSnapshot(w *bytes.Buffer, s *Snapshot) {
 	fmt.Fprintf(w, "1 %d\n2 %d\n5 %d\n", s.Layout, s.HashSeed, s.TruncatedShapes)
 	prior := &s.Model.Prior
@@ -148,31 +154,31 @@
 	}
 	for i := range state.FrequentValues.Sets {
 		for j := range state.FrequentValues.Sets[i] {
-			k, l := &state.FrequentValues.Sets[i][j], &state.SimilarValues.Sets[i][j]
-			fmt.Fprintf(w, "Common.Heavy %d %d %d %d\n", i, j, k.Key, k.Count)
-			writeTrack(w, "Offset", k.Offset)
-			writeTrack(w, "Prior", k.PriorError)
-			writeTrack(w, "Hint", k.HintError)
-			fmt.Fprintf(w, "Common.Like %d %d %d %d\n", i, j, l.Key, l.Count)
-			writeTrack(w, "Offset", l.Offset)
-			writeTrack(w, "Prior", l.PriorError)
-			writeTrack(w, "Hint", l.HintError)
+			frequent, similar := &state.FrequentValues.Sets[i][j], &state.SimilarValues.Sets[i][j]
+			fmt.Fprintf(w, "Common.Heavy %d %d %d %d\n", i, j, frequent.Key, frequent.Count)
+			writeTrack(w, "Offset", frequent.Offset)
+			writeTrack(w, "Prior", frequent.PriorError)
+			writeTrack(w, "Hint", frequent.HintError)
+			fmt.Fprintf(w, "Common.Like %d %d %d %d\n", i, j, similar.Key, similar.Count)
+			writeTrack(w, "Offset", similar.Offset)
+			writeTrack(w, "Prior", similar.PriorError)
+			writeTrack(w, "Hint", similar.HintError)
 		}
 	}
 	for i := range s.Shapes {
 		saved := &s.Shapes[i]
-		e := &saved.Record
-		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.NormalForm, e.Executions)
-		writeTrack(w, "All", e.Work)
-		writeTrack(w, "Offset", e.PriorError)
-		writeTrack(w, "Usual", e.PriorPrediction)
-		writeTrack(w, "Hint", e.HintError)
-		writeTrack(w, "Memory", e.MemoryHintError)
-		for j := range e.Buckets {
-			b := &e.Buckets[j]
-			fmt.Fprintf(w, "Buckets %d: Key %d Used %d Class %d\n", j, b.Key, b.LastUsed, b.HeldClass)
-			writeTrack(w, "Work", b.Work)
-			writeTrack(w, "Memory", b.Memory)
+		record := &saved.Record
+		fmt.Fprintf(w, "4 %d %s\nSeen %d\n", i, saved.NormalForm, record.Executions)
+		writeTrack(w, "All", record.Work)
+		writeTrack(w, "Offset", record.PriorError)
+		writeTrack(w, "Usual", record.PriorPrediction)
+		writeTrack(w, "Hint", record.HintError)
+		writeTrack(w, "Memory", record.MemoryHintError)
+		for j := range record.Buckets {
+			bucket := &record.Buckets[j]
+			fmt.Fprintf(w, "Buckets %d: Key %d Used %d Class %d\n", j, bucket.Key, bucket.LastUsed, bucket.HeldClass)
+			writeTrack(w, "Work", bucket.Work)
+			writeTrack(w, "Memory", bucket.Memory)
 		}
 	}
 }
