--- a/internal/frontend/postgres/cancel.go
+++ b/internal/frontend/postgres/cancel.go
@@ -12,8 +12,9 @@
 // cancelRequestSize is the size of a CancelRequest's body: a process ID and a secret key.
 const cancelRequestSize = 4 + 4
 
-// cancel cancels the statement of the connection that a CancelRequest names.
-func (f *Frontend) cancel(body []byte) {
+// handleCancelRequest cancels the request in flight on the connection that the body of a CancelRequest
+// names. It ignores a wrong secret key, and passes an unknown process ID to onUnknownCancel.
+func (f *Frontend) handleCancelRequest(body []byte) {
 	if len(body) != cancelRequestSize {
 		return
 	}
@@ -24,16 +25,16 @@
 		}
 		return
 	}
-	isAuthentic := subtle.ConstantTimeCompare(c.secretKey[:], body[4:]) == 1
-	if c.inFlight.request == nil || !isAuthentic {
+	keyMatches := subtle.ConstantTimeCompare(c.secretKey[:], body[4:]) == 1
+	if c.inFlight.request == nil || !keyMatches {
 		return
 	}
 	f.counters.Inc("pgwire.cancels")
-	c.cancelRequest()
+	c.cancelInFlight()
 }
 
-// cancelRequest cancels the request in flight.
-func (c *connection) cancelRequest() {
+// cancelInFlight cancels the request in flight and answers it with an error.
+func (c *connection) cancelInFlight() {
 	r := c.inFlight.request
 	c.inFlight.take()
 	e := c.cancelTransaction(r)
@@ -49,9 +50,10 @@
 	c.resume()
 }
 
-// cancelTransaction cancels the statement of a transaction whose request is r; nil: there is none.
-// Its engine connection is closed with the request, so all of it is rolled back, unless it was
-// committing.
+// cancelTransaction marks the open transaction as failed if r is its request, and returns the error
+// to send to the client. It returns nil if r does not belong to a transaction. The engine connection
+// is closed together with the request, which rolls back the whole transaction, unless it was
+// committing: then the outcome is unknown.
 func (c *connection) cancelTransaction(r *core.Request) *pgproto.Error {
 	tx := c.transaction
 	if tx == nil || tx.request != r {
@@ -61,7 +63,7 @@
 	tx.failed = true
 	if tx.committing {
 		c.closeTransaction()
-		return newError(codeCompletionUnknown, "canceled while it committed; the transaction may have run")
+		return newError(codeStatementCompletionUnknown, "canceled during COMMIT; the transaction may have been committed")
 	}
 	c.startIdleTimer()
 	return errCanceledByUser()
--- a/internal/frontend/postgres/classify.go
+++ b/internal/frontend/postgres/classify.go
@@ -11,44 +11,46 @@
 	"gannetspur/policy"
 )
 
-// classification is what a statement's comment or a rule says of it.
+// classification is the policy class of a statement, as derived from its leading comment, the
+// configured rules and its effect.
 type classification struct {
 	class        policy.Class
-	keyParameter int  // number of the parameter that holds the key, from 1; 0: none
-	classByShape bool // nobody has named a class for it: its shape may
+	keyParameter int  // number of the parameter that holds the key, from 1; 0: no key
+	classByShape bool // neither a rule nor a comment names a class, so the query shape may choose it
 }
 
-// classRequest is the class that is wanted for a statement.
+// classRequest is the class that a rule, a comment or the default requests for a statement.
 type classRequest struct {
 	name         string
-	keyParameter int
-	readOnly     bool // an operator's rule says that the statement only reads
+	keyParameter int  // number of the parameter that holds the key, from 1; 0: no key
+	readOnly     bool // the matching rule declares that the statement only reads
 	explicit     bool // a rule or a comment names the class
 }
 
-// classify finds a statement's class: its leading comment goes before the rules, and these before
-// the default. What the statement may do goes before all three: one that may write is never given a
-// class that is idempotent. It has the class for writes instead, of which one attempt is made.
+// classify returns the class of a statement. The leading comment takes precedence over the rules, and
+// the rules over the default. The effect of the statement overrides all three: a statement that may
+// write never gets an idempotent class, because those are retried. It gets the class for writes,
+// which is attempted only once, or an error if an idempotent class was named explicitly.
 func (f *Frontend) classify(query string, shape *queryshape.Statement) (classification, *pgproto.Error) {
-	wanted := f.classByRule(query)
-	if e := wanted.readComment(query); e != nil {
+	requested := f.classByRule(query)
+	if e := requested.readComment(query); e != nil {
 		return classification{}, e
 	}
-	class, ok := f.core.Class(wanted.name)
+	class, ok := f.core.Class(requested.name)
 	if !ok {
-		return classification{}, newError(codeUndefinedObject, "class %q is not known here", wanted.name)
+		return classification{}, newError(codeUndefinedObject, "class %q is not known here", requested.name)
 	}
 	if class.Idempotency != policy.Idempotent {
-		return classification{class: class, keyParameter: wanted.keyParameter}, nil
+		return classification{class: class, keyParameter: requested.keyParameter}, nil
 	}
 	effect := f.effectOf(query, shape)
-	onlyReads := effect.Effect == sqltext.Reads || effect.Effect == sqltext.Unknown && wanted.readOnly
+	onlyReads := effect.Effect == sqltext.Reads || effect.Effect == sqltext.Unknown && requested.readOnly
 	if onlyReads {
-		return classification{class: class, keyParameter: wanted.keyParameter, classByShape: !wanted.explicit}, nil
+		return classification{class: class, keyParameter: requested.keyParameter, classByShape: !requested.explicit}, nil
 	}
 	f.counters.Inc("pgwire.may-write")
-	if wanted.explicit {
-		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", wanted.name, effect)
+	if requested.explicit {
+		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", requested.name, effect)
 		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
 		return classification{}, e
 	}
@@ -70,8 +72,9 @@
 	return classRequest{name: rule.Class, keyParameter: rule.Key, readOnly: rule.ReadOnly, explicit: true}
 }
 
-// readComment takes class and key from a statement's leading comment, as in /* class=load key=$1 */.
-func (w *classRequest) readComment(query string) *pgproto.Error {
+// readComment overrides the class and the key parameter with those in the statement's leading
+// comment, such as /* class=load key=$1 */.
+func (r *classRequest) readComment(query string) *pgproto.Error {
 	text, ok := sqltext.LeadingComment(query)
 	if !ok {
 		return nil
@@ -81,19 +84,21 @@
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "class":
-			w.name = value
-			w.explicit = true
+			r.name = value
+			r.explicit = true
 		case "key":
 			number, err := strconv.Atoi(strings.TrimPrefix(value, "$"))
 			if err != nil || number < 1 || number > maxParameters {
 				return newError(codeSyntaxError, "the comment's key=%s names no parameter such as $1", value)
 			}
-			w.keyParameter = number
+			r.keyParameter = number
 		}
 	}
 	return nil
 }
 
+// effectOf returns whether a statement reads or may write. A nil shape means that the text itself is
+// analyzed.
 func (f *Frontend) effectOf(query string, shape *queryshape.Statement) sqltext.EffectVerdict {
 	if shape != nil {
 		return shape.Effect()
@@ -101,8 +106,9 @@
 	return sqltext.EffectOf(query, f.opts.ReadOnlyFunctions)
 }
 
-// readKey returns the key of an execution from the bound values: what retries are deduplicated by,
-// or what keeps the order. A class that needs a key is never sent without one.
+// readKey returns the key of an execution from its bound values. The key deduplicates retries, or
+// identifies requests that must run in order. A statement of a class that needs a key is rejected
+// if it has none. The key is empty for all other classes.
 func (s classification) readKey(values [][]byte) (string, *pgproto.Error) {
 	if s.class.Idempotency != policy.IdempotentWithKey && !s.class.Ordered {
 		return "", nil
@@ -121,20 +127,22 @@
 	return string(key), nil
 }
 
-// unsupportedStatements need a session of their own at an engine, which all clients share.
-var unsupportedStatements = map[string]bool{
+// unsupportedFirstWords are first words of statements that need a dedicated engine session. They are
+// rejected because clients share the engines' sessions.
+var unsupportedFirstWords = map[string]bool{
 	"COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
 	"FETCH": true, "MOVE": true, "CLOSE": true, "LISTEN": true, "UNLISTEN": true, "NOTIFY": true, "LOCK": true,
 	"DISCARD": true, "RESET": true, "SET": true,
 }
 
-// leadingWords are what decides whether a statement is supported.
+// leadingWords are the parts of a statement's text that decide whether it is supported.
 type leadingWords struct {
-	first    string // in upper case; "": the statement is empty
-	multiple bool   // more than one statement follows
+	first    string // first word in upper case; empty if the statement is empty
+	multiple bool   // the text contains more than one statement
 }
 
-func firstWordsOf(query string, shape *queryshape.Statement) (w leadingWords) {
+// readLeadingWords takes the leading words from the shape, or from the text if shape is nil.
+func readLeadingWords(query string, shape *queryshape.Statement) (w leadingWords) {
 	if shape != nil {
 		return leadingWords{first: strings.ToUpper(shape.FirstWord()), multiple: shape.MultipleStatements()}
 	}
@@ -142,17 +150,17 @@
 	return w
 }
 
-// isControl reports whether the gateway itself carries the statement out.
+// isControl reports whether the gateway executes the statement itself.
 func (w leadingWords) isControl(context statementContext) bool {
-	return transactionControl[w.first] || sessionControl[w.first] && !context.inTransaction
+	return transactionControlWords[w.first] || sessionControlWords[w.first] && !context.inTransaction
 }
 
-// unsupported returns why a statement is not supported, or nil.
-func (w leadingWords) unsupported(query string, context statementContext) *pgproto.Error {
+// unsupportedError returns the error for a statement that is not supported, or nil if it is supported.
+func (w leadingWords) unsupportedError(query string, context statementContext) *pgproto.Error {
 	switch {
 	case w.multiple:
 		return newError(codeFeatureNotSupported, "only one statement at a time is supported")
-	case w.isControl(context) || !unsupportedStatements[w.first]:
+	case w.isControl(context) || !unsupportedFirstWords[w.first]:
 		return nil
 	case context.inTransaction && endsWithTransaction(w.first, query):
 		return nil
@@ -160,10 +168,10 @@
 	return newError(codeFeatureNotSupported, "%s is not supported: statements share their engines' sessions", w.first)
 }
 
-// endsWithTransaction reports whether all that a statement leaves in the engine's session ends with
-// its transaction.
+// endsWithTransaction reports whether everything that a statement changes in the engine's session is
+// undone when its transaction ends.
 func endsWithTransaction(firstWord, query string) bool {
-	words := upperWords(query)
+	words := upperCaseWords(query)
 	switch firstWord {
 	case "DECLARE":
 		return !declaresHeldCursor(words, query)
@@ -175,7 +183,7 @@
 	return false
 }
 
-// declaresHeldCursor reports whether a DECLARE makes a cursor WITH HOLD, which outlives its
+// declaresHeldCursor reports whether a DECLARE creates a cursor WITH HOLD, which outlives its
 // transaction.
 func declaresHeldCursor(words []string, query string) bool {
 	if strings.Contains(strings.ToUpper(query), "WITHOUT HOLD") {
--- a/internal/frontend/postgres/connection.go
+++ b/internal/frontend/postgres/connection.go
@@ -11,11 +11,11 @@
 
 var _ core.StreamingClient = (*connection)(nil)
 
-// connection is one client's connection.
+// connection is the server side of one client connection.
 type connection struct {
 	frontend  *Frontend
 	socket    *netio.Conn
-	processID uint32 // with secretKey, what a CancelRequest names
+	processID uint32 // identifies the connection in a CancelRequest, together with secretKey
 	secretKey [4]byte
 	user      string
 
@@ -23,44 +23,45 @@
 	login   login
 	session session
 	extendedQuery
-	// inSimpleQuery is set while a Query is answered: an error ends in ReadyForQuery at once.
+	// inSimpleQuery is set while a Query is processed: an error is followed by ReadyForQuery
+	// immediately, without waiting for a Sync.
 	inSimpleQuery bool
-	transaction   *transaction // nil: none is open
+	transaction   *transaction // nil if none is open
 	inFlight      inFlightRequest
 
 	out        messageWriter
-	stallTimer *timerqueue.Timer // ends a connection that stops in the middle of a message
+	stallTimer *timerqueue.Timer // closes the connection if a message stays incomplete
 }
 
-// lifecycle is how far a connection is.
+// lifecycle is the state of a connection between accept and close.
 type lifecycle struct {
-	started            bool // its startup is complete
+	started            bool // the startup, including the login, is complete
 	closing            bool // its last message is being written
-	ended              bool
-	closeWhenQuiescent bool // nothing may be open on it then
+	ended              bool // no more messages are read or written
+	closeWhenQuiescent bool // close as soon as no request and no transaction is open
 }
 
 // extendedQuery is the state of the extended query protocol.
 type extendedQuery struct {
 	statements map[string]*statement // by name
 	portals    map[string]*portal    // by name
-	skipToSync bool                  // after an error
-	// describePending is set where a portal's description waits for the next message: an Execute
-	// brings it along.
+	skipToSync bool                  // after an error, messages up to the next Sync are ignored
+	// describePending is set while the answer to a portal's Describe is deferred until the next
+	// message arrives: if that is an Execute, its result contains the description.
 	describePending bool
-	describedPortal string
+	describedPortal string // name of the portal to describe
 }
 
-// inFlightRequest is the request that a connection waits for. No message is read meanwhile.
+// inFlightRequest is the request whose answer a connection waits for. No message is read until then.
 type inFlightRequest struct {
-	request  *core.Request // nil: there is none
-	onAnswer func(core.Answer)
-	// orphan is set where the first message was read by a process that died: what is known of its
-	// request.
+	request  *core.Request     // nil if none is in flight
+	onAnswer func(core.Answer) // receives the final answer; nil for statements of a transaction
+	// orphan is what is known of the request of the first message if that message was read by a
+	// process that died; else nil.
 	orphan *core.Orphan
 }
 
-// take forgets the request. It returns what waits for its answer, or nil.
+// take clears the request and returns its answer callback, which may be nil.
 func (r *inFlightRequest) take() (onAnswer func(core.Answer)) {
 	onAnswer = r.onAnswer
 	r.request = nil
@@ -71,7 +72,7 @@
 // quiescent reports whether neither a request nor a transaction is open.
 func (c *connection) quiescent() bool { return c.inFlight.request == nil && c.transaction == nil }
 
-// Data reads messages until one waits for its answer.
+// Data processes messages until one has to wait for an answer.
 func (c *connection) Data(_ *netio.Conn, in *netio.Buffer) {
 	if err := c.readMessages(in); err != nil {
 		c.frontend.counters.Inc("pgwire.malformed")
@@ -90,6 +91,8 @@
 // mayRead reports whether the next message may be read.
 func (c *connection) mayRead() bool { return c.inFlight.request == nil && !c.ended }
 
+// readMessages processes the complete messages in the buffer. It pauses while a request is in flight
+// or while the client does not read its answers.
 func (c *connection) readMessages(in *netio.Buffer) error {
 	for c.mayRead() {
 		if c.socket.Pending() > maxPendingWrite {
@@ -108,15 +111,16 @@
 	return nil
 }
 
+// startStallTimer closes the connection if the rest of a message does not arrive in time.
 func (c *connection) startStallTimer() {
 	f := c.frontend
 	c.stallTimer = f.loop.Timers.Add(f.loop.Now()+stallTimeout, func() {
 		f.counters.Inc("pgwire.stalled")
-		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
+		c.fatal(newError(codeProtocolViolation, "timed out waiting for the rest of a message"))
 	})
 }
 
-// readMessage reads one message and acts on it. It reports whether another may follow.
+// readMessage reads and handles one message. more reports whether the next one may be read.
 func (c *connection) readMessage(in *netio.Buffer) (more bool, err error) {
 	b := in.Bytes()
 	if len(b) > 0 && !slices.Contains(clientMessageTypes, b[0]) {
@@ -127,11 +131,11 @@
 		return false, err
 	}
 	if c.socket.HasJournal() {
-		c.flush() // before this message is consumed: what is written stands for those before it alone
+		c.flush() // before consuming this message: the written bytes must only answer earlier messages
 	}
 	if c.describePending {
-		wait := c.settleDescribe(kind, body)
-		if wait { // this message is read again after the description
+		wait := c.resolveDescribe(kind, body)
+		if wait { // this message is read again once the description has been sent
 			return false, nil
 		}
 	}
@@ -140,10 +144,12 @@
 	return true, nil
 }
 
+// handleMessage handles Terminate and Sync, and dispatches all others unless they are skipped after an
+// error.
 func (c *connection) handleMessage(kind byte, body []byte) {
 	switch {
 	case kind == pgproto.MessageTerminate:
-		c.flush() // answers to what the client sent ahead of it
+		c.flush() // answers to earlier messages of the client
 		c.ended = true
 		c.socket.Close()
 	case kind == pgproto.MessageSync:
@@ -156,6 +162,7 @@
 	}
 }
 
+// dispatch calls the handler of a message. The caller sends the returned error to the client.
 func (c *connection) dispatch(kind byte, body []byte) *pgproto.Error {
 	switch kind {
 	case pgproto.MessageParse:
@@ -176,11 +183,11 @@
 	case pgproto.MessagePassword:
 		return newError(codeProtocolViolation, "no password was asked for")
 	}
-	return nil // Flush: all is written anyway. Copy data after a rejected COPY is ignored.
+	return nil // Flush needs no action because answers are always written. Copy data after a rejected COPY is ignored.
 }
 
-// sync ends a batch of extended queries, which stands for a transaction of its own where none is
-// open: its portals end with it.
+// sync ends a batch of extended queries. If no transaction is open, the batch counts as a transaction
+// of its own, so its portals are closed.
 func (c *connection) sync() {
 	c.skipToSync = false
 	if c.transaction == nil {
@@ -189,8 +196,8 @@
 	c.readyForQuery()
 }
 
-// readyForQuery ends the answer to a batch or a Query. A connection that is to close once nothing
-// is open on it closes here.
+// readyForQuery ends the answer to a batch or a Query. If the connection is to be closed as soon as it
+// is quiescent and no transaction is open, it is closed here.
 func (c *connection) readyForQuery() {
 	c.out.readyForQuery(c.transactionStatus())
 	if c.transaction == nil && (c.frontend.draining || c.closeWhenQuiescent) {
@@ -204,14 +211,14 @@
 	c.readyForQuery()
 }
 
-// fail answers a message with its one ErrorResponse. What follows is skipped up to the next Sync;
-// behind a Query nothing is.
+// fail answers a message with its one ErrorResponse. Messages up to the next Sync are then skipped,
+// except after a Query, which has no Sync.
 func (c *connection) fail(e *pgproto.Error) {
 	c.frontend.counters.Inc("pgwire.errors." + e.Code)
 	c.out.errorResponse(e)
 	switch {
 	case c.transaction == nil:
-	case c.transaction.implicit: // nothing of its message stays
+	case c.transaction.implicit: // roll back all statements of the Query
 		c.abandonTransaction()
 		c.closeTransaction()
 	default:
@@ -224,7 +231,8 @@
 	c.skipToSync = true
 }
 
-// fatal ends the connection with an error as its last message.
+// fatal sends an error of severity FATAL and closes the connection. It does nothing if the connection
+// has ended.
 func (c *connection) fatal(e *pgproto.Error) {
 	if c.ended {
 		return
@@ -237,7 +245,7 @@
 	c.socket.Close()
 }
 
-// flush writes the messages that wait in out.
+// flush writes the buffered messages to the socket.
 func (c *connection) flush() {
 	if len(c.out.buffer) > 0 && !c.ended {
 		c.socket.Write(c.out.buffer)
@@ -248,7 +256,7 @@
 	}
 }
 
-// resume reads what the client sent ahead.
+// resume continues with messages that arrived while a request was in flight.
 func (c *connection) resume() {
 	c.flush()
 	c.socket.LimitReadAhead(false)
@@ -257,8 +265,8 @@
 	}
 }
 
-// Closed tells the core that the client has disconnected. What it sent ahead and was not read is
-// dropped with the connection.
+// Closed handles the end of the socket and tells the core that the client has disconnected. Messages
+// that were received but not processed are dropped.
 func (c *connection) Closed(_ *netio.Conn, _ error) {
 	c.frontend.removeConnection(c)
 	c.abandonTransaction()
--- a/internal/frontend/postgres/errors.go
+++ b/internal/frontend/postgres/errors.go
@@ -11,34 +11,34 @@
 
 // SQLSTATE codes (PostgreSQL's manual, appendix A).
 const (
-	codeProtocolViolation        = "08P01"
-	codeFeatureNotSupported      = "0A000"
-	codeNullValueNotAllowed      = "22004"
-	codeInvalidParameterValue    = "22023"
-	codeActiveTransaction        = "25001"
-	codeNoActiveTransaction      = "25P01"
-	codeInFailedTransaction      = "25P02"
-	codeIdleInTransactionTimeout = "25P03"
-	codeTransactionTimeout       = "25P04"
-	codeInvalidStatementName     = "26000"
-	codeInvalidAuthorization     = "28000"
-	codeInvalidPassword          = "28P01"
-	codeInvalidCursorName        = "34000"
-	codeTransactionRollback      = "40000"
-	codeCompletionUnknown        = "40003"
-	codeInsufficientPrivilege    = "42501"
-	codeSyntaxError              = "42601"
-	codeUndefinedObject          = "42704"
-	codeDuplicateCursor          = "42P03"
-	codeDuplicateStatement       = "42P05"
-	codeInsufficientResources    = "53000"
-	codeOutOfMemory              = "53200"
-	codeTooManyConnections       = "53300"
-	codeProgramLimitExceeded     = "54000"
-	codeObjectNotInPrerequisite  = "55000"
-	codeQueryCanceled            = "57014"
-	codeAdminShutdown            = "57P01"
-	codeSystemError              = "58000"
+	codeProtocolViolation                 = "08P01"
+	codeFeatureNotSupported               = "0A000"
+	codeNullValueNotAllowed               = "22004"
+	codeInvalidParameterValue             = "22023"
+	codeActiveTransaction                 = "25001"
+	codeNoActiveTransaction               = "25P01"
+	codeInFailedTransaction               = "25P02"
+	codeIdleInTransactionTimeout          = "25P03"
+	codeTransactionTimeout                = "25P04"
+	codeInvalidStatementName              = "26000"
+	codeInvalidAuthorizationSpecification = "28000"
+	codeInvalidPassword                   = "28P01"
+	codeInvalidCursorName                 = "34000"
+	codeTransactionRollback               = "40000"
+	codeStatementCompletionUnknown        = "40003"
+	codeInsufficientPrivilege             = "42501"
+	codeSyntaxError                       = "42601"
+	codeUndefinedObject                   = "42704"
+	codeDuplicateCursor                   = "42P03"
+	codeDuplicateStatement                = "42P05"
+	codeInsufficientResources             = "53000"
+	codeOutOfMemory                       = "53200"
+	codeTooManyConnections                = "53300"
+	codeProgramLimitExceeded              = "54000"
+	codeObjectNotInPrerequisiteState      = "55000"
+	codeQueryCanceled                     = "57014"
+	codeAdminShutdown                     = "57P01"
+	codeSystemError                       = "58000"
 )
 
 // Severities of ErrorResponse and NoticeResponse.
@@ -48,15 +48,16 @@
 	severityWarning = "WARNING"
 )
 
-// errUnknownMessageType is a message of a type that the protocol does not have for clients.
+// errUnknownMessageType is returned for a message type that the protocol does not define for clients.
 var errUnknownMessageType = errors.New("a message of a kind that no client sends")
 
+// newError returns an ErrorResponse of severity ERROR with the SQLSTATE code.
 func newError(code, format string, args ...any) *pgproto.Error {
 	return &pgproto.Error{Severity: severityError, Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// asProtocolError returns the ErrorResponse in an error's chain, or a protocol violation that says
-// what the error says.
+// asProtocolError returns the ErrorResponse in an error's chain, or else a protocol violation with the
+// error's text.
 func asProtocolError(err error) *pgproto.Error {
 	if e := pgproto.AsError(err); e != nil {
 		return e
@@ -90,11 +91,13 @@
 	return newError(codeInFailedTransaction, "current transaction is aborted, commands ignored until end of transaction block")
 }
 
-// errInDoubt answers a statement that was sent and may have run.
+// errInDoubt is the answer to a statement that was sent to an engine and may have run.
 func errInDoubt() *pgproto.Error {
-	return newError(codeCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
+	return newError(codeStatementCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
 }
 
+// errRejected is the answer to a statement that was rejected under load and did not run. A retryAfter
+// of 0 gives no hint when to retry.
 func errRejected(retryAfter time.Duration) *pgproto.Error {
 	e := newError(codeInsufficientResources, "the engines are busy; the statement was refused, and trying again is harmless")
 	if retryAfter > 0 {
@@ -104,12 +107,12 @@
 	return e
 }
 
-// answerError words a final answer that is no completion. Each kind has a code of its own; an
-// engine's error about the statement passes on unchanged.
+// answerError converts a final answer other than a completion into an ErrorResponse. Each kind of
+// failure has its own SQLSTATE; an engine's error about the statement is returned unchanged.
 func answerError(a core.Answer) *pgproto.Error {
 	engineError := pgproto.AsError(a.EngineError)
 	switch {
-	case a.InDoubt && engineError == nil: // also past its deadline: a time-out would say that nothing was done
+	case a.InDoubt && engineError == nil: // even past the deadline: a timeout error would imply that the statement did not run
 		return errInDoubt()
 	case a.InDoubt:
 		return engineError
@@ -125,8 +128,8 @@
 	return newError(codeSystemError, "the statement could not be sent to any engine")
 }
 
-// transactionError words the failure of a statement within a transaction. Its commit was not sent,
-// so a lost connection means that all of it is rolled back.
+// transactionError converts the failure of a statement within a transaction into an ErrorResponse. No
+// COMMIT was sent, so a lost engine connection means that the whole transaction is rolled back.
 func transactionError(a core.Answer) *pgproto.Error {
 	engineError := pgproto.AsError(a.EngineError)
 	switch {
--- a/internal/frontend/postgres/frontend.go
+++ b/internal/frontend/postgres/frontend.go
@@ -1,5 +1,5 @@
-// Package postgres is the frontend for clients that speak the PostgreSQL wire protocol, with simple
-// and extended queries. Each execution becomes one request to the core and gets one final answer: a
+// Package postgres implements the frontend for clients that speak the PostgreSQL wire protocol, with
+// simple and extended queries. Each execution becomes one request to the core and gets one final answer: a
 // completion or one ErrorResponse. A transaction is one streaming request.
 package postgres
 
@@ -12,38 +12,40 @@
 	"gannetspur/internal/netio"
 )
 
-// Frontend accepts clients and owns their connections. It belongs to the event loop's goroutine.
+// Frontend accepts clients and owns their connections. It must only be used on the event loop's
+// goroutine.
 type Frontend struct {
-	loop       *netio.Loop
-	core       *core.Core
-	opts       Options
-	counters   *metrics.Counters
-	listener   *netio.Listener
-	loginLimit *loginlimit.Limiter
-	draining   bool
-	heldBytes  int // rows in open portals
+	loop         *netio.Loop
+	core         *core.Core
+	opts         Options
+	counters     *metrics.Counters
+	listener     *netio.Listener
+	loginLimiter *loginlimit.Limiter
+	draining     bool
+	heldBytes    int // size of the unsent rows in all open portals, in bytes
 
 	connections   map[uint32]*connection // by process ID
-	lastProcessID uint32
+	lastProcessID uint32                 // highest process ID that was assigned
 
-	onAccept        func(*netio.Conn)
-	onUnknownCancel func(body []byte)
+	onAccept        func(*netio.Conn) // called for each accepted connection; may be nil
+	onUnknownCancel func(body []byte) // called for a CancelRequest of an unknown connection; may be nil
 }
 
-// New returns a frontend that puts its requests to the core.
+// New returns a frontend that submits its requests to the core.
 func New(loop *netio.Loop, c *core.Core, opts Options, counters *metrics.Counters) *Frontend {
 	f := &Frontend{
-		loop:        loop,
-		core:        c,
-		counters:    counters,
-		loginLimit:  loginlimit.New(loginlimit.Defaults()),
-		connections: map[uint32]*connection{},
+		loop:         loop,
+		core:         c,
+		counters:     counters,
+		loginLimiter: loginlimit.New(loginlimit.Defaults()),
+		connections:  map[uint32]*connection{},
 	}
 	f.SetOptions(opts)
 	return f
 }
 
-// SetOptions changes the options, for statements prepared and clients that connect from now on.
+// SetOptions replaces the options. They apply to statements that are prepared and clients that connect
+// afterwards.
 func (f *Frontend) SetOptions(opts Options) {
 	if opts.MaxHeldBytes <= 0 {
 		opts.MaxHeldBytes = defaultMaxHeldBytes
@@ -51,7 +53,7 @@
 	f.opts = opts
 }
 
-// Listen accepts clients at the address.
+// Listen starts accepting clients at the address.
 func (f *Frontend) Listen(addr string) error {
 	ln, err := netio.Listen(addr)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return nil
 }
 
-// ListenOn accepts clients from a listener, which another process may have opened.
+// ListenOn starts accepting clients from a listener, which another process may have opened.
 func (f *Frontend) ListenOn(ln *netio.Listener) {
 	maxConnections := f.opts.MaxClients
 	if maxConnections > 0 {
@@ -77,7 +79,7 @@
 // Addr returns the address that clients connect to.
 func (f *Frontend) Addr() string { return f.listener.Addr().String() }
 
-// CloseListener accepts no new connections; those that are open go on.
+// CloseListener stops accepting connections. Open connections are not affected.
 func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
 func (f *Frontend) accept(socket *netio.Conn) netio.Handler {
@@ -90,7 +92,7 @@
 	return c
 }
 
-// addConnection registers a connection that has not started.
+// addConnection registers a connection and closes it unless its startup completes in time.
 func (f *Frontend) addConnection(socket *netio.Conn, processID uint32) *connection {
 	c := &connection{
 		frontend:      f,
@@ -107,7 +109,7 @@
 	return c
 }
 
-// removeConnection forgets a connection and the rows that its portals hold.
+// removeConnection unregisters a connection and releases the rows that its portals hold.
 func (f *Frontend) removeConnection(c *connection) {
 	c.ended = true
 	c.stallTimer.Stop()
@@ -115,8 +117,8 @@
 	c.dropPortals()
 }
 
-// Drain closes each connection as soon as nothing is open on it. A transaction may go on until the
-// process ends.
+// Drain closes each connection as soon as no request and no transaction is open on it. A transaction
+// may continue until the process ends.
 func (f *Frontend) Drain() {
 	f.draining = true
 	for _, c := range f.connections {
@@ -126,8 +128,8 @@
 	}
 }
 
-// CloseUnmovable closes each connection that can't be handed over to another process, as soon as
-// nothing is open on it.
+// CloseUnmovable closes each connection that can't be handed over to another process because it uses
+// TLS, as soon as no request and no transaction is open on it.
 func (f *Frontend) CloseUnmovable() {
 	for _, c := range f.connections {
 		if !c.socket.UsesTLS() {
@@ -143,7 +145,7 @@
 // Idle reports whether no client is left.
 func (f *Frontend) Idle() bool { return len(f.connections) == 0 }
 
-// countUserConnections returns how many connections of a user have started and not ended.
+// countUserConnections returns the number of the user's connections that have started and not ended.
 func (f *Frontend) countUserConnections(user string) (n int) {
 	for _, c := range f.connections {
 		if c.started && !c.ended && c.user == user {
--- a/internal/frontend/postgres/handover.go
+++ b/internal/frontend/postgres/handover.go
@@ -13,12 +13,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// errMissingStatement is a state in which a portal names a statement that is not there.
-var errMissingStatement = errors.New("a portal has no statement")
+// errMissingStatement is returned for a state in which a portal refers to a statement that is missing.
+var errMissingStatement = errors.New("portal refers to a missing statement")
 
-// connectionState is what another process needs to go on with a connection between two messages: all
-// that the client has set up. What a statement may do and its class are not among it: the other
-// process reads them anew, by its own rules.
+// connectionState is the state that another process needs to continue a connection between two
+// messages: everything that the client has set up. It does not include the effects and classes of
+// statements, because the other process determines them by its own rules.
 type connectionState struct {
 	ProcessID        uint32            `cbor:"1,keyasint"`
 	SecretKey        [4]byte           `cbor:"2,keyasint"`
@@ -33,14 +33,16 @@
 	Settings         []pgproto.Setting `cbor:"11,keyasint,omitempty"`
 }
 
+// statementState is a prepared statement in a connectionState.
 type statementState struct {
-	Named          bool            `cbor:"1,keyasint,omitempty"` // false: only portals have it
+	Named          bool            `cbor:"1,keyasint,omitempty"` // false if only portals refer to it
 	Name           string          `cbor:"2,keyasint,omitempty"`
 	Query          string          `cbor:"3,keyasint"`
 	ParameterTypes []byte          `cbor:"4,keyasint,omitempty"`
 	Description    *pgproto.Result `cbor:"5,keyasint,omitempty"`
 }
 
+// portalState is a portal in a connectionState.
 type portalState struct {
 	Name      string          `cbor:"1,keyasint,omitempty"`
 	Statement int             `cbor:"2,keyasint"` // index in connectionState.Statements
@@ -52,52 +54,54 @@
 	Completed bool            `cbor:"8,keyasint,omitempty"`
 }
 
-// Name tells this frontend from others.
+// Name returns the name that distinguishes this frontend from others.
 func (f *Frontend) Name() string { return "postgres" }
 
-// ReadLimit bounds what is read of a connection and not consumed, in bytes.
+// ReadLimit returns the maximum size in bytes of data that is read from a connection but not yet
+// consumed.
 func (f *Frontend) ReadLimit() int { return maxReadBuffer }
 
-// OnAccept sets who hears of each connection that is accepted, once its handler is there.
+// OnAccept sets the function that is called for each accepted connection, once its handler exists.
 func (f *Frontend) OnAccept(fn func(*netio.Conn)) { f.onAccept = fn }
 
-// OnSharedStateChange is for what connections share beside SharedState; here there is none.
+// OnSharedStateChange does nothing: connections of this frontend share nothing besides SharedState.
 func (f *Frontend) OnSharedStateChange(func([]byte)) {}
 
-// OnUnknownRequest sets who hears of a CancelRequest whose connection is not here: another process may
-// have it. nil: nobody.
+// OnUnknownRequest sets the function that is called with the body of a CancelRequest whose connection
+// is unknown here: another process may own it. nil disables the call.
 func (f *Frontend) OnUnknownRequest(fn func([]byte)) { f.onUnknownCancel = fn }
 
-// HandleForwardedRequest takes a CancelRequest that another process received. It is forwarded no
-// further.
+// HandleForwardedRequest handles a CancelRequest that another process received. It is not forwarded
+// again.
 func (f *Frontend) HandleForwardedRequest(body []byte) {
 	forward := f.onUnknownCancel
 	f.onUnknownCancel = nil
-	f.cancel(body)
+	f.handleCancelRequest(body)
 	f.onUnknownCancel = forward
 }
 
-// processIDGap is kept between the process IDs that two processes give out.
+// processIDGap separates the process IDs that two processes assign, so that they don't collide.
 const processIDGap = 1 << 16
 
-// SharedState is what all connections share: where the process IDs of new ones begin.
+// SharedState returns the encoded state that all connections share: the number from which another
+// process assigns process IDs.
 func (f *Frontend) SharedState() []byte {
-	b, _ := cbor.Marshal(f.lastProcessID + processIDGap) // of this type it never fails
+	b, _ := cbor.Marshal(f.lastProcessID + processIDGap) // can't fail for this type
 	return b
 }
 
-// ApplySharedState takes what the connections of another process share.
+// ApplySharedState applies the SharedState of another process.
 func (f *Frontend) ApplySharedState(b []byte) error {
-	var from uint32
-	if err := cbor.Unmarshal(b, &from); err != nil {
-		return fmt.Errorf("shared state: %w", err)
+	var firstProcessID uint32
+	if err := cbor.Unmarshal(b, &firstProcessID); err != nil {
+		return fmt.Errorf("decode shared state: %w", err)
 	}
-	f.lastProcessID = max(f.lastProcessID, from)
+	f.lastProcessID = max(f.lastProcessID, firstProcessID)
 	return nil
 }
 
 // Idle reports whether the connection can be handed over: no request and no transaction is open, no
-// login is under way, and nothing is encrypted, since the state of TLS can't be handed over.
+// login is in progress, and the connection does not use TLS, whose state can't be handed over.
 func (c *connection) Idle() bool {
 	return c.quiescent() && c.login.exchange == nil && !c.socket.UsesTLS()
 }
@@ -105,7 +109,7 @@
 // Closing reports whether the connection is about to end.
 func (c *connection) Closing() bool { return c.ended || c.closing }
 
-// EncodeState returns what another process needs to go on with a connection that is idle.
+// EncodeState returns the encoded connectionState of an idle connection.
 func (c *connection) EncodeState() []byte {
 	state := connectionState{
 		ProcessID:        c.processID,
@@ -118,26 +122,26 @@
 		User:             c.user,
 		Settings:         c.session.settings,
 	}
-	index := map[*statement]int{}
-	add := func(s *statement, encoded statementState) int {
-		at, added := index[s]
+	positions := map[*statement]int{}
+	addStatement := func(s *statement, encoded statementState) int {
+		position, added := positions[s]
 		if !added {
-			at = len(state.Statements)
-			index[s] = at
+			position = len(state.Statements)
+			positions[s] = position
 			state.Statements = append(state.Statements, encoded)
 		}
-		return at
+		return position
 	}
 	for name, s := range c.statements {
 		encoded := s.encode()
 		encoded.Named = true
 		encoded.Name = name
-		add(s, encoded)
+		addStatement(s, encoded)
 	}
 	for name, p := range c.portals {
-		state.Portals = append(state.Portals, p.encode(name, add(p.statement, p.statement.encode())))
+		state.Portals = append(state.Portals, p.encode(name, addStatement(p.statement, p.statement.encode())))
 	}
-	b, _ := cbor.Marshal(state) // of these types it never fails
+	b, _ := cbor.Marshal(state) // can't fail for these types
 	return b
 }
 
@@ -158,12 +162,12 @@
 	}
 }
 
-// RestoreConnection returns what makes the handler of a connection of another process, from its
-// EncodeState.
+// RestoreConnection decodes the EncodeState of another process's connection. It returns a function that
+// creates the connection's handler for its socket.
 func (f *Frontend) RestoreConnection(b []byte) (func(*netio.Conn) netio.Handler, error) {
 	state, err := decodeConnectionState(b)
 	if err != nil {
-		return nil, fmt.Errorf("state of a connection: %w", err)
+		return nil, fmt.Errorf("decode connection state: %w", err)
 	}
 	return func(socket *netio.Conn) netio.Handler {
 		f.lastProcessID = max(f.lastProcessID, state.ProcessID)
@@ -201,8 +205,8 @@
 	c.describePending = state.DescribePending && c.portals[state.DescribedPortal] != nil
 }
 
-// restoreStatements prepares statements anew. One that the rules here have no place for is dropped,
-// and nil in the result: whoever names it is told that it does not exist.
+// restoreStatements prepares the statements again. One that this process rejects is dropped and nil in
+// the result: a client that refers to it is told that it does not exist.
 func (c *connection) restoreStatements(states []statementState) []*statement {
 	restored := make([]*statement, len(states))
 	for i, state := range states {
@@ -220,7 +224,8 @@
 	return restored
 }
 
-// restorePortal restores a portal, unless its statement was dropped.
+// restorePortal restores a portal. It drops the portal if its statement was dropped or its Bind is
+// malformed.
 func (c *connection) restorePortal(state portalState, s *statement) {
 	values, ok := readBind(&pgproto.Reader{Rest: slices.Clone(state.Bind)})
 	if s == nil || !ok {
@@ -243,8 +248,8 @@
 	c.frontend.heldBytes += len(state.Remaining)
 }
 
-// Transferred tells that the connection goes on in another process.
+// Transferred removes the connection because another process has taken it over.
 func (c *connection) Transferred() { c.frontend.removeConnection(c) }
 
-// RecoverRequest tells that the request which comes first was read by another process, which died.
+// RecoverRequest records that the next request was already read by another process, which died.
 func (c *connection) RecoverRequest(orphan core.Orphan) { c.inFlight.orphan = &orphan }
--- a/internal/frontend/postgres/limits.go
+++ b/internal/frontend/postgres/limits.go
@@ -5,30 +5,32 @@
 // Sizes, in bytes.
 const (
 	maxMessageSize      = 1 << 20
-	maxLoginMessageSize = 4 << 10 // of a client that is not authenticated
+	maxLoginMessageSize = 4 << 10 // before the client is authenticated
 	maxReadBuffer       = maxMessageSize + 64<<10
-	// maxPendingWrite is how much may wait to be sent before no more messages are read. Guards
-	// against a client that asks and does not read.
+	// maxPendingWrite is the size of unsent output above which no more messages are read. It guards
+	// against a client that sends statements and does not read the answers.
 	maxPendingWrite     = 1 << 20
 	maxKeptOutputBuffer = 64 << 10
-	// defaultMaxHeldBytes bounds the rows of all open portals where the options don't.
+	// defaultMaxHeldBytes limits the unsent rows of all open portals if Options.MaxHeldBytes is not set.
 	defaultMaxHeldBytes = 32 << 20
 	maxSettingSize      = 4 << 10 // the text of one SET
 )
 
-// Numbers, of one connection unless another scope is named.
+// Counts, per connection unless stated otherwise.
 const (
-	maxParameters = 65535 // of one statement: the protocol's limit
+	maxParameters = 65535 // per statement: the protocol's limit
 	maxStatements = 1000
 	maxPortals    = 1000
 	maxSettings   = 64
-	// spareConnections may be open past the limit on clients, to cancel or to be rejected.
+	// spareConnections may be open in addition to Options.MaxClients, so that CancelRequests get through
+	// and further clients receive an error.
 	spareConnections = 16
 )
 
+// Timeouts.
 const (
-	startupTimeout = 2 * time.Second
-	// stallTimeout bounds the silence in the middle of a message.
+	startupTimeout = 2 * time.Second // from accept to the end of the startup; also for a TLS handshake
+	// stallTimeout limits the wait for the rest of an incomplete message.
 	stallTimeout                  = 2 * time.Second
 	defaultIdleTransactionTimeout = 10 * time.Second
 	defaultTransactionTimeout     = 60 * time.Second
--- a/internal/frontend/postgres/login.go
+++ b/internal/frontend/postgres/login.go
@@ -10,18 +10,18 @@
 	"gannetspur/internal/scramauth"
 )
 
-// login is the state of a login by SCRAM (RFC 5802) in PostgreSQL's SASL messages.
+// login is the state of a SCRAM login (RFC 5802) in PostgreSQL's SASL messages.
 type login struct {
-	exchange        *scramauth.Login // nil: none is under way
-	initialReceived bool             // the SASLInitialResponse has come
+	exchange        *scramauth.Login // nil if no login is in progress
+	initialReceived bool             // the SASLInitialResponse was received
 }
 
-// startLogin offers SCRAM, unless too many logins from the client's address have failed.
+// startLogin offers SCRAM, or rejects the client if too many logins from its address have failed.
 func (c *connection) startLogin() error {
 	f := c.frontend
-	if wait := f.loginLimit.RetryAfter(f.loop.Now(), remoteHost(c.socket)); wait > 0 {
+	if wait := f.loginLimiter.RetryAfter(f.loop.Now(), remoteHost(c.socket)); wait > 0 {
 		f.counters.Inc("pgwire.logins-held-off")
-		c.fatal(newError(codeInvalidAuthorization, "too many failed logins from this address; try again in %d s", int(wait.Seconds())+1))
+		c.fatal(newError(codeInvalidAuthorizationSpecification, "too many failed logins from this address; try again in %d s", int(wait.Seconds())+1))
 		return nil
 	}
 	exchange, err := f.opts.Users.StartLogin(c.user)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// remoteHost returns the address that a connection comes from, without its port.
+// remoteHost returns the remote address of a connection without its port.
 func remoteHost(socket *netio.Conn) string {
 	host, _, err := net.SplitHostPort(socket.RemoteAddr())
 	if err != nil {
@@ -42,8 +42,8 @@
 	return host
 }
 
-// readLoginMessage reads one message of a login. The answer is the same whether the user is unknown
-// or the proof is wrong.
+// readLoginMessage reads and handles one message of a login. The answer is the same for an unknown
+// user and for a wrong proof, so that it does not reveal which users exist.
 func (c *connection) readLoginMessage(in *netio.Buffer) (more bool, err error) {
 	if b := in.Bytes(); len(b) > 0 && b[0] != pgproto.MessagePassword {
 		return false, errUnknownMessageType
@@ -73,7 +73,7 @@
 	return true, nil
 }
 
-// readSASLInitialResponse reads the client's first message of SCRAM out of a SASLInitialResponse.
+// readSASLInitialResponse extracts the client's first SCRAM message from a SASLInitialResponse.
 func readSASLInitialResponse(body []byte) (response []byte, ok bool) {
 	r := pgproto.Reader{Rest: body}
 	mechanism := r.CString()
@@ -81,7 +81,7 @@
 	return response, r.Complete() && mechanism == scramauth.Mechanism
 }
 
-// completeLogin starts the session of a user whose proof is right.
+// completeLogin starts the session after a successful proof, unless the user has too many connections.
 func (c *connection) completeLogin() {
 	f := c.frontend
 	c.login.exchange = nil
@@ -94,10 +94,10 @@
 	c.completeStartup()
 }
 
-// rejectLogin ends a login that has failed.
+// rejectLogin records a failed login and answers it with an error.
 func (c *connection) rejectLogin(cause error) error {
 	f := c.frontend
-	f.loginLimit.RecordFailure(f.loop.Now(), remoteHost(c.socket))
+	f.loginLimiter.RecordFailure(f.loop.Now(), remoteHost(c.socket))
 	f.counters.Inc("pgwire.logins-failed")
 	if errors.Is(cause, scramauth.ErrMalformedMessage) {
 		return newError(codeProtocolViolation, "malformed SCRAM message")
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// authorize returns why the client's user may not send statements of a class, or nil.
+// authorize returns an error if the client's user may not send statements of the class, else nil.
 func (c *connection) authorize(class string) *pgproto.Error {
 	users := c.frontend.opts.Users
 	if users == nil {
@@ -115,9 +115,9 @@
 	user := users.Get(c.user)
 	switch {
 	case user == nil:
-		return newError(codeInvalidAuthorization, "role %q is not permitted to log in any more", c.user)
+		return newError(codeInvalidAuthorizationSpecification, "role %q is no longer permitted to log in", c.user)
 	case len(user.Classes) > 0 && !slices.Contains(user.Classes, class):
-		return newError(codeInsufficientPrivilege, "permission denied: role %q may not ask for class %s", c.user, class)
+		return newError(codeInsufficientPrivilege, "permission denied: role %q may not use class %s", c.user, class)
 	}
 	return nil
 }
--- a/internal/frontend/postgres/messages.go
+++ b/internal/frontend/postgres/messages.go
@@ -6,7 +6,7 @@
 	"gannetspur/internal/pgproto"
 )
 
-// clientMessageTypes are all types that a client may send after its startup.
+// clientMessageTypes are the message types that a client may send after its startup.
 var clientMessageTypes = []byte{
 	pgproto.MessageBind,
 	pgproto.MessageClose,
@@ -24,24 +24,24 @@
 	pgproto.MessageTerminate,
 }
 
-// messageWriter collects messages that are not yet written to the socket.
+// messageWriter buffers messages until they are written to the socket.
 type messageWriter struct{ buffer []byte }
 
 func (w *messageWriter) message(kind byte, body ...[]byte) {
 	w.buffer = pgproto.AppendMessage(w.buffer, kind, body...)
 }
 
-// raw adds complete messages as an engine sent them.
+// raw appends complete messages as received from an engine.
 func (w *messageWriter) raw(messages []byte) { w.buffer = append(w.buffer, messages...) }
 
-// encryptionAnswer adds the answer to a request for encryption.
+// encryptionAnswer appends the answer to an SSLRequest or a GSSENCRequest.
 func (w *messageWriter) encryptionAnswer(answer byte) { w.buffer = append(w.buffer, answer) }
 
 func (w *messageWriter) authenticationOK() {
 	w.message(pgproto.MessageAuthentication, pgproto.Int32(pgproto.AuthOK))
 }
 
-// authenticationSASL offers one mechanism.
+// authenticationSASL offers a single SASL mechanism.
 func (w *messageWriter) authenticationSASL(mechanism string) {
 	endOfList := []byte{0}
 	w.message(pgproto.MessageAuthentication, pgproto.Int32(pgproto.AuthSASL), pgproto.CString(mechanism), endOfList)
@@ -55,7 +55,8 @@
 	w.message(pgproto.MessageAuthentication, pgproto.Int32(pgproto.AuthSASLFinal), []byte(data))
 }
 
-// negotiateProtocolVersion tells which options of the startup packet are not known.
+// negotiateProtocolVersion offers minor version 0 and lists the unknown protocol options of the startup
+// packet.
 func (w *messageWriter) negotiateProtocolVersion(unknownOptions []string) {
 	minorVersion := pgproto.Int32(0)
 	body := [][]byte{minorVersion, pgproto.Int32(len(unknownOptions))}
@@ -87,7 +88,7 @@
 	w.message(pgproto.MessageParameterDescription, body)
 }
 
-// rowDescription adds a RowDescription, or NoData where there are no fields.
+// rowDescription appends a RowDescription, or NoData if fields is nil.
 func (w *messageWriter) rowDescription(fields []byte) {
 	if fields == nil {
 		w.message(pgproto.MessageNoData)
@@ -108,7 +109,7 @@
 	w.message(pgproto.MessageErrorResponse, e.Body())
 }
 
-// warning adds a NoticeResponse about something that is no error.
+// warning appends a NoticeResponse of severity WARNING.
 func (w *messageWriter) warning(code, text string) {
 	notice := &pgproto.Error{Severity: severityWarning, Code: code, Message: text}
 	w.message(pgproto.MessageNoticeResponse, notice.Body())
--- a/internal/frontend/postgres/options.go
+++ b/internal/frontend/postgres/options.go
@@ -9,44 +9,45 @@
 	"gannetspur/internal/sqltext"
 )
 
-// Options come from the deploy file.
+// Options configure a Frontend. They come from the deploy file.
 type Options struct {
-	// DefaultClass is the class of statements that no rule and no comment names one for.
+	// DefaultClass is the class of statements for which neither a rule nor a comment names one.
 	DefaultClass string
-	// WriteClass is the class of statements that may write and have no class of their own, and of
-	// transactions; "": these are rejected.
+	// WriteClass is the class of transactions, and of statements that may write and name no class.
+	// If it is empty, both are rejected.
 	WriteClass string
-	// ReadOnlyFunctions are those that the operators know to read only.
+	// ReadOnlyFunctions are the functions that the operator declares to be read-only.
 	ReadOnlyFunctions sqltext.FunctionSet
-	Rules             []Rule
-	// Shapes gives classes and estimates by the shapes of statements; nil: off.
+	// Rules assign classes to statements; the first that matches applies.
+	Rules []Rule
+	// Shapes derives classes and cost estimates from query shapes; nil disables this.
 	Shapes *queryshape.Service
 
-	// MaxClients bounds the connections at once; 0: no limit of the frontend's own.
+	// MaxClients limits the number of concurrent connections; 0 means that the frontend sets no limit.
 	MaxClients int
-	// MaxHeldBytes bounds the rows in all open portals together.
+	// MaxHeldBytes limits the total size in bytes of the unsent rows in all open portals; 0 means 32 MiB.
 	MaxHeldBytes int
 
-	// Users may log in, by password; nil: everybody may, without one.
+	// Users are the users who may log in by password; nil admits every client without a password.
 	Users *scramauth.Users
-	// TLS is nil where encryption is declined.
+	// TLS is the server's TLS configuration; nil means that encryption is declined.
 	TLS *tls.Config
-	// RequireTLS rejects clients without TLS.
+	// RequireTLS rejects clients that don't use TLS.
 	RequireTLS bool
 
-	// IdleTransactionTimeout bounds the time between two statements of a transaction; 0: 10 s.
+	// IdleTransactionTimeout limits the time between two statements of a transaction; 0 means 10 s.
 	IdleTransactionTimeout time.Duration
-	// TransactionTimeout bounds a whole transaction; 0: 60 s.
+	// TransactionTimeout limits the duration of a whole transaction; 0 means 60 s.
 	TransactionTimeout time.Duration
 }
 
-// Rule gives a class to statements that begin with some words, and names the parameter that holds
+// Rule assigns a class to statements that begin with given words, and names the parameter that holds
 // their key.
 type Rule struct {
-	Starts   string // words, in any case, after comments
-	Class    string
-	Key      int  // number of the key's parameter, from 1; 0: none
-	ReadOnly bool // such statements only read, where their text can't tell
+	Starts   string // first words of the statement after comments; case is ignored
+	Class    string // name of the class
+	Key      int    // number of the parameter that holds the key, from 1; 0: no key
+	ReadOnly bool   // the statements only read; applies if their text does not show their effect
 }
 
 func (o *Options) idleTransactionTimeout() time.Duration {
--- a/internal/frontend/postgres/portal.go
+++ b/internal/frontend/postgres/portal.go
@@ -9,24 +9,24 @@
 	"gannetspur/internal/sqltext"
 )
 
-// portal is a statement with its values. It runs once: rows that are fetched later come from those
-// that are held here, also when its engine has drained meanwhile.
+// portal is a statement with bound values. It runs only once: later fetches are served from the rows
+// that are held here, so they work even after the engine has drained.
 type portal struct {
 	statement *statement
-	bind      []byte          // the body of its Bind past the names
-	values    sqltext.Binds   // within bind
-	key       string          // of a class that needs one
-	result    *pgproto.Result // complete, without its rows; nil: it has not run
-	remaining []byte          // rows that were not sent yet
-	sentRows  int
-	completed bool // its completion was sent
+	bind      []byte          // body of its Bind after the two names
+	values    sqltext.Binds   // refer to bind; set only if the statement has a shape
+	key       string          // key of the execution; empty if its class needs none
+	result    *pgproto.Result // complete result without the rows; nil if it has not run
+	remaining []byte          // DataRow messages that have not been sent yet
+	sentRows  int             // number of rows that have been sent
+	completed bool            // CommandComplete or EmptyQueryResponse was sent
 }
 
 func (c *connection) handleBind(body []byte) *pgproto.Error {
 	r := pgproto.Reader{Rest: body}
 	portalName := r.CString()
 	statementName := r.CString()
-	r.Rest = bytes.Clone(r.Rest) // the portal keeps it, and the values lie within
+	r.Rest = bytes.Clone(r.Rest) // the portal keeps this slice, and its values refer to it
 	bind := r.Rest
 	values, ok := readBind(&r)
 	if !ok {
@@ -54,13 +54,13 @@
 			return e
 		}
 	}
-	c.dropPortal(portalName) // the unnamed one is replaced
+	c.dropPortal(portalName) // only the unnamed portal can exist here; it is replaced
 	c.portals[portalName] = p
 	c.out.bindComplete()
 	return nil
 }
 
-// readBind reads a Bind past its names: formats, values and result formats.
+// readBind reads the part of a Bind after the names: formats, values and result formats.
 func readBind(r *pgproto.Reader) (b sqltext.Binds, ok bool) {
 	formats := r.Count()
 	b.Formats = r.Rest[:min(2*formats, len(r.Rest))]
@@ -85,7 +85,7 @@
 	return b, r.Complete()
 }
 
-// readFormats reads format codes, each text (0) or binary (1).
+// readFormats reads n format codes, each of which must be text (0) or binary (1).
 func readFormats(r *pgproto.Reader, n int) (ok bool) {
 	for range n {
 		if format := r.Int16(); format != 0 && format != 1 {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// readValue reads one value; nil: it is null.
+// readValue reads one value. A nil value is an SQL NULL.
 func readValue(r *pgproto.Reader) (value []byte, ok bool) {
 	const sizeOfNull = -1
 	size := r.Int32()
@@ -107,9 +107,9 @@
 	return value, !r.Invalid
 }
 
-// describePortalLater notes that a portal's description is due. An Execute is likely to follow, and
-// brings it along.
-func (c *connection) describePortalLater(name string) *pgproto.Error {
+// deferPortalDescription defers the answer to a portal's Describe, because an Execute is likely to follow
+// whose result contains the description.
+func (c *connection) deferPortalDescription(name string) *pgproto.Error {
 	if c.portals[name] == nil {
 		return newError(codeInvalidCursorName, "portal %q does not exist", name)
 	}
@@ -118,19 +118,20 @@
 	return nil
 }
 
-// settleDescribe settles a portal's description once the next message shows whether an Execute
-// brings it along. It reports whether that message must wait for an engine's answer.
-func (c *connection) settleDescribe(kind byte, body []byte) (wait bool) {
+// resolveDescribe answers a deferred Describe, unless the next message is an Execute whose result
+// will contain the description. It reports whether that message must wait for an engine's answer.
+func (c *connection) resolveDescribe(kind byte, body []byte) (wait bool) {
 	p := c.portals[c.describedPortal]
 	r := pgproto.Reader{Rest: body}
 	if kind == pgproto.MessageExecute && r.CString() == c.describedPortal && p.result == nil && !p.statement.empty {
-		return false // handleExecute sees to it
+		return false // handleExecute sends the description
 	}
 	c.describePending = false
 	c.describeStatement(p.statement, func() { c.sendPortalDescription(p) })
 	return c.inFlight.request != nil
 }
 
+// sendPortalDescription sends the row description of a portal in the formats that its Bind requests.
 func (c *connection) sendPortalDescription(p *portal) {
 	description := p.statement.description
 	switch {
@@ -164,11 +165,11 @@
 	case p.statement.empty:
 		c.out.emptyQueryResponse()
 		return nil
-	case p.statement.control != "":
+	case p.statement.controlWord != "":
 		if describe {
 			c.out.rowDescription(nil)
 		}
-		return c.control(p.statement, c.out.commandComplete)
+		return c.executeControl(p.statement, c.out.commandComplete)
 	case p.result != nil:
 		c.releaseRows(p)
 		e := c.sendRows(p, maxRows)
@@ -179,13 +180,13 @@
 		if describe {
 			c.out.rowDescription(p.result.RowDescription)
 		}
-		_ = c.sendRows(p, maxRows) // it has not run before
+		_ = c.sendRows(p, maxRows) // can't fail because the portal has not run before
 		c.holdRows(p)
 	})
 	return nil
 }
 
-// runPortal has an engine run a portal, and calls done where that succeeds.
+// runPortal runs a portal at an engine and calls done on success.
 func (c *connection) runPortal(p *portal, done func()) {
 	s := p.statement
 	p.values.Types = s.parameterOIDs()
@@ -203,11 +204,11 @@
 	})
 }
 
-// sendRows sends rows of a portal that has run: all, or maxRows of them if that is above 0.
+// sendRows sends rows of a portal that has run: at most maxRows, or all if maxRows is not positive.
 func (c *connection) sendRows(p *portal, maxRows int) *pgproto.Error {
 	res := p.result
 	if p.completed && res.RowDescription == nil {
-		return newError(codeObjectNotInPrerequisite, "the portal has run and cannot be run again")
+		return newError(codeObjectNotInPrerequisiteState, "the portal has run and cannot be run again")
 	}
 	sent := c.takeRows(p, maxRows)
 	switch {
@@ -223,7 +224,8 @@
 	return nil
 }
 
-// takeRows moves rows of a portal to the output. It returns their number.
+// takeRows moves up to maxRows rows of a portal to the output, or all if maxRows is not positive. It
+// returns their number.
 func (c *connection) takeRows(p *portal, maxRows int) (n int) {
 	size := 0
 	for size < len(p.remaining) && (maxRows <= 0 || n < maxRows) {
@@ -237,7 +239,8 @@
 	return n
 }
 
-// completionTag is an engine's tag with the number of rows that one Execute was given.
+// completionTag returns the engine's command tag with its row count replaced by the number of rows that
+// one Execute returned.
 func completionTag(res *pgproto.Result, rows int) string {
 	verb, _, hasCount := strings.Cut(res.Tag, " ")
 	if !hasCount || rows == res.RowCount {
@@ -246,17 +249,17 @@
 	return verb + " " + strconv.Itoa(rows)
 }
 
-// sendResult sends the whole result of a statement of a Query.
+// sendResult sends the complete result of a statement of a Query.
 func (c *connection) sendResult(s *statement, res *pgproto.Result) {
 	if res.RowDescription != nil {
 		c.out.rowDescription(res.RowDescription)
 	}
 	const allRows = 0
-	_ = c.sendRows(&portal{statement: s, result: res, remaining: res.Rows}, allRows) // it has not run before
+	_ = c.sendRows(&portal{statement: s, result: res, remaining: res.Rows}, allRows) // can't fail because the portal is new
 }
 
-// holdRows counts the rows that a portal keeps. A portal that would keep too much keeps nothing,
-// and the batch fails.
+// holdRows adds the unsent rows of a portal to heldBytes. If that exceeds Options.MaxHeldBytes, the
+// rows are dropped and the batch fails.
 func (c *connection) holdRows(p *portal) {
 	f := c.frontend
 	if f.heldBytes+len(p.remaining) > f.opts.MaxHeldBytes {
@@ -267,9 +270,10 @@
 	f.heldBytes += len(p.remaining)
 }
 
-// releaseRows is the reverse of holdRows.
+// releaseRows subtracts the unsent rows of a portal from heldBytes.
 func (c *connection) releaseRows(p *portal) { c.frontend.heldBytes -= len(p.remaining) }
 
+// dropPortal closes a portal if it exists.
 func (c *connection) dropPortal(name string) {
 	if p := c.portals[name]; p != nil {
 		c.releaseRows(p)
@@ -277,6 +281,7 @@
 	}
 }
 
+// dropPortals closes all portals.
 func (c *connection) dropPortals() {
 	for _, p := range c.portals {
 		c.releaseRows(p)
--- a/internal/frontend/postgres/prepared.go
+++ b/internal/frontend/postgres/prepared.go
@@ -8,25 +8,25 @@
 	"gannetspur/internal/sqltext"
 )
 
-// statement is a prepared statement, or that of a Query.
+// statement is a prepared statement or a statement of a Query.
 type statement struct {
 	classification
 	query          string
-	parameterTypes []byte // their count and OIDs, as in Parse
-	empty          bool
-	// control is the first word of a statement that the gateway itself carries out, about the
-	// transaction or the session's settings: BEGIN, SET, ...; "": the statement is for an engine.
-	control       string
-	taintsSession bool                  // it may leave a setting in its engine's session
-	shape         *queryshape.Statement // nil: shapes are not read, or no engine runs it
-	description   *pgproto.Result       // nil: no engine has described it yet
+	parameterTypes []byte // count and OIDs, encoded as in Parse
+	empty          bool   // the text contains no statement
+	// controlWord is the first word, such as BEGIN or SET, of a statement that the gateway executes itself
+	// because it concerns the transaction or the session's settings. It is empty for all others.
+	controlWord   string
+	taintsSession bool                  // it may change a setting of its engine's session
+	shape         *queryshape.Statement // nil if shapes are off or no engine runs the statement
+	description   *pgproto.Result       // nil if no engine has described it yet
 }
 
 // runsAtEngine reports whether an engine runs the statement.
-func (s *statement) runsAtEngine() bool { return !s.empty && s.control == "" }
+func (s *statement) runsAtEngine() bool { return !s.empty && s.controlWord == "" }
 
-// parameterOIDs are the types of the statement's parameters: those that an engine described, else
-// those that the client gave.
+// parameterOIDs returns the encoded type OIDs of the parameters: as described by an engine, else as
+// given by the client. It returns nil if neither is known.
 func (s *statement) parameterOIDs() []byte {
 	const countSize = 2
 	if s.description != nil && len(s.description.ParameterDescription) > countSize {
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// parameterCount is the number of parameters that an engine described; ok: one has.
+// parameterCount returns the number of parameters according to the engine's description. ok is false
+// if there is no description yet.
 func (s *statement) parameterCount() (n int, ok bool) {
 	if s.description == nil || len(s.description.ParameterDescription) < 2 {
 		return 0, false
@@ -47,17 +48,18 @@
 	return r.Count(), true
 }
 
-// statementContext is where a statement stands.
+// statementContext describes where a statement occurs.
 type statementContext struct {
-	runsOnce      bool // it comes in a Query
-	inTransaction bool // a transaction is open when it runs
+	runsOnce      bool // the statement is part of a Query
+	inTransaction bool // a transaction is open when the statement runs
 }
 
-// prepare checks and classifies a statement.
+// prepare checks and classifies a statement. It returns an error if the statement is not supported or
+// has no valid class.
 func (f *Frontend) prepare(query string, parameterTypes []byte, context statementContext) (*statement, *pgproto.Error) {
 	shape := f.readShape(query, context)
-	words := firstWordsOf(query, shape)
-	if e := words.unsupported(query, context); e != nil {
+	words := readLeadingWords(query, shape)
+	if e := words.unsupportedError(query, context); e != nil {
 		return nil, e
 	}
 	s := &statement{
@@ -67,7 +69,7 @@
 		taintsSession:  sqltext.ContainsName(query, "set_config"),
 	}
 	if words.isControl(context) {
-		s.control = words.first
+		s.controlWord = words.first
 	}
 	if s.runsAtEngine() {
 		var e *pgproto.Error
@@ -79,7 +81,7 @@
 	return s, nil
 }
 
-// readShape reads a statement's shape; nil: shapes are off.
+// readShape returns the query shape of a statement, or nil if shapes are off.
 func (f *Frontend) readShape(query string, context statementContext) *queryshape.Statement {
 	shapes := f.opts.Shapes
 	switch {
@@ -115,7 +117,8 @@
 	return nil
 }
 
-// readTarget reads a Describe or a Close: whether it names a statement or a portal, and which.
+// readTarget reads the body of a Describe or a Close: the kind of its target (statement or portal)
+// and the target's name. message is the message type for the error text.
 func readTarget(body []byte, message string) (kind byte, name string, e *pgproto.Error) {
 	r := pgproto.Reader{Rest: body}
 	kind = r.Byte()
@@ -132,7 +135,7 @@
 		return e
 	}
 	if kind == pgproto.TargetPortal {
-		return c.describePortalLater(name)
+		return c.deferPortalDescription(name)
 	}
 	s := c.statements[name]
 	if s == nil {
@@ -143,7 +146,7 @@
 }
 
 func (c *connection) sendStatementDescription(s *statement) {
-	if s.description == nil { // it is empty, or the gateway carries it out
+	if s.description == nil { // the statement is empty, or the gateway executes it itself
 		c.out.parameterDescription(s.parameterTypes)
 		c.out.rowDescription(nil)
 		return
@@ -152,7 +155,8 @@
 	c.out.rowDescription(s.description.RowDescription)
 }
 
-// describeStatement has an engine describe a statement, unless one has, and calls done.
+// describeStatement calls done once the statement's description is available. It asks an engine unless
+// the description is known or not needed.
 func (c *connection) describeStatement(s *statement, done func()) {
 	if s.description != nil || !s.runsAtEngine() {
 		done()
--- a/internal/frontend/postgres/session_settings.go
+++ b/internal/frontend/postgres/session_settings.go
@@ -11,18 +11,18 @@
 	"gannetspur/policy"
 )
 
-// statementTimeoutSetting is the one setting that the gateway itself carries out.
+// statementTimeoutSetting is the only setting that the gateway implements itself.
 const statementTimeoutSetting = "statement_timeout"
 
-// session is what a client has set. Its settings follow it to whatever engine its statements run on.
+// session holds the settings of a client. They apply at every engine that runs its statements.
 type session struct {
-	statementTimeout time.Duration // 0: the class's
-	// settings are in the order of their names. The slice is never changed in place: statements in
-	// flight keep the one that they were sent with.
+	statementTimeout time.Duration // 0 means the timeout of the statement's class
+	// settings are sorted by name. The slice is never modified in place, because statements in flight
+	// still refer to the slice that they were sent with.
 	settings []pgproto.Setting
 }
 
-// timeoutOf returns how long a statement of a class may take.
+// timeoutOf returns the timeout of a statement of the class.
 func (s *session) timeoutOf(class policy.Class) time.Duration {
 	if s.statementTimeout > 0 {
 		return s.statementTimeout
@@ -30,22 +30,25 @@
 	return class.Timeout
 }
 
+// set adds a setting or replaces the one of the same name.
 func (s *session) set(setting pgproto.Setting) {
 	s.reset(setting.Name)
 	s.settings = append(slices.Clone(s.settings), setting)
 	slices.SortFunc(s.settings, func(a, b pgproto.Setting) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// reset gives a setting the value that the engines have.
+// reset removes a setting, so that the engine's own value applies.
 func (s *session) reset(name string) {
 	s.settings = slices.DeleteFunc(slices.Clone(s.settings), func(set pgproto.Setting) bool { return set.Name == name })
 }
 
+// resetAll removes all settings, including the statement timeout.
 func (s *session) resetAll() {
 	s.settings = nil
 	s.statementTimeout = 0
 }
 
+// setStatementTimeout sets the statement timeout from the text of a setting's value.
 func (s *session) setStatementTimeout(text string) *pgproto.Error {
 	timeout, ok := parseTimeout(text)
 	if !ok {
@@ -55,6 +58,7 @@
 	return nil
 }
 
+// timeoutUnits are the units of times in PostgreSQL; a number without a unit is in milliseconds.
 var timeoutUnits = map[string]time.Duration{
 	"":    time.Millisecond,
 	"us":  time.Microsecond,
@@ -65,9 +69,11 @@
 	"d":   24 * time.Hour,
 }
 
+// trimTimeout removes surrounding spaces and quotes.
 func trimTimeout(text string) string { return strings.Trim(strings.TrimSpace(text), "'") }
 
-// parseTimeout reads a time as PostgreSQL writes it: milliseconds, or a number with a unit.
+// parseTimeout parses a time in PostgreSQL's syntax: a number of milliseconds, or a number with a unit.
+// "default" gives 0.
 func parseTimeout(text string) (timeout time.Duration, ok bool) {
 	text = trimTimeout(text)
 	if strings.EqualFold(text, "default") {
@@ -75,7 +81,7 @@
 	}
 	digits := strings.TrimRight(text, "abcdefghijklmnopqrstuvwxyz ")
 	unit, known := timeoutUnits[strings.TrimSpace(text[len(digits):])]
-	const bitSize = 31 // as PostgreSQL's
+	const bitSize = 31 // PostgreSQL stores the value as a signed 32-bit integer
 	n, err := strconv.ParseUint(digits, 10, bitSize)
 	if !known || err != nil {
 		return 0, false
@@ -83,11 +89,12 @@
 	return time.Duration(n) * unit, true
 }
 
-// readSetStatementTimeout reads SET [SESSION] statement_timeout { = | TO } value.
+// readSetStatementTimeout parses SET [SESSION] statement_timeout { = | TO } value. ok is false for any
+// other statement.
 func readSetStatementTimeout(query string) (value string, ok bool) {
 	const keyword = "SET"
 	text := sqltext.SkipComments(query)
-	if len(text) < len(keyword) || !strings.EqualFold(text[:len(keyword)], keyword) { // nearly all
+	if len(text) < len(keyword) || !strings.EqualFold(text[:len(keyword)], keyword) { // most statements return here
 		return "", false
 	}
 	text = strings.TrimRight(text, "; \t\r\n")
@@ -113,23 +120,24 @@
 	return nil
 }
 
-// sessionControl are the statements that change a session's settings.
-var sessionControl = map[string]bool{"SET": true, "RESET": true, "DISCARD": true}
+// sessionControlWords are the first words of statements that change a session's settings.
+var sessionControlWords = map[string]bool{"SET": true, "RESET": true, "DISCARD": true}
 
-// sharedSettings belong to an engine's session itself, which clients share.
+// sharedSettings are settings of an engine's session, which clients share. A SET of one of them is
+// rejected.
 var sharedSettings = map[string]bool{
 	"role": true, "session_authorization": true, "client_encoding": true,
 	"transaction_isolation": true, "transaction_read_only": true, "transaction_deferrable": true,
 }
 
-// otherSetForms are words behind SET that begin another form of it than that of a setting.
+// otherSetForms are words that, after SET, begin a form that does not assign a setting.
 var otherSetForms = map[string]bool{
 	"local": true, "characteristics": true, "authorization": true, "constraints": true, "transaction": true,
 	"role": true, "xml": true, "names": true,
 }
 
-// parseSet reads which setting a SET changes, and to what; name is "" where it is none that can
-// follow a client.
+// parseSet returns the name and the value of the setting that a SET assigns. The name is empty if the
+// statement does not assign a setting that the gateway can keep per client.
 func parseSet(query string) (name, value string) {
 	l := sqltext.Lexer{Src: query}
 	l.Next() // SET
@@ -149,7 +157,7 @@
 	}
 	parts := []string{name}
 	t = l.Next()
-	for t.Kind == sqltext.Dot { // the setting of an extension
+	for t.Kind == sqltext.Dot { // a setting with a prefix, such as that of an extension
 		part := lowerIdentifier(&l, l.Next())
 		if part == "" {
 			return "", ""
@@ -165,7 +173,7 @@
 	return name, trimmedFrom(query, t.End)
 }
 
-// lowerIdentifier is the text of an identifier in lower case; "": the token is none.
+// lowerIdentifier returns the text of an identifier in lower case, or "" for any other token.
 func lowerIdentifier(l *sqltext.Lexer, t sqltext.Token) string {
 	if t.Kind != sqltext.Ident {
 		return ""
@@ -173,21 +181,23 @@
 	return strings.ToLower(l.Text(t))
 }
 
+// trimmedFrom returns the rest of a query without trailing semicolons and spaces.
 func trimmedFrom(query string, from int) string { return strings.TrimRight(query[from:], "; \t\r\n") }
 
-// controlSession carries out SET, RESET and DISCARD outside of a transaction; done is given the tag.
-func (c *connection) controlSession(s *statement, done func(tag string)) *pgproto.Error {
-	words := upperWords(s.query)
-	switch s.control {
+// executeSessionControl executes SET, RESET and DISCARD outside of a transaction. done receives the command
+// tag on success.
+func (c *connection) executeSessionControl(s *statement, done func(tag string)) *pgproto.Error {
+	words := upperCaseWords(s.query)
+	switch s.controlWord {
 	case "DISCARD":
-		return c.discard(words, done)
+		return c.executeDiscard(words, done)
 	case "RESET":
-		return c.reset(words, done)
+		return c.executeReset(words, done)
 	}
-	return c.set(s, words, done)
+	return c.executeSet(s, words, done)
 }
 
-func (c *connection) discard(words []string, done func(tag string)) *pgproto.Error {
+func (c *connection) executeDiscard(words []string, done func(tag string)) *pgproto.Error {
 	if len(words) != 2 {
 		return newError(codeSyntaxError, "syntax error at or near DISCARD")
 	}
@@ -200,7 +210,7 @@
 	return nil
 }
 
-func (c *connection) reset(words []string, done func(tag string)) *pgproto.Error {
+func (c *connection) executeReset(words []string, done func(tag string)) *pgproto.Error {
 	if len(words) != 2 {
 		return newError(codeFeatureNotSupported, "%s is not supported", strings.Join(words, " "))
 	}
@@ -216,7 +226,7 @@
 	return nil
 }
 
-func (c *connection) set(s *statement, words []string, done func(tag string)) *pgproto.Error {
+func (c *connection) executeSet(s *statement, words []string, done func(tag string)) *pgproto.Error {
 	name, value := parseSet(s.query)
 	switch {
 	case len(words) > 1 && words[1] == "LOCAL":
@@ -236,8 +246,8 @@
 	return nil
 }
 
-// setAtEngine has an engine carry out a SET, and keeps it for the statements that follow where that
-// succeeds.
+// setAtEngine runs a SET at an engine, which validates it. On success the setting is kept for all
+// further statements of the session.
 func (c *connection) setAtEngine(setting pgproto.Setting, done func(tag string)) *pgproto.Error {
 	if len(setting.Text) > maxSettingSize || len(c.session.settings) >= maxSettings {
 		return newError(codeProgramLimitExceeded, "more than %d settings, or one of more than %d bytes", maxSettings, maxSettingSize)
--- a/internal/frontend/postgres/simple_query.go
+++ b/internal/frontend/postgres/simple_query.go
@@ -8,8 +8,8 @@
 	"gannetspur/internal/sqltext"
 )
 
-// noParameterTypes and noValues are what a Query has of a Parse and a Bind: counts of zero. Nobody
-// writes to them.
+// noParameterTypes and noValues stand for the parts of a Parse and a Bind that a Query lacks: they
+// contain only counts of zero. They must not be modified.
 var (
 	noParameterTypes = make([]byte, 2)
 	noValues         = make([]byte, 6)
@@ -20,6 +20,7 @@
 	return &pgproto.Statement{Query: query, ParameterTypes: noParameterTypes, Bind: noValues}
 }
 
+// handleQuery handles a Query, which contains any number of statements.
 func (c *connection) handleQuery(body []byte) *pgproto.Error {
 	c.inSimpleQuery = true
 	r := pgproto.Reader{Rest: body}
@@ -43,8 +44,8 @@
 		c.out.emptyQueryResponse()
 		c.endSimpleQuery()
 		return nil
-	case s.control != "":
-		return c.control(s, func(tag string) {
+	case s.controlWord != "":
+		return c.executeControl(s, func(tag string) {
 			c.out.commandComplete(tag)
 			c.endSimpleQuery()
 		})
@@ -52,7 +53,7 @@
 	return c.runSimpleStatement(s)
 }
 
-// runSimpleStatement has an engine run the one statement of a Query.
+// runSimpleStatement runs the only statement of a Query at an engine.
 func (c *connection) runSimpleStatement(s *statement) *pgproto.Error {
 	if _, e := s.readKey(nil); e != nil && c.transaction == nil {
 		return e
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// runStatements answers a Query of several statements, one after the other up to the first error.
-// They are one transaction, unless the message itself begins and ends transactions around them.
+// runStatements runs the statements of a Query one after the other up to the first error. They form
+// one implicit transaction unless one is open or the Query itself contains transaction control.
 func (c *connection) runStatements(queries []string) *pgproto.Error {
 	implicit := c.transaction == nil && !slices.ContainsFunc(queries, controlsTransaction)
 	statements, e := c.prepareAll(queries, c.transaction != nil || implicit)
@@ -86,13 +87,14 @@
 	return nil
 }
 
+// controlsTransaction reports whether a statement begins, ends or divides a transaction.
 func controlsTransaction(query string) bool {
 	word, _ := sqltext.FirstWord(query)
-	return transactionControl[word]
+	return transactionControlWords[word]
 }
 
-// prepareAll prepares the statements of a Query. inTransaction is set where the first of them runs
-// in a transaction; each must.
+// prepareAll prepares the statements of a Query. inTransaction says whether the first one runs in a
+// transaction. It returns an error if any statement would run outside of a transaction.
 func (c *connection) prepareAll(queries []string, inTransaction bool) ([]*statement, *pgproto.Error) {
 	context := statementContext{runsOnce: true, inTransaction: inTransaction}
 	statements := make([]*statement, len(queries))
@@ -114,7 +116,7 @@
 	return statements, nil
 }
 
-// runNext runs the first of the statements that remain, and from its answer the next one.
+// runNext runs the first of the remaining statements and, when it is answered, continues with the next.
 func (c *connection) runNext(remaining []*statement) {
 	if c.ended {
 		return
@@ -124,14 +126,14 @@
 		return
 	}
 	s := remaining[0]
-	if s.control == "" {
+	if s.controlWord == "" {
 		c.executeInTransaction(newSimpleStatement(s.query), func(res *pgproto.Result) {
 			c.sendResult(s, res)
 			c.runNext(remaining[1:])
 		})
 		return
 	}
-	e := c.control(s, func(tag string) {
+	e := c.executeControl(s, func(tag string) {
 		c.out.commandComplete(tag)
 		c.runNext(remaining[1:])
 	})
@@ -140,14 +142,14 @@
 	}
 }
 
-// endStatements commits the transaction that was begun for a Query, if one was, and ends the answer.
+// endStatements ends the answer to a Query. It first commits the implicit transaction, if any.
 func (c *connection) endStatements() {
 	if c.transaction == nil || !c.transaction.implicit {
 		c.endSimpleQuery()
 		return
 	}
-	commit := &statement{query: tagCommit, control: tagCommit}
-	if e := c.control(commit, func(string) { c.endSimpleQuery() }); e != nil {
+	commit := &statement{query: tagCommit, controlWord: tagCommit}
+	if e := c.executeControl(commit, func(string) { c.endSimpleQuery() }); e != nil {
 		c.fail(e)
 	}
 }
--- a/internal/frontend/postgres/startup.go
+++ b/internal/frontend/postgres/startup.go
@@ -9,16 +9,16 @@
 	"gannetspur/internal/pgproto"
 )
 
-// startupParameters is what the frontend takes from a startup packet.
+// startupParameters are the parameters of a startup packet that the frontend uses.
 type startupParameters struct {
 	user string
-	// unknownOptions are protocol options, of which the frontend knows none.
+	// unknownOptions are the names of all protocol options; the frontend supports none.
 	unknownOptions []string
 }
 
-// readStartup reads one of a connection's first messages. Like readMessage it consumes a message
-// before it acts on it, since an answer that is written at once stands for what was consumed. The
-// message's bytes stay where they are meanwhile.
+// readStartup reads and handles one message before the startup is complete. Like readMessage it
+// consumes a message before handling it, because an answer that is written immediately counts as the
+// answer to all bytes consumed so far. The message's bytes stay valid while it is handled.
 func (c *connection) readStartup(in *netio.Buffer) (more bool, err error) {
 	if c.login.exchange != nil {
 		return c.readLoginMessage(in)
@@ -35,7 +35,7 @@
 	in.Consume(n)
 	switch {
 	case code == pgproto.SSLRequest && mayStartTLS:
-		if in.Len() > 0 { // what came before the handshake may be another's than what comes in it (CVE-2021-23222)
+		if in.Len() > 0 { // unencrypted data may come from an attacker who injects it before the handshake (CVE-2021-23222)
 			return false, newError(codeProtocolViolation, "received unencrypted data after SSL request")
 		}
 		c.acceptTLS()
@@ -44,7 +44,7 @@
 		c.out.encryptionAnswer(pgproto.EncryptionDeclined)
 		return true, nil
 	case code == pgproto.CancelRequest:
-		c.frontend.cancel(body)
+		c.frontend.handleCancelRequest(body)
 		c.ended = true
 		c.socket.Close()
 		return true, nil
@@ -56,7 +56,7 @@
 
 func majorVersion(code uint32) uint32 { return code >> 16 }
 
-// start acts on a startup packet.
+// start handles a startup packet.
 func (c *connection) start(version uint32, body []byte) error {
 	parameters, err := c.readStartupParameters(body)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// readStartupParameters reads a startup packet. Parameters that set up the session take effect here.
+// readStartupParameters parses a startup packet. It applies the parameters that configure the session.
 func (c *connection) readStartupParameters(body []byte) (p startupParameters, err error) {
 	r := pgproto.Reader{Rest: body}
 	for {
@@ -107,22 +107,22 @@
 	return p, nil
 }
 
-// admit returns why a client is not admitted, or nil.
+// admit returns the error for a client that is not admitted, else nil.
 func (c *connection) admit(user string) *pgproto.Error {
 	opts := c.frontend.opts
 	switch {
 	case user == "":
-		return newError(codeInvalidAuthorization, "no user name in the startup packet")
+		return newError(codeInvalidAuthorizationSpecification, "no user name in the startup packet")
 	case opts.MaxClients > 0 && len(c.frontend.connections) > opts.MaxClients:
 		return newError(codeTooManyConnections, "too many clients already")
 	case opts.RequireTLS && !c.socket.UsesTLS():
-		return newError(codeInvalidAuthorization, "this gateway takes encrypted connections only")
+		return newError(codeInvalidAuthorizationSpecification, "this gateway accepts only encrypted connections")
 	}
 	return nil
 }
 
-// setServerOptions takes the server options of a startup packet, as in "-c statement_timeout=5s".
-// All others are ignored.
+// setServerOptions applies statement_timeout from the options parameter of a startup packet, such as
+// "-c statement_timeout=5s". All other options are ignored.
 func (c *connection) setServerOptions(text string) *pgproto.Error {
 	words := strings.Fields(text)
 	for i, word := range words {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// reportedParameters are told to each client that has started.
+// reportedParameters are sent to each client as ParameterStatus at the end of its startup.
 var reportedParameters = []struct{ name, value string }{
 	{"server_version", "16.0 (ringwood)"},
 	{"server_encoding", "UTF8"},
@@ -155,14 +155,14 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// completeStartup answers a startup packet, or the login behind it.
+// completeStartup completes the startup, after the login if there is one, and starts the session.
 func (c *connection) completeStartup() {
 	c.started = true
 	c.out.authenticationOK()
 	for _, p := range reportedParameters {
 		c.out.parameterStatus(p.name, p.value)
 	}
-	_, _ = rand.Read(c.secretKey[:]) // it never fails
+	_, _ = rand.Read(c.secretKey[:]) // crypto/rand.Read never returns an error
 	c.out.backendKeyData(c.processID, c.secretKey)
 	c.readyForQuery()
 }
--- a/internal/frontend/postgres/tls.go
+++ b/internal/frontend/postgres/tls.go
@@ -6,25 +6,27 @@
 	"gannetspur/internal/pgproto"
 )
 
-// tlsHandshakeRecord is the first byte of a connection that begins with TLS (RFC 8446, 5.1).
+// tlsHandshakeRecord is the first byte of a connection that starts with a TLS handshake (RFC 8446,
+// section 5.1).
 const tlsHandshakeRecord = 0x16
 
-// ALPN is the protocol's name in TLS. A client that begins with TLS must name it.
+// ALPN is the ALPN protocol name of PostgreSQL. Clients that start TLS without an SSLRequest must
+// offer it.
 const ALPN = "postgresql"
 
-// acceptTLS accepts an SSLRequest and starts TLS behind it.
+// acceptTLS accepts an SSLRequest and starts the TLS handshake.
 func (c *connection) acceptTLS() {
 	c.out.encryptionAnswer(pgproto.EncryptionAccepted)
 	c.flush()
 	c.startTLS(func(tls.ConnectionState) bool { return true })
 }
 
-// startDirectTLS starts TLS with a client that sent no SSLRequest before it.
+// startDirectTLS starts the TLS handshake of a client that sent no SSLRequest.
 func (c *connection) startDirectTLS() {
 	c.startTLS(func(s tls.ConnectionState) bool { return s.NegotiatedProtocol == ALPN })
 }
 
-// startTLS starts TLS. A handshake that is not acceptable ends the connection.
+// startTLS starts the TLS handshake. It closes the connection if acceptable rejects the outcome.
 func (c *connection) startTLS(acceptable func(tls.ConnectionState) bool) {
 	f := c.frontend
 	c.socket.StartServerTLS(f.opts.TLS, startupTimeout, func(s tls.ConnectionState, err error) {
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -9,21 +9,21 @@
 	"gannetspur/policy"
 )
 
-// transaction is a client's open transaction. It is one request to the core, of the class for
-// writes: the policy chooses an engine for its first statement, and those that follow go to the
-// same engine connection. What may have run of it is never retried.
+// transaction is a client's open transaction. It is one streaming request to the core, of the class
+// for writes: the policy chooses an engine for its first statement, and all others go to the same
+// engine connection. Statements that may have run are never retried.
 type transaction struct {
-	beginQuery string
-	request    *core.Request     // nil: no statement was sent yet, or the engine connection is lost
-	onAnswer   func(core.Answer) // to the statement that is in flight; nil: none is
-	failed     bool              // all but its end is rejected
+	beginQuery string            // the statement that began it
+	request    *core.Request     // nil if no statement was sent yet or the engine connection is lost
+	onAnswer   func(core.Answer) // receives the answer to the statement in flight; nil if there is none
+	failed     bool              // only its end or a rollback to a savepoint is accepted
 	committing bool              // its COMMIT is in flight
-	implicit   bool              // of one Query with several statements, and ended with it
-	idleTimer  *timerqueue.Timer
-	limitTimer *timerqueue.Timer
+	implicit   bool              // begun for a Query with several statements, and ended with it
+	idleTimer  *timerqueue.Timer // limits the time between two statements
+	limitTimer *timerqueue.Timer // limits the whole transaction
 }
 
-// detach separates a transaction from its request, whose answer is no longer waited for.
+// detach separates a transaction from its request, whose answer is then ignored.
 func (t *transaction) detach() {
 	t.request = nil
 	t.onAnswer = nil
@@ -34,7 +34,7 @@
 	t.limitTimer.Stop()
 }
 
-// transactionStatus is what ReadyForQuery reports.
+// transactionStatus returns the transaction status for ReadyForQuery.
 func (c *connection) transactionStatus() byte {
 	switch {
 	case c.transaction == nil:
@@ -45,7 +45,7 @@
 	return pgproto.TransactionOpen
 }
 
-// beginTransaction opens a transaction. An engine hears of it with its first statement.
+// beginTransaction opens a transaction. The BEGIN is sent to an engine with the first statement.
 func (c *connection) beginTransaction(query string) *pgproto.Error {
 	f := c.frontend
 	class, ok := f.core.Class(f.opts.WriteClass)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// startIdleTimer bounds the time up to the transaction's next statement: it holds locks that others
-// wait for.
+// startIdleTimer limits the time until the transaction's next statement, because the transaction
+// holds locks that others may wait for.
 func (c *connection) startIdleTimer() {
 	f := c.frontend
 	tx := c.transaction
@@ -76,8 +76,8 @@
 	})
 }
 
-// expireTransaction ends a transaction and its connection, as PostgreSQL does. One that is
-// committing is left alone: its answer is on its way, or its loss is reported.
+// expireTransaction ends a transaction and its connection with the error, as PostgreSQL does. It leaves
+// a committing transaction alone, which will receive an answer or a report that the engine was lost.
 func (c *connection) expireTransaction(e *pgproto.Error) {
 	if c.ended || c.transaction == nil {
 		return
@@ -90,7 +90,8 @@
 	c.fatal(e)
 }
 
-// abandonTransaction closes the engine connection of a transaction, which rolls back.
+// abandonTransaction closes the engine connection of the open transaction, which rolls it back. It does
+// nothing if no transaction is open.
 func (c *connection) abandonTransaction() {
 	tx := c.transaction
 	if tx == nil {
@@ -108,7 +109,7 @@
 	c.frontend.core.ClientDisconnected(r)
 }
 
-// closeTransaction ends the client's transaction.
+// closeTransaction ends the transaction on the client's side and closes its portals.
 func (c *connection) closeTransaction() {
 	c.transaction.stopTimers()
 	c.frontend.counters.Inc("pgwire.transactions")
@@ -116,7 +117,8 @@
 	c.dropPortals()
 }
 
-// executeInTransaction has a statement run within the open transaction, unless that has failed.
+// executeInTransaction runs a statement in the open transaction, or rejects it if the transaction has
+// failed.
 func (c *connection) executeInTransaction(message *pgproto.Statement, onResult func(*pgproto.Result)) {
 	if c.transaction.failed {
 		c.fail(errInFailedTransaction())
@@ -125,7 +127,7 @@
 	c.runInTransaction(message, onResult)
 }
 
-// runInTransaction has a statement run within the open transaction, whether that has failed or not.
+// runInTransaction runs a statement in the open transaction, even if the transaction has failed.
 func (c *connection) runInTransaction(message *pgproto.Statement, onResult func(*pgproto.Result)) {
 	tx := c.transaction
 	c.sendInTransaction(message, func(a core.Answer) {
@@ -140,8 +142,8 @@
 	})
 }
 
-// sendInTransaction puts a statement of the transaction to the core: the first one as a streaming
-// request, the others to the engine of that request.
+// sendInTransaction submits a statement of the transaction to the core: the first one as a streaming
+// request, all others as continuations of that request.
 func (c *connection) sendInTransaction(message *pgproto.Statement, onAnswer func(core.Answer)) {
 	f := c.frontend
 	class, _ := f.core.Class(f.opts.WriteClass)
@@ -155,7 +157,7 @@
 	c.continueStreaming(message, timeout)
 }
 
-// startStreaming accepts the request that a transaction is.
+// startStreaming submits the transaction's streaming request with its first statement.
 func (c *connection) startStreaming(class policy.Class, message *pgproto.Statement, timeout time.Duration) {
 	tx := c.transaction
 	message.BeginQuery = tx.beginQuery
@@ -174,20 +176,20 @@
 	c.frontend.core.Accept(r)
 }
 
-// continueStreaming gives the transaction's engine its next statement.
+// continueStreaming sends the next statement to the transaction's engine.
 func (c *connection) continueStreaming(message *pgproto.Statement, timeout time.Duration) {
 	tx := c.transaction
 	c.inFlight.request = tx.request
 	if c.frontend.core.Continue(tx.request, message, timeout) {
 		return
 	}
-	// The engine connection is lost: the request's end is on its way to Answer, or was reported.
+	// The engine connection is lost. The final answer was passed to Answer, or will be.
 	c.inFlight.request = nil
 	tx.request = nil
 	tx.onAnswer(core.Answer{Verdict: core.Failed})
 }
 
-// PartialAnswer takes the answer to a statement of an open transaction.
+// PartialAnswer handles the answer to a statement of an open transaction.
 func (c *connection) PartialAnswer(r *core.Request, a core.Answer) {
 	tx := c.transaction
 	if tx == nil || tx.request != r || tx.onAnswer == nil {
@@ -199,7 +201,7 @@
 	c.answerInTransaction(a)
 }
 
-// endStreaming takes the final answer to the request that the transaction is.
+// endStreaming handles the final answer to the transaction's streaming request.
 func (c *connection) endStreaming(a core.Answer) {
 	tx := c.transaction
 	tx.request = nil
@@ -207,7 +209,7 @@
 		c.answerInTransaction(a)
 		return
 	}
-	// The engine connection was lost between two statements, or this process ends.
+	// The engine connection was lost between two statements, or this process is stopping.
 	c.inFlight.request = nil
 	tx.failed = true
 	if c.frontend.draining {
@@ -215,7 +217,7 @@
 	}
 }
 
-// answerInTransaction gives the answer to the statement in flight to whoever waits for it.
+// answerInTransaction passes an answer to the callback of the statement in flight.
 func (c *connection) answerInTransaction(a core.Answer) {
 	onAnswer := c.transaction.onAnswer
 	c.transaction.onAnswer = nil
--- a/internal/frontend/postgres/transaction_control.go
+++ b/internal/frontend/postgres/transaction_control.go
@@ -9,23 +9,26 @@
 	"gannetspur/internal/sqltext"
 )
 
-// transactionControl are the statements that begin, end and divide transactions.
-var transactionControl = map[string]bool{
+// transactionControlWords are the first words of statements that begin, end or divide transactions.
+var transactionControlWords = map[string]bool{
 	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true, "RELEASE": true,
 }
 
-// Tags of statements that end transactions.
+// Command tags of statements that end transactions.
 const (
 	tagCommit   = "COMMIT"
 	tagRollback = "ROLLBACK"
 )
 
 // beginsTransaction reports whether the statement begins a transaction.
-func (s *statement) beginsTransaction() bool { return s.control == "BEGIN" || s.control == "START" }
+func (s *statement) beginsTransaction() bool {
+	return s.controlWord == "BEGIN" || s.controlWord == "START"
+}
 
-// endsTransaction reports whether the statement ends its transaction.
+// endsTransaction reports whether the statement ends its transaction. A ROLLBACK to a savepoint does
+// not.
 func (s *statement) endsTransaction() bool {
-	switch s.control {
+	switch s.controlWord {
 	case "COMMIT", "END", "ABORT":
 		return true
 	case "ROLLBACK":
@@ -34,48 +37,52 @@
 	return false
 }
 
-// endTag is the tag of a statement that ends its transaction as it says.
+// endTag returns the command tag of a successful statement that ends a transaction.
 func (s *statement) endTag() string {
-	if s.control == "COMMIT" || s.control == "END" {
+	if s.controlWord == "COMMIT" || s.controlWord == "END" {
 		return tagCommit
 	}
 	return tagRollback
 }
 
-// rollsBackToSavepoint reports whether a ROLLBACK goes back to a savepoint only.
-func (s *statement) rollsBackToSavepoint() bool { return slices.Contains(upperWords(s.query), "TO") }
+// rollsBackToSavepoint reports whether a ROLLBACK only goes back to a savepoint.
+func (s *statement) rollsBackToSavepoint() bool {
+	return slices.Contains(upperCaseWords(s.query), "TO")
+}
 
-// upperWords are the words of a statement in upper case, behind the comments that it begins with.
-func upperWords(query string) []string {
+// upperCaseWords returns the words of a statement in upper case, without leading comments and trailing
+// semicolons.
+func upperCaseWords(query string) []string {
 	text := strings.TrimRight(sqltext.SkipComments(query), "; \t\r\n")
 	return strings.Fields(strings.ToUpper(text))
 }
 
-// control carries out a statement that is about the transaction or the session's settings; done is
-// given its tag. What only an engine can do goes to the transaction's engine.
-func (c *connection) control(s *statement, done func(tag string)) *pgproto.Error {
-	if sessionControl[s.control] {
-		if c.transaction != nil { // it was prepared outside of one
-			return newError(codeFeatureNotSupported, "%s is not supported in a transaction; SET LOCAL is", s.control)
+// executeControl executes a statement that concerns the transaction or the session's settings. done receives
+// its command tag on success. What requires an engine is sent to the transaction's engine.
+func (c *connection) executeControl(s *statement, done func(tag string)) *pgproto.Error {
+	if sessionControlWords[s.controlWord] {
+		if c.transaction != nil { // the statement was prepared outside of a transaction
+			return newError(codeFeatureNotSupported, "%s is not supported in a transaction; SET LOCAL is", s.controlWord)
 		}
-		return c.controlSession(s, done)
+		return c.executeSessionControl(s, done)
 	}
-	if e := unsupportedControl(s); e != nil {
+	if e := unsupportedControlError(s); e != nil {
 		return e
 	}
 	switch {
 	case s.beginsTransaction():
-		return c.begin(s, done)
+		return c.executeBegin(s, done)
 	case s.endsTransaction():
-		c.end(s, done)
+		c.executeEnd(s, done)
 		return nil
 	}
 	return c.runSavepoint(s, done)
 }
 
-// unsupportedControl rejects chained and prepared transactions.
-func unsupportedControl(s *statement) *pgproto.Error {
-	words := upperWords(s.query)
+// unsupportedControlError returns an error for chained and prepared transactions, which are not supported,
+// else nil.
+func unsupportedControlError(s *statement) *pgproto.Error {
+	words := upperCaseWords(s.query)
 	text := strings.Join(words, " ")
 	chains := words[len(words)-1] == "CHAIN" && !strings.Contains(text, "NO CHAIN")
 	isPrepared := len(words) > 1 && words[1] == "PREPARED"
@@ -85,13 +92,14 @@
 	return nil
 }
 
-func (c *connection) begin(s *statement, done func(tag string)) *pgproto.Error {
+// executeBegin executes BEGIN or START TRANSACTION.
+func (c *connection) executeBegin(s *statement, done func(tag string)) *pgproto.Error {
 	if c.transaction != nil {
 		c.out.warning(codeActiveTransaction, "there is already a transaction in progress")
 	} else if e := c.beginTransaction(s.query); e != nil {
 		return e
 	}
-	if s.control == "START" {
+	if s.controlWord == "START" {
 		done("START TRANSACTION")
 		return nil
 	}
@@ -99,16 +107,16 @@
 	return nil
 }
 
-// end carries out a COMMIT or a ROLLBACK.
-func (c *connection) end(s *statement, done func(tag string)) {
+// executeEnd executes a statement that ends the transaction.
+func (c *connection) executeEnd(s *statement, done func(tag string)) {
 	tx := c.transaction
 	switch {
 	case tx == nil:
 		c.out.warning(codeNoActiveTransaction, "there is no transaction in progress")
 		done(s.endTag())
 	case tx.request != nil:
-		c.endAtEngine(s, done)
-	default: // no engine has any of it, or has it any more
+		c.endTransactionAtEngine(s, done)
+	default: // no engine has received a statement, or its connection is lost
 		c.closeTransaction()
 		if tx.failed {
 			done(tagRollback)
@@ -118,12 +126,12 @@
 	}
 }
 
-// endAtEngine has the transaction's engine commit or roll back.
-func (c *connection) endAtEngine(s *statement, done func(tag string)) {
+// endTransactionAtEngine commits or rolls back at the transaction's engine.
+func (c *connection) endTransactionAtEngine(s *statement, done func(tag string)) {
 	tx := c.transaction
 	tx.committing = s.endTag() == tagCommit && !tx.failed
 	query := s.query
-	if tx.failed { // the engine may not know: what failed may never have reached it
+	if tx.failed { // the engine may be unaware, because the failed statement may never have reached it
 		query = tagRollback
 	}
 	message := newSimpleStatement(query)
@@ -136,23 +144,23 @@
 			return
 		}
 		switch engineError := pgproto.AsError(a.EngineError); {
-		case engineError != nil: // rolled back, as a deferred constraint wants, say
+		case engineError != nil: // the engine has rolled back, for example because of a deferred constraint
 			c.fail(engineError)
 		case wasCommitting:
-			c.fail(newError(codeCompletionUnknown, "the connection to the engine was lost while it committed; the transaction may have run"))
-		default: // closing the engine connection rolls back as well
+			c.fail(newError(codeStatementCompletionUnknown, "the connection to the engine was lost during COMMIT; the transaction may have been committed"))
+		default: // closing the engine connection also rolls back
 			done(tagRollback)
 		}
 	})
 }
 
-// runSavepoint passes a statement about a savepoint on to the transaction's engine.
+// runSavepoint sends a savepoint statement to the transaction's engine.
 func (c *connection) runSavepoint(s *statement, done func(tag string)) *pgproto.Error {
 	tx := c.transaction
 	if tx == nil {
-		return newError(codeNoActiveTransaction, "%s can only be used in transaction blocks", s.control)
+		return newError(codeNoActiveTransaction, "%s can only be used in transaction blocks", s.controlWord)
 	}
-	mayRecover := tx.request != nil && s.control == "ROLLBACK"
+	mayRecover := tx.request != nil && s.controlWord == "ROLLBACK"
 	if tx.failed && !mayRecover {
 		return errInFailedTransaction()
 	}
