--- a/internal/frontend/postgres/errors.go
+++ b/internal/frontend/postgres/errors.go
@@ -9,7 +9,7 @@
 	"gannetspur/internal/pgproto"
 )
 
-// SQLSTATE codes (PostgreSQL's manual, appendix A).
+// SQLSTATE codes (PostgreSQL manual, appendix A).
 const (
 	codeProtocolViolation                 = "08P01"
 	codeFeatureNotSupported               = "0A000"
--- a/internal/frontend/postgres/frontend.go
+++ b/internal/frontend/postgres/frontend.go
@@ -82,6 +82,7 @@
 // CloseListener stops accepting connections. Open connections are not affected.
 func (f *Frontend) CloseListener() { _ = f.listener.Close() }
 
+// accept returns the handler of a connection that was just accepted.
 func (f *Frontend) accept(socket *netio.Conn) netio.Handler {
 	f.counters.Inc("pgwire.connections")
 	f.lastProcessID++
--- a/internal/frontend/postgres/handover.go
+++ b/internal/frontend/postgres/handover.go
@@ -83,8 +83,8 @@
 // processIDGap separates the process IDs that two processes assign, so that they don't collide.
 const processIDGap = 1 << 16
 
-// SharedState returns the encoded state that all connections share: the number from which another
-// process assigns process IDs.
+// SharedState returns the encoded state that all connections share: the number after which the process
+// IDs of another process begin.
 func (f *Frontend) SharedState() []byte {
 	b, _ := cbor.Marshal(f.lastProcessID + processIDGap) // can't fail for this type
 	return b
@@ -177,6 +177,7 @@
 	}, nil
 }
 
+// decodeConnectionState decodes a connectionState and checks that each portal's statement exists.
 func decodeConnectionState(b []byte) (*connectionState, error) {
 	var state connectionState
 	if err := cbor.Unmarshal(b, &state); err != nil {
@@ -190,6 +191,7 @@
 	return &state, nil
 }
 
+// restore applies a decoded state to a new connection.
 func (c *connection) restore(state *connectionState) {
 	c.secretKey = state.SecretKey
 	c.user = state.User
--- a/internal/frontend/postgres/handover_test.go
+++ b/internal/frontend/postgres/handover_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestEncodeState checks that the state holds each statement once, also one that only a portal has.
+// TestEncodeState checks that the encoded state contains each statement once, including a closed one
+// that only a portal still refers to.
 func TestEncodeState(t *testing.T) {
 	named := &statement{query: "SELECT 1", parameterTypes: []byte{0, 0}}
 	closed := &statement{query: "SELECT 2", description: &pgproto.Result{ParameterDescription: []byte{0, 0}}}
@@ -31,10 +32,10 @@
 		t.Fatal(err)
 	}
 	if len(got.Statements) != 2 || len(got.Portals) != 2 {
-		t.Fatalf("%d statements and %d portals, want 2 and 2", len(got.Statements), len(got.Portals))
+		t.Fatalf("state has %d statements and %d portals, want 2 and 2", len(got.Statements), len(got.Portals))
 	}
 	if got.ProcessID != 7 || got.SecretKey != c.secretKey || !got.Started || !got.SkipToSync {
-		t.Fatalf("state = %+v, want process ID 7, the secret key, started and skipping", got)
+		t.Fatalf("state = %+v, want process ID 7, the connection's secret key, Started and SkipToSync", got)
 	}
 	want := map[string]statementState{
 		"p": {Query: "SELECT 2", Description: closed.description},
@@ -47,15 +48,16 @@
 	}
 }
 
-// FuzzRestoreConnection checks that no state of another version makes a frontend panic.
+// FuzzRestoreConnection checks that no encoded state, such as one of another version, makes
+// RestoreConnection panic, and that it returns either a handler function or an error.
 func FuzzRestoreConnection(f *testing.F) {
 	c := &connection{extendedQuery: extendedQuery{statements: map[string]*statement{"s": {query: "SELECT 1"}}}}
 	f.Add(c.EncodeState())
 	b, _ := cbor.Marshal(connectionState{Portals: []portalState{{Statement: 3}}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if accept, err := (&Frontend{}).RestoreConnection(b); (accept == nil) != (err != nil) {
-			t.Error("neither a handler nor an error")
+		if newHandler, err := (&Frontend{}).RestoreConnection(b); (newHandler == nil) != (err != nil) {
+			t.Errorf("RestoreConnection: got handler function %t and error %v, want exactly one of them", newHandler != nil, err)
 		}
 	})
 }
--- a/internal/frontend/postgres/portal.go
+++ b/internal/frontend/postgres/portal.go
@@ -149,6 +149,7 @@
 	}
 }
 
+// handleExecute runs a portal, or sends further rows if it has run before.
 func (c *connection) handleExecute(body []byte) *pgproto.Error {
 	describe := c.describePending
 	c.describePending = false
--- a/internal/frontend/postgres/portal_test.go
+++ b/internal/frontend/postgres/portal_test.go
@@ -7,8 +7,8 @@
 	"gannetspur/internal/pgproto"
 )
 
-// FuzzReadBind checks that whatever a client binds, its values lie within the message, and that the
-// formats of a description can be set from any Bind that was accepted.
+// FuzzReadBind checks that the values of any accepted Bind fit into the message, and that its result
+// formats can be applied to a row description.
 func FuzzReadBind(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 1, 0, 2, 0, 0, 0, 1, 'k', 255, 255, 255, 255, 0, 1, 0, 1})
 	f.Add([]byte{255, 255})
@@ -23,11 +23,11 @@
 			size += 4 + len(v)
 		}
 		if size > len(b) {
-			t.Fatalf("%d bytes of values in %d", size, len(b))
+			t.Fatalf("values take %d bytes, want at most the %d bytes of the message", size, len(b))
 		}
 		out, err := pgproto.WithResultFormats(fields, b)
 		if err != nil || len(out) != len(fields) || binary.BigEndian.Uint16(out[20:]) > 1 {
-			t.Fatalf("formats %v, %v", out, err)
+			t.Fatalf("description with result formats = %v, error %v, want %d bytes and format 0 or 1", out, err, len(fields))
 		}
 	})
 }
--- a/internal/frontend/postgres/replay_engine_test.go
+++ b/internal/frontend/postgres/replay_engine_test.go
@@ -10,20 +10,23 @@
 	"gannetspur/internal/pgproto"
 )
 
-// replayBackend is a backend whose engine answers by the text of a statement.
+// replayBackend is a backend with a scripted engine, whose answer depends only on the text of a
+// statement. It records all statements in a transcript.
 type replayBackend struct {
 	core       *core.Core
 	loop       *netio.Loop
 	transcript strings.Builder
-	hanging    chan bool
-	latest     *core.Attempt
+	hanging    chan bool     // receives a value for each statement that gets no answer
+	latest     *core.Attempt // attempt that was served last
 }
 
-// loseLatest breaks the connection of the attempt that was served last. Call on the loop.
+// loseLatest ends the attempt that was served last as if its engine connection were reset. It must be
+// called on the loop.
 func (b *replayBackend) loseLatest() {
 	b.core.EndAttempt(b.latest, core.OutcomeConnectionReset, core.Report{})
 }
 
+// Send records and serves the first statement of an attempt.
 func (b *replayBackend) Send(a *core.Attempt) {
 	b.loop.Post(func() {
 		switch {
@@ -37,6 +40,7 @@
 	})
 }
 
+// Continue records and serves a further statement of a transaction.
 func (b *replayBackend) Continue(a *core.Attempt) {
 	b.loop.Post(func() {
 		if !a.Ended() {
@@ -49,12 +53,13 @@
 func (b *replayBackend) SetPriority(*core.Attempt, int) {}
 func (b *replayBackend) UpdateEngine(core.Engine)       {}
 
+// Cancel records that an attempt is canceled.
 func (b *replayBackend) Cancel(a *core.Attempt) bool {
 	fmt.Fprintf(&b.transcript, "cancel %s\n", a.Request.ID)
 	return true
 }
 
-// record writes down a statement as it came to the engine.
+// record appends a statement to the transcript as the engine received it.
 func (b *replayBackend) record(a *core.Attempt, position string) {
 	r := a.Request
 	s := r.Statement.(*pgproto.Statement)
@@ -69,28 +74,31 @@
 	b.transcript.WriteString("\n")
 }
 
+// serve answers a statement. One whose text contains "hang" gets no answer, "lose" resets the engine
+// connection, and "fail" gives an error.
 func (b *replayBackend) serve(a *core.Attempt) {
 	b.latest = a
 	r := a.Request
 	s := r.Statement.(*pgproto.Statement)
-	goesOn := r.Streaming && !s.EndsTransaction
-	runs := func(what string) bool { return strings.Contains(s.Query, what) && !s.DescribeOnly }
+	staysOpen := r.Streaming && !s.EndsTransaction
+	runsQueryWith := func(word string) bool { return strings.Contains(s.Query, word) && !s.DescribeOnly }
 	switch {
-	case runs("hang"):
+	case runsQueryWith("hang"):
 		b.hanging <- true
-	case runs("lose"):
+	case runsQueryWith("lose"):
 		b.core.EndAttempt(a, core.OutcomeConnectionReset, core.Report{})
-	case strings.Contains(s.Query, "fail") && goesOn:
+	case strings.Contains(s.Query, "fail") && staysOpen:
 		b.core.RelayPart(a, core.Report{EngineError: replayError()})
 	case strings.Contains(s.Query, "fail"):
 		b.core.EndAttempt(a, core.OutcomeStatementRejected, core.Report{EngineError: replayError()})
-	case goesOn:
+	case staysOpen:
 		b.core.RelayPart(a, core.Report{Result: replayResult(s)})
 	default:
 		b.core.EndAttempt(a, core.OutcomeServed, core.Report{Result: replayResult(s)})
 	}
 }
 
+// replayError returns the error that the scripted engine answers.
 func replayError() error {
 	e, err := pgproto.ReadError([]byte("SERROR\x00C22012\x00Mdivision by zero\x00\x00"))
 	if err != nil {
@@ -99,10 +107,12 @@
 	return e
 }
 
+// replayResult returns the result of a statement. The number of rows is derived from a hash of the
+// text, so that it is the same in each run.
 func replayResult(s *pgproto.Statement) *pgproto.Result {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(s.Query))
-	sum := int(h.Sum32())
+	hash := int(h.Sum32())
 	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...)
 	parameters := strings.Count(s.Query, "$")
 	types := pgproto.Int32(parameters)[2:]
@@ -120,7 +130,7 @@
 		status := pgproto.AppendMessage(nil, pgproto.MessageParameterStatus, pgproto.CString(s.ChangedSetting), pgproto.CString("value"))
 		return &pgproto.Result{Tag: "SET", ParameterStatus: status}
 	case selects:
-		res := &pgproto.Result{RowDescription: fields, RowCount: sum % 5}
+		res := &pgproto.Result{RowDescription: fields, RowCount: hash % 5}
 		for n := range res.RowCount {
 			res.Rows = pgproto.AppendMessage(res.Rows, pgproto.MessageDataRow, []byte{0, 1}, pgproto.Int32(9), fmt.Appendf(nil, "row %5d", n))
 		}
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -28,9 +28,9 @@
 	replayTimeout = 20 * time.Second
 )
 
-// TestReplay sends seeded streams of messages to a frontend whose engine is scripted, and compares
-// digests of all that came back to the client and all that went to the engine with those that
-// version c18a9bd gave.
+// TestReplay guards against unintended changes of what clients and engines receive. It sends seeded
+// streams of messages to a frontend with a scripted engine, and compares digests of everything that the
+// client and the engine received with those of version c18a9bd.
 func TestReplay(t *testing.T) {
 	stored, err := os.ReadFile("testdata/replay.txt")
 	if err != nil {
@@ -43,16 +43,17 @@
 		got = append(got, fmt.Sprintf("%d client %x engine %x", seed, sha256.Sum256(client), sha256.Sum256([]byte(engine))))
 	}
 	if len(want) != len(got) {
-		t.Fatalf("%d digests stored, want %d", len(want), len(got))
+		t.Fatalf("testdata/replay.txt has %d digests, want %d", len(want), len(got))
 	}
 	for seed := range got {
 		if got[seed] != want[seed] {
-			t.Errorf("digests of a seed:\n got %s\nwant %s", got[seed], want[seed])
+			t.Errorf("digests of seed %d:\n got %s\nwant %s", seed, got[seed], want[seed])
 		}
 	}
 }
 
-// replay runs one stream. It returns what the client read, and a transcript of the engine.
+// replay runs the stream of one seed. It returns the bytes that the client read, and the engine's
+// transcript followed by sums of the counters.
 func replay(t *testing.T, seed uint64) (client []byte, engine string) {
 	t.Helper()
 	counters := metrics.New()
@@ -61,10 +62,11 @@
 	r.run()
 	r.stop()
 	sums := fmt.Sprintf("errors %d all %d\n", counters.Sum("pgwire.errors."), counters.Sum("pgwire."))
-	return r.read, r.backend.transcript.String() + sums
+	return r.received, r.backend.transcript.String() + sums
 }
 
-// startScripted starts a frontend whose engine is scripted.
+// startScripted starts a frontend with a scripted engine, and returns a client that has not connected
+// yet.
 func startScripted(t *testing.T, opts Options, counters *metrics.Counters) *replayClient {
 	t.Helper()
 	c, loop := newTestCore(t, counters)
@@ -85,9 +87,11 @@
 		loop.Post(loop.Stop)
 		<-done
 	}
-	return &replayClient{t: t, loop: loop, front: f, backend: backend, stop: stop}
+	return &replayClient{t: t, loop: loop, frontend: f, backend: backend, stop: stop}
 }
 
+// replayOptions returns options that vary with the seed: without a class for writes, with little memory
+// for portals, or without rules.
 func replayOptions(seed uint64) Options {
 	o := Options{
 		DefaultClass: "lookup", WriteClass: "write",
@@ -97,27 +101,28 @@
 	case 1:
 		o.WriteClass = ""
 	case 2:
-		o.MaxHeldBytes = 20 // bytes: some portals keep too much
+		o.MaxHeldBytes = 20 // so low that some portals exceed it
 	case 3:
 		o.Rules = nil
 	}
 	return o
 }
 
-// replayClient sends batches of messages and reads all that comes back.
+// replayClient sends batches of messages and records everything that it receives.
 type replayClient struct {
-	t       *testing.T
-	loop    *netio.Loop
-	front   *Frontend
-	backend *replayBackend
-	stop    func() // ends the loop
-	random  *rand.Rand
-	conn    net.Conn
-	cancel  []byte // body of a CancelRequest
-	read    []byte
-	lost    bool // the one connection to an engine that is lost
+	t          *testing.T
+	loop       *netio.Loop
+	frontend   *Frontend
+	backend    *replayBackend
+	stop       func() // stops the loop and waits for its end
+	random     *rand.Rand
+	conn       net.Conn
+	cancelBody []byte // body of the CancelRequest for the current connection
+	received   []byte // everything received, except secret keys
+	loseSent   bool   // the statement that loses its engine connection was sent; each stream has one at most
 }
 
+// replayQueries are the queries that a stream chooses from.
 var replayQueries = []string{
 	"", " ; ", "select 1 from t", "select a from b where c = $1", "select a, b from t /* both */", "select quiet()", "select loud()",
 	"insert into t values ($1)", "insert into t values ($1, $2)", "/* class=report */ select 2 from u", "/* class=nosuch */ select 1",
@@ -137,12 +142,15 @@
 	"select 7; set a = 1", "/* unclosed", "select 'unclosed",
 }
 
+// query returns a random element of replayQueries.
 func (r *replayClient) query() string { return replayQueries[r.random.IntN(len(replayQueries))] }
 
+// pick returns a random name.
 func (r *replayClient) pick(names ...string) string { return names[r.random.IntN(len(names))] }
 
+// run sends the client's whole stream, on several connections.
 func (r *replayClient) run() {
-	for range 4 { // connections: a fatal error ends one
+	for range 4 { // connections, because a fatal error ends the current one
 		if !r.connect() {
 			r.disconnect()
 			continue
@@ -152,14 +160,14 @@
 			if _, err := r.conn.Write(batch); err != nil {
 				break
 			}
-			over := make(chan bool)
-			var cancelling sync.WaitGroup
+			answered := make(chan bool)
+			var canceling sync.WaitGroup
 			if hangs {
-				cancelling.Go(func() { r.cancelOnceHanging(over) })
+				canceling.Go(func() { r.cancelOnceHanging(answered) })
 			}
 			ready := r.readReady()
-			close(over)
-			cancelling.Wait()
+			close(answered)
+			canceling.Wait()
 			if !ready {
 				break
 			}
@@ -170,26 +178,28 @@
 	}
 }
 
+// dial opens a connection to the frontend.
 func (r *replayClient) dial() {
 	var err error
-	if r.conn, err = net.Dial("tcp", r.front.Addr()); err != nil {
+	if r.conn, err = net.Dial("tcp", r.frontend.Addr()); err != nil {
 		r.t.Fatal(err)
 	}
 	_ = r.conn.SetDeadline(time.Now().Add(replayTimeout))
 }
 
-// connectAs starts a session without ado.
+// connectAs starts a session of a user with no other parameters.
 func (r *replayClient) connectAs(user string) {
 	r.t.Helper()
 	r.dial()
 	body := slices.Concat(pgproto.CString("user"), pgproto.CString(user), []byte{0})
 	r.write(pgproto.AppendStartup(nil, pgproto.Version, body))
 	if !r.readReady() {
-		r.t.Fatal("the connection has ended before ReadyForQuery")
+		r.t.Fatal("the connection ended before ReadyForQuery")
 	}
 }
 
-// connect starts a session with seeded parameters, some of which are wrong.
+// connect starts a session with random parameters, some of which are invalid. It reports whether the
+// session started.
 func (r *replayClient) connect() bool {
 	r.dial()
 	body := slices.Concat(pgproto.CString("user"), pgproto.CString(r.pick("app", "billing")))
@@ -229,26 +239,27 @@
 	return r.readReady()
 }
 
+// write sends bytes to the frontend.
 func (r *replayClient) write(b []byte) {
 	if _, err := r.conn.Write(b); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// disconnect waits until the frontend has seen the end of the connection: a transaction that was
-// open is cancelled then.
+// disconnect closes the connection and waits until the frontend has handled that, because a transaction
+// that was open is canceled then.
 func (r *replayClient) disconnect() {
 	_ = r.conn.Close()
 	for idle := make(chan bool); ; {
-		r.loop.Post(func() { idle <- r.front.Idle() })
+		r.loop.Post(func() { idle <- r.frontend.Idle() })
 		if <-idle {
 			return
 		}
 	}
 }
 
-// batch is a number of messages to which exactly one ReadyForQuery is due, unless the connection
-// ends. It tells whether the last statement hangs until it is cancelled.
+// batch returns random messages that are answered by exactly one ReadyForQuery, unless the connection
+// ends. hangs reports whether the last statement hangs until it is canceled.
 func (r *replayClient) batch() (batch []byte, hangs bool) {
 	switch n := r.random.IntN(100); {
 	case n < 1:
@@ -257,8 +268,8 @@
 		return pgproto.AppendMessage(nil, pgproto.MessageFunctionCall, make([]byte, 8)), false
 	case n < 6:
 		return pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString(r.pick("select hang() from t", "update t set hang = 1"))), true
-	case n < 7 && !r.lost:
-		r.lost = true
+	case n < 7 && !r.loseSent:
+		r.loseSent = true
 		return pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString("update t set lose = 1")), false
 	case n < 50:
 		return pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString(r.query())), false
@@ -269,6 +280,7 @@
 	return pgproto.AppendMessage(batch, pgproto.MessageSync), false
 }
 
+// extended appends random messages of the extended query protocol.
 func (r *replayClient) extended(b []byte) []byte {
 	statement, portal := r.pick("", "", "a", "b"), r.pick("", "", "p", "q")
 	switch r.random.IntN(12) {
@@ -300,10 +312,12 @@
 	return b
 }
 
+// execute appends an Execute with a random row limit.
 func (r *replayClient) execute(b []byte, portal string) []byte {
 	return pgproto.AppendMessage(b, pgproto.MessageExecute, pgproto.CString(portal), pgproto.Int32(r.random.IntN(4)))
 }
 
+// types returns random parameter types for a Parse.
 func (r *replayClient) types() []byte {
 	n := r.random.IntN(3)
 	types := pgproto.Int32(n)[2:]
@@ -313,6 +327,8 @@
 	return types
 }
 
+// bind returns the part of a Bind after the names, with random values. The number of values is wrong in
+// some cases.
 func (r *replayClient) bind(parameters int) []byte {
 	if r.random.IntN(6) == 0 {
 		parameters += r.random.IntN(2)
@@ -332,27 +348,27 @@
 	return append(b, 0, 1, 0, byte(r.random.IntN(2)))
 }
 
-// cancelOnceHanging cancels a statement once it hangs at the engine; over is closed where it was
-// answered without getting there, in a transaction that has failed, say.
-func (r *replayClient) cancelOnceHanging(over chan bool) {
+// cancelOnceHanging cancels a statement once it hangs at the engine. It returns when answered is closed,
+// because a statement in a failed transaction, for example, is answered without reaching the engine.
+func (r *replayClient) cancelOnceHanging(answered chan bool) {
 	select {
-	case <-over:
+	case <-answered:
 		return
 	case <-r.backend.hanging:
 	}
-	conn, err := net.Dial("tcp", r.front.Addr())
+	conn, err := net.Dial("tcp", r.frontend.Addr())
 	if err != nil {
 		r.t.Error(err)
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if _, err := conn.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, r.cancel)); err != nil {
+	if _, err := conn.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, r.cancelBody)); err != nil {
 		r.t.Error(err)
 	}
-	_, _ = io.ReadAll(conn) // up to its end, which is all the answer there is
+	_, _ = io.ReadAll(conn) // the only answer is the end of the connection
 }
 
-// readReady reads up to the next ReadyForQuery; false: the connection has ended.
+// readReady reads up to the next ReadyForQuery. It returns false if the connection has ended.
 func (r *replayClient) readReady() bool {
 	for {
 		kind, body, ok := r.readMessage()
@@ -360,7 +376,7 @@
 			return false
 		}
 		if kind == pgproto.MessageBackendKeyData {
-			r.cancel = slices.Clone(body)
+			r.cancelBody = slices.Clone(body)
 		}
 		if kind == pgproto.MessageReadyForQuery {
 			return true
@@ -368,25 +384,25 @@
 	}
 }
 
-// readMessage reads one message and notes it, but for a secret key in it; ok: the connection has not
-// ended.
+// readMessage reads and records one message, with a secret key zeroed. ok is false if the connection
+// has ended.
 func (r *replayClient) readMessage() (kind byte, body []byte, ok bool) {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(r.conn, head); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			r.t.Fatalf("no answer in %v", replayTimeout)
 		}
-		r.read = append(r.read, "end"...)
+		r.received = append(r.received, "end"...)
 		return 0, nil, false
 	}
 	body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
 	if _, err := io.ReadFull(r.conn, body); err != nil {
 		r.t.Fatal(err)
 	}
-	r.read = append(append(r.read, head...), body...)
+	r.received = append(append(r.received, head...), body...)
 	if head[0] == pgproto.MessageBackendKeyData {
-		secret := r.read[len(r.read)-4:]
-		clear(secret) // it is random
+		secret := r.received[len(r.received)-4:]
+		clear(secret) // it differs between runs
 	}
 	return head[0], body, true
 }
--- a/internal/frontend/postgres/restore_test.go
+++ b/internal/frontend/postgres/restore_test.go
@@ -17,7 +17,8 @@
 	gocmp "github.com/google/go-cmp/cmp"
 )
 
-// newTestCore returns a core with the settings of the deploy folder, and the loop that owns it.
+// newTestCore returns a core with the policy settings of the deploy directory, and the event loop that
+// owns it.
 func newTestCore(t *testing.T, counters *metrics.Counters) (*core.Core, *netio.Loop) {
 	t.Helper()
 	raw, err := os.ReadFile("../../../deploy/postgres-settings.json")
@@ -39,8 +40,8 @@
 	return c, loop
 }
 
-// restored returns a connection with a state of another process.
-func restored(t *testing.T, counters *metrics.Counters, state connectionState) *connection {
+// newRestoredConnection returns a connection restored from the state of another process.
+func newRestoredConnection(t *testing.T, counters *metrics.Counters, state connectionState) *connection {
 	t.Helper()
 	c, loop := newTestCore(t, counters)
 	f := New(loop, c, Options{DefaultClass: "lookup", WriteClass: "write"}, counters)
@@ -49,24 +50,24 @@
 	return handler
 }
 
-// TestRestoreState restores a state and encodes it anew: nothing is lost on the way.
+// TestRestoreState checks that a state is unchanged after it is restored and encoded again.
 func TestRestoreState(t *testing.T) {
-	c := restored(t, metrics.New(), storedState)
+	c := newRestoredConnection(t, metrics.New(), storedState)
 	var got connectionState
 	if err := cbor.Unmarshal(c.EncodeState(), &got); err != nil {
 		t.Fatal(err)
 	}
-	if diff := gocmp.Diff(inOrder(storedState), inOrder(got)); diff != "" {
-		t.Errorf("state restored and encoded (-want +got):\n%s", diff)
+	if diff := gocmp.Diff(sortedState(storedState), sortedState(got)); diff != "" {
+		t.Errorf("state after restoring and encoding (-want +got):\n%s", diff)
 	}
 	if got, want := c.frontend.heldBytes, len("rest"); got != want {
 		t.Errorf("held rows = %d bytes, want %d", got, want)
 	}
 }
 
-// inOrder gives a state an order that does not depend on maps: statements by their text, portals by
-// their names.
-func inOrder(state connectionState) connectionState {
+// sortedState returns a state with statements sorted by text and portals by name, because their encoded
+// order depends on the iteration order of maps.
+func sortedState(state connectionState) connectionState {
 	byQuery := slices.SortedFunc(slices.Values(state.Statements), func(a, b statementState) int { return cmp.Compare(a.Query, b.Query) })
 	portals := slices.SortedFunc(slices.Values(state.Portals), func(a, b portalState) int { return cmp.Compare(a.Name, b.Name) })
 	for i, p := range portals {
@@ -78,11 +79,11 @@
 	return state
 }
 
-// TestRestoreDropsUnsupported restores a state whose statement this version does not support: it is
-// dropped with its portals, and the rest stays.
+// TestRestoreDropsUnsupported checks that a statement that this version does not support is dropped
+// together with its portals, that a malformed portal is dropped, and that the rest is restored.
 func TestRestoreDropsUnsupported(t *testing.T) {
 	counters := metrics.New()
-	c := restored(t, counters, connectionState{
+	c := newRestoredConnection(t, counters, connectionState{
 		DescribePending: true,
 		DescribedPortal: "p",
 		Statements: []statementState{
@@ -96,13 +97,13 @@
 		},
 	})
 	if len(c.statements) != 1 || c.statements["s"] == nil {
-		t.Errorf("statements = %v, want s alone", c.statements)
+		t.Errorf("statements = %v, want only s", c.statements)
 	}
 	if len(c.portals) != 1 || c.portals["q"] == nil {
-		t.Errorf("portals = %v, want q alone", c.portals)
+		t.Errorf("portals = %v, want only q", c.portals)
 	}
 	if c.describePending {
-		t.Error("a description is pending of a portal that was dropped")
+		t.Error("describePending = true for a dropped portal, want false")
 	}
 	if got := counters.Sum("pgwire.statements-dropped"); got != 1 {
 		t.Errorf("statements dropped = %d, want 1", got)
--- a/internal/frontend/postgres/session_settings.go
+++ b/internal/frontend/postgres/session_settings.go
@@ -184,8 +184,8 @@
 // trimmedFrom returns the rest of a query without trailing semicolons and spaces.
 func trimmedFrom(query string, from int) string { return strings.TrimRight(query[from:], "; \t\r\n") }
 
-// executeSessionControl executes SET, RESET and DISCARD outside of a transaction. done receives the command
-// tag on success.
+// executeSessionControl executes SET, RESET and DISCARD outside of a transaction. done receives the
+// command tag on success.
 func (c *connection) executeSessionControl(s *statement, done func(tag string)) *pgproto.Error {
 	words := upperCaseWords(s.query)
 	switch s.controlWord {
@@ -197,6 +197,8 @@
 	return c.executeSet(s, words, done)
 }
 
+// executeDiscard executes DISCARD. Only DISCARD ALL has an effect; other forms concern an engine's
+// session.
 func (c *connection) executeDiscard(words []string, done func(tag string)) *pgproto.Error {
 	if len(words) != 2 {
 		return newError(codeSyntaxError, "syntax error at or near DISCARD")
@@ -210,6 +212,7 @@
 	return nil
 }
 
+// executeReset executes RESET of one setting or of all.
 func (c *connection) executeReset(words []string, done func(tag string)) *pgproto.Error {
 	if len(words) != 2 {
 		return newError(codeFeatureNotSupported, "%s is not supported", strings.Join(words, " "))
@@ -226,6 +229,8 @@
 	return nil
 }
 
+// executeSet executes SET. A statement timeout and DEFAULT are handled by the gateway alone; an engine
+// runs any other SET.
 func (c *connection) executeSet(s *statement, words []string, done func(tag string)) *pgproto.Error {
 	name, value := parseSet(s.query)
 	switch {
--- a/internal/frontend/postgres/session_settings_test.go
+++ b/internal/frontend/postgres/session_settings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSetStatementTimeout sets times as PostgreSQL writes them. Others are rejected.
+// TestSetStatementTimeout checks that times in PostgreSQL's syntax are accepted and others rejected.
 func TestSetStatementTimeout(t *testing.T) {
 	const rejected = -1
 	for text, want := range map[string]int64{ // in ms
@@ -14,12 +14,12 @@
 			e := s.setStatementTimeout(text)
 			if want == rejected {
 				if e == nil {
-					t.Errorf("time-out = %v, want an error", s.statementTimeout)
+					t.Errorf("timeout = %v, want an error", s.statementTimeout)
 				}
 				return
 			}
 			if got := s.statementTimeout.Milliseconds(); e != nil || got != want {
-				t.Errorf("time-out = %d ms, error %v, want %d ms", got, e, want)
+				t.Errorf("timeout = %d ms, error %v, want %d ms", got, e, want)
 			}
 		})
 	}
--- a/internal/frontend/postgres/stored_test.go
+++ b/internal/frontend/postgres/stored_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedState is the state of a connection whose bytes version c18a9bd wrote to
-// testdata/connection.cbor: a process of that version hands its connections over so.
+// storedState is the content of testdata/connection.cbor, which version c18a9bd wrote. A process of
+// that version hands over its connections in this encoding.
 var storedState = connectionState{
 	ProcessID:        70000,
 	SecretKey:        [4]byte{1, 2, 3, 4},
@@ -36,8 +36,9 @@
 	User: "app", Settings: []pgproto.Setting{{Name: "application_name", Text: "billing"}},
 }
 
-// TestStoredConnectionState reads the stored state whole and writes it anew byte for byte. Cut short
-// it is rejected, and with any bit changed it is rejected or read as something else.
+// TestStoredConnectionState checks that the stored state is decoded completely and encoded again to the
+// same bytes. A truncated state must be rejected. A state with any bit flipped must give either an error
+// or a handler function.
 func TestStoredConnectionState(t *testing.T) {
 	stored, err := os.ReadFile("testdata/connection.cbor")
 	if err != nil {
@@ -48,39 +49,39 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(storedState, got); diff != "" {
-		t.Errorf("state (-want +got):\n%s", diff)
+		t.Errorf("decoded state (-want +got):\n%s", diff)
 	}
 	if written, err := cbor.Marshal(storedState); err != nil || !bytes.Equal(written, stored) {
-		t.Errorf("written as\n%x, error %v, want\n%x", written, err, stored)
+		t.Errorf("encoded state = %x, error %v, want\n%x", written, err, stored)
 	}
 	f := &Frontend{}
-	if accept, err := f.RestoreConnection(stored); accept == nil || err != nil {
-		t.Errorf("restore: error %v", err)
+	if newHandler, err := f.RestoreConnection(stored); newHandler == nil || err != nil {
+		t.Errorf("RestoreConnection: got handler function %t, error %v, want a function and no error", newHandler != nil, err)
 	}
 	for cut := range stored {
 		if _, err := f.RestoreConnection(stored[:cut]); err == nil {
-			t.Errorf("restored, cut at byte %d of %d", cut, len(stored))
+			t.Errorf("state truncated to %d of %d bytes: got no error, want one", cut, len(stored))
 		}
 	}
 	for i := range stored {
 		for bit := range 8 {
 			damaged := bytes.Clone(stored)
 			damaged[i] ^= 1 << bit
-			if accept, err := f.RestoreConnection(damaged); (accept == nil) == (err == nil) {
-				t.Errorf("byte %d, bit %d changed: neither a handler nor an error", i, bit)
+			if newHandler, err := f.RestoreConnection(damaged); (newHandler == nil) == (err == nil) {
+				t.Errorf("byte %d, bit %d flipped: got handler function %t and error %v, want exactly one of them", i, bit, newHandler != nil, err)
 			}
 		}
 	}
 }
 
-// TestStoredSharedState reads what connections of version c18a9bd shared: where the process IDs of
-// new ones begin.
+// TestStoredSharedState checks the encoding of the shared state, the number after which new process
+// IDs begin, against that of version c18a9bd.
 func TestStoredSharedState(t *testing.T) {
 	f := &Frontend{lastProcessID: 7}
 	if got, want := f.SharedState(), []byte{0x1a, 0, 1, 0, 7}; !bytes.Equal(got, want) {
 		t.Errorf("shared state = %x, want %x", got, want)
 	}
 	if err := f.ApplySharedState([]byte{0x1a, 0, 1, 0, 7}); err != nil || f.lastProcessID != 65543 {
-		t.Errorf("process IDs begin at %d, error %v, want 65543", f.lastProcessID, err)
+		t.Errorf("last process ID = %d, error %v, want 65543", f.lastProcessID, err)
 	}
 }
--- a/internal/frontend/postgres/transaction_control.go
+++ b/internal/frontend/postgres/transaction_control.go
@@ -57,8 +57,9 @@
 	return strings.Fields(strings.ToUpper(text))
 }
 
-// executeControl executes a statement that concerns the transaction or the session's settings. done receives
-// its command tag on success. What requires an engine is sent to the transaction's engine.
+// executeControl executes a statement that concerns the transaction or the session's settings. done
+// receives its command tag on success. Work that requires an engine is sent to the transaction's
+// engine.
 func (c *connection) executeControl(s *statement, done func(tag string)) *pgproto.Error {
 	if sessionControlWords[s.controlWord] {
 		if c.transaction != nil { // the statement was prepared outside of a transaction
--- a/internal/frontend/postgres/transaction_test.go
+++ b/internal/frontend/postgres/transaction_test.go
@@ -10,25 +10,25 @@
 	"gannetspur/internal/pgproto"
 )
 
-// TestTransactionEnds ends transactions in ways that seeded streams don't reach.
+// TestTransactionEnds ends transactions in ways that the seeded streams of TestReplay don't reach.
 func TestTransactionEnds(t *testing.T) {
-	const brief = 300 * time.Millisecond
+	const shortTimeout = 300 * time.Millisecond
 	type step struct {
-		query string                // sent, where it is not empty
-		act   func(r *replayClient) // on the loop, ahead of the query
-		want  string                // all that comes up to ReadyForQuery or the end
+		query       string                // Query to send; empty to send none
+		beforeQuery func(r *replayClient) // runs on the loop before the query is sent; may be nil
+		want        string                // summary of all messages up to ReadyForQuery or the connection's end
 	}
 	begin := step{query: "begin", want: "C(BEGIN) Z(T)"}
 	update := step{query: "update t set a = 1", want: "C(UPDATE) Z(T)"}
 	lose := func(r *replayClient) { r.backend.loseLatest() }
-	drain := func(r *replayClient) { r.front.Drain() }
+	drain := func(r *replayClient) { r.frontend.Drain() }
 	for name, test := range map[string]struct {
 		opts  Options
 		steps []step
 	}{
 		"engine lost between statements": {steps: []step{
 			begin, update,
-			{act: lose, query: "update t set a = 2", want: "E(25P02) Z(E)"},
+			{beforeQuery: lose, query: "update t set a = 2", want: "E(25P02) Z(E)"},
 			{query: "savepoint a", want: "E(25P02) Z(E)"},
 			{query: "rollback to a", want: "E(25P02) Z(E)"},
 			{query: "commit", want: "C(ROLLBACK) Z(I)"},
@@ -52,19 +52,19 @@
 		}},
 		"drained while open": {steps: []step{
 			begin, update,
-			{act: drain, query: "commit", want: "C(COMMIT) Z(I)"},
+			{beforeQuery: drain, query: "commit", want: "C(COMMIT) Z(I)"},
 			{want: "E(57P01) end"},
 		}},
-		"drained while idle": {steps: []step{{act: drain, want: "E(57P01) end"}}},
+		"drained while idle": {steps: []step{{beforeQuery: drain, want: "E(57P01) end"}}},
 		"engine lost while draining": {steps: []step{
 			begin, update,
-			{act: func(r *replayClient) { drain(r); lose(r) }, want: "E(57P01) end"},
+			{beforeQuery: func(r *replayClient) { drain(r); lose(r) }, want: "E(57P01) end"},
 		}},
-		"idle for too long": {opts: Options{IdleTransactionTimeout: brief}, steps: []step{
+		"idle for too long": {opts: Options{IdleTransactionTimeout: shortTimeout}, steps: []step{
 			begin, update,
 			{want: "E(25P03) end"},
 		}},
-		"open for too long": {opts: Options{TransactionTimeout: brief}, steps: []step{
+		"open for too long": {opts: Options{TransactionTimeout: shortTimeout}, steps: []step{
 			begin,
 			{want: "E(25P04) end"},
 		}},
@@ -76,8 +76,8 @@
 			t.Cleanup(r.stop)
 			r.connectAs("app")
 			for i, s := range test.steps {
-				if s.act != nil {
-					r.loop.Post(func() { s.act(r) })
+				if s.beforeQuery != nil {
+					r.loop.Post(func() { s.beforeQuery(r) })
 				}
 				if s.query != "" {
 					r.write(pgproto.AppendMessage(nil, pgproto.MessageQuery, pgproto.CString(s.query)))
@@ -91,8 +91,8 @@
 	}
 }
 
-// readSummary reads up to ReadyForQuery or the connection's end. Completions, errors and statuses
-// come with what they say.
+// readSummary reads up to ReadyForQuery or the connection's end, and returns the message types. It adds
+// the command tag of a completion, the SQLSTATE of an error and the transaction status.
 func (r *replayClient) readSummary() string {
 	var summary []string
 	for {
