--- a/internal/frontend/postgres/classify.go
+++ b/internal/frontend/postgres/classify.go
@@ -15,16 +15,16 @@
 // configured rules and its effect.
 type classification struct {
 	class        policy.Class
-	keyParameter int  // number of the parameter that holds the key, from 1; 0: no key
+	keyParameter int  // number of the parameter that holds the key, from 1; 0 means no key
 	classByShape bool // neither a rule nor a comment names a class, so the query shape may choose it
 }
 
 // classRequest is the class that a rule, a comment or the default requests for a statement.
 type classRequest struct {
 	name         string
-	keyParameter int  // number of the parameter that holds the key, from 1; 0: no key
+	keyParameter int  // number of the parameter that holds the key, from 1; 0 means no key
 	readOnly     bool // the matching rule declares that the statement only reads
-	explicit     bool // a rule or a comment names the class
+	explicit     bool // a rule or a comment names the class, so it is not the default
 }
 
 // classify returns the class of a statement. The leading comment takes precedence over the rules, and
--- a/internal/frontend/postgres/options.go
+++ b/internal/frontend/postgres/options.go
@@ -46,7 +46,7 @@
 type Rule struct {
 	Starts   string // first words of the statement after comments; case is ignored
 	Class    string // name of the class
-	Key      int    // number of the parameter that holds the key, from 1; 0: no key
+	Key      int    // number of the parameter that holds the key, from 1; 0 means no key
 	ReadOnly bool   // the statements only read; applies if their text does not show their effect
 }
 
