--- a/internal/frontend/postgres/cancel.go
+++ b/internal/frontend/postgres/cancel.go
@@ -13,7 +13,8 @@
 const cancelRequestSize = 4 + 4
 
 // handleCancelRequest cancels the request in flight on the connection that the body of a CancelRequest
-// names. It ignores a wrong secret key, and passes an unknown process ID to onUnknownCancel.
+// names by its process ID. It does nothing if the body is malformed, the secret key is wrong or no
+// request is in flight. It passes the body to onUnknownCancel if the process ID is unknown.
 func (f *Frontend) handleCancelRequest(body []byte) {
 	if len(body) != cancelRequestSize {
 		return
@@ -50,10 +51,10 @@
 	c.resume()
 }
 
-// cancelTransaction marks the open transaction as failed if r is its request, and returns the error
-// to send to the client. It returns nil if r does not belong to a transaction. The engine connection
-// is closed together with the request, which rolls back the whole transaction, unless it was
-// committing: then the outcome is unknown.
+// cancelTransaction cancels the open transaction if r is its request, and returns the error to send to
+// the client. It returns nil if r does not belong to a transaction. The engine connection is closed when
+// the caller ends the request, which rolls back the whole transaction; until the client ends it, the
+// transaction counts as failed. If it was committing, its outcome is unknown, and it ends at once.
 func (c *connection) cancelTransaction(r *core.Request) *pgproto.Error {
 	tx := c.transaction
 	if tx == nil || tx.request != r {
--- a/internal/frontend/postgres/classify.go
+++ b/internal/frontend/postgres/classify.go
@@ -29,8 +29,9 @@
 
 // classify returns the class of a statement. The leading comment takes precedence over the rules, and
 // the rules over the default. The effect of the statement overrides all three: a statement that may
-// write never gets an idempotent class, because those are retried. It gets the class for writes,
-// which is attempted only once, or an error if an idempotent class was named explicitly.
+// write never gets an idempotent class, because requests of those classes are retried. It gets the class
+// for writes, whose requests are attempted only once. It is rejected if an idempotent class was named
+// explicitly or if the gateway has no class for writes.
 func (f *Frontend) classify(query string, shape *queryshape.Statement) (classification, *pgproto.Error) {
 	requested := f.classByRule(query)
 	if e := requested.readComment(query); e != nil {
@@ -128,7 +129,8 @@
 }
 
 // unsupportedFirstWords are first words of statements that need a dedicated engine session. They are
-// rejected because clients share the engines' sessions.
+// rejected, because clients share the engines' sessions, unless the gateway executes the statement itself
+// or its changes to the session end with the open transaction.
 var unsupportedFirstWords = map[string]bool{
 	"COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
 	"FETCH": true, "MOVE": true, "CLOSE": true, "LISTEN": true, "UNLISTEN": true, "NOTIFY": true, "LOCK": true,
@@ -162,15 +164,15 @@
 		return newError(codeFeatureNotSupported, "only one statement at a time is supported")
 	case w.isControl(context) || !unsupportedFirstWords[w.first]:
 		return nil
-	case context.inTransaction && endsWithTransaction(w.first, query):
+	case context.inTransaction && changesEndWithTransaction(w.first, query):
 		return nil
 	}
 	return newError(codeFeatureNotSupported, "%s is not supported: statements share their engines' sessions", w.first)
 }
 
-// endsWithTransaction reports whether everything that a statement changes in the engine's session is
+// changesEndWithTransaction reports whether everything that a statement changes in the engine's session is
 // undone when its transaction ends.
-func endsWithTransaction(firstWord, query string) bool {
+func changesEndWithTransaction(firstWord, query string) bool {
 	words := upperCaseWords(query)
 	switch firstWord {
 	case "DECLARE":
--- a/internal/frontend/postgres/connection.go
+++ b/internal/frontend/postgres/connection.go
@@ -47,7 +47,7 @@
 	portals    map[string]*portal    // by name
 	skipToSync bool                  // after an error, messages up to the next Sync are ignored
 	// describePending is set while the answer to a portal's Describe is deferred until the next
-	// message arrives: if that is an Execute, its result contains the description.
+	// message arrives: if that is an Execute of the portal, its result contains the description.
 	describePending bool
 	describedPortal string // name of the portal to describe
 }
@@ -55,9 +55,9 @@
 // inFlightRequest is the request whose answer a connection waits for. No message is read until then.
 type inFlightRequest struct {
 	request  *core.Request     // nil if none is in flight
-	onAnswer func(core.Answer) // receives the final answer; nil for statements of a transaction
-	// orphan is what is known of the request of the first message if that message was read by a
-	// process that died; else nil.
+	onAnswer func(core.Answer) // receives the final answer; nil if the request is a transaction's
+	// orphan describes the request of the first message that is processed here, if a process that died
+	// had already read that message. It is nil otherwise, and after the first call of Data.
 	orphan *core.Orphan
 }
 
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// startStallTimer closes the connection if the rest of a message does not arrive in time.
+// startStallTimer starts a timer that closes the connection if the rest of a message does not arrive in time.
 func (c *connection) startStallTimer() {
 	f := c.frontend
 	c.stallTimer = f.loop.Timers.Add(f.loop.Now()+stallTimeout, func() {
@@ -131,7 +131,7 @@
 		return false, err
 	}
 	if c.socket.HasJournal() {
-		c.flush() // before consuming this message: the written bytes must only answer earlier messages
+		c.flush() // before this message is consumed: written bytes count as the answer to all consumed messages
 	}
 	if c.describePending {
 		wait := c.resolveDescribe(kind, body)
@@ -196,8 +196,8 @@
 	c.readyForQuery()
 }
 
-// readyForQuery ends the answer to a batch or a Query. If the connection is to be closed as soon as it
-// is quiescent and no transaction is open, it is closed here.
+// readyForQuery ends the answer to a batch or a Query. If the frontend is draining, or the connection
+// is to be closed as soon as it is quiescent, it is closed here unless a transaction is open.
 func (c *connection) readyForQuery() {
 	c.out.readyForQuery(c.transactionStatus())
 	if c.transaction == nil && (c.frontend.draining || c.closeWhenQuiescent) {
--- a/internal/frontend/postgres/frontend.go
+++ b/internal/frontend/postgres/frontend.go
@@ -21,8 +21,8 @@
 	counters     *metrics.Counters
 	listener     *netio.Listener
 	loginLimiter *loginlimit.Limiter
-	draining     bool
-	heldBytes    int // size of the unsent rows in all open portals, in bytes
+	draining     bool // Drain was called
+	heldBytes    int  // size of the unsent rows in all open portals, in bytes
 
 	connections   map[uint32]*connection // by process ID
 	lastProcessID uint32                 // highest process ID that was assigned
--- a/internal/frontend/postgres/handover.go
+++ b/internal/frontend/postgres/handover.go
@@ -18,7 +18,9 @@
 
 // connectionState is the state that another process needs to continue a connection between two
 // messages: everything that the client has set up. It does not include the effects and classes of
-// statements, because the other process determines them by its own rules.
+// statements, because the other process determines them by its own rules. Unless commented, the fields
+// here, in statementState and in portalState have the meaning and unit of the fields of the same name
+// in connection, statement and portal.
 type connectionState struct {
 	ProcessID        uint32            `cbor:"1,keyasint"`
 	SecretKey        [4]byte           `cbor:"2,keyasint"`
--- a/internal/frontend/postgres/portal.go
+++ b/internal/frontend/postgres/portal.go
@@ -10,11 +10,11 @@
 )
 
 // portal is a statement with bound values. It runs only once: later fetches are served from the rows
-// that are held here, so they work even after the engine has drained.
+// that are held here, so they work even after the engine has been drained.
 type portal struct {
 	statement *statement
 	bind      []byte          // body of its Bind after the two names
-	values    sqltext.Binds   // refer to bind; set only if the statement has a shape
+	values    sqltext.Binds   // bound values, as slices of bind; set only if the statement has a shape
 	key       string          // key of the execution; empty if its class needs none
 	result    *pgproto.Result // complete result without the rows; nil if it has not run
 	remaining []byte          // DataRow messages that have not been sent yet
--- a/internal/frontend/postgres/replay_test.go
+++ b/internal/frontend/postgres/replay_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	replaySeeds   = 60
-	replayBatches = 60
-	replayTimeout = 20 * time.Second
+	replaySeeds   = 60               // number of streams
+	replayBatches = 60               // per connection, at most
+	replayTimeout = 20 * time.Second // limit for a whole connection
 )
 
 // TestReplay guards against unintended changes of what clients and engines receive. It sends seeded
@@ -145,8 +145,8 @@
 // query returns a random element of replayQueries.
 func (r *replayClient) query() string { return replayQueries[r.random.IntN(len(replayQueries))] }
 
-// pick returns a random name.
-func (r *replayClient) pick(names ...string) string { return names[r.random.IntN(len(names))] }
+// pick returns a random one of the texts.
+func (r *replayClient) pick(texts ...string) string { return texts[r.random.IntN(len(texts))] }
 
 // run sends the client's whole stream, on several connections.
 func (r *replayClient) run() {
@@ -390,7 +390,7 @@
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(r.conn, head); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			r.t.Fatalf("no answer in %v", replayTimeout)
+			r.t.Fatalf("got no complete answer within %v of connecting, want one", replayTimeout)
 		}
 		r.received = append(r.received, "end"...)
 		return 0, nil, false
--- a/internal/frontend/postgres/restore_test.go
+++ b/internal/frontend/postgres/restore_test.go
@@ -45,9 +45,9 @@
 	t.Helper()
 	c, loop := newTestCore(t, counters)
 	f := New(loop, c, Options{DefaultClass: "lookup", WriteClass: "write"}, counters)
-	handler := f.addConnection(nil, state.ProcessID)
-	handler.restore(&state)
-	return handler
+	restored := f.addConnection(nil, state.ProcessID)
+	restored.restore(&state)
+	return restored
 }
 
 // TestRestoreState checks that a state is unchanged after it is restored and encoded again.
--- a/internal/frontend/postgres/session_settings.go
+++ b/internal/frontend/postgres/session_settings.go
@@ -39,7 +39,7 @@
 
 // reset removes a setting, so that the engine's own value applies.
 func (s *session) reset(name string) {
-	s.settings = slices.DeleteFunc(slices.Clone(s.settings), func(set pgproto.Setting) bool { return set.Name == name })
+	s.settings = slices.DeleteFunc(slices.Clone(s.settings), func(setting pgproto.Setting) bool { return setting.Name == name })
 }
 
 // resetAll removes all settings, including the statement timeout.
--- a/internal/frontend/postgres/transaction.go
+++ b/internal/frontend/postgres/transaction.go
@@ -15,7 +15,7 @@
 type transaction struct {
 	beginQuery string            // the statement that began it
 	request    *core.Request     // nil if no statement was sent yet or the engine connection is lost
-	onAnswer   func(core.Answer) // receives the answer to the statement in flight; nil if there is none
+	onAnswer   func(core.Answer) // receives the answer to the statement in flight; nil if none is
 	failed     bool              // only its end or a rollback to a savepoint is accepted
 	committing bool              // its COMMIT is in flight
 	implicit   bool              // begun for a Query with several statements, and ended with it
--- a/internal/frontend/postgres/transaction_control.go
+++ b/internal/frontend/postgres/transaction_control.go
@@ -117,7 +117,7 @@
 		done(s.endTag())
 	case tx.request != nil:
 		c.endTransactionAtEngine(s, done)
-	default: // no engine has received a statement, or its connection is lost
+	default: // no engine has received a statement, or the engine connection is lost
 		c.closeTransaction()
 		if tx.failed {
 			done(tagRollback)
