--- a/internal/site/forwarding/forward.go
+++ b/internal/site/forwarding/forward.go
@@ -8,23 +8,26 @@
 	"time"
 )
 
-// forwardedRequest is a request of this site that is at another.
+// forwardedRequest is a request from a client of this gateway that was forwarded to another site
+// and has not been answered yet.
 type forwardedRequest struct {
-	r      *core.Request
-	link   *Link
-	stream uint32
-	at     time.Duration
-	grant  int // sends that the other side may make
-	turned bool
-	work   float64
+	request         *core.Request
+	link            *Link
+	stream          uint32        // stream of the request on link
+	sentAt          time.Duration // time of the core's clock at which it was forwarded
+	grant           int           // number of sends to engines that the other site may make
+	rejectedLocally bool          // this site rejected it before it was forwarded
+	work            float64       // expected work in core-seconds
 }
 
-// query is what the decisions need of a request.
-func (s *Service) query(r *core.Request, turned bool) decide.Query {
+// query describes a request for the forwarding decisions. Where the request carries no work estimate,
+// it uses the typical work of the class, or a third of the class's latency objective on each of its
+// threads.
+func (s *Service) query(r *core.Request, rejectedLocally bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
 		Class: r.Class, Idempotency: decide.Idempotency(class.Idempotency), Work: r.Work.Seconds(), PriorityWeight: class.PriorityWeight, DataSet: r.DataSet, Remaining: r.Deadline - now,
-		Forwarded: r.FromOtherSite, RejectedLocally: turned, Attempts: r.SendCount(), DedupWindow: class.DedupWindow,
+		Forwarded: r.FromOtherSite, RejectedLocally: rejectedLocally, Attempts: r.SendCount(), DedupWindow: class.DedupWindow,
 		DedupNotShared: class.Idempotency == policy.IdempotentWithKey && (class.DedupScope != policy.DedupAll || !s.cfg.SharedDedup),
 	}
 	if q.Work <= 0 {
@@ -38,27 +41,31 @@
 	return q
 }
 
-// ForwardOnArrival takes a request that has just come to another site, or settles it, where
-// that is decided.
+// ForwardOnArrival decides whether a request that has just arrived is forwarded. It returns true if it
+// forwarded the request or completed it, because a repeat of its idempotency key is no longer safe.
 func (s *Service) ForwardOnArrival(r *core.Request) bool {
 	s.meter.RecordArrival(s.clock.Now(), r.Class)
 	if r.MaxSends == 0 {
 		r.MaxSends = s.cfg.MaxAttempts
 	}
-	if s.isTooLate(r) {
+	if s.failUnsafeRepeat(r) {
 		return true
 	}
 	return s.forward(r, false)
 }
 
-// ForwardRejected takes a request that was rejected here to another site, where that is decided.
+// ForwardRejected decides whether a request that this site rejected is forwarded, and returns true if
+// it was.
 func (s *Service) ForwardRejected(r *core.Request) bool {
 	s.meter.RecordRejection(s.clock.Now(), r.Class)
 	return s.forward(r, true)
 }
 
+// forward chooses a destination for a request and sends the request there. It returns false if the
+// request stays at this site. Requests with a serial key always stay, because only this gateway keeps
+// the order of that key.
 func (s *Service) forward(r *core.Request, rejected bool) bool {
-	if r.FromOtherSite || r.Streaming || r.SerialKey != "" || len(s.peers) == 0 { // the turns of a key are this gateway's to keep
+	if r.FromOtherSite || r.Streaming || r.SerialKey != "" || len(s.peers) == 0 {
 		return false
 	}
 	now := s.clock.Now()
@@ -69,14 +76,15 @@
 			return s.chooser.Choose(s.cfg, now, q, room, peers)
 		}
 	}
-	choice := choose(now, &q, s.meter.FreeCapacityFor(now, &q), s.views)
+	choice := choose(now, &q, s.meter.FreeCapacityFor(now, &q), s.peerStates)
 	return choice.Destination == decide.Remote && s.send(r, &q, s.peers[choice.Peer])
 }
 
-// isTooLate settles a request whose key may have run, once its window is over, or where no engine
-// of this site would drop its repeat. Guards against a client that turns to another gateway
-// with the same key.
-func (s *Service) isTooLate(r *core.Request) bool {
+// failUnsafeRepeat completes a request as failed, and returns true, if its idempotency key may already
+// have run and a repeat is not safe: the key's deduplication window is over, or no engine of this site
+// would recognize the repeat. This protects against a client that retries at another gateway with the
+// same key.
+func (s *Service) failUnsafeRepeat(r *core.Request) bool {
 	if r.IdempotencyKey == "" {
 		return false
 	}
@@ -93,12 +101,13 @@
 	if decide.MayAttempt(s.cfg, &q, 0) {
 		return false
 	}
-	s.stats.Inc("site.key-over")
+	s.counters.Inc("site.key-over")
 	s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true})
 	return true
 }
 
-// send takes a request to a peer. It tells whether it is on its way.
+// send forwards a request to a peer. It returns false if that is not possible: there is no link, too
+// little time remains, or the statement cannot be encoded or is too large.
 func (s *Service) send(r *core.Request, q *decide.Query, p *peer) bool {
 	l := p.openLink()
 	if l == nil {
@@ -118,89 +127,92 @@
 	if q.MayHaveRun {
 		a.FirstSentAgoUS = q.SinceFirstAttempt.Microseconds() + 1
 	}
-	if l.packs {
+	if l.compress {
 		statement, a.UncompressedSize = s.packer.Pack(statement)
 	}
 	id, ok, err := l.mux.Request(a, statement)
 	if err != nil || !ok {
 		return false
 	}
-	c := &forwardedRequest{r: r, link: l, stream: id, at: now, grant: a.MaxSends, turned: q.RejectedLocally, work: q.Work}
+	c := &forwardedRequest{request: r, link: l, stream: id, sentAt: now, grant: a.MaxSends, rejectedLocally: q.RejectedLocally, work: q.Work}
 	l.forwarded[id], s.forwarded[r] = c, c
-	r.PriorSends += c.grant // given back where the answer says that it took fewer
+	r.PriorSends += c.grant // unused sends are subtracted when the response reports its send count
 	if r.IdempotencyKey != "" {
 		s.keys.Record(now, r.IdempotencyKey, now, decide.OtherSite)
 	}
-	s.stats.Inc("site.crossed." + r.Class)
+	s.counters.Inc("site.crossed." + r.Class)
 	s.hedge.RecordForward(now)
 	s.core.Forwarded(r, r.Deadline-s.opts.Settings.CallInterval)
 	if after, known := s.hedge.Delay(r.Class); known && class.Idempotency == policy.Idempotent && now+after < r.Deadline {
-		s.timers.Add(now+after, func() { s.expire(c) })
+		s.timers.Add(now+after, func() { s.startHedge(c) })
 	}
 	return true
 }
 
-// expire has a crossing that takes far longer than usual run here as well, where that is permitted.
-func (s *Service) expire(c *forwardedRequest) {
-	if s.forwarded[c.r] != c {
+// startHedge runs a forwarded request at this site as well, if it takes much longer than usual and the
+// hedging rules allow it.
+func (s *Service) startHedge(c *forwardedRequest) {
+	if s.forwarded[c.request] != c {
 		return
 	}
 	now := s.clock.Now()
-	q := s.query(c.r, false)
-	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.r.Class)) {
-		s.stats.Inc("site.hedged." + c.r.Class)
-		s.core.Hedge(c.r)
+	q := s.query(c.request, false)
+	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.request.Class)) {
+		s.counters.Inc("site.hedged." + c.request.Class)
+		s.core.Hedge(c.request)
 	}
 }
 
-// forget takes a crossing out of the books.
-func (s *Service) forget(c *forwardedRequest) {
-	delete(s.forwarded, c.r)
+// removeForwarded removes a forwarded request from the service and its link.
+func (s *Service) removeForwarded(c *forwardedRequest) {
+	delete(s.forwarded, c.request)
 	delete(c.link.forwarded, c.stream)
 }
 
-// Drop gives up what is at another site.
+// Drop cancels a request at the site that it was forwarded to, if any.
 func (s *Service) Drop(r *core.Request) {
 	c := s.forwarded[r]
 	if c == nil {
 		return
 	}
-	s.stats.Inc("site.given-up." + r.Class)
-	s.forget(c)
+	s.counters.Inc("site.given-up." + r.Class)
+	s.removeForwarded(c)
 	c.link.mux.Cancel(c.stream)
 }
 
-// end takes the end of a crossing that has brought no answer for the client.
-func (s *Service) end(c *forwardedRequest, end decide.Failure, a core.Answer, sends int) {
-	now, r := s.clock.Now(), c.r
-	s.forget(c)
-	c.link.mux.Cancel(c.stream) // one that was answered is no more
+// handleFailure handles a forwarded request that ended without an answer for the client: it runs the
+// request here, or reports it as rejected or failed. sends is the number of sends that the other site
+// reported.
+func (s *Service) handleFailure(c *forwardedRequest, failure decide.Failure, a core.Answer, sends int) {
+	now, r := s.clock.Now(), c.request
+	s.removeForwarded(c)
+	c.link.mux.Cancel(c.stream) // no effect if the stream was answered
 	c.link.peer.RecordFailure(now)
-	if end == decide.NeverRan {
+	if failure == decide.NeverRan {
 		r.PriorSends -= c.grant - min(sends, c.grant)
-		s.keys.Retract(r.IdempotencyKey, c.at)
+		s.keys.Retract(r.IdempotencyKey, c.sentAt)
 	} else {
-		s.core.RecordRemoteSend(r, c.at)
+		s.core.RecordRemoteSend(r, c.sentAt)
 	}
-	q := s.query(r, c.turned)
-	switch decide.AfterFailure(s.cfg, &q, end) {
+	q := s.query(r, c.rejectedLocally)
+	switch decide.AfterFailure(s.cfg, &q, failure) {
 	case decide.RunLocally:
-		s.stats.Inc("site.run-here." + r.Class)
+		s.counters.Inc("site.run-here." + r.Class)
 		s.core.ReturnForwarded(r)
 	case decide.ReportRejected:
 		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Rejected, RetryAfter: a.RetryAfter})
 	default:
-		s.stats.Inc("site.doubt." + r.Class)
+		s.counters.Inc("site.doubt." + r.Class)
 		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, EngineError: a.EngineError})
 	}
 }
 
-// HandleResponse takes what became of a request at the other side.
+// HandleResponse handles the response to a forwarded request.
 func (l *Link) HandleResponse(stream uint32, a message.Response, body []byte) {
 	s, c := l.service, l.forwarded[stream]
 	l.recordReply(0)
 	if c == nil {
-		s.stats.Inc("site.late")
+		s.counters.Inc("site.late")
 		return
 	}
 	now := s.clock.Now()
@@ -212,32 +224,33 @@
 		answer.EngineError, err = s.opts.Codec.ReadDetail(body)
 	}
 	switch {
-	case err != nil: // it ran, and nothing spoilt is passed on
-		s.stats.Inc("site.unreadable")
+	case err != nil: // it ran, but an undecodable result is not passed to the client
+		s.counters.Inc("site.unreadable")
 		s.log.Warn("site.unreadable", "peer", l.peer.name.String(), "error", err)
-		s.end(c, decide.InDoubt, core.Answer{}, a.SendCount)
+		s.handleFailure(c, decide.InDoubt, core.Answer{}, a.SendCount)
 	case a.Verdict == 2:
 		answer.Verdict = core.Served
 		s.recordServed(c, now, a)
-		s.core.CompleteForwarded(c.r, answer)
+		s.core.CompleteForwarded(c.request, answer)
 	case !a.MayHaveRun && (a.Verdict == 1 || !a.IsError):
-		s.stats.Inc("site.turned-away-there." + c.r.Class)
-		s.end(c, decide.NeverRan, answer, a.SendCount)
-	case a.IsError: // an engine's word on the statement: another would say the same
-		s.forget(c)
+		s.counters.Inc("site.turned-away-there." + c.request.Class)
+		s.handleFailure(c, decide.NeverRan, answer, a.SendCount)
+	case a.IsError: // the engine rejected the statement; another engine would return the same error
+		s.removeForwarded(c)
 		if a.MayHaveRun {
-			s.core.RecordRemoteSend(c.r, c.at)
+			s.core.RecordRemoteSend(c.request, c.sentAt)
 		}
-		s.core.CompleteForwarded(c.r, answer)
+		s.core.CompleteForwarded(c.request, answer)
 	default:
-		s.end(c, decide.InDoubt, answer, a.SendCount)
+		s.handleFailure(c, decide.InDoubt, answer, a.SendCount)
 	}
 }
 
+// recordServed updates the peer's and the hedger's statistics after a forwarded request was served.
 func (s *Service) recordServed(c *forwardedRequest, now time.Duration, a message.Response) {
-	s.forget(c)
-	c.r.PriorSends -= c.grant - min(a.SendCount, c.grant)
+	s.removeForwarded(c)
+	c.request.PriorSends -= c.grant - min(a.SendCount, c.grant)
 	c.link.peer.RecordSuccess(now)
-	s.hedge.RecordLatency(c.r.Class, now-c.at)
-	s.stats.Inc("site.served-there." + c.r.Class)
+	s.hedge.RecordLatency(c.request.Class, now-c.sentAt)
+	s.counters.Inc("site.served-there." + c.request.Class)
 }
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -12,52 +12,56 @@
 	"gannetspur/internal/site/mux"
 )
 
-// Transport is a link's socket, or what stands in for one.
+// Transport moves a link's bytes: a TLS connection, or a simulated one in the testbed.
 type Transport interface {
-	// Ready tells that there is something to Pull, where there was nothing.
+	// Ready reports that the link has output to Pull after it had none.
 	Ready()
-	// Close ends it. Link.Closed follows, later.
+	// Close closes the transport; why is nil for an orderly close. Link.Closed is called later.
 	Close(why error)
 }
 
-// Link is one link to a peer whose name is proven.
+// Link is one link to a peer whose certificate was verified.
 type Link struct {
 	service       *Service
 	peer          *peer
 	mux           *mux.Link
 	transport     Transport
-	since         time.Duration
-	dialled       bool
-	greeted       bool
+	since         time.Duration // when the link was opened, on the core's clock
+	dialled       bool          // this side opened the connection
+	greeted       bool          // the peer's Hello was accepted
 	closed        bool
-	closingAt     time.Duration // this side wants new streams elsewhere since; 0: it does not
-	peerClosingAt time.Duration // the other side does
-	packs         bool          // the other side reads packed bodies
-	forwarded     map[uint32]*forwardedRequest
-	served        map[uint32]*servedRequest
-	pings         [maxPings]ping
-	pinged        uint32
+	closingAt     time.Duration                // when this side sent GoAway; 0: it has not
+	peerClosingAt time.Duration                // when the peer sent GoAway; 0: it has not
+	compress      bool                         // bodies may be compressed: both sides support zstd
+	forwarded     map[uint32]*forwardedRequest // by stream
+	served        map[uint32]*servedRequest    // by stream
+	pings         [maxPings]ping               // latest pings, at index number%maxPings
+	lastPing      uint32                       // number of the latest ping
 }
 
+// ping is a ping that was sent.
 type ping struct {
 	number uint32
-	at     time.Duration
+	at     time.Duration // when it was sent; 0: its pong has arrived
 }
 
-// ErrPeer is a peer that isn't one of the settings', or isn't who it says it is.
-var ErrPeer = errors.New("site link: the other side is no peer")
+// ErrPeer reports a peer that is not configured, or whose Hello contradicts its certificate or this
+// side's encoding.
+var ErrPeer = errors.New("site link: not a valid peer")
 
-// closingPeriod is how long a link that was left stays open at least.
+// closingPeriod is the minimum time that a link stays open after a GoAway, so that frames still in
+// transit arrive.
 const closingPeriod = 2 * time.Second
 
-// ErrSilent ends a link on which no reply has come for long.
-var ErrSilent = errors.New("site link: silent")
+// ErrSilent closes a link whose peer has not replied for redialIntervals times the configured
+// UnreachableAfter.
+var ErrSilent = errors.New("site link: no reply from the peer")
 
-// Connect takes a link to a peer whose name was proven, from its first byte.
+// Connect starts a link to a peer on a new connection whose certificate proved the peer's name.
 func (s *Service) Connect(t Transport, name Name, dialled bool) (*Link, error) {
 	p := s.peer(name)
 	if p == nil {
-		return nil, fmt.Errorf("%w: %s is not among the settings' peers", ErrPeer, name)
+		return nil, fmt.Errorf("%w: %s is not a configured peer", ErrPeer, name)
 	}
 	l := &Link{service: s, peer: p, transport: t, since: s.clock.Now(), dialled: dialled, forwarded: map[uint32]*forwardedRequest{}, served: map[uint32]*servedRequest{}}
 	var err error
@@ -71,57 +75,60 @@
 	return l, nil
 }
 
-// Input takes what has come; see mux.Link.Input. The transport ends the link on an error.
+// Input processes received bytes and returns how many were consumed; see mux.Link.Input. The transport
+// must close the link on an error.
 func (l *Link) Input(b []byte) (int, error) {
 	late := l.mux.LateFrames
 	n, err := l.mux.Input(b)
 	for range l.mux.LateFrames - late {
-		l.service.stats.Inc("site.late")
+		l.service.counters.Inc("site.late")
 	}
 	return n, err
 }
 
-// Pull appends what is to go out; see mux.Link.Pull.
+// Pull appends about that many bytes of output to b; see mux.Link.Pull.
 func (l *Link) Pull(b []byte, about int) []byte { return l.mux.Pull(b, about) }
 
-// Waiting tells whether there is something to Pull.
+// Waiting reports whether there is output to Pull.
 func (l *Link) Waiting() bool { return l.mux.HasOutput() }
 
-// Idle tells whether nothing is open on it.
+// Idle reports whether the link has no open requests in either direction.
 func (l *Link) Idle() bool { return len(l.forwarded)+len(l.served) == 0 }
 
-// OutputReady passes on that there is something to Pull.
+// OutputReady implements mux.Handler.
 func (l *Link) OutputReady() { l.transport.Ready() }
 
-// isOpen tells whether neither side has left the link.
+// isOpen reports whether the link is established and neither side has sent GoAway.
 func (l *Link) isOpen() bool {
 	return l.greeted && !l.closed && l.closingAt == 0 && l.peerClosingAt == 0
 }
 
-// Renew has the peer dial another link for what comes next: this one was made with keys that
-// were replaced.
+// Renew asks the peer to open a new link for further requests, because this one was established with
+// keys that have been replaced.
 func (l *Link) Renew() {
 	if l.greeted {
-		l.leave()
+		l.goAway()
 	}
 }
 
-func (l *Link) leave() {
+// goAway sends GoAway once: new streams belong on another link.
+func (l *Link) goAway() {
 	if l.closingAt == 0 {
 		l.closingAt = max(l.service.clock.Now(), 1)
 		l.mux.GoAway()
 	}
 }
 
-// done tells whether the link is of no use any more: left, with nothing open for a while that
-// covers what may be on its way.
-func (l *Link) done(now time.Duration) bool {
+// canClose reports whether the link is no longer needed: a side sent GoAway more than closingPeriod ago,
+// which covers frames still in transit, and no request is open. A gateway that shuts down keeps its
+// links.
+func (l *Link) canClose(now time.Duration) bool {
 	left := max(l.closingAt, l.peerClosingAt)
-	return left > 0 && now-left > closingPeriod && l.Idle() && !l.service.leaving
+	return left > 0 && now-left > closingPeriod && l.Idle() && !l.service.shuttingDown
 }
 
-// Closed tells that the link is no more. What is at the other side is in doubt; what is here
-// for it has no client any more.
+// Closed handles the end of the connection. The outcome of requests at the peer is in doubt, and requests
+// served for the peer no longer have a client.
 func (l *Link) Closed() {
 	if l.closed {
 		return
@@ -135,21 +142,23 @@
 	for _, id := range sorted(l.served) {
 		f := l.served[id]
 		delete(l.served, id)
-		l.service.core.ClientDisconnected(f.r)
+		l.service.core.ClientDisconnected(f.request)
 	}
 	l.service.checkPeer(l.peer, l.service.clock.Now())
 }
 
-// returnForwarded ends all that is at the other side, in doubt.
+// returnForwarded ends all requests that were forwarded over the link, with their outcome in doubt. why
+// is the last part of a counter's name.
 func (l *Link) returnForwarded(why string) {
 	for _, id := range sorted(l.forwarded) {
 		if c := l.forwarded[id]; c != nil {
-			l.service.stats.Inc("site.taken-back." + why)
-			l.service.end(c, decide.InDoubt, core.Answer{}, 0)
+			l.service.counters.Inc("site.taken-back." + why)
+			l.service.handleFailure(c, decide.InDoubt, core.Answer{}, 0)
 		}
 	}
 }
 
+// sorted returns the streams of a map in ascending order, so that runs are reproducible.
 func sorted[V any](m map[uint32]V) []uint32 {
 	ids := make([]uint32, 0, len(m))
 	for id := range m {
@@ -159,40 +168,42 @@
 	return ids
 }
 
-// HandleHello checks who the other side says that it is.
+// HandleHello checks the peer's name and encoding, and replaces older links that this side dialled.
 func (l *Link) HandleHello(g message.Hello) error {
 	if n := (Name{g.Site, g.Gateway}); n != l.peer.name {
-		return fmt.Errorf("%w: it says that it is %s, and has proven to be %s", ErrPeer, n, l.peer.name)
+		return fmt.Errorf("%w: its hello names %s, its certificate %s", ErrPeer, n, l.peer.name)
 	}
 	if form := l.service.opts.Codec.Form(); g.Format != form {
-		return fmt.Errorf("%w: it speaks %s, and this side %s", ErrPeer, g.Format, form)
+		return fmt.Errorf("%w: it uses format %s, this side %s", ErrPeer, g.Format, form)
 	}
-	l.greeted, l.packs = true, g.AcceptsZstd && l.service.packer.enc != nil
+	l.greeted, l.compress = true, g.AcceptsZstd && l.service.packer.enc != nil
 	l.peer.SetConnected(true)
 	l.service.log.Info("site.linked", "peer", l.peer.name.String(), "start", g.Incarnation)
-	if l.service.leaving {
-		l.leave()
+	if l.service.shuttingDown {
+		l.goAway()
 	}
 	for _, old := range l.peer.links {
-		if old != l && old.greeted && old.dialled && l.dialled { // this one is in its place
-			old.leave()
+		if old != l && old.greeted && old.dialled && l.dialled { // the new link replaces it
+			old.goAway()
 		}
 	}
 	l.ping(l.service.clock.Now())
 	return nil
 }
 
+// recordReply records that the peer has replied; rtt is 0 if no round trip was measured.
 func (l *Link) recordReply(rtt time.Duration) {
 	l.peer.RecordReply(l.service.cfg, l.service.clock.Now(), rtt)
 }
 
+// ping sends a ping and remembers when.
 func (l *Link) ping(now time.Duration) {
-	l.pinged++
-	l.pings[l.pinged%maxPings] = ping{l.pinged, now}
-	l.mux.Ping(l.pinged)
+	l.lastPing++
+	l.pings[l.lastPing%maxPings] = ping{l.lastPing, now}
+	l.mux.Ping(l.lastPing)
 }
 
-// HandlePong measures a round trip. A number that is not out, or was already, measures nothing.
+// HandlePong measures a round trip. It ignores pongs whose ping is unknown or was already answered.
 func (l *Link) HandlePong(number uint32) {
 	p := &l.pings[number%maxPings]
 	if p.number != number || p.at == 0 {
@@ -215,12 +226,13 @@
 	}
 }
 
-// HandleLoadReport takes what the peer says of itself.
+// HandleLoadReport records the peer's load report.
 func (l *Link) HandleLoadReport(d message.LoadReport) {
 	l.peer.RecordDigest(l.service.cfg, l.service.clock.Now(), decide.Digest{FreeCapacity: d.FreeCapacity, AcceptableWork: d.WorkSeconds, Draining: d.Draining})
 }
 
-// HandleSentKeys takes that keys were sent to engines at the peer's site, the way here included.
+// HandleSentKeys records idempotency keys that were sent to engines at the peer's site. The send times
+// account for the one-way delay of the link.
 func (l *Link) HandleSentKeys(k message.SentKeys) {
 	now := l.service.clock.Now()
 	for _, one := range k.Keys {
@@ -228,6 +240,6 @@
 	}
 }
 
-// HandleGoAway takes that the other side wants new streams on another link, which the side that dials
-// makes. Where it closes this one and there is no other, it has left.
+// HandleGoAway records that the peer wants new streams on another link, which the dialling side opens.
+// If the peer then closes this link and there is no other, it has shut down.
 func (l *Link) HandleGoAway() { l.peerClosingAt = max(l.service.clock.Now(), 1) }
--- a/internal/site/forwarding/overview.go
+++ b/internal/site/forwarding/overview.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// PeerStatus is how a peer stands.
+// PeerStatus is the state of a peer as this gateway sees it.
 type PeerStatus struct {
 	Peer         string             `json:"peer"`
 	State        string             `json:"state"`
-	Drained      bool               `json:"drained_here,omitempty"`
-	HeardMS      float64            `json:"heard_ms_ago"` // below 0: never
+	Drained      bool               `json:"drained_here,omitempty"` // this gateway forwards nothing new to it
+	HeardMS      float64            `json:"heard_ms_ago"`           // time since its latest reply; below 0: none yet
 	RTTMS        float64            `json:"rtt_ms"`
-	Links        int                `json:"links"`
-	Forwarded    int                `json:"requests_there"`
-	Served       int                `json:"requests_from_there"`
-	FreeCapacity map[string]float64 `json:"room"`
-	Credit       float64            `json:"credit_s"`
-	Distrust     float64            `json:"distrust"`
+	Links        int                `json:"links"`               // open links
+	Forwarded    int                `json:"requests_there"`      // open requests forwarded to it
+	Served       int                `json:"requests_from_there"` // open requests served here for it
+	FreeCapacity map[string]float64 `json:"room"`                // fraction by class, 0 to 1, as it reported
+	Credit       float64            `json:"credit_s"`            // core-seconds that may be forwarded before its next report
+	Distrust     float64            `json:"distrust"`            // fraction of its capacity, 0 to 1, discounted after recent failures
 }
 
-// Overview is how the sites stand, as this gateway sees them.
+// Overview is the state of this site and its peers as this gateway sees them.
 type Overview struct {
 	Name         string             `json:"name"`
 	Draining     bool               `json:"draining"`
-	FreeCapacity map[string]float64 `json:"room"` // of this site
-	Cores        float64            `json:"cores"`
+	FreeCapacity map[string]float64 `json:"room"`  // fraction of this site by class, 0 to 1
+	Cores        float64            `json:"cores"` // available cores of this site
 	Peers        []PeerStatus       `json:"peers"`
-	Log          []string           `json:"events"`
+	Log          []string           `json:"events"` // latest state changes of peers, oldest first
 }
 
-// Overview tells how the sites stand.
+// Overview returns the state of this site and its peers, sorted by peer name.
 func (s *Service) Overview() Overview {
 	now := s.clock.Now()
 	o := Overview{Name: s.opts.Name.String(), Draining: s.draining, FreeCapacity: map[string]float64{}, Cores: s.meter.AvailableCores(now)}
-	for _, name := range s.names {
+	for _, name := range s.classNames {
 		o.FreeCapacity[name] = s.meter.FreeCapacity(now, name)
 	}
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -52,7 +52,7 @@
 			st.Forwarded += len(l.forwarded)
 			st.Served += len(l.served)
 		}
-		for _, name := range s.names {
+		for _, name := range s.classNames {
 			st.FreeCapacity[name] = p.FreeCapacity(name)
 		}
 		o.Peers = append(o.Peers, st)
--- a/internal/site/forwarding/pack.go
+++ b/internal/site/forwarding/pack.go
@@ -9,28 +9,29 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Packer packs bodies by zstd (RFC 8878) where that pays. Its zero value packs and reads none.
+// Packer compresses bodies with zstd (RFC 8878) where that saves enough. The zero value compresses
+// nothing and rejects compressed bodies.
 type Packer struct {
 	enc *zstd.Encoder
 	dec *zstd.Decoder
 }
 
-// Bounds of packing: less than minPackedBytes is sent as it is, and what does not shrink to
-// maxPackedRatio as well (docs/measurements/site-link.md).
+// Limits of compression. Bodies below minCompressSize bytes are sent uncompressed, and so are bodies that
+// do not shrink to maxCompressRatio of their size (docs/measurements/site-link.md).
 const (
-	minPackedBytes = 1 << 10
-	maxPackedRatio = 0.8
-	// packWindow bounds the memory of both sides for one body.
-	packWindow = 256 << 10
+	minCompressSize  = 1 << 10
+	maxCompressRatio = 0.8
+	// zstdWindow is the zstd window in bytes; it bounds the memory of both sides for one body.
+	zstdWindow = 256 << 10
 )
 
-var errPacked = errors.New("site link: a packed body can't be read")
+var errCompressedBody = errors.New("site link: invalid compressed body")
 
-// NewPacker returns one that packs.
+// NewPacker returns a Packer that compresses and decompresses.
 func NewPacker() (p Packer, err error) {
-	p.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(packWindow), zstd.WithLowerEncoderMem(true))
+	p.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(zstdWindow), zstd.WithLowerEncoderMem(true))
 	if err == nil {
-		p.dec, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(message.MaxBodySize), zstd.WithDecoderMaxWindow(packWindow), zstd.WithDecoderLowmem(true))
+		p.dec, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(message.MaxBodySize), zstd.WithDecoderMaxWindow(zstdWindow), zstd.WithDecoderLowmem(true))
 	}
 	if err != nil {
 		return Packer{}, fmt.Errorf("zstd: %w", err)
@@ -38,37 +39,38 @@
 	return p, nil
 }
 
-// Pack returns a body as it is to travel, and its length as it was; 0: it is not packed.
+// Pack returns a body as it is sent, and its uncompressed size in bytes; 0 means that it is not
+// compressed.
 func (p Packer) Pack(b []byte) (body []byte, raw int) {
-	if p.enc == nil || len(b) < minPackedBytes {
+	if p.enc == nil || len(b) < minCompressSize {
 		return b, 0
 	}
-	packed := p.enc.EncodeAll(b, make([]byte, 0, len(b)/2))
-	if float64(len(packed)) > maxPackedRatio*float64(len(b)) {
+	compressed := p.enc.EncodeAll(b, make([]byte, 0, len(b)/2))
+	if float64(len(compressed)) > maxCompressRatio*float64(len(b)) {
 		return b, 0
 	}
-	return packed, len(b)
+	return compressed, len(b)
 }
 
-// Unpack reads a body that was raw bytes long; 0: it is not packed. Guards against one that
-// unpacks to more than it said.
+// Unpack decompresses a body of raw uncompressed bytes; 0 means that it is not compressed. The zstd header
+// must declare the same size, so that a body cannot decompress to more than announced.
 func (p Packer) Unpack(b []byte, raw int) ([]byte, error) {
 	if raw == 0 {
 		return b, nil
 	}
 	if p.dec == nil {
-		return nil, fmt.Errorf("%w: it was not asked for", errPacked)
+		return nil, fmt.Errorf("%w: this side does not accept compressed bodies", errCompressedBody)
 	}
 	var h zstd.Header
 	if err := h.Decode(b); err != nil || !h.HasFCS || h.FrameContentSize != uint64(raw) {
-		return nil, fmt.Errorf("%w: its length is not as said", errPacked)
+		return nil, fmt.Errorf("%w: the zstd header does not declare %d bytes", errCompressedBody, raw)
 	}
 	out, err := p.dec.DecodeAll(b, make([]byte, 0, raw))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %d bytes of %d: %w", errPacked, len(out), raw, err)
+		return nil, fmt.Errorf("%w: decompressed %d of %d bytes: %w", errCompressedBody, len(out), raw, err)
 	}
 	if len(out) != raw {
-		return nil, fmt.Errorf("%w: %d bytes of %d", errPacked, len(out), raw)
+		return nil, fmt.Errorf("%w: decompressed %d of %d bytes", errCompressedBody, len(out), raw)
 	}
 	return out, nil
 }
--- a/internal/site/forwarding/pack_test.go
+++ b/internal/site/forwarding/pack_test.go
@@ -10,9 +10,9 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Bodies come back as they were; small ones and what does not shrink are left as they are; what
-// does not unpack to the length that it said is an error, and takes no more memory than that.
-func TestPack(t *testing.T) {
+// Bodies are restored unchanged. Small and incompressible bodies are not compressed. A body that does not
+// decompress to its announced size is an error, and uses no more memory than announced.
+func TestCompression(t *testing.T) {
 	p, err := NewPacker()
 	if err != nil {
 		t.Fatal(err)
@@ -26,13 +26,13 @@
 		noise[i] = byte(x >> 11)
 	}
 	for name, tt := range map[string]struct {
-		b      []byte
-		packed bool
-	}{"rows": {rows, true}, "small": {rows[:minPackedBytes-1], false}, "noise": {noise, false}, "nothing": {nil, false}} {
+		b          []byte
+		compressed bool
+	}{"rows": {rows, true}, "small": {rows[:minCompressSize-1], false}, "noise": {noise, false}, "empty": {nil, false}} {
 		body, raw := p.Pack(tt.b)
 		got, err := p.Unpack(body, raw)
-		if err != nil || !bytes.Equal(got, tt.b) || (raw > 0) != tt.packed {
-			t.Errorf("%s: packed to %d, said %d, %d came back: %v", name, len(body), raw, len(got), err)
+		if err != nil || !bytes.Equal(got, tt.b) || (raw > 0) != tt.compressed {
+			t.Errorf("%s: sent %d bytes, announced size %d (want compressed %v), restored %d of %d bytes, error %v", name, len(body), raw, tt.compressed, len(got), len(tt.b), err)
 		}
 	}
 	body, raw := p.Pack(rows)
@@ -45,14 +45,14 @@
 		b   []byte
 		raw int
 	}{
-		"longer than said": {body, raw - 1}, "shorter": {body, raw + 1}, "cut": {body[:len(body)-1], raw}, "no zstd": {rows, raw}, "nothing": {nil, raw},
-		"a bomb that says so": {bomb, message.MaxBodySize + 1}, "a bomb": {bomb, 1000},
+		"longer than announced": {body, raw - 1}, "shorter than announced": {body, raw + 1}, "truncated": {body[:len(body)-1], raw}, "not zstd": {rows, raw}, "empty": {nil, raw},
+		"decompression bomb with its true size": {bomb, message.MaxBodySize + 1}, "decompression bomb with a false size": {bomb, 1000},
 	} {
-		if _, err := p.Unpack(tt.b, tt.raw); !errors.Is(err, errPacked) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := p.Unpack(tt.b, tt.raw); !errors.Is(err, errCompressedBody) {
+			t.Errorf("%s: error = %v, want %v", name, err, errCompressedBody)
 		}
 	}
-	if _, err := (Packer{}).Unpack(body, raw); !errors.Is(err, errPacked) {
-		t.Error("unpacked without having offered to")
+	if _, err := (Packer{}).Unpack(body, raw); !errors.Is(err, errCompressedBody) {
+		t.Errorf("compressed body at a zero Packer: error = %v, want %v", err, errCompressedBody)
 	}
 }
--- a/internal/site/forwarding/peers.go
+++ b/internal/site/forwarding/peers.go
@@ -10,23 +10,23 @@
 type peer struct {
 	decide.Peer
 	name          Name
-	links         []*Link // the newest last
-	removed       bool    // the settings name it no more
-	requestedWork float64 // work that it asked for of late, s
+	links         []*Link // oldest first
+	removed       bool    // it is no longer configured
+	requestedWork float64 // core-seconds requested recently; halved at each load report
 }
 
-// Event is a change of what is believed of a peer.
+// Event is a change of a peer's state.
 type Event struct {
-	At       time.Duration // module time
+	At       time.Duration // time of the core's clock
 	Peer     Name
-	From, To string
-	Why      string
+	From, To string // states, see decide.State
+	Why      string // reason for the change
 }
 
-// SetPeers names the gateways at other sites. Links to those that are named no more end, with what
-// is open on them; a peer that is named again is taken up where it was.
+// SetPeers sets the gateways at other sites. Links to gateways that are no longer listed are closed with
+// their open requests. A gateway that is listed again continues with its previous state.
 func (s *Service) SetPeers(names []Name) {
-	for _, p := range s.peers { // places stay: what is warm where is known by them
+	for _, p := range s.peers { // peers keep their index, by which the chooser remembers warm data sets
 		if p.removed = !slices.Contains(names, p.name); p.removed {
 			for _, l := range slices.Clone(p.links) {
 				l.transport.Close(ErrPeer)
@@ -37,25 +37,27 @@
 		if !slices.ContainsFunc(s.peers, func(p *peer) bool { return p.name == n }) {
 			p := &peer{name: n}
 			s.peers = append(s.peers, p)
-			s.views = append(s.views, &p.Peer)
+			s.peerStates = append(s.peerStates, &p.Peer)
 		}
 	}
 }
 
-// openLink is where new streams to a peer are opened: the newest that neither side has left, else one
-// that was left just now, as its successor is on its way; nil: none.
-func (p *peer) openLink() (left *Link) {
+// openLink returns the link for new streams to a peer: the newest on which neither side has sent GoAway,
+// else the newest with a recent GoAway, because its replacement is still being opened. It returns nil if
+// there is none.
+func (p *peer) openLink() (closing *Link) {
 	for _, l := range slices.Backward(p.links) {
 		switch {
 		case l.isOpen():
 			return l
-		case left == nil && l.greeted && l.service.clock.Now()-max(l.closingAt, l.peerClosingAt) < closingPeriod/2:
-			left = l
+		case closing == nil && l.greeted && l.service.clock.Now()-max(l.closingAt, l.peerClosingAt) < closingPeriod/2:
+			closing = l
 		}
 	}
-	return left
+	return closing
 }
 
+// peer returns the configured peer of a name, or nil.
 func (s *Service) peer(n Name) *peer {
 	for _, p := range s.peers {
 		if p.name == n && !p.removed {
--- a/internal/site/forwarding/reports.go
+++ b/internal/site/forwarding/reports.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-// tick sees silences, tells of keys, and says now and then how much room there is.
+// tick runs ticksPerReport times per DigestInterval. It checks the peers' states, closes links that are
+// silent or no longer needed, sends idempotency keys, and at times sends load reports and rejects
+// incomplete requests.
 func (s *Service) tick() {
 	now := s.clock.Now()
 	s.timers.Add(now+s.cfg.DigestInterval/ticksPerReport, s.tick)
@@ -17,7 +19,7 @@
 			switch {
 			case p.SinceReply(now) > redialIntervals*s.cfg.UnreachableAfter && now-l.since > redialIntervals*s.cfg.UnreachableAfter:
 				l.transport.Close(ErrSilent)
-			case l.done(now):
+			case l.canClose(now):
 				l.transport.Close(nil)
 			}
 		}
@@ -37,7 +39,8 @@
 	}
 }
 
-// checkPeer takes back what is at a peer that has fallen silent.
+// checkPeer records a change of a peer's state. If the peer became unreachable, it ends the requests that
+// were forwarded to it.
 func (s *Service) checkPeer(p *peer, now time.Duration) {
 	c, changed := p.StateChange(s.cfg, now)
 	if !changed {
@@ -51,43 +54,45 @@
 	}
 }
 
+// recordEvent counts, logs and stores a state change of a peer.
 func (s *Service) recordEvent(e Event) {
-	s.stats.Inc("site.state." + e.To)
+	s.counters.Inc("site.state." + e.To)
 	s.log.Info("site.state", "peer", e.Peer.String(), "from", e.From, "to", e.To, "why", e.Why)
 	if s.events = append(s.events, e); len(s.events) > maxEvents {
 		s.events = slices.Delete(s.events, 0, 1)
 	}
 }
 
-// sendLoadReports tells all peers how much room there is, and asks how long the way is.
+// sendLoadReports sends each peer the free capacity of this site and its share of the acceptable work,
+// and a ping that measures the round trip.
 func (s *Service) sendLoadReports() {
-	if s.leaving { // a new version may speak for this gateway by now
+	if s.shuttingDown { // a new process may already send reports for this gateway
 		return
 	}
 	now := s.clock.Now()
-	var to []*Link
-	var asked []float64
+	var links []*Link
+	var requested []float64
 	for _, p := range s.peers {
 		if l := p.openLink(); l != nil {
-			to, asked = append(to, l), append(asked, p.requestedWork)
+			links, requested = append(links, l), append(requested, p.requestedWork)
 			p.requestedWork /= 2
 		}
 	}
-	if len(to) == 0 {
+	if len(links) == 0 {
 		return
 	}
 	s.reports++
-	d := s.meter.Digest(now, s.names)
-	for i, takes := range decide.DivideWork(d.AcceptableWork, asked) {
+	d := s.meter.Digest(now, s.classNames)
+	for i, work := range decide.DivideWork(d.AcceptableWork, requested) {
 		if s.draining {
-			takes = 0
+			work = 0
 		}
-		to[i].sendLoadReport(s.reports, message.LoadReport{FreeCapacity: d.FreeCapacity, WorkSeconds: takes, Draining: s.draining})
-		to[i].ping(now)
+		links[i].sendLoadReport(s.reports, message.LoadReport{FreeCapacity: d.FreeCapacity, WorkSeconds: work, Draining: s.draining})
+		links[i].ping(now)
 	}
 }
 
-// sendKeys tells all peers of the keys that were sent since it was last called.
+// sendKeys tells all peers which idempotency keys were sent to engines since the previous call.
 func (s *Service) sendKeys(now time.Duration) {
 	for len(s.unsentKeys) > 0 {
 		n := min(len(s.unsentKeys), message.MaxKeys)
--- a/internal/site/forwarding/serve.go
+++ b/internal/site/forwarding/serve.go
@@ -7,20 +7,22 @@
 	"time"
 )
 
-// servedRequest is a request of another site that is here. It is its client.
+// servedRequest is a request from another site that this site serves. It is the request's core client
+// and sends the answer back over the link.
 type servedRequest struct {
-	link   *Link
-	stream uint32
-	r      *core.Request
+	link    *Link
+	stream  uint32
+	request *core.Request
 }
 
-// HandleRequest takes a request of another site.
+// HandleRequest starts a request from another site, or rejects it if the sites' settings for its class
+// differ, it cannot be decoded, this site is draining, or it has no capacity.
 func (l *Link) HandleRequest(stream uint32, a message.Request, statement []byte) {
 	s := l.service
 	now := s.clock.Now()
 	class, ok := s.core.Class(a.Class)
-	refuse := func(why string) {
-		s.stats.Inc("site.not-taken." + why)
+	reject := func(reason string) {
+		s.counters.Inc("site.not-taken." + reason)
 		l.answer(stream, message.Response{Verdict: uint8(core.Rejected)}, nil)
 	}
 	raw, err := s.packer.Unpack(statement, a.UncompressedSize)
@@ -29,14 +31,14 @@
 		read, err = s.opts.Codec.ReadStatement(raw)
 	}
 	switch {
-	case !ok || uint8(class.Idempotency) != a.Idempotency: // the sites' settings differ: nothing is known of what a repeat would do
-		refuse("class")
+	case !ok || uint8(class.Idempotency) != a.Idempotency: // with different settings it is unknown whether a repeat is safe
+		reject("class")
 		return
 	case err != nil || class.Idempotency == policy.IdempotentWithKey && a.IdempotencyKey == "":
-		refuse("unreadable")
+		reject("unreadable")
 		return
-	case s.draining || s.leaving:
-		refuse("draining")
+	case s.draining || s.shuttingDown:
+		reject("draining")
 		return
 	}
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
@@ -50,26 +52,27 @@
 	q := s.query(r, false)
 	l.peer.requestedWork += q.Work
 	if s.opts.Choose == nil && !s.meter.Accepts(now, &q) {
-		refuse("no-room")
+		reject("no-room")
 		return
 	}
-	f := &servedRequest{link: l, stream: stream, r: r}
+	f := &servedRequest{link: l, stream: stream, request: r}
 	r.Client = f
 	l.served[stream] = f
-	s.stats.Inc("site.taken." + a.Class)
+	s.counters.Inc("site.taken." + a.Class)
 	s.core.Accept(r)
 }
 
-// HandleCancel takes that the other site gave a request up.
+// HandleCancel cancels a request that the other site no longer needs.
 func (l *Link) HandleCancel(stream uint32) {
 	if f := l.served[stream]; f != nil {
 		delete(l.served, stream)
-		l.service.stats.Inc("site.cancelled." + f.r.Class)
-		l.service.core.ClientDisconnected(f.r)
+		l.service.counters.Inc("site.cancelled." + f.request.Class)
+		l.service.core.ClientDisconnected(f.request)
 	}
 }
 
-// Answer gives the other site the final answer.
+// Answer sends the final answer to the other site. It does nothing if the request was cancelled or its
+// link is closed.
 func (f *servedRequest) Answer(r *core.Request, a core.Answer) {
 	l, s := f.link, f.link.service
 	if l.served[f.stream] != f {
@@ -83,19 +86,20 @@
 	if a.Verdict == core.Served {
 		var err error
 		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > message.MaxBodySize {
-			s.stats.Inc("site.unwritable")
+			s.counters.Inc("site.unwritable")
 			h.Verdict, body = uint8(core.Failed), nil
 		}
 	} else if a.EngineError != nil {
 		body = s.opts.Codec.Detail(a.EngineError)
 		h.IsError = len(body) > 0
 	}
-	if l.packs {
+	if l.compress {
 		body, h.UncompressedSize = s.packer.Pack(body)
 	}
 	l.answer(f.stream, h, body)
 }
 
+// answer sends a response, and closes the link if the response cannot be encoded.
 func (l *Link) answer(stream uint32, h message.Response, body []byte) {
 	if err := l.mux.Respond(stream, h, body); err != nil {
 		l.transport.Close(err)
--- a/internal/site/forwarding/service.go
+++ b/internal/site/forwarding/service.go
@@ -1,6 +1,6 @@
-// Package forwarding sends requests to other sites and serves those of other sites here. It carries out what
-// internal/decide/remotesite decides. The sockets of its links belong to internal/site/link, so that it runs in virtual time as
-// well. All of it belongs to the goroutine of its core.
+// Package forwarding sends requests to other sites and serves requests from other sites. It carries out
+// the decisions of internal/decide/remotesite. The sockets belong to internal/site/link, so that this
+// package also runs in virtual time. All of it must be used from the goroutine of its core.
 package forwarding
 
 import (
@@ -16,84 +16,90 @@
 	"gannetspur/policy"
 )
 
-// Name is a gateway at another site.
+// Name identifies a gateway by its site and its name there.
 type Name struct{ Site, Gateway string }
 
+// String returns SITE/GATEWAY.
 func (n Name) String() string { return n.Site + "/" + n.Gateway }
 
-// Options say how the sites are.
+// Options configures a Service.
 type Options struct {
-	Name     Name
-	Start    uint64 // tells this life of the gateway from its others
+	Name     Name   // of this gateway
+	Start    uint64 // number drawn when the gateway starts; it distinguishes restarts
 	Config   decide.Config
 	Settings policy.Settings
-	Peers    []Name // that it knows from the start; SetPeers names others
+	Peers    []Name // initial gateways at other sites; SetPeers replaces them
 	Codec    Codec
-	Pack     bool // bodies are packed where that pays
-	Held     int  // bytes of unfinished bodies that a link holds; 0: mux.DefaultMaxHeldBytes
-	// Choose, where given, replaces decide.Chooser: the testbed compares strategies.
+	Pack     bool // compress bodies where that saves enough
+	Held     int  // maximum bytes of incomplete bodies per link; 0: mux.DefaultMaxHeldBytes
+	// Choose replaces decide.Chooser if it is not nil, and turns off the capacity check for requests from
+	// other sites. The testbed uses it to compare strategies. room is the free capacity of this site.
 	Choose func(now time.Duration, q *decide.Query, room float64, peers []*decide.Peer) decide.Choice
 }
 
-// Bounds of what is kept.
+// Limits of stored state, and intervals.
 const (
-	keyRetention = 10 * time.Minute
+	keyRetention = 10 * time.Minute // of idempotency keys
 	maxKeys      = 64 << 10
-	maxEvents    = 64
-	// ticksPerReport is how often a tick comes for each word: keys go out and silences are seen.
+	maxEvents    = 64 // state changes of peers in the overview
+	// ticksPerReport is the number of ticks per load report: keys are sent and silent peers are detected
+	// more often than load is reported.
 	ticksPerReport = 5
-	maxPings       = 8
-	// staleTicks is after how many ticks, once or twice that, a query that is not whole is turned away.
+	maxPings       = 8 // pings per link that may wait for their pong
+	// staleTicks is the number of ticks between checks for incomplete requests. A request without progress
+	// is rejected after one to two such intervals.
 	staleTicks = 40 * ticksPerReport
-	// redialIntervals is after how many SilentAfter without a reply a link is given up for another:
-	// what the system sends again for it comes ever seldomer.
+	// redialIntervals is the number of Config.UnreachableAfter periods without a reply after which a link
+	// is closed and dialled again: TCP retransmits at ever longer intervals, so that an old connection
+	// recovers late.
 	redialIntervals = 4
 )
 
 var _ core.RemoteSites = (*Service)(nil)
 
-// Service is the other sites, as one gateway knows them. It is a core.RemoteSites.
+// Service forwards requests to other sites and serves theirs. It implements core.RemoteSites.
 type Service struct {
-	core   *core.Core
-	clock  core.Clock
-	timers *timerqueue.Queue
-	opts   Options
-	cfg    decide.Config
-	stats  *metrics.Counters
-	log    *slog.Logger
-
-	classes    map[string]policy.Class
-	names      []string // of classes
-	cores      map[string]float64
-	peers      []*peer
-	views      []*decide.Peer // of peers, in the same order
-	meter      *decide.CapacityMeter
-	chooser    decide.Chooser
-	hedge      decide.Hedger
-	keys       *decide.KeyHistory
-	unsentKeys []message.SentKey // not told yet; Ago is when, µs of the clock
-	packer     Packer
-	forwarded  map[*core.Request]*forwardedRequest
-	ticks      int
-	reports    uint32
-	draining   bool
-	leaving    bool
-	events     []Event
+	core     *core.Core
+	clock    core.Clock
+	timers   *timerqueue.Queue
+	opts     Options
+	cfg      decide.Config
+	counters *metrics.Counters
+	log      *slog.Logger
+
+	classes      map[string]policy.Class
+	classNames   []string           // of classes, in the order of the settings
+	coresByKind  map[string]float64 // CPU cores of an engine
+	peers        []*peer
+	peerStates   []*decide.Peer // of peers, in the same order
+	meter        *decide.CapacityMeter
+	chooser      decide.Chooser
+	hedge        decide.Hedger
+	keys         *decide.KeyHistory
+	unsentKeys   []message.SentKey // not sent to the peers yet; AgoUS holds the send time in µs of the clock
+	packer       Packer
+	forwarded    map[*core.Request]*forwardedRequest // open, by request
+	ticks        int
+	reports      uint32  // number of the latest load report
+	draining     bool    // accepts no new requests from other sites
+	shuttingDown bool    // GoAway was sent on all links
+	events       []Event // latest maxEvents, oldest first
 }
 
-// New returns the service of a core. It begins to tick; SetSites is the caller's.
+// New returns the service of a core and starts its timer. The caller must register the service with the
+// core by SetSites.
 func New(c *core.Core, timers *timerqueue.Queue, opts Options, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{
-		core: c, clock: c, timers: timers, opts: opts, cfg: opts.Config, stats: counters, log: log,
-		classes: map[string]policy.Class{}, cores: map[string]float64{}, forwarded: map[*core.Request]*forwardedRequest{},
+		core: c, clock: c, timers: timers, opts: opts, cfg: opts.Config, counters: counters, log: log,
+		classes: map[string]policy.Class{}, coresByKind: map[string]float64{}, forwarded: map[*core.Request]*forwardedRequest{},
 		meter: decide.NewCapacityMeter(opts.Config, opts.Settings.Gateways), keys: decide.NewKeyHistory(keyRetention, maxKeys),
 	}
 	for _, class := range opts.Settings.Classes {
 		s.classes[class.Name] = class
-		s.names = append(s.names, class.Name)
+		s.classNames = append(s.classNames, class.Name)
 	}
 	for _, k := range opts.Settings.Kinds {
-		s.cores[k.Name] = k.Cores
+		s.coresByKind[k.Name] = k.Cores
 	}
 	s.SetPeers(opts.Peers)
 	if opts.Pack {
@@ -106,9 +112,9 @@
 	return s, nil
 }
 
-// UpdateEngine takes an engine of this site.
+// UpdateEngine updates the capacity of an engine of this site.
 func (s *Service) UpdateEngine(e core.Engine) {
-	cores := s.cores[e.Kind]
+	cores := s.coresByKind[e.Kind]
 	if cores <= 0 {
 		cores = 1
 	}
@@ -119,9 +125,10 @@
 	s.meter.UpdateEngine(e.ID, st)
 }
 
+// threads returns the number of threads that a request of a class uses, at least 1.
 func (s *Service) threads(class string) float64 { return max(s.classes[class].Threads, 1) }
 
-// AttemptStarted counts an attempt at an engine of this site, and remembers the key that it has.
+// AttemptStarted records an attempt at an engine of this site and its idempotency key, if it has one.
 func (s *Service) AttemptStarted(a *core.Attempt) {
 	r := a.Request
 	s.meter.AttemptStarted(s.threads(r.Class))
@@ -130,7 +137,8 @@
 	}
 }
 
-// AttemptEnded takes the end of one.
+// AttemptEnded records the end of an attempt at an engine of this site. If the attempt never ran, its
+// idempotency key is retracted.
 func (s *Service) AttemptEnded(a *core.Attempt, end core.Outcome, rep core.Report) {
 	r := a.Request
 	s.meter.AttemptEnded(s.threads(r.Class))
@@ -150,11 +158,12 @@
 	}
 }
 
-// Drain has this site accept nothing new of others (site is "", or its own name), or sends nothing new to another site or
-// gateway. It reports whether there is such a site.
+// Drain stops this site from accepting new requests from others, if site is "" or its own name.
+// Otherwise it stops forwarding new requests to that site, or to that gateway if site is SITE/GATEWAY.
+// It returns false if there is no such site.
 func (s *Service) Drain(site string) bool { return s.setDraining(site, true) }
 
-// Undrain takes Drain back.
+// Undrain reverses Drain.
 func (s *Service) Undrain(site string) bool { return s.setDraining(site, false) }
 
 func (s *Service) setDraining(site string, draining bool) bool {
@@ -173,27 +182,28 @@
 	return found
 }
 
-// Leave says on all links that this process takes nothing new, and that it goes.
+// Leave announces on all links that this process shuts down and accepts no new requests. Links stay
+// open for their open requests.
 func (s *Service) Leave() {
 	s.draining = true
 	s.sendLoadReports()
-	s.leaving = true
+	s.shuttingDown = true
 	for _, p := range s.peers {
 		for _, l := range p.links {
 			if l.greeted {
-				l.leave()
+				l.goAway()
 			}
 		}
 	}
 }
 
-// Linked tells whether there is a link to a peer that neither side has left.
+// Linked reports whether there is a link to a peer on which neither side has sent GoAway.
 func (s *Service) Linked(n Name) bool {
 	p := s.peer(n)
 	return p != nil && slices.ContainsFunc(p.links, (*Link).isOpen)
 }
 
-// Idle tells whether nothing is on its way to another site or from one.
+// Idle reports whether no request is open in either direction.
 func (s *Service) Idle() bool {
 	for _, p := range s.peers {
 		for _, l := range p.links {
