--- a/internal/site/link/accept.go
+++ b/internal/site/link/accept.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxHandshakes are under way at once; others that connect wait.
+	// maxHandshakes is the maximum number of concurrent handshakes; further connections wait.
 	maxHandshakes = 16
-	// acceptPause is for an accept that failed, as without a free descriptor.
+	// acceptPause is the delay after a failed accept, for example for lack of file descriptors.
 	acceptPause = 20 * time.Millisecond
 )
 
-// listen opens a listener at an address that another process may accept at, too.
+// listen opens a listener on an address that other processes may listen on as well.
 func listen(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: reusePort}
 	ln, err := config.Listen(context.Background(), "tcp", addr)
@@ -29,6 +29,7 @@
 	return ln, nil
 }
 
+// reusePort sets SO_REUSEPORT on a socket.
 func reusePort(_, _ string, socket syscall.RawConn) error {
 	var optionErr error
 	err := socket.Control(func(fd uintptr) {
@@ -40,8 +41,8 @@
 	return optionErr
 }
 
-// accept runs until the listener is closed. Each connection has a goroutine until it is a link, or
-// has failed to become one.
+// accept accepts connections until the listener is closed. A goroutine for each connection performs the
+// handshake and opens the link.
 func (r *Runner) accept(ln net.Listener) {
 	handshakes := make(chan struct{}, maxHandshakes)
 	for {
@@ -56,14 +57,15 @@
 			continue
 		}
 		go func() {
-			r.welcome(raw)
+			r.handshake(raw)
 			<-handshakes
 		}()
 	}
 }
 
-// welcome makes a link of an accepted connection, once its peer has proven who it is.
-func (r *Runner) welcome(raw net.Conn) {
+// handshake performs the TLS handshake of an accepted connection, which proves the peer's name, and opens
+// a link on it.
+func (r *Runner) handshake(raw net.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	var proven identity
--- a/internal/site/link/connection.go
+++ b/internal/site/link/connection.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	writeTimeout = 10 * time.Second // for one buffer
-	writeSize    = 128 << 10        // bytes that are pulled at once, about
-	maxWrites    = 2                // buffers that may wait for the socket
-	readSize     = 64 << 10
+	writeTimeout = 10 * time.Second // for writing one buffer
+	writeSize    = 128 << 10        // approximate bytes pulled into one buffer
+	maxWrites    = 2                // buffers that may wait to be written
+	readSize     = 64 << 10         // bytes of the read buffer
 )
 
-// conn is the connection of a link. It is a forwarding.Transport. A goroutine reads and another
-// writes; both end once the socket is closed.
+// conn is the TLS connection of a link and implements forwarding.Transport. One goroutine reads and
+// another writes; both end when the socket is closed.
 type conn struct {
 	runner  *Runner
 	tls     *tls.Conn
 	peer    identity
 	dialled bool
 	link    *forwarding.Link
-	expiry  *timerqueue.Timer // of the peer's certificate
+	expiry  *timerqueue.Timer // fires when the peer's certificate expires
 
-	// For the loop's goroutine:
-	writes  int      // buffers that wait for the socket
-	spare   [][]byte // buffers to use again
-	partial []byte   // what has come of a frame that is not complete
+	// Used only on the loop's goroutine:
+	writes  int      // buffers that wait to be written
+	spare   [][]byte // buffers for reuse
+	partial []byte   // received part of an incomplete frame
 	closed  bool
 
-	toWrite     chan []byte
-	consumed    chan struct{} // what was read is consumed
+	toWrite     chan []byte   // buffers for the writing goroutine
+	consumed    chan struct{} // signals that the loop has processed the read buffer
 	closeSocket sync.Once
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// Ready pulls what the socket may take.
+// Ready pulls output from the link while fewer than maxWrites buffers wait to be written.
 func (c *conn) Ready() {
 	for !c.closed && c.writes < maxWrites && c.link != nil && c.link.Waiting() {
 		c.writes++
@@ -56,7 +56,7 @@
 	}
 }
 
-// takeSpare is an empty buffer, or nil.
+// takeSpare returns an empty buffer for reuse, or nil if there is none.
 func (c *conn) takeSpare() []byte {
 	n := len(c.spare)
 	if n == 0 {
@@ -67,7 +67,8 @@
 	return b
 }
 
-// Close ends the link.
+// Close closes the connection and reports the end of the link to the service. cause is logged unless it
+// is nil or io.EOF.
 func (c *conn) Close(cause error) {
 	if c.closed {
 		return
@@ -85,10 +86,11 @@
 	r.loop.Post(c.link.Closed)
 }
 
+// shut closes the underlying socket, once.
 func (c *conn) shut() { c.closeSocket.Do(func() { _ = c.tls.NetConn().Close() }) }
 
-// read hands over what comes, one piece at a time: while the loop has not consumed it, no more is
-// read.
+// read passes received bytes to the loop, one buffer at a time. It reads no more until the loop has
+// processed the buffer.
 func (c *conn) read() {
 	b := make([]byte, readSize)
 	for {
@@ -107,7 +109,7 @@
 	}
 }
 
-// input consumes what was read. It keeps a frame that is not complete, and never more than one.
+// input processes received bytes. It keeps at most one incomplete frame.
 func (c *conn) input(b []byte) {
 	if c.closed {
 		return
@@ -122,14 +124,14 @@
 		return
 	}
 	rest := b[n:]
-	if len(rest) > frame.HeaderSize+frame.MaxBodySize { // Input would have read it
-		c.Close(fmt.Errorf("%w: %d bytes", frame.ErrLength, len(rest)))
+	if len(rest) > frame.HeaderSize+frame.MaxBodySize { // Input would have consumed a frame
+		c.Close(fmt.Errorf("%w: incomplete frame of %d bytes", frame.ErrLength, len(rest)))
 		return
 	}
 	c.partial = append(c.partial[:0], rest...)
 }
 
-// write sends buffers until Close closes the channel.
+// write writes buffers to the socket until Close closes the channel.
 func (c *conn) write() {
 	for b := range c.toWrite {
 		_ = c.tls.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -137,14 +139,14 @@
 		c.runner.loop.Post(func() { c.written(b, err) })
 		if err != nil {
 			c.shut()
-			for range c.toWrite { // drop the rest, so that Ready is never blocked
+			for range c.toWrite { // discard the rest, so that Ready never blocks
 			}
 			return
 		}
 	}
 }
 
-// written takes note that a buffer was sent, or of the error.
+// written handles the end of writing a buffer, with its error or nil.
 func (c *conn) written(b []byte, err error) {
 	if err != nil {
 		c.Close(err)
--- a/internal/site/link/dial.go
+++ b/internal/site/link/dial.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	handshakeTimeout = 3 * time.Second
-	minRedial        = 200 * time.Millisecond
-	maxRedial        = 3 * time.Second
-	maxRedialShift   = 8                      // doublings of minRedial
-	dialInterval     = 100 * time.Millisecond // between looks at which peers have to be dialled
+	handshakeTimeout = 3 * time.Second        // for connecting and the TLS handshake
+	minRedial        = 200 * time.Millisecond // delay after a success, and base of the backoff
+	maxRedial        = 3 * time.Second        // upper limit of the backoff
+	maxRedialShift   = 8                      // maximum doublings of minRedial
+	dialInterval     = 100 * time.Millisecond // between checks for peers to dial
 )
 
-// remote is a peer as the runner sees it.
+// remote is a peer with the state of dialling it.
 type remote struct {
 	Peer
-	dialling    bool
-	failures    int           // dials in a row that failed
-	nextDial    time.Duration // not before
-	keysChanged bool          // its link was made with keys that were replaced since
+	dialling    bool          // a dial is in progress
+	failures    int           // consecutive failed dials
+	nextDial    time.Duration // earliest time of the next dial
+	keysChanged bool          // its link uses keys that have been replaced
 }
 
-// dials tells whether this side dials a peer: of two gateways the one whose name comes first.
+// dials reports whether this side dials a peer. Of two gateways, the one whose name sorts first dials.
 func (r *Runner) dials(p *remote) bool { return r.own.String() < p.Name.String() }
 
-// dialMissing dials those peers that there is no link to, now and at each dialInterval.
+// dialMissing dials the peers that have no link or whose link uses replaced keys, now and at every
+// dialInterval.
 func (r *Runner) dialMissing() {
 	if r.stopped {
 		return
@@ -60,7 +61,7 @@
 	}()
 }
 
-// connect makes a connection to a peer that proves who it is.
+// connect opens a TLS connection to a peer, whose certificate must prove its name.
 func (r *Runner) connect(p Peer) (*tls.Conn, identity, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
@@ -77,7 +78,8 @@
 	return socket, proven, nil
 }
 
-// dialled schedules the next dial of a peer. Its random part keeps peers from dialling all at once.
+// dialled records the result of a dial and schedules the next. After a failure the delay doubles up to
+// maxRedial and has a random part, so that gateways do not dial all at once.
 func (r *Runner) dialled(p *remote, err error) {
 	if err == nil {
 		p.failures = 0
--- a/internal/site/link/keys.go
+++ b/internal/site/link/keys.go
@@ -1,6 +1,6 @@
-// Package link runs the links between gateways on sockets: mutual TLS 1.3 (RFC 8446), whose
-// keys may be replaced while it runs, dialling, accepting, and moving bytes between a
-// connection and its forwarding.Link.
+// Package link runs the links between gateways on sockets. It dials and accepts connections with mutual
+// TLS 1.3 (RFC 8446), whose keys may be replaced at run time, and moves bytes between a connection and
+// its forwarding.Link.
 package link
 
 import (
@@ -18,30 +18,30 @@
 	"gannetspur/internal/site/forwarding"
 )
 
-// Files name the keys of a gateway, in PEM. A certificate names its gateway by one URI,
-// ringwood://SITE/GATEWAY, as a subject alternative name.
+// Files holds the names of a gateway's key files, in PEM. A certificate names its gateway by exactly one
+// URI ringwood://SITE/GATEWAY among its subject alternative names.
 type Files struct {
-	Certificate string // of this gateway, with what leads to the authority
-	Key         string
-	Authority   string // that certificates of peers are signed by
+	Certificate string // of this gateway, followed by any intermediate certificates
+	Key         string // private key of Certificate
+	Authority   string // certificates of the authorities that sign peers' certificates
 	Revoked     string // certificate revocation list (RFC 5280) of the authority; "": none
 }
 
-// protocol is the link's name in TLS's application-layer protocol negotiation (RFC 7301).
+// protocol is the link's name in TLS application-layer protocol negotiation (RFC 7301).
 const protocol = "ringwood-site/1"
 
 // gatewayScheme is the scheme of URIs that name gateways.
 const gatewayScheme = "ringwood"
 
-// Errors of keys.
+// Errors of keys and certificates.
 var (
-	ErrKeys    = errors.New("site link: keys")
-	ErrRevoked = errors.New("site link: the certificate is revoked")
-	ErrName    = errors.New("site link: the certificate names no gateway")
+	ErrKeys    = errors.New("site link: invalid keys")
+	ErrRevoked = errors.New("site link: certificate is revoked")
+	ErrName    = errors.New("site link: certificate does not name the expected gateway")
 )
 
-// Keys are what a gateway proves who it is with, and checks others by. They may be read again at
-// any time; links made from then on use the new ones.
+// Keys holds the certificate of a gateway and the authority by which it verifies peers. Reload may be
+// called at any time; later handshakes use the new keys. Keys is safe for concurrent use.
 type Keys struct {
 	files   Files
 	own     forwarding.Name
@@ -49,15 +49,15 @@
 	current keySet
 }
 
-// keySet is what the files hold. It does not change once it was read.
+// keySet is the content of the key files. It is not changed after it was read.
 type keySet struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 	revoked     map[string]bool // by serial number
-	expiresAt   time.Time       // end of this gateway's own certificate
+	expiresAt   time.Time       // expiry of this gateway's certificate
 }
 
-// LoadKeys reads the keys of a gateway.
+// LoadKeys reads the keys of the gateway named own.
 func LoadKeys(files Files, own forwarding.Name) (*Keys, error) {
 	k := &Keys{files: files, own: own}
 	if err := k.Reload(); err != nil {
@@ -66,7 +66,7 @@
 	return k, nil
 }
 
-// Reload reads the files again. Invalid keys change nothing.
+// Reload reads the files again. If they are invalid, it returns an error and keeps the current keys.
 func (k *Keys) Reload() error {
 	set, err := k.read()
 	if err != nil {
@@ -78,12 +78,14 @@
 	return nil
 }
 
+// load returns the current keys.
 func (k *Keys) load() keySet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.current
 }
 
+// read reads and validates all key files.
 func (k *Keys) read() (set keySet, err error) {
 	set.certificate, err = k.readCertificate()
 	if err != nil {
@@ -96,7 +98,7 @@
 	}
 	set.authority = x509.NewCertPool()
 	if !set.authority.AppendCertsFromPEM(authority) {
-		return keySet{}, keysError(k.files.Authority, errors.New("it holds no certificate"))
+		return keySet{}, keysError(k.files.Authority, errors.New("file contains no certificate"))
 	}
 	set.revoked, err = k.readRevoked(authority)
 	if err != nil {
@@ -105,9 +107,10 @@
 	return set, nil
 }
 
+// keysError returns an ErrKeys that names the file.
 func keysError(file string, err error) error { return fmt.Errorf("%w: %s: %w", ErrKeys, file, err) }
 
-// readCertificate reads this gateway's own certificate, which must name it.
+// readCertificate reads this gateway's certificate, which must name this gateway.
 func (k *Keys) readCertificate() (tls.Certificate, error) {
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
@@ -119,7 +122,7 @@
 	}
 	name, err := gatewayName(certificate.Leaf)
 	if err != nil || name != k.own {
-		return certificate, fmt.Errorf("it is %s's, and this gateway is %s", name, k.own)
+		return certificate, fmt.Errorf("certificate names %s, want %s", name, k.own)
 	}
 	return certificate, nil
 }
@@ -136,7 +139,7 @@
 	}
 	block, _ := pem.Decode(raw)
 	if block == nil {
-		return nil, errors.New("it is no PEM")
+		return nil, errors.New("file is not PEM")
 	}
 	list, err := x509.ParseRevocationList(block.Bytes)
 	if err != nil {
@@ -151,8 +154,8 @@
 	return revoked, nil
 }
 
-// checkSigned checks that a list is signed by one of the authority's certificates. Guards against a
-// list that anybody could have written.
+// checkSigned checks that a revocation list is signed by one of the authority's certificates, so that
+// forged lists are rejected.
 func checkSigned(list *x509.RevocationList, authority []byte) error {
 	for block, rest := pem.Decode(authority); block != nil; block, rest = pem.Decode(rest) {
 		certificate, err := x509.ParseCertificate(block.Bytes)
@@ -160,10 +163,10 @@
 			return nil
 		}
 	}
-	return errors.New("it is not signed by the authority")
+	return errors.New("revocation list is not signed by the authority")
 }
 
-// gatewayName is the gateway that a certificate names.
+// gatewayName returns the gateway that a certificate names.
 func gatewayName(certificate *x509.Certificate) (forwarding.Name, error) {
 	var names []*url.URL
 	for _, uri := range certificate.URIs {
@@ -172,19 +175,19 @@
 		}
 	}
 	if len(names) != 1 {
-		return forwarding.Name{}, fmt.Errorf("%w: it has %d names, wanted is one URI ringwood://SITE/GATEWAY", ErrName, len(names))
+		return forwarding.Name{}, fmt.Errorf("%w: it has %d gateway URIs, want one ringwood://SITE/GATEWAY", ErrName, len(names))
 	}
 	gateway := strings.TrimPrefix(names[0].Path, "/")
 	if names[0].Host == "" || gateway == "" || strings.Contains(gateway, "/") {
-		return forwarding.Name{}, fmt.Errorf("%w: %s", ErrName, names[0])
+		return forwarding.Name{}, fmt.Errorf("%w: URI %s is not ringwood://SITE/GATEWAY", ErrName, names[0])
 	}
 	return forwarding.Name{Site: names[0].Host, Gateway: gateway}, nil
 }
 
-// ExpiresAt is when this gateway's own certificate ends.
+// ExpiresAt returns the time at which this gateway's certificate expires.
 func (k *Keys) ExpiresAt() time.Time { return k.load().expiresAt }
 
-// IsRevoked tells whether the current list revokes a certificate.
+// IsRevoked reports whether the current revocation list contains a certificate.
 func (k *Keys) IsRevoked(certificate *x509.Certificate) bool {
 	return k.load().isRevoked(certificate)
 }
@@ -193,13 +196,14 @@
 	return s.revoked[certificate.SerialNumber.String()]
 }
 
-// identity is who a peer has proven to be.
+// identity is the verified identity of a peer.
 type identity struct {
 	name        forwarding.Name
 	certificate *x509.Certificate
 }
 
-// serverConfig is for one handshake that any gateway may begin. It sets proven.
+// serverConfig returns the TLS configuration for one handshake with any gateway that connects. The
+// handshake sets proven.
 func (k *Keys) serverConfig(proven *identity) *tls.Config {
 	set := k.load()
 	config := set.config()
@@ -211,11 +215,12 @@
 	return config
 }
 
-// clientConfig is for one handshake with a peer. It sets proven.
+// clientConfig returns the TLS configuration for one handshake with a peer that this side dials. The
+// handshake sets proven.
 func (k *Keys) clientConfig(peer forwarding.Name, proven *identity) *tls.Config {
 	set := k.load()
 	config := set.config()
-	// VerifyConnection checks the peer's URI: gateways have no host names.
+	// VerifyConnection verifies the certificate and the peer's URI, because gateways have no host names.
 	config.InsecureSkipVerify = true
 	config.VerifyConnection = func(state tls.ConnectionState) error {
 		got, err := set.verify(state, x509.ExtKeyUsageServerAuth)
@@ -223,7 +228,7 @@
 			return err
 		}
 		if got.name != peer {
-			return fmt.Errorf("%w: it is %s's, wanted is %s", ErrName, got.name, peer)
+			return fmt.Errorf("%w: it names %s, want %s", ErrName, got.name, peer)
 		}
 		*proven = got
 		return nil
@@ -231,6 +236,7 @@
 	return config
 }
 
+// config returns the TLS settings that both sides share.
 func (s keySet) config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{s.certificate}, RootCAs: s.authority, ClientCAs: s.authority,
@@ -238,7 +244,7 @@
 	}
 }
 
-// verify checks a peer's certificate for its use, and returns who the peer is.
+// verify checks a peer's certificate chain, usage and revocation, and returns the peer's identity.
 func (s keySet) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) (identity, error) {
 	if len(state.PeerCertificates) == 0 {
 		return identity{}, ErrName
@@ -259,7 +265,7 @@
 		return identity{}, err
 	}
 	if state.NegotiatedProtocol != protocol {
-		return identity{}, fmt.Errorf("%w: it speaks %q", ErrName, state.NegotiatedProtocol)
+		return identity{}, fmt.Errorf("%w: application protocol is %q, want %q", ErrName, state.NegotiatedProtocol, protocol)
 	}
 	return identity{name: name, certificate: leaf}, nil
 }
--- a/internal/site/link/runner.go
+++ b/internal/site/link/runner.go
@@ -13,19 +13,21 @@
 	"gannetspur/internal/timerqueue"
 )
 
-// Peer is a gateway at another site, and where it listens.
+// Peer is a gateway at another site and the address where it listens.
 type Peer struct {
 	Name forwarding.Name
-	Addr string
+	Addr string // host:port; unused if the peer dials
 }
 
-// Loop is the goroutine that the service belongs to.
+// Loop is the event loop whose goroutine owns the service.
 type Loop interface {
+	// Post runs f on the loop's goroutine.
 	Post(f func())
+	// Now returns the time of the loop's clock.
 	Now() time.Duration
 }
 
-// Runner keeps a link to each peer.
+// Runner maintains a link to each peer. It must be used from the loop's goroutine.
 type Runner struct {
 	loop     Loop
 	timers   *timerqueue.Queue
@@ -36,12 +38,12 @@
 	keys     *Keys
 	own      forwarding.Name
 	peers    []*remote
-	listener net.Listener // nil: none
-	conns    map[*conn]bool
-	stopped  bool
+	listener net.Listener   // nil: it does not listen
+	conns    map[*conn]bool // open connections
+	stopped  bool           // GoAway was called
 }
 
-// New returns a runner. Start begins.
+// New returns a runner for the gateway named own. It is inactive until Start is called.
 func New(loop Loop, timers *timerqueue.Queue, service *forwarding.Service, keys *Keys, own forwarding.Name, peers []Peer, counters *metrics.Counters, log *slog.Logger) *Runner {
 	r := &Runner{
 		loop: loop, timers: timers, service: service, counters: counters, log: log,
@@ -51,7 +53,7 @@
 	return r
 }
 
-// SetPeers sets the peers, also of the service; see forwarding.Service.SetPeers.
+// SetPeers sets the peers of the runner and of the service; see forwarding.Service.SetPeers.
 func (r *Runner) SetPeers(peers []Peer) {
 	names := make([]forwarding.Name, len(peers))
 	for i, p := range peers {
@@ -64,16 +66,15 @@
 		one := &remote{}
 		i := slices.IndexFunc(before, func(known *remote) bool { return known.Name == p.Name })
 		if i >= 0 {
-			one = before[i] // a dial may be under way
+			one = before[i] // keep the state of a dial in progress
 		}
 		one.Peer = p
 		r.peers = append(r.peers, one)
 	}
 }
 
-// Start accepts at an address, or nowhere where it is "", and begins to dial. Another process may
-// accept at the same address, as a new version does that takes over: the kernel divides the
-// connections.
+// Start listens on an address, unless it is "", and starts to dial. Another process may listen on the same
+// address, for example a new version that takes over; the kernel then distributes the connections.
 func (r *Runner) Start(addr string) error {
 	if addr != "" {
 		ln, err := listen(addr)
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// Addr is the address where it accepts; "": nowhere.
+// Addr returns the address on which the runner listens, or "" if it does not listen.
 func (r *Runner) Addr() string {
 	if r.listener == nil {
 		return ""
@@ -95,18 +96,19 @@
 	return r.listener.Addr().String()
 }
 
-// GoAway accepts and dials no more, and reports on all links that nothing new is taken on them.
-// They stay open for what is.
+// GoAway stops listening and dialling, and tells all peers that their links accept no new requests. The
+// links stay open for open requests.
 func (r *Runner) GoAway() {
 	r.stopped = true
 	if r.listener != nil {
-		_ = r.listener.Close() // what was accepted goes on
+		_ = r.listener.Close() // accepted connections stay open
 	}
 	r.service.Leave()
 }
 
-// Reload reads the keys again. Links whose peer's certificate is revoked end; the others are
-// renewed with the new keys, while what is open on the old ones goes on there.
+// Reload reads the keys again. It closes links whose peer's certificate is revoked and replaces the others
+// by links with the new keys. Open requests continue on the old links. If the keys are invalid, it returns
+// an error and changes nothing.
 func (r *Runner) Reload() error {
 	if err := r.keys.Reload(); err != nil {
 		return err
@@ -115,17 +117,17 @@
 		if r.keys.IsRevoked(c.peer.certificate) {
 			c.Close(ErrRevoked)
 		} else if !c.dialled {
-			c.link.Renew() // the peer dials
+			c.link.Renew() // the peer dials the new link
 		}
 	}
-	for _, p := range r.peers { // the old link goes away once the new one is up
+	for _, p := range r.peers { // the service closes the old link once the new one is established
 		p.nextDial = 0
 		p.keysChanged = true
 	}
 	return nil
 }
 
-// open makes a link of a connection whose peer has proven who it is.
+// open starts a link on a connection whose peer has been verified.
 func (r *Runner) open(socket *tls.Conn, peer identity, dialled bool) error {
 	c := newConn(r, socket, peer, dialled)
 	link, err := r.service.Connect(c, peer.name, dialled)
@@ -136,15 +138,16 @@
 	c.link = link
 	r.conns[c] = true
 	r.counters.Inc("site.links")
-	// What a certificate has proven ends with it.
+	// The link must not outlive the certificate that proved the peer's identity.
 	validFor := time.Until(peer.certificate.NotAfter)
-	c.expiry = r.timers.Add(r.loop.Now()+validFor, func() { c.Close(fmt.Errorf("%w: its certificate has ended", ErrKeys)) })
+	c.expiry = r.timers.Add(r.loop.Now()+validFor, func() { c.Close(fmt.Errorf("%w: the peer's certificate has expired", ErrKeys)) })
 	go c.read()
 	go c.write()
 	c.Ready()
 	return nil
 }
 
+// linkFailed counts and logs a link that could not be established. peer is a name or an address.
 func (r *Runner) linkFailed(peer string, err error) {
 	r.counters.Inc("site.link-failed")
 	r.log.Warn("site.link-failed", "peer", peer, "error", err)
--- a/internal/site/message/message.go
+++ b/internal/site/message/message.go
@@ -1,6 +1,6 @@
-// Package message has the messages of the link between two gateways, as CBOR (RFC 8949) maps whose
-// keys are small numbers. A message that can't be decoded, has a field out of its bounds or one that
-// isn't known is an error: within one version of the link there is none.
+// Package message defines the messages of the link between two gateways, encoded as CBOR (RFC 8949) maps
+// with small integer keys. A message that cannot be decoded, has a field out of bounds or has an unknown
+// field is an error, because both sides use the same version of the protocol.
 package message
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of fields.
+// Limits of message fields.
 const (
-	MaxNameLength   = 64       // bytes of a name, a class, an id or a key
-	MaxClasses      = 64       // in a LoadReport
-	MaxKeys         = 512      // in one SentKeys
-	MaxBodySize     = 16 << 20 // bytes of a statement or of a response's rows
-	MaxSends        = 64
-	maxMicroseconds = 24 * 3600 * 1_000_000
-	maxAmount       = 1e9 // s or MB
+	MaxNameLength   = 64                    // bytes of a name, class, request id or idempotency key
+	MaxClasses      = 64                    // classes in a LoadReport
+	MaxKeys         = 512                   // keys in one SentKeys
+	MaxBodySize     = 16 << 20              // bytes of a statement or of a response's body
+	MaxSends        = 64                    // sends to engines for one request
+	maxMicroseconds = 24 * 3600 * 1_000_000 // longest duration, one day
+	maxAmount       = 1e9                   // largest amount of work in s or of memory in MB
 )
 
-// Values of Request.Idempotency. Both sides must have the same for a class.
+// Values of Request.Idempotency. Both sides must configure the same value for a class.
 const (
 	NotIdempotent     = 0
 	IdempotentWithKey = 1
@@ -37,71 +37,75 @@
 )
 
 // Message is one of the types of this package.
-type Message interface{ check() error }
+type Message interface {
+	// check reports a field that is out of bounds.
+	check() error
+}
 
-// Hello is the first frame of each side.
+// Hello is the first message of each side.
 type Hello struct {
 	Site    string `cbor:"1,keyasint"`
 	Gateway string `cbor:"2,keyasint"`
-	// Incarnation is a number that is drawn when a gateway starts.
+	// Incarnation is a random number that a gateway draws when it starts; it distinguishes restarts.
 	Incarnation uint64 `cbor:"3,keyasint"`
-	Format      string `cbor:"4,keyasint"` // of statements and rows: lines or postgres
-	AcceptsZstd bool   `cbor:"5,keyasint"` // it decodes compressed bodies
+	Format      string `cbor:"4,keyasint"` // encoding of statements and results, for example lines or postgres
+	AcceptsZstd bool   `cbor:"5,keyasint"` // the sender decodes bodies compressed with zstd
 }
 
-// Request is a client's request without its statement, which follows as Data.
+// Request is a forwarded client request. Its statement follows as Data.
 type Request struct {
-	ID             string `cbor:"1,keyasint"` // the client's
+	ID             string `cbor:"1,keyasint"` // request id from the client
 	Class          string `cbor:"2,keyasint"`
 	Idempotency    uint8  `cbor:"3,keyasint"` // NotIdempotent, IdempotentWithKey or Idempotent
 	IdempotencyKey string `cbor:"4,keyasint,omitempty"`
 	DataSet        int64  `cbor:"5,keyasint,omitempty"`
-	// RemainingUS is the time that the receiver has, without that for the way back.
+	// RemainingUS is the time in microseconds in which the receiver must respond; it excludes the delay of
+	// the response.
 	RemainingUS int64   `cbor:"6,keyasint"`
-	WorkUS      int64   `cbor:"7,keyasint,omitempty"`
-	MemoryMB    float64 `cbor:"8,keyasint,omitempty"`
-	ClientRetry bool    `cbor:"9,keyasint,omitempty"`
-	MaxSends    int     `cbor:"10,keyasint"` // that the receiver may make, 1 to MaxSends
-	// FirstSentAgoUS is 1 more than the time since the first send anywhere that may have run; 0: none
-	// may have.
+	WorkUS      int64   `cbor:"7,keyasint,omitempty"` // expected work in core-microseconds; 0: unknown
+	MemoryMB    float64 `cbor:"8,keyasint,omitempty"` // expected memory; 0: unknown
+	ClientRetry bool    `cbor:"9,keyasint,omitempty"` // the client marked the request as a retry
+	MaxSends    int     `cbor:"10,keyasint"`          // sends to engines that the receiver may make, 1 to MaxSends
+	// FirstSentAgoUS is 1 plus the time in microseconds since the first send, at any site, that may have
+	// run; 0: no send may have run.
 	FirstSentAgoUS   int64 `cbor:"11,keyasint,omitempty"`
 	Size             int   `cbor:"12,keyasint"`           // bytes of Data that follow
-	UncompressedSize int   `cbor:"13,keyasint,omitempty"` // of that Data; 0: it is not compressed
+	UncompressedSize int   `cbor:"13,keyasint,omitempty"` // bytes of that Data before compression; 0: not compressed
 }
 
-// Response is how a request ended. Its rows or its error follow as Data.
+// Response is the outcome of a request. Its result or its error follows as Data.
 type Response struct {
 	Verdict          uint8 `cbor:"1,keyasint"`           // Failed, Rejected or Served
-	MayHaveRun       bool  `cbor:"2,keyasint,omitempty"` // it was sent to an engine; false: proof that it was not
-	SendCount        int   `cbor:"3,keyasint,omitempty"`
-	RetryAfterUS     int64 `cbor:"4,keyasint,omitempty"` // with Rejected
-	DeadlinePassed   bool  `cbor:"5,keyasint,omitempty"`
-	WorkUS           int64 `cbor:"6,keyasint,omitempty"` // that it took
+	MayHaveRun       bool  `cbor:"2,keyasint,omitempty"` // an engine may have run it; false: certainly none has
+	SendCount        int   `cbor:"3,keyasint,omitempty"` // sends to engines of the responding site
+	RetryAfterUS     int64 `cbor:"4,keyasint,omitempty"` // with Rejected: when the client may retry; 0: not given
+	DeadlinePassed   bool  `cbor:"5,keyasint,omitempty"` // it ended because its deadline passed
+	WorkUS           int64 `cbor:"6,keyasint,omitempty"` // work that it took, in core-microseconds; 0: unknown
 	Size             int   `cbor:"7,keyasint,omitempty"` // bytes of Data that follow
-	UncompressedSize int   `cbor:"8,keyasint,omitempty"` // of that Data; 0: it is not compressed
+	UncompressedSize int   `cbor:"8,keyasint,omitempty"` // bytes of that Data before compression; 0: not compressed
 	IsError          bool  `cbor:"9,keyasint,omitempty"` // the body is an engine's error
 }
 
-// LoadReport is what a gateway reports of itself.
+// LoadReport tells a peer how much work the sender accepts.
 type LoadReport struct {
-	FreeCapacity map[string]float64 `cbor:"1,keyasint"` // by class, 0 to 1
-	WorkSeconds  float64            `cbor:"2,keyasint"` // seconds of one core that the receiver may send until the next report
-	Draining     bool               `cbor:"3,keyasint,omitempty"`
+	FreeCapacity map[string]float64 `cbor:"1,keyasint"`           // fraction by class, 0 to 1
+	WorkSeconds  float64            `cbor:"2,keyasint"`           // core-seconds of work that the receiver may forward until the next report
+	Draining     bool               `cbor:"3,keyasint,omitempty"` // the sender accepts no new requests
 }
 
 // SentKey is an idempotency key that was sent to an engine.
 type SentKey struct {
 	Key   string `cbor:"1,keyasint"`
-	AgoUS int64  `cbor:"2,keyasint"`
+	AgoUS int64  `cbor:"2,keyasint"` // time since the send in microseconds
 }
 
-// SentKeys are keys that were sent to engines since the latest SentKeys.
+// SentKeys lists the idempotency keys that were sent to engines since the previous SentKeys.
 type SentKeys struct {
 	Keys []SentKey `cbor:"1,keyasint"`
 }
 
-// ErrBounds is an error for a field out of its bounds.
-var ErrBounds = errors.New("site link: out of bounds")
+// ErrBounds reports a message field that is out of bounds.
+var ErrBounds = errors.New("site link: message field out of bounds")
 
 var (
 	encoder = must(cbor.EncOptions{Sort: cbor.SortCoreDeterministic}.EncMode())
@@ -111,7 +115,8 @@
 	}.DecMode())
 )
 
-// must is for the options above: an invalid one shows at the start of every test.
+// must panics on an error. It is only used for the constant options above, so that an invalid option
+// fails every test at its start.
 func must[T any](mode T, err error) T {
 	if err != nil {
 		panic(err)
@@ -119,25 +124,27 @@
 	return mode
 }
 
-// Append encodes a message.
+// Append appends the encoding of m to b.
 func Append(b []byte, m Message) ([]byte, error) {
 	encoded, err := encoder.Marshal(m)
 	if err != nil {
-		return b, fmt.Errorf("site link: %w", err)
+		return b, fmt.Errorf("site link: encode message: %w", err)
 	}
 	return append(b, encoded...), nil
 }
 
-// Decode decodes a message, and checks that it is complete and within its bounds.
+// Decode decodes b into m, and checks that the message is complete and its fields are within bounds.
 func Decode(b []byte, m Message) error {
 	if err := decoder.Unmarshal(b, m); err != nil {
-		return fmt.Errorf("site link: a message can't be decoded: %w", err)
+		return fmt.Errorf("site link: decode message: %w", err)
 	}
 	return m.check()
 }
 
-func outOfBounds(what string) error { return fmt.Errorf("%w: %s", ErrBounds, what) }
+// outOfBounds returns an ErrBounds that names the message and the field.
+func outOfBounds(field string) error { return fmt.Errorf("%w: %s", ErrBounds, field) }
 
+// isName reports whether s is a valid name: 1 to MaxNameLength bytes of UTF-8 without control characters.
 func isName(s string) bool {
 	if s == "" || len(s) > MaxNameLength || !utf8.ValidString(s) {
 		return false
@@ -151,6 +158,8 @@
 	return true
 }
 
+// isBodySize reports whether the sizes of a body as sent and before compression are valid. An empty body
+// cannot be compressed.
 func isBodySize(size, uncompressedSize int) bool {
 	if size < 0 || size > MaxBodySize {
 		return false
@@ -158,14 +167,15 @@
 	return uncompressedSize == 0 || uncompressedSize > 0 && uncompressedSize <= MaxBodySize && size > 0
 }
 
+// isDuration reports whether a duration is from 0 to maxMicroseconds.
 func isDuration(microseconds int64) bool { return microseconds >= 0 && microseconds <= maxMicroseconds }
 
-// isAmount is false for NaN, too.
+// isAmount reports whether amount is from 0 to maxAmount; it is false for NaN.
 func isAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
 
 func (h *Hello) check() error {
 	if !isName(h.Site) || !isName(h.Gateway) || !isName(h.Format) {
-		return outOfBounds("hello: a name")
+		return outOfBounds("hello: name")
 	}
 	return nil
 }
@@ -173,15 +183,15 @@
 func (r *Request) check() error {
 	switch {
 	case !isName(r.ID) || !isName(r.Class) || r.IdempotencyKey != "" && !isName(r.IdempotencyKey):
-		return outOfBounds("request: a name")
+		return outOfBounds("request: name")
 	case r.Idempotency > Idempotent:
 		return outOfBounds("request: idempotency")
 	case !isDuration(r.RemainingUS) || !isDuration(r.FirstSentAgoUS) || !isDuration(r.WorkUS):
-		return outOfBounds("request: a time")
+		return outOfBounds("request: duration")
 	case !isAmount(r.MemoryMB):
 		return outOfBounds("request: memory")
 	case r.MaxSends < 1 || r.MaxSends > MaxSends:
-		return outOfBounds("request: maximum of sends")
+		return outOfBounds("request: maximum sends")
 	case !isBodySize(r.Size, r.UncompressedSize) || r.Size == 0:
 		return outOfBounds("request: size")
 	}
@@ -193,23 +203,23 @@
 	case r.Verdict > Served:
 		return outOfBounds("response: verdict")
 	case r.SendCount < 0 || r.SendCount > MaxSends:
-		return outOfBounds("response: sends")
+		return outOfBounds("response: send count")
 	case !isDuration(r.RetryAfterUS) || !isDuration(r.WorkUS):
-		return outOfBounds("response: a time")
+		return outOfBounds("response: duration")
 	case !isBodySize(r.Size, r.UncompressedSize):
 		return outOfBounds("response: size")
 	case r.Verdict == Served && (r.IsError || !r.MayHaveRun):
-		return outOfBounds("response: served without having run")
+		return outOfBounds("response: served, but is an error or has not run")
 	}
 	return nil
 }
 
 func (l *LoadReport) check() error {
 	if !isAmount(l.WorkSeconds) || len(l.FreeCapacity) > MaxClasses {
-		return outOfBounds("load report: work")
+		return outOfBounds("load report: work or number of classes")
 	}
 	for class, capacity := range l.FreeCapacity {
-		isFraction := capacity >= 0 && capacity <= 1 // false for NaN, too
+		isFraction := capacity >= 0 && capacity <= 1 // false for NaN
 		if !isName(class) || !isFraction {
 			return outOfBounds("load report: free capacity")
 		}
@@ -219,11 +229,11 @@
 
 func (s *SentKeys) check() error {
 	if len(s.Keys) > MaxKeys {
-		return outOfBounds("sent keys: too many")
+		return outOfBounds("sent keys: number of keys")
 	}
 	for _, key := range s.Keys {
 		if !isName(key.Key) || !isDuration(key.AgoUS) {
-			return outOfBounds("sent keys: a key")
+			return outOfBounds("sent keys: key or its age")
 		}
 	}
 	return nil
--- a/internal/site/mux/credit.go
+++ b/internal/site/mux/credit.go
@@ -2,21 +2,22 @@
 
 import "gannetspur/internal/site/frame"
 
-// receiveBudget bounds what is held of bodies that are not complete.
+// receiveBudget limits the memory for incomplete bodies of one link.
 type receiveBudget struct {
-	held    int       // bytes that have come, or may without more credit
-	starved []*stream // those that wait for credit until others are complete
-	// exempt goes on past the bound, so that one stream always ends and frees what it holds.
+	held    int       // bytes received or covered by granted credit
+	starved []*stream // streams that wait for credit until others are complete
+	// exempt may exceed the limit, so that at least one stream always completes and frees its memory.
+	// nil: none.
 	exempt *stream
 }
 
-// reserve counts bytes that may come on a stream.
+// reserve adds n bytes that may arrive on a stream to the budget.
 func (l *Link) reserve(s *stream, n int) {
 	s.reserved += n
 	l.budget.held += n
 }
 
-// releaseReceived frees what has come of a body.
+// releaseReceived drops the received part of a body and returns its bytes to the budget.
 func (l *Link) releaseReceived(s *stream) {
 	l.budget.held -= s.reserved
 	s.reserved = 0
@@ -24,11 +25,12 @@
 	if l.budget.exempt == s {
 		l.budget.exempt = nil
 	}
-	l.feedStarved()
+	l.grantStarved()
 }
 
-// giveCredit gives a stream credit for more, a window at a time, while the budget allows it.
-func (l *Link) giveCredit(s *stream) {
+// grantCredit grants a stream credit of up to one window once half of its window is used, if the budget
+// allows it. Otherwise the stream becomes the exempt one or waits.
+func (l *Link) grantCredit(s *stream) {
 	remaining := s.bodySize - len(s.received) - s.window
 	if s.window > l.config.Window/2 || remaining <= 0 || s.starved {
 		return
@@ -47,8 +49,8 @@
 	l.putControl(frame.Frame{Kind: frame.Credit, Stream: s.id, Value: uint32(n)})
 }
 
-// feedStarved gives credit to streams that had to wait for it.
-func (l *Link) feedStarved() {
+// grantStarved grants credit to waiting streams, in order, while the budget allows it.
+func (l *Link) grantStarved() {
 	for len(l.budget.starved) > 0 {
 		s := l.budget.starved[0]
 		isOpen := l.streams[s.id] == s
@@ -58,7 +60,7 @@
 		l.budget.starved = l.budget.starved[1:]
 		s.starved = false
 		if isOpen {
-			l.giveCredit(s)
+			l.grantCredit(s)
 		}
 	}
 }
--- a/internal/site/mux/link.go
+++ b/internal/site/mux/link.go
@@ -1,7 +1,8 @@
-// Package mux is one end of the link between two gateways, without its sockets: bytes in,
-// bytes out, what they mean, and the credit that keeps one large response from starving the
-// others. It has no clock and no goroutine, so that it runs on a TLS connection and in
-// virtual time alike. The link is specified in docs/site-link.md.
+// Package mux implements the protocol of the link between two gateways without its sockets: it turns
+// received bytes into calls of a Handler, multiplexes requests and responses into output bytes, and
+// limits each stream by credit, so that one large response does not starve the others. It has no clock
+// and no goroutines, so that it runs on a TLS connection as well as in virtual time. The protocol is
+// specified in docs/site-link.md.
 package mux
 
 import (
@@ -11,49 +12,52 @@
 	"gannetspur/internal/site/message"
 )
 
-// Defaults of a Config.
+// Defaults of Config, the sizes in bytes.
 const (
 	DefaultWindow       = 64 << 10
 	DefaultMaxStreams   = 16 << 10
 	DefaultMaxHeldBytes = 32 << 20
 )
 
-// Config bounds an end.
+// Config sets the role and the limits of one end of a link.
 type Config struct {
-	Dialled      bool // this side dialled: its streams have odd numbers
-	Hello        message.Hello
-	Window       int // bytes of Data that may come on a stream before this side gives credit for more; 0: DefaultWindow
-	MaxStreams   int // that the peer may have open at once; 0: DefaultMaxStreams
-	MaxHeldBytes int // of unfinished bodies that are held for the peer; 0: DefaultMaxHeldBytes
+	Dialled      bool          // this side dialled: its streams have odd numbers
+	Hello        message.Hello // sent first
+	Window       int           // bytes of Data that may arrive on a stream before this side grants more credit; 0: DefaultWindow
+	MaxStreams   int           // streams that the peer may have open at once; 0: DefaultMaxStreams
+	MaxHeldBytes int           // bytes of incomplete bodies from the peer, granted credit included; 0: DefaultMaxHeldBytes
 }
 
-// Handler receives what comes over a link. It may call the link from within its methods.
+// Handler receives the messages of a link. Its methods may call the link.
 type Handler interface {
-	// HandleHello is the first call.
+	// HandleHello is the first call; an error closes the link.
 	HandleHello(m message.Hello) error
-	// HandleRequest receives a request with its complete statement. Link.Respond follows, unless
-	// HandleCancel comes first.
+	// HandleRequest receives a request with its complete statement. The handler must call Link.Respond
+	// later, unless HandleCancel comes first.
 	HandleRequest(stream uint32, m message.Request, statement []byte)
-	// HandleResponse receives the end of a stream that Link.Request opened.
+	// HandleResponse receives the response on a stream that Link.Request opened, with its complete body.
+	// The stream is closed.
 	HandleResponse(stream uint32, m message.Response, body []byte)
-	// HandleCancel reports that the peer cancelled a stream that it had opened.
+	// HandleCancel reports that the peer cancelled a request that HandleRequest received.
 	HandleCancel(stream uint32)
+	// HandleLoadReport receives a load report of the peer.
 	HandleLoadReport(m message.LoadReport)
+	// HandleSentKeys receives idempotency keys that the peer sent to engines.
 	HandleSentKeys(m message.SentKeys)
-	// HandlePong reports that a ping of that number has come back.
+	// HandlePong reports that the peer answered the ping of that number.
 	HandlePong(number uint32)
 	// HandleGoAway reports that the peer wants new streams on another link.
 	HandleGoAway()
-	// OutputReady reports that there is something to Pull, where there was nothing. It is not
-	// called from within Pull: call HasOutput behind it.
+	// OutputReady reports that there is output to Pull after there was none. It is not called from within
+	// Pull; call HasOutput after Pull instead.
 	OutputReady()
 }
 
-// Errors of the peer, all of them wrapped with what was wrong. The link is closed on one.
+// Protocol errors of the peer, which Link.Input wraps with details. The link is closed on any of them.
 var (
-	ErrOrder   = errors.New("site link: out of order")
-	ErrCredit  = errors.New("site link: more than there was credit for")
-	ErrVersion = errors.New("site link: another version")
+	ErrOrder   = errors.New("site link: unexpected frame")
+	ErrCredit  = errors.New("site link: credit exceeded")
+	ErrVersion = errors.New("site link: unsupported version")
 )
 
 // Link is one end of a link.
@@ -61,18 +65,18 @@
 	config  Config
 	handler Handler
 
-	greeted       bool // the peer's Hello has come
-	peerGoingAway bool
+	greeted       bool // the peer's Hello was received
+	peerGoingAway bool // the peer's GoAway was received
 
-	streams        map[uint32]*stream
-	nextStream     uint32 // that this side opens
-	lastPeerStream uint32 // the latest that the peer opened
-	peerStreams    int    // that the peer opened and that are open
+	streams        map[uint32]*stream // open streams of both sides
+	nextStream     uint32             // number of the next stream that this side opens
+	lastPeerStream uint32             // number of the latest stream that the peer opened; 0: none
+	peerStreams    int                // number of open streams that the peer opened
 
 	output output
 	budget receiveBudget
 
-	// LateFrames counts what came for streams that this side had cancelled.
+	// LateFrames counts the frames that arrived for closed streams, such as those that this side cancelled.
 	LateFrames int
 }
 
@@ -81,23 +85,23 @@
 	id    uint32
 	local bool // this side opened it
 
-	// What goes out:
-	unsent     []byte // rest of the body
-	sendCredit int    // bytes that the peer has given credit for
-	queued     bool   // in output.queue
-
-	// What comes in:
-	request  *message.Request  // its statement is not complete
-	response *message.Response // its body is not complete
-	received []byte
-	bodySize int // of received, once it is complete
-	window   int // bytes that the peer has credit for
-	reserved int // of receiveBudget.held
-	starved  bool
-	stalled  bool // it was not complete at the latest RejectStale
+	// Sending:
+	unsent     []byte // rest of the body that is not sent yet
+	sendCredit int    // bytes that the peer still allows to be sent
+	queued     bool   // it is in output.queue
+
+	// Receiving:
+	request  *message.Request  // request whose statement is not complete; nil: none
+	response *message.Response // response whose body is not complete; nil: none
+	received []byte            // part of the body that has arrived
+	bodySize int               // announced size of the body in bytes
+	window   int               // bytes that the peer may still send without more credit
+	reserved int               // bytes of receiveBudget.held that belong to this stream
+	starved  bool              // it is in receiveBudget.starved
+	stalled  bool              // no Data has arrived since the latest RejectStale
 }
 
-// New returns an end whose Hello waits to be pulled.
+// New returns one end of a link, whose Hello is ready to be pulled.
 func New(config Config, handler Handler) (*Link, error) {
 	if config.Window <= 0 {
 		config.Window = DefaultWindow
@@ -120,19 +124,19 @@
 	return l, nil
 }
 
-// OpenStreams is the number of open streams.
+// OpenStreams returns the number of open streams of both sides.
 func (l *Link) OpenStreams() int { return len(l.streams) }
 
-// HeldBytes is how many bytes of bodies have come in part, or may come without more credit.
+// HeldBytes returns the bytes of incomplete bodies that were received or are covered by granted credit.
 func (l *Link) HeldBytes() int { return l.budget.held }
 
-// PeerGoingAway tells whether the peer wants new streams on another link.
+// PeerGoingAway reports whether the peer wants new streams on another link.
 func (l *Link) PeerGoingAway() bool { return l.peerGoingAway }
 
-// isLocal tells whether a stream's number is of those that this side opens.
+// isLocal reports whether a stream number belongs to the streams that this side opens.
 func (l *Link) isLocal(id uint32) bool { return id%2 == l.nextStream%2 }
 
-// wasOpened tells whether a stream's number has been used by the side that it belongs to.
+// wasOpened reports whether a stream number has been used by the side that it belongs to.
 func (l *Link) wasOpened(id uint32) bool {
 	if l.isLocal(id) {
 		return id < l.nextStream
@@ -140,6 +144,7 @@
 	return id <= l.lastPeerStream
 }
 
+// close removes a stream, with its unsent and received data. It does nothing if the stream is closed.
 func (l *Link) close(s *stream) {
 	if l.streams[s.id] != s {
 		return
--- a/internal/site/mux/send.go
+++ b/internal/site/mux/send.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxDataBody is how much of one body goes out before the next stream has its turn.
+	// maxDataBody is the number of bytes of one body that are sent before the next stream has its turn.
 	maxDataBody = 16 << 10
-	// maxIdleControl is the largest buffer for control frames that is kept for reuse.
+	// maxIdleControl is the size in bytes of the largest buffer for control frames that is kept for reuse.
 	maxIdleControl = 1 << 20
-	// maxStreamID is the largest number of a stream.
+	// maxStreamID is the largest stream number.
 	maxStreamID = 1<<31 - 1
 )
 
-// output is what waits to go out.
+// output holds the pending output of a link.
 type output struct {
-	control []byte    // frames other than Data, which go first
-	queue   []*stream // streams with Data to send, in turn
-	pulling bool      // within Pull, where what OutputReady would pull would go out first
+	control []byte    // encoded frames other than Data, which are sent first
+	queue   []*stream // streams with Data to send, in round-robin order
+	pulling bool      // Pull is running; a nested Pull from OutputReady would overtake its output
 }
 
-// HasOutput tells whether there is something to Pull.
+// HasOutput reports whether there is output to Pull.
 func (l *Link) HasOutput() bool { return len(l.output.control) > 0 || len(l.output.queue) > 0 }
 
-// Pull appends about so many bytes to go out: first all control frames, then bodies within their
-// credit, a piece of each stream in turn.
+// Pull appends about that many bytes of output to b: first all control frames, then bodies within their
+// credit, one part of each stream in turn.
 func (l *Link) Pull(b []byte, about int) []byte {
 	out := &l.output
 	out.pulling = true
@@ -52,7 +52,7 @@
 	return b
 }
 
-// appendData writes one piece of a stream that has just left the queue.
+// appendData appends one Data frame of a stream that was just removed from the queue.
 func (l *Link) appendData(b []byte, s *stream) []byte {
 	s.queued = false
 	n := min(len(s.unsent), s.sendCredit, maxDataBody)
@@ -73,7 +73,7 @@
 	return b
 }
 
-// enqueue has a stream take its turn, if it has something to send and credit for it.
+// enqueue adds a stream to the queue if it has unsent data and credit.
 func (l *Link) enqueue(s *stream) {
 	if s.queued || len(s.unsent) == 0 || s.sendCredit <= 0 {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// dropUnsent forgets what is not sent of a stream's body.
+// dropUnsent drops the unsent part of a stream's body.
 func (l *Link) dropUnsent(s *stream) {
 	s.unsent = nil
 	if !s.queued {
@@ -97,7 +97,7 @@
 	l.output.queue = append(l.output.queue[:i:i], l.output.queue[i+1:]...)
 }
 
-// putControl has a frame other than Data go out.
+// putControl adds a frame other than Data to the output.
 func (l *Link) putControl(f frame.Frame) {
 	notify := !l.output.pulling && !l.HasOutput()
 	l.output.control = frame.Append(l.output.control, f)
@@ -106,21 +106,21 @@
 	}
 }
 
-// putMessage has a message go out, as the body of a control frame.
+// putMessage adds a control frame with an encoded message to the output.
 func (l *Link) putMessage(kind frame.Kind, stream uint32, m message.Message) error {
 	encoded, err := message.Append(nil, m)
 	if err != nil {
 		return err
 	}
 	if len(encoded) > frame.MaxBodySize {
-		return fmt.Errorf("site link: a message of %d bytes", len(encoded))
+		return fmt.Errorf("site link: %v message of %d bytes exceeds the limit of %d", kind, len(encoded), frame.MaxBodySize)
 	}
 	l.putControl(frame.Frame{Kind: kind, Stream: stream, Body: encoded})
 	return nil
 }
 
-// Request opens a stream with a request. ok is false where the link takes none: its Hello has not
-// come, or all numbers are used.
+// Request opens a stream with a request and returns its number. ok is false if the link accepts none,
+// because the peer's Hello has not arrived or all stream numbers are used.
 func (l *Link) Request(m message.Request, statement []byte) (id uint32, ok bool, err error) {
 	if !l.greeted || l.nextStream > maxStreamID {
 		return 0, false, nil
@@ -136,7 +136,8 @@
 	return s.id, true, nil
 }
 
-// Cancel cancels a stream that Request opened. What still comes for it is counted and ignored.
+// Cancel cancels a stream that Request opened. Frames that still arrive for it are counted in LateFrames
+// and ignored.
 func (l *Link) Cancel(id uint32) {
 	s := l.streams[id]
 	if s == nil || !s.local {
@@ -146,7 +147,7 @@
 	l.putControl(frame.Frame{Kind: frame.Cancel, Stream: id})
 }
 
-// Respond ends a stream that the peer opened. One that is closed is ignored.
+// Respond sends the response on a stream that the peer opened. It does nothing if the stream is closed.
 func (l *Link) Respond(id uint32, m message.Response, body []byte) error {
 	s := l.streams[id]
 	if s == nil || s.local {
@@ -165,13 +166,13 @@
 	return nil
 }
 
-// reject responds to a request of which nothing has run.
+// reject responds that a request was rejected and has not run.
 func (l *Link) reject(id uint32) error {
 	return l.Respond(id, message.Response{Verdict: message.Rejected}, nil)
 }
 
-// RejectStale rejects requests that the peer has begun and not continued since RejectStale was
-// called last. Guards against requests that never become complete.
+// RejectStale rejects incomplete requests for which no Data has arrived since the previous call. It
+// protects against requests that never become complete.
 func (l *Link) RejectStale() error {
 	var stale []uint32
 	for id, s := range l.streams {
@@ -192,10 +193,10 @@
 	return nil
 }
 
-// Ping asks for a Pong of the number.
+// Ping sends a ping, which the peer answers with a pong of the same number.
 func (l *Link) Ping(number uint32) { l.putControl(frame.Frame{Kind: frame.Ping, Value: number}) }
 
-// SendLoadReport sends a load report of a number.
+// SendLoadReport sends a load report with its number.
 func (l *Link) SendLoadReport(number uint32, m message.LoadReport) error {
 	encoded, err := message.Append(nil, &m)
 	if err != nil {
@@ -205,8 +206,8 @@
 	return nil
 }
 
-// SendKeys reports keys that were sent to engines.
+// SendKeys sends the idempotency keys that were sent to engines.
 func (l *Link) SendKeys(m message.SentKeys) error { return l.putMessage(frame.SentKeys, 0, &m) }
 
-// GoAway reports that this side wants new streams on another link.
+// GoAway tells the peer that this side wants new streams on another link.
 func (l *Link) GoAway() { l.putControl(frame.Frame{Kind: frame.GoAway}) }
