--- a/internal/site/frame/fixture_test.go
+++ b/internal/site/frame/fixture_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// fixtureFrames are the frames of testdata/frames.bin, which was written by the code before
-// the link's packages were reworked.
+// fixtureFrames returns the frames encoded in testdata/frames.bin. The file was written before the link's
+// packages were refactored, so that it guards the wire format.
 func fixtureFrames() []Frame {
 	return []Frame{
 		{Kind: Hello, Value: Version, Body: []byte("\xa1\x01\x61x")},
@@ -28,6 +28,7 @@
 	}
 }
 
+// readFrames decodes all complete frames of b; rest is the number of bytes left over.
 func readFrames(b []byte) (frames []Frame, rest int, err error) {
 	for {
 		f, n, err := Next(b)
@@ -39,8 +40,8 @@
 	}
 }
 
-// TestFixture reads the file to the same frames and writes these to the same bytes; cut short
-// it gives fewer frames, and with a changed byte other frames or a typed error.
+// TestFixture decodes the file to the expected frames and encodes them to the same bytes. A truncated file
+// must yield fewer frames and no error; a file with a flipped bit must yield frames or a typed error.
 func TestFixture(t *testing.T) {
 	raw, err := os.ReadFile("testdata/frames.bin")
 	if err != nil {
@@ -49,30 +50,30 @@
 	want := fixtureFrames()
 	got, rest, err := readFrames(raw)
 	if err != nil || rest != 0 {
-		t.Fatalf("%d bytes left: %v", rest, err)
+		t.Fatalf("decoding left %d bytes, error %v, want 0 bytes and no error", rest, err)
 	}
 	text := cmp.Transformer("text", func(b []byte) string { return string(b) })
 	if diff := cmp.Diff(want, got, text); diff != "" {
 		t.Errorf("frames (-want +got):\n%s", diff)
 	}
-	var again []byte
+	var encoded []byte
 	for _, f := range got {
-		again = Append(again, f)
+		encoded = Append(encoded, f)
 	}
-	if !bytes.Equal(again, raw) {
-		t.Errorf("written = %x, want %x", again, raw)
+	if !bytes.Equal(encoded, raw) {
+		t.Errorf("encoded = %x, want %x", encoded, raw)
 	}
 	for n := range raw {
 		frames, _, err := readFrames(raw[:n])
 		if err != nil || len(frames) >= len(want) {
-			t.Errorf("cut at %d of %d bytes: %d frames, %v", n, len(raw), len(frames), err)
+			t.Errorf("truncated to %d of %d bytes: %d frames, error %v, want fewer than %d and no error", n, len(raw), len(frames), err, len(want))
 		}
 		for bit := range 8 {
 			damaged := bytes.Clone(raw)
 			damaged[n] ^= 1 << bit
 			_, _, err := readFrames(damaged)
 			if err != nil && !errors.Is(err, ErrKind) && !errors.Is(err, ErrLength) && !errors.Is(err, ErrForm) {
-				t.Errorf("byte %d, bit %d changed: untyped error %v", n, bit, err)
+				t.Errorf("byte %d, bit %d flipped: error = %v, want ErrKind, ErrLength or ErrForm", n, bit, err)
 			}
 		}
 	}
--- a/internal/site/message/fixture_test.go
+++ b/internal/site/message/fixture_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// fixtures are the messages behind the files under testdata, which were written by the code
-// before the link's packages were reworked.
+// fixtures returns the messages encoded in the files under testdata, by file name. The files were written
+// before the link's packages were refactored, so that they guard the wire format.
 func fixtures() map[string]Message {
 	return map[string]Message{
 		"greet":         &Hello{Site: "lalitpur", Gateway: "lalitpur-1", Incarnation: 1<<60 + 5, Format: "lines", AcceptsZstd: true},
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestFixtures decodes each file to the same fields and encodes these to the same bytes; cut
-// short it is refused, and with a changed byte it is refused or read within its bounds.
+// TestFixtures decodes each file to the expected fields and encodes them to the same bytes. A truncated
+// file must be an error; a file with a flipped bit must be an error or decode to fields within bounds.
 func TestFixtures(t *testing.T) {
 	for name, want := range fixtures() {
 		t.Run(name, func(t *testing.T) {
@@ -32,31 +32,31 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			fresh := kinds[place(want)]
-			got := fresh()
+			newMessage := newMessages[typeIndex(want)]
+			got := newMessage()
 			if err := Decode(raw, got); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Errorf("decoded (-want +got):\n%s", diff)
 			}
-			again, err := Append(nil, got)
-			if err != nil || !bytes.Equal(again, raw) {
-				t.Errorf("encoded = %x, %v, want %x", again, err, raw)
+			encoded, err := Append(nil, got)
+			if err != nil || !bytes.Equal(encoded, raw) {
+				t.Errorf("encoded = %x, error %v, want %x", encoded, err, raw)
 			}
 			for n := range raw {
-				if Decode(raw[:n], fresh()) == nil {
-					t.Errorf("cut at %d of %d bytes: not refused", n, len(raw))
+				if Decode(raw[:n], newMessage()) == nil {
+					t.Errorf("truncated to %d of %d bytes: error = nil, want one", n, len(raw))
 				}
 				for bit := range 8 {
 					damaged := bytes.Clone(raw)
 					damaged[n] ^= 1 << bit
-					h := fresh()
-					if Decode(damaged, h) != nil {
+					m := newMessage()
+					if Decode(damaged, m) != nil {
 						continue
 					}
-					if err := h.check(); err != nil {
-						t.Errorf("byte %d, bit %d changed: read out of bounds: %v", n, bit, err)
+					if err := m.check(); err != nil {
+						t.Errorf("byte %d, bit %d flipped: decoded to a message that is out of bounds: %v", n, bit, err)
 					}
 				}
 			}
--- a/internal/site/message/message_test.go
+++ b/internal/site/message/message_test.go
@@ -10,11 +10,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// kinds makes an empty message of each type.
-var kinds = []func() Message{
+// newMessages holds a constructor of an empty message for each type, indexed by typeIndex.
+var newMessages = []func() Message{
 	func() Message { return &Hello{} }, func() Message { return &Request{} }, func() Message { return &Response{} }, func() Message { return &LoadReport{} }, func() Message { return &SentKeys{} },
 }
 
+// samples returns a valid message of each type, indexed by typeIndex.
 func samples() []Message {
 	return []Message{
 		&Hello{Site: "lalitpur", Gateway: "lalitpur-1", Incarnation: 1 << 60, Format: "lines", AcceptsZstd: true},
@@ -25,73 +26,74 @@
 	}
 }
 
-// Messages are decoded as they were encoded, and none that is cut short or has more behind it.
-func TestMessages(t *testing.T) {
-	for i, h := range samples() {
-		enc, err := Append(nil, h)
+// Messages are decoded as they were encoded. Truncated messages and trailing bytes are errors.
+func TestRoundTrip(t *testing.T) {
+	for i, m := range samples() {
+		encoded, err := Append(nil, m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := kinds[i]()
-		if err := Decode(enc, got); err != nil {
-			t.Errorf("%T: %v", h, err)
+		got := newMessages[i]()
+		if err := Decode(encoded, got); err != nil {
+			t.Errorf("%T: error = %v, want none", m, err)
 		}
-		if diff := cmp.Diff(h, got); diff != "" {
-			t.Error(diff)
+		if diff := cmp.Diff(m, got); diff != "" {
+			t.Errorf("%T (-want +got):\n%s", m, diff)
 		}
-		if Decode(enc[:len(enc)-1], kinds[i]()) == nil || Decode(append(bytes.Clone(enc), 0), kinds[i]()) == nil {
-			t.Errorf("%T: decoded though cut short, or with more behind it", h)
+		if Decode(encoded[:len(encoded)-1], newMessages[i]()) == nil || Decode(append(bytes.Clone(encoded), 0), newMessages[i]()) == nil {
+			t.Errorf("%T: no error for a truncated message or for trailing bytes", m)
 		}
 	}
 }
 
-// A field out of its bounds is an error.
+// A field that is out of bounds is an error.
 func TestBounds(t *testing.T) {
-	change := func(i int, f func(h Message)) Message { h := samples()[i]; f(h); return h }
-	for name, h := range map[string]Message{
-		"no name":            change(0, func(h Message) { h.(*Hello).Site = "" }),
-		"a name of a page":   change(0, func(h Message) { h.(*Hello).Gateway = strings.Repeat("x", MaxNameLength+1) }),
-		"a line's end":       change(1, func(h Message) { h.(*Request).ID = "a\r\nb" }),
-		"no such effect":     change(1, func(h Message) { h.(*Request).Idempotency = 3 }),
-		"time before":        change(1, func(h Message) { h.(*Request).RemainingUS = -1 }),
-		"a time for ever":    change(1, func(h Message) { h.(*Request).FirstSentAgoUS = math.MaxInt64 }),
-		"memory NaN":         change(1, func(h Message) { h.(*Request).MemoryMB = math.NaN() }),
-		"no sends":           change(1, func(h Message) { h.(*Request).MaxSends = 0 }),
-		"3 GB":               change(1, func(h Message) { h.(*Request).Size = 3 << 30 }),
-		"3 GB unpacked":      change(1, func(h Message) { h.(*Request).UncompressedSize = 3 << 30 }),
-		"no statement":       change(1, func(h Message) { h.(*Request).Size = 0 }),
-		"no such verdict":    change(2, func(h Message) { h.(*Response).Verdict = 3 }),
-		"served, never ran":  change(2, func(h Message) { h.(*Response).MayHaveRun = false }),
-		"packed nothing":     change(2, func(h Message) { h.(*Response).Size = 0 }),
-		"room beyond all":    change(3, func(h Message) { h.(*LoadReport).FreeCapacity["lookup"] = 1.01 }),
-		"room NaN":           change(3, func(h Message) { h.(*LoadReport).FreeCapacity["lookup"] = math.NaN() }),
-		"takes without end":  change(3, func(h Message) { h.(*LoadReport).WorkSeconds = math.Inf(1) }),
-		"a key of nothing":   change(4, func(h Message) { h.(*SentKeys).Keys[0].Key = "" }),
-		"a key to be sent":   change(4, func(h Message) { h.(*SentKeys).Keys[0].AgoUS = -1 }),
-		"keys by the armful": change(4, func(h Message) { h.(*SentKeys).Keys = make([]SentKey, MaxKeys+1) }),
+	change := func(i int, f func(m Message)) Message { m := samples()[i]; f(m); return m }
+	for name, m := range map[string]Message{
+		"empty name":             change(0, func(m Message) { m.(*Hello).Site = "" }),
+		"name too long":          change(0, func(m Message) { m.(*Hello).Gateway = strings.Repeat("x", MaxNameLength+1) }),
+		"line break in name":     change(1, func(m Message) { m.(*Request).ID = "a\r\nb" }),
+		"unknown idempotency":    change(1, func(m Message) { m.(*Request).Idempotency = 3 }),
+		"negative duration":      change(1, func(m Message) { m.(*Request).RemainingUS = -1 }),
+		"duration too long":      change(1, func(m Message) { m.(*Request).FirstSentAgoUS = math.MaxInt64 }),
+		"memory NaN":             change(1, func(m Message) { m.(*Request).MemoryMB = math.NaN() }),
+		"maximum sends 0":        change(1, func(m Message) { m.(*Request).MaxSends = 0 }),
+		"statement of 3 GB":      change(1, func(m Message) { m.(*Request).Size = 3 << 30 }),
+		"3 GB uncompressed":      change(1, func(m Message) { m.(*Request).UncompressedSize = 3 << 30 }),
+		"empty statement":        change(1, func(m Message) { m.(*Request).Size = 0 }),
+		"unknown verdict":        change(2, func(m Message) { m.(*Response).Verdict = 3 }),
+		"served without running": change(2, func(m Message) { m.(*Response).MayHaveRun = false }),
+		"compressed empty body":  change(2, func(m Message) { m.(*Response).Size = 0 }),
+		"capacity above 1":       change(3, func(m Message) { m.(*LoadReport).FreeCapacity["lookup"] = 1.01 }),
+		"capacity NaN":           change(3, func(m Message) { m.(*LoadReport).FreeCapacity["lookup"] = math.NaN() }),
+		"infinite work":          change(3, func(m Message) { m.(*LoadReport).WorkSeconds = math.Inf(1) }),
+		"empty key":              change(4, func(m Message) { m.(*SentKeys).Keys[0].Key = "" }),
+		"negative key age":       change(4, func(m Message) { m.(*SentKeys).Keys[0].AgoUS = -1 }),
+		"too many keys":          change(4, func(m Message) { m.(*SentKeys).Keys = make([]SentKey, MaxKeys+1) }),
 	} {
-		enc, err := Append(nil, h)
+		encoded, err := Append(nil, m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, fresh := range kinds {
-			if _, same := h.(interface{ check() error }); !same || i != place(h) {
+		for i, newMessage := range newMessages {
+			if _, same := m.(interface{ check() error }); !same || i != typeIndex(m) {
 				continue
 			}
-			if err := Decode(enc, fresh()); err == nil {
-				t.Errorf("%s: decoded", name)
-			} else if name != "keys by the armful" && !errors.Is(err, ErrBounds) {
-				t.Errorf("%s: %v", name, err)
+			if err := Decode(encoded, newMessage()); err == nil {
+				t.Errorf("%s: error = nil, want one", name)
+			} else if name != "too many keys" && !errors.Is(err, ErrBounds) {
+				t.Errorf("%s: error = %v, want %v", name, err, ErrBounds)
 			}
 		}
 	}
 	if err := Decode([]byte("\xa1\x18\x63\x00"), &Response{}); err == nil {
-		t.Error("a field that there is none of was read")
+		t.Error("unknown field: error = nil, want one")
 	}
 }
 
-func place(h Message) int {
-	switch h.(type) {
+// typeIndex returns the index of a message's type in samples and newMessages.
+func typeIndex(m Message) int {
+	switch m.(type) {
 	case *Hello:
 		return 0
 	case *Request:
@@ -104,27 +106,27 @@
 	return 4
 }
 
-// Any bytes are an error, or a head within its bounds that writes itself back the same.
-func FuzzRead(f *testing.F) {
-	for i, h := range samples() {
-		enc, err := Append(nil, h)
+// Arbitrary bytes are an error, or decode to a message that can be encoded and decoded again.
+func FuzzDecode(f *testing.F) {
+	for i, m := range samples() {
+		encoded, err := Append(nil, m)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(i, enc)
+		f.Add(i, encoded)
 	}
 	f.Fuzz(func(t *testing.T, i int, b []byte) {
-		h := kinds[uint(i)%uint(len(kinds))]()
-		if Decode(b, h) != nil {
+		m := newMessages[uint(i)%uint(len(newMessages))]()
+		if Decode(b, m) != nil {
 			return
 		}
-		enc, err := Append(nil, h)
+		encoded, err := Append(nil, m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again := kinds[uint(i)%uint(len(kinds))]()
-		if err := Decode(enc, again); err != nil {
-			t.Errorf("%+v: %v", h, err)
+		again := newMessages[uint(i)%uint(len(newMessages))]()
+		if err := Decode(encoded, again); err != nil {
+			t.Errorf("decode %+v again: error = %v, want none", m, err)
 		}
 	})
 }
--- a/internal/site/mux/replay_test.go
+++ b/internal/site/mux/replay_test.go
@@ -17,23 +17,25 @@
 	"gannetspur/internal/site/message"
 )
 
-// replayFile holds a digest for each seed of TestReplay. Version c18a9bd wrote it.
+// replayFile holds the expected digest for each seed of TestReplay, as written by version c18a9bd.
 const replayFile = "testdata/replay.txt"
 
 var writeReplay = flag.Bool("write-replay", false, "write "+replayFile)
 
-// replayEnd is one side, which adds all that it hears and writes to a digest.
+// replayEnd is one side of a link. It adds all calls, input and output to a digest, whose texts must not
+// change.
 type replayEnd struct {
 	name   string
 	random *rand.Rand
 	digest hash.Hash
 	link   *Link
-	open   []uint32 // requests of the other side that are complete
-	sent   []uint32 // streams that this side opened
-	wire   []byte   // on its way to this side
-	closed bool
+	open   []uint32 // streams with a complete request of the other side and no response yet
+	sent   []uint32 // streams that this side has opened
+	wire   []byte   // bytes in transit to this side
+	closed bool     // an error has ended the link
 }
 
+// log adds a line to the digest.
 func (e *replayEnd) log(format string, args ...any) {
 	_, _ = fmt.Fprintf(e.digest, e.name+" "+format+"\n", args...)
 }
@@ -46,8 +48,8 @@
 func (e *replayEnd) HandleRequest(stream uint32, a message.Request, statement []byte) {
 	e.log("asked %d %s %d %x", stream, a.ID, a.Size, sha256.Sum256(statement))
 	e.open = append(e.open, stream)
-	if e.random.IntN(3) == 0 { // it may call the link from within
-		e.answer(e.random.IntN(len(e.open)))
+	if e.random.IntN(3) == 0 { // a handler may call the link
+		e.respond(e.random.IntN(len(e.open)))
 	}
 }
 
@@ -62,19 +64,21 @@
 func (e *replayEnd) HandleGoAway()                         { e.log("leaves") }
 func (e *replayEnd) OutputReady()                          { e.log("ready") }
 
+// body returns a random body.
 func (e *replayEnd) body() []byte {
 	size := e.random.IntN([]int{10, 1000, 200_000}[e.random.IntN(3)])
 	return bytes.Repeat([]byte{byte(e.random.IntN(256))}, size)
 }
 
-func (e *replayEnd) answer(i int) {
+// respond responds to the request at index i of open.
+func (e *replayEnd) respond(i int) {
 	stream := e.open[i]
 	e.open = append(e.open[:i], e.open[i+1:]...)
 	a := message.Response{Verdict: uint8(e.random.IntN(2)), MayHaveRun: true}
 	e.check("answer", e.link.Respond(stream, a, e.body()))
 }
 
-// check logs the kind of an error, whose text is free to change.
+// check logs the kind of an error; its text may change between versions.
 func (e *replayEnd) check(what string, err error) {
 	kind := "none"
 	for name, sentinel := range map[string]error{
@@ -92,7 +96,7 @@
 	e.closed = e.closed || err != nil
 }
 
-// step has one thing happen at a side.
+// step performs one random action at a side and delivers some of the bytes in transit to it.
 func (e *replayEnd) step(other *replayEnd) {
 	random := e.random
 	switch random.IntN(16) {
@@ -106,7 +110,7 @@
 		}
 	case 3, 4:
 		if len(e.open) > 0 {
-			e.answer(random.IntN(len(e.open)))
+			e.respond(random.IntN(len(e.open)))
 		}
 	case 5:
 		if len(e.sent) > 0 {
@@ -128,26 +132,27 @@
 		other.wire = append(other.wire, out...)
 	}
 	n := random.IntN(len(e.wire) + 1)
-	took, err := e.link.Input(e.wire[:n])
-	e.log("input %d of %d", took, n)
+	consumed, err := e.link.Input(e.wire[:n])
+	e.log("input %d of %d", consumed, n)
 	e.check("input", err)
-	e.wire = e.wire[took:]
+	e.wire = e.wire[consumed:]
 	e.log("%d open, %d held, %t waiting, %t left, %d late", e.link.OpenStreams(), e.link.HeldBytes(), e.link.HasOutput(), e.link.PeerGoingAway(), e.link.LateFrames)
 }
 
-// replayHostile appends a frame that may be out of place.
+// replayHostile appends a random frame, which may be invalid at this point.
 func replayHostile(random *rand.Rand, b []byte) []byte {
 	f := frame.Frame{Kind: frame.Kind(1 + random.IntN(11)), Stream: uint32(random.IntN(12)), Value: uint32(random.IntN(3))}
-	heads := []message.Message{
+	messages := []message.Message{
 		&message.Hello{Site: "s", Gateway: "g", Format: "lines"}, &message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1, Size: 1 + random.IntN(3)},
 		&message.Response{Verdict: 1, Size: random.IntN(3)}, &message.LoadReport{WorkSeconds: 1}, &message.SentKeys{},
 	}
 	if random.IntN(4) > 0 {
-		f.Body, _ = message.Append(nil, heads[random.IntN(len(heads))])
+		f.Body, _ = message.Append(nil, messages[random.IntN(len(messages))])
 	}
 	return frame.Append(b, f)
 }
 
+// replayDigest runs the events of a seed and returns their digest.
 func replayDigest(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -181,7 +186,7 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// Two ends under seeded streams of events do, byte for byte, what version c18a9bd did.
+// Two ends under seeded random events produce the same calls and bytes as version c18a9bd.
 func TestReplay(t *testing.T) {
 	const seeds = 300
 	var got bytes.Buffer
@@ -200,7 +205,7 @@
 	}
 	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
 	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d seeds, want %d", len(gotLines)-1, len(wantLines)-1)
+		t.Fatalf("number of seeds = %d, want %d", len(gotLines)-1, len(wantLines)-1)
 	}
 	for i := range wantLines {
 		if !bytes.Equal(gotLines[i], wantLines[i]) {
