--- a/internal/site/forwarding/forward.go
+++ b/internal/site/forwarding/forward.go
@@ -72,8 +72,8 @@
 	q := s.query(r, rejected)
 	choose := s.opts.Choose
 	if choose == nil {
-		choose = func(now time.Duration, q *decide.Query, room float64, peers []*decide.Peer) decide.Choice {
-			return s.chooser.Choose(s.cfg, now, q, room, peers)
+		choose = func(now time.Duration, q *decide.Query, freeCapacity float64, peers []*decide.Peer) decide.Choice {
+			return s.chooser.Choose(s.cfg, now, q, freeCapacity, peers)
 		}
 	}
 	choice := choose(now, &q, s.meter.FreeCapacityFor(now, &q), s.peerStates)
@@ -114,143 +114,143 @@
 		return false
 	}
 	now := s.clock.Now()
-	left, ok := decide.RemainingAfter(s.cfg, r.Deadline-now, p.OneWayDelay())
+	remaining, ok := decide.RemainingAfter(s.cfg, r.Deadline-now, p.OneWayDelay())
 	statement, err := s.opts.Codec.Statement(r.Statement)
 	if !ok || err != nil || len(statement) == 0 || len(statement) > message.MaxBodySize {
 		return false
 	}
 	class := s.classes[r.Class]
-	a := message.Request{
-		ID: r.ID, Class: r.Class, Idempotency: uint8(class.Idempotency), IdempotencyKey: r.IdempotencyKey, DataSet: r.DataSet, RemainingUS: left.Microseconds(), WorkUS: r.Work.Microseconds(),
+	m := message.Request{
+		ID: r.ID, Class: r.Class, Idempotency: uint8(class.Idempotency), IdempotencyKey: r.IdempotencyKey, DataSet: r.DataSet, RemainingUS: remaining.Microseconds(), WorkUS: r.Work.Microseconds(),
 		MemoryMB: r.MemoryMB, ClientRetry: r.ClientRetry, MaxSends: min(decide.AttemptGrant(s.cfg, q), message.MaxSends),
 	}
 	if q.MayHaveRun {
-		a.FirstSentAgoUS = q.SinceFirstAttempt.Microseconds() + 1
+		m.FirstSentAgoUS = q.SinceFirstAttempt.Microseconds() + 1
 	}
 	if l.compress {
-		statement, a.UncompressedSize = s.packer.Pack(statement)
+		statement, m.UncompressedSize = s.packer.Pack(statement)
 	}
-	id, ok, err := l.mux.Request(a, statement)
+	id, ok, err := l.mux.Request(m, statement)
 	if err != nil || !ok {
 		return false
 	}
-	c := &forwardedRequest{request: r, link: l, stream: id, sentAt: now, grant: a.MaxSends, rejectedLocally: q.RejectedLocally, work: q.Work}
-	l.forwarded[id], s.forwarded[r] = c, c
-	r.PriorSends += c.grant // unused sends are subtracted when the response reports its send count
+	f := &forwardedRequest{request: r, link: l, stream: id, sentAt: now, grant: m.MaxSends, rejectedLocally: q.RejectedLocally, work: q.Work}
+	l.forwarded[id], s.forwarded[r] = f, f
+	r.PriorSends += f.grant // unused sends are subtracted when the response reports its send count
 	if r.IdempotencyKey != "" {
 		s.keys.Record(now, r.IdempotencyKey, now, decide.OtherSite)
 	}
 	s.counters.Inc("site.crossed." + r.Class)
 	s.hedge.RecordForward(now)
 	s.core.Forwarded(r, r.Deadline-s.opts.Settings.CallInterval)
-	if after, known := s.hedge.Delay(r.Class); known && class.Idempotency == policy.Idempotent && now+after < r.Deadline {
-		s.timers.Add(now+after, func() { s.startHedge(c) })
+	if delay, known := s.hedge.Delay(r.Class); known && class.Idempotency == policy.Idempotent && now+delay < r.Deadline {
+		s.timers.Add(now+delay, func() { s.startHedge(f) })
 	}
 	return true
 }
 
 // startHedge runs a forwarded request at this site as well, if it takes much longer than usual and the
 // hedging rules allow it.
-func (s *Service) startHedge(c *forwardedRequest) {
-	if s.forwarded[c.request] != c {
+func (s *Service) startHedge(f *forwardedRequest) {
+	if s.forwarded[f.request] != f {
 		return
 	}
 	now := s.clock.Now()
-	q := s.query(c.request, false)
-	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, c.request.Class)) {
-		s.counters.Inc("site.hedged." + c.request.Class)
-		s.core.Hedge(c.request)
+	q := s.query(f.request, false)
+	if s.hedge.Allow(s.cfg, now, &q, s.meter.FreeCapacity(now, f.request.Class)) {
+		s.counters.Inc("site.hedged." + f.request.Class)
+		s.core.Hedge(f.request)
 	}
 }
 
 // removeForwarded removes a forwarded request from the service and its link.
-func (s *Service) removeForwarded(c *forwardedRequest) {
-	delete(s.forwarded, c.request)
-	delete(c.link.forwarded, c.stream)
+func (s *Service) removeForwarded(f *forwardedRequest) {
+	delete(s.forwarded, f.request)
+	delete(f.link.forwarded, f.stream)
 }
 
 // Drop cancels a request at the site that it was forwarded to, if any.
 func (s *Service) Drop(r *core.Request) {
-	c := s.forwarded[r]
-	if c == nil {
+	f := s.forwarded[r]
+	if f == nil {
 		return
 	}
 	s.counters.Inc("site.given-up." + r.Class)
-	s.removeForwarded(c)
-	c.link.mux.Cancel(c.stream)
+	s.removeForwarded(f)
+	f.link.mux.Cancel(f.stream)
 }
 
 // handleFailure handles a forwarded request that ended without an answer for the client: it runs the
 // request here, or reports it as rejected or failed. sends is the number of sends that the other site
 // reported.
-func (s *Service) handleFailure(c *forwardedRequest, failure decide.Failure, a core.Answer, sends int) {
-	now, r := s.clock.Now(), c.request
-	s.removeForwarded(c)
-	c.link.mux.Cancel(c.stream) // no effect if the stream was answered
-	c.link.peer.RecordFailure(now)
+func (s *Service) handleFailure(f *forwardedRequest, failure decide.Failure, answer core.Answer, sends int) {
+	now, r := s.clock.Now(), f.request
+	s.removeForwarded(f)
+	f.link.mux.Cancel(f.stream) // no effect if the stream was answered
+	f.link.peer.RecordFailure(now)
 	if failure == decide.NeverRan {
-		r.PriorSends -= c.grant - min(sends, c.grant)
-		s.keys.Retract(r.IdempotencyKey, c.sentAt)
+		r.PriorSends -= f.grant - min(sends, f.grant)
+		s.keys.Retract(r.IdempotencyKey, f.sentAt)
 	} else {
-		s.core.RecordRemoteSend(r, c.sentAt)
+		s.core.RecordRemoteSend(r, f.sentAt)
 	}
-	q := s.query(r, c.rejectedLocally)
+	q := s.query(r, f.rejectedLocally)
 	switch decide.AfterFailure(s.cfg, &q, failure) {
 	case decide.RunLocally:
 		s.counters.Inc("site.run-here." + r.Class)
 		s.core.ReturnForwarded(r)
 	case decide.ReportRejected:
-		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Rejected, RetryAfter: a.RetryAfter})
+		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Rejected, RetryAfter: answer.RetryAfter})
 	default:
 		s.counters.Inc("site.doubt." + r.Class)
-		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, EngineError: a.EngineError})
+		s.core.CompleteForwarded(r, core.Answer{Verdict: core.Failed, Sent: true, EngineError: answer.EngineError})
 	}
 }
 
 // HandleResponse handles the response to a forwarded request.
-func (l *Link) HandleResponse(stream uint32, a message.Response, body []byte) {
-	s, c := l.service, l.forwarded[stream]
+func (l *Link) HandleResponse(stream uint32, m message.Response, body []byte) {
+	s, f := l.service, l.forwarded[stream]
 	l.recordReply(0)
-	if c == nil {
+	if f == nil {
 		s.counters.Inc("site.late")
 		return
 	}
 	now := s.clock.Now()
-	answer := core.Answer{RetryAfter: time.Duration(a.RetryAfterUS) * time.Microsecond, Sent: a.SendCount > 0}
-	body, err := s.packer.Unpack(body, a.UncompressedSize)
-	if err == nil && a.Verdict == 2 {
+	answer := core.Answer{RetryAfter: time.Duration(m.RetryAfterUS) * time.Microsecond, Sent: m.SendCount > 0}
+	body, err := s.packer.Unpack(body, m.UncompressedSize)
+	if err == nil && m.Verdict == 2 {
 		answer.Result, err = s.opts.Codec.ReadResult(body)
-	} else if err == nil && a.IsError {
+	} else if err == nil && m.IsError {
 		answer.EngineError, err = s.opts.Codec.ReadDetail(body)
 	}
 	switch {
 	case err != nil: // it ran, but an undecodable result is not passed to the client
 		s.counters.Inc("site.unreadable")
 		s.log.Warn("site.unreadable", "peer", l.peer.name.String(), "error", err)
-		s.handleFailure(c, decide.InDoubt, core.Answer{}, a.SendCount)
-	case a.Verdict == 2:
+		s.handleFailure(f, decide.InDoubt, core.Answer{}, m.SendCount)
+	case m.Verdict == 2:
 		answer.Verdict = core.Served
-		s.recordServed(c, now, a)
-		s.core.CompleteForwarded(c.request, answer)
-	case !a.MayHaveRun && (a.Verdict == 1 || !a.IsError):
-		s.counters.Inc("site.turned-away-there." + c.request.Class)
-		s.handleFailure(c, decide.NeverRan, answer, a.SendCount)
-	case a.IsError: // the engine rejected the statement; another engine would return the same error
-		s.removeForwarded(c)
-		if a.MayHaveRun {
-			s.core.RecordRemoteSend(c.request, c.sentAt)
+		s.recordServed(f, now, m)
+		s.core.CompleteForwarded(f.request, answer)
+	case !m.MayHaveRun && (m.Verdict == 1 || !m.IsError):
+		s.counters.Inc("site.turned-away-there." + f.request.Class)
+		s.handleFailure(f, decide.NeverRan, answer, m.SendCount)
+	case m.IsError: // the engine rejected the statement; another engine would return the same error
+		s.removeForwarded(f)
+		if m.MayHaveRun {
+			s.core.RecordRemoteSend(f.request, f.sentAt)
 		}
-		s.core.CompleteForwarded(c.request, answer)
+		s.core.CompleteForwarded(f.request, answer)
 	default:
-		s.handleFailure(c, decide.InDoubt, answer, a.SendCount)
+		s.handleFailure(f, decide.InDoubt, answer, m.SendCount)
 	}
 }
 
 // recordServed updates the peer's and the hedger's statistics after a forwarded request was served.
-func (s *Service) recordServed(c *forwardedRequest, now time.Duration, a message.Response) {
-	s.removeForwarded(c)
-	c.request.PriorSends -= c.grant - min(a.SendCount, c.grant)
-	c.link.peer.RecordSuccess(now)
-	s.hedge.RecordLatency(c.request.Class, now-c.sentAt)
-	s.counters.Inc("site.served-there." + c.request.Class)
+func (s *Service) recordServed(f *forwardedRequest, now time.Duration, m message.Response) {
+	s.removeForwarded(f)
+	f.request.PriorSends -= f.grant - min(m.SendCount, f.grant)
+	f.link.peer.RecordSuccess(now)
+	s.hedge.RecordLatency(f.request.Class, now-f.sentAt)
+	s.counters.Inc("site.served-there." + f.request.Class)
 }
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -147,13 +147,13 @@
 	l.service.checkPeer(l.peer, l.service.clock.Now())
 }
 
-// returnForwarded ends all requests that were forwarded over the link, with their outcome in doubt. why
+// returnForwarded ends all requests that were forwarded over the link, with their outcome in doubt. reason
 // is the last part of a counter's name.
-func (l *Link) returnForwarded(why string) {
+func (l *Link) returnForwarded(reason string) {
 	for _, id := range sorted(l.forwarded) {
-		if c := l.forwarded[id]; c != nil {
-			l.service.counters.Inc("site.taken-back." + why)
-			l.service.handleFailure(c, decide.InDoubt, core.Answer{}, 0)
+		if f := l.forwarded[id]; f != nil {
+			l.service.counters.Inc("site.taken-back." + reason)
+			l.service.handleFailure(f, decide.InDoubt, core.Answer{}, 0)
 		}
 	}
 }
@@ -169,16 +169,16 @@
 }
 
 // HandleHello checks the peer's name and encoding, and replaces older links that this side dialled.
-func (l *Link) HandleHello(g message.Hello) error {
-	if n := (Name{g.Site, g.Gateway}); n != l.peer.name {
-		return fmt.Errorf("%w: its hello names %s, its certificate %s", ErrPeer, n, l.peer.name)
+func (l *Link) HandleHello(m message.Hello) error {
+	if name := (Name{m.Site, m.Gateway}); name != l.peer.name {
+		return fmt.Errorf("%w: its hello names %s, its certificate %s", ErrPeer, name, l.peer.name)
 	}
-	if form := l.service.opts.Codec.Form(); g.Format != form {
-		return fmt.Errorf("%w: it uses format %s, this side %s", ErrPeer, g.Format, form)
+	if format := l.service.opts.Codec.Form(); m.Format != format {
+		return fmt.Errorf("%w: it uses format %s, this side %s", ErrPeer, m.Format, format)
 	}
-	l.greeted, l.compress = true, g.AcceptsZstd && l.service.packer.enc != nil
+	l.greeted, l.compress = true, m.AcceptsZstd && l.service.packer.enc != nil
 	l.peer.SetConnected(true)
-	l.service.log.Info("site.linked", "peer", l.peer.name.String(), "start", g.Incarnation)
+	l.service.log.Info("site.linked", "peer", l.peer.name.String(), "start", m.Incarnation)
 	if l.service.shuttingDown {
 		l.goAway()
 	}
@@ -214,29 +214,29 @@
 	l.recordReply(max(rtt, 1))
 }
 
-func (l *Link) sendLoadReport(number uint32, d message.LoadReport) {
-	if err := l.mux.SendLoadReport(number, d); err != nil {
+func (l *Link) sendLoadReport(number uint32, m message.LoadReport) {
+	if err := l.mux.SendLoadReport(number, m); err != nil {
 		l.transport.Close(err)
 	}
 }
 
-func (l *Link) sendKeys(k message.SentKeys) {
-	if err := l.mux.SendKeys(k); err != nil {
+func (l *Link) sendKeys(m message.SentKeys) {
+	if err := l.mux.SendKeys(m); err != nil {
 		l.transport.Close(err)
 	}
 }
 
 // HandleLoadReport records the peer's load report.
-func (l *Link) HandleLoadReport(d message.LoadReport) {
-	l.peer.RecordDigest(l.service.cfg, l.service.clock.Now(), decide.Digest{FreeCapacity: d.FreeCapacity, AcceptableWork: d.WorkSeconds, Draining: d.Draining})
+func (l *Link) HandleLoadReport(m message.LoadReport) {
+	l.peer.RecordDigest(l.service.cfg, l.service.clock.Now(), decide.Digest{FreeCapacity: m.FreeCapacity, AcceptableWork: m.WorkSeconds, Draining: m.Draining})
 }
 
 // HandleSentKeys records idempotency keys that were sent to engines at the peer's site. The send times
 // account for the one-way delay of the link.
-func (l *Link) HandleSentKeys(k message.SentKeys) {
+func (l *Link) HandleSentKeys(m message.SentKeys) {
 	now := l.service.clock.Now()
-	for _, one := range k.Keys {
-		l.service.keys.Record(now, one.Key, now-time.Duration(one.AgoUS)*time.Microsecond-l.peer.OneWayDelay(), decide.OtherSite)
+	for _, key := range m.Keys {
+		l.service.keys.Record(now, key.Key, now-time.Duration(key.AgoUS)*time.Microsecond-l.peer.OneWayDelay(), decide.OtherSite)
 	}
 }
 
--- a/internal/site/forwarding/overview.go
+++ b/internal/site/forwarding/overview.go
@@ -9,7 +9,7 @@
 
 // PeerStatus is the state of a peer as this gateway sees it.
 type PeerStatus struct {
-	Peer         string             `json:"peer"`
+	Peer         string             `json:"peer"` // SITE/GATEWAY
 	State        string             `json:"state"`
 	Drained      bool               `json:"drained_here,omitempty"` // this gateway forwards nothing new to it
 	HeardMS      float64            `json:"heard_ms_ago"`           // time since its latest reply; below 0: none yet
@@ -24,10 +24,10 @@
 
 // Overview is the state of this site and its peers as this gateway sees them.
 type Overview struct {
-	Name         string             `json:"name"`
-	Draining     bool               `json:"draining"`
-	FreeCapacity map[string]float64 `json:"room"`  // fraction of this site by class, 0 to 1
-	Cores        float64            `json:"cores"` // available cores of this site
+	Name         string             `json:"name"`     // SITE/GATEWAY of this gateway
+	Draining     bool               `json:"draining"` // this site accepts no new requests from others
+	FreeCapacity map[string]float64 `json:"room"`     // fraction of this site by class, 0 to 1
+	Cores        float64            `json:"cores"`    // available cores of this site
 	Peers        []PeerStatus       `json:"peers"`
 	Log          []string           `json:"events"` // latest state changes of peers, oldest first
 }
--- a/internal/site/forwarding/serve.go
+++ b/internal/site/forwarding/serve.go
@@ -17,37 +17,37 @@
 
 // HandleRequest starts a request from another site, or rejects it if the sites' settings for its class
 // differ, it cannot be decoded, this site is draining, or it has no capacity.
-func (l *Link) HandleRequest(stream uint32, a message.Request, statement []byte) {
+func (l *Link) HandleRequest(stream uint32, m message.Request, statement []byte) {
 	s := l.service
 	now := s.clock.Now()
-	class, ok := s.core.Class(a.Class)
+	class, ok := s.core.Class(m.Class)
 	reject := func(reason string) {
 		s.counters.Inc("site.not-taken." + reason)
 		l.answer(stream, message.Response{Verdict: uint8(core.Rejected)}, nil)
 	}
-	raw, err := s.packer.Unpack(statement, a.UncompressedSize)
+	raw, err := s.packer.Unpack(statement, m.UncompressedSize)
 	var read core.Statement
 	if err == nil {
 		read, err = s.opts.Codec.ReadStatement(raw)
 	}
 	switch {
-	case !ok || uint8(class.Idempotency) != a.Idempotency: // with different settings it is unknown whether a repeat is safe
+	case !ok || uint8(class.Idempotency) != m.Idempotency: // with different settings it is unknown whether a repeat is safe
 		reject("class")
 		return
-	case err != nil || class.Idempotency == policy.IdempotentWithKey && a.IdempotencyKey == "":
+	case err != nil || class.Idempotency == policy.IdempotentWithKey && m.IdempotencyKey == "":
 		reject("unreadable")
 		return
 	case s.draining || s.shuttingDown:
 		reject("draining")
 		return
 	}
-	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+	microseconds := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	r := &core.Request{
-		ID: a.ID, Class: a.Class, IdempotencyKey: a.IdempotencyKey, Statement: read, DataSet: a.DataSet, Deadline: now + us(a.RemainingUS), Work: us(a.WorkUS), MemoryMB: a.MemoryMB,
-		ClientRetry: a.ClientRetry, FromOtherSite: true, MaxSends: a.MaxSends,
+		ID: m.ID, Class: m.Class, IdempotencyKey: m.IdempotencyKey, Statement: read, DataSet: m.DataSet, Deadline: now + microseconds(m.RemainingUS), Work: microseconds(m.WorkUS), MemoryMB: m.MemoryMB,
+		ClientRetry: m.ClientRetry, FromOtherSite: true, MaxSends: m.MaxSends,
 	}
-	if a.FirstSentAgoUS > 0 {
-		r.PriorSentAt = max(now-us(a.FirstSentAgoUS-1)-l.peer.OneWayDelay(), 1)
+	if m.FirstSentAgoUS > 0 {
+		r.PriorSentAt = max(now-microseconds(m.FirstSentAgoUS-1)-l.peer.OneWayDelay(), 1)
 	}
 	q := s.query(r, false)
 	l.peer.requestedWork += q.Work
@@ -58,7 +58,7 @@
 	f := &servedRequest{link: l, stream: stream, request: r}
 	r.Client = f
 	l.served[stream] = f
-	s.counters.Inc("site.taken." + a.Class)
+	s.counters.Inc("site.taken." + m.Class)
 	s.core.Accept(r)
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	delete(l.served, f.stream)
-	h := message.Response{
+	m := message.Response{
 		Verdict: uint8(a.Verdict), MayHaveRun: r.MayHaveRunHere(), SendCount: min(r.SendCount(), message.MaxSends), RetryAfterUS: a.RetryAfter.Microseconds(), DeadlinePassed: a.DeadlinePassed,
 	}
 	var body []byte
@@ -87,21 +87,21 @@
 		var err error
 		if body, err = s.opts.Codec.Result(a.Result); err != nil || len(body) > message.MaxBodySize {
 			s.counters.Inc("site.unwritable")
-			h.Verdict, body = uint8(core.Failed), nil
+			m.Verdict, body = uint8(core.Failed), nil
 		}
 	} else if a.EngineError != nil {
 		body = s.opts.Codec.Detail(a.EngineError)
-		h.IsError = len(body) > 0
+		m.IsError = len(body) > 0
 	}
 	if l.compress {
-		body, h.UncompressedSize = s.packer.Pack(body)
+		body, m.UncompressedSize = s.packer.Pack(body)
 	}
-	l.answer(f.stream, h, body)
+	l.answer(f.stream, m, body)
 }
 
 // answer sends a response, and closes the link if the response cannot be encoded.
-func (l *Link) answer(stream uint32, h message.Response, body []byte) {
-	if err := l.mux.Respond(stream, h, body); err != nil {
+func (l *Link) answer(stream uint32, m message.Response, body []byte) {
+	if err := l.mux.Respond(stream, m, body); err != nil {
 		l.transport.Close(err)
 	}
 }
--- a/internal/site/forwarding/service.go
+++ b/internal/site/forwarding/service.go
@@ -33,15 +33,15 @@
 	Pack     bool // compress bodies where that saves enough
 	Held     int  // maximum bytes of incomplete bodies per link; 0: mux.DefaultMaxHeldBytes
 	// Choose replaces decide.Chooser if it is not nil, and turns off the capacity check for requests from
-	// other sites. The testbed uses it to compare strategies. room is the free capacity of this site.
-	Choose func(now time.Duration, q *decide.Query, room float64, peers []*decide.Peer) decide.Choice
+	// other sites. The testbed uses it to compare strategies. freeCapacity is the free capacity of this site.
+	Choose func(now time.Duration, q *decide.Query, freeCapacity float64, peers []*decide.Peer) decide.Choice
 }
 
 // Limits of stored state, and intervals.
 const (
 	keyRetention = 10 * time.Minute // of idempotency keys
-	maxKeys      = 64 << 10
-	maxEvents    = 64 // state changes of peers in the overview
+	maxKeys      = 64 << 10         // idempotency keys in the history
+	maxEvents    = 64               // state changes of peers in the overview
 	// ticksPerReport is the number of ticks per load report: keys are sent and silent peers are detected
 	// more often than load is reported.
 	ticksPerReport = 5
@@ -68,22 +68,22 @@
 	log      *slog.Logger
 
 	classes      map[string]policy.Class
-	classNames   []string           // of classes, in the order of the settings
+	classNames   []string           // in the order of the settings
 	coresByKind  map[string]float64 // CPU cores of an engine
 	peers        []*peer
 	peerStates   []*decide.Peer // of peers, in the same order
 	meter        *decide.CapacityMeter
 	chooser      decide.Chooser
 	hedge        decide.Hedger
-	keys         *decide.KeyHistory
-	unsentKeys   []message.SentKey // not sent to the peers yet; AgoUS holds the send time in µs of the clock
+	keys         *decide.KeyHistory // idempotency keys sent to engines of any site
+	unsentKeys   []message.SentKey  // not sent to the peers yet; AgoUS holds the send time in µs of the clock
 	packer       Packer
 	forwarded    map[*core.Request]*forwardedRequest // open, by request
-	ticks        int
-	reports      uint32  // number of the latest load report
-	draining     bool    // accepts no new requests from other sites
-	shuttingDown bool    // GoAway was sent on all links
-	events       []Event // latest maxEvents, oldest first
+	ticks        int                                 // number of ticks since the start
+	reports      uint32                              // number of the latest load report
+	draining     bool                                // accepts no new requests from other sites
+	shuttingDown bool                                // GoAway was sent on all links
+	events       []Event                             // latest maxEvents, oldest first
 }
 
 // New returns the service of a core and starts its timer. The caller must register the service with the
--- a/internal/site/link/accept.go
+++ b/internal/site/link/accept.go
@@ -68,8 +68,8 @@
 func (r *Runner) handshake(raw net.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	var proven identity
-	socket := tls.Server(raw, r.keys.serverConfig(&proven))
+	var verified identity
+	socket := tls.Server(raw, r.keys.serverConfig(&verified))
 	if err := socket.HandshakeContext(ctx); err != nil {
 		_ = raw.Close()
 		r.loop.Post(func() { r.linkFailed(raw.RemoteAddr().String(), err) })
@@ -78,8 +78,8 @@
 	done := make(chan struct{})
 	r.loop.Post(func() {
 		defer close(done)
-		if err := r.open(socket, proven, false); err != nil {
-			r.linkFailed(proven.name.String(), err)
+		if err := r.open(socket, verified, false); err != nil {
+			r.linkFailed(verified.name.String(), err)
 		}
 	})
 	<-done
--- a/internal/site/link/dial.go
+++ b/internal/site/link/dial.go
@@ -50,11 +50,11 @@
 	r.counters.Inc("site.dialled")
 	peer := p.Peer
 	go func() {
-		socket, proven, err := r.connect(peer)
+		socket, verified, err := r.connect(peer)
 		r.loop.Post(func() {
 			p.dialling = false
 			if err == nil {
-				err = r.open(socket, proven, true)
+				err = r.open(socket, verified, true)
 			}
 			r.dialled(p, err)
 		})
@@ -65,17 +65,17 @@
 func (r *Runner) connect(p Peer) (*tls.Conn, identity, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	var proven identity
+	var verified identity
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
-		return nil, proven, err
+		return nil, verified, err
 	}
-	socket := tls.Client(raw, r.keys.clientConfig(p.Name, &proven))
+	socket := tls.Client(raw, r.keys.clientConfig(p.Name, &verified))
 	if err := socket.HandshakeContext(ctx); err != nil {
 		_ = raw.Close()
-		return nil, proven, err
+		return nil, verified, err
 	}
-	return socket, proven, nil
+	return socket, verified, nil
 }
 
 // dialled records the result of a dial and schedules the next. After a failure the delay doubles up to
--- a/internal/site/link/keys.go
+++ b/internal/site/link/keys.go
@@ -203,21 +203,21 @@
 }
 
 // serverConfig returns the TLS configuration for one handshake with any gateway that connects. The
-// handshake sets proven.
-func (k *Keys) serverConfig(proven *identity) *tls.Config {
+// handshake sets verified.
+func (k *Keys) serverConfig(verified *identity) *tls.Config {
 	set := k.load()
 	config := set.config()
 	config.ClientAuth = tls.RequireAnyClientCert
 	config.VerifyConnection = func(state tls.ConnectionState) (err error) {
-		*proven, err = set.verify(state, x509.ExtKeyUsageClientAuth)
+		*verified, err = set.verify(state, x509.ExtKeyUsageClientAuth)
 		return err
 	}
 	return config
 }
 
 // clientConfig returns the TLS configuration for one handshake with a peer that this side dials. The
-// handshake sets proven.
-func (k *Keys) clientConfig(peer forwarding.Name, proven *identity) *tls.Config {
+// handshake sets verified.
+func (k *Keys) clientConfig(peer forwarding.Name, verified *identity) *tls.Config {
 	set := k.load()
 	config := set.config()
 	// VerifyConnection verifies the certificate and the peer's URI, because gateways have no host names.
@@ -230,7 +230,7 @@
 		if got.name != peer {
 			return fmt.Errorf("%w: it names %s, want %s", ErrName, got.name, peer)
 		}
-		*proven = got
+		*verified = got
 		return nil
 	}
 	return config
--- a/internal/site/link/runner.go
+++ b/internal/site/link/runner.go
@@ -27,7 +27,8 @@
 	Now() time.Duration
 }
 
-// Runner maintains a link to each peer. It must be used from the loop's goroutine.
+// Runner maintains a link to each peer. After Start, SetPeers, Reload and GoAway must be called on the loop's
+// goroutine.
 type Runner struct {
 	loop     Loop
 	timers   *timerqueue.Queue
