--- a/internal/site/forwarding/forward.go
+++ b/internal/site/forwarding/forward.go
@@ -21,8 +21,8 @@
 }
 
 // query describes a request for the forwarding decisions. Where the request carries no work estimate,
-// it uses the typical work of the class, or a third of the class's latency objective on each of its
-// threads.
+// it uses the typical work of the class or, while that is unknown, a third of the class's latency
+// objective on each of its threads.
 func (s *Service) query(r *core.Request, rejectedLocally bool) decide.Query {
 	class, now := s.classes[r.Class], s.clock.Now()
 	q := decide.Query{
@@ -42,7 +42,7 @@
 }
 
 // ForwardOnArrival decides whether a request that has just arrived is forwarded. It returns true if it
-// forwarded the request or completed it, because a repeat of its idempotency key is no longer safe.
+// forwarded the request, or completed it as failed because a repeat of its idempotency key is not safe.
 func (s *Service) ForwardOnArrival(r *core.Request) bool {
 	s.meter.RecordArrival(s.clock.Now(), r.Class)
 	if r.MaxSends == 0 {
@@ -106,8 +106,8 @@
 	return true
 }
 
-// send forwards a request to a peer. It returns false if that is not possible: there is no link, too
-// little time remains, or the statement cannot be encoded or is too large.
+// send forwards a request to a peer. It returns false if that is not possible: there is no link that
+// accepts it, too little time remains, or the statement cannot be encoded or is too large.
 func (s *Service) send(r *core.Request, q *decide.Query, p *peer) bool {
 	l := p.openLink()
 	if l == nil {
@@ -218,21 +218,21 @@
 	now := s.clock.Now()
 	answer := core.Answer{RetryAfter: time.Duration(m.RetryAfterUS) * time.Microsecond, Sent: m.SendCount > 0}
 	body, err := s.packer.Unpack(body, m.UncompressedSize)
-	if err == nil && m.Verdict == 2 {
+	if err == nil && m.Verdict == message.Served {
 		answer.Result, err = s.opts.Codec.ReadResult(body)
 	} else if err == nil && m.IsError {
 		answer.EngineError, err = s.opts.Codec.ReadDetail(body)
 	}
 	switch {
-	case err != nil: // it ran, but an undecodable result is not passed to the client
+	case err != nil: // it may have run, but an undecodable body is not passed to the client
 		s.counters.Inc("site.unreadable")
 		s.log.Warn("site.unreadable", "peer", l.peer.name.String(), "error", err)
 		s.handleFailure(f, decide.InDoubt, core.Answer{}, m.SendCount)
-	case m.Verdict == 2:
+	case m.Verdict == message.Served:
 		answer.Verdict = core.Served
 		s.recordServed(f, now, m)
 		s.core.CompleteForwarded(f.request, answer)
-	case !m.MayHaveRun && (m.Verdict == 1 || !m.IsError):
+	case !m.MayHaveRun && (m.Verdict == message.Rejected || !m.IsError):
 		s.counters.Inc("site.turned-away-there." + f.request.Class)
 		s.handleFailure(f, decide.NeverRan, answer, m.SendCount)
 	case m.IsError: // the engine rejected the statement; another engine would return the same error
@@ -246,7 +246,8 @@
 	}
 }
 
-// recordServed updates the peer's and the hedger's statistics after a forwarded request was served.
+// recordServed removes a forwarded request that was served, subtracts its unused sends, and updates the
+// statistics of the peer and the hedger.
 func (s *Service) recordServed(f *forwardedRequest, now time.Duration, m message.Response) {
 	s.removeForwarded(f)
 	f.request.PriorSends -= f.grant - min(m.SendCount, f.grant)
--- a/internal/site/forwarding/link.go
+++ b/internal/site/forwarding/link.go
@@ -33,8 +33,8 @@
 	closingAt     time.Duration                // when this side sent GoAway; 0: it has not
 	peerClosingAt time.Duration                // when the peer sent GoAway; 0: it has not
 	compress      bool                         // bodies may be compressed: both sides support zstd
-	forwarded     map[uint32]*forwardedRequest // by stream
-	served        map[uint32]*servedRequest    // by stream
+	forwarded     map[uint32]*forwardedRequest // open requests forwarded to the peer, by stream
+	served        map[uint32]*servedRequest    // open requests from the peer, by stream
 	pings         [maxPings]ping               // latest pings, at index number%maxPings
 	lastPing      uint32                       // number of the latest ping
 }
@@ -53,8 +53,8 @@
 // transit arrive.
 const closingPeriod = 2 * time.Second
 
-// ErrSilent closes a link whose peer has not replied for redialIntervals times the configured
-// UnreachableAfter.
+// ErrSilent is the reason for closing a link whose peer has not replied for redialIntervals times the
+// configured UnreachableAfter.
 var ErrSilent = errors.New("site link: no reply from the peer")
 
 // Connect starts a link to a peer on a new connection whose certificate proved the peer's name.
@@ -111,7 +111,7 @@
 	}
 }
 
-// goAway sends GoAway once: new streams belong on another link.
+// goAway sends GoAway once, so that the peer opens new streams on another link.
 func (l *Link) goAway() {
 	if l.closingAt == 0 {
 		l.closingAt = max(l.service.clock.Now(), 1)
@@ -123,8 +123,8 @@
 // which covers frames still in transit, and no request is open. A gateway that shuts down keeps its
 // links.
 func (l *Link) canClose(now time.Duration) bool {
-	left := max(l.closingAt, l.peerClosingAt)
-	return left > 0 && now-left > closingPeriod && l.Idle() && !l.service.shuttingDown
+	goAwayAt := max(l.closingAt, l.peerClosingAt)
+	return goAwayAt > 0 && now-goAwayAt > closingPeriod && l.Idle() && !l.service.shuttingDown
 }
 
 // Closed handles the end of the connection. The outcome of requests at the peer is in doubt, and requests
@@ -196,7 +196,7 @@
 	l.peer.RecordReply(l.service.cfg, l.service.clock.Now(), rtt)
 }
 
-// ping sends a ping and remembers when.
+// ping sends a ping and records the time.
 func (l *Link) ping(now time.Duration) {
 	l.lastPing++
 	l.pings[l.lastPing%maxPings] = ping{l.lastPing, now}
@@ -214,12 +214,14 @@
 	l.recordReply(max(rtt, 1))
 }
 
+// sendLoadReport sends a load report, and closes the link if the report cannot be encoded.
 func (l *Link) sendLoadReport(number uint32, m message.LoadReport) {
 	if err := l.mux.SendLoadReport(number, m); err != nil {
 		l.transport.Close(err)
 	}
 }
 
+// sendKeys sends idempotency keys, and closes the link if they cannot be encoded.
 func (l *Link) sendKeys(m message.SentKeys) {
 	if err := l.mux.SendKeys(m); err != nil {
 		l.transport.Close(err)
--- a/internal/site/forwarding/overview.go
+++ b/internal/site/forwarding/overview.go
@@ -12,14 +12,14 @@
 	Peer         string             `json:"peer"` // SITE/GATEWAY
 	State        string             `json:"state"`
 	Drained      bool               `json:"drained_here,omitempty"` // this gateway forwards nothing new to it
-	HeardMS      float64            `json:"heard_ms_ago"`           // time since its latest reply; below 0: none yet
-	RTTMS        float64            `json:"rtt_ms"`
-	Links        int                `json:"links"`               // open links
-	Forwarded    int                `json:"requests_there"`      // open requests forwarded to it
-	Served       int                `json:"requests_from_there"` // open requests served here for it
-	FreeCapacity map[string]float64 `json:"room"`                // fraction by class, 0 to 1, as it reported
-	Credit       float64            `json:"credit_s"`            // core-seconds that may be forwarded before its next report
-	Distrust     float64            `json:"distrust"`            // fraction of its capacity, 0 to 1, discounted after recent failures
+	HeardMS      float64            `json:"heard_ms_ago"`           // milliseconds since its latest reply; below 0: none yet
+	RTTMS        float64            `json:"rtt_ms"`                 // smoothed round-trip time in milliseconds; 0: not measured
+	Links        int                `json:"links"`                  // open links
+	Forwarded    int                `json:"requests_there"`         // open requests forwarded to it
+	Served       int                `json:"requests_from_there"`    // open requests served here for it
+	FreeCapacity map[string]float64 `json:"room"`                   // fraction by class, 0 to 1, as it reported
+	Credit       float64            `json:"credit_s"`               // core-seconds that may be forwarded before its next report
+	Distrust     float64            `json:"distrust"`               // fraction of its capacity, 0 to 1, discounted after recent failures
 }
 
 // Overview is the state of this site and its peers as this gateway sees them.
--- a/internal/site/forwarding/pack.go
+++ b/internal/site/forwarding/pack.go
@@ -41,7 +41,7 @@
 
 // Pack returns a body as it is sent, and its uncompressed size in bytes; 0 means that it is not
 // compressed.
-func (p Packer) Pack(b []byte) (body []byte, raw int) {
+func (p Packer) Pack(b []byte) (body []byte, uncompressedSize int) {
 	if p.enc == nil || len(b) < minCompressSize {
 		return b, 0
 	}
@@ -52,25 +52,25 @@
 	return compressed, len(b)
 }
 
-// Unpack decompresses a body of raw uncompressed bytes; 0 means that it is not compressed. The zstd header
+// Unpack decompresses a body to size bytes; a size of 0 means that it is not compressed. The zstd header
 // must declare the same size, so that a body cannot decompress to more than announced.
-func (p Packer) Unpack(b []byte, raw int) ([]byte, error) {
-	if raw == 0 {
+func (p Packer) Unpack(b []byte, size int) ([]byte, error) {
+	if size == 0 {
 		return b, nil
 	}
 	if p.dec == nil {
 		return nil, fmt.Errorf("%w: this side does not accept compressed bodies", errCompressedBody)
 	}
 	var h zstd.Header
-	if err := h.Decode(b); err != nil || !h.HasFCS || h.FrameContentSize != uint64(raw) {
-		return nil, fmt.Errorf("%w: the zstd header does not declare %d bytes", errCompressedBody, raw)
+	if err := h.Decode(b); err != nil || !h.HasFCS || h.FrameContentSize != uint64(size) {
+		return nil, fmt.Errorf("%w: the zstd header does not declare %d bytes", errCompressedBody, size)
 	}
-	out, err := p.dec.DecodeAll(b, make([]byte, 0, raw))
+	out, err := p.dec.DecodeAll(b, make([]byte, 0, size))
 	if err != nil {
-		return nil, fmt.Errorf("%w: decompressed %d of %d bytes: %w", errCompressedBody, len(out), raw, err)
+		return nil, fmt.Errorf("%w: decompressed %d of %d bytes: %w", errCompressedBody, len(out), size, err)
 	}
-	if len(out) != raw {
-		return nil, fmt.Errorf("%w: decompressed %d of %d bytes", errCompressedBody, len(out), raw)
+	if len(out) != size {
+		return nil, fmt.Errorf("%w: decompressed %d of %d bytes", errCompressedBody, len(out), size)
 	}
 	return out, nil
 }
--- a/internal/site/forwarding/pack_test.go
+++ b/internal/site/forwarding/pack_test.go
@@ -29,30 +29,30 @@
 		b          []byte
 		compressed bool
 	}{"rows": {rows, true}, "small": {rows[:minCompressSize-1], false}, "noise": {noise, false}, "empty": {nil, false}} {
-		body, raw := p.Pack(tt.b)
-		got, err := p.Unpack(body, raw)
-		if err != nil || !bytes.Equal(got, tt.b) || (raw > 0) != tt.compressed {
-			t.Errorf("%s: sent %d bytes, announced size %d (want compressed %v), restored %d of %d bytes, error %v", name, len(body), raw, tt.compressed, len(got), len(tt.b), err)
+		body, size := p.Pack(tt.b)
+		got, err := p.Unpack(body, size)
+		if err != nil || !bytes.Equal(got, tt.b) || (size > 0) != tt.compressed {
+			t.Errorf("%s: sent %d bytes, announced size %d (want compressed %v), restored %d of %d bytes, error %v", name, len(body), size, tt.compressed, len(got), len(tt.b), err)
 		}
 	}
-	body, raw := p.Pack(rows)
+	body, size := p.Pack(rows)
 	enc, err := zstd.NewWriter(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	bomb := enc.EncodeAll(make([]byte, message.MaxBodySize+1), nil)
 	for name, tt := range map[string]struct {
-		b   []byte
-		raw int
+		b    []byte
+		size int
 	}{
-		"longer than announced": {body, raw - 1}, "shorter than announced": {body, raw + 1}, "truncated": {body[:len(body)-1], raw}, "not zstd": {rows, raw}, "empty": {nil, raw},
+		"longer than announced": {body, size - 1}, "shorter than announced": {body, size + 1}, "truncated": {body[:len(body)-1], size}, "not zstd": {rows, size}, "empty": {nil, size},
 		"decompression bomb with its true size": {bomb, message.MaxBodySize + 1}, "decompression bomb with a false size": {bomb, 1000},
 	} {
-		if _, err := p.Unpack(tt.b, tt.raw); !errors.Is(err, errCompressedBody) {
+		if _, err := p.Unpack(tt.b, tt.size); !errors.Is(err, errCompressedBody) {
 			t.Errorf("%s: error = %v, want %v", name, err, errCompressedBody)
 		}
 	}
-	if _, err := (Packer{}).Unpack(body, raw); !errors.Is(err, errCompressedBody) {
+	if _, err := (Packer{}).Unpack(body, size); !errors.Is(err, errCompressedBody) {
 		t.Errorf("compressed body at a zero Packer: error = %v, want %v", err, errCompressedBody)
 	}
 }
--- a/internal/site/forwarding/peers.go
+++ b/internal/site/forwarding/peers.go
@@ -12,7 +12,7 @@
 	name          Name
 	links         []*Link // oldest first
 	removed       bool    // it is no longer configured
-	requestedWork float64 // core-seconds requested recently; halved at each load report
+	requestedWork float64 // core-seconds of recent requests from the peer; halved at each load report
 }
 
 // Event is a change of a peer's state.
--- a/internal/site/forwarding/reports.go
+++ b/internal/site/forwarding/reports.go
@@ -8,8 +8,8 @@
 )
 
 // tick runs ticksPerReport times per DigestInterval. It checks the peers' states, closes links that are
-// silent or no longer needed, sends idempotency keys, and at times sends load reports and rejects
-// incomplete requests.
+// silent or no longer needed, and sends idempotency keys. Every ticksPerReport ticks it also sends load
+// reports, and every staleTicks ticks it rejects incomplete requests that make no progress.
 func (s *Service) tick() {
 	now := s.clock.Now()
 	s.timers.Add(now+s.cfg.DigestInterval/ticksPerReport, s.tick)
@@ -63,8 +63,8 @@
 	}
 }
 
-// sendLoadReports sends each peer the free capacity of this site and its share of the acceptable work,
-// and a ping that measures the round trip.
+// sendLoadReports sends each peer the free capacity of this site, the peer's share of the work that this
+// site accepts, and a ping that measures the round trip.
 func (s *Service) sendLoadReports() {
 	if s.shuttingDown { // a new process may already send reports for this gateway
 		return
--- a/internal/site/forwarding/serve.go
+++ b/internal/site/forwarding/serve.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Answer sends the final answer to the other site. It does nothing if the request was cancelled or its
-// link is closed.
+// Answer sends the final answer to the other site, as failed if a result cannot be encoded or is too
+// large. It does nothing if the request was cancelled or its link is closed.
 func (f *servedRequest) Answer(r *core.Request, a core.Answer) {
 	l, s := f.link, f.link.service
 	if l.served[f.stream] != f {
--- a/internal/site/forwarding/service.go
+++ b/internal/site/forwarding/service.go
@@ -24,7 +24,7 @@
 
 // Options configures a Service.
 type Options struct {
-	Name     Name   // of this gateway
+	Name     Name   // name of this gateway
 	Start    uint64 // number drawn when the gateway starts; it distinguishes restarts
 	Config   decide.Config
 	Settings policy.Settings
@@ -39,13 +39,13 @@
 
 // Limits of stored state, and intervals.
 const (
-	keyRetention = 10 * time.Minute // of idempotency keys
-	maxKeys      = 64 << 10         // idempotency keys in the history
-	maxEvents    = 64               // state changes of peers in the overview
+	keyRetention = 10 * time.Minute // how long idempotency keys are remembered
+	maxKeys      = 64 << 10         // maximum number of idempotency keys that are remembered
+	maxEvents    = 64               // maximum number of peers' state changes in the overview
 	// ticksPerReport is the number of ticks per load report: keys are sent and silent peers are detected
 	// more often than load is reported.
 	ticksPerReport = 5
-	maxPings       = 8 // pings per link that may wait for their pong
+	maxPings       = 8 // maximum number of pings per link that wait for their pong
 	// staleTicks is the number of ticks between checks for incomplete requests. A request without progress
 	// is rejected after one to two such intervals.
 	staleTicks = 40 * ticksPerReport
@@ -68,17 +68,17 @@
 	log      *slog.Logger
 
 	classes      map[string]policy.Class
-	classNames   []string           // in the order of the settings
-	coresByKind  map[string]float64 // CPU cores of an engine
-	peers        []*peer
-	peerStates   []*decide.Peer // of peers, in the same order
+	classNames   []string           // names of the classes, in the order of the settings
+	coresByKind  map[string]float64 // CPU cores of an engine, by engine kind
+	peers        []*peer            // removed ones included, so that indexes stay valid
+	peerStates   []*decide.Peer     // decision states of peers, in the same order
 	meter        *decide.CapacityMeter
 	chooser      decide.Chooser
 	hedge        decide.Hedger
 	keys         *decide.KeyHistory // idempotency keys sent to engines of any site
 	unsentKeys   []message.SentKey  // not sent to the peers yet; AgoUS holds the send time in µs of the clock
 	packer       Packer
-	forwarded    map[*core.Request]*forwardedRequest // open, by request
+	forwarded    map[*core.Request]*forwardedRequest // open forwarded requests, by request
 	ticks        int                                 // number of ticks since the start
 	reports      uint32                              // number of the latest load report
 	draining     bool                                // accepts no new requests from other sites
@@ -137,8 +137,8 @@
 	}
 }
 
-// AttemptEnded records the end of an attempt at an engine of this site. If the attempt never ran, its
-// idempotency key is retracted.
+// AttemptEnded records the end of an attempt at an engine of this site. If it never ran
+// and no other attempt of its request at this site may have run, its idempotency key is retracted.
 func (s *Service) AttemptEnded(a *core.Attempt, end core.Outcome, rep core.Report) {
 	r := a.Request
 	s.meter.AttemptEnded(s.threads(r.Class))
--- a/internal/site/link/connection.go
+++ b/internal/site/link/connection.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	writeTimeout = 10 * time.Second // for writing one buffer
+	writeTimeout = 10 * time.Second // limit for writing one buffer
 	writeSize    = 128 << 10        // approximate bytes pulled into one buffer
 	maxWrites    = 2                // buffers that may wait to be written
 	readSize     = 64 << 10         // bytes of the read buffer
--- a/internal/site/link/dial.go
+++ b/internal/site/link/dial.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	handshakeTimeout = 3 * time.Second        // for connecting and the TLS handshake
+	handshakeTimeout = 3 * time.Second        // limit for the TLS handshake; when dialling, connecting included
 	minRedial        = 200 * time.Millisecond // delay after a success, and base of the backoff
 	maxRedial        = 3 * time.Second        // upper limit of the backoff
 	maxRedialShift   = 8                      // maximum doublings of minRedial
@@ -78,8 +78,9 @@
 	return socket, verified, nil
 }
 
-// dialled records the result of a dial and schedules the next. After a failure the delay doubles up to
-// maxRedial and has a random part, so that gateways do not dial all at once.
+// dialled records the result of a dial and schedules the next. The delay doubles with each
+// failure in a row, up to maxRedial, and up to half of it is random, so that gateways do not dial all at
+// once.
 func (r *Runner) dialled(p *remote, err error) {
 	if err == nil {
 		p.failures = 0
--- a/internal/site/link/keys.go
+++ b/internal/site/link/keys.go
@@ -244,7 +244,8 @@
 	}
 }
 
-// verify checks a peer's certificate chain, usage and revocation, and returns the peer's identity.
+// verify checks a peer's certificate chain, its usage and revocation, and the application protocol, and
+// returns the peer's identity.
 func (s keySet) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) (identity, error) {
 	if len(state.PeerCertificates) == 0 {
 		return identity{}, ErrName
--- a/internal/site/link/link_test.go
+++ b/internal/site/link/link_test.go
@@ -84,16 +84,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := config.LoadPostgres("../../../deploy/postgres.toml")
+	settings, err := config.LoadPostgres("../../../deploy/postgres.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, y, err := sitelink.Pair(dir, sitelink.Options{Settings: p.SiteSettings.Policy, Engines: 1, Pack: true, Answer: rows}, nil)
+	near, far, err := sitelink.Pair(dir, sitelink.Options{Settings: settings.SiteSettings.Policy, Engines: 1, Pack: true, Answer: rows}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { x.Close(); y.Close() })
-	return ca, dir, node{x, t}, node{y, t}, serial
+	t.Cleanup(func() { near.Close(); far.Close() })
+	return ca, dir, node{near, t}, node{far, t}, serial
 }
 
 // stopAnswering stops the node's engine from answering.
@@ -272,7 +272,7 @@
 		}
 		_, _ = c.Write(tt.send) // the connection may already be closed
 		if _, err := io.Copy(io.Discard, c); err != nil && errors.Is(err, net.ErrClosed) {
-			t.Error(err)
+			t.Errorf("%s: read error = %v, want the peer to close the connection", name, err)
 		}
 		var timeout net.Error
 		if _, err := c.Read(make([]byte, 1)); errors.As(err, &timeout) && timeout.Timeout() {
--- a/internal/site/link/runner.go
+++ b/internal/site/link/runner.go
@@ -61,16 +61,16 @@
 		names[i] = p.Name
 	}
 	r.service.SetPeers(names)
-	before := r.peers
+	previous := r.peers
 	r.peers = nil
 	for _, p := range peers {
-		one := &remote{}
-		i := slices.IndexFunc(before, func(known *remote) bool { return known.Name == p.Name })
+		updated := &remote{}
+		i := slices.IndexFunc(previous, func(known *remote) bool { return known.Name == p.Name })
 		if i >= 0 {
-			one = before[i] // keep the state of a dial in progress
+			updated = previous[i] // keep the state of a dial in progress
 		}
-		one.Peer = p
-		r.peers = append(r.peers, one)
+		updated.Peer = p
+		r.peers = append(r.peers, updated)
 	}
 }
 
--- a/internal/site/message/fixture_test.go
+++ b/internal/site/message/fixture_test.go
@@ -56,7 +56,7 @@
 						continue
 					}
 					if err := m.check(); err != nil {
-						t.Errorf("byte %d, bit %d flipped: decoded to a message that is out of bounds: %v", n, bit, err)
+						t.Errorf("byte %d, bit %d flipped: decoded to a message with error %v, want a decoding error or fields within bounds", n, bit, err)
 					}
 				}
 			}
--- a/internal/site/message/message.go
+++ b/internal/site/message/message.go
@@ -78,7 +78,7 @@
 	Verdict          uint8 `cbor:"1,keyasint"`           // Failed, Rejected or Served
 	MayHaveRun       bool  `cbor:"2,keyasint,omitempty"` // an engine may have run it; false: certainly none has
 	SendCount        int   `cbor:"3,keyasint,omitempty"` // sends to engines of the responding site
-	RetryAfterUS     int64 `cbor:"4,keyasint,omitempty"` // with Rejected: when the client may retry; 0: not given
+	RetryAfterUS     int64 `cbor:"4,keyasint,omitempty"` // with Rejected: microseconds after which the client may retry; 0: not given
 	DeadlinePassed   bool  `cbor:"5,keyasint,omitempty"` // it ended because its deadline passed
 	WorkUS           int64 `cbor:"6,keyasint,omitempty"` // work that it took, in core-microseconds; 0: unknown
 	Size             int   `cbor:"7,keyasint,omitempty"` // bytes of Data that follow
--- a/internal/site/message/message_test.go
+++ b/internal/site/message/message_test.go
@@ -41,7 +41,7 @@
 			t.Errorf("%T (-want +got):\n%s", m, diff)
 		}
 		if Decode(encoded[:len(encoded)-1], newMessages[i]()) == nil || Decode(append(bytes.Clone(encoded), 0), newMessages[i]()) == nil {
-			t.Errorf("%T: no error for a truncated message or for trailing bytes", m)
+			t.Errorf("%T: truncated or with a trailing byte: error = nil, want one", m)
 		}
 	}
 }
--- a/internal/site/mux/credit.go
+++ b/internal/site/mux/credit.go
@@ -2,7 +2,8 @@
 
 import "gannetspur/internal/site/frame"
 
-// receiveBudget limits the memory for incomplete bodies of one link.
+// receiveBudget limits the memory for incomplete bodies of one link. The first window of a response is
+// counted but not limited, because the peer may send it without further credit.
 type receiveBudget struct {
 	held    int       // bytes received or covered by granted credit
 	starved []*stream // streams that wait for credit until others are complete
@@ -31,11 +32,11 @@
 // grantCredit grants a stream credit of up to one window once half of its window is used, if the budget
 // allows it. Otherwise the stream becomes the exempt one or waits.
 func (l *Link) grantCredit(s *stream) {
-	remaining := s.bodySize - len(s.received) - s.window
-	if s.window > l.config.Window/2 || remaining <= 0 || s.starved {
+	uncovered := s.bodySize - len(s.received) - s.window
+	if s.window > l.config.Window/2 || uncovered <= 0 || s.starved {
 		return
 	}
-	n := min(l.config.Window, remaining)
+	n := min(l.config.Window, uncovered)
 	if l.budget.held+n > l.config.MaxHeldBytes && l.budget.exempt != s {
 		if l.budget.exempt != nil {
 			s.starved = true
--- a/internal/site/mux/link.go
+++ b/internal/site/mux/link.go
@@ -21,11 +21,13 @@
 
 // Config sets the role and the limits of one end of a link.
 type Config struct {
-	Dialled      bool          // this side dialled: its streams have odd numbers
-	Hello        message.Hello // sent first
-	Window       int           // bytes of Data that may arrive on a stream before this side grants more credit; 0: DefaultWindow
-	MaxStreams   int           // streams that the peer may have open at once; 0: DefaultMaxStreams
-	MaxHeldBytes int           // bytes of incomplete bodies from the peer, granted credit included; 0: DefaultMaxHeldBytes
+	Dialled    bool          // this side dialled: its streams have odd numbers
+	Hello      message.Hello // message that this side sends first
+	Window     int           // bytes of Data that may arrive on a stream before this side grants more credit; 0: DefaultWindow
+	MaxStreams int           // streams that the peer may have open at once; 0: DefaultMaxStreams
+	// MaxHeldBytes limits the bytes of incomplete bodies from the peer, granted credit included. The first
+	// window of a response, and one stream at a time, may exceed it. 0: DefaultMaxHeldBytes.
+	MaxHeldBytes int
 }
 
 // Handler receives the messages of a link. Its methods may call the link.
@@ -60,7 +62,7 @@
 	ErrVersion = errors.New("site link: unsupported version")
 )
 
-// Link is one end of a link.
+// Link is one end of the link between two gateways.
 type Link struct {
 	config  Config
 	handler Handler
--- a/internal/site/mux/mux_test.go
+++ b/internal/site/mux/mux_test.go
@@ -96,16 +96,16 @@
 	directions := []*direction{{a, b, nil}, {b, a, nil}}
 	for moved := true; moved; {
 		moved = false
-		for _, w := range directions {
-			out := w.from.pull(piece())
+		for _, d := range directions {
+			out := d.from.pull(piece())
 			moved = moved || len(out) > 0
 			for len(out) > 0 {
 				n := min(max(piece(), 1), len(out))
-				w.buffered = append(w.buffered, out[:n]...)
+				d.buffered = append(d.buffered, out[:n]...)
 				out = out[n:]
-				consumed, err := w.to.link.Input(w.buffered)
+				consumed, err := d.to.link.Input(d.buffered)
 				must(tb, err)
-				w.buffered = w.buffered[consumed:]
+				d.buffered = d.buffered[consumed:]
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 			body := bytes.Repeat([]byte{byte(rapid.IntRange(1, 255).Draw(rt, "fill"))}, 1+size.Draw(rt, "size"))
 			id, ok, err := from.link.Request(message.Request{ID: "i", Class: "c", RemainingUS: 1, MaxSends: 1}, body)
 			if err != nil || !ok {
-				rt.Fatal(ok, err)
+				rt.Fatalf("request: ok = %v, error %v; want true and no error", ok, err)
 			}
 			if rapid.IntRange(0, 4).Draw(rt, "cancel") == 0 {
 				from.link.Cancel(id)
@@ -178,7 +178,7 @@
 	}
 	large, _, err := a.link.Request(message.Request{ID: "large", Class: "c", RemainingUS: 1, MaxSends: 1}, make([]byte, 4<<20))
 	must(t, err)
-	for range 40 { // until part of the response was sent
+	for range 40 { // until b has received the request and has a part of the response to send
 		transferOnce(t, a, b)
 		if b.link.HasOutput() && len(b.requests) > 0 {
 			break
@@ -189,16 +189,16 @@
 	transfer(t, a, b, func() int { return 32 << 10 })
 	want := []string{fmt.Sprintf("response %d 2", small), fmt.Sprintf("response %d 2", large)}
 	if diff := cmp.Diff(want, a.events); diff != "" {
-		t.Error(diff)
+		t.Errorf("events (-want +got):\n%s", diff)
 	}
 }
 
 // transferOnce moves output once in each direction.
 func transferOnce(t *testing.T, a, b *end) {
 	t.Helper()
-	for _, w := range [][2]*end{{a, b}, {b, a}} {
-		out := w[0].pull(256 << 10)
-		if n, err := w[1].link.Input(out); err != nil || n != len(out) {
+	for _, ends := range [][2]*end{{a, b}, {b, a}} {
+		out := ends[0].pull(256 << 10)
+		if n, err := ends[1].link.Input(out); err != nil || n != len(out) {
 			t.Fatalf("consumed %d of %d bytes, error %v; want all and no error", n, len(out), err)
 		}
 	}
@@ -228,7 +228,7 @@
 	}
 	want := [][]string{{fmt.Sprintf("response %d 1", two), "load report 3", "1 keys", "go away", "pong 7"}, {fmt.Sprintf("cancel %d", one)}}
 	if diff := cmp.Diff(want, [][]string{a.events, b.events}); diff != "" {
-		t.Error(diff)
+		t.Errorf("events (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/site/mux/receive.go
+++ b/internal/site/mux/receive.go
@@ -96,7 +96,7 @@
 		return err
 	}
 	if l.isLocal(f.Stream) || l.wasOpened(f.Stream) {
-		return fmt.Errorf("%w: request on stream %d, which is of this side or was used", ErrOrder, f.Stream)
+		return fmt.Errorf("%w: request on stream %d, which belongs to this side or was used", ErrOrder, f.Stream)
 	}
 	l.lastPeerStream = f.Stream
 	s := &stream{id: f.Stream, sendCredit: l.config.Window, request: &m, bodySize: m.Size, window: l.config.Window}
@@ -177,7 +177,7 @@
 // handleCancel closes a stream of the peer. The handler is told only if it received the request.
 func (l *Link) handleCancel(f frame.Frame) error {
 	if l.isLocal(f.Stream) {
-		return fmt.Errorf("%w: cancel of stream %d, which this side opened", ErrOrder, f.Stream)
+		return fmt.Errorf("%w: cancel of stream %d, which belongs to this side", ErrOrder, f.Stream)
 	}
 	s := l.streams[f.Stream]
 	if s == nil {
