--- a/internal/site/forwarding/pack_test.go
+++ b/internal/site/forwarding/pack_test.go
@@ -11,7 +11,7 @@
 )
 
 // Bodies are restored unchanged. Small and incompressible bodies are not compressed. A body that does not
-// decompress to its announced size is an error, and uses no more memory than announced.
+// decompress to its announced size is an error, so that it cannot use more memory than announced.
 func TestCompression(t *testing.T) {
 	p, err := NewPacker()
 	if err != nil {
--- a/internal/site/frame/frame.go
+++ b/internal/site/frame/frame.go
@@ -29,7 +29,7 @@
 	// MaxBodySize is the largest body of a frame, in bytes; longer data is split into several frames.
 	MaxBodySize = 64 << 10
 
-	// kindEnd is the offset in a header behind the length and the kind, where the stream begins.
+	// kindEnd is the offset in a header after the length and the kind, where the stream begins.
 	kindEnd = 4
 )
 
