--- a/internal/site/link/dial.go
+++ b/internal/site/link/dial.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	handshakeTimeout = 3 * time.Second
-	minRedial        = 200 * time.Millisecond
-	maxRedial        = 3 * time.Second
-	maxRedialShift   = 8                      // doublings of minRedial
-	dialInterval     = 100 * time.Millisecond // between looks at which peers have to be dialled
+	handshakeTimeout = 3 * time.Second        // limit for the TLS handshake; when dialling, connecting included
+	minRedial        = 200 * time.Millisecond // delay after a success, and base of the backoff
+	maxRedial        = 3 * time.Second        // upper limit of the backoff
+	maxRedialShift   = 8                      // maximum doublings of minRedial
+	dialInterval     = 100 * time.Millisecond // between checks for peers to dial
 )
 
-// remote is a peer as the runner sees it.
+// remote is a peer with the state of dialling it.
 type remote struct {
 	Peer
-	dialling    bool
-	failures    int           // dials in a row that failed
-	nextDial    time.Duration // not before
-	keysChanged bool          // its link was made with keys that were replaced since
+	dialling    bool          // a dial is in progress
+	failures    int           // consecutive failed dials
+	nextDial    time.Duration // earliest time of the next dial
+	keysChanged bool          // its link uses keys that have been replaced
 }
 
-// dials tells whether this side dials a peer: of two gateways the one whose name comes first.
+// dials reports whether this side dials a peer. Of two gateways, the one whose name sorts first dials.
 func (r *Runner) dials(p *remote) bool { return r.own.String() < p.Name.String() }
 
-// dialMissing dials those peers that there is no link to, now and at each dialInterval.
+// dialMissing dials the peers that have no link or whose link uses replaced keys, now and at every
+// dialInterval.
 func (r *Runner) dialMissing() {
 	if r.stopped {
 		return
@@ -49,35 +50,37 @@
 	r.counters.Inc("site.dialled")
 	peer := p.Peer
 	go func() {
-		socket, proven, err := r.connect(peer)
+		socket, verified, err := r.connect(peer)
 		r.loop.Post(func() {
 			p.dialling = false
 			if err == nil {
-				err = r.open(socket, proven, true)
+				err = r.open(socket, verified, true)
 			}
 			r.dialled(p, err)
 		})
 	}()
 }
 
-// connect makes a connection to a peer that proves who it is.
+// connect opens a TLS connection to a peer, whose certificate must prove its name.
 func (r *Runner) connect(p Peer) (*tls.Conn, identity, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	var proven identity
+	var verified identity
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
-		return nil, proven, err
+		return nil, verified, err
 	}
-	socket := tls.Client(raw, r.keys.clientConfig(p.Name, &proven))
+	socket := tls.Client(raw, r.keys.clientConfig(p.Name, &verified))
 	if err := socket.HandshakeContext(ctx); err != nil {
 		_ = raw.Close()
-		return nil, proven, err
+		return nil, verified, err
 	}
-	return socket, proven, nil
+	return socket, verified, nil
 }
 
-// dialled schedules the next dial of a peer. Its random part keeps peers from dialling all at once.
+// dialled records the result of a dial and schedules the next. The delay doubles with each
+// failure in a row, up to maxRedial, and up to half of it is random, so that gateways do not dial all at
+// once.
 func (r *Runner) dialled(p *remote, err error) {
 	if err == nil {
 		p.failures = 0
