--- a/internal/testbed/load/arrivals.go
+++ b/internal/testbed/load/arrivals.go
@@ -7,11 +7,13 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// nextRequest returns the gap before the next request, its kind and its statement.
+// nextRequest returns the time between the previous request and the next one, the kind of the next
+// one and its statement, nil for the client's own.
 type nextRequest func() (gap time.Duration, kind Kind, statement *Statement)
 
-// drawn returns Poisson arrivals, whose kinds are drawn.
-func (s *Source) drawn() nextRequest {
+// poissonRequests generates Poisson arrivals and draws the kind of each request at random, with the
+// configured fractions.
+func (s *Source) poissonRequests() nextRequest {
 	gap := distuv.Exponential{Rate: s.opts.Rate, Src: rand.NewPCG(s.opts.Seed, 1)}
 	kinds := rand.New(rand.NewPCG(s.opts.Seed, 2))
 	return func() (time.Duration, Kind, *Statement) {
@@ -28,16 +30,17 @@
 	}
 }
 
-// recorded returns the recorded arrivals, scaled to the rate.
-func (s *Source) recorded() nextRequest {
+// recordedRequests repeats the recorded arrivals without end, with the gaps between them scaled to
+// the configured rate.
+func (s *Source) recordedRequests() nextRequest {
 	all := s.opts.Recorded
-	span := float64(all[len(all)-1].At-all[0].At) / 1e6
-	slower := float64(len(all)) / span / s.opts.Rate
+	seconds := float64(all[len(all)-1].At-all[0].At) / 1e6
+	gapScale := float64(len(all)) / seconds / s.opts.Rate
 	n := 0
 	return func() (gap time.Duration, kind Kind, statement *Statement) {
 		r := &all[n%len(all)]
 		if n%len(all) > 0 {
-			gap = time.Duration(float64(r.At-all[n%len(all)-1].At) * slower * float64(time.Microsecond))
+			gap = time.Duration(float64(r.At-all[n%len(all)-1].At) * gapScale * float64(time.Microsecond))
 		}
 		n++
 		switch r.Class {
--- a/internal/testbed/load/check_test.go
+++ b/internal/testbed/load/check_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The checker finds each rule broken, and nothing where none is.
+// TestCheck verifies that Check reports each violated rule, and reports nothing where no rule is
+// violated.
 func TestCheck(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	run := func(mark string, s float64, dropped bool) emulator.Run {
@@ -25,32 +26,32 @@
 		runs []emulator.Run
 		want []string
 	}{
-		"served":                    {rec("q-1-1", Served), []emulator.Run{run("q-1-1", 0, false)}, nil},
-		"a lookup twice":            {rec("q-1-1", Served), []emulator.Run{run("q-1-1", 0, false), run("q-1-1", 1, false)}, nil},
-		"refused, never ran":        {rec("w-1-1", Refused), nil, nil},
-		"in doubt, ran":             {rec("w-1-1", Ambiguous), []emulator.Run{run("w-1-1", 0, false)}, nil},
-		"a write twice":             {rec("w-1-1", Served), []emulator.Run{run("w-1-1", 0, false), run("w-1-1", 1, false)}, []string{"effect twice"}},
-		"a key twice, dropped":      {rec("k-1-1", Served), []emulator.Run{run("k-1-1", 0, false), run("k-1-1", 5, true)}, nil},
-		"a key past its window":     {rec("k-1-1", Served), []emulator.Run{run("k-1-1", 0, false), run("k-1-1", 13, false)}, []string{"effect twice", "key window"}},
-		"no answer":                 {rec("q-1-1", Silent), nil, []string{"no answer"}},
-		"the connection ended":      {rec("q-1-1", Reset), nil, []string{"no answer"}},
-		"another's rows":            {rec("q-1-1", Corrupt), nil, []string{"spoilt"}},
-		"nobody listens":            {rec("q-1-1", Unreachable), nil, []string{"not reached"}},
-		"served and never ran":      {rec("q-1-1", Served), nil, []string{"served what never ran"}},
-		"another one's run is none": {rec("q-1-1", Served), []emulator.Run{run("q-1-2", 0, false)}, []string{"served what never ran"}},
+		"served":                                   {rec("q-1-1", Served), []emulator.Run{run("q-1-1", 0, false)}, nil},
+		"lookup ran twice":                         {rec("q-1-1", Served), []emulator.Run{run("q-1-1", 0, false), run("q-1-1", 1, false)}, nil},
+		"write refused and never ran":              {rec("w-1-1", Refused), nil, nil},
+		"ambiguous write ran once":                 {rec("w-1-1", Ambiguous), []emulator.Run{run("w-1-1", 0, false)}, nil},
+		"write ran twice":                          {rec("w-1-1", Served), []emulator.Run{run("w-1-1", 0, false), run("w-1-1", 1, false)}, []string{"effect twice"}},
+		"load repeated and dropped as a duplicate": {rec("k-1-1", Served), []emulator.Run{run("k-1-1", 0, false), run("k-1-1", 5, true)}, nil},
+		"load repeated after the key window":       {rec("k-1-1", Served), []emulator.Run{run("k-1-1", 0, false), run("k-1-1", 13, false)}, []string{"effect twice", "key window"}},
+		"no answer":                                {rec("q-1-1", Silent), nil, []string{"no answer"}},
+		"connection ended":                         {rec("q-1-1", Reset), nil, []string{"no answer"}},
+		"answer to another request":                {rec("q-1-1", Corrupt), nil, []string{"spoilt"}},
+		"no connection":                            {rec("q-1-1", Unreachable), nil, []string{"not reached"}},
+		"served but never ran":                     {rec("q-1-1", Served), nil, []string{"served what never ran"}},
+		"served but only another request ran":      {rec("q-1-1", Served), []emulator.Run{run("q-1-2", 0, false)}, []string{"served what never ran"}},
 	} {
 		var got []string
 		for _, f := range Check([]Record{tt.rec}, tt.runs, 12*time.Second) {
 			got = append(got, f.Rule)
 		}
 		if diff := cmp.Diff(tt.want, got); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", name, diff)
+			t.Errorf("%s: violated rules (-want +got):\n%s", name, diff)
 		}
 	}
 }
 
-// Work that reaches an engine past its drain is found; in the 2 s, before and after its
-// return there is none.
+// TestCheckDrains verifies that CheckDrains reports requests that reach a draining engine after the
+// limit, and none that arrive before the drain, within the limit or after the engine is ready again.
 func TestCheckDrains(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	history := []emulator.Change{{At: at(10), ID: "a", State: emulator.Draining}, {At: at(20), ID: "a", State: emulator.Ready}}
@@ -59,6 +60,6 @@
 		runs = append(runs, emulator.Run{Engine: "a", Mark: "q-1-1", At: at(s)}, emulator.Run{Engine: "b", At: at(s)})
 	}
 	if got := CheckDrains(runs, history); len(got) != 2 {
-		t.Errorf("found %v, want the two at 13 s and 19 s", got)
+		t.Errorf("CheckDrains reported %v, want the two requests at 13 s and 19 s", got)
 	}
 }
--- a/internal/testbed/load/connections.go
+++ b/internal/testbed/load/connections.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// replace closes a connection and makes another. It returns nil if that fails.
+// replace closes a connection and opens another. It returns nil if the new connection fails.
 func (s *Source) replace(c Client) Client {
 	c.Close()
 	c, err := s.dial()
@@ -17,8 +17,9 @@
 	return c
 }
 
-// take takes a free connection at random, so that all are used now and then.
-func (s *Source) take() Client {
+// acquire waits for a free connection and takes one at random, so that every connection is used from
+// time to time.
+func (s *Source) acquire() Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.free) == 0 {
@@ -32,10 +33,10 @@
 	return c
 }
 
-// give returns a connection; nil stands for one that could not be made.
-func (s *Source) give(c Client) {
-	if c == nil { // the gateway is down; the next request on this slot dials again
-		c = &absent{s}
+// release makes a connection free again. nil stands for a connection that could not be opened.
+func (s *Source) release(c Client) {
+	if c == nil { // the gateway is unreachable: the next request that gets this slot dials again
+		c = &disconnected{s}
 	}
 	s.mu.Lock()
 	s.free = append(s.free, c)
@@ -43,24 +44,24 @@
 	s.freed.Signal()
 }
 
-// absent takes the place of a connection that could not be made.
-type absent struct{ s *Source }
+// disconnected takes the place of a connection that could not be opened. It dials for each request.
+type disconnected struct{ s *Source }
 
-func (a *absent) Send(k Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
+func (a *disconnected) Send(k Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
 	c, err := a.s.dial()
 	if err != nil {
 		return Unreachable, err.Error()
 	}
 	v, d := c.Send(k, mark, statement, within)
-	c.Close() // the next one connects anew
+	c.Close() // the next request dials again
 	return v, d
 }
-func (a *absent) Idle() Verdict { return Served }
-func (a *absent) Close()        {}
+func (a *disconnected) Idle() Verdict { return Served }
+func (a *disconnected) Close()        {}
 
-// Sweep checks all free connections: how many have ended, and how many have received an answer
-// to no request.
-func (s *Source) Sweep() (ended, unasked int) {
+// Sweep checks all free connections. It returns how many have ended, and how many have received input
+// that answers no request.
+func (s *Source) Sweep() (ended, unexpected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.free {
@@ -68,13 +69,14 @@
 		case Reset:
 			ended++
 		case Corrupt:
-			unasked++
+			unexpected++
 		}
 	}
-	return ended, unasked
+	return ended, unexpected
 }
 
-// Reconnect replaces all free connections at once, as after a network fault.
+// Reconnect closes all free connections and opens as many at once, as clients do after a network
+// fault. It returns an error if some cannot be opened; the next requests dial those again.
 func (s *Source) Reconnect() error {
 	s.mu.Lock()
 	all := s.free
@@ -92,12 +94,12 @@
 				failed.Add(1)
 				c = nil
 			}
-			s.give(c)
+			s.release(c)
 		})
 	}
 	wg.Wait()
 	if n := failed.Load(); n > 0 {
-		return fmt.Errorf("load: %d of %d clients could not connect again", n, len(all))
+		return fmt.Errorf("load: %d of %d connections could not be opened again; check that the gateway accepts connections", n, len(all))
 	}
 	return nil
 }
--- a/internal/testbed/load/http.go
+++ b/internal/testbed/load/http.go
@@ -11,8 +11,8 @@
 // HTTP is a client of the HTTP frontend.
 type HTTP struct {
 	wire
-	n    uint64 // number of the latest request
-	addr string
+	n    uint64    // number of the latest request, sent as its Req-Id
+	addr string    // host and port of the frontend
 	used time.Time // when the latest request was sent
 }
 
@@ -20,8 +20,9 @@
 // 30 s.
 const maxIdle = 20 * time.Second
 
-// DialHTTP connects and requests the gateway's health: the gateway closes a connection that makes
-// no call within 2 s.
+// DialHTTP connects to an HTTP frontend and requests the gateway's health, because the gateway closes
+// a connection that makes no call within 2 s. Request numbers start from seed, so seeds must differ
+// between clients.
 func DialHTTP(addr string, seed uint64) (*HTTP, error) {
 	w, err := dial(addr)
 	if err != nil {
@@ -44,15 +45,16 @@
 	return err
 }
 
-// Send sends one request.
+// Send sends one request as a POST and waits for its answer. It connects again first if the connection
+// was idle for longer than maxIdle.
 func (c *HTTP) Send(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
 	path := "lookup"
 	text := fmt.Sprintf("SELECT part, note FROM stock_3.parts WHERE tag = '%s'", mark)
-	head := ""
+	keyHeader := ""
 	if kind == Load {
 		path = "load"
 		text = fmt.Sprintf("INSERT INTO stock_3.batches VALUES ('%s')", mark)
-		head = "Req-Token: " + mark + "\r\n"
+		keyHeader = "Req-Token: " + mark + "\r\n"
 	}
 	if statement != nil {
 		text = statement.Text + " /* " + mark + " */"
@@ -69,12 +71,12 @@
 	c.used = time.Now()
 	_ = c.conn.SetDeadline(time.Now().Add(within + grace))
 	if _, err := fmt.Fprintf(c.conn, "POST /rpc/%s HTTP/1.1\r\nHost: lab\r\nReq-Id: %016x\r\nReq-Wait-Ms: %d\r\n%sContent-Length: %d\r\n\r\n%s",
-		path, c.n, within.Milliseconds(), head, len(text), text); err != nil {
-		return broken(err)
+		path, c.n, within.Milliseconds(), keyHeader, len(text), text); err != nil {
+		return connectionError(err)
 	}
 	status, body, err := c.answer()
 	if err != nil {
-		return broken(err)
+		return connectionError(err)
 	}
 	switch {
 	case status == 200 && strings.Contains(body, mark):
@@ -87,14 +89,14 @@
 	return Failed, fmt.Sprintf("%d %s", status, body)
 }
 
-// answer reads a response.
+// answer reads an HTTP response: its status line, its headers and a body of Content-Length bytes.
 func (c *HTTP) answer() (status int, body string, err error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
 		return 0, "", err
 	}
 	if _, err := fmt.Sscanf(line, "HTTP/1.1 %d", &status); err != nil {
-		return 0, "", fmt.Errorf("%q is no status: %w", line, err)
+		return 0, "", fmt.Errorf("response starts with %q, want an HTTP/1.1 status line: %w", line, err)
 	}
 	length := 0
 	for {
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -13,37 +13,39 @@
 
 // Options configure the traffic to one frontend.
 type Options struct {
-	Name        string // in marks and records: a number
-	Dial        func(seed uint64) (Client, error)
-	Connections int           // kept open; each arrival takes a free one
-	Rate        float64       // arrivals a second, Poisson
-	Loads       float64       // fraction of requests that are loads with an idempotency key
-	Reports     float64       // fraction that are reports
-	Writes      float64       // fraction that are not idempotent
-	Churn       float64       // fraction of requests after which the connection is replaced
-	Within      time.Duration // deadline of a request
-	Retries     int           // of a load that was refused, failed or is ambiguous, with its key
-	// Elsewhere, if not nil, connects to another gateway, which gets some of the retries.
+	Name        string                            // number of the source, part of the marks of its requests
+	Dial        func(seed uint64) (Client, error) // opens a connection; seeds count from 1
+	Connections int                               // number of connections kept open; each arrival takes a free one
+	Rate        float64                           // arrivals per second on average; Poisson unless recorded
+	Loads       float64                           // fraction of requests that are loads with an idempotency key
+	Reports     float64                           // fraction of requests that are reports
+	Writes      float64                           // fraction of requests that are writes without an idempotency key
+	Churn       float64                           // fraction of requests after which the connection is replaced
+	Within      time.Duration                     // deadline of a request
+	Retries     int                               // retries, with the same key, of a load that was refused, failed or is ambiguous; 0: none
+	// Elsewhere, if not nil, connects to another gateway, which gets half of the retries.
 	Elsewhere func(seed uint64) (Client, error)
-	Seed      uint64
-	// Recorded, if not empty, are the statements of lookups and reports. Arrivals and classes of
-	// requests are then as recorded, scaled to Rate and repeated without end. Loads and writes
-	// stay the clients' own, whose effects can be told apart.
+	Seed      uint64 // of the random choices
+	// Recorded, if not empty, supplies the statements of lookups and reports. Arrivals and classes
+	// of requests then follow the recording, scaled to Rate and repeated without end. Loads and
+	// writes still send the clients' own statements, whose effects carry the mark and can be
+	// told apart.
 	Recorded []traffic.Record
 }
 
 // Record is the outcome of one request.
 type Record struct {
-	Mark     string
+	Mark     string // identifies the request: its kind, the source's name and a number
 	Kind     Kind
-	Due      time.Time // when it arrived, whether a connection was free or not
-	End      time.Time
-	Verdict  Verdict // of the latest attempt
-	Detail   string
-	Attempts []Verdict
+	Due      time.Time // when the request arrived, even if no connection was free
+	End      time.Time // when the latest attempt ended
+	Verdict  Verdict   // of the latest attempt
+	Detail   string    // describes an unsuccessful verdict
+	Attempts []Verdict // of all attempts, in order
 }
 
-// Latency returns how long the client waited, from the arrival.
+// Latency returns how long the client waited since the arrival, the wait for a connection and
+// retries included.
 func (r *Record) Latency() time.Duration { return r.End.Sub(r.Due) }
 
 // Source sends traffic to one frontend.
@@ -63,7 +65,7 @@
 // dialers is how many goroutines connect the clients.
 const dialers = 16
 
-// New connects all clients.
+// New opens all connections. It returns an error if one fails.
 func New(opts Options) (*Source, error) {
 	s := &Source{stop: make(chan struct{}), opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0x6c6f6164))}
 	s.freed = sync.NewCond(&s.mu)
@@ -91,7 +93,7 @@
 		}
 	}
 	if n := len(opts.Recorded); n > 0 && first == nil && opts.Recorded[n-1].At <= opts.Recorded[0].At {
-		first = errors.New("the recorded traffic has no times, or is too short: it would come all at once")
+		first = errors.New("the recorded traffic spans no time, so all requests would arrive at once; record more than one statement, with arrival times")
 	}
 	if first != nil {
 		s.Close()
@@ -108,11 +110,12 @@
 	return s.opts.Dial(seed)
 }
 
-// Run sends requests until the context ends, and returns once the last is answered.
+// Run sends requests until the context ends or Stop is called, and returns once all requests have
+// ended.
 func (s *Source) Run(ctx context.Context) {
-	next := s.drawn()
+	next := s.poissonRequests()
 	if len(s.opts.Recorded) > 0 {
-		next = s.recorded()
+		next = s.recordedRequests()
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -142,7 +145,7 @@
 	}
 }
 
-// elsewhereFraction is the fraction of retries that go to another gateway.
+// elsewhereFraction is, if there is another gateway, the fraction of retries that go to another gateway.
 const elsewhereFraction = 0.5
 
 // retryDelay is the pause before a retry.
@@ -151,7 +154,7 @@
 // retryable reports whether a client retries after the verdict.
 func (v Verdict) retryable() bool { return v == Refused || v == Failed || v == Ambiguous }
 
-// perform sends one request, and retries it as its client does.
+// perform sends one request, retries it if it is a load, and fills in its record.
 func (s *Source) perform(r *Record, statement *Statement) {
 	for retries := 0; ; retries++ {
 		if retries > 0 && s.opts.Elsewhere != nil && s.draw() < elsewhereFraction {
@@ -168,7 +171,7 @@
 	}
 }
 
-// sendElsewhere retries at another gateway.
+// sendElsewhere sends a retry to another gateway, on a connection of its own.
 func (s *Source) sendElsewhere(r *Record) (Verdict, string) {
 	c, err := s.opts.Elsewhere(uint64(len(r.Attempts))<<32 | uint64(r.Due.UnixMicro())&0xffffffff)
 	if err != nil {
@@ -178,9 +181,10 @@
 	return c.Send(r.Kind, r.Mark, nil, s.opts.Within)
 }
 
-// attempt sends a request on a free connection.
+// attempt sends a request on a free connection, and replaces the connection if it is unusable or
+// churn requires it.
 func (s *Source) attempt(r *Record, statement *Statement) (Verdict, string) {
-	c := s.take()
+	c := s.acquire()
 	v, detail := c.Send(r.Kind, r.Mark, statement, s.opts.Within)
 	switch v {
 	case Reset, Silent, Corrupt:
@@ -190,20 +194,21 @@
 			c = s.replace(c)
 		}
 	}
-	s.give(c)
+	s.release(c)
 	return v, detail
 }
 
+// draw returns a random number in [0, 1).
 func (s *Source) draw() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64()
 }
 
-// Stop makes Run send nothing more.
+// Stop makes Run send no more requests. It may be called more than once.
 func (s *Source) Stop() { s.stopped.Do(func() { close(s.stop) }) }
 
-// Records returns the outcomes of all requests so far.
+// Records returns the outcomes of all requests that have ended so far.
 func (s *Source) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/load/postgres.go
+++ b/internal/testbed/load/postgres.go
@@ -13,10 +13,10 @@
 // Postgres is a client of the PostgreSQL frontend. It prepares its statements when it connects.
 type Postgres struct {
 	wire
-	n int // number of the latest request
+	n int // number of the latest request; selects how it is sent
 }
 
-// DialPostgres connects and prepares the client's statements.
+// DialPostgres connects to a PostgreSQL frontend, logs in and prepares the client's statements.
 func DialPostgres(addr string) (*Postgres, error) {
 	w, err := dial(addr)
 	if err != nil {
@@ -56,7 +56,7 @@
 		case 'Z':
 			ready++
 		case 'E':
-			return fmt.Errorf("%.200q", body)
+			return fmt.Errorf("the gateway refused the login or a statement: %.200q", body)
 		}
 	}
 	return nil
@@ -65,7 +65,7 @@
 // maxMessageBytes bounds a message that a client accepts.
 const maxMessageBytes = 8 << 20
 
-// message reads a message.
+// message reads a backend message.
 func (c *Postgres) message() (kind byte, body []byte, err error) {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c.in, head); err != nil {
@@ -73,14 +73,15 @@
 	}
 	n := int(binary.BigEndian.Uint32(head[1:])) - 4
 	if n < 0 || n > maxMessageBytes {
-		return 0, nil, fmt.Errorf("a message of %d bytes", n)
+		return 0, nil, fmt.Errorf("message of %d bytes, want 0 to %d", n, maxMessageBytes)
 	}
 	body = make([]byte, n)
 	_, err = io.ReadFull(c.in, body)
 	return head[0], body, err
 }
 
-// messages returns what a client sends for a recorded statement: a Query, or a Parse and a Bind.
+// messages returns what a client sends for a recorded statement: a Query, or with bound values Parse,
+// Bind, Execute and Sync.
 func (s *Statement) messages(mark string) []byte {
 	text := s.Text + " /* " + mark + " */"
 	if len(s.Values) == 0 {
@@ -104,19 +105,20 @@
 type fetch int
 
 const (
-	fetchAll   fetch = iota // at once
-	fetchPaged              // the first alone, the rest when the portal is suspended
+	fetchAll   fetch = iota // all rows at once
+	fetchPaged              // the first row alone, the others once the portal is suspended
 )
 
-// appendExecute appends an Execute of at most rows rows (0: all), and a Sync or Flush.
+// appendExecute appends an Execute of at most rows rows (0: all) and the message of type end, a Sync
+// (S) or a Flush (H).
 func appendExecute(out []byte, rows int, end byte) []byte {
 	out = pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(rows))
 	return pgproto.AppendMessage(out, end)
 }
 
 // request returns the messages of the client's own statement for the next request. Every third
-// lookup has its value in the text of a Query, all others bind. Every fifth lookup fetches its rows
-// in two pages.
+// lookup sends its value in the text of a Query; all other requests bind it. Every fifth lookup that
+// binds fetches its rows in two pages.
 func (c *Postgres) request(kind Kind, mark string) (out []byte, rows fetch) {
 	if kind == Lookup && c.n%3 == 0 {
 		text := fmt.Sprintf("SELECT part, note FROM stock_3.parts WHERE tag = '%s'", mark)
@@ -129,7 +131,7 @@
 	return appendExecute(out, 0, 'S'), fetchAll
 }
 
-// Send sends one request, of its own or as it was recorded.
+// Send sends one request, with the client's own statement or the recorded one, and waits for its answer.
 func (c *Postgres) Send(kind Kind, mark string, statement *Statement, within time.Duration) (Verdict, string) {
 	c.n++
 	_ = c.conn.SetDeadline(time.Now().Add(within + grace))
@@ -141,7 +143,7 @@
 		out, rows = c.request(kind, mark)
 	}
 	if _, err := c.conn.Write(out); err != nil {
-		return broken(err)
+		return connectionError(err)
 	}
 	return c.response(mark, rows)
 }
@@ -149,24 +151,24 @@
 // response reads the answer to a request, up to the message that ends it.
 func (c *Postgres) response(mark string, rows fetch) (Verdict, string) {
 	verdict := Corrupt
-	detail := "no completion"
+	detail := "ReadyForQuery without CommandComplete or an error"
 	seen := false
 	for {
 		kind, body, err := c.message()
 		if err != nil {
-			return broken(err)
+			return connectionError(err)
 		}
 		switch kind {
 		case 'D':
 			seen = seen || strings.Contains(string(body), mark)
-		case 's': // the portal is suspended: fetch the other rows
+		case 's': // PortalSuspended: fetch the remaining rows
 			if _, err := c.conn.Write(appendExecute(nil, 0, 'S')); err != nil {
-				return broken(err)
+				return connectionError(err)
 			}
 		case 'C':
 			verdict, detail = Served, ""
 			if !seen {
-				verdict, detail = Corrupt, "another's rows"
+				verdict, detail = Corrupt, "no row holds the request's mark"
 			}
 		case 'E':
 			e, err := pgproto.ReadError(body)
@@ -177,9 +179,9 @@
 			if e.Severity == "FATAL" {
 				return Reset, detail
 			}
-			if rows == fetchPaged { // the Sync that follows the pages was not sent yet
+			if rows == fetchPaged { // the Sync after the second page was not sent yet
 				if _, err := c.conn.Write(pgproto.AppendMessage(nil, 'S')); err != nil {
-					return broken(err)
+					return connectionError(err)
 				}
 			}
 		case 'Z':
@@ -188,7 +190,7 @@
 	}
 }
 
-// verdictOf returns the verdict of an error code.
+// verdictOf returns the verdict of an error by its SQLSTATE.
 func verdictOf(code string) Verdict {
 	switch code {
 	case "53000":
--- a/internal/testbed/report/digest_test.go
+++ b/internal/testbed/report/digest_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestDigest compares charts and tables byte for byte with those of the first version.
+// TestDigest compares charts and tables byte for byte with those of the first version, so that equal
+// figures always give equal files.
 func TestDigest(t *testing.T) {
 	const want = "716c32ca2f1f9e1d425f6e359663aa99a44666a787804f6ce043115c091dd18c"
 	digest := sha256.New()
@@ -30,6 +31,6 @@
 		digest.Write([]byte(text))
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
-		t.Errorf("digest = %s, want %s", got, want)
+		t.Errorf("digest of the charts and tables = %s, want %s", got, want)
 	}
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of an experiment: a table in Markdown, the raw figures as CSV
-// and a chart as SVG. The same figures give the same bytes.
+// Package report writes the results of an experiment: a table as Markdown, the raw figures as CSV and
+// charts as SVG. The same figures always give the same bytes.
 package report
 
 import (
@@ -22,16 +22,16 @@
 const (
 	chartWidth  = 18 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
-	barsWidth   = 240 // points, of all bars of a chart
+	barsWidth   = 240 // points, of all bars of a chart together
 )
 
-// Table is a result: the names of its columns, and rows of text.
+// Table holds the names of its columns, and rows of one text per column.
 type Table struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Add adds a row. Floating-point numbers are written with three significant digits.
+// Add appends a row of one cell per column. Floating-point numbers are written with three significant digits.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -75,8 +75,8 @@
 
 // Bars is a chart of groups of bars.
 type Bars struct {
-	Title, Axis string
-	Groups      []string    // names along the axis
+	Title, Axis string      // Axis labels the vertical axis, with its unit
+	Groups      []string    // names along the horizontal axis
 	Series      []string    // names of the bars in a group
 	Values      [][]float64 // by series, then by group
 }
@@ -103,11 +103,11 @@
 	return draw(p)
 }
 
-// Lines is a chart of lines over a common axis.
+// Lines is a chart of lines over a common horizontal axis.
 type Lines struct {
-	Title, X, Y string
-	Series      []string
-	Points      [][][2]float64 // by series
+	Title, X, Y string         // X and Y label the axes, with their units
+	Series      []string       // names of the lines
+	Points      [][][2]float64 // by series: x and y of each point
 	LogX        bool           // whether the X axis is logarithmic
 }
 
@@ -152,7 +152,7 @@
 	return b.Bytes(), nil
 }
 
-// Write writes the files of one experiment to a directory, which it creates if necessary.
+// Write writes the files of one experiment, by name, to a directory, which it creates if necessary.
 func Write(dir string, files map[string][]byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("results: %w", err)
--- a/internal/testbed/traffic/arrivals.go
+++ b/internal/testbed/traffic/arrivals.go
@@ -14,15 +14,15 @@
 // Kinds of arrival process.
 const (
 	Poisson Arrivals = "poisson" // at a constant rate
-	Bursts  Arrivals = "bursts"  // on and off, with heavy-tailed spells
-	Season  Arrivals = "season"  // a daily curve that rises to a festival towards the end
+	Bursts  Arrivals = "bursts"  // bursts with heavy-tailed pauses between them
+	Season  Arrivals = "season"  // a daily curve with a peak, a festival, towards the end
 )
 
 const (
 	burstFactor = 4   // rate within a burst over the average rate
-	meanBurst   = 0.2 // seconds
-	maxPause    = 30  // seconds between bursts
-	maxSeason   = 3   // highest rate of a season over the average one
+	meanBurst   = 0.2 // mean length of a burst, seconds
+	maxPause    = 30  // longest pause between bursts, seconds
+	maxSeason   = 3   // highest rate of a season over the average rate
 )
 
 // arrivals generates the times at which statements arrive.
@@ -33,18 +33,20 @@
 	at    float64            // time of the latest arrival, seconds
 	gap   distuv.Exponential // with mean 1
 	pause distuv.Pareto      // between bursts, seconds
-	burst float64            // what remains of the burst, seconds
-	span  float64            // of all arrivals, seconds
+	burst float64            // remaining length of the current burst, seconds
+	span  float64            // expected duration of all arrivals, seconds
 }
 
+// newArrivals returns an arrival process with an average of rate arrivals per second, for number
+// arrivals.
 func newArrivals(kind Arrivals, rate float64, number int, seed uint64) (*arrivals, error) {
 	switch kind {
 	case Poisson, Bursts, Season:
 	default:
-		return nil, fmt.Errorf("arrivals: %q is none of poisson, bursts, season", kind)
+		return nil, fmt.Errorf("arrivals: unknown kind %q, want poisson, bursts or season", kind)
 	}
 	if !(rate > 0) {
-		return nil, fmt.Errorf("arrivals: a rate of %g a second", rate)
+		return nil, fmt.Errorf("arrivals: rate is %g statements per second, want more than 0", rate)
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x6172726976616c73))
 	return &arrivals{
@@ -78,8 +80,8 @@
 	return int64(a.at * 1e6)
 }
 
-// season returns the present rate over the average one: ten working days over the span, and a
-// festival towards its end.
+// season returns the current rate over the average rate: ten working days over the whole duration, and a
+// festival peak towards its end.
 func (a *arrivals) season() float64 {
 	x := a.at / a.span
 	day := 0.6 + 0.4*math.Sin(2*math.Pi*(10*x-0.25))
--- a/internal/testbed/traffic/generate.go
+++ b/internal/testbed/traffic/generate.go
@@ -10,8 +10,9 @@
 // progressStep is the number of statements between calls of progress.
 const progressStep = 1000
 
-// Generate writes a number of statements of a workload. progress, if not nil, is called with the
-// number of statements since its last call.
+// Generate writes a traffic file of number statements of a workload, which arrive at an average of rate
+// statements per second. progress, if not nil, is called every progressStep statements with the number of
+// statements since its last call.
 func Generate(w io.Writer, opts workload.Options, number int, rate float64, kind Arrivals, progress func(int)) error {
 	times, err := newArrivals(kind, rate, number, opts.Seed)
 	if err != nil {
@@ -22,9 +23,9 @@
 	if err != nil {
 		return err
 	}
-	world := workload.New(opts, number)
+	generator := workload.New(opts, number)
 	for i := range number {
-		r := RecordOf(world.Next())
+		r := RecordOf(generator.Next())
 		r.At = times.next()
 		if err := file.Write(&r); err != nil {
 			return err
@@ -37,9 +38,9 @@
 }
 
 // RecordOf returns the record of a statement, without its arrival time.
-func RecordOf(q workload.Statement) Record {
+func RecordOf(s workload.Statement) Record {
 	return Record{
-		Statement: q.SQL, Values: q.Values, Formats: q.Formats, Types: q.Types, HintWork: q.HintWork, HintMB: q.HintMB, Key: q.Key,
-		Class: q.Class, Hard: q.Hard, Template: q.Template, Work: q.Work, MemoryMB: q.MemoryMB, Value: q.Value,
+		Statement: s.SQL, Values: s.Values, Formats: s.Formats, Types: s.Types, HintWork: s.HintWork, HintMB: s.HintMB, Key: s.Key,
+		Class: s.Class, Hard: s.Hard, Template: s.Template, Work: s.Work, MemoryMB: s.MemoryMB, Value: s.Value,
 	}
 }
--- a/internal/testbed/traffic/reader.go
+++ b/internal/testbed/traffic/reader.go
@@ -11,8 +11,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Reader reads a file block by block. Its errors do not wrap those of the decoders: an io.EOF inside
-// a damaged block must not pass for the end of the file.
+// Reader reads a traffic file block by block. Its errors do not wrap those of the decoders, because an
+// io.EOF inside a damaged block must not be taken for the end of the file.
 type Reader struct {
 	Head Head
 
@@ -20,19 +20,19 @@
 	zstd      *zstd.Decoder
 	cbor      cbor.DecMode
 	items     *cbor.Decoder
-	remaining uint32 // records of the block
-	number    uint64
-	done      bool
+	remaining uint32 // records of the current block not read yet
+	number    uint64 // records read so far
+	done      bool   // whether the end block has been read
 }
 
-// NewReader reads the head of a file.
+// NewReader reads the magic string, the version and the head of a file.
 func NewReader(r io.Reader) (*Reader, error) {
 	b := make([]byte, len(magic)+1)
 	if _, err := io.ReadFull(r, b); err != nil || string(b[:len(magic)]) != magic {
 		return nil, ErrForeign
 	}
 	if v := b[len(magic)]; v != Version {
-		return nil, fmt.Errorf("%w: %d, and %d is read here", ErrVersion, v, Version)
+		return nil, fmt.Errorf("%w: file has version %d, want %d; generate the file again", ErrVersion, v, Version)
 	}
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPlainBytes))
 	if err != nil {
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	if err := t.items.Decode(&t.Head); err != nil {
-		return nil, fmt.Errorf("%w: its head: %s", ErrDamaged, err.Error())
+		return nil, fmt.Errorf("%w: cannot decode the head: %s", ErrDamaged, err.Error())
 	}
 	return t, nil
 }
@@ -63,30 +63,30 @@
 	t.remaining = binary.BigEndian.Uint32(h[12:])
 	if length == 0 {
 		if sum != t.number || t.remaining != 0 {
-			return fmt.Errorf("%w: it tells of %d records and holds %d", ErrDamaged, sum, t.number)
+			return fmt.Errorf("%w: the end block states %d records, but the file holds %d", ErrDamaged, sum, t.number)
 		}
 		t.done = true
 		return io.EOF
 	}
 	if length > maxBlockBytes {
-		return fmt.Errorf("%w: a block of %d bytes after %d records", ErrDamaged, length, t.number)
+		return fmt.Errorf("%w: block after record %d has %d bytes, want at most %d", ErrDamaged, t.number, length, maxBlockBytes)
 	}
 	b := make([]byte, length)
 	if _, err := io.ReadFull(t.r, b); err != nil {
 		return fmt.Errorf("%w after %d records", ErrTruncated, t.number)
 	}
 	if xxhash.Sum64(b) != sum {
-		return fmt.Errorf("%w: a block after %d records has another checksum", ErrDamaged, t.number)
+		return fmt.Errorf("%w: wrong checksum of the block after %d records", ErrDamaged, t.number)
 	}
 	plain, err := t.zstd.DecodeAll(b, nil)
 	if err != nil {
-		return fmt.Errorf("%w: %s", ErrDamaged, err.Error())
+		return fmt.Errorf("%w: cannot decompress the block after %d records: %s", ErrDamaged, t.number, err.Error())
 	}
 	t.items = t.cbor.NewDecoder(bytes.NewReader(plain))
 	return nil
 }
 
-// Next reads a record. It returns io.EOF after the last one.
+// Next reads the next record into r. It returns io.EOF after the last one.
 func (t *Reader) Next(r *Record) error {
 	if t.done {
 		return io.EOF
@@ -98,7 +98,7 @@
 	}
 	*r = Record{}
 	if err := t.items.Decode(r); err != nil {
-		return fmt.Errorf("%w: record %d: %s", ErrDamaged, t.number, err.Error())
+		return fmt.Errorf("%w: cannot decode record %d: %s", ErrDamaged, t.number, err.Error())
 	}
 	t.remaining--
 	t.number++
--- a/internal/testbed/traffic/traffic_test.go
+++ b/internal/testbed/traffic/traffic_test.go
@@ -11,15 +11,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func generate(tb testing.TB, how Arrivals, number int) []byte {
+// generate returns a traffic file of number statements at 99 per second, from seed 7.
+func generate(tb testing.TB, kind Arrivals, number int) []byte {
 	tb.Helper()
 	var b bytes.Buffer
-	if err := Generate(&b, workload.Defaults(7), number, 99, how, nil); err != nil {
+	if err := Generate(&b, workload.Defaults(7), number, 99, kind, nil); err != nil {
 		tb.Fatal(err)
 	}
 	return b.Bytes()
 }
 
+// read returns the complete records of a file, and the error that ended reading: io.EOF for an undamaged
+// file.
 func read(b []byte) (all []Record, err error) {
 	t, err := NewReader(bytes.NewReader(b))
 	if err != nil {
@@ -35,69 +38,71 @@
 	}
 }
 
-// The same seed gives the same bytes, and what is read is what was written.
+// TestRoundTrip verifies that the same seed generates the same bytes, that the records read are those
+// generated, and that arrivals have about the requested rate and do not go back in time.
 func TestRoundTrip(t *testing.T) {
-	for _, how := range []Arrivals{Poisson, Bursts, Season} {
-		one, two := generate(t, how, 3000), generate(t, how, 3000)
+	for _, kind := range []Arrivals{Poisson, Bursts, Season} {
+		one, two := generate(t, kind, 3000), generate(t, kind, 3000)
 		if !bytes.Equal(one, two) {
-			t.Errorf("%s: one seed, two files", how)
+			t.Errorf("%s: two files of the same seed differ, want equal bytes", kind)
 		}
 		all, err := read(one)
 		if !errors.Is(err, io.EOF) || len(all) != 3000 {
-			t.Fatalf("%s: %d records, %v", how, len(all), err)
+			t.Fatalf("%s: read %d records and error %v, want 3000 and EOF", kind, len(all), err)
 		}
-		world := workload.New(workload.Defaults(7), 3000)
+		generator := workload.New(workload.Defaults(7), 3000)
 		last := int64(0)
 		for i := range all {
-			want := RecordOf(world.Next())
+			want := RecordOf(generator.Next())
 			want.At = all[i].At
 			if diff := cmp.Diff(want, all[i]); diff != "" {
-				t.Fatalf("%s: record %d:\n%s", how, i, diff)
+				t.Fatalf("%s: record %d (-want +got):\n%s", kind, i, diff)
 			}
 			if all[i].At < last {
-				t.Fatalf("%s: record %d goes back in time", how, i)
+				t.Fatalf("%s: record %d arrives at %d µs, want at least %d", kind, i, all[i].At, last)
 			}
 			last = all[i].At
 		}
 		if rate := 3000 / (float64(last) / 1e6); rate < 40 || rate > 250 {
-			t.Errorf("%s: %.0f a second, 99 wanted", how, rate)
+			t.Errorf("%s: rate is %.0f statements per second, want 40 to 250 for a requested 99", kind, rate)
 		}
 	}
 }
 
-// A file that was cut off says so, after the records that are whole; a changed one is
-// named damaged, and one of another kind or version too.
+// TestDamagedFiles verifies that a truncated file is reported as truncated after its complete records,
+// and that changed bytes, an unknown version and a foreign file give their errors.
 func TestDamagedFiles(t *testing.T) {
 	good := generate(t, Poisson, 4000)
 	for _, n := range []int{len(good) - 1, len(good) - 20, len(good) / 2, 40, 9} {
 		all, err := read(good[:n])
 		if !errors.Is(err, ErrTruncated) || len(all) >= 4000 && n < len(good)-16 {
-			t.Errorf("cut at %d of %d: %d records, %v", n, len(good), len(all), err)
+			t.Errorf("truncated at byte %d of %d: read %d records and error %v, want ErrTruncated", n, len(good), len(all), err)
 		}
 	}
 	for _, n := range []int{30, len(good) / 3, len(good) - 3} {
 		bad := bytes.Clone(good)
 		bad[n] ^= 1
 		if _, err := read(bad); !errors.Is(err, ErrDamaged) {
-			t.Errorf("byte %d changed: %v", n, err)
+			t.Errorf("byte %d changed: error %v, want ErrDamaged", n, err)
 		}
 	}
 	bad := bytes.Clone(good)
 	bad[len(magic)] = 9
 	if _, err := read(bad); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("version 9: error %v, want ErrVersion", err)
 	}
 	if _, err := read([]byte("something else")); !errors.Is(err, ErrForeign) {
-		t.Errorf("another kind: %v", err)
+		t.Errorf("foreign file: error %v, want ErrForeign", err)
 	}
 }
 
+// FuzzReader verifies that reading arbitrary bytes ends with an error and does not panic.
 func FuzzReader(f *testing.F) {
 	f.Add(generate(f, Poisson, 20))
 	f.Add([]byte("RWTRAFF\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, err := read(b); err == nil {
-			t.Fatal("it never ended")
+			t.Fatal("reading stopped without an error, want io.EOF or a read error")
 		}
 	})
 }
--- a/internal/testbed/traffic/writer.go
+++ b/internal/testbed/traffic/writer.go
@@ -11,16 +11,16 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Writer writes a file.
+// Writer writes a traffic file.
 type Writer struct {
 	w       io.Writer
 	enc     *zstd.Encoder
-	plain   bytes.Buffer
-	inBlock uint32 // records in the block being filled
-	number  uint64
+	plain   bytes.Buffer // uncompressed items of the block being filled
+	inBlock uint32       // records in the block being filled
+	number  uint64       // records written so far
 }
 
-// NewWriter begins a file.
+// NewWriter writes the magic string, the version and the head of a file.
 func NewWriter(w io.Writer, h Head) (*Writer, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// flush writes the block being filled.
+// flush compresses and writes the block being filled, if it holds anything.
 func (t *Writer) flush() error {
 	if t.plain.Len() == 0 {
 		return nil
@@ -74,14 +74,16 @@
 	return nil
 }
 
-// putHeader encodes the header of a block.
+// putHeader encodes the header of a block: the length and checksum of its frame and its number of
+// records.
 func putHeader(b []byte, length int, sum uint64, n uint32) {
 	binary.BigEndian.PutUint32(b, uint32(length))
 	binary.BigEndian.PutUint64(b[4:], sum)
 	binary.BigEndian.PutUint32(b[12:], n)
 }
 
-// Close ends the file. Without it the file counts as truncated.
+// Close writes the end block, without which the file counts as truncated. It does not close the
+// underlying writer.
 func (t *Writer) Close() error {
 	if err := t.flush(); err != nil {
 		return err
--- a/internal/testbed/workcost/costs.go
+++ b/internal/testbed/workcost/costs.go
@@ -1,6 +1,6 @@
-// Package workcost defines what the testbed's requests cost and what their answers are worth. Both
-// follow from a request's mark alone, so that an emulated engine, a checker and a simulation in
-// virtual time agree.
+// Package workcost defines the cost of the testbed's requests and the value of their answers. Both are
+// functions of a request's mark alone, so that an emulated engine, a checker and a simulation in virtual
+// time agree on them.
 package workcost
 
 import (
@@ -17,17 +17,17 @@
 // Class describes a class of requests: its value, its latency objective and its cost. The figures
 // are those of the PostgreSQL frontend's settings (deploy/postgres-settings.json).
 type Class struct {
-	Name             string
-	Value            float64 // of an answer in time
-	LateFraction     float64 // of Value, for a late answer
-	LatencyObjective time.Duration
-	Stretch          float64 // multiple of the work per thread that is added to the objective
-	Threads          float64
-	IO               float64 // share of the work that is reading or writing
-	MeanWork         float64 // ms
-	MemoryMB         float64
-	Load             bool // whether it is a bulk load
-	Waits            bool // whether it stands still while a load holds its group of tables
+	Name             string        // lookup, report, load or write
+	Value            float64       // of an answer in time
+	LateFraction     float64       // of Value, for a late answer
+	LatencyObjective time.Duration // latency up to which an answer has its full value, without the stretch
+	Stretch          float64       // multiple of the work per thread that is added to the objective
+	Threads          float64       // threads that work in parallel
+	IO               float64       // fraction of the work that is disk I/O
+	MeanWork         float64       // ms on one core, of all threads together
+	MemoryMB         float64       // memory needed
+	Load             bool          // whether requests are bulk loads
+	Waits            bool          // whether requests are blocked while a bulk load locks their group of tables
 }
 
 // classes are indexed by the first letter of a request's mark.
@@ -50,20 +50,20 @@
 	},
 }
 
-// ClassOf returns the class of a request by its mark.
+// ClassOf returns the class of a request by its mark, which must not be empty.
 func ClassOf(mark string) Class { return classes[mark[0]] }
 
 const (
-	// workLogMean and workLogDeviation are those of the normal distribution of the logarithm of
-	// work over its class's mean.
+	// workLogMean and workLogDeviation are the mean and the standard deviation of the natural
+	// logarithm of a request's work over MeanWork of its class. The work is log-normal.
 	workLogMean      = -0.18
 	workLogDeviation = 0.6
 	// tableGroups is the number of groups of tables that requests use.
 	tableGroups = 8
 )
 
-// Work returns the work that a request needs and its group of tables: the same whenever the mark
-// is met.
+// Work returns the work of a request, as time on one core, and its group of tables. The same mark always
+// gives the same result.
 func Work(mark string) (work time.Duration, group int64) {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(mark)) // never fails
@@ -72,8 +72,8 @@
 	return time.Duration(milliseconds * float64(time.Millisecond)), int64(hash.Sum64() % tableGroups)
 }
 
-// Query returns what a statement asks of an engine, by the mark in it. A statement without a mark
-// costs next to nothing.
+// Query returns the engine query of a statement, by the mark that its text contains. A statement without
+// a mark gets negligible work (1 ms) and memory (1 MB).
 func Query(statement string) enginemodel.Query {
 	mark := emulator.Mark(statement)
 	if mark == "" {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Value returns what an answer is worth that arrives at the given latency.
+// Value returns the value of an answer that arrives with the given latency.
 func Value(mark string, latency time.Duration) float64 {
 	class := ClassOf(mark)
 	work, _ := Work(mark)
@@ -101,9 +101,9 @@
 	return class.Value * class.LateFraction
 }
 
-// WorstTenSeconds returns the lowest fraction of the requested value that any ten consecutive
-// seconds obtained. Each second is the value obtained and the value requested. The last second,
-// which may be incomplete, is left out.
+// WorstTenSeconds returns the lowest fraction, from 0 to 1, of the requested value that was obtained in
+// any ten consecutive seconds. Each element holds the value obtained and the value requested in one
+// second. The last second, which may be incomplete, is left out.
 func WorstTenSeconds(seconds [][2]float64) float64 {
 	const window = 10
 	worst := 1.0
--- a/internal/testbed/workcost/digest_test.go
+++ b/internal/testbed/workcost/digest_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestDigest compares the cost and the value of requests of every class with those of the
-// first version: emulators and models of earlier runs must stay comparable.
+// TestDigest compares the cost and the value of requests of every class with those of the first version:
+// results must stay comparable with those of earlier runs.
 func TestDigest(t *testing.T) {
 	const want = "3f7e716af8588d63aef626abff5f3535a98e79ca59ddc4460031eaa9445a350c"
 	digest := sha256.New()
@@ -32,6 +32,6 @@
 		_, _ = fmt.Fprintf(digest, "%g\n", WorstTenSeconds(seconds))
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
-		t.Errorf("digest = %s, want %s", got, want)
+		t.Errorf("digest of costs and values = %s, want %s", got, want)
 	}
 }
--- a/internal/testbed/workload/families.go
+++ b/internal/testbed/workload/families.go
@@ -6,52 +6,53 @@
 	"strconv"
 )
 
-// Work of a bulk load in milliseconds: of the load itself, of each row, and the usual rows.
+// Work of a bulk load, in milliseconds on one core: a fixed part and a part per row. usualLoadRows is
+// the number of rows that the usual cost of its shape assumes.
 const (
 	loadBaseWork  = 1200
 	loadRowWork   = 17
 	usualLoadRows = 110
 )
 
-// writeFamily has the method of each family that adds its statement, and what it reaches.
-var writeFamily = [families]func(*question){
-	byPart:           (*question).byPart,
-	byPartWholesaler: (*question).byPartWholesaler,
-	partList:         (*question).partList,
-	dayRange:         (*question).dayRange,
-	search:           (*question).search,
-	districts:        (*question).districts,
-	latest:           (*question).latest,
-	optional:         (*question).optional,
-	months:           (*question).months,
-	topParts:         (*question).topParts,
-	ranking:          (*question).ranking,
-	everything:       (*question).everything,
-	batch:            (*question).batch,
+// buildFamily maps each family to the method that writes a statement of it and sets the row counts.
+var buildFamily = [families]func(*statementBuilder){
+	byPart:           (*statementBuilder).byPart,
+	byPartWholesaler: (*statementBuilder).byPartWholesaler,
+	partList:         (*statementBuilder).partList,
+	dayRange:         (*statementBuilder).dayRange,
+	search:           (*statementBuilder).search,
+	districts:        (*statementBuilder).districts,
+	latest:           (*statementBuilder).latest,
+	optionalFilter:   (*statementBuilder).optionalFilter,
+	months:           (*statementBuilder).months,
+	topParts:         (*statementBuilder).topParts,
+	ranking:          (*statementBuilder).ranking,
+	distinctRows:     (*statementBuilder).distinctRows,
+	batch:            (*statementBuilder).batch,
 }
 
-// byPart asks for the rows of one part.
-func (q *question) byPart() {
-	p, rowFactor := q.world.part()
+// byPart selects the rows of one part.
+func (q *statementBuilder) byPart() {
+	p, rowFactor := q.generator.part()
 	q.write("SELECT %s FROM %s WHERE %s = ", q.columns, q.from, q.column("part"))
 	q.str(p)
-	q.actual = reach{indexed: q.rowsPerPart * rowFactor, out: q.rowsPerPart * rowFactor}
-	q.usual = reach{indexed: q.rowsPerPart, out: q.rowsPerPart}
+	q.actual = rowCounts{indexed: q.rowsPerPart * rowFactor, out: q.rowsPerPart * rowFactor}
+	q.usual = rowCounts{indexed: q.rowsPerPart, out: q.rowsPerPart}
 }
 
-// byPartWholesaler asks for the rows of one part at one wholesaler.
-func (q *question) byPartWholesaler() {
-	p, _ := q.world.part()
+// byPartWholesaler selects the rows of one part at one wholesaler.
+func (q *statementBuilder) byPartWholesaler() {
+	p, _ := q.generator.part()
 	q.write("SELECT %s FROM %s WHERE %s = ", q.columns, q.from, q.column("part"))
 	q.str(p)
 	q.write(" AND %s = ", q.column("wholesaler"))
 	q.num(q.random.IntN(Wholesalers))
-	q.actual = reach{indexed: q.rowsPerPart, out: 1}
+	q.actual = rowCounts{indexed: q.rowsPerPart, out: 1}
 	q.usual = q.actual
 }
 
-// partList asks for a list of parts.
-func (q *question) partList() {
+// partList selects the rows of a list of parts: a few, or thousands if the statement is broad.
+func (q *statementBuilder) partList() {
 	n := 2 + q.random.IntN(7)
 	if q.broad {
 		n = 2000 + q.random.IntN(3000)
@@ -66,17 +67,17 @@
 		if i > 0 {
 			q.b.WriteString(", ")
 		}
-		p, _ := q.world.part()
+		p, _ := q.generator.part()
 		q.str(p)
 	}
 	q.style = style
 	q.b.WriteString(")")
-	q.actual = reach{indexed: float64(n)*q.rowsPerPart + 12*float64(n), out: float64(n) * q.rowsPerPart}
-	q.usual = reach{indexed: 5*q.rowsPerPart + 60, out: 5 * q.rowsPerPart}
+	q.actual = rowCounts{indexed: float64(n)*q.rowsPerPart + 12*float64(n), out: float64(n) * q.rowsPerPart}
+	q.usual = rowCounts{indexed: 5*q.rowsPerPart + 60, out: 5 * q.rowsPerPart}
 }
 
-// dayRange asks for a range of days.
-func (q *question) dayRange() {
+// dayRange selects the rows of a range of days: a few days, or years if the statement is broad.
+func (q *statementBuilder) dayRange() {
 	span := 1 + q.random.IntN(3)
 	if q.broad {
 		span = Days - 400 - q.random.IntN(800)
@@ -88,12 +89,13 @@
 	q.write(" AND ")
 	q.day(at + span)
 	n := q.rows * float64(span) / Days
-	q.actual = reach{indexed: n, out: n}
-	q.usual = reach{indexed: 2 * q.rows / Days, out: 2 * q.rows / Days}
+	q.actual = rowCounts{indexed: n, out: n}
+	q.usual = rowCounts{indexed: 2 * q.rows / Days, out: 2 * q.rows / Days}
 }
 
-// search searches parts by a pattern.
-func (q *question) search() {
+// search selects parts by a LIKE pattern. A broad pattern starts with a wildcard, which rules out the
+// index.
+func (q *statementBuilder) search() {
 	pattern := fmt.Sprintf("p-%03d%%", q.random.IntN(400))
 	if q.broad {
 		pattern = "%" + strconv.Itoa(q.random.IntN(1000)) + "%"
@@ -101,15 +103,16 @@
 	}
 	q.write("SELECT %s FROM %s WHERE %s LIKE ", q.columns, q.from, q.column("part"))
 	q.str(pattern)
-	q.actual = reach{indexed: q.rows / 400, out: q.rows / 400}
+	q.actual = rowCounts{indexed: q.rows / 400, out: q.rows / 400}
 	q.usual = q.actual
 	if q.broad {
-		q.actual = reach{scanned: q.rows, out: q.rows / 50}
+		q.actual = rowCounts{scanned: q.rows, out: q.rows / 50}
 	}
 }
 
-// districts asks for recent rows of an array of districts.
-func (q *question) districts() {
+// districts selects the rows of the last 90 days for an array of districts: one or two, or all of them if
+// the statement is broad.
+func (q *statementBuilder) districts() {
 	n := 1 + q.random.IntN(2)
 	if q.broad {
 		n = Districts
@@ -124,8 +127,8 @@
 	q.write(") AND %s >= ", q.column(q.template.table.time))
 	q.day(Days - 90)
 	days := 90.0 / Days
-	q.actual = reach{indexed: q.rows * days * float64(n) / Districts * 6, out: q.rows * days * float64(n) / Districts}
-	q.usual = reach{indexed: q.rows * days / Districts * 9, out: q.rows * days / Districts}
+	q.actual = rowCounts{indexed: q.rows * days * float64(n) / Districts * 6, out: q.rows * days * float64(n) / Districts}
+	q.usual = rowCounts{indexed: q.rows * days / Districts * 9, out: q.rows * days / Districts}
 	if n > 15 {
 		q.actual.scanned = q.rows
 		q.actual.indexed = 0
@@ -133,8 +136,8 @@
 	}
 }
 
-// latest asks for the latest rows.
-func (q *question) latest() {
+// latest selects the latest rows, up to a limit.
+func (q *statementBuilder) latest() {
 	n := 10 + q.random.IntN(40)
 	if q.broad {
 		n = 1000000
@@ -143,13 +146,13 @@
 	q.write("SELECT %s FROM %s ORDER BY %s DESC LIMIT ", q.columns, q.from, q.column(q.template.table.time))
 	q.num(n)
 	got := math.Min(float64(n), q.rows)
-	q.actual = reach{indexed: got, out: got}
-	q.usual = reach{indexed: 30, out: 30}
+	q.actual = rowCounts{indexed: got, out: got}
+	q.usual = rowCounts{indexed: 30, out: 30}
 }
 
-// optional has a restriction that a null switches off.
-func (q *question) optional() {
-	p, _ := q.world.part()
+// optionalFilter selects by a condition that a null parameter disables, so that all rows are read.
+func (q *statementBuilder) optionalFilter() {
+	p, _ := q.generator.part()
 	q.write("SELECT %s FROM %s WHERE (", q.columns, q.from)
 	v := []byte(p)
 	if q.broad {
@@ -164,15 +167,15 @@
 		q.bind(v, 0, oidText)
 		q.write(" IS NULL OR %s = $1)", q.column("part"))
 	}
-	q.actual = reach{indexed: q.rowsPerPart, out: q.rowsPerPart}
+	q.actual = rowCounts{indexed: q.rowsPerPart, out: q.rowsPerPart}
 	q.usual = q.actual
 	if q.broad {
-		q.actual = reach{scanned: q.rows, out: q.rows}
+		q.actual = rowCounts{scanned: q.rows, out: q.rows}
 	}
 }
 
-// months counts and sums rows of months by district.
-func (q *question) months() {
+// months counts and sums the rows of up to 12 months by district.
+func (q *statementBuilder) months() {
 	n := 1 + q.random.IntN(12)
 	q.write("SELECT %s, count(*), sum(%s) FROM %s WHERE %s >= ", q.column("district"), q.column("n"), q.from, q.column(q.template.table.time))
 	q.day(Days - 31*n)
@@ -180,37 +183,38 @@
 	q.day(Days - 1)
 	q.write(" GROUP BY %s ORDER BY 2 DESC", q.column("district"))
 	got := q.rows * float64(31*n) / Days
-	q.actual = reach{scanned: q.rows * 0.8, grouped: got, out: Districts}
-	q.usual = reach{scanned: q.rows * 0.8, grouped: q.rows * 186 / Days, out: Districts}
+	q.actual = rowCounts{scanned: q.rows * 0.8, grouped: got, out: Districts}
+	q.usual = rowCounts{scanned: q.rows * 0.8, grouped: q.rows * 186 / Days, out: Districts}
 }
 
-// topParts joins and ranks parts.
-func (q *question) topParts() {
+// topParts joins a table with parts and selects the 20 parts with the most rows.
+func (q *statementBuilder) topParts() {
 	q.write("SELECT p.name, max(%s), count(*) FROM %s JOIN stock_%d.parts p USING (part) WHERE p.kind = ", q.column(q.template.cols[0]), q.from, q.group)
 	q.str("gear")
 	q.write(" GROUP BY p.name ORDER BY 3 DESC LIMIT ")
 	q.num(20)
-	q.actual = reach{scanned: q.rows, joined: q.rows, grouped: q.rows / 4, sorted: Parts, out: 20}
+	q.actual = rowCounts{scanned: q.rows, joined: q.rows, grouped: q.rows / 4, sorted: Parts, out: 20}
 	q.usual = q.actual
 }
 
-// ranking ranks all rows by district.
-func (q *question) ranking() {
+// ranking ranks all rows within their district.
+func (q *statementBuilder) ranking() {
 	q.write("SELECT %s, %s, rank() OVER (PARTITION BY %s ORDER BY %s) FROM %s", q.column("district"), q.column("part"), q.column("district"), q.column(q.template.table.time), q.from)
-	q.actual = reach{scanned: q.rows, sorted: q.rows / 2, out: q.rows / 20}
+	q.actual = rowCounts{scanned: q.rows, sorted: q.rows / 2, out: q.rows / 20}
 	q.usual = q.actual
 }
 
-// everything reads all distinct rows.
-func (q *question) everything() {
+// distinctRows selects the distinct rows of a whole table.
+func (q *statementBuilder) distinctRows() {
 	q.write("SELECT DISTINCT %s FROM %s WHERE %s <> ", q.columns, q.from, q.column("part"))
 	q.str("p-0")
-	q.actual = reach{scanned: q.rows, sorted: q.rows / 3, out: q.rows / 8}
+	q.actual = rowCounts{scanned: q.rows, sorted: q.rows / 3, out: q.rows / 8}
 	q.usual = q.actual
 }
 
-// batch loads a batch of rows under an idempotency key.
-func (q *question) batch() {
+// batch loads a batch of rows with an idempotency key, which is always bound, even by programs that
+// write other values as literals.
+func (q *statementBuilder) batch() {
 	n := 20 + q.random.IntN(180)
 	style := q.style
 	if style == literals {
--- a/internal/testbed/workload/question.go
+++ b/internal/testbed/workload/question.go
@@ -6,39 +6,40 @@
 	"strings"
 )
 
-// coldFraction is the fraction of statements whose group is not in the engine's memory.
+// coldFraction is the fraction of reading statements whose group of tables is not in the engine's memory.
 const coldFraction = 0.15
 
-// question is a statement being made from a template.
-type question struct {
+// statementBuilder builds one statement from a template.
+type statementBuilder struct {
 	text
-	world       *World
+	generator   *Generator
 	random      *rand.Rand
 	template    *template
-	group       int
-	table       string // with its schema
-	from        string // the table, with its alias
-	alias       string
-	columns     string // a list
-	rows        float64
-	rowsPerPart float64
-	broad       bool   // whether its values make it a report, where the family has such values
-	hard        string // the hard case that it is, or ""
-	actual      reach
-	usual       reach   // with the values that are usual for the shape
-	loadWork    float64 // of a bulk load, ms on one core
+	group       int       // number of the group of tables, from 1
+	table       string    // name with its schema
+	from        string    // table name with its alias, if any
+	alias       string    // "": none
+	columns     string    // select list
+	rows        float64   // of the table
+	rowsPerPart float64   // of an average part
+	broad       bool      // whether to draw values that make it a report, where the family has such values
+	hard        string    // hard case for a classifier that it represents, or ""
+	actual      rowCounts // with the values drawn
+	usual       rowCounts // with the usual values of the shape
+	loadWork    float64   // of a bulk load, in ms on one core
 }
 
-// newQuestion draws what all families have in common.
-func (w *World) newQuestion(t *template, growth float64) *question {
-	q := &question{text: text{style: t.style, lower: t.lower}, world: w, random: w.rng, template: t}
-	q.group = 1 + int(w.groupZipf.Uint64())
+// newStatementBuilder draws the properties that all families share. growth multiplies the rows of the
+// table of orders.
+func (g *Generator) newStatementBuilder(t *template, growth float64) *statementBuilder {
+	q := &statementBuilder{text: text{style: t.style, lower: t.lower}, generator: g, random: g.rng, template: t}
+	q.group = 1 + int(g.groupZipf.Uint64())
 	q.rows = t.table.rows
 	if t.table.name == "orders" {
 		q.rows *= growth
 	}
 	q.rowsPerPart = q.rows / Parts
-	q.broad = q.random.Float64() < w.opts.Hard
+	q.broad = q.random.Float64() < g.opts.Hard
 	q.table = fmt.Sprintf("stock_%d.%s", q.group, t.table.name)
 	if t.aliased {
 		q.alias = t.table.name[:1]
@@ -60,18 +61,18 @@
 }
 
 // column returns a column's name as the statement refers to it.
-func (q *question) column(name string) string {
+func (q *statementBuilder) column(name string) string {
 	if q.alias == "" {
 		return name
 	}
 	return q.alias + "." + name
 }
 
-// instance makes a statement from a template, with values of its own. usual is what the shape
-// costs with the usual values: what a planner that ignores the values would say.
-func (w *World) instance(t *template, growth float64) (s Statement, usual float64) {
-	q := w.newQuestion(t, growth)
-	writeFamily[t.family](q)
+// instance builds a statement from a template with newly drawn values. usual is the work of the shape
+// with the usual values, in ms on one core: the estimate of a planner that ignores the values.
+func (g *Generator) instance(t *template, growth float64) (s Statement, usual float64) {
+	q := g.newStatementBuilder(t, growth)
+	buildFamily[t.family](q)
 	s.SQL = q.b.String()
 	s.Values = q.values
 	s.Formats = q.formats
@@ -83,8 +84,8 @@
 		return s, loadBaseWork + loadRowWork*usualLoadRows
 	}
 	s.Work = q.actual.work()
-	if w.rng.Float64() < coldFraction {
-		s.Work *= coldTimes
+	if g.rng.Float64() < coldFraction {
+		s.Work *= coldFactor
 	}
 	if s.Work < ReportWork { // even broad values may reach few rows of a small table
 		s.Class = "lookup"
--- a/internal/testbed/workload/templates.go
+++ b/internal/testbed/workload/templates.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// family is a kind of statement that programs send.
+// family is a kind of statement that programs send; a method of the same name writes it.
 type family int
 
 const (
@@ -16,30 +16,30 @@
 	search
 	districts
 	latest
-	optional
+	optionalFilter
 	months
 	topParts
 	ranking
-	everything
+	distinctRows
 	batch
 	families
 )
 
-// template is a statement as one program writes it.
+// template is the form of a statement as one program writes it.
 type template struct {
 	family  family
 	table   *table
-	cols    []string
+	cols    []string // selected columns
 	style   style
-	weight  float64
-	lower   bool // key words in lower case
-	oneOff  bool
-	aliased bool
+	weight  float64 // relative frequency
+	lower   bool    // keywords in lower case
+	oneOff  bool    // whether the shape never recurs: table name and alias are random
+	aliased bool    // whether the table has an alias
 }
 
-// template draws a template. Those with a low number are more frequent.
-func (w *World) template(i int) *template {
-	r := w.rng
+// template draws template number i. Templates with a low number are more frequent.
+func (g *Generator) template(i int) *template {
+	r := g.rng
 	var f family
 	switch u := r.Float64(); {
 	case u < 0.72:
@@ -52,9 +52,9 @@
 	t := &template{family: f, style: style(r.IntN(int(styles))), lower: r.IntN(2) == 0, aliased: r.IntN(3) == 0}
 	t.table = &tables[r.IntN(len(tables))]
 	switch f {
-	case districts, months, topParts, ranking, everything:
-		t.table = &tables[[]int{2, 3}[r.IntN(2)]] // where there are enough rows and a district
-	case dayRange, latest, search, optional:
+	case districts, months, topParts, ranking, distinctRows:
+		t.table = &tables[[]int{2, 3}[r.IntN(2)]] // tables with enough rows and a district
+	case dayRange, latest, search, optionalFilter:
 		t.table = &tables[2+r.IntN(3)]
 	case byPartWholesaler:
 		t.table = &tables[[]int{1, 2, 4}[r.IntN(3)]]
@@ -64,8 +64,8 @@
 		t.cols = append(t.cols, t.table.cols[j])
 	}
 	t.weight = 1 / math.Pow(float64(i+1), 0.6)
-	switch f { // shares of the brief: lookups 81 %, reports 14 %, loads 5 %
-	case months, topParts, ranking, everything:
+	switch f { // to the specified shares: lookups 81 %, reports 14 %, loads 5 %
+	case months, topParts, ranking, distinctRows:
 		t.weight *= 0.7
 	case batch:
 		t.weight *= 0.65
@@ -73,9 +73,9 @@
 	return t
 }
 
-// part draws a part, and returns by how much its rows exceed those of an average one.
-func (w *World) part() (name string, rowFactor float64) {
-	n := int(w.partZipf.Uint64())
+// part draws a part. rowFactor is its number of rows relative to that of an average part.
+func (g *Generator) part() (name string, rowFactor float64) {
+	n := int(g.partZipf.Uint64())
 	rowFactor = 1
 	if n < 12 { // the parts that every shop sells have by far the most rows
 		rowFactor = 30
--- a/internal/testbed/workload/text.go
+++ b/internal/testbed/workload/text.go
@@ -6,27 +6,28 @@
 	"strings"
 )
 
-// style is how a program passes values.
+// style is how a program passes the values of a statement.
 type style int
 
 const (
 	literals    style = iota // written out in the statement
 	boundText                // bound as text
-	boundBinary              // bound, in binary where that is usual
+	boundBinary              // bound, in binary for integers, dates and arrays and as text for strings
 	styles
 )
 
-// text builds a statement, whose values are literals or bound, as the style says.
+// text builds the text and the bound values of a statement. The style determines whether values are
+// literals or bound.
 type text struct {
 	b       strings.Builder
 	style   style
-	lower   bool // key words in lower case
-	values  [][]byte
-	formats []byte
-	types   []byte
+	lower   bool     // keywords in lower case
+	values  [][]byte // bound values; a nil value is null
+	formats []byte   // format codes of the values, 16 bits each
+	types   []byte   // type object ids of the values, 32 bits each
 }
 
-// Object ids of types, as PostgreSQL has them.
+// Object ids of PostgreSQL's types. oidTexts is the array of text.
 const (
 	oidInt4  = 23
 	oidText  = 25
@@ -34,7 +35,7 @@
 	oidTexts = 1009
 )
 
-// bind adds a parameter and its value.
+// bind adds a parameter ($1, $2, ...) and its value. format is 0 for text and 1 for binary.
 func (x *text) bind(v []byte, format byte, oid uint32) {
 	x.values = append(x.values, v)
 	x.formats = append(x.formats, 0, format)
@@ -63,7 +64,8 @@
 	}
 }
 
-// day adds a date, counted in days from 2016-01-01.
+// day adds a date by its day number; day 0 is 2016-01-01. Text dates use months of 31 days, cut at day 28,
+// so they differ from the binary ones by some days.
 func (x *text) day(n int) {
 	year := 2016 + n/365
 	month := 1 + n%365/31
@@ -98,7 +100,8 @@
 	}
 }
 
-// write adds formatted text, whose key words are in upper case.
+// write adds formatted text. It expects keywords in upper case and writes the whole text in lower case
+// if the program does so.
 func (x *text) write(format string, args ...any) {
 	s := fmt.Sprintf(format, args...)
 	if x.lower {
--- a/internal/testbed/workload/writes.go
+++ b/internal/testbed/workload/writes.go
@@ -7,7 +7,8 @@
 	writeTemplate = -2  // the template number of statements that write
 )
 
-// writes are statements that change what is stored, plainly or in a way that is hard to recognize.
+// writes are formats of statements that change stored data, some in ways that are hard to recognize. Each
+// takes the number of a group and the number of a part.
 var writes = []string{
 	"DELETE FROM stock_%d.returns WHERE part = 'p-%05d'",
 	"UPDATE stock_%d.stock SET n = n - 1 WHERE part = 'p-%05d'",
@@ -23,11 +24,11 @@
 	"/* a lookup */ CALL stock_%d.close_month(%d)",
 }
 
-// write returns a statement that changes what is stored.
-func (w *World) write(grown float64) Statement {
+// write returns a statement that changes stored data. growth multiplies its work.
+func (g *Generator) write(growth float64) Statement {
 	statement := Statement{Class: "write", Template: writeTemplate}
-	format := writes[w.rng.IntN(len(writes))]
-	statement.SQL = fmt.Sprintf(format, 1+w.rng.IntN(Groups), w.rng.IntN(Parts))
-	statement.Work = writeWork * grown
-	return w.finish(statement, writeWork)
+	format := writes[g.rng.IntN(len(writes))]
+	statement.SQL = fmt.Sprintf(format, 1+g.rng.IntN(Groups), g.rng.IntN(Parts))
+	statement.Work = writeWork * growth
+	return g.finish(statement, writeWork)
 }
