--- a/internal/testbed/emulator/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -1,5 +1,6 @@
-// Package emulator stands in for the systems that ringwood works with, from their published
-// protocols: engines of both wires, the event bus, and Consul's catalogue and health API.
+// Package emulator emulates the systems around the gateway according to their published protocols:
+// engines of the line protocol and of the PostgreSQL protocol, the event bus, and the catalog and health
+// API of Consul.
 package emulator
 
 import (
@@ -18,28 +19,29 @@
 	"gannetspur/internal/testbed/enginemodel"
 )
 
-// Work tells how long a statement takes, and the memory that it needs in MB.
+// Work returns how long a statement takes, and the memory that it needs in MB.
 type Work func(statement string) (time.Duration, float64)
 
-// Options say what an engine is like.
+// Options describe an emulated engine.
 type Options struct {
-	Name string // in the ledger
-	Work Work
-	User string // whom it trusts, of the PostgreSQL wire; "": everybody
-	// Machine, where there is one, has statements wait for each other as on a real engine;
-	// Ask tells what each is. Work is not asked then.
+	Name string // name in the ledger
+	Work Work   // cost of a statement, without a Machine
+	User string // the only trusted user of the PostgreSQL protocol; "": every user is trusted
+	// Machine, if not nil, executes the statements, which then compete for resources as on a
+	// real engine. QueryFor returns the query of a statement, and Work is not used.
 	Machine  *Machine
 	QueryFor func(statement string) enginemodel.Query
-	Ledger   *Ledger                         // of effects; nil: none is kept
-	Logins   *scramauth.Users                // who may log in, of the PostgreSQL wire, by SCRAM; nil: User alone, unasked
-	TLS      *tls.Config                     // of the PostgreSQL wire; nil: encryption is declined
-	Heard    func(session, statement string) // each statement of the PostgreSQL wire, before it runs; nil: nobody
+	Ledger   *Ledger                         // records executions; nil: none are recorded
+	Logins   *scramauth.Users                // users that may log in by SCRAM in the PostgreSQL protocol; nil: no password is requested, and User decides
+	TLS      *tls.Config                     // of the PostgreSQL protocol; nil: encryption is declined
+	Heard    func(session, statement string) // called with each statement of the PostgreSQL protocol before it runs; may be nil
 	Log      *slog.Logger
 }
 
-// carry has a statement carried out, and tells its end unless stop closes first. running, if
-// any, hears of its number at the machine.
-func (o *Options) carry(statement string, change func(*enginemodel.Query), running func(id uint64), stop <-chan struct{}) (end Ended, took time.Duration, ok bool) {
+// execute executes a statement and returns its outcome; ok is false if stop closes first. change adjusts
+// the query before it is submitted to the machine. started, if not nil, is called with the query's id at
+// the machine.
+func (o *Options) execute(statement string, change func(*enginemodel.Query), started func(id uint64), stop <-chan struct{}) (end Outcome, took time.Duration, ok bool) {
 	began := time.Now()
 	if o.Machine == nil {
 		took, memory := o.Work(statement)
@@ -47,32 +49,32 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-			return Ended{Used: memory}, took, true
+			return Outcome{Used: memory}, took, true
 		case <-stop:
-			return Ended{}, 0, false
+			return Outcome{}, 0, false
 		}
 	}
 	q := o.QueryFor(statement)
 	change(&q)
-	done := make(chan Ended, 1)
-	id := o.Machine.Run(q, func(e Ended) { done <- e })
-	if running != nil {
-		running(id)
+	done := make(chan Outcome, 1)
+	id := o.Machine.Run(q, func(e Outcome) { done <- e })
+	if started != nil {
+		started(id)
 	}
 	select {
 	case end = <-done:
 		return end, q.Work, true
 	case <-stop:
-		o.Machine.GiveUp(id)
-		return Ended{}, time.Since(began), false
+		o.Machine.Cancel(id)
+		return Outcome{}, time.Since(began), false
 	}
 }
 
-// Plain is a cost by what a reader would expect: a load or a summary takes seconds, a
-// lookup a fifth of one, each text a little differently.
+// Plain estimates the cost of a statement from keywords in its text: a load or an aggregation takes about
+// 1.5 s or 1.8 s, a lookup about 200 ms. A hash of the text varies the cost by 30 % either way.
 func Plain(statement string) (time.Duration, float64) {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(statement)) // it never fails
+	_, _ = h.Write([]byte(statement)) // never fails
 	scatter := 0.7 + 0.6*float64(h.Sum32()%1000)/1000
 	usual, memory := 200.0, 20.0
 	switch upper := strings.ToUpper(statement); {
@@ -84,6 +86,7 @@
 	return time.Duration(usual * scatter * float64(time.Millisecond)), memory * scatter
 }
 
+// short truncates a statement to 200 bytes for the log.
 func short(s string) string {
 	if len(s) > 200 {
 		return s[:197] + "..."
@@ -91,8 +94,8 @@
 	return s
 }
 
-// Consul serves the catalogue and the health of a fleet, by blocking queries: one that knows
-// the present index waits for the next, or until its time is over.
+// Consul serves the catalog and the health of a fleet under the name of a service, with blocking queries: a
+// query that states the current index waits for the next one, at most as long as it states.
 func (f *Fleet) Consul(service string) http.Handler {
 	type entry struct {
 		Node, Address, Datacenter, ServiceID string
@@ -130,7 +133,7 @@
 				return
 			}
 			w.Header().Set("X-Consul-Index", strconv.FormatUint(now, 10))
-			_ = json.NewEncoder(w).Encode(body(all)) // a client that has gone needs none
+			_ = json.NewEncoder(w).Encode(body(all)) // the client has disconnected: nobody needs the answer
 		}
 	}
 	mux := http.NewServeMux()
@@ -157,7 +160,7 @@
 	return mux
 }
 
-// Listen opens a listener at a loopback address.
+// Listen opens a TCP listener at a loopback address. It rejects other addresses.
 func Listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/testbed/emulator/fleet.go
+++ b/internal/testbed/emulator/fleet.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// State is what a roster says of an engine.
+// State is the state of an engine as discovery reports it.
 type State uint8
 
-// States, as the event bus numbers them.
+// States of an engine. Their values are those of the event bus.
 const (
 	Ready State = iota
 	Draining
@@ -28,47 +28,48 @@
 
 // Member is an engine of a fleet.
 type Member struct {
-	ID    string
-	Addr  netip.AddrPort // where the roster says that it listens
+	ID    string         // name in the catalog
+	Addr  netip.AddrPort // address that discovery reports
 	State State
-	Boot  time.Time // of a late start; zero: long ago
+	Boot  time.Time // time of the latest restart; zero: never restarted
 
-	listen string // where it does, which may be behind a link
+	listen string // address that the engine listens on, which may differ from Addr behind a proxy
 	serve  func(net.Listener)
 	ln     net.Listener
-	start  func() // has its machine begin anew
+	start  func() // restarts its machine; may be nil
 }
 
-// Change is one entry of a fleet's history.
+// Change is a state change of an engine, as discovery reported it.
 type Change struct {
 	At    time.Time
 	ID    string
 	State State
 }
 
-// Fleet is a number of engines with the rosters that tell of them: the event bus and Consul's
-// catalogue follow what a script does to it.
+// Fleet is a set of engines with the discovery systems that report them: the event bus and Consul's catalog
+// reflect the actions that a script applies to the fleet.
 type Fleet struct {
-	mu      sync.Mutex
-	members []*Member
-	events  []event
-	changed chan struct{} // closed and made anew with each event
-	silent  bool          // the bus stays open and says nothing
-	away    bool          // the catalogue can't be reached
-	history []Change
+	mu          sync.Mutex
+	members     []*Member
+	events      []event
+	changed     chan struct{} // closed and replaced at each change
+	silent      bool          // whether the bus keeps its connections open but sends nothing
+	unavailable bool          // whether the catalog is unavailable
+	history     []Change
 }
 
-// event is one numbered event of the bus; the first is the whole list.
+// event is a numbered event of the bus, which describes one changed engine. Numbers start at 2, since 1 is
+// the complete list.
 type event struct {
 	number  uint64
 	records []byte
 }
 
-// NewFleet returns an empty one.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet { return &Fleet{changed: make(chan struct{})} }
 
-// Add adds an engine that listens already. advertised is where the roster says that it
-// listens; start has it begin anew, and may be nil.
+// Add adds an engine that listens on ln already and serves it with serve. advertised is the address that
+// discovery reports. start restarts the engine's machine, and may be nil.
 func (f *Fleet) Add(id string, ln net.Listener, advertised string, serve func(net.Listener), start func()) error {
 	addr, err := netip.ParseAddrPort(advertised)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// Close ends all engines.
+// Close closes the listeners of all engines, which ends their connections.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// Members are the engines as they stand.
+// Members returns the current state of all engines.
 func (f *Fleet) Members() []Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,45 +102,46 @@
 	return all
 }
 
-// History is what the rosters were told, in order.
+// History returns all state changes so far, in order.
 func (f *Fleet) History() []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.history)
 }
 
-// Kinds of what a script does to a fleet.
+// Kinds of actions that a script applies to a fleet.
 const (
-	Drain       = "drain"       // the engine is said to drain; it goes on
-	Die         = "die"         // its process ends, with all connections, and is said to be gone
-	Return      = "return"      // it starts again at its address, cold, and is said to be ready
-	Move        = "move"        // its process ends and starts again, cold, at another address
-	BusSilent   = "bus-silent"  // the bus stays open and says nothing
-	BusSpeaks   = "bus-speaks"  // and speaks again
-	ConsulAway  = "consul-away" // the catalogue answers nothing
-	ConsulBack  = "consul-back" // and answers again
+	Drain       = "drain"       // the engine is reported as draining, but keeps running
+	Die         = "die"         // its process ends, with all connections, and is reported as gone
+	Return      = "return"      // it starts again at its address, cold, and is reported as ready
+	Move        = "move"        // its process ends and starts again, cold, at another address, and is reported as ready
+	BusSilent   = "bus-silent"  // the bus keeps its connections open but sends nothing
+	BusSpeaks   = "bus-speaks"  // the bus sends again
+	ConsulAway  = "consul-away" // the catalog answers every request with an error
+	ConsulBack  = "consul-back" // the catalog answers again
 	changeKinds = "drain, die, return, move, bus-silent, bus-speaks, consul-away, consul-back"
 )
 
-// Known tells whether there is a kind of this name.
+// Known reports whether there is a kind of action of this name.
 func Known(kind string) bool { return slices.Contains(strings.Split(changeKinds, ", "), kind) }
 
-// Apply does one thing to the fleet; engine counts from 1 where the kind needs one.
+// Apply applies one action to the fleet. engine is the number of the engine, from 1; actions on the bus and
+// the catalog ignore it.
 func (f *Fleet) Apply(kind string, engine int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch kind {
 	case BusSilent, BusSpeaks:
 		f.silent = kind == BusSilent
-		f.wake()
+		f.notify()
 		return nil
 	case ConsulAway, ConsulBack:
-		f.away = kind == ConsulAway
-		f.wake()
+		f.unavailable = kind == ConsulAway
+		f.notify()
 		return nil
 	}
 	if engine < 1 || engine > len(f.members) {
-		return fmt.Errorf("fleet: there is no engine %d", engine)
+		return fmt.Errorf("fleet: engine %d does not exist, want 1 to %d", engine, len(f.members))
 	}
 	m := f.members[engine-1]
 	switch kind {
@@ -147,7 +149,7 @@
 		m.State = Draining
 	case Die:
 		m.State = Gone
-		_ = m.ln.Close() // its connections end with it
+		_ = m.ln.Close() // which also closes its connections
 	case Return, Move:
 		at := m.listen
 		if kind == Move {
@@ -168,22 +170,23 @@
 		m.ln, m.State, m.Boot = ln, Ready, time.Now()
 		go m.serve(ln)
 	default:
-		return fmt.Errorf("fleet: there is no %q; wanted is one of %s", kind, changeKinds)
+		return fmt.Errorf("fleet: unknown action %q, want one of %s", kind, changeKinds)
 	}
 	f.history = append(f.history, Change{time.Now(), m.ID, m.State})
 	f.events = append(f.events, event{uint64(len(f.events) + 2), m.record(engine)})
-	f.wake()
+	f.notify()
 	return nil
 }
 
-func (f *Fleet) wake() {
+// notify wakes everything that waits for a change. f.mu must be held.
+func (f *Fleet) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// record is the engine as the bus tells of it; its id is its place.
-func (m *Member) record(place int) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(place))
+// record encodes an engine for the bus. number is its number in the fleet, which is its id on the bus.
+func (m *Member) record(number int) []byte {
+	b := binary.BigEndian.AppendUint32(nil, uint32(number))
 	ip := m.Addr.Addr().As4()
 	b = append(b, ip[:]...)
 	b = binary.BigEndian.AppendUint16(b, m.Addr.Port())
@@ -195,10 +198,11 @@
 	return binary.BigEndian.AppendUint64(b, boot)
 }
 
-// Bus serves the event bus on a listener: the changes since what a follower has, then each as
-// it comes, and an empty frame each second.
+// Bus serves the event bus on a listener. A subscriber first sends the number of the latest event that it
+// has (8 bytes). It gets the events since then, each further event as it occurs, and an empty frame for
+// each second without one.
 func (f *Fleet) Bus(ln net.Listener) {
-	each(ln, func(c net.Conn) {
+	serveEach(ln, func(c net.Conn) {
 		b := make([]byte, 8)
 		if _, err := c.Read(b); err != nil {
 			return
@@ -231,19 +235,20 @@
 	})
 }
 
+// appendFrame appends a frame of the bus: length, event number, kind and payload.
 func appendFrame(b []byte, number uint64, kind byte, payload []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(9+len(payload)))
 	b = binary.BigEndian.AppendUint64(b, number)
 	return append(append(b, kind), payload...)
 }
 
-// list waits until the fleet has changed past an index, or for so long, and tells the engines
-// with the index. ok is false while the catalogue is away.
-func (f *Fleet) list(index uint64, wait time.Duration, gone <-chan struct{}) (all []Member, now uint64, ok bool) {
-	late := time.After(wait)
+// list waits until the index of the fleet differs from index, at most for wait, and returns the engines and
+// the current index. ok is false while the catalog is unavailable and once canceled closes.
+func (f *Fleet) list(index uint64, wait time.Duration, canceled <-chan struct{}) (all []Member, now uint64, ok bool) {
+	timeout := time.After(wait)
 	for {
 		f.mu.Lock()
-		now, ok = uint64(len(f.events)+1), !f.away
+		now, ok = uint64(len(f.events)+1), !f.unavailable
 		changed := f.changed
 		f.mu.Unlock()
 		if !ok || now != index || wait <= 0 {
@@ -251,15 +256,15 @@
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			wait = 0
-		case <-gone:
+		case <-canceled:
 			return nil, now, false
 		}
 	}
 }
 
-// index reads the index of a blocking query.
+// index parses the index of a blocking query. It returns 0 for an invalid one.
 func index(text string) uint64 {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// fleet returns a fleet of two engines that discard their input.
 func fleet(t *testing.T) *Fleet {
 	t.Helper()
 	f := NewFleet()
@@ -20,7 +21,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Add(id, ln, ln.Addr().String(), func(ln net.Listener) { each(ln, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) }, nil); err != nil {
+		if err := f.Add(id, ln, ln.Addr().String(), func(ln net.Listener) { serveEach(ln, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) }, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -28,8 +29,8 @@
 	return f
 }
 
-// The bus tells what a follower does not have yet, each change as it comes, and nothing
-// while it is silent.
+// TestFleetBus verifies that the bus sends a subscriber the events that it lacks, and each change as it
+// occurs, but nothing while it is silent.
 func TestFleetBus(t *testing.T) {
 	f := fleet(t)
 	if err := f.Apply(Drain, 1); err != nil {
@@ -61,7 +62,7 @@
 		return binary.BigEndian.Uint64(head[4:]), head[12], payload
 	}
 	if number, kind, p := next(); number != 2 || kind != 2 || len(p) != 27 || p[3] != 1 || State(p[10]) != Draining {
-		t.Errorf("the first frame: %d %d %v", number, kind, p)
+		t.Errorf("first frame: number %d, kind %d, payload %v, want number 2, kind 2, engine 1 draining", number, kind, p)
 	}
 	if err := f.Apply(BusSilent, 0); err != nil {
 		t.Fatal(err)
@@ -75,15 +76,16 @@
 	for {
 		if number, kind, p := next(); kind == 2 {
 			if number != 3 || p[3] != 2 || State(p[10]) != Gone {
-				t.Errorf("the second change: %d %v", number, p)
+				t.Errorf("second event: number %d, payload %v, want number 3, engine 2 gone", number, p)
 			}
 			break
 		}
 	}
 }
 
-// A blocking query waits for the next index; an engine that died is critical and refuses
-// connections, until it returns with the time of its start; a catalogue that is away says so.
+// TestFleetConsul verifies that a blocking query waits for the next index, that an engine that died is
+// critical and refuses connections until it returns with its start time, and that an unavailable catalog
+// answers with an error. Unknown actions and engines are rejected.
 func TestFleetConsul(t *testing.T) {
 	f := fleet(t)
 	srv := httptest.NewServer(f.Consul("s"))
@@ -105,23 +107,23 @@
 		return resp.StatusCode, resp.Header.Get("X-Consul-Index"), list
 	}
 	if status, now, list := get("0"); status != 200 || now != "1" || len(list) != 2 {
-		t.Errorf("at first: %d %s %v", status, now, list)
+		t.Errorf("first query: status %d, index %s, engines %v, want status 200, index 1, two engines", status, now, list)
 	}
 	addr := f.Members()[1].Addr.String()
 	go func() { _ = f.Apply(Die, 2) }()
 	if _, now, list := get("1"); now != "2" || list[1].Checks[0].Status != "critical" {
-		t.Errorf("after a death: %s %v", now, list)
+		t.Errorf("after Die: index %s, engines %v, want index 2, second engine critical", now, list)
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("a dead engine accepts")
+		t.Error("a connection to a dead engine succeeded, want an error")
 	}
 	go func() { _ = f.Apply(Return, 2) }()
 	if _, now, list := get("2"); now != "3" || list[1].Checks[0].Status != "passing" || list[1].Service.Meta["boot_ms"] == "" {
-		t.Errorf("after its return: %s %v", now, list)
+		t.Errorf("after Return: index %s, engines %v, want index 3, second engine passing with boot_ms", now, list)
 	}
 	if c, err := net.Dial("tcp", addr); err != nil {
-		t.Errorf("a returned engine: %v", err)
+		t.Errorf("connection to a returned engine: %v", err)
 	} else {
 		c.Close()
 	}
@@ -129,11 +131,11 @@
 		t.Fatal(err)
 	}
 	if status, _, _ := get("0"); status != 500 {
-		t.Errorf("away: %d", status)
+		t.Errorf("unavailable catalog: status %d, want 500", status)
 	}
 	for kind, engine := range map[string]int{"dance": 1, Drain: 3, Die: 0} {
 		if f.Apply(kind, engine) == nil {
-			t.Errorf("%s %d went through", kind, engine)
+			t.Errorf("Apply(%q, %d) succeeded, want an error", kind, engine)
 		}
 	}
 }
--- a/internal/testbed/emulator/ledger.go
+++ b/internal/testbed/emulator/ledger.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Run is one execution that reached an engine.
+// Run is the execution of one statement on an engine.
 type Run struct {
-	Engine  string
-	Mark    string // the mark of the request, from its text or its first value
-	Key     string // that repeats are dropped by; "": none
+	Engine  string // name of the engine
+	Mark    string // the request's mark, from its first value or its text; "": none
+	Key     string // idempotency key; "": none
 	At      time.Time
-	Dropped bool // a repeat of a key within the window: it had no effect
+	Dropped bool // whether it repeated a key within the window and so had no effect
 }
 
-// Ledger is the evidence of a fleet: what ran where and when, and which repeats were dropped.
-// All engines of it drop repeats of a key for a while from its first run on, as those of the
-// register do.
+// Ledger records which statements ran on the engines of a fleet, and when, and which were dropped as
+// repeats. All engines that share a ledger drop repeats of a key within the window from its first run, as
+// those of the register do. A nil ledger records and drops nothing.
 type Ledger struct {
 	window time.Duration
 	mu     sync.Mutex
@@ -25,19 +25,20 @@
 	keys   map[string]time.Time
 }
 
-// NewLedger returns an empty one.
+// NewLedger returns an empty ledger that drops repeats of a key within the window.
 func NewLedger(window time.Duration) *Ledger {
 	return &Ledger{window: window, keys: map[string]time.Time{}}
 }
 
-// marks are how a load generator tells requests apart: q-, r-, k- or w- and numbers.
+// marks matches the marks by which a load generator identifies requests: the letter of the kind (q, r, k or
+// w), the number of the source and the number of the request.
 var marks = regexp.MustCompile(`\b[qrkw]-[0-9]+-[0-9]+\b`)
 
-// Mark is the mark of a request that a statement or its values hold; "": there is none.
+// Mark returns the first mark of a request in the text of a statement or a value, or "".
 func Mark(text string) string { return marks.FindString(text) }
 
-// Begin writes an execution down. It tells whether the engine carries it out: a repeat of a
-// key is dropped.
+// Begin records an execution. first is the first bound value or the idempotency key. It reports whether the
+// engine must execute the statement: a repeat of a key within the window is dropped.
 func (l *Ledger) Begin(engine, statement, first string) bool {
 	if l == nil {
 		return true
@@ -65,7 +66,7 @@
 	return !r.Dropped
 }
 
-// Runs is what ran so far, in order.
+// Runs returns all executions so far, in order.
 func (l *Ledger) Runs() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/emulator/lines.go
+++ b/internal/testbed/emulator/lines.go
@@ -14,20 +14,21 @@
 	"gannetspur/internal/testbed/enginemodel"
 )
 
-// mostText bounds a statement, as the front end's own limit does.
-const mostText = 1 << 20
+// maxStatementBytes limits the length of a statement. It equals the gateway's own limit.
+const maxStatementBytes = 1 << 20
 
-// Lines serves the platform's line protocol on a listener until that is closed: an engine
-// that answers each statement, after notes of progress, with rows that say what it was
-// asked. Nothing waits for anything there but its own work.
+// Lines serves the platform's line protocol on a listener until that is closed. The engine answers each
+// statement, after progress messages, with rows that contain the request's fields and its statement.
+// Without a Machine statements do not wait for each other.
 func Lines(ln net.Listener, opts Options) {
-	each(ln, func(c net.Conn) {
+	serveEach(ln, func(c net.Conn) {
 		(&session{Options: opts, conn: c, running: map[string]context.CancelFunc{}}).serve()
 	})
 }
 
-// each serves every connection of a listener in a goroutine of its own, and ends them with it.
-func each(ln net.Listener, serve func(net.Conn)) {
+// serveEach serves every connection of a listener in a goroutine of its own. It closes all connections when
+// the listener closes.
+func serveEach(ln net.Listener, serve func(net.Conn)) {
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
 	for {
@@ -55,49 +56,50 @@
 	}
 }
 
-// session is one connection of a front end.
+// session is one connection of a gateway.
 type session struct {
 	Options
 	conn net.Conn
 
-	mu      sync.Mutex // guards writes and what follows
-	running map[string]context.CancelFunc
-	numbers map[string]uint64 // at the machine
+	mu      sync.Mutex                    // guards writes and the fields below
+	running map[string]context.CancelFunc // by statement id
+	queries map[string]uint64             // ids of the queries at the machine, by statement id
 }
 
-// at notes the number of a statement at the machine.
-func (s *session) at(id string, n uint64) {
+// setQuery stores the id of a statement's query at the machine.
+func (s *session) setQuery(id string, n uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.numbers == nil {
-		s.numbers = map[string]uint64{}
+	if s.queries == nil {
+		s.queries = map[string]uint64{}
 	}
-	s.numbers[id] = n
+	s.queries[id] = n
 }
 
-// hurry sets a statement's priority.
-func (s *session) hurry(id, priority string) {
+// setPriority sets the priority of a running statement.
+func (s *session) setPriority(id, priority string) {
 	s.mu.Lock()
-	n, ok := s.numbers[id]
+	n, ok := s.queries[id]
 	s.mu.Unlock()
 	if p, err := strconv.Atoi(priority); err == nil && ok {
-		s.Machine.Hurry(n, p)
+		s.Machine.SetPriority(n, p)
 	}
 }
 
+// serve reads and performs the gateway's commands until the connection ends or a command is invalid.
 func (s *session) serve() {
 	r := bufio.NewReader(s.conn)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			s.giveUp("") // closing the connection gives up all that is open on it
+			s.cancel("") // closing the connection cancels all its statements
 			return
 		}
 		words := strings.Fields(line)
 		switch {
 		case len(words) == 4 && words[0] == "want":
 			var length int
-			if _, err := fmt.Sscan(words[3], &length); err != nil || length < 0 || length > mostText {
+			if _, err := fmt.Sscan(words[3], &length); err != nil || length < 0 || length > maxStatementBytes {
 				return
 			}
 			text := make([]byte, length+2) // CR LF follows
@@ -106,13 +108,15 @@
 			}
 			s.start(words[1], words[2], string(text[:length]))
 		case len(words) == 3 && words[0] == "hurry":
-			s.hurry(words[1], words[2])
+			s.setPriority(words[1], words[2])
 		case len(words) == 2 && words[0] == "never_mind":
-			s.giveUp(words[1])
+			s.cancel(words[1])
 		}
 	}
 }
 
+// start executes a statement in the background and writes its answer. A repeat that the ledger drops is
+// answered at once.
 func (s *session) start(id, fields, statement string) {
 	s.Log.Info("asked", "id", id, "fields", fields, "statement", short(statement))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -125,17 +129,17 @@
 			token = v
 		}
 	}
-	carried := s.Ledger.Begin(s.Name, statement, token)
+	execute := s.Ledger.Begin(s.Name, statement, token)
 	go func() {
 		defer cancel()
-		if !carried { // a repeat that is dropped
+		if !execute { // a dropped repeat
 			s.done(id, fields, statement, 0, 0)
 			return
 		}
-		over := make(chan struct{})
-		go s.notes(ctx, id, over)
-		end, took, ok := s.carry(statement, func(q *enginemodel.Query) { s.asked(q, fields) }, func(n uint64) { s.at(id, n) }, ctx.Done())
-		close(over)
+		ended := make(chan struct{})
+		go s.reportProgress(ctx, id, ended)
+		end, took, ok := s.execute(statement, func(q *enginemodel.Query) { s.applyFields(q, fields) }, func(n uint64) { s.setQuery(id, n) }, ctx.Done())
+		close(ended)
 		switch {
 		case !ok:
 			s.Log.Info("given up", "id", id)
@@ -144,22 +148,22 @@
 		default:
 			s.done(id, fields, statement, took, end.Used)
 		}
-		s.giveUp(id)
+		s.cancel(id)
 	}()
 }
 
-// notesEvery is how often notes tell how far a statement is.
-const notesEvery = 500 * time.Millisecond
+// progressInterval is the time between the progress messages of a statement.
+const progressInterval = 500 * time.Millisecond
 
-// notes says now and then that a statement is still at work.
-func (s *session) notes(ctx context.Context, id string, over <-chan struct{}) {
-	t := time.NewTicker(notesEvery)
+// reportProgress writes progress messages for a statement until it ends or is canceled.
+func (s *session) reportProgress(ctx context.Context, id string, ended <-chan struct{}) {
+	t := time.NewTicker(progressInterval)
 	defer t.Stop()
 	for n := 1.0; ; n++ {
 		select {
 		case <-t.C:
 			s.write("%s TELL res=p,num=%.2f 0\r\n\r\n", id, n/(n+2))
-		case <-over:
+		case <-ended:
 			return
 		case <-ctx.Done():
 			return
@@ -167,8 +171,8 @@
 	}
 }
 
-// asked takes what the gateway says of a statement.
-func (s *session) asked(q *enginemodel.Query, fields string) {
+// applyFields sets the memory grant and the priority that the gateway requests for a statement.
+func (s *session) applyFields(q *enginemodel.Query, fields string) {
 	for f := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(f, "=")
 		n, err := strconv.ParseFloat(value, 64)
@@ -182,7 +186,7 @@
 	}
 }
 
-// done writes the answer: rows that say what was asked, and what the engine reports.
+// done writes the answer to a statement: the reported load, and rows with the fields and the statement.
 func (s *session) done(id, fields, statement string, took time.Duration, memory float64) {
 	load := enginemodel.Load{Util: 0.1}
 	if s.Machine != nil {
@@ -194,19 +198,20 @@
 		id, took.Milliseconds(), memory, load.Util, load.Waiting, load.Disks, load.Memory, len(page), page)
 }
 
-// giveUp ends one statement, or all.
-func (s *session) giveUp(id string) {
+// cancel cancels one statement, or all if id is "".
+func (s *session) cancel(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for one, cancel := range s.running {
-		if id == "" || id == one {
+	for running, cancel := range s.running {
+		if id == "" || id == running {
 			cancel()
-			delete(s.running, one)
-			delete(s.numbers, one)
+			delete(s.running, running)
+			delete(s.queries, running)
 		}
 	}
 }
 
+// write writes to the gateway. It ignores errors: the reading side notices that the connection has ended.
 func (s *session) write(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -7,105 +7,105 @@
 	"gannetspur/internal/testbed/enginemodel"
 )
 
-// Machine has a model engine follow the real clock: what it runs ends when the model says so.
+// Machine runs a modelled engine along the real clock: each query ends when the model completes it.
 type Machine struct {
-	mu     sync.Mutex
-	engine *enginemodel.Engine
-	origin time.Time
-	timer  *time.Timer
-	last   uint64
-	out    map[uint64]func(Ended)
+	mu      sync.Mutex
+	engine  *enginemodel.Engine
+	origin  time.Time
+	timer   *time.Timer
+	last    uint64                   // id of the latest query
+	pending map[uint64]func(Outcome) // callbacks of the queries that have not ended, by id
 }
 
-// Ended is how a query ended at a machine.
-type Ended struct {
-	Full bool // it was turned away
-	Used float64
+// Outcome is how a query ended at a machine.
+type Outcome struct {
+	Full bool    // whether the engine was full and rejected the query
+	Used float64 // memory used, in MB
 }
 
-// NewMachine returns a machine that has run for long.
+// NewMachine returns a machine whose engine is past its cold start.
 func NewMachine(cfg enginemodel.Config) *Machine {
-	return &Machine{engine: enginemodel.New(cfg), origin: time.Now(), out: map[uint64]func(Ended){}}
+	return &Machine{engine: enginemodel.New(cfg), origin: time.Now(), pending: map[uint64]func(Outcome){}}
 }
 
 func (m *Machine) now() time.Duration { return time.Since(m.origin) }
 
-// Run has a query run; done is called once, on a goroutine of its own, unless the query is
-// given up first. Its id is the machine's and is returned.
-func (m *Machine) Run(q enginemodel.Query, done func(Ended)) (id uint64) {
+// Run submits a query under an id of the machine's own, which it returns. done is called once, on a
+// goroutine of its own, unless the query is canceled first or lost in a restart.
+func (m *Machine) Run(q enginemodel.Query, done func(Outcome)) (id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
+	m.advance()
 	m.last++
 	q.ID = m.last
 	if !m.engine.Submit(m.now(), q) {
-		go done(Ended{Full: true})
+		go done(Outcome{Full: true})
 		return q.ID
 	}
-	m.out[q.ID] = done
-	m.wake()
+	m.pending[q.ID] = done
+	m.schedule()
 	return q.ID
 }
 
-// GiveUp frees what a query holds.
-func (m *Machine) GiveUp(id uint64) {
+// Cancel cancels a query and frees its resources.
+func (m *Machine) Cancel(id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
-	if m.out[id] != nil {
-		delete(m.out, id)
+	m.advance()
+	if m.pending[id] != nil {
+		delete(m.pending, id)
 		m.engine.Cancel(m.now(), id)
 	}
-	m.wake()
+	m.schedule()
 }
 
-// Hurry sets a query's priority.
-func (m *Machine) Hurry(id uint64, priority int) {
+// SetPriority sets the priority of a query, 0 to 3.
+func (m *Machine) SetPriority(id uint64, priority int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
-	m.engine.Hurry(m.now(), id, priority)
-	m.wake()
+	m.advance()
+	m.engine.SetPriority(m.now(), id, priority)
+	m.schedule()
 }
 
-// Take has another program take a share of the machine.
+// Take sets the fraction of the machine, 0 to 1, that another program uses.
 func (m *Machine) Take(share float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
+	m.advance()
 	m.engine.Take(m.now(), share)
-	m.wake()
+	m.schedule()
 }
 
-// Start has the engine begin anew, cold: what it ran is lost without a word.
+// Start restarts the engine, cold. Queries that were running are lost: their callbacks are never called.
 func (m *Machine) Start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.out)
+	clear(m.pending)
 	m.engine.Start(m.now())
 }
 
-// Load is what the engine reports just now.
+// Load returns the load that the engine reports now.
 func (m *Machine) Load() enginemodel.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
-	m.wake()
+	m.advance()
+	m.schedule()
 	return m.engine.Load()
 }
 
-// settle brings the model to the present and tells of what has ended.
-func (m *Machine) settle() {
+// advance advances the model to the current time and calls back for the queries that ended.
+func (m *Machine) advance() {
 	for _, d := range m.engine.Advance(m.now()) {
-		if done := m.out[d.ID]; done != nil {
-			delete(m.out, d.ID)
-			go done(Ended{Used: d.Used})
+		if done := m.pending[d.ID]; done != nil {
+			delete(m.pending, d.ID)
+			go done(Outcome{Used: d.Used})
 		}
 	}
 }
 
-// wake sets the timer for the next end.
-func (m *Machine) wake() {
+// schedule sets the timer for the next completion.
+func (m *Machine) schedule() {
 	at, ok := m.engine.Next()
 	if !ok {
 		return
@@ -115,8 +115,8 @@
 		m.timer = time.AfterFunc(wait, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.settle()
-			m.wake()
+			m.advance()
+			m.schedule()
 		})
 		return
 	}
--- a/internal/testbed/emulator/pg.go
+++ b/internal/testbed/emulator/pg.go
@@ -15,35 +15,37 @@
 	"gannetspur/internal/testbed/enginemodel"
 )
 
+// columns is the body of a RowDescription of one text column.
 var columns = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
 
-// Postgres serves the PostgreSQL wire protocol on a listener until that is closed, one
-// statement at a time on a connection, with two rows that say what was asked and what was bound first.
+// Postgres serves the PostgreSQL wire protocol on a listener until that is closed, one statement at a time
+// on each connection. The answer to a statement is two rows: its text and its first bound value.
 func Postgres(ln net.Listener, opts Options) {
-	each(ln, func(c net.Conn) {
+	serveEach(ln, func(c net.Conn) {
 		if err := serve(c, opts); err != nil {
 			opts.Log.Warn("connection ended", "error", err)
 		}
 	})
 }
 
-// pgSession is what PostgreSQL keeps of transactions: none (I), open (T), failed (E).
+// pgSession is the transaction state of a connection.
 type pgSession struct {
-	status byte
-	skip   bool // after an error, to Sync
+	status byte // as in ReadyForQuery: no transaction (I), open (T) or failed (E)
+	skip   bool // whether messages are skipped up to the next Sync, after an error
 }
 
-// control carries out what begins and ends transactions, and what a failed one refuses. tag is its
-// completion; "": the statement is another's affair.
+// control executes statements that control transactions, savepoints and settings, and fails those that a
+// failed transaction or the statement itself rules out. tag is the command tag of a completed statement;
+// if tag is "" and e nil, the statement must be executed otherwise.
 func (s *pgSession) control(statement string) (tag string, e *pgproto.Error) {
 	words := strings.Fields(strings.ToUpper(statement) + " ")
 	first := ""
 	if len(words) > 0 {
 		first = strings.TrimRight(words[0], ";")
 	}
-	to := len(words) > 1 && (words[1] == "TO" || len(words) > 2 && words[2] == "TO")
+	toSavepoint := len(words) > 1 && (words[1] == "TO" || len(words) > 2 && words[2] == "TO")
 	switch {
-	case first == "ROLLBACK" && to && s.status != 'I':
+	case first == "ROLLBACK" && toSavepoint && s.status != 'I':
 		s.status = 'T'
 		return "ROLLBACK", nil
 	case first == "COMMIT" || first == "END":
@@ -76,40 +78,41 @@
 	return "", nil
 }
 
-// portal is a bound statement, and the rows that are left once it runs.
+// portal is a bound statement. key is its first bound value, and rows are those not yet fetched once it
+// has begun.
 type portal struct {
 	query, key string
 	begun      bool
 	rows       []string
 }
 
-// more adds the next rows, all or so many, and what ends them.
-func (p *portal) more(out []byte, most int) []byte {
+// fetch appends the next rows, at most limit (0: all), and a CommandComplete or PortalSuspended.
+func (p *portal) fetch(out []byte, limit int) []byte {
 	n := len(p.rows)
-	if most > 0 {
-		n = min(n, most)
+	if limit > 0 {
+		n = min(n, limit)
 	}
 	for _, row := range p.rows[:n] {
 		out = pgproto.AppendMessage(out, 'D', []byte{0, 1}, pgproto.Int32(len(row)), []byte(row))
 	}
-	if p.rows = p.rows[n:]; most > 0 && n == most { // PostgreSQL looks no further
+	if p.rows = p.rows[n:]; limit > 0 && n == limit { // as PostgreSQL does, even if no rows are left
 		return pgproto.AppendMessage(out, 's')
 	}
 	return pgproto.AppendMessage(out, 'C', pgproto.CString("SELECT "+strconv.Itoa(n)))
 }
 
-// failed has the transaction fail, and what follows skipped.
-func (s *pgSession) failed() {
+// fail marks an open transaction as failed, and skips the messages up to the next Sync.
+func (s *pgSession) fail() {
 	if s.skip = true; s.status == 'T' {
 		s.status = 'E'
 	}
 }
 
-// serve answers one connection of the gateway, message by message.
+// serve serves one connection of the gateway, message by message, until it ends.
 func serve(c net.Conn, opts Options) error {
 	log := opts.Log
 	in, p := []byte{}, make([]byte, 8192)
-	more := func() error {
+	receive := func() error {
 		n, err := c.Read(p)
 		in = append(in, p[:n]...)
 		return err
@@ -134,7 +137,7 @@
 				continue
 			}
 			if opts.Logins != nil {
-				if in, err = proved(c, string(body), in, opts.Logins); err != nil {
+				if in, err = authenticate(c, string(body), in, opts.Logins); err != nil {
 					return err
 				}
 				break
@@ -146,7 +149,7 @@
 			}
 			break
 		}
-		if err := more(); err != nil {
+		if err := receive(); err != nil {
 			return err
 		}
 	}
@@ -158,7 +161,7 @@
 	fail := func(code, text string) {
 		e := pgproto.Error{Severity: "ERROR", Code: code, Message: text}
 		out = pgproto.AppendMessage(out, 'E', e.Body())
-		s.failed()
+		s.fail()
 	}
 	id := c.RemoteAddr().String()
 	for {
@@ -173,8 +176,8 @@
 			return err
 		}
 		if n == 0 {
-			if err := more(); err != nil {
-				return nil // the gateway has gone
+			if err := receive(); err != nil {
+				return nil // the gateway has disconnected
 			}
 			continue
 		}
@@ -184,7 +187,7 @@
 			continue
 		}
 		switch kind {
-		case 'Q': // what a gateway does by itself
+		case 'Q': // the gateway's own commands; statements of clients use the extended protocol
 			text := r.CString()
 			if opts.Heard != nil {
 				opts.Heard(id, text)
@@ -194,7 +197,7 @@
 			out = pgproto.AppendMessage(out, 'Z', []byte{s.status})
 		case 'P':
 			name := r.CString()
-			if _, there := named[name]; there && name != "" {
+			if _, exists := named[name]; exists && name != "" {
 				fail("42P05", "prepared statement already exists")
 				break
 			}
@@ -203,8 +206,8 @@
 			out = pgproto.AppendMessage(out, '1')
 		case 'B':
 			name := r.CString()
-			text, there := named[r.CString()]
-			if !there {
+			text, exists := named[r.CString()]
+			if !exists {
 				fail("26000", "prepared statement does not exist")
 				break
 			}
@@ -224,7 +227,7 @@
 			portals[name] = p
 			out = pgproto.AppendMessage(out, '2')
 		case 'C':
-			if what, name := r.Byte(), r.CString(); what == 'S' {
+			if target, name := r.Byte(), r.CString(); target == 'S' {
 				delete(named, name)
 			} else {
 				delete(portals, name)
@@ -241,9 +244,9 @@
 				fail("34000", "portal does not exist")
 				break
 			}
-			most := r.Int32()
+			limit := r.Int32()
 			if p.begun {
-				out = p.more(out, most)
+				out = p.fetch(out, limit)
 				break
 			}
 			query, key := p.query, p.key
@@ -261,11 +264,11 @@
 				break
 			}
 			if opts.Ledger.Begin(opts.Name, query, key) {
-				stop := gone(c)
-				end, _, ok := opts.carry(query+" "+key, func(*enginemodel.Query) {}, nil, stop.closed)
-				stop.end()
+				connection := watchClose(c)
+				end, _, ok := opts.execute(query+" "+key, func(*enginemodel.Query) {}, nil, connection.closed)
+				connection.end()
 				if !ok {
-					return nil // the gateway gave it up: it closes the connection
+					return nil // the gateway has closed the connection to cancel the statement
 				}
 				if end.Full {
 					fail("53300", "too many sessions")
@@ -273,7 +276,7 @@
 				}
 			}
 			p.begun, p.rows = true, []string{query, key}
-			out = p.more(out, most)
+			out = p.fetch(out, limit)
 		case 'X':
 			return nil
 		case 'S':
@@ -287,8 +290,8 @@
 	}
 }
 
-// proved has a client log in by SCRAM, and returns what it has sent ahead.
-func proved(c net.Conn, startup string, in []byte, users *scramauth.Users) (rest []byte, err error) {
+// authenticate performs a SCRAM login and returns the input that the client sent beyond it.
+func authenticate(c net.Conn, startup string, in []byte, users *scramauth.Users) (rest []byte, err error) {
 	_, user, _ := strings.Cut("\x00"+startup, "\x00user\x00")
 	user, _, _ = strings.Cut(user, "\x00")
 	l, err := users.StartLogin(user)
@@ -334,16 +337,17 @@
 	}
 }
 
-// watch tells when a connection has ended, while nobody reads it.
+// watch observes whether a connection ends while nothing reads from it.
 type watch struct {
-	closed  chan struct{}
+	closed  chan struct{} // closed when the connection has ended
 	conn    net.Conn
-	stopped chan struct{}
+	stopped chan struct{} // closed when the watch has stopped
 }
 
-// gone watches a connection until end is called. What the gateway sends ahead stays unread:
-// it sends nothing more before it has its answer.
-func gone(c net.Conn) *watch {
+// watchClose watches a connection until end is called. It only peeks at the input, so that input that the
+// gateway sends ahead stays unread, and it stops at such input: the gateway sends nothing more until it
+// has its answer. Connections without a file descriptor, such as TLS, are not watched.
+func watchClose(c net.Conn) *watch {
 	w := &watch{make(chan struct{}), c, make(chan struct{})}
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -357,39 +361,42 @@
 	}
 	go func() {
 		defer close(w.stopped)
-		over := false
+		ended := false
 		err := raw.Read(func(fd uintptr) bool {
 			n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			if over = n == 0 && err == nil || err != nil && err != syscall.EAGAIN; over {
+			if ended = n == 0 && err == nil || err != nil && err != syscall.EAGAIN; ended {
 				return true
 			}
-			return n > 0 // data: the connection stands
+			return n > 0 // input is pending: the connection is open
 		})
-		if err == nil && over {
+		if err == nil && ended {
 			close(w.closed)
 		}
 	}()
 	return w
 }
 
+// end stops the watch, and returns once it has stopped.
 func (w *watch) end() {
 	_ = w.conn.SetReadDeadline(time.Unix(1, 0))
 	<-w.stopped
 	_ = w.conn.SetReadDeadline(time.Time{})
 }
 
+// parameter matches a reference to a parameter in a statement.
 var parameter = regexp.MustCompile(`\$([0-9]+)`)
 
-// parameters describes as many text parameters as the statement names.
+// parameters returns the body of a ParameterDescription with as many text parameters as the statement
+// refers to, at most 100.
 func parameters(query string) []byte {
-	most := 0
+	highest := 0
 	for _, m := range parameter.FindAllStringSubmatch(query, -1) {
 		if n, err := strconv.Atoi(m[1]); err == nil && n <= 100 {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
 	}
-	b := binary.BigEndian.AppendUint16(nil, uint16(most))
-	for range most {
+	b := binary.BigEndian.AppendUint16(nil, uint16(highest))
+	for range highest {
 		b = append(b, pgproto.Int32(25)...)
 	}
 	return b
--- a/internal/testbed/enginemodel/engine.go
+++ b/internal/testbed/enginemodel/engine.go
@@ -1,11 +1,11 @@
-// Package enginemodel is an engine of the register as a state machine in virtual time: cores and
-// disks shared by all that runs, memory that is granted and waited for, groups of tables that
-// are warm, loads that hold their group, a cold start. It reads no clock; its caller moves
-// its time on, or follows the real one (internal/testbed/emulator).
+// Package enginemodel models a database engine of the register as a state machine in virtual time:
+// cores and disks that all running queries share, memory grants that queries wait for, groups of tables
+// that are cached (warm), bulk loads that lock their group, and a cold start. It reads no clock: its
+// caller advances the time, in a simulation or along the real clock (internal/testbed/emulator).
 //
-// It follows the operators' brief, not any real database: total work falls beyond a number of
-// threads a core, a query with too little memory does more work, and priorities share what is
-// short as 1 : 4 : 8 : 16.
+// The model follows the operators' specification, not a particular database: total throughput falls
+// beyond a number of threads per core, a query with too little memory does more work, and priorities 0
+// to 3 share a scarce resource in the ratio 1 : 4 : 8 : 16.
 package enginemodel
 
 import (
@@ -15,130 +15,135 @@
 	"time"
 )
 
-// Config is what an engine is like.
+// Config describes an engine.
 type Config struct {
-	Cores      float64       // above 0
-	MemoryMB   float64       // above 0
-	Sessions   int           // queries at once, waiting ones too; beyond, full
-	Knee       float64       // threads a core beyond which total work falls; 1.3 to 2.2
-	Thrash     float64       // how steeply: work falls to 1/(1+Thrash) at twice the knee
-	Disks      float64       // disk work at once, as cores' worth
-	Spill      float64       // further work of a query that has no memory at all, as a part of it
-	WarmGroups int           // that the engine keeps warm
-	WarmGain   float64       // share of the reading that a warm group saves
-	ColdFor    time.Duration // after a start until it has all its capacity; 0: it has from the start
-	ColdStart  float64       // share of its capacity at the start
-	TipTimes   float64       // work sent beyond this multiple of its present capacity ...
-	TipFor     time.Duration // ... for so long pushes a cold one over; 0: nothing does
+	Cores      float64       // number of cores, above 0
+	MemoryMB   float64       // memory that can be granted, above 0
+	Sessions   int           // limit of queries, running and waiting; the engine rejects more
+	Knee       float64       // threads per core beyond which total throughput falls; 1.3 to 2.2
+	Thrash     float64       // how steeply: throughput falls to 1/(1+Thrash) at twice the knee
+	Disks      float64       // concurrent disk work, in the unit of Cores
+	Spill      float64       // additional work of a query without any memory, as a multiple of its work
+	WarmGroups int           // number of groups of tables that the engine keeps warm
+	WarmGain   float64       // fraction of the disk work that a warm group saves
+	ColdFor    time.Duration // time from a start to full capacity; 0: full capacity from the start
+	ColdStart  float64       // fraction of the capacity at the start
+	// A cold engine crashes if the work sent to it within OverloadWindow exceeds OverloadFactor
+	// times its current capacity. A window of 0 disables crashes.
+	OverloadFactor float64
+	OverloadWindow time.Duration
 }
 
-// Usual is an engine of the kind std-8.
+// Usual returns the configuration of an engine of kind std-8.
 func Usual() Config {
 	return Config{
 		Cores: 8, MemoryMB: 16384, Sessions: 64, Knee: 1.7, Thrash: 0.7, Disks: 6, Spill: 2.5, WarmGroups: 4, WarmGain: 0.6,
-		ColdFor: 15 * time.Second, ColdStart: 0.33, TipTimes: 2.5, TipFor: time.Second,
+		ColdFor: 15 * time.Second, ColdStart: 0.33, OverloadFactor: 2.5, OverloadWindow: time.Second,
 	}
 }
 
-// Class is what queries of one class have in common.
+// Class holds the properties that queries of one class share.
 type Class struct {
-	Threads float64
-	IO      float64 // share of the work that is reading or writing
-	Load    bool    // it holds its group while it runs
-	Waits   bool    // it stands still while a load holds its group
+	Threads float64 // threads that work in parallel
+	IO      float64 // fraction of the work that is disk I/O
+	Load    bool    // a bulk load: it locks its group of tables while it runs
+	Waits   bool    // it is blocked while a bulk load locks its group
 }
 
-// Query is one piece of work.
+// Query is a unit of work that an engine executes.
 type Query struct {
-	ID       uint64
+	ID       uint64 // unique among the queries of an engine
 	Class    Class
-	Work     time.Duration // of all threads, as time on one
-	NeedMB   float64
-	GrantMB  float64 // 0: the engine's own choice, a quarter over the need
-	Priority int     // 0 to 3
-	Group    int64
+	Work     time.Duration // of all threads together, as time on one core
+	NeedMB   float64       // memory needed
+	GrantMB  float64       // memory granted; 0: the engine grants 1.25 times the need
+	Priority int           // 0 to 3, 3 being the highest
+	Group    int64         // group of tables
 }
 
-// Done is the end of a query that ran.
+// Done describes a completed query.
 type Done struct {
 	ID   uint64
-	At   time.Duration
-	Took time.Duration
-	Used float64 // MB that it needed
+	At   time.Duration // when it completed
+	Took time.Duration // since its submission
+	Used float64       // memory that it needed, in MB
 }
 
-// Load is what an engine reports.
+// Load is the load that an engine reports.
 type Load struct {
-	Util    float64 // share of its cores in use
-	Waiting int     // for memory
-	Disks   float64 // share of its disks that is busy
-	Memory  float64 // share that is granted
+	Util    float64 // CPU utilization, 0 to 1
+	Waiting int     // queries that wait for memory
+	Disks   float64 // disk utilization, 0 to 1
+	Memory  float64 // fraction of the memory that is granted, 0 to 1
 }
 
+// task is a query that runs or waits for memory.
 type task struct {
 	Query
-	left    float64 // seconds of work
+	left    float64 // remaining work, seconds on one core for all threads
 	arrived time.Duration
-	seq     uint64
-	io      float64
-	rate    float64 // seconds of work a second
+	seq     uint64  // position in the order of submission
+	io      float64 // fraction of the work that is disk I/O, less what a warm group saves
+	rate    float64 // seconds of work per second; 0: blocked
 }
 
-// Engine is one engine. Its zero value is not ready: see New.
+// Engine is a modelled engine. Its zero value is not usable: see New.
 type Engine struct {
-	cfg     Config
-	now     time.Duration
-	started time.Duration
-	seq     uint64
-	running []*task
-	line    []*task // for memory
-	granted float64
-	warm    []int64 // the latest first
-	taken   float64 // share of the machine that another program has
-	sent    []sent  // to a cold engine, of late
-	fallen  bool
-	load    Load
+	cfg      Config
+	now      time.Duration
+	started  time.Duration
+	seq      uint64
+	running  []*task
+	queue    []*task   // waiting for memory
+	granted  float64   // memory granted to running queries, MB
+	warm     []int64   // warm groups, the most recently used first
+	stolen   float64   // fraction of the machine that another program uses
+	arrivals []arrival // work that reached a cold engine within OverloadWindow
+	crashed  bool
+	load     Load
 }
 
-type sent struct {
+// arrival is the work of a query that reached a cold engine.
+type arrival struct {
 	at   time.Duration
-	work float64
+	work float64 // seconds
 }
 
-// New returns an engine that has run for long.
+// New returns an engine that is past its cold start.
 func New(cfg Config) *Engine {
 	return &Engine{cfg: cfg, started: math.MinInt64 / 2}
 }
 
-// Start has it start anew: cold, and empty.
+// Start restarts the engine, cold and without queries.
 func (e *Engine) Start(now time.Duration) {
 	*e = Engine{cfg: e.cfg, now: now, started: now}
 }
 
-// Fallen tells whether it was pushed over. It stays down.
-func (e *Engine) Fallen() bool { return e.fallen }
+// Fallen reports whether the engine has crashed from overload while cold. It stays down until Start.
+func (e *Engine) Fallen() bool { return e.crashed }
 
-// Take has another program take a share of the machine, 0 to 1.
+// Take sets the fraction of the machine, 0 to 1, that another program uses.
 func (e *Engine) Take(now time.Duration, share float64) {
 	e.Advance(now)
-	e.taken = min(max(share, 0), 0.99)
-	e.share()
+	e.stolen = min(max(share, 0), 0.99)
+	e.allocate()
 }
 
-// Capacity is the share of its cores that it can use just now.
+// Capacity returns the fraction of its cores that the engine can use now.
 func (e *Engine) Capacity() float64 {
-	c := 1 - e.taken
+	c := 1 - e.stolen
 	if age := e.now - e.started; e.cfg.ColdFor > 0 && age < e.cfg.ColdFor {
 		c *= e.cfg.ColdStart + (1-e.cfg.ColdStart)*float64(age)/float64(e.cfg.ColdFor)
 	}
 	return c
 }
 
-// Submit sends it a query. It tells whether the engine took it; a full one does not.
+// Submit sends a query to the engine. It reports whether the engine accepted it: an engine that is full or
+// has crashed does not.
 func (e *Engine) Submit(now time.Duration, q Query) bool {
 	e.Advance(now)
-	e.tip(q)
-	if e.fallen || len(e.running)+len(e.line) >= e.cfg.Sessions {
+	e.recordArrival(q)
+	if e.crashed || len(e.running)+len(e.queue) >= e.cfg.Sessions {
 		return false
 	}
 	if q.GrantMB <= 0 {
@@ -151,32 +156,33 @@
 	if q.GrantMB < q.NeedMB {
 		t.left *= 1 + e.cfg.Spill*(1-q.GrantMB/q.NeedMB)
 	}
-	e.line = append(e.line, t)
+	e.queue = append(e.queue, t)
 	e.admit()
-	e.share()
+	e.allocate()
 	return true
 }
 
-// tip counts the work that reaches a cold engine, work that it turns away too.
-func (e *Engine) tip(q Query) {
-	if e.cfg.TipFor <= 0 || e.now-e.started >= e.cfg.ColdFor {
-		e.sent = nil
+// recordArrival counts the work that reaches a cold engine, rejected queries included, and crashes the
+// engine if that exceeds its limit.
+func (e *Engine) recordArrival(q Query) {
+	if e.cfg.OverloadWindow <= 0 || e.now-e.started >= e.cfg.ColdFor {
+		e.arrivals = nil
 		return
 	}
-	e.sent = append(e.sent, sent{e.now, q.Work.Seconds()})
-	e.sent = slices.DeleteFunc(e.sent, func(s sent) bool { return s.at <= e.now-e.cfg.TipFor })
-	most := e.cfg.TipTimes * e.Capacity() * e.cfg.Cores * e.cfg.TipFor.Seconds()
+	e.arrivals = append(e.arrivals, arrival{e.now, q.Work.Seconds()})
+	e.arrivals = slices.DeleteFunc(e.arrivals, func(a arrival) bool { return a.at <= e.now-e.cfg.OverloadWindow })
+	limit := e.cfg.OverloadFactor * e.Capacity() * e.cfg.Cores * e.cfg.OverloadWindow.Seconds()
 	sum := 0.0
-	for _, s := range e.sent {
-		sum += min(s.work, most/2) // a large one by itself runs at the engine's pace, and pushes nothing over
+	for _, a := range e.arrivals {
+		sum += min(a.work, limit/2) // capped: a single large query does not crash the engine, since it runs at the engine's pace
 	}
-	if sum > most {
-		e.fallen = true
-		e.running, e.line, e.granted = nil, nil, 0
+	if sum > limit {
+		e.crashed = true
+		e.running, e.queue, e.granted = nil, nil, 0
 	}
 }
 
-// Cancel gives a query up and frees what it held. It tells whether the engine had it.
+// Cancel cancels a query and frees its memory. It reports whether the engine had the query.
 func (e *Engine) Cancel(now time.Duration, id uint64) bool {
 	e.Advance(now)
 	had := false
@@ -191,36 +197,37 @@
 			e.granted -= t.GrantMB
 		}
 	}
-	e.running, e.line = drop(e.running), drop(e.line)
+	e.running, e.queue = drop(e.running), drop(e.queue)
 	e.admit()
-	e.share()
+	e.allocate()
 	return had
 }
 
-// Hurry sets a query's priority.
-func (e *Engine) Hurry(now time.Duration, id uint64, priority int) {
+// SetPriority sets the priority of a query, 0 to 3. It does nothing if the engine does not have the query.
+func (e *Engine) SetPriority(now time.Duration, id uint64, priority int) {
 	e.Advance(now)
-	for _, list := range [][]*task{e.running, e.line} {
+	for _, list := range [][]*task{e.running, e.queue} {
 		for _, t := range list {
 			if t.ID == id {
 				t.Priority = min(max(priority, 0), 3)
 			}
 		}
 	}
-	e.share()
+	e.allocate()
 }
 
-// admit lets queries in from the line, by priority and then in turn, while there is memory.
+// admit starts queued queries, by priority and then in order of submission, until the first one that does
+// not fit into memory. A query runs regardless of its grant if no other does.
 func (e *Engine) admit() {
-	slices.SortStableFunc(e.line, func(a, b *task) int {
+	slices.SortStableFunc(e.queue, func(a, b *task) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.seq, b.seq))
 	})
-	for len(e.line) > 0 {
-		t := e.line[0]
+	for len(e.queue) > 0 {
+		t := e.queue[0]
 		if e.granted+t.GrantMB > e.cfg.MemoryMB && len(e.running) > 0 {
 			return
 		}
-		e.line = e.line[1:]
+		e.queue = e.queue[1:]
 		e.granted += t.GrantMB
 		if slices.Contains(e.warm, t.Group) {
 			t.io *= 1 - e.cfg.WarmGain
@@ -231,8 +238,9 @@
 	}
 }
 
-// held tells whether a query stands still as a load that came before it holds its group.
-func (e *Engine) held(t *task) bool {
+// blocked reports whether a query is blocked because a bulk load locks its group. A bulk load waits only
+// for those submitted before it, any other query that waits for all.
+func (e *Engine) blocked(t *task) bool {
 	if !t.Class.Load && !t.Class.Waits {
 		return false
 	}
@@ -244,20 +252,22 @@
 	return false
 }
 
-var weights = [4]float64{1, 4, 8, 16}
+// priorityWeights are the relative shares of a scarce resource by priority.
+var priorityWeights = [4]float64{1, 4, 8, 16}
 
-// share sets the rate at which each query runs, which holds until the next change.
-func (e *Engine) share() {
+// allocate sets the rate of each running query and the reported load. They are valid until the next
+// change.
+func (e *Engine) allocate() {
 	var active []*task
 	threads, reading := 0.0, 0.0
 	for _, t := range e.running {
-		if t.rate = 0; !e.held(t) {
+		if t.rate = 0; !e.blocked(t) {
 			active = append(active, t)
 			threads += t.Class.Threads
 			reading += t.Class.Threads * t.io
 		}
 	}
-	e.load = Load{Waiting: len(e.line), Memory: min(e.granted/e.cfg.MemoryMB, 1)}
+	e.load = Load{Waiting: len(e.queue), Memory: min(e.granted/e.cfg.MemoryMB, 1)}
 	if len(active) == 0 {
 		return
 	}
@@ -266,11 +276,11 @@
 		efficiency = 1 / (1 + e.cfg.Thrash*past)
 	}
 	cores := e.cfg.Cores * e.Capacity() * efficiency
-	cpu := fill(active, cores, func(t *task) float64 { return t.Class.Threads })
-	disk := fill(active, e.cfg.Disks*e.Capacity(), func(t *task) float64 { return t.Class.Threads * t.io })
+	cpu := fairShares(active, cores, func(t *task) float64 { return t.Class.Threads })
+	disk := fairShares(active, e.cfg.Disks*e.Capacity(), func(t *task) float64 { return t.Class.Threads * t.io })
 	used := 0.0
 	for i, t := range active {
-		// A unit of work is so much time of a core and so much of a disk, one after the other.
+		// A unit of work uses a core for its share of time, and then a disk for the rest.
 		per := (1 - t.io) / cpu[i]
 		if t.io > 0 {
 			per += t.io * t.io / disk[i]
@@ -278,51 +288,53 @@
 		t.rate = 1 / per
 		used += cpu[i]
 	}
-	e.load.Util = min(used/e.cfg.Cores+e.taken, 1)
+	e.load.Util = min(used/e.cfg.Cores+e.stolen, 1)
 	e.load.Disks = min(reading/e.cfg.Disks, 1)
 }
 
-// fill shares what there is by weight, and gives nobody more than it can use.
-func fill(tasks []*task, total float64, most func(*task) float64) []float64 {
-	got := make([]float64, len(tasks))
-	open := make([]int, 0, len(tasks))
+// fairShares divides total among the tasks in proportion to their priority weights and their demands, and
+// gives no task more than its demand. Every share is at least 1e-6, so that rates stay finite unless the
+// resource is divided among unsatisfied tasks.
+func fairShares(tasks []*task, total float64, demand func(*task) float64) []float64 {
+	shares := make([]float64, len(tasks))
+	pending := make([]int, 0, len(tasks))
 	for i := range tasks {
-		if most(tasks[i]) > 0 {
-			open = append(open, i)
+		if demand(tasks[i]) > 0 {
+			pending = append(pending, i)
 		}
 	}
-	for len(open) > 0 && total > 1e-9 {
+	for len(pending) > 0 && total > 1e-9 {
 		sum := 0.0
-		for _, i := range open {
-			sum += weights[tasks[i].Priority] * most(tasks[i])
+		for _, i := range pending {
+			sum += priorityWeights[tasks[i].Priority] * demand(tasks[i])
 		}
-		sated := open[:0]
+		unsatisfied := pending[:0]
 		rest, each := total, total/sum
-		for _, i := range open {
+		for _, i := range pending {
 			t := tasks[i]
-			if want := most(t) - got[i]; weights[t.Priority]*most(t)*each >= want {
-				got[i] += want
+			if want := demand(t) - shares[i]; priorityWeights[t.Priority]*demand(t)*each >= want {
+				shares[i] += want
 				rest -= want
 			} else {
-				sated = append(sated, i)
+				unsatisfied = append(unsatisfied, i)
 			}
 		}
-		if len(sated) == len(open) { // nobody has all: what is left is shared out
-			for _, i := range open {
-				got[i] += weights[tasks[i].Priority] * most(tasks[i]) * each
+		if len(unsatisfied) == len(pending) { // no task is satisfied: divide the rest by weight
+			for _, i := range pending {
+				shares[i] += priorityWeights[tasks[i].Priority] * demand(tasks[i]) * each
 			}
-			return got
+			return shares
 		}
-		open, total = sated, max(rest, 0)
+		pending, total = unsatisfied, max(rest, 0)
 	}
-	for i := range got {
-		got[i] = max(got[i], 1e-6)
+	for i := range shares {
+		shares[i] = max(shares[i], 1e-6)
 	}
-	return got
+	return shares
 }
 
-// Next is when the next query ends if nothing changes. A cold engine changes by itself, so
-// its time is at most a tenth of a second away.
+// Next returns when the next query completes if nothing changes; ok is false if no query makes progress. The
+// capacity of a cold engine changes by itself, so the time is then at most a tenth of a second away.
 func (e *Engine) Next() (at time.Duration, ok bool) {
 	soonest := math.Inf(1)
 	for _, t := range e.running {
@@ -339,7 +351,7 @@
 	return e.now + time.Duration(math.Ceil(soonest*1e9)), true
 }
 
-// Advance moves its time on and tells what ended, in order.
+// Advance advances the engine's time and returns the queries that completed, in order.
 func (e *Engine) Advance(to time.Duration) (done []Done) {
 	for e.now < to {
 		at, ok := e.Next()
@@ -360,10 +372,10 @@
 			e.running = slices.DeleteFunc(e.running, func(t *task) bool { return t.rate > 0 && t.left <= 1e-9 })
 			e.admit()
 		}
-		e.share()
+		e.allocate()
 	}
 	return done
 }
 
-// Load is what it would report just now.
+// Load returns the load that the engine would report now.
 func (e *Engine) Load() Load { return e.load }
--- a/internal/testbed/enginemodel/engine_test.go
+++ b/internal/testbed/enginemodel/engine_test.go
@@ -10,11 +10,13 @@
 
 const ms = time.Millisecond
 
+// lookup returns a query of one thread that needs little memory.
 func lookup(id uint64, work time.Duration) Query {
 	return Query{ID: id, Class: Class{Threads: 1, Waits: true}, Work: work, NeedMB: 10, Priority: 1}
 }
 
-func ends(e *Engine, until time.Duration) map[uint64]time.Duration {
+// completions advances the engine and returns when each query completed, by id.
+func completions(e *Engine, until time.Duration) map[uint64]time.Duration {
 	at := map[uint64]time.Duration{}
 	for _, d := range e.Advance(until) {
 		at[d.ID] = d.At
@@ -22,20 +24,21 @@
 	return at
 }
 
-func about(t *testing.T, what string, got, want time.Duration) {
+// checkNear verifies that a duration is within 2 % and 1 ms of the one wanted.
+func checkNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if math.Abs(float64(got-want)) > 0.02*float64(want)+float64(time.Millisecond) {
-		t.Errorf("%s: %v, want about %v", what, got, want)
+		t.Errorf("%s at %v, want about %v", what, got, want)
 	}
 }
 
-// The brief's rules, one by one.
+// TestRules verifies each rule of the specification that the model follows.
 func TestRules(t *testing.T) {
 	cfg := Usual()
-	t.Run("alone it takes its work", func(t *testing.T) {
+	t.Run("a single query takes its work", func(t *testing.T) {
 		e := New(cfg)
 		e.Submit(0, lookup(1, 200*ms))
-		about(t, "end", ends(e, time.Second)[1], 200*ms)
+		checkNear(t, "completion", completions(e, time.Second)[1], 200*ms)
 	})
 	t.Run("threads share the cores", func(t *testing.T) {
 		e := New(cfg)
@@ -43,21 +46,21 @@
 			e.Submit(0, lookup(id, 200*ms))
 		}
 		past := 16/cfg.Cores/cfg.Knee - 1
-		about(t, "end", ends(e, 5*time.Second)[3], time.Duration(400*float64(ms)*(1+cfg.Thrash*past)))
+		checkNear(t, "completion", completions(e, 5*time.Second)[3], time.Duration(400*float64(ms)*(1+cfg.Thrash*past)))
 	})
-	t.Run("priorities share what is short", func(t *testing.T) {
+	t.Run("priorities share scarce cores", func(t *testing.T) {
 		e := New(cfg)
 		for id := range uint64(32) {
 			q := lookup(id, 200*ms)
 			q.Priority = int(id % 2 * 3)
 			e.Submit(0, q)
 		}
-		at := ends(e, 20*time.Second)
+		at := completions(e, 20*time.Second)
 		if at[1] >= at[0]*3/4 {
-			t.Errorf("the hurried one ended at %v, the other at %v", at[1], at[0])
+			t.Errorf("priority 3 completed at %v, want less than 3/4 of priority 0, which completed at %v", at[1], at[0])
 		}
 	})
-	t.Run("memory is waited for", func(t *testing.T) {
+	t.Run("queries wait for memory", func(t *testing.T) {
 		e := New(cfg)
 		for id := range uint64(3) {
 			q := lookup(id, 100*ms)
@@ -65,18 +68,18 @@
 			e.Submit(0, q)
 		}
 		if got := e.Load().Waiting; got != 1 {
-			t.Errorf("%d wait", got)
+			t.Errorf("%d queries wait for memory, want 1", got)
 		}
-		about(t, "the one that waited", ends(e, time.Second)[2], 200*ms)
+		checkNear(t, "completion of the query that waited", completions(e, time.Second)[2], 200*ms)
 	})
 	t.Run("too little memory spills", func(t *testing.T) {
 		e := New(cfg)
 		q := lookup(1, 100*ms)
 		q.NeedMB, q.GrantMB = 100, 50
 		e.Submit(0, q)
-		about(t, "end", ends(e, time.Second)[1], time.Duration(float64(100*ms)*(1+cfg.Spill/2)))
+		checkNear(t, "completion", completions(e, time.Second)[1], time.Duration(float64(100*ms)*(1+cfg.Spill/2)))
 	})
-	t.Run("a load holds its group", func(t *testing.T) {
+	t.Run("a bulk load locks its group", func(t *testing.T) {
 		e := New(cfg)
 		load := Query{ID: 1, Class: Class{Threads: 2, Load: true}, Work: time.Second, NeedMB: 10, Group: 7}
 		e.Submit(0, load)
@@ -84,54 +87,54 @@
 		q.Group, other.Group = 7, 8
 		e.Submit(0, q)
 		e.Submit(0, other)
-		at := ends(e, 3*time.Second)
-		about(t, "the load", at[1], 500*ms)
-		about(t, "what it holds", at[2], 600*ms)
-		about(t, "another group", at[3], 100*ms)
+		at := completions(e, 3*time.Second)
+		checkNear(t, "completion of the load", at[1], 500*ms)
+		checkNear(t, "completion of the query in the locked group", at[2], 600*ms)
+		checkNear(t, "completion of the query in another group", at[3], 100*ms)
 	})
-	t.Run("a cold one is slow and can be pushed over", func(t *testing.T) {
+	t.Run("a cold engine is slow and crashes from overload", func(t *testing.T) {
 		e := New(cfg)
 		e.Start(time.Second)
 		if c := e.Capacity(); c != cfg.ColdStart {
-			t.Errorf("capacity at the start: %g", c)
+			t.Errorf("capacity at the start is %g, want %g", c, cfg.ColdStart)
 		}
 		for id := range uint64(40) {
 			e.Submit(time.Second+time.Duration(id)*10*ms, lookup(id, 200*ms))
 		}
 		if !e.Fallen() || e.Submit(2*time.Second, lookup(99, ms)) {
-			t.Error("it stands under 8 s of work sent within 0.4 s")
+			t.Error("the cold engine survived 8 s of work sent within 0.4 s, or accepted a query after its crash")
 		}
 	})
-	t.Run("full", func(t *testing.T) {
+	t.Run("a full engine rejects queries", func(t *testing.T) {
 		e := New(cfg)
 		for id := range uint64(cfg.Sessions) {
 			e.Submit(0, lookup(id, time.Second))
 		}
 		if e.Submit(0, lookup(999, ms)) {
-			t.Error("it took one more than its sessions")
+			t.Error("accepted a query beyond its limit of sessions")
 		}
 		if !e.Cancel(0, 5) || !e.Submit(0, lookup(999, ms)) {
-			t.Error("a cancel frees no session")
+			t.Error("canceling a query failed or freed no session")
 		}
 	})
 }
 
-// Whatever is sent and given up when: all that was taken ends once or was given up, memory
-// that is granted is that of what runs, and no core does more work than there is time.
+// TestAnyLoad submits and cancels random queries. It verifies that each accepted query completes exactly once
+// unless canceled, and that the granted memory is that of the running queries.
 func TestAnyLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Usual()
-		cfg.TipFor = 0
+		cfg.OverloadWindow = 0
 		e := New(cfg)
 		now, total := time.Duration(0), 0.0
-		out := map[uint64]bool{}
+		outstanding := map[uint64]bool{}
 		id := uint64(0)
 		take := func(done []Done) {
 			for _, d := range done {
-				if !out[d.ID] {
-					t.Fatalf("%d ended, and is not out", d.ID)
+				if !outstanding[d.ID] {
+					t.Fatalf("query %d completed, but is not outstanding", d.ID)
 				}
-				delete(out, d.ID)
+				delete(outstanding, d.ID)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -139,11 +142,11 @@
 			take(e.Advance(now))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				if len(out) > 0 && out[id] {
+				if len(outstanding) > 0 && outstanding[id] {
 					if e.Cancel(now, id) != true {
-						t.Fatalf("%d is out, and the engine does not have it", id)
+						t.Fatalf("Cancel(%d) = false, want true for an outstanding query", id)
 					}
-					delete(out, id)
+					delete(outstanding, id)
 				}
 			default:
 				id++
@@ -152,7 +155,7 @@
 					Class: Class{Threads: float64(rapid.IntRange(1, 3).Draw(t, "threads")), IO: rapid.Float64Range(0, 0.7).Draw(t, "io"),
 						Load: rapid.Bool().Draw(t, "load"), Waits: rapid.Bool().Draw(t, "waits")}}
 				if e.Submit(now, q) {
-					out[id] = true
+					outstanding[id] = true
 					total += q.Work.Seconds() * (1 + cfg.Spill)
 				}
 			}
@@ -161,12 +164,12 @@
 				granted += r.GrantMB
 			}
 			if math.Abs(granted-e.granted) > 1e-6*(1+granted) {
-				t.Fatalf("%g MB are granted, and what runs has %g", e.granted, granted)
+				t.Fatalf("granted memory is %g MB, want %g MB, the sum of the running queries", e.granted, granted)
 			}
 		}
 		take(e.Advance(now + time.Duration(100*total*float64(time.Second)) + time.Hour))
-		if len(out) > 0 {
-			t.Fatalf("%d never ended", len(out))
+		if len(outstanding) > 0 {
+			t.Fatalf("%d queries never completed, want 0", len(outstanding))
 		}
 	})
 }
