--- a/internal/testbed/conformance/report.go
+++ b/internal/testbed/conformance/report.go
@@ -5,51 +5,54 @@
 	"strings"
 )
 
-const heading = `# What the PostgreSQL front answers, message by message
+const heading = `# Conformance of the PostgreSQL frontend, message by message
 
-Written by ` + "`testbed conform --out docs/postgres-conformance.md`" + `, which starts the gateway before one emulated engine and plays each case three times: whole,
-byte by byte, in pieces. What comes back is in words: a message's letter, with what matters of it. *refused*: an error, and the connection goes
-on. The emulated engine is asked the same by itself, so that what differs is the gateway's own.
+Written by ` + "`testbed conform --out docs/postgres-conformance.md`" + `. It starts the gateway in front of one emulated engine and sends the messages
+of each case in three ways: in one write, byte by byte, and in pieces of random length. Answers are written as words: the letter of
+each message and its relevant content. *supported*: the messages are executed; *refused*: the answer is an error, and the connection
+stays open; *ended*: the gateway closes the connection. The emulated engine gets the same messages without a gateway, so that
+differences from its answers are due to the gateway. Answers in bold differ from the expected ones.
 
 `
 
-// Report is the page of results, as Markdown. What came otherwise than expected is in bold.
+// Report returns the results as a page in Markdown. Answers that differ from the expected ones are in bold.
 func Report(list []*Result) string {
 	var b strings.Builder
 	b.WriteString(heading)
-	fmt.Fprintf(&b, "| what | case | it is | comes back | the engine by itself |\n| --- | --- | --- | --- | --- |\n")
+	fmt.Fprintf(&b, "| messages or behavior | case | reaction | expected answer | answer of the engine alone |\n| --- | --- | --- | --- | --- |\n")
 	about := ""
 	for _, r := range list {
-		first := ""
+		subject := ""
 		if r.About != about {
-			about, first = r.About, r.About
+			about, subject = r.About, r.About
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | `%s`%s | %s |\n", first, r.Name, r.Kind, r.Want, r.wrong(), r.alone())
+		fmt.Fprintf(&b, "| %s | %s | %s | `%s`%s | %s |\n", subject, r.Name, r.Kind, r.Want, r.differences(), r.alone())
 	}
 	return b.String()
 }
 
-// wrong is what came in place of what was expected.
-func (r *Result) wrong() string {
+// differences returns the answers that differ from the expected one, with the way that the script was sent.
+func (r *Result) differences() string {
 	var parts []string
 	for _, way := range Ways {
 		if got := r.Got[way]; got != r.Want {
-			parts = append(parts, fmt.Sprintf("; **%v: `%s`**", way, got))
+			parts = append(parts, fmt.Sprintf("; **%v, got: `%s`**", way, got))
 		}
 	}
 	return strings.Join(parts, "")
 }
 
+// alone describes the answer of the engine alone.
 func (r *Result) alone() string {
 	switch {
 	case r.Alone == notAsked:
-		return "not asked: " + r.Why
+		return "not tested: " + r.Why
 	case r.Engine == "":
 		return ""
 	case r.Engine == r.Want:
 		return "the same"
 	case r.Engine == r.Alone:
-		return "otherwise: " + r.Why
+		return "different: " + r.Why
 	}
 	return "**`" + r.Engine + "`**"
 }
--- a/internal/testbed/conformance/run.go
+++ b/internal/testbed/conformance/run.go
@@ -1,6 +1,7 @@
-// Package conformance says what a server of the PostgreSQL wire protocol (version 3.0, chapter 55 of its manual) answers to
-// scripts of messages, and tries that on one: whole, split at every byte, and in pieces drawn by chance. A gateway before an
-// engine and the engine by itself are asked the same, so that differences are the gateway's.
+// Package conformance tests a server of the PostgreSQL wire protocol (version 3.0, chapter 55 of PostgreSQL's manual). Each
+// case sends a script of messages and compares the answer with the expected one. A script is sent in one write, byte by byte,
+// and in pieces of random length. A gateway in front of an engine and the engine alone get the same scripts, so that
+// differences between them are due to the gateway.
 package conformance
 
 import (
@@ -16,78 +17,80 @@
 	"gannetspur/internal/pgproto"
 )
 
-// Case is one script and what is expected to come back, as words: a letter for each message, with what matters of it.
+// Case is a script of messages and the expected answer. An answer is written as words, one per message: the letter of its
+// type, and its relevant content in parentheses.
 type Case struct {
-	Name  string
-	About string // messages and behaviour of the protocol that it tries
-	Kind  Kind
-	Open  []byte // what the connection begins with; nil: a usual startup
-	Send  []byte // behind that
-	Ready int    // how many ReadyForQuery end it; 0: the connection's end
-	Want  string
-	Alone string // what the emulated engine answers by itself, where that differs, or notAsked; with Why
-	Why   string
+	Name  string // what the script does
+	About string // messages or behavior of the protocol under test
+	Kind  Kind   // how the server is expected to react
+	Open  []byte // first message of the connection; nil: a standard startup, whose answer is not part of Want
+	Send  []byte // messages after that
+	Ready int    // number of ReadyForQuery messages after which the answer ends; 0: the answer ends with the connection
+	Want  string // expected answer
+	Alone string // expected answer of the emulated engine alone; "": the same as Want; notAsked: it is not tested
+	Why   string // reason for Alone, if that is not ""
 }
 
-// Kind is what a server makes of a case's subject.
+// Kind is how a server reacts to a script.
 type Kind uint8
 
-// Kinds.
+// Reactions of a server.
 const (
-	Supported Kind = iota
-	Refused        // with an error of the protocol's, and the connection goes on
-	Ended          // with a FATAL error or none, and the connection's end
+	Supported Kind = iota // the script is executed
+	Refused               // the server answers with an ErrorResponse, and the connection stays open
+	Ended                 // the server closes the connection, with a FATAL error or without
 )
 
 func (k Kind) String() string { return [...]string{"supported", "refused", "ended"}[k] }
 
-// Way is how a script is cut when it is sent.
+// Way is how a script is divided into writes.
 type Way uint8
 
-// Ways.
+// Ways of dividing a script.
 const (
-	Whole  Way = iota
-	Bytes      // each byte by itself
-	Pieces     // of 1 to 30 bytes, by chance
+	Whole  Way = iota // one write
+	Bytes             // one write per byte
+	Pieces            // writes of 1 to 30 bytes, drawn at random
 )
 
-// Ways are all of them.
+// Ways lists all ways of dividing a script.
 var Ways = []Way{Whole, Bytes, Pieces}
 
 func (w Way) String() string { return [...]string{"whole", "byte by byte", "in pieces"}[w] }
 
-// patience is how long a server has for a case. Its answers take milliseconds.
-const patience = 10 * time.Second
+// caseTimeout is the time limit of a case. Answers normally take milliseconds.
+const caseTimeout = 10 * time.Second
 
-// Play plays a case on a server and words what came. An answer that does not come in time is worded as "...".
+// Play runs a case against the server at addr and returns its answer as words. A missing answer is written as "..." after the
+// timeout. seed determines the pieces.
 func Play(addr string, c Case, way Way, seed uint64) (string, error) {
-	conn, err := net.DialTimeout("tcp", addr, patience)
+	conn, err := net.DialTimeout("tcp", addr, caseTimeout)
 	if err != nil {
 		return "", fmt.Errorf("conformance: %w", err)
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(caseTimeout)); err != nil {
 		return "", fmt.Errorf("conformance: %w", err)
 	}
 	p := &peer{conn: conn}
-	usual := c.Open == nil
+	standard := c.Open == nil
 	if code, _, _, _ := pgproto.ReadStartup(c.Open); code == pgproto.SSLRequest || code == pgproto.GSSENCRequest {
-		p.letter = true
+		p.encryption = true
 	}
-	if usual {
+	if standard {
 		if _, err := conn.Write(Startup(pgproto.Version, "user", "desk")); err != nil {
 			return "", fmt.Errorf("conformance: %w", err)
 		}
-		if words := p.until(1); !strings.HasSuffix(words, "Z(I)") {
+		if words := p.readUntil(1); !strings.HasSuffix(words, "Z(I)") {
 			return words, nil
 		}
 	}
-	go cut(conn, append(append([]byte{}, c.Open...), c.Send...), way, seed)
-	return p.until(c.Ready), nil
+	go send(conn, append(append([]byte{}, c.Open...), c.Send...), way, seed)
+	return p.readUntil(c.Ready), nil
 }
 
-// cut sends a script. A server may end the connection in the middle of it.
-func cut(conn net.Conn, b []byte, way Way, seed uint64) {
+// send sends a script. It ignores write errors, because a server may close the connection before the end of the script.
+func send(conn net.Conn, b []byte, way Way, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for len(b) > 0 {
 		n := len(b)
@@ -104,24 +107,24 @@
 	}
 }
 
-// peer reads a server's messages.
+// peer reads the messages of a server.
 type peer struct {
-	conn   net.Conn
-	in     []byte
-	letter bool // a request for encryption is answered by one letter, which is no message
+	conn       net.Conn
+	in         []byte // input not processed yet
+	encryption bool   // whether the next byte is the answer to a request for encryption, a single letter instead of a message
 }
 
-// until words what comes up to the n-th ReadyForQuery, or where n is 0 to the connection's end. The letter that answers a request for encryption
-// is worded as "no" or "yes".
-func (p *peer) until(ready int) string {
+// readUntil returns the messages up to the ReadyForQuery of the given count as words, or those up to the end of the connection
+// if ready is 0. The answer to a request for encryption is written as "no" or "yes".
+func (p *peer) readUntil(ready int) string {
 	var words []string
 	for {
-		if p.letter && len(p.in) > 0 {
-			if said, ok := map[byte]string{'N': "no", 'S': "yes"}[p.in[0]]; ok {
-				words = append(words, said)
+		if p.encryption && len(p.in) > 0 {
+			if answer, ok := map[byte]string{'N': "no", 'S': "yes"}[p.in[0]]; ok {
+				words = append(words, answer)
 				p.in = p.in[1:]
 			}
-			p.letter = false
+			p.encryption = false
 			continue
 		}
 		kind, body, n, err := pgproto.ReadMessage(p.in, 1<<24)
@@ -142,7 +145,7 @@
 			continue
 		}
 		p.in = p.in[n:]
-		if kind == 'S' || kind == 'K' { // parameters and keys are a server's own
+		if kind == 'S' || kind == 'K' { // ParameterStatus and BackendKeyData differ between servers
 			continue
 		}
 		words = append(words, word(kind, body))
@@ -154,7 +157,7 @@
 	}
 }
 
-// word is a message in short.
+// word returns the word for a message.
 func word(kind byte, body []byte) string {
 	r := pgproto.Reader{Rest: body}
 	switch kind {
@@ -191,7 +194,7 @@
 	return string(kind)
 }
 
-// Startup is a connection's first message with parameters.
+// Startup returns a StartupMessage. params alternates names and values of parameters.
 func Startup(version uint32, params ...string) []byte {
 	var body []byte
 	for _, p := range params {
@@ -200,14 +203,14 @@
 	return pgproto.AppendStartup(nil, version, append(body, 0))
 }
 
-// Result is what came of a case.
+// Result is the result of a case.
 type Result struct {
 	Case
-	Got    map[Way]string
-	Engine string // by itself; "": not asked
+	Got    map[Way]string // answers of the server
+	Engine string         // answer of the engine alone; "": not tested
 }
 
-// OK tells whether all came as expected, however the script was cut, and from the engine by itself.
+// OK reports whether the server's answers to all ways of dividing the script, and that of the engine alone, are as expected.
 func (r *Result) OK() bool {
 	for _, got := range r.Got {
 		if got != r.Want {
@@ -221,7 +224,8 @@
 	return r.Engine == "" || r.Engine == alone
 }
 
-// All plays all cases on a server, and where there is one on an engine by itself.
+// All runs all cases against the server at the address server and, if engine is not "", against the engine alone at that
+// address. It returns an error if one of them cannot be reached.
 func All(server, engine string, seed uint64) ([]*Result, error) {
 	var list []*Result
 	for _, c := range Cases() {
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -22,29 +22,29 @@
 	"gannetspur/internal/testbed/workload"
 )
 
-// CostOptions say how to measure what reading shapes costs the gateway.
+// CostOptions configure a measurement of what query shapes cost the gateway.
 type CostOptions struct {
-	Root, Program string
-	Clients       int
-	Requests      int // a round
-	Rounds        int // pairs of one without and one with
-	Seed          uint64
-	Prepared      bool // statements are prepared once and bound again and again; else each is a Query with its values
+	Root, Program string // root directory of the sources, and path of the gateway's program
+	Clients       int    // concurrent connections
+	Requests      int    // per round, of all clients
+	Rounds        int    // pairs of rounds, one without shapes and one with them
+	Seed          uint64 // of the statements
+	Prepared      bool   // whether statements are prepared once and bound for each request; otherwise each is a Query with its values
 }
 
-// CostRound is the CPU time of the gateway's process a request, in microseconds, and the
-// requests that it served a second.
+// CostRound holds the measurements of one round.
 type CostRound struct {
-	CPU, Rate float64
-	KB        int // resident at the end
+	CPU  float64 // CPU time of the gateway's process per request, in microseconds
+	Rate float64 // requests served per second
+	KB   int     // resident memory of the process at the end, in KiB
 }
 
-// Cost measures pairs of rounds, without shapes and with them, one after the other, each
-// with a gateway of its own between the same clients and emulated engines without work.
+// Cost measures pairs of rounds, without shapes and with them, one after the other. Each round has a gateway
+// of its own, the same statements, and emulated engines that answer at once.
 func Cost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	texts := lookups(opts.Seed, 2000, opts.Prepared)
 	for i := range 2 * opts.Rounds {
-		on := (i+i/2)%2 == 1 // off on, on off, off on: what drifts meets both
+		on := (i+i/2)%2 == 1 // off on, on off, off on: so that a drift of the machine affects both alike
 		r, err := costRound(ctx, opts, texts, on)
 		if err != nil {
 			return nil, nil, err
@@ -58,17 +58,17 @@
 	return without, with, nil
 }
 
-// mostPrepared is how many statements a client keeps prepared.
-const mostPrepared = 200
+// maxPrepared limits the number of statements that a client keeps prepared.
+const maxPrepared = 200
 
-// lookups are reading statements of the model, with their values written out or bound.
+// lookups returns n lookups of the workload, all with bound values or all without.
 func lookups(seed uint64, n int, bound bool) []workload.Statement {
 	w := workload.New(workload.Options{Seed: seed, Templates: 200}, n)
 	var texts []workload.Statement
 	distinct := map[string]bool{}
 	for len(texts) < n {
 		a := w.Next()
-		if a.Class != "lookup" || (len(a.Values) > 0) != bound || bound && !distinct[a.SQL] && len(distinct) == mostPrepared {
+		if a.Class != "lookup" || (len(a.Values) > 0) != bound || bound && !distinct[a.SQL] && len(distinct) == maxPrepared {
 			continue
 		}
 		distinct[a.SQL] = true
@@ -77,8 +77,8 @@
 	return texts
 }
 
-// messages are what a client sends for one statement: a Query, or a Bind of a statement
-// that it prepares where it has not yet.
+// messages appends what a client sends for one statement: a Query, or Bind, Execute and Sync, after a Parse if
+// the statement is not prepared yet. named holds the names of the prepared statements by text.
 func messages(out []byte, a *workload.Statement, named map[string]string) []byte {
 	if len(a.Values) == 0 {
 		return pgproto.AppendMessage(out, 'Q', pgproto.CString(a.SQL))
@@ -103,6 +103,7 @@
 	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
+// costRound measures one round. A fifth of the requests warms the gateway up first.
 func costRound(ctx context.Context, opts CostOptions, texts []workload.Statement, on bool) (res CostRound, err error) {
 	dir, err := os.MkdirTemp("", "testbed-cost-")
 	if err != nil {
@@ -134,7 +135,7 @@
 	if err := harness.WaitListening(ctx, addr); err != nil {
 		return res, err
 	}
-	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests/5); err != nil { // warm
+	if err := sendAll(ctx, addr, texts, opts.Clients, opts.Requests/5); err != nil { // warm up
 		return res, err
 	}
 	before, err := cpu(g.Process.Pid)
@@ -142,7 +143,7 @@
 		return res, err
 	}
 	start := time.Now()
-	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests); err != nil {
+	if err := sendAll(ctx, addr, texts, opts.Clients, opts.Requests); err != nil {
 		return res, err
 	}
 	took := time.Since(start)
@@ -156,16 +157,16 @@
 	return res, nil
 }
 
-// ask has clients send statements one after the other. Refusals are waited out at the
-// start, while no engine is known yet.
-func ask(ctx context.Context, addr string, texts []workload.Statement, clients, requests int) error {
+// sendAll sends requests from several clients, each one after the other, and returns the errors of all
+// clients.
+func sendAll(ctx context.Context, addr string, texts []workload.Statement, clients, requests int) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, clients)
 	for i := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			errs <- askOne(ctx, addr, texts, i*97, requests/clients)
+			errs <- sendFrom(ctx, addr, texts, i*97, requests/clients)
 		}()
 	}
 	wg.Wait()
@@ -177,7 +178,9 @@
 	return all
 }
 
-func askOne(ctx context.Context, addr string, texts []workload.Statement, from, requests int) error {
+// sendFrom sends requests on one connection, with the statements from an index on. It repeats refused
+// requests: the gateway refuses while it knows no engine yet, and when it limits the load.
+func sendFrom(ctx context.Context, addr string, texts []workload.Statement, from, requests int) error {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -204,7 +207,7 @@
 		switch {
 		case err != nil:
 			return err
-		case refused: // no engine is known yet, or the module holds back
+		case refused: // the gateway knows no engine yet, or limits the load
 			time.Sleep(2 * time.Millisecond)
 		default:
 			done++
@@ -213,7 +216,8 @@
 	return nil
 }
 
-// untilReady reads an answer, and tells whether it was a refusal.
+// untilReady reads an answer up to ReadyForQuery, and reports whether it is a refusal (SQLSTATE 53000). It
+// returns any other error of the server.
 func untilReady(in *bufio.Reader) (refused bool, err error) {
 	head := make([]byte, 5)
 	for {
@@ -240,7 +244,7 @@
 	}
 }
 
-// cpu is the CPU time that a process has used, from proc(5).
+// cpu returns the CPU time that a process has used, from /proc/PID/stat, see proc(5).
 func cpu(pid int) (time.Duration, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -249,10 +253,10 @@
 	_, rest, ok := strings.Cut(string(b), ") ")
 	f := strings.Fields(rest)
 	if !ok || len(f) < 13 {
-		return 0, fmt.Errorf("proc: can't read the times of %d", pid)
+		return 0, fmt.Errorf("cannot read the CPU time of process %d: unexpected format of /proc/%d/stat", pid, pid)
 	}
 	user, err1 := strconv.ParseInt(f[11], 10, 64)
 	system, err2 := strconv.ParseInt(f[12], 10, 64)
-	const tick = 10 * time.Millisecond // USER_HZ is 100 on all that Go runs on
+	const tick = 10 * time.Millisecond // USER_HZ is 100 on all platforms that Go supports
 	return time.Duration(user+system) * tick, errors.Join(err1, err2)
 }
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -1,5 +1,5 @@
-// Package shapes judges the classifier of statements on recorded traffic, whose truth is
-// known, and floods its cache.
+// Package shapes evaluates the classifier of statements on recorded traffic, whose actual classes and
+// costs are known, floods its cache with query shapes, and measures its CPU cost in the gateway.
 package shapes
 
 import (
@@ -17,18 +17,18 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Variant is a way to run the classifier.
+// Variant is a configuration of the classifier.
 type Variant struct {
 	Name   string
 	Config decide.Config
 }
 
-// Classes are those that statements are judged by.
+// Classes returns the classes of reading statements: lookups up to workload.ReportWork, and reports.
 func Classes() []decide.Class {
 	return []decide.Class{{Name: "lookup", MaxWorkMS: workload.ReportWork}, {Name: "report"}}
 }
 
-// Variants are the whole classifier, and each part switched off in turn.
+// Variants returns the complete classifier, and one variant for each part that is switched off.
 func Variants() []Variant {
 	with := func(name string, change func(*decide.Config)) Variant {
 		c := decide.Config{Classes: Classes()}
@@ -44,35 +44,35 @@
 	}
 }
 
-// Result is what one variant made of the judged part of one file.
+// Result holds the results of one variant for the evaluated part of one file. Fractions are from 0 to 1.
 type Result struct {
-	Judged      int
-	ByCount     float64 // share whose class is right
-	ByWorth     float64
-	Hard        float64 // by count, of the hard cases alone
-	HardJudged  int
-	HardBy      map[string][2]int // right and all, by case
-	WritesSafe  int               // writes taken as reading
-	WritesSeen  int
-	ReadsDenied int     // reading statements taken as writes
-	Median, P90 float64 // of |log2(estimate/truth)|
-	HintMedian  float64 // of the hints, where there are any
-	HintP90     float64
-	MeanMedian  float64 // of the mean of the true class
-	MeanP90     float64
-	HintClass   float64 // share whose class the hint alone tells
-	Shapes      int
-	Bytes       int
-	HitRate     float64 // over all of the file
+	Judged      int               // statements evaluated
+	ByCount     float64           // fraction of the statements whose class is right
+	ByWorth     float64           // the same, with each statement weighted by its value
+	Hard        float64           // fraction of the hard cases whose class is right
+	HardJudged  int               // hard cases evaluated
+	HardBy      map[string][2]int // number right and total number, by case
+	WritesSafe  int               // writes wrongly classified as reading
+	WritesSeen  int               // all writes
+	ReadsDenied int               // reading statements wrongly classified as writes
+	Median, P90 float64           // median and 90th percentile of |log2(estimated work/actual work)|
+	HintMedian  float64           // the same for the hinted work, of statements with a hint
+	HintP90     float64           // see HintMedian
+	MeanMedian  float64           // the same for the mean work so far of the actual class
+	MeanP90     float64           // see MeanMedian
+	HintClass   float64           // fraction of the hinted statements whose class the hint alone would give
+	Shapes      int               // shapes in the cache at the end
+	Bytes       int               // size of the cache at the end
+	HitRate     float64           // hit rate of the cache over the whole file
 }
 
-// Options say how to judge.
+// Options configure an evaluation.
 type Options struct {
-	Train float64 // share of the records that is not judged; learning goes on after it
-	Bytes int     // of the cache
+	Train float64 // fraction of the records at the start that only train the classifier; it goes on learning after them
+	Bytes int     // limit of the cache
 }
 
-// Records is one file, read whole.
+// Records reads a whole file of traffic. On an error it returns the records read before.
 func Records(r io.Reader) ([]traffic.Record, traffic.Head, error) {
 	t, err := traffic.NewReader(r)
 	if err != nil {
@@ -93,10 +93,10 @@
 	}
 }
 
-// Evaluate plays records through a variant, in order and as a gateway would: estimate,
-// then learn what the execution has cost.
+// Evaluate passes records to a variant, in order and as a gateway does: it estimates a statement, then
+// learns the actual cost of its execution.
 func Evaluate(records []traffic.Record, v Variant, opts Options) (Result, error) {
-	book, err := queryshape.New(queryshape.Options{Model: v.Config, Bytes: opts.Bytes})
+	shapeCache, err := queryshape.New(queryshape.Options{Model: v.Config, Bytes: opts.Bytes})
 	if err != nil {
 		return Result{}, err
 	}
@@ -104,25 +104,25 @@
 	var errs, hints, means []float64
 	var right, worth, rightWorth, hardRight, hintRight, hinted float64
 	mean := map[string]*[2]float64{}
-	from := int(opts.Train * float64(len(records)))
+	trained := int(opts.Train * float64(len(records)))
 	for i := range records {
 		r := &records[i]
-		judged := i >= from
+		evaluated := i >= trained
 		effect := sqltext.EffectOf(r.Statement, nil).Effect
-		s := book.Read(r.Statement)
+		s := shapeCache.Read(r.Statement)
 		binds := sqltext.Binds{Values: r.Values, Formats: r.Formats, Types: r.Types}
-		x := book.Estimate(s, &binds, -1, queryshape.Hint{Work: r.HintWork, MemoryMB: r.HintMB})
+		x := shapeCache.Estimate(s, &binds, -1, queryshape.Hint{Work: r.HintWork, MemoryMB: r.HintMB})
 		got := "write"
 		switch {
-		case r.Class == "load" && r.Key > 0: // the rule for INSERT INTO names the class and the key
+		case r.Class == "load" && r.Key > 0: // in the gateway, the configured rule for INSERT INTO sets the class and the key
 			got = "load"
 		case effect != sqltext.Reads:
 		case x.Estimate.Class >= 0:
 			got = v.Config.Classes[x.Estimate.Class].Name
-		default: // nothing is known yet: the default class
+		default: // nothing is known of the shape yet: the default class
 			got = "lookup"
 		}
-		if m := mean[r.Class]; judged {
+		if m := mean[r.Class]; evaluated {
 			res.Judged++
 			worth += r.Value
 			if got == r.Class {
@@ -153,11 +153,11 @@
 			if r.Class != "write" && r.HintWork > 0 {
 				hints = append(hints, math.Abs(math.Log2(r.HintWork/r.Work)))
 				hinted++
-				said := "lookup"
+				hintedClass := "lookup"
 				if r.HintWork > workload.ReportWork {
-					said = "report"
+					hintedClass = "report"
 				}
-				if r.Class == "load" || said == r.Class {
+				if r.Class == "load" || hintedClass == r.Class {
 					hintRight++
 				}
 			}
@@ -170,7 +170,7 @@
 		} else {
 			mean[r.Class] = &[2]float64{r.Work, 1}
 		}
-		book.Learn(x, decide.Outcome{Work: r.Work, MemoryMB: r.MemoryMB})
+		shapeCache.Learn(x, decide.Outcome{Work: r.Work, MemoryMB: r.MemoryMB})
 	}
 	res.ByCount = right / float64(res.Judged)
 	res.ByWorth = rightWorth / worth
@@ -179,11 +179,12 @@
 	res.Median, res.P90 = quantiles(errs)
 	res.HintMedian, res.HintP90 = quantiles(hints)
 	res.MeanMedian, res.MeanP90 = quantiles(means)
-	res.Shapes, res.Bytes = book.Len(), book.Bytes()
-	res.HitRate = float64(book.Stats.Hits) / float64(book.Stats.Hits+book.Stats.Misses)
+	res.Shapes, res.Bytes = shapeCache.Len(), shapeCache.Bytes()
+	res.HitRate = float64(shapeCache.Stats.Hits) / float64(shapeCache.Stats.Hits+shapeCache.Stats.Misses)
 	return res, nil
 }
 
+// quantiles returns the median and the 90th percentile, or NaN for no values. It sorts x.
 func quantiles(x []float64) (median, p90 float64) {
 	if len(x) == 0 {
 		return math.NaN(), math.NaN()
@@ -192,12 +193,12 @@
 	return stat.Quantile(0.5, stat.Empirical, x, nil), stat.Quantile(0.9, stat.Empirical, x, nil)
 }
 
-// Generated makes the records of a world in memory.
+// Generated generates the records of a workload in memory, without arrival times.
 func Generated(opts workload.Options, number int) []traffic.Record {
-	w := workload.New(opts, number)
+	generator := workload.New(opts, number)
 	all := make([]traffic.Record, number)
 	for i := range all {
-		all[i] = traffic.RecordOf(w.Next())
+		all[i] = traffic.RecordOf(generator.Next())
 	}
 	return all
 }
