--- a/internal/testbed/emulator/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -32,7 +32,7 @@
 	Machine  *Machine
 	QueryFor func(statement string) enginemodel.Query
 	Ledger   *Ledger                         // records executions; nil: none are recorded
-	Logins   *scramauth.Users                // users that may log in by SCRAM in the PostgreSQL protocol; nil: no password is requested, and User decides
+	Logins   *scramauth.Users                // users that log in to the PostgreSQL protocol by SCRAM; nil: no password is requested
 	TLS      *tls.Config                     // of the PostgreSQL protocol; nil: encryption is declined
 	Heard    func(session, statement string) // called with each statement of the PostgreSQL protocol before it runs; may be nil
 	Log      *slog.Logger
@@ -133,7 +133,7 @@
 				return
 			}
 			w.Header().Set("X-Consul-Index", strconv.FormatUint(now, 10))
-			_ = json.NewEncoder(w).Encode(body(all)) // the client has disconnected: nobody needs the answer
+			_ = json.NewEncoder(w).Encode(body(all)) // fails only if the client has disconnected
 		}
 	}
 	mux := http.NewServeMux()
--- a/internal/testbed/emulator/fleet.go
+++ b/internal/testbed/emulator/fleet.go
@@ -49,7 +49,7 @@
 // Fleet is a set of engines with the discovery systems that report them: the event bus and Consul's catalog
 // reflect the actions that a script applies to the fleet.
 type Fleet struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	members     []*Member
 	events      []event
 	changed     chan struct{} // closed and replaced at each change
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -67,25 +67,25 @@
 	dialTimeout  = 5 * time.Second
 )
 
-// wire is the network connection of a client of either protocol.
-type wire struct {
+// transport is the network connection of a client of either protocol.
+type transport struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func dial(addr string) (wire, error) {
+func dial(addr string) (transport, error) {
 	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
-		return wire{}, err
+		return transport{}, err
 	}
-	return wire{c, bufio.NewReader(c)}, nil
+	return transport{c, bufio.NewReader(c)}, nil
 }
 
 // Close closes the connection.
-func (w *wire) Close() { _ = w.conn.Close() }
+func (w *transport) Close() { _ = w.conn.Close() }
 
 // Idle waits a millisecond for input, which would answer no request, or the end of the connection.
-func (w *wire) Idle() Verdict {
+func (w *transport) Idle() Verdict {
 	_ = w.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := w.in.Peek(1)
 	_ = w.conn.SetReadDeadline(time.Time{})
--- a/internal/testbed/load/http.go
+++ b/internal/testbed/load/http.go
@@ -10,7 +10,7 @@
 
 // HTTP is a client of the HTTP frontend.
 type HTTP struct {
-	wire
+	transport
 	n    uint64    // number of the latest request, sent as its Req-Id
 	addr string    // host and port of the frontend
 	used time.Time // when the latest request was sent
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &HTTP{wire: w, n: seed << 24, addr: addr, used: time.Now()}
+	c := &HTTP{transport: w, n: seed << 24, addr: addr, used: time.Now()}
 	_ = c.conn.SetDeadline(time.Now().Add(setupTimeout))
 	if err := c.checkHealth(); err != nil {
 		c.Close()
@@ -66,7 +66,7 @@
 			return Unreachable, err.Error()
 		}
 		c.Close()
-		c.wire = w
+		c.transport = w
 	}
 	c.used = time.Now()
 	_ = c.conn.SetDeadline(time.Now().Add(within + grace))
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -52,14 +52,14 @@
 type Source struct {
 	opts Options
 
-	mu      sync.Mutex
-	free    []Client
-	freed   *sync.Cond
+	mu      sync.Mutex // guards free, rng, records and dials
+	free    []Client   // connections that no request uses
+	freed   *sync.Cond // signaled when a connection becomes free
 	rng     *rand.Rand
 	records []Record
 	stop    chan struct{}
 	stopped sync.Once
-	dials   uint64
+	dials   uint64 // connections dialed so far; the seed of the latest
 }
 
 // dialers is how many goroutines connect the clients.
@@ -70,10 +70,10 @@
 	s := &Source{stop: make(chan struct{}), opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0x6c6f6164))}
 	s.freed = sync.NewCond(&s.mu)
 	errs := make(chan error, dialers)
-	per := (opts.Connections + dialers - 1) / dialers
+	share := (opts.Connections + dialers - 1) / dialers
 	for i := range dialers {
 		go func() {
-			for range max(min(per, opts.Connections-i*per), 0) {
+			for range max(min(share, opts.Connections-i*share), 0) {
 				c, err := s.dial()
 				if err != nil {
 					errs <- err
@@ -102,6 +102,7 @@
 	return s, nil
 }
 
+// dial opens a connection with the next seed.
 func (s *Source) dial() (Client, error) {
 	s.mu.Lock()
 	s.dials++
--- a/internal/testbed/load/postgres.go
+++ b/internal/testbed/load/postgres.go
@@ -12,7 +12,7 @@
 
 // Postgres is a client of the PostgreSQL frontend. It prepares its statements when it connects.
 type Postgres struct {
-	wire
+	transport
 	n int // number of the latest request; selects how it is sent
 }
 
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Postgres{wire: w}
+	c := &Postgres{transport: w}
 	_ = c.conn.SetDeadline(time.Now().Add(setupTimeout))
 	if err := c.prepare(); err != nil {
 		c.Close()
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -102,7 +102,7 @@
 	}
 	res := Result{HardBy: map[string][2]int{}}
 	var errs, hints, means []float64
-	var right, worth, rightWorth, hardRight, hintRight, hinted float64
+	var right, value, rightValue, hardRight, hintRight, hinted float64
 	mean := map[string]*[2]float64{}
 	trained := int(opts.Train * float64(len(records)))
 	for i := range records {
@@ -124,10 +124,10 @@
 		}
 		if m := mean[r.Class]; evaluated {
 			res.Judged++
-			worth += r.Value
+			value += r.Value
 			if got == r.Class {
 				right++
-				rightWorth += r.Value
+				rightValue += r.Value
 			}
 			if r.Class == "write" {
 				res.WritesSeen++
@@ -173,7 +173,7 @@
 		shapeCache.Learn(x, decide.Outcome{Work: r.Work, MemoryMB: r.MemoryMB})
 	}
 	res.ByCount = right / float64(res.Judged)
-	res.ByWorth = rightWorth / worth
+	res.ByWorth = rightValue / value
 	res.Hard = hardRight / float64(max(res.HardJudged, 1))
 	res.HintClass = hintRight / max(hinted, 1)
 	res.Median, res.P90 = quantiles(errs)
