--- a/internal/testbed/conformance/cases.go
+++ b/internal/testbed/conformance/cases.go
@@ -103,8 +103,8 @@
 	add(Ended, "StartupMessage",
 		Case{Name: "unsupported major version", Open: Startup(2<<16, "user", "desk"), Want: "E(FATAL 08P01) end", Alone: "R(0) Z(I) end", Why: noVersion, Send: terminate},
 		Case{Name: "no user parameter", Open: Startup(pgproto.Version, "database", "stock"), Want: "E(FATAL 28000) end", Alone: "R(0) Z(I) end", Why: lenient, Send: terminate},
-		Case{Name: "message length of 3", Open: []byte{0, 0, 0, 3, 0, 3, 0, 0}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient},
-		Case{Name: "message length of 2 GB", Open: []byte{127, 255, 255, 255, 0, 3, 0, 0}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient})
+		Case{Name: "length field of 3", Open: []byte{0, 0, 0, 3, 0, 3, 0, 0}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient},
+		Case{Name: "length field of 2 GB", Open: []byte{127, 255, 255, 255, 0, 3, 0, 0}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient})
 	add(Supported, "SSLRequest, GSSENCRequest without encryption",
 		Case{Name: "SSLRequest, declined", Open: pgproto.AppendStartup(nil, pgproto.SSLRequest, nil), Send: startup(), Ready: 1, Want: "no R(0) Z(I)"},
 		Case{Name: "GSSENCRequest, declined", Open: pgproto.AppendStartup(nil, pgproto.GSSENCRequest, nil), Send: startup(), Ready: 1, Want: "no R(0) Z(I)",
@@ -178,8 +178,8 @@
 		Case{Name: "after a batch", Send: script(parse("", ask), bind("", ""), execute("", 0), sync, terminate), Want: "1 2 " + one + " Z(I) end"})
 	add(Ended, "malformed framing",
 		Case{Name: "unknown message type", Send: pgproto.AppendMessage(nil, 'y', []byte("odd")), Want: "E(FATAL 08P01) end", Alone: notAsked, Why: lenient},
-		Case{Name: "message length of 3", Send: []byte{'Q', 0, 0, 0, 3}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient},
-		Case{Name: "message length of 2 GB", Send: []byte{'Q', 127, 255, 255, 255}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient})
+		Case{Name: "length field of 3", Send: []byte{'Q', 0, 0, 0, 3}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient},
+		Case{Name: "length field of 2 GB", Send: []byte{'Q', 127, 255, 255, 255}, Want: "E(FATAL 08P01) end", Alone: "end", Why: lenient})
 	add(Refused, "malformed message body",
 		Case{Name: "Query without its terminating zero", Send: pgproto.AppendMessage(nil, 'Q', []byte("SELECT 1")), Ready: 1, Want: "E(08P01) Z(I)", Alone: "C() Z(I)", Why: lenient},
 		Case{Name: "truncated Parse", Send: script(pgproto.AppendMessage(nil, 'P', []byte("s")), sync), Ready: 1, Want: "E(08P01) Z(I)", Alone: "1 Z(I)", Why: lenient},
--- a/internal/testbed/enginemodel/engine.go
+++ b/internal/testbed/enginemodel/engine.go
@@ -100,7 +100,7 @@
 	stolen   float64   // fraction of the machine that another program uses
 	arrivals []arrival // work that reached a cold engine within OverloadWindow
 	crashed  bool
-	load     Load
+	load     Load // reported load, as of the latest allocate
 }
 
 // arrival is the work of a query that reached a cold engine.
@@ -293,8 +293,8 @@
 }
 
 // fairShares divides total among the tasks in proportion to their priority weights and their demands, and
-// gives no task more than its demand. Every share is at least 1e-6, so that rates stay finite unless the
-// resource is divided among unsatisfied tasks.
+// gives no task more than its demand. When nothing is left to divide, every share is raised to at least
+// 1e-6, which prevents a division by zero in allocate.
 func fairShares(tasks []*task, total float64, demand func(*task) float64) []float64 {
 	shares := make([]float64, len(tasks))
 	pending := make([]int, 0, len(tasks))
