--- a/internal/testbed/emulator/emul.go
+++ b/internal/testbed/emulator/emul.go
@@ -25,10 +25,10 @@
 // Options describe an emulated engine.
 type Options struct {
 	Name string // name in the ledger
-	Work Work   // cost of a statement, without a Machine
+	Work Work   // cost of a statement; not used with a Machine
 	User string // the only trusted user of the PostgreSQL protocol; "": every user is trusted
 	// Machine, if not nil, executes the statements, which then compete for resources as on a
-	// real engine. QueryFor returns the query of a statement, and Work is not used.
+	// real engine. QueryFor, which only a Machine needs, returns the query of a statement.
 	Machine  *Machine
 	QueryFor func(statement string) enginemodel.Query
 	Ledger   *Ledger                         // records executions; nil: none are recorded
@@ -95,7 +95,8 @@
 }
 
 // Consul serves the catalog and the health of a fleet under the name of a service, with blocking queries: a
-// query that states the current index waits for the next one, at most as long as it states.
+// query whose index parameter is the current index waits for the next one, at most as long as its wait
+// parameter states.
 func (f *Fleet) Consul(service string) http.Handler {
 	type entry struct {
 		Node, Address, Datacenter, ServiceID string
@@ -168,7 +169,7 @@
 	}
 	if a, ok := ln.Addr().(*net.TCPAddr); !ok || !a.IP.IsLoopback() {
 		_ = ln.Close()
-		return nil, fmt.Errorf("emulator: %s is no loopback address", ln.Addr())
+		return nil, fmt.Errorf("emulator: listening at %s, want a loopback address", ln.Addr())
 	}
 	return ln, nil
 }
--- a/internal/testbed/emulator/fleet.go
+++ b/internal/testbed/emulator/fleet.go
@@ -235,7 +235,8 @@
 	})
 }
 
-// appendFrame appends a frame of the bus: length, event number, kind and payload.
+// appendFrame appends a frame of the bus: length, event number, kind (2: a change of engines, 0: empty) and
+// payload.
 func appendFrame(b []byte, number uint64, kind byte, payload []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(9+len(payload)))
 	b = binary.BigEndian.AppendUint64(b, number)
--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("after Return: index %s, engines %v, want index 3, second engine passing with boot_ms", now, list)
 	}
 	if c, err := net.Dial("tcp", addr); err != nil {
-		t.Errorf("connection to a returned engine: %v", err)
+		t.Errorf("connection to a returned engine: error %v, want none", err)
 	} else {
 		c.Close()
 	}
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -11,7 +11,7 @@
 type Machine struct {
 	mu      sync.Mutex
 	engine  *enginemodel.Engine
-	origin  time.Time
+	origin  time.Time // when the time of the model was 0
 	timer   *time.Timer
 	last    uint64                   // id of the latest query
 	pending map[uint64]func(Outcome) // callbacks of the queries that have not ended, by id
@@ -28,6 +28,7 @@
 	return &Machine{engine: enginemodel.New(cfg), origin: time.Now(), pending: map[uint64]func(Outcome){}}
 }
 
+// now returns the current time of the model.
 func (m *Machine) now() time.Duration { return time.Since(m.origin) }
 
 // Run submits a query under an id of the machine's own, which it returns. done is called once, on a
@@ -94,7 +95,7 @@
 	return m.engine.Load()
 }
 
-// advance advances the model to the current time and calls back for the queries that ended.
+// advance advances the model to the current time and calls back for the queries that ended. m.mu must be held.
 func (m *Machine) advance() {
 	for _, d := range m.engine.Advance(m.now()) {
 		if done := m.pending[d.ID]; done != nil {
@@ -104,7 +105,7 @@
 	}
 }
 
-// schedule sets the timer for the next completion.
+// schedule sets the timer for the next completion. m.mu must be held.
 func (m *Machine) schedule() {
 	at, ok := m.engine.Next()
 	if !ok {
--- a/internal/testbed/emulator/pg.go
+++ b/internal/testbed/emulator/pg.go
@@ -34,9 +34,10 @@
 	skip   bool // whether messages are skipped up to the next Sync, after an error
 }
 
-// control executes statements that control transactions, savepoints and settings, and fails those that a
-// failed transaction or the statement itself rules out. tag is the command tag of a completed statement;
-// if tag is "" and e nil, the statement must be executed otherwise.
+// control executes statements that control transactions, savepoints and settings. It returns an error for
+// any other statement in a failed transaction, for a savepoint outside of a transaction, for a setting with
+// an invalid value and for a division by zero. tag is the command tag of a completed statement; if tag is ""
+// and e is nil, the caller must execute the statement.
 func (s *pgSession) control(statement string) (tag string, e *pgproto.Error) {
 	words := strings.Fields(strings.ToUpper(statement) + " ")
 	first := ""
@@ -78,12 +79,11 @@
 	return "", nil
 }
 
-// portal is a bound statement. key is its first bound value, and rows are those not yet fetched once it
-// has begun.
+// portal is a bound statement.
 type portal struct {
-	query, key string
-	begun      bool
-	rows       []string
+	query, key string   // text, and first bound value or ""
+	begun      bool     // whether the statement has been executed
+	rows       []string // rows not fetched yet; empty until the statement has been executed
 }
 
 // fetch appends the next rows, at most limit (0: all), and a CommandComplete or PortalSuspended.
@@ -376,7 +376,7 @@
 	return w
 }
 
-// end stops the watch, and returns once it has stopped.
+// end stops the watch by a read deadline in the past, and returns once it has stopped.
 func (w *watch) end() {
 	_ = w.conn.SetReadDeadline(time.Unix(1, 0))
 	<-w.stopped
--- a/internal/testbed/enginemodel/engine.go
+++ b/internal/testbed/enginemodel/engine.go
@@ -54,9 +54,9 @@
 type Query struct {
 	ID       uint64 // unique among the queries of an engine
 	Class    Class
-	Work     time.Duration // of all threads together, as time on one core
+	Work     time.Duration // work of all threads together, as time on one core
 	NeedMB   float64       // memory needed
-	GrantMB  float64       // memory granted; 0: the engine grants 1.25 times the need
+	GrantMB  float64       // memory granted; 0: the engine grants 1.25 times the need. At most 40 % of the engine's memory is granted
 	Priority int           // 0 to 3, 3 being the highest
 	Group    int64         // group of tables
 }
@@ -238,8 +238,9 @@
 	}
 }
 
-// blocked reports whether a query is blocked because a bulk load locks its group. A bulk load waits only
-// for those submitted before it, any other query that waits for all.
+// blocked reports whether a query is blocked because a bulk load locks its group. Other
+// bulk loads block a bulk load only if they were submitted before it. Every bulk load blocks a query with
+// Class.Waits.
 func (e *Engine) blocked(t *task) bool {
 	if !t.Class.Load && !t.Class.Waits {
 		return false
@@ -280,7 +281,8 @@
 	disk := fairShares(active, e.cfg.Disks*e.Capacity(), func(t *task) float64 { return t.Class.Threads * t.io })
 	used := 0.0
 	for i, t := range active {
-		// A unit of work uses a core for its share of time, and then a disk for the rest.
+		// The fraction 1-io of the work uses cores, and then the fraction io uses disks. As disk[i] is at
+		// most Threads*io, the second term is at least io/Threads.
 		per := (1 - t.io) / cpu[i]
 		if t.io > 0 {
 			per += t.io * t.io / disk[i]
--- a/internal/testbed/enginemodel/engine_test.go
+++ b/internal/testbed/enginemodel/engine_test.go
@@ -35,7 +35,7 @@
 // TestRules verifies each rule of the specification that the model follows.
 func TestRules(t *testing.T) {
 	cfg := Usual()
-	t.Run("a single query takes its work", func(t *testing.T) {
+	t.Run("a single query takes the time of its work", func(t *testing.T) {
 		e := New(cfg)
 		e.Submit(0, lookup(1, 200*ms))
 		checkNear(t, "completion", completions(e, time.Second)[1], 200*ms)
@@ -102,7 +102,7 @@
 			e.Submit(time.Second+time.Duration(id)*10*ms, lookup(id, 200*ms))
 		}
 		if !e.Fallen() || e.Submit(2*time.Second, lookup(99, ms)) {
-			t.Error("the cold engine survived 8 s of work sent within 0.4 s, or accepted a query after its crash")
+			t.Error("after 8 s of work sent within 0.4 s, the cold engine has not crashed or accepts a query, want a crash and no query accepted")
 		}
 	})
 	t.Run("a full engine rejects queries", func(t *testing.T) {
@@ -111,10 +111,10 @@
 			e.Submit(0, lookup(id, time.Second))
 		}
 		if e.Submit(0, lookup(999, ms)) {
-			t.Error("accepted a query beyond its limit of sessions")
+			t.Error("a full engine accepted a query, want it rejected")
 		}
 		if !e.Cancel(0, 5) || !e.Submit(0, lookup(999, ms)) {
-			t.Error("canceling a query failed or freed no session")
+			t.Error("Cancel returned false or the next query was rejected, want true and the query accepted")
 		}
 	})
 }
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// elsewhereFraction is, if there is another gateway, the fraction of retries that go to another gateway.
+// elsewhereFraction is the fraction of retries that go to the other gateway, if there is one.
 const elsewhereFraction = 0.5
 
 // retryDelay is the pause before a retry.
--- a/internal/testbed/load/postgres.go
+++ b/internal/testbed/load/postgres.go
@@ -13,7 +13,7 @@
 // Postgres is a client of the PostgreSQL frontend. It prepares its statements when it connects.
 type Postgres struct {
 	transport
-	n int // number of the latest request; selects how it is sent
+	n int // number of the latest request, from 1; determines how the request is sent
 }
 
 // DialPostgres connects to a PostgreSQL frontend, logs in and prepares the client's statements.
@@ -116,9 +116,9 @@
 	return pgproto.AppendMessage(out, end)
 }
 
-// request returns the messages of the client's own statement for the next request. Every third
-// lookup sends its value in the text of a Query; all other requests bind it. Every fifth lookup that
-// binds fetches its rows in two pages.
+// request returns the messages of the client's own statement for request number n. A lookup
+// whose number is a multiple of 3 sends its value in the text of a Query; all other requests bind it.
+// A lookup that binds its value fetches its rows in two pages if its number is a multiple of 5.
 func (c *Postgres) request(kind Kind, mark string) (out []byte, rows fetch) {
 	if kind == Lookup && c.n%3 == 0 {
 		text := fmt.Sprintf("SELECT part, note FROM stock_3.parts WHERE tag = '%s'", mark)
--- a/internal/testbed/shapes/cost.go
+++ b/internal/testbed/shapes/cost.go
@@ -61,38 +61,39 @@
 // maxPrepared limits the number of statements that a client keeps prepared.
 const maxPrepared = 200
 
-// lookups returns n lookups of the workload, all with bound values or all without.
+// lookups returns n lookups of the workload, all with bound values or all without. Those with bound values
+// have at most maxPrepared distinct texts.
 func lookups(seed uint64, n int, bound bool) []workload.Statement {
 	w := workload.New(workload.Options{Seed: seed, Templates: 200}, n)
 	var texts []workload.Statement
 	distinct := map[string]bool{}
 	for len(texts) < n {
-		a := w.Next()
-		if a.Class != "lookup" || (len(a.Values) > 0) != bound || bound && !distinct[a.SQL] && len(distinct) == maxPrepared {
+		statement := w.Next()
+		if statement.Class != "lookup" || (len(statement.Values) > 0) != bound || bound && !distinct[statement.SQL] && len(distinct) == maxPrepared {
 			continue
 		}
-		distinct[a.SQL] = true
-		texts = append(texts, a)
+		distinct[statement.SQL] = true
+		texts = append(texts, statement)
 	}
 	return texts
 }
 
 // messages appends what a client sends for one statement: a Query, or Bind, Execute and Sync, after a Parse if
 // the statement is not prepared yet. named holds the names of the prepared statements by text.
-func messages(out []byte, a *workload.Statement, named map[string]string) []byte {
-	if len(a.Values) == 0 {
-		return pgproto.AppendMessage(out, 'Q', pgproto.CString(a.SQL))
+func messages(out []byte, statement *workload.Statement, named map[string]string) []byte {
+	if len(statement.Values) == 0 {
+		return pgproto.AppendMessage(out, 'Q', pgproto.CString(statement.SQL))
 	}
-	name, ok := named[a.SQL]
+	name, ok := named[statement.SQL]
 	if !ok {
 		name = fmt.Sprintf("s%d", len(named))
-		named[a.SQL] = name
-		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(a.Types)/4)), a.Types...)
-		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(a.SQL), types)
+		named[statement.SQL] = name
+		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(statement.Types)/4)), statement.Types...)
+		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(statement.SQL), types)
 	}
-	body := binary.BigEndian.AppendUint16(nil, uint16(len(a.Formats)/2))
-	body = binary.BigEndian.AppendUint16(append(body, a.Formats...), uint16(len(a.Values)))
-	for _, v := range a.Values {
+	body := binary.BigEndian.AppendUint16(nil, uint16(len(statement.Formats)/2))
+	body = binary.BigEndian.AppendUint16(append(body, statement.Formats...), uint16(len(statement.Values)))
+	for _, v := range statement.Values {
 		if v == nil {
 			body = append(body, pgproto.Int32(-1)...)
 			continue
@@ -103,7 +104,7 @@
 	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
-// costRound measures one round. A fifth of the requests warms the gateway up first.
+// costRound measures one round, after a warm-up with a fifth as many requests.
 func costRound(ctx context.Context, opts CostOptions, texts []workload.Statement, on bool) (res CostRound, err error) {
 	dir, err := os.MkdirTemp("", "testbed-cost-")
 	if err != nil {
--- a/internal/testbed/shapes/evaluate.go
+++ b/internal/testbed/shapes/evaluate.go
@@ -55,12 +55,12 @@
 	WritesSafe  int               // writes wrongly classified as reading
 	WritesSeen  int               // all writes
 	ReadsDenied int               // reading statements wrongly classified as writes
-	Median, P90 float64           // median and 90th percentile of |log2(estimated work/actual work)|
+	Median, P90 float64           // median and 90th percentile of |log2(estimated work/actual work)|, without writes
 	HintMedian  float64           // the same for the hinted work, of statements with a hint
 	HintP90     float64           // see HintMedian
 	MeanMedian  float64           // the same for the mean work so far of the actual class
 	MeanP90     float64           // see MeanMedian
-	HintClass   float64           // fraction of the hinted statements whose class the hint alone would give
+	HintClass   float64           // fraction of the hinted statements, without writes, whose class the hint alone would give; loads count as right
 	Shapes      int               // shapes in the cache at the end
 	Bytes       int               // size of the cache at the end
 	HitRate     float64           // hit rate of the cache over the whole file
--- a/internal/testbed/traffic/reader.go
+++ b/internal/testbed/traffic/reader.go
@@ -14,15 +14,15 @@
 // Reader reads a traffic file block by block. Its errors do not wrap those of the decoders, because an
 // io.EOF inside a damaged block must not be taken for the end of the file.
 type Reader struct {
-	Head Head
+	Head Head // head of the file
 
 	r         io.Reader
 	zstd      *zstd.Decoder
 	cbor      cbor.DecMode
-	items     *cbor.Decoder
-	remaining uint32 // records of the current block not read yet
-	number    uint64 // records read so far
-	done      bool   // whether the end block has been read
+	items     *cbor.Decoder // of the current block, decompressed
+	remaining uint32        // records of the current block not read yet
+	number    uint64        // records read so far
+	done      bool          // whether the end block has been read
 }
 
 // NewReader reads the magic string, the version and the head of a file.
@@ -69,7 +69,7 @@
 		return io.EOF
 	}
 	if length > maxBlockBytes {
-		return fmt.Errorf("%w: block after record %d has %d bytes, want at most %d", ErrDamaged, t.number, length, maxBlockBytes)
+		return fmt.Errorf("%w: the block after %d records has %d bytes, want at most %d", ErrDamaged, t.number, length, maxBlockBytes)
 	}
 	b := make([]byte, length)
 	if _, err := io.ReadFull(t.r, b); err != nil {
--- a/internal/testbed/workcost/costs.go
+++ b/internal/testbed/workcost/costs.go
@@ -1,6 +1,6 @@
 // Package workcost defines the cost of the testbed's requests and the value of their answers. Both are
-// functions of a request's mark alone, so that an emulated engine, a checker and a simulation in virtual
-// time agree on them.
+// functions of a request's mark alone, the identifier that a load generator puts into each request, so that
+// an emulated engine, a checker and a simulation in virtual time agree on them.
 package workcost
 
 import (
@@ -103,7 +103,8 @@
 
 // WorstTenSeconds returns the lowest fraction, from 0 to 1, of the requested value that was obtained in
 // any ten consecutive seconds. Each element holds the value obtained and the value requested in one
-// second. The last second, which may be incomplete, is left out.
+// second. The last second, which may be incomplete, is left out. The result is 1 if nothing was requested in
+// any ten seconds.
 func WorstTenSeconds(seconds [][2]float64) float64 {
 	const window = 10
 	worst := 1.0
--- a/internal/testbed/workload/families.go
+++ b/internal/testbed/workload/families.go
@@ -7,14 +7,15 @@
 )
 
 // Work of a bulk load, in milliseconds on one core: a fixed part and a part per row. usualLoadRows is
-// the number of rows that the usual cost of its shape assumes.
+// the number of rows that the usual work of a load assumes.
 const (
 	loadBaseWork  = 1200
 	loadRowWork   = 17
 	usualLoadRows = 110
 )
 
-// buildFamily maps each family to the method that writes a statement of it and sets the row counts.
+// buildFamily maps each family to the method that writes one of its statements and sets the row counts of the
+// statement, or the work of a bulk load.
 var buildFamily = [families]func(*statementBuilder){
 	byPart:           (*statementBuilder).byPart,
 	byPartWholesaler: (*statementBuilder).byPartWholesaler,
@@ -51,7 +52,8 @@
 	q.usual = q.actual
 }
 
-// partList selects the rows of a list of parts: a few, or thousands if the statement is broad.
+// partList selects the rows of a list of parts: a few, or thousands, always as literals, if the statement is
+// broad.
 func (q *statementBuilder) partList() {
 	n := 2 + q.random.IntN(7)
 	if q.broad {
@@ -93,8 +95,8 @@
 	q.usual = rowCounts{indexed: 2 * q.rows / Days, out: 2 * q.rows / Days}
 }
 
-// search selects parts by a LIKE pattern. A broad pattern starts with a wildcard, which rules out the
-// index.
+// search selects the rows whose part matches a LIKE pattern. A broad pattern starts with a wildcard, which
+// rules out the index.
 func (q *statementBuilder) search() {
 	pattern := fmt.Sprintf("p-%03d%%", q.random.IntN(400))
 	if q.broad {
@@ -150,7 +152,8 @@
 	q.usual = rowCounts{indexed: 30, out: 30}
 }
 
-// optionalFilter selects by a condition that a null parameter disables, so that all rows are read.
+// optionalFilter selects the rows of one part by a condition that a null value disables. A broad statement
+// has the null value, so it reads all rows.
 func (q *statementBuilder) optionalFilter() {
 	p, _ := q.generator.part()
 	q.write("SELECT %s FROM %s WHERE (", q.columns, q.from)
@@ -187,7 +190,7 @@
 	q.usual = rowCounts{scanned: q.rows * 0.8, grouped: q.rows * 186 / Days, out: Districts}
 }
 
-// topParts joins a table with parts and selects the 20 parts with the most rows.
+// topParts joins a table with parts and selects the 20 parts of one kind that have the most rows.
 func (q *statementBuilder) topParts() {
 	q.write("SELECT p.name, max(%s), count(*) FROM %s JOIN stock_%d.parts p USING (part) WHERE p.kind = ", q.column(q.template.cols[0]), q.from, q.group)
 	q.str("gear")
--- a/internal/testbed/workload/question.go
+++ b/internal/testbed/workload/question.go
@@ -20,13 +20,13 @@
 	from        string    // table name with its alias, if any
 	alias       string    // "": none
 	columns     string    // select list
-	rows        float64   // of the table
-	rowsPerPart float64   // of an average part
+	rows        float64   // number of rows of the table
+	rowsPerPart float64   // number of rows of an average part
 	broad       bool      // whether to draw values that make it a report, where the family has such values
 	hard        string    // hard case for a classifier that it represents, or ""
-	actual      rowCounts // with the values drawn
-	usual       rowCounts // with the usual values of the shape
-	loadWork    float64   // of a bulk load, in ms on one core
+	actual      rowCounts // rows read and processed with the values drawn
+	usual       rowCounts // rows read and processed with the usual values of the shape
+	loadWork    float64   // work of a bulk load, in ms on one core
 }
 
 // newStatementBuilder draws the properties that all families share. growth multiplies the rows of the
--- a/internal/testbed/workload/register.go
+++ b/internal/testbed/workload/register.go
@@ -44,7 +44,7 @@
 	Seed      uint64  // of all random choices
 	Templates int     // number of recurring shapes; 0: defaultTemplates
 	OneOff    float64 // fraction of statements whose shape never recurs
-	Hard      float64 // fraction of lookups whose values make them broad reports
+	Hard      float64 // probability that a lookup gets values that make it a broad report, if its family has such values
 	Writes    float64 // fraction of statements that write, apart from bulk loads
 	// DriftAt is the fraction of the statements after which the table of orders grows to Drift
 	// times as many rows. 0: it never grows.
@@ -73,7 +73,8 @@
 // values holds the value of an answer by class, relative to that of a lookup.
 var values = map[string]float64{"lookup": 1, "report": 4, "load": 5, "write": 4}
 
-// ReportWork is the actual work, in milliseconds, from which a reading statement is a report.
+// ReportWork is the work, in milliseconds on one core and before noise is applied, from which a reading
+// statement is a report.
 const ReportWork = 800
 
 // Statement is one statement, with its actual class and cost.
--- a/internal/testbed/workload/templates.go
+++ b/internal/testbed/workload/templates.go
@@ -8,6 +8,8 @@
 // family is a kind of statement that programs send; a method of the same name writes it.
 type family int
 
+// Families. The template method relies on their order: first lookups, which broad values may turn into
+// reports, from months on reports, and at last bulk loads. families is the number of families.
 const (
 	byPart family = iota
 	byPartWholesaler
@@ -64,7 +66,7 @@
 		t.cols = append(t.cols, t.table.cols[j])
 	}
 	t.weight = 1 / math.Pow(float64(i+1), 0.6)
-	switch f { // to the specified shares: lookups 81 %, reports 14 %, loads 5 %
+	switch f { // adjusts the weights to the specified shares: lookups 81 %, reports 14 %, loads 5 %
 	case months, topParts, ranking, distinctRows:
 		t.weight *= 0.7
 	case batch:
