--- a/internal/archtest/edge_test.go
+++ b/internal/archtest/edge_test.go
@@ -22,9 +22,12 @@
 	"time"
 )
 
-// edgeName is a name that operators or other programs use, whatever the code calls the thing.
+// edgeName is a name that operators or other programs use. It must not change when an identifier in the code is
+// renamed.
 type edgeName struct{ kind, name, where string }
 
+// edgeNames reads the table of names. Each line has three columns: the kind, the name, and where the name must
+// occur: a package's directory, a .toml file, or "program" for names that only a running gateway shows.
 func edgeNames(t *testing.T) []edgeName {
 	t.Helper()
 	table, err := os.ReadFile("testdata/edge-names.tsv")
@@ -38,15 +41,16 @@
 		}
 		columns := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 		if len(columns) != 3 {
-			t.Fatalf("edge-names.tsv: %q has not three columns", line)
+			t.Fatalf("edge-names.tsv: line %q has %d columns, want 3", line, len(columns))
 		}
 		names = append(names, edgeName{columns[0], columns[1], columns[2]})
 	}
 	return names
 }
 
-// TestEdgeNamesInSources finds each name of a protocol among the literals of the package that speaks it. What those names
-// mean is held by the tests of the packages and by the integration tests, which speak the protocols byte for byte.
+// TestEdgeNamesInSources guards against renaming a protocol name along with the code: each name must occur in a
+// literal of the package that implements the protocol. The meaning of the names is checked by the packages' own
+// tests and by the integration tests, which speak the protocols byte for byte.
 func TestEdgeNamesInSources(t *testing.T) {
 	literals := map[string][]string{}
 	for _, edge := range edgeNames(t) {
@@ -60,7 +64,7 @@
 					t.Fatal(err)
 				}
 				if !regexp.MustCompile(`(?m)^` + edge.name + ` = `).Match(raw) {
-					t.Errorf("%s has no key %s", edge.where, edge.name)
+					t.Errorf("%s: got no key %s, want one", edge.where, edge.name)
 				}
 				return
 			}
@@ -69,13 +73,14 @@
 			}
 			word := regexp.MustCompile(`(^|[^A-Za-z0-9_])` + regexp.QuoteMeta(edge.name) + `($|[^A-Za-z0-9_])`)
 			if !slices.ContainsFunc(literals[edge.where], word.MatchString) {
-				t.Errorf("no literal of %s holds %q", edge.where, edge.name)
+				t.Errorf("%s: got no literal with %q, want one", edge.where, edge.name)
 			}
 		})
 	}
 }
 
-// stringLiterals are the values of all string and character literals, struct tags included, of a folder's program files.
+// stringLiterals returns the values of all string and character literals, struct tags included, in the non-test
+// Go files of a directory.
 func stringLiterals(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := filepath.Glob(dir + "/*.go")
@@ -107,8 +112,9 @@
 	return found
 }
 
-// TestEdgeNamesOfProgram starts the gateway on the example's configuration and looks for the control endpoint's paths and
-// figures, the environment's variables and the folder in what it does.
+// TestEdgeNamesOfProgram guards against renaming names that only a running gateway shows. It starts the gateway
+// on the example configuration and checks the control endpoint's paths and metrics, the environment variables
+// and the process directory.
 func TestEdgeNamesOfProgram(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "gateway")
@@ -118,12 +124,12 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	control := startExample(t, program, dir)
-	figures := callControl(t, http.MethodGet, control+"/metrics", "")
+	metrics := callControl(t, http.MethodGet, control+"/metrics", "")
 	for _, edge := range edgeNames(t) {
 		switch edge.kind {
 		case "metric":
-			if !strings.Contains(figures, "\n"+edge.name+":") && !strings.HasPrefix(figures, edge.name+":") {
-				t.Errorf("the figures have no %s:\n%s", edge.name, figures)
+			if !strings.Contains(metrics, "\n"+edge.name+":") && !strings.HasPrefix(metrics, edge.name+":") {
+				t.Errorf("got metrics without %s, want it among them:\n%s", edge.name, metrics)
 			}
 		case "control path":
 			method, path, _ := strings.Cut(edge.name, " ")
@@ -136,8 +142,9 @@
 	}
 }
 
-// startExample starts the program as the platform does, on ports of its choice, with addresses from the environment and the
-// clients' socket inherited, and returns the control endpoint's address once the gateway serves.
+// startExample starts the program as the platform does: on ports that the system chooses, with addresses from
+// environment variables and an inherited listening socket for clients. It returns the control endpoint's URL
+// once the gateway serves.
 func startExample(t *testing.T, program, dir string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -177,16 +184,16 @@
 			address = event.Address
 		case "serving":
 			if _, err := os.Stat(filepath.Join(dir, "ringwood-processes")); err != nil {
-				t.Errorf("the folder of processes: %v", err)
+				t.Errorf("process directory: got %v, want it to exist", err)
 			}
 			return "http://" + address
 		}
 	}
-	t.Fatalf("the gateway did not serve: %v", ctx.Err())
+	t.Fatalf("got no \"serving\" event from the gateway, want one: %v", ctx.Err())
 	return ""
 }
 
-// listenLoopback opens a listening socket to be inherited, as the platform does for the clients'.
+// listenLoopback opens a listening socket for the gateway to inherit, as the platform does for clients.
 func listenLoopback() (*os.File, error) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -196,7 +203,7 @@
 	return file, errors.Join(err, listener.Close())
 }
 
-// callControl makes one call and returns the answer's body; any status but 200 fails the test.
+// callControl makes one call and returns the response body. Any status but 200 fails the test.
 func callControl(t *testing.T, method, url, body string) string {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
--- a/internal/archtest/guides_test.go
+++ b/internal/archtest/guides_test.go
@@ -18,19 +18,19 @@
 )
 
 var (
-	// A name of dotted words in backquotes: a log event, a counter, a figure or a settings key.
+	// Matches a name of dotted words in backquotes: a log event, a counter, a metric or a settings key.
 	dottedName = regexp.MustCompile("`([a-z_]+(?:\\.[a-zA-Z*_-]+)+)`")
-	// What a guide writes for any class, state or reason.
+	// Matches the last part of a name where a guide writes a placeholder for any class, state or reason.
 	placeholder = regexp.MustCompile(`\.(\*|[A-Z_]+)$`)
 	guideFlag   = regexp.MustCompile(`(?:^|[ ` + "`" + `])--([a-z][a-z-]*)`)
 	guideCall   = regexp.MustCompile(`bin/(gateway|testbed) ([a-z]+)`)
 )
 
-// notInPrograms are dotted names in guides that no program of the repository prints or reads under that name.
+// notInPrograms are dotted names in the guides that no program of the repository prints or reads.
 var notInPrograms = []string{"users.toml", "play.name", "play.fault", "play.drawn"}
 
-// TestGuidesNameWhatExists reads the operators' guides: each log event, counter, figure, settings key, flag and command that
-// they name must be in the programs.
+// TestGuidesNameWhatExists guards against guides that fall behind the code: each log event, counter, metric,
+// settings key, flag and command that the operators' guides name must exist in the programs.
 func TestGuidesNameWhatExists(t *testing.T) {
 	literals := programLiterals(t)
 	settings := settingsKeys(t)
@@ -38,7 +38,7 @@
 	commands := commandNames(t)
 	guides, err := filepath.Glob("../../docs/operate/*.md")
 	if err != nil || len(guides) == 0 {
-		t.Fatalf("no guides: %v", err)
+		t.Fatalf("got no guides in docs/operate (error %v), want at least one", err)
 	}
 	for _, path := range append(guides, "../../README.md") {
 		raw, err := os.ReadFile(path)
@@ -51,25 +51,25 @@
 				known := slices.Contains(notInPrograms, name) || settings[name] || isPrinted(name, literals)
 				isFile := strings.HasSuffix(name, ".md") || strings.HasSuffix(name, ".sh")
 				if !known && !isFile {
-					t.Errorf("no program prints or reads %s", name)
+					t.Errorf("got the name %s, which no program prints or reads; want a name of the programs", name)
 				}
 			}
 			for _, match := range guideFlag.FindAllStringSubmatch(string(raw), -1) {
 				if !flags[match[1]] {
-					t.Errorf("no command has a flag --%s", match[1])
+					t.Errorf("got the flag --%s, which no command has; want a flag of the programs", match[1])
 				}
 			}
 			for _, match := range guideCall.FindAllStringSubmatch(string(raw), -1) {
 				if !commands[match[2]] {
-					t.Errorf("%s has no command %s", match[1], match[2])
+					t.Errorf("got the command %[2]s, which %[1]s does not have; want a command of the programs", match[1], match[2])
 				}
 			}
 		})
 	}
 }
 
-// isPrinted reports whether the programs have a literal of the name, or one that it begins with and that ends in a dot, as
-// names with a class or a state are put together.
+// isPrinted reports whether the programs have a literal equal to the name, or one that is a prefix of it and
+// ends in a dot, as for names that are composed with a class or a state.
 func isPrinted(name string, literals map[string]bool) bool {
 	if figure, ok := strings.CutPrefix(name, "lb."); ok {
 		name = strings.TrimPrefix(figure, "calls.CLASS")
@@ -89,7 +89,7 @@
 	return false
 }
 
-// programLiterals are all string literals of the program files of the module.
+// programLiterals returns the set of all string literals in the module's non-test Go files.
 func programLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
@@ -110,7 +110,7 @@
 	return found
 }
 
-// settingsKeys are the keys of the settings object, as the table of package config lists them.
+// settingsKeys returns the keys of the settings object from the table of package config.
 func settingsKeys(t *testing.T) map[string]bool {
 	t.Helper()
 	table, err := os.ReadFile("../config/testdata/settings-keys.tsv")
@@ -125,7 +125,7 @@
 	return keys
 }
 
-// commandLineFlags are the flags that the structs of the command lines declare.
+// commandLineFlags returns the flags that the structs of the command lines declare.
 func commandLineFlags(t *testing.T) map[string]bool {
 	t.Helper()
 	flags := map[string]bool{"help": true}
@@ -150,7 +150,8 @@
 	return flags
 }
 
-// flagsOf are the flags of one field: named by its tag, else after the field.
+// flagsOf returns the flags that one struct field declares: the name in its tag or, without one, the field's
+// name in kebab case.
 func flagsOf(field *ast.Field) map[string]bool {
 	flags := map[string]bool{}
 	if field.Tag != nil {
@@ -167,7 +168,7 @@
 	return flags
 }
 
-// kebabCase is a flag's name for a field's, as in log-format for LogFormat.
+// kebabCase converts a field name to its flag name, as in log-format for LogFormat.
 func kebabCase(name string) string {
 	var b strings.Builder
 	afterLower := false
@@ -181,7 +182,7 @@
 	return b.String()
 }
 
-// commandNames are the commands that the programs' help lists, at any depth of their grammar.
+// commandNames returns the commands that the programs' help lists, including subcommands.
 func commandNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
