--- a/internal/integration/conformance_test.go
+++ b/internal/integration/conformance_test.go
@@ -10,11 +10,12 @@
 	"gannetspur/internal/testbed/emulator"
 )
 
-// The PostgreSQL front answers each script of the protocol as it should, however its bytes are cut, and the
-// emulated engine by itself does too, but for what the cases say.
+// TestConformance guards against answers that deviate from the PostgreSQL protocol or depend on how the client's
+// bytes are split into reads. It plays each protocol script against the front end and against the emulated
+// engine directly, except where a case excludes the engine, and then random chains of scripts.
 func TestConformance(t *testing.T) {
 	t.Parallel()
-	g, _ := transacting(t, nil)
+	g, _ := transactionGateway(t, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -25,14 +26,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range list {
-		for way, got := range r.Got {
-			if got != r.Want {
-				t.Errorf("%s: %s, %v:\n got %s\nwant %s", r.About, r.Name, way, got, r.Want)
+	for _, result := range list {
+		for way, got := range result.Got {
+			if got != result.Want {
+				t.Errorf("%s: %s, %v:\n got %s\nwant %s", result.About, result.Name, way, got, result.Want)
 			}
 		}
-		if !r.OK() {
-			t.Errorf("%s: %s, the engine by itself: %s", r.About, r.Name, r.Engine)
+		if !result.OK() {
+			t.Errorf("%s: %s, the emulated engine directly:\n got %s\nwant what the case allows", result.About, result.Name, result.Engine)
 		}
 	}
 	for seed := range uint64(40) {
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -20,38 +20,39 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// controlled is the gateway as operators see it.
-type controlled struct{ core *core.Core }
+// controlTarget gives the control endpoint access to a core; it is always ready.
+type controlTarget struct{ core *core.Core }
 
-func (c controlled) Ready() error                  { return nil }
-func (c controlled) Stats() core.Stats             { return c.core.Stats() }
-func (c controlled) DisableEngine(id string) error { return c.core.DisableEngine(id) }
-func (c controlled) EnableEngine(id string) error  { return c.core.EnableEngine(id) }
+func (c controlTarget) Ready() error                  { return nil }
+func (c controlTarget) Stats() core.Stats             { return c.core.Stats() }
+func (c controlTarget) DisableEngine(id string) error { return c.core.DisableEngine(id) }
+func (c controlTarget) EnableEngine(id string) error  { return c.core.EnableEngine(id) }
 
-// endpoint opens the control endpoint of a gateway.
-func (g *gateway) endpoint() string {
+// openControl opens the gateway's control endpoint and returns its address.
+func (g *gateway) openControl() string {
 	g.t.Helper()
 	var d *control.Server
 	var err error
-	g.do(func() { d, err = control.Open(g.loop, "127.0.0.1:0", controlled{g.core}, g.stats) })
+	g.do(func() { d, err = control.Open(g.loop, "127.0.0.1:0", controlTarget{g.core}, g.stats) })
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	return d.Addr()
 }
 
-// operate makes one call at a control endpoint and words the answer.
-func operate(t *testing.T, addr, method, path, body string) string {
+// callControl makes one call at a control endpoint and returns the status code and body.
+func callControl(t *testing.T, addr, method, path, body string) string {
 	t.Helper()
 	answer, _ := httpConnect(t, addr).call(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: endpoint\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
 	return answer
 }
 
-// A call of the control endpoint that is wrong is answered with its fault, and nothing changes.
+// TestControlRejectsBadCalls guards against invalid calls of the control endpoint that change something: each is
+// answered with its status, and no engine gets an override.
 func TestControlRejectsBadCalls(t *testing.T) {
 	engine := listen(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
-	g := platform(t, engine)
-	addr := g.endpoint()
+	g := httpGateway(t, engine)
+	addr := g.openControl()
 	known := fmt.Sprintf(`{"target":"e%s"}`, engine)
 	for _, call := range []struct{ method, path, body, want string }{
 		{"GET", "/ready", "", "200"},
@@ -67,24 +68,24 @@
 		{"POST", "/engines/disable", `{"target":"` + strings.Repeat("x", 5000) + `"}`, "413"},
 		{"POST", "/engines/disable", `{"target":"nobody"}`, "404"},
 		{"POST", "/engines/enable", `{"target":"nobody"}`, "404"},
-		{"POST", "/engines/enable", known, "200"}, // it is in use
+		{"POST", "/engines/enable", known, "200"}, // enabling an engine that is not disabled is no error
 	} {
-		if got := operate(t, addr, call.method, call.path, call.body); !strings.HasPrefix(got, call.want+" ") {
-			t.Errorf("%s %s %.40s: %s", call.method, call.path, call.body, got)
+		if got := callControl(t, addr, call.method, call.path, call.body); !strings.HasPrefix(got, call.want+" ") {
+			t.Errorf("%s %s %.40s: got %s, want status %s", call.method, call.path, call.body, got, call.want)
 		}
 	}
 	var overrides int
 	g.do(func() { overrides = len(g.core.Overrides()) })
 	if overrides > 0 {
-		t.Errorf("%d engines have overrides", overrides)
+		t.Errorf("got %d engines with overrides, want 0", overrides)
 	}
 }
 
-// Callers that send nothing, or stop half way, are closed within the second that others wait,
-// and keep nobody out.
+// TestControlWithSilentCallers guards against silent callers that block the control endpoint: callers that send
+// nothing or half a call are disconnected within the second that others wait, and keep nobody out.
 func TestControlWithSilentCallers(t *testing.T) {
-	g := platform(t)
-	addr := g.endpoint()
+	g := httpGateway(t)
+	addr := g.openControl()
 	var silent []net.Conn
 	for i := range 40 {
 		c := dial(t, addr)
@@ -93,7 +94,7 @@
 		}
 		silent = append(silent, c)
 	}
-	if got := operate(t, addr, "GET", "/ready", ""); got != "200 {}" {
+	if got := callControl(t, addr, "GET", "/ready", ""); got != "200 {}" {
 		t.Fatal(got)
 	}
 	for _, c := range silent {
@@ -103,11 +104,11 @@
 	}
 }
 
-// The control endpoint answers while all that clients and engines may take of the descriptors is taken,
-// and engines get theirs although clients want more than there are.
+// TestControlWithoutDescriptors guards against a control endpoint that is unreachable when clients and engines
+// have used up their descriptors, and against clients that take the descriptors of connections to engines.
 func TestControlWithoutDescriptors(t *testing.T) {
-	g := platform(t)
-	addr := g.endpoint()
+	g := httpGateway(t)
+	addr := g.openControl()
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +124,7 @@
 	ends := make(chan error, wanted)
 	for range wanted {
 		g.do(func() {
-			g.loop.Dial(sink, 5*time.Second, 1024, nobody{}, func(_ *netio.Conn, err error) { ends <- err })
+			g.loop.Dial(sink, 5*time.Second, 1024, discardHandler{}, func(_ *netio.Conn, err error) { ends <- err })
 		})
 	}
 	var refused int
@@ -135,20 +136,21 @@
 		}
 	}
 	if refused < wanted-30 || refused == wanted {
-		t.Errorf("%d of %d dials were refused", refused, wanted)
+		t.Errorf("got %d of %d dials refused, want at least %d but not all", refused, wanted, wanted-30)
 	}
-	if got := operate(t, addr, "GET", "/ready", ""); got != "200 {}" {
+	if got := callControl(t, addr, "GET", "/ready", ""); got != "200 {}" {
 		t.Fatal(got)
 	}
 }
 
-type nobody struct{}
+// discardHandler ignores all events of a connection.
+type discardHandler struct{}
 
-func (nobody) Data(*netio.Conn, *netio.Buffer) {}
-func (nobody) Closed(*netio.Conn, error)       {}
+func (discardHandler) Data(*netio.Conn, *netio.Buffer) {}
+func (discardHandler) Closed(*netio.Conn, error)       {}
 
-// Figures are what scripted clients and engines saw, to the last one once all is quiet, and
-// stay within what has happened while they are read among a thousand requests.
+// TestFiguresAreTrue guards against wrong metrics: at rest they equal what the scripted clients and engine
+// counted, to the last request, and while a thousand requests run they stay within what has happened.
 func TestFiguresAreTrue(t *testing.T) {
 	var wants int64
 	engine, seen := lineEngine(t, func(line string) string {
@@ -168,8 +170,8 @@
 		for range seen {
 		}
 	}()
-	g := platform(t, engine)
-	addr := g.endpoint()
+	g := httpGateway(t, engine)
+	addr := g.openControl()
 	const clients, each = 20, 50
 	answers := make(chan int, clients*each)
 	for c := range clients {
@@ -180,7 +182,7 @@
 				return
 			}
 			defer func() { _ = conn.Close() }()
-			_ = conn.SetDeadline(time.Now().Add(patience))
+			_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 			r := bufio.NewReader(conn)
 			for i := range each {
 				_, _ = fmt.Fprintf(conn, "POST /rpc/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\nContent-Length: 8\r\n\r\nSELECT 1", c<<16|i)
@@ -201,7 +203,7 @@
 		want[await(t, answers)]++
 		if n%100 == 0 {
 			var done, inflight int64
-			text := operate(t, addr, "GET", "/metrics", "")
+			text := callControl(t, addr, "GET", "/metrics", "")
 			for _, line := range strings.Split(text, "\n") {
 				var v int64
 				if _, err := fmt.Sscanf(line[strings.LastIndexByte(line, ':')+1:], "%d|", &v); err != nil {
@@ -214,30 +216,32 @@
 				}
 			}
 			if done < int64(n) || done+inflight > clients*each || inflight > clients {
-				t.Fatalf("after %d answers: %s", n, text)
+				t.Fatalf("after %d answers: got %d done and %d in flight, want done >= %d, their sum <= %d and in flight <= %d: %s",
+					n, done, inflight, n, clients*each, clients, text)
 			}
 		}
 	}
-	var f core.Stats
-	g.do(func() { f = g.core.Stats() })
-	i := slices.IndexFunc(f.Classes, func(c core.ClassStats) bool { return c.Class == "lookup" })
-	if diff := cmp.Diff(core.ClassStats{Class: "lookup", Served: want[200], Rejected: want[503], Failed: want[500]}, f.Classes[i]); diff != "" {
-		t.Error(diff)
+	var stats core.Stats
+	g.do(func() { stats = g.core.Stats() })
+	i := slices.IndexFunc(stats.Classes, func(c core.ClassStats) bool { return c.Class == "lookup" })
+	if diff := cmp.Diff(core.ClassStats{Class: "lookup", Served: want[200], Rejected: want[503], Failed: want[500]}, stats.Classes[i]); diff != "" {
+		t.Errorf("figures of class lookup (-want +got):\n%s", diff)
 	}
-	if f.InFlight != 0 || f.EnginesListed != 1 || f.AttemptsWritten != wants {
-		t.Errorf("%+v; the engine read %d", f, wants)
+	if stats.InFlight != 0 || stats.EnginesListed != 1 || stats.AttemptsWritten != wants {
+		t.Errorf("got %+v, want 0 in flight, 1 engine listed and %d attempts written", stats, wants)
 	}
 	if want[200] == 0 || want[503]+want[500] == 0 {
-		t.Errorf("too few kinds of answers: %v", want)
+		t.Errorf("got answers by status %v, want some of 200 and some of 503 or 500", want)
 	}
 }
 
-// From the yes on a disabled engine gets nothing, whatever discovery says, also not what
-// waited for its connection; two calls that disable it are undone by one, and then it serves again.
+// TestDisabledEngineGetsNothing guards against requests to a disabled engine: from the successful answer on it
+// gets nothing, whatever discovery reports, not even requests that waited for its connection. One enabling call
+// undoes two disabling ones.
 func TestDisabledEngineGetsNothing(t *testing.T) {
 	engine, seen := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
-	g := newGateway(t, func(s *policy.Settings) { s.Rules.OverloadWindow = 0 }).platform(engine) // an engine that is enabled again gets a slow start, by the second
-	addr := g.endpoint()
+	g := newGateway(t, func(s *policy.Settings) { s.Rules.OverloadWindow = 0 }).startHTTP(engine) // no overload window: an engine that is enabled again otherwise gets a slow start, in steps of a second
+	addr := g.openControl()
 	out := fmt.Sprintf(`{"target":"e%s"}`, engine)
 	request := func() string {
 		answer, _ := httpConnect(t, g.addr).call(post("lookup", ""))
@@ -248,27 +252,27 @@
 	}
 	await(t, seen)
 	for range 2 {
-		if got := operate(t, addr, "POST", "/engines/disable", out); got != "200 {}" {
+		if got := callControl(t, addr, "POST", "/engines/disable", out); got != "200 {}" {
 			t.Fatal(got)
 		}
 	}
 	for _, state := range []policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted, policy.EngineLive} {
-		g.roster(state, engine)
+		g.updateEngines(state, engine)
 		if got := request(); !strings.HasPrefix(got, "503") {
-			t.Fatalf("discovery says %d: %s", state, got)
+			t.Fatalf("engine state %d from discovery: got %s, want status 503", state, got)
 		}
 	}
 	var f core.Stats
 	g.do(func() { f = g.core.Stats() })
 	if f.EnginesListed != 1 || f.EnginesDown != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("disabled: got %+v, want 1 engine listed and 1 down", f)
 	}
-	if got := operate(t, addr, "POST", "/engines/enable", out); got != "200 {}" {
+	if got := callControl(t, addr, "POST", "/engines/enable", out); got != "200 {}" {
 		t.Fatal(got)
 	}
 	g.do(func() { f = g.core.Stats() })
 	if f.EnginesDown != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("enabled again: got %+v, want 0 engines down", f)
 	}
 	if got := request(); !strings.HasPrefix(got, "200") { // it serves again
 		t.Error(got)
@@ -276,14 +280,15 @@
 	await(t, seen)
 	select {
 	case line := <-seen:
-		t.Fatalf("%s reached the engine while it was disabled", line)
+		t.Fatalf("engine: got %s while it was disabled, want nothing", line)
 	default:
 	}
 }
 
-// What waits for its connection when its engine is disabled is never written there.
+// TestDisableWhileConnecting guards against a request written to an engine that was disabled while the request
+// waited for its connection.
 func TestDisableWhileConnecting(t *testing.T) {
-	g := platform(t)
+	g := httpGateway(t)
 	a := &core.Attempt{Request: &core.Request{}, Engine: "e1"}
 	var before, after bool
 	g.do(func() {
@@ -293,6 +298,6 @@
 		after = g.core.BeginWrite(a)
 	})
 	if !before || after {
-		t.Errorf("may be written: %v before the engine is disabled, %v after it", before, after)
+		t.Errorf("may be written: got %v before the engine is disabled and %v after, want true and false", before, after)
 	}
 }
--- a/internal/integration/descriptors_test.go
+++ b/internal/integration/descriptors_test.go
@@ -11,18 +11,20 @@
 	"testing"
 )
 
+// childEnv is set in the child process that serves with a low descriptor limit.
 const childEnv = "RINGWOOD_STORY_CHILD"
 
-// A full descriptor table neither ends the program nor stops those who are
-// connected; who waits is served once others leave, and nobody is turned away.
+// TestFullDescriptorTable guards against a full descriptor table that ends the program or stalls connected
+// clients. A child process serves with 40 descriptors and 60 clients connect: connected clients are served, and
+// those that wait are served once others leave; no client is refused.
 func TestFullDescriptorTable(t *testing.T) {
 	if os.Getenv(childEnv) != "" {
 		limit := syscall.Rlimit{Cur: 40, Max: 40}
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Println("serving at", platform(t).addr)
-		_, _ = io.Copy(io.Discard, os.Stdin) // until the parent lets go
+		fmt.Println("serving at", httpGateway(t).addr)
+		_, _ = io.Copy(io.Discard, os.Stdin) // until the parent closes the pipe
 		return
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=^TestFullDescriptorTable$")
@@ -53,12 +55,12 @@
 		clients = append(clients, httpConnect(t, addr))
 	}
 	got, _ := clients[0].call(health)
-	same(t, "first client", got, "200 {}")
+	assertEqual(t, "first client", got, "200 {}")
 	for _, k := range clients[:50] {
 		_ = k.c.Close()
 	}
 	for _, k := range clients[50:] {
 		got, _ := k.call(health)
-		same(t, "client that waited", got, "200 {}")
+		assertEqual(t, "client that waited for a descriptor", got, "200 {}")
 	}
 }
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -21,8 +21,9 @@
 	_ "github.com/lib/pq"
 )
 
-// everyday starts the second front as operators would before real tools: with passwords and encryption.
-func everyday(t *testing.T) *gateway {
+// gatewayForDrivers starts the PostgreSQL front end as operators would for real client programs: with passwords
+// and required encryption.
+func gatewayForDrivers(t *testing.T) *gateway {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,22 +44,23 @@
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
 	g.pgwire.Users = scramauth.NewUsers([]scramauth.User{{Name: "desk", Verifier: v}})
 	g.pgwire.TLS, g.pgwire.RequireTLS = serverTLS(certificate(t)), true
-	return g.postgres(ln.Addr().String())
+	return g.startPostgres(ln.Addr().String())
 }
 
-// What programs do every day with pgx.
+// TestPgx guards against incompatibility with pgx: logins, prepared statements, batches, transactions with
+// savepoints and cursors, timeouts and a connection pool.
 func TestPgx(t *testing.T) {
-	g := everyday(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	g := gatewayForDrivers(t)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	open := func(password string) (*pgx.Conn, error) {
 		return pgx.Connect(ctx, fmt.Sprintf("postgres://desk:%s@%s/register?sslmode=require", password, g.addr))
 	}
 	if _, err := open("wrong"); err == nil || !strings.Contains(err.Error(), "28P01") {
-		t.Errorf("a wrong password: %v", err)
+		t.Errorf("wrong password: got %v, want an error with 28P01", err)
 	}
 	if _, err := pgx.Connect(ctx, fmt.Sprintf("postgres://desk:secret@%s/register?sslmode=disable", g.addr)); err == nil {
-		t.Error("it was let in without encryption")
+		t.Error("without encryption: got a connection, want an error")
 	}
 	c, err := open("secret")
 	if err != nil {
@@ -76,7 +78,7 @@
 		return got
 	}
 	if got := first(c, "SELECT part FROM stock_1.parts WHERE id = $1", "a"); got != "SELECT part FROM stock_1.parts WHERE id = $1" {
-		t.Error(got)
+		t.Errorf("query: got %q, want the statement's text", got)
 	}
 	if err := c.Ping(ctx); err != nil {
 		t.Errorf("ping: %v", err)
@@ -113,7 +115,7 @@
 	}
 	var e *pgconn.PgError
 	if _, err := inner.Exec(ctx, "SELECT 1/0"); !errors.As(err, &e) || e.Code != "22012" {
-		t.Errorf("an engine's error: %v", err)
+		t.Errorf("engine's error: got %v, want code 22012", err)
 	}
 	if err := inner.Rollback(ctx); err != nil {
 		t.Errorf("rollback to a savepoint: %v", err)
@@ -126,15 +128,15 @@
 		t.Errorf("commit: %v", err)
 	}
 	if err := pgx.BeginFunc(ctx, c, func(pgx.Tx) error { return errors.New("no") }); err == nil {
-		t.Error("a function's error was lost")
+		t.Error("function that fails in a transaction: got no error, want its error")
 	}
 	if s := c.PgConn().TxStatus(); s != 'I' {
-		t.Errorf("behind it all its status is %c", s)
+		t.Errorf("transaction status at the end: got %c, want I", s)
 	}
 	short, end := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer end()
 	if _, err := c.Exec(short, "SELECT pg_sleep(60)"); err == nil {
-		t.Error("it did not heed its context")
+		t.Error("statement past its context's deadline: got no error, want one")
 	}
 	pool, err := pgxpool.New(ctx, fmt.Sprintf("postgres://desk:secret@%s/register?sslmode=require&pool_max_conns=4", g.addr))
 	if err != nil {
@@ -152,20 +154,23 @@
 	}
 	for range 20 {
 		if err := <-done; err != nil {
-			t.Errorf("a pool: %v", err)
+			t.Errorf("transaction through a pool: got %v, want no error", err)
 		}
 	}
 }
 
+// batchRow reads the next result of a batch through the method of a connection or transaction.
 type batchRow struct{ r pgx.BatchResults }
 
+// QueryRow ignores its arguments and returns the next result's row.
 func (b batchRow) QueryRow(context.Context, string, ...any) pgx.Row { return b.r.QueryRow() }
 
-// The same with lib/pq behind database/sql.
+// TestLibPq guards against incompatibility with lib/pq under database/sql: logins, queries, prepared statements
+// and transactions.
 func TestLibPq(t *testing.T) {
-	g := everyday(t)
+	g := gatewayForDrivers(t)
 	host, port, _ := net.SplitHostPort(g.addr)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	db, err := sql.Open("postgres", fmt.Sprintf("host=%s port=%s user=desk password=secret dbname=register sslmode=require", host, port))
 	if err != nil {
@@ -175,7 +180,7 @@
 	db.SetMaxOpenConns(3)
 	var got string
 	if err := db.QueryRowContext(ctx, "SELECT part FROM stock_1.parts").Scan(&got); err != nil || got != "SELECT part FROM stock_1.parts" {
-		t.Errorf("query: %q, %v", got, err)
+		t.Errorf("query: got %q, %v, want the statement's text", got, err)
 	}
 	if err := db.QueryRowContext(ctx, "SELECT $1", "x").Scan(&got); err != nil {
 		t.Errorf("query with a value: %v", err)
@@ -212,6 +217,6 @@
 		t.Errorf("rollback: %v", err)
 	}
 	if bad, err := sql.Open("postgres", fmt.Sprintf("host=%s port=%s user=desk password=wrong sslmode=require", host, port)); err != nil || bad.PingContext(ctx) == nil {
-		t.Errorf("a wrong password: %v", err)
+		t.Errorf("wrong password: got a connection (sql.Open: %v), want an error from Ping", err)
 	}
 }
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -19,7 +19,7 @@
 	"gannetspur/internal/testbed/testca"
 )
 
-// certificate is one that an authority of its own has signed.
+// certificate returns a server certificate signed by a certificate authority of its own.
 func certificate(t *testing.T) tls.Certificate {
 	t.Helper()
 	dir := t.TempDir()
@@ -37,12 +37,14 @@
 	return c
 }
 
+// serverTLS returns a server configuration that accepts TLS 1.2 and later, and the protocol name of direct
+// PostgreSQL encryption.
 func serverTLS(c tls.Certificate) *tls.Config {
 	return &tls.Config{Certificates: []tls.Certificate{c}, NextProtos: []string{"postgresql"}, MinVersion: tls.VersionTLS12}
 }
 
-// sealed starts the second front with encryption.
-func sealed(t *testing.T, require bool) *gateway {
+// gatewayWithTLS starts the PostgreSQL front end with encryption; require refuses unencrypted clients.
+func gatewayWithTLS(t *testing.T, require bool) *gateway {
 	t.Helper()
 	long := strings.Repeat("x", 1000)
 	engine, _ := pgEngine(t, func(c pgCall) []byte {
@@ -58,13 +60,13 @@
 	g := newGateway(t, nil)
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
 	g.pgwire.TLS, g.pgwire.RequireTLS = serverTLS(certificate(t)), require
-	return g.postgres(engine)
+	return g.startPostgres(engine)
 }
 
-// slow writes and reads a byte at a time.
-type slow struct{ net.Conn }
+// byteByByteConn writes one byte at a time and reads at most seven.
+type byteByByteConn struct{ net.Conn }
 
-func (s slow) Write(b []byte) (int, error) {
+func (s byteByByteConn) Write(b []byte) (int, error) {
 	for i := range b {
 		if _, err := s.Conn.Write(b[i : i+1]); err != nil {
 			return i, err
@@ -73,37 +75,40 @@
 	return len(b), nil
 }
 
-func (s slow) Read(b []byte) (int, error) { return s.Conn.Read(b[:min(len(b), 7)]) }
+func (s byteByByteConn) Read(b []byte) (int, error) { return s.Conn.Read(b[:min(len(b), 7)]) }
 
+// startupOfDesk is the startup message of user desk.
 var startupOfDesk = pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0))
 
-// negotiate asks for encryption and begins it, over a connection that may be changed.
+// negotiate requests encryption, does the handshake and sends the startup message, over the connection that wrap
+// returns.
 func negotiate(t *testing.T, addr string, cfg *tls.Config, wrap func(net.Conn) net.Conn) *pgClient {
 	t.Helper()
 	c := wrap(dial(t, addr))
 	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
-	yes := make([]byte, 1)
-	if _, err := io.ReadFull(c, yes); err != nil || yes[0] != 'S' {
-		t.Fatalf("answered %q, %v", yes, err)
+	reply := make([]byte, 1)
+	if _, err := io.ReadFull(c, reply); err != nil || reply[0] != 'S' {
+		t.Fatalf("encryption request: got %q, %v, want \"S\"", reply, err)
 	}
 	cfg = cfg.Clone()
-	cfg.InsecureSkipVerify = true // the authority is made up
+	cfg.InsecureSkipVerify = true // the test's certificate authority is not known here
 	k := &pgClient{t: t, c: tls.Client(c, cfg)}
 	k.send(startupOfDesk)
 	return k
 }
 
-func plain(c net.Conn) net.Conn { return c }
+// unwrapped returns the connection as it is.
+func unwrapped(c net.Conn) net.Conn { return c }
 
-// Encryption of both versions, negotiated or direct, whole or a byte at a time, small results and
-// large: what comes is what was sent.
+// TestEncryption guards against bytes that are lost or reordered under encryption: TLS 1.2 and 1.3, negotiated
+// or direct, written whole or a byte at a time, with small and large results.
 func TestEncryption(t *testing.T) {
-	g := sealed(t, true)
+	g := gatewayWithTLS(t, true)
 	for name, open := range map[string]func() *pgClient{
-		"1.3": func() *pgClient { return negotiate(t, g.addr, &tls.Config{MinVersion: tls.VersionTLS13}, plain) },
-		"1.2": func() *pgClient { return negotiate(t, g.addr, &tls.Config{MaxVersion: tls.VersionTLS12}, plain) },
+		"1.3": func() *pgClient { return negotiate(t, g.addr, &tls.Config{MinVersion: tls.VersionTLS13}, unwrapped) },
+		"1.2": func() *pgClient { return negotiate(t, g.addr, &tls.Config{MaxVersion: tls.VersionTLS12}, unwrapped) },
 		"a byte at a time": func() *pgClient {
-			return negotiate(t, g.addr, &tls.Config{}, func(c net.Conn) net.Conn { return slow{c} })
+			return negotiate(t, g.addr, &tls.Config{}, func(c net.Conn) net.Conn { return byteByByteConn{c} })
 		},
 		"direct": func() *pgClient {
 			k := &pgClient{t: t, c: tls.Client(dial(t, g.addr), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"postgresql"}})}
@@ -113,110 +118,115 @@
 	} {
 		k := open()
 		if w := k.until('Z'); !strings.HasPrefix(w, "R S") {
-			t.Errorf("%s: %s", name, w)
+			t.Errorf("%s: startup: got %s, want R S ...", name, w)
 		}
-		for range 3 { // several in one record, and one after the other
+		for range 3 { // several messages in one record, three times in a row
 			k.send(append(append(append(parse("", "SELECT part FROM stock_1.parts"), bind("", "")...), execute("", 0)...), sync...))
 			if w := k.until('Z'); w != "1 2 D(bell) C(SELECT 1) Z" {
-				t.Errorf("%s: %s", name, w)
+				t.Errorf("%s: got %s, want 1 2 D(bell) C(SELECT 1) Z", name, w)
 			}
 		}
 		k.send(query("SELECT many FROM stock_1.parts"))
 		if w := k.until('Z'); strings.Count(w, "D(") != 3000 || !strings.HasSuffix(w, "C(SELECT 3000) Z") {
-			t.Errorf("%s: of a large result %d rows came", name, strings.Count(w, "D("))
+			t.Errorf("%s: large result: got %d rows, want 3000 and then C(SELECT 3000) Z", name, strings.Count(w, "D("))
 		}
 		k.send(pgproto.AppendMessage(nil, 'X'))
-		if _, err := io.Copy(io.Discard, k.c); err != nil { // a close that was told, not a cut
-			t.Errorf("%s: the end: %v", name, err)
+		if _, err := io.Copy(io.Discard, k.c); err != nil { // a missing close_notify would be an error
+			t.Errorf("%s: close: got %v, want no error", name, err)
 		}
 	}
 }
 
-// Who smuggles, speaks no TLS, names another protocol or comes without it where it is wanted is not let in.
+// TestEncryptionRefused guards against letting in clients that must not be: those that send plain bytes where
+// encryption is required or behind the request for it, speak no TLS, name no or another protocol, use TLS 1.1,
+// or stop in the handshake.
 func TestEncryptionRefused(t *testing.T) {
-	g := sealed(t, true)
-	end := func(c net.Conn) string {
-		b, _ := io.ReadAll(c) // also where it was reset
+	g := gatewayWithTLS(t, true)
+	readAll := func(c net.Conn) string {
+		b, _ := io.ReadAll(c) // a reset is as good as a close
 		return string(b)
 	}
 	k := &pgClient{t: t, c: dial(t, g.addr)}
 	k.send(startupOfDesk)
 	if w := k.until('Z'); w != "E(28000) end" {
-		t.Errorf("without encryption: %s", w)
+		t.Errorf("without encryption: got %s, want E(28000) end", w)
 	}
 	c := dial(t, g.addr)
 	_, _ = c.Write(append(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil), startupOfDesk...))
-	if got := end(c); !strings.Contains(got, "unencrypted data after SSL request") || strings.HasPrefix(got, "S") {
-		t.Errorf("smuggled: %q", got)
+	if got := readAll(c); !strings.Contains(got, "unencrypted data after SSL request") || strings.HasPrefix(got, "S") {
+		t.Errorf("plain bytes behind the encryption request: got %q, want the error \"unencrypted data after SSL request\" and no S", got)
 	}
 	c = dial(t, g.addr)
 	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
-	yes := make([]byte, 1)
-	_, _ = io.ReadFull(c, yes)
+	reply := make([]byte, 1)
+	_, _ = io.ReadFull(c, reply)
 	_, _ = c.Write(append(startupOfDesk, make([]byte, 100)...))
-	if got := end(c); strings.Contains(got, "server_version") {
-		t.Errorf("plain behind the yes: %q", got)
+	if got := readAll(c); strings.Contains(got, "server_version") {
+		t.Errorf("plain bytes after encryption was accepted: got %q, want no startup", got)
 	}
 	direct := tls.Client(dial(t, g.addr), &tls.Config{InsecureSkipVerify: true})
 	_, _ = direct.Write(startupOfDesk)
-	if got := end(direct); got != "" {
-		t.Errorf("direct, of no protocol: %q", got)
+	if got := readAll(direct); got != "" {
+		t.Errorf("direct encryption without a protocol name: got %q, want nothing", got)
 	}
 	old := tls.Client(dial(t, g.addr), &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS11, NextProtos: []string{"postgresql"}})
 	if err := old.Handshake(); err == nil {
-		t.Error("TLS 1.1 was taken")
+		t.Error("TLS 1.1: got a handshake, want an error")
 	}
-	c = dial(t, g.addr) // a handshake that stops is ended with the startup's time
+	c = dial(t, g.addr) // a handshake that stops ends with the startup timeout
 	_, _ = c.Write([]byte{tlsRecord, 3, 1, 2, 0})
 	began := time.Now()
-	_ = end(c)
+	_ = readAll(c)
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("a handshake that stopped was held %v", took)
+		t.Errorf("handshake that stopped: got its end after %v, want at most 5s", took)
 	}
 }
 
+// tlsRecord is the type byte of a TLS handshake record.
 const tlsRecord = 0x16
 
-// A certificate is replaced: who is connected goes on, who connects sees the new one; and a gateway that
-// was taken over from ends what it can't hand on, each behind its statement.
+// TestCertificateReplaced guards against a replaced certificate that disturbs clients: connected ones go on, and
+// new ones see the new certificate. At a takeover by a new process, encrypted connections, which can't be handed
+// over, are closed after their statement, and unencrypted ones go on.
 func TestCertificateReplaced(t *testing.T) {
-	g := sealed(t, false)
-	before := negotiate(t, g.addr, &tls.Config{}, plain)
+	g := gatewayWithTLS(t, false)
+	before := negotiate(t, g.addr, &tls.Config{}, unwrapped)
 	before.until('Z')
 	next := g.pgwire
 	next.TLS = serverTLS(certificate(t))
 	done := make(chan struct{})
 	g.loop.Post(func() { g.front.SetOptions(next); close(done) })
 	<-done
-	after := negotiate(t, g.addr, &tls.Config{}, plain)
+	after := negotiate(t, g.addr, &tls.Config{}, unwrapped)
 	after.until('Z')
-	serial := func(k *pgClient) string {
+	rawCert := func(k *pgClient) string {
 		return string(k.c.(*tls.Conn).ConnectionState().PeerCertificates[0].Raw)
 	}
-	if serial(before) == serial(after) {
-		t.Error("the old certificate is shown")
+	if rawCert(before) == rawCert(after) {
+		t.Error("new connection: got the old certificate, want the new one")
 	}
-	open := connect(t, g.addr) // in the clear it may stay
+	open := connect(t, g.addr) // unencrypted, so it can be handed over and stays
 	for _, k := range []*pgClient{before, after} {
 		k.send(query("SELECT part FROM stock_1.parts"))
 		if w := k.until('Z'); w != "T D(bell) C(SELECT 1) Z" {
-			t.Error(w)
+			t.Errorf("statement: got %s, want T D(bell) C(SELECT 1) Z", w)
 		}
 	}
 	g.loop.Post(g.front.CloseUnmovable)
 	for _, k := range []*pgClient{before, after} {
 		if w := k.until('Z'); w != "E(57P01) end" {
-			t.Errorf("taken over from: %s", w)
+			t.Errorf("encrypted connection at a takeover: got %s, want E(57P01) end", w)
 		}
 	}
 	open.send(query("SELECT part FROM stock_1.parts"))
 	if w := open.until('Z'); w != "T D(bell) C(SELECT 1) Z" {
-		t.Errorf("in the clear: %s", w)
+		t.Errorf("unencrypted connection at a takeover: got %s, want T D(bell) C(SELECT 1) Z", w)
 	}
 }
 
-// Engines that want a password and encryption: a right password and a known authority, and statements
-// run; anything else, and nothing is sent.
+// TestGuardedEngines guards against sending statements to an engine that is not authenticated, or without the
+// password and encryption that it requires: statements run only with the right password and a known certificate
+// authority.
 func TestGuardedEngines(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := testca.New("engines")
@@ -251,16 +261,16 @@
 	}
 	ran := "T D(SELECT 1) D() C(SELECT 2) ZI"
 	for name, tt := range map[string]struct {
-		engine *tls.Config // that the engine has
+		engine *tls.Config // the engine's; nil: it declines encryption
 		opts   pgbackend.Options
 		want   string
 	}{
-		"both":                  {serverTLS(cert), pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, ran},
-		"a password alone":      {nil, pgbackend.Options{Password: "of the gateway"}, ran},
-		"a wrong password":      {nil, pgbackend.Options{Password: "another"}, "E(53000 hint) ZI"},
-		"no password":           {nil, pgbackend.Options{}, "E(53000 hint) ZI"},
-		"it declines":           {nil, pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
-		"another's certificate": {serverTLS(certificate(t)), pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
+		"password and encryption":          {serverTLS(cert), pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, ran},
+		"password without encryption":      {nil, pgbackend.Options{Password: "of the gateway"}, ran},
+		"a wrong password":                 {nil, pgbackend.Options{Password: "another"}, "E(53000 hint) ZI"},
+		"no password":                      {nil, pgbackend.Options{}, "E(53000 hint) ZI"},
+		"engine declines encryption":       {nil, pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
+		"certificate of another authority": {serverTLS(certificate(t)), pgbackend.Options{Password: "of the gateway", TLS: trusting(known)}, "E(53000 hint) ZI"},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -276,12 +286,12 @@
 		g := newGateway(t, nil)
 		g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
 		g.engine = tt.opts
-		g.postgres(ln.Addr().String())
-		if w := connect(t, g.addr).says("SELECT 1"); w != tt.want {
-			t.Errorf("%s: %s, want %s", name, w, tt.want)
+		g.startPostgres(ln.Addr().String())
+		if w := connect(t, g.addr).queryWithStatus("SELECT 1"); w != tt.want {
+			t.Errorf("%s: got %s, want %s", name, w, tt.want)
 		}
 		if (len(ranOn) > 0) != (tt.want == ran) {
-			t.Errorf("%s: the engine was told %d statements", name, len(ranOn))
+			t.Errorf("%s: got %d statements at the engine, want some: %t", name, len(ranOn), tt.want == ran)
 		}
 	}
 }
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -11,8 +11,9 @@
 	"github.com/xdg-go/scram"
 )
 
-// guarded starts the second front with two users: desk may all, guest lookups by one connection.
-func guarded(t *testing.T) *gateway {
+// gatewayWithLogins starts the PostgreSQL front end with two users: desk without limits, and guest with one
+// connection and the class lookup only.
+func gatewayWithLogins(t *testing.T) *gateway {
 	t.Helper()
 	engine, _ := pgEngine(t, func(pgCall) []byte { return pgRows("bell") })
 	g := newGateway(t, nil)
@@ -29,18 +30,20 @@
 	}
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
 	g.pgwire.Users = scramauth.NewUsers(users)
-	return g.postgres(engine)
+	return g.startPostgres(engine)
 }
 
-// proofs are a client's messages of a login, which a test may spoil.
-type proofs struct {
+// scramMessages changes a client's SCRAM messages, so that a test can corrupt or record them.
+type scramMessages struct {
 	first, final func(string) string
 }
 
-func asIs(s string) string { return s }
+// unchanged returns the message as it is.
+func unchanged(s string) string { return s }
 
-// logIn goes through a login and words what came of it.
-func logIn(t *testing.T, addr, user, password string, p proofs) (*pgClient, string) {
+// logIn goes through a login and returns the client and a summary of what the server answered, as pgClient.until
+// gives it.
+func logIn(t *testing.T, addr, user, password string, p scramMessages) (*pgClient, string) {
 	t.Helper()
 	k := &pgClient{t: t, c: dial(t, addr)}
 	_, _ = k.c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.CString("user"), pgproto.CString(user)...), 0)))
@@ -69,53 +72,53 @@
 	w := k.until('R')
 	if w == "R" {
 		if _, err := conv.Step(string(k.last[4:])); err != nil || !conv.Valid() {
-			t.Errorf("the server has not proved itself: %v", err)
+			t.Errorf("server signature: got %v, want a valid one", err)
 		}
 		return k, k.until('Z')
 	}
 	return k, w
 }
 
-// Who has the password is let in, and asks for what it may; nobody else is, and an unknown user
-// hears what a wrong password does.
+// TestLogins guards against logins without the right password: only its holder is let in and may run statements.
+// An unknown user gets the same answer as a wrong password, so that user names can't be probed.
 func TestLogins(t *testing.T) {
-	g := guarded(t)
-	good := proofs{asIs, asIs}
+	g := gatewayWithLogins(t)
+	good := scramMessages{unchanged, unchanged}
 	k, w := logIn(t, g.addr, "desk", "pässword of desk", good)
 	if !strings.HasPrefix(w, "R S") || !strings.HasSuffix(w, "Z") {
-		t.Fatalf("the right password: %s", w)
+		t.Fatalf("right password: got %s, want R S ... Z", w)
 	}
 	k.send(query("SELECT part FROM stock_1.parts"))
 	if w := k.until('Z'); w != "T D(bell) C(SELECT 1) Z" {
-		t.Errorf("a statement: %s", w)
+		t.Errorf("statement: got %s, want T D(bell) C(SELECT 1) Z", w)
 	}
 	for name, tt := range map[string]struct {
 		user, password string
-		p              proofs
+		p              scramMessages
 		want           string
 	}{
 		"a wrong password":      {"desk", "password of desk", good, "E(28P01) end"},
 		"an unknown user":       {"nobody", "pässword of desk", good, "E(28P01) end"},
 		"another's password":    {"guest", "pässword of desk", good, "E(28P01) end"},
-		"no message":            {"desk", "pässword of desk", proofs{func(string) string { return "" }, asIs}, "E(08P01) end"},
-		"cut short":             {"desk", "pässword of desk", proofs{func(s string) string { return s[:5] }, asIs}, "E(08P01) end"},
-		"wants channel binding": {"desk", "pässword of desk", proofs{func(s string) string { return "p=tls-unique" + s[1:] }, asIs}, "E(08P01) end"},
-		"a proof cut short":     {"desk", "pässword of desk", proofs{asIs, func(s string) string { return s[:len(s)-10] }}, "E(28P01) end"},
-		"another's nonce":       {"desk", "pässword of desk", proofs{asIs, func(s string) string { return strings.Replace(s, "r=", "r=x", 1) }}, "E(28P01) end"},
+		"no message":            {"desk", "pässword of desk", scramMessages{func(string) string { return "" }, unchanged}, "E(08P01) end"},
+		"cut short":             {"desk", "pässword of desk", scramMessages{func(s string) string { return s[:5] }, unchanged}, "E(08P01) end"},
+		"wants channel binding": {"desk", "pässword of desk", scramMessages{func(s string) string { return "p=tls-unique" + s[1:] }, unchanged}, "E(08P01) end"},
+		"a proof cut short":     {"desk", "pässword of desk", scramMessages{unchanged, func(s string) string { return s[:len(s)-10] }}, "E(28P01) end"},
+		"another's nonce":       {"desk", "pässword of desk", scramMessages{unchanged, func(s string) string { return strings.Replace(s, "r=", "r=x", 1) }}, "E(28P01) end"},
 	} {
 		if _, w := logIn(t, g.addr, tt.user, tt.password, tt.p); w != tt.want {
-			t.Errorf("%s: %s, want %s", name, w, tt.want)
+			t.Errorf("%s: got %s, want %s", name, w, tt.want)
 		}
 	}
 }
 
-// A recorded login is of no use, a statement before its login ends the connection, and a message of a
-// megabyte does too.
+// TestLoginOutOfOrder guards against a login by replayed messages, and against messages out of order or of a
+// megabyte before the login is complete: each ends the connection.
 func TestLoginOutOfOrder(t *testing.T) {
-	g := guarded(t)
+	g := gatewayWithLogins(t)
 	var first, final string
 	keep := func(to *string) func(string) string { return func(s string) string { *to = s; return s } }
-	if _, w := logIn(t, g.addr, "desk", "pässword of desk", proofs{keep(&first), keep(&final)}); !strings.HasSuffix(w, "Z") {
+	if _, w := logIn(t, g.addr, "desk", "pässword of desk", scramMessages{keep(&first), keep(&final)}); !strings.HasSuffix(w, "Z") {
 		t.Fatal(w)
 	}
 	again := func(s string) func(string) string { return func(string) string { return s } }
@@ -126,10 +129,10 @@
 	k.until('R')
 	k.send(pgproto.AppendMessage(nil, 'p', []byte(final)))
 	if w := k.until('Z'); w != "E(28P01) end" {
-		t.Errorf("replayed: %s", w)
+		t.Errorf("replayed login: got %s, want E(28P01) end", w)
 	}
 	for name, m := range map[string][]byte{
-		"a statement first": query("SELECT 1"), "a long one": append([]byte{'p'}, pgproto.Int32(1<<20)...),
+		"a statement before the login": query("SELECT 1"), "a message of a megabyte": append([]byte{'p'}, pgproto.Int32(1<<20)...),
 		"another mechanism": pgproto.AppendMessage(nil, 'p', pgproto.CString("PLAIN"), pgproto.Int32(1), []byte("x")),
 		"a wrong length":    pgproto.AppendMessage(nil, 'p', pgproto.CString(scramauth.Mechanism), pgproto.Int32(99), []byte("x")),
 	} {
@@ -138,34 +141,35 @@
 		k.until('R')
 		k.send(m)
 		if w := k.until('Z'); w != "E(08P01) end" {
-			t.Errorf("%s: %s", name, w)
+			t.Errorf("%s: got %s, want E(08P01) end", name, w)
 		}
 	}
 }
 
-// A user has its rights and no more, and an address that guesses is held off, whoever it claims to be.
+// TestLoginLimits guards against users that exceed their classes or connections, and against guessing: after a
+// dozen failed logins, further ones from that address are refused, whatever user they name.
 func TestLoginLimits(t *testing.T) {
-	g := guarded(t)
-	good := proofs{asIs, asIs}
+	g := gatewayWithLogins(t)
+	good := scramMessages{unchanged, unchanged}
 	k, w := logIn(t, g.addr, "guest", "pässword of guest", good)
 	if !strings.HasSuffix(w, "Z") {
 		t.Fatal(w)
 	}
 	k.send(query("UPDATE stock_1.parts SET seen = 1"))
 	if w := k.until('Z'); w != "E(42501) Z" {
-		t.Errorf("a class that it may not ask for: %s", w)
+		t.Errorf("class that the user may not use: got %s, want E(42501) Z", w)
 	}
 	if _, w := logIn(t, g.addr, "guest", "pässword of guest", good); w != "R E(53300) end" && w != "E(53300) end" {
-		t.Errorf("a second connection: %s", w)
+		t.Errorf("second connection: got %s, want E(53300) end", w)
 	}
 	last := ""
 	for i := range 12 {
 		_, last = logIn(t, g.addr, fmt.Sprint("user", i), "guess", good)
 	}
 	if last != "E(28000) end " && last != "E(28000) end end" {
-		t.Errorf("after a dozen guesses: %q", last)
+		t.Errorf("after a dozen guesses: got %q, want E(28000) end", last)
 	}
 	if _, w := logIn(t, g.addr, "desk", "pässword of desk", good); !strings.HasPrefix(w, "E(28000)") {
-		t.Errorf("the next from there: %s", w)
+		t.Errorf("next login from that address: got %s, want E(28000)", w)
 	}
 }
--- a/internal/integration/order_test.go
+++ b/internal/integration/order_test.go
@@ -14,66 +14,69 @@
 	"gannetspur/policy"
 )
 
-const settle = 300 * time.Millisecond
+// settleTime is the time for which a key waits after an attempt that may still run.
+const settleTime = 300 * time.Millisecond
 
-// ordered has loads run at most once, and one at a time for each key.
+// ordered changes the settings so that loads run at most once, and one at a time for each key.
 func ordered(s *policy.Settings) {
 	for i, c := range s.Classes {
 		if c.Name == "load" {
 			s.Classes[i].Idempotency, s.Classes[i].Ordered = policy.NotIdempotent, true
 		}
 	}
-	s.Rules.SettleTime, s.Rules.OverloadWindow = settle, 0
+	s.Rules.SettleTime, s.Rules.OverloadWindow = settleTime, 0
 }
 
-// keyed words a load of a key.
-func keyed(n int, key string) string {
+// loadWithKey is a load with request ID n and an ordering key.
+func loadWithKey(n int, key string) string {
 	return strings.Replace(post("load", "Req-Key: "+key+"\r\n"), id, fmt.Sprintf("%016x", n), 1)
 }
 
-// orderedEngine reports each want, and ends one when it is told its id. Unless it hangs it tells that it
-// knows no query whose page it is asked for.
+// orderedEngine is an engine of the line protocol that reports each "want" line and answers it when the test
+// says so. Unless it hangs, it answers a request for a page with BROKE, which says that it knows no such query.
 type orderedEngine struct {
-	addr  string
-	wants chan string
-	asks  chan string // for pages
-	ends  chan string // an id to end, "break", or an answer
-	hangs bool
+	addr    string
+	wants   chan string // request IDs of "want" lines
+	pages   chan string // request IDs of requests for pages
+	replies chan string // a request ID to answer with DONE, "break" to close the connection, or an answer as it is
+	hangs   bool        // whether requests for pages stay unanswered
 }
 
+// newOrderedEngine starts an orderedEngine that answers requests for pages.
 func newOrderedEngine(t *testing.T) *orderedEngine {
 	t.Helper()
-	e := &orderedEngine{wants: make(chan string, 100), asks: make(chan string, 100), ends: make(chan string, 100)}
+	e := &orderedEngine{wants: make(chan string, 100), pages: make(chan string, 100), replies: make(chan string, 100)}
 	e.start(t)
 	return e
 }
 
-// newHangingEngine returns one that never tells that it knows no query of a page.
+// newHangingEngine starts an orderedEngine that never answers requests for pages.
 func newHangingEngine(t *testing.T) *orderedEngine {
 	t.Helper()
-	e := &orderedEngine{wants: make(chan string, 100), asks: make(chan string, 100), ends: make(chan string, 100), hangs: true}
+	e := &orderedEngine{wants: make(chan string, 100), pages: make(chan string, 100), replies: make(chan string, 100), hangs: true}
 	e.start(t)
 	return e
 }
 
+// start listens for the gateway's connections and serves them until the test ends.
 func (e *orderedEngine) start(t *testing.T) {
 	t.Helper()
 	e.addr = listen(t, func(c net.Conn) {
-		over := make(chan struct{})
-		defer close(over)
+		closed := make(chan struct{})
+		defer close(closed)
 		go func() {
 			for {
 				select {
-				case <-over:
+				case <-closed:
 					return
-				case id := <-e.ends:
+				case reply := <-e.replies:
 					switch {
-					case id == "break":
+					case reply == "break":
 						_ = c.Close()
-					case strings.Contains(id, " "):
-						_, _ = fmt.Fprint(c, id)
+					case strings.Contains(reply, " "):
+						_, _ = fmt.Fprint(c, reply)
 					default:
-						_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", id)
+						_, _ = fmt.Fprintf(c, "%s DONE batches=1 0\r\n\r\n", reply)
 					}
 				}
 			}
@@ -90,7 +93,7 @@
 				case w[0] == "want":
 					e.wants <- w[1]
 				case w[0] == "turn":
-					e.asks <- w[1]
+					e.pages <- w[1]
 					if !e.hangs {
 						_, _ = fmt.Fprintf(c, "%s BROKE - 0\r\n\r\n", w[1])
 					}
@@ -100,29 +103,29 @@
 	})
 }
 
-// none tells that nothing has reached the engine.
-func (e *orderedEngine) none(t *testing.T, why string) {
+// expectNoWant fails the test if a request has reached the engine.
+func (e *orderedEngine) expectNoWant(t *testing.T, why string) {
 	t.Helper()
 	select {
 	case id := <-e.wants:
-		t.Fatalf("%s reached the engine %s", id, why)
+		t.Fatalf("engine: got request %s %s, want none", id, why)
 	default:
 	}
 }
 
-// Loads of one key run one at a time, in the order in which they were taken, whichever connections
-// they came on; another key is not held up; and behind one that may run still, as its client left
-// or its connection broke, the key rests.
+// TestOrderOfAKey guards against loads of one key that run out of order or at the same time. They run one at a
+// time in the order of acceptance, whichever connections they came on; other keys are not held up. After a load
+// that may still run, because its client or connection was lost, the key waits for the settle time.
 func TestOrderOfAKey(t *testing.T) {
 	e := newOrderedEngine(t)
-	g := newGateway(t, ordered).platform(e.addr)
+	g := newGateway(t, ordered).startHTTP(e.addr)
 	var clients []*httpClient
 	ids := func(n int) string { return fmt.Sprintf("%016x", n) }
 	take := func(n int, key string) {
 		t.Helper()
 		k := httpConnect(t, g.addr)
-		text := keyed(n, key)
-		_, _ = io.WriteString(k.c, text[:len(text)-3]) // the last byte counts
+		text := loadWithKey(n, key)
+		_, _ = io.WriteString(k.c, text[:len(text)-3]) // a request is accepted with its last byte
 		_, _ = io.WriteString(k.c, text[len(text)-3:])
 		for g.count("taken.") < int64(len(clients)+1) {
 			time.Sleep(time.Millisecond)
@@ -133,92 +136,92 @@
 		take(n, "a")
 	}
 	take(4, "b")
-	same(t, "first", await(t, e.wants), ids(0))
-	same(t, "other key", await(t, e.wants), ids(4))
-	e.none(t, "out of turn")
-	e.ends <- ids(0)
-	same(t, "second, once the first is over", await(t, e.wants), ids(1))
+	assertEqual(t, "first", await(t, e.wants), ids(0))
+	assertEqual(t, "other key", await(t, e.wants), ids(4))
+	e.expectNoWant(t, "out of turn")
+	e.replies <- ids(0)
+	assertEqual(t, "second, after the first has ended", await(t, e.wants), ids(1))
 	left := time.Now()
 	_ = clients[1].c.Close()
-	same(t, "third", await(t, e.wants), ids(2))
-	if rest := time.Since(left); rest < settle {
-		t.Errorf("the key rested for %v behind a client that left", rest)
+	assertEqual(t, "third", await(t, e.wants), ids(2))
+	if rest := time.Since(left); rest < settleTime {
+		t.Errorf("wait after a client disconnected: got %v, want at least %v", rest, settleTime)
 	}
 	broke := time.Now()
-	e.ends <- "break"
-	same(t, "fourth", await(t, e.wants), ids(3))
-	if rest := time.Since(broke); rest < settle {
-		t.Errorf("the key rested for %v behind a connection that broke", rest)
+	e.replies <- "break"
+	assertEqual(t, "fourth", await(t, e.wants), ids(3))
+	if rest := time.Since(broke); rest < settleTime {
+		t.Errorf("wait after a connection broke: got %v, want at least %v", rest, settleTime)
 	}
-	e.ends <- ids(3)
+	e.replies <- ids(3)
 	if got, _ := clients[3].answer(); !strings.HasPrefix(got, "200") {
-		t.Errorf("fourth: %s", got)
+		t.Errorf("fourth: got %s, want status 200", got)
 	}
-	if got, _ := clients[2].answer(); !strings.HasPrefix(got, "500") { // it may have run, and is not sent again
-		t.Errorf("third: %s", got)
+	if got, _ := clients[2].answer(); !strings.HasPrefix(got, "500") { // it may have run, so it is not sent again
+		t.Errorf("third: got %s, want status 500", got)
 	}
-	e.none(t, "a second time")
+	e.expectNoWant(t, "a second time")
 }
 
-// A load that was given up on an engine which hangs is out until that engine is certain to be through with
-// it, so the next of its key waits longer than its rest: until the engine tells, its connection breaks, or
-// the roster tells of a new process.
+// TestKeyWaitsForAnEngineThatHangs guards against two loads of a key at once because the first was given up on
+// an engine that hangs. The next one waits longer than the settle time: until the engine answers for the first,
+// its connection breaks, or the endpoint list shows a new process.
 func TestKeyWaitsForAnEngineThatHangs(t *testing.T) {
 	first, second := fmt.Sprintf("%016x", 0), fmt.Sprintf("%016x", 1)
 	for name, tt := range map[string]struct {
-		end   string
-		start bool
+		reply   string // what the engine then does, as in orderedEngine.replies
+		restart bool   // whether the endpoint list shows a new process instead
 	}{
-		"knows no such query": {end: first + " BROKE - 0\r\n\r\n"},
-		"was through":         {end: first + " DONE batches=3 0\r\n\r\n"},
-		"never ran it":        {end: first + " WAIT - 0\r\n\r\n"},
-		"breaks off":          {end: "break"},
-		"starts anew":         {start: true},
+		"engine knows no such query": {reply: first + " BROKE - 0\r\n\r\n"},
+		"engine had completed it":    {reply: first + " DONE batches=3 0\r\n\r\n"},
+		"engine never ran it":        {reply: first + " WAIT - 0\r\n\r\n"},
+		"connection breaks":          {reply: "break"},
+		"engine restarts":            {restart: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newHangingEngine(t)
-			g := newGateway(t, ordered).platform(e.addr)
+			g := newGateway(t, ordered).startHTTP(e.addr)
 			k := httpConnect(t, g.addr)
-			_, _ = io.WriteString(k.c, keyed(0, "a"))
-			same(t, "first", await(t, e.wants), first)
+			_, _ = io.WriteString(k.c, loadWithKey(0, "a"))
+			assertEqual(t, "first", await(t, e.wants), first)
 			_ = k.c.Close()
 			next := httpConnect(t, g.addr)
-			_, _ = io.WriteString(next.c, strings.Replace(keyed(1, "a"), "2000", "20000", 1))
-			for range 2 { // it is asked again a second later, past the rest
-				same(t, "asked", await(t, e.asks), first)
+			_, _ = io.WriteString(next.c, strings.Replace(loadWithKey(1, "a"), "2000", "20000", 1))
+			for range 2 { // the engine is asked again a second later, after the settle time
+				assertEqual(t, "asked", await(t, e.pages), first)
 			}
-			e.ends <- first + " TELL res=0.5,num=1 0\r\n\r\n" // it runs still
-			same(t, "asked", await(t, e.asks), first)
-			e.none(t, "while its key is out")
-			if tt.start {
+			e.replies <- first + " TELL res=0.5,num=1 0\r\n\r\n" // says that it still runs
+			assertEqual(t, "asked", await(t, e.pages), first)
+			e.expectNoWant(t, "while the first of its key may run")
+			if tt.restart {
 				g.do(func() {
 					g.core.UpdateEndpoints(policy.ListChanges, []core.Engine{{Addr: e.addr, Engine: policy.Engine{
 						ID: "e" + e.addr, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive, StartKnown: true, Started: g.loop.Now(),
 					}}})
 				})
 			} else {
-				e.ends <- tt.end
+				e.replies <- tt.reply
 			}
-			same(t, "second", await(t, e.wants), second)
-			e.ends <- second
+			assertEqual(t, "second", await(t, e.wants), second)
+			e.replies <- second
 			if got, _ := next.answer(); !strings.HasPrefix(got, "200") {
-				t.Errorf("second: %s", got)
+				t.Errorf("second: got %s, want status 200", got)
 			}
 			if n := g.count("settling.load"); n != 1 {
-				t.Errorf("%d attempts were waited for", n)
+				t.Errorf("got %d attempts that were waited for, want 1", n)
 			}
 		})
 	}
 }
 
-// A load that waits for its turn until its time is up gets its one answer then, never having been
-// sent, and the next in line goes on.
+// TestWaitForATurnEnds guards against a load that waits for its key for ever: at its timeout it gets its one
+// answer, is never sent, and the next load in the queue goes on.
 func TestWaitForATurnEnds(t *testing.T) {
 	e := newOrderedEngine(t)
-	g := newGateway(t, ordered).platform(e.addr)
+	g := newGateway(t, ordered).startHTTP(e.addr)
 	long, short, next := httpConnect(t, g.addr), httpConnect(t, g.addr), httpConnect(t, g.addr)
 	for i, k := range []*httpClient{long, short, next} {
-		text := keyed(i, "a")
+		text := loadWithKey(i, "a")
 		if k == short {
 			text = strings.Replace(text, "2000", "200", 1)
 		}
@@ -227,34 +230,35 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	same(t, "first", await(t, e.wants), fmt.Sprintf("%016x", 0))
+	assertEqual(t, "first", await(t, e.wants), fmt.Sprintf("%016x", 0))
 	if got, _ := short.answer(); !strings.HasPrefix(got, "503") {
-		t.Errorf("the one that waited in vain: %s", got)
+		t.Errorf("load whose timeout passed while it waited: got %s, want status 503", got)
 	}
-	e.ends <- fmt.Sprintf("%016x", 0)
-	same(t, "next", await(t, e.wants), fmt.Sprintf("%016x", 2))
-	e.ends <- fmt.Sprintf("%016x", 2)
+	e.replies <- fmt.Sprintf("%016x", 0)
+	assertEqual(t, "next", await(t, e.wants), fmt.Sprintf("%016x", 2))
+	e.replies <- fmt.Sprintf("%016x", 2)
 	if got, _ := next.answer(); !strings.HasPrefix(got, "200") {
-		t.Errorf("the one after it: %s", got)
+		t.Errorf("load after it: got %s, want status 200", got)
 	}
 }
 
-// A class in order needs a key of a plain form; without one nothing is sent.
+// TestOrderNeedsAKey guards against loads of an ordered class without a valid key: nothing is sent.
 func TestOrderNeedsAKey(t *testing.T) {
 	e := newOrderedEngine(t)
-	g := newGateway(t, ordered).platform(e.addr)
+	g := newGateway(t, ordered).startHTTP(e.addr)
 	for name, head := range map[string]string{
 		"missing": "", "empty": "Req-Key: \r\n", "oversized": "Req-Key: " + strings.Repeat("7", 65) + "\r\n",
 		"repeated": "Req-Key: a\r\nReq-Key: a\r\n", "odd": "Req-Key: a b\r\n",
 	} {
 		if got, _ := httpConnect(t, g.addr).call(post("load", head)); !strings.HasPrefix(got, "400") {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("%s key: got %s, want status 400", name, got)
 		}
 	}
-	e.none(t, "without a key")
+	e.expectNoWant(t, "without a key")
 }
 
-// The PostgreSQL front keeps the order too, by the parameter that a rule or a comment names.
+// TestOrderOnPostgres guards against loads of one key that overlap on the PostgreSQL front end, where a rule or
+// a comment names the parameter that is the key.
 func TestOrderOnPostgres(t *testing.T) {
 	asked, release := make(chan string, 10), make(chan struct{})
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
@@ -262,7 +266,7 @@
 		<-release
 		return pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2'), 'n'), 'C', pgproto.CString("INSERT 0 1"))
 	})
-	g := newGateway(t, ordered).postgres(addr)
+	g := newGateway(t, ordered).startPostgres(addr)
 	send := func(text, key string, n int) *pgClient {
 		t.Helper()
 		k := connect(t, g.addr)
@@ -277,26 +281,26 @@
 	other := send("INSERT INTO stock_1.parts VALUES ($1, $2)", "b", 3)
 	for _, n := range []string{"1", "3"} {
 		if got := await(t, asked); !strings.HasSuffix(strings.TrimRight(got, "\x00"), n) {
-			t.Errorf("asked %q, want load %s", got, n)
+			t.Errorf("engine: got Bind %q, want load %s", got, n)
 		}
 	}
 	if len(asked) > 0 {
-		t.Error("two loads of a key at once")
+		t.Errorf("engine: got %d more loads, want none: the key's first load still runs", len(asked))
 	}
 	close(release)
 	if got := await(t, asked); !strings.HasSuffix(strings.TrimRight(got, "\x00"), "2") {
-		t.Errorf("asked %q, want load 2", got)
+		t.Errorf("engine: got Bind %q, want load 2", got)
 	}
 	for _, k := range []*pgClient{first, second, other} {
-		same(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) Z")
+		assertEqual(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) Z")
 	}
 	k := connect(t, g.addr)
 	k.send(parse("", "/* class=load */ DELETE FROM stock_1.parts WHERE part = $1"), bind("", "", "x"), execute("", 0), sync)
-	same(t, "load without a key", k.until('Z'), "1 E(22023) Z")
+	assertEqual(t, "load without a key", k.until('Z'), "1 E(22023) Z")
 }
 
-// A load on PostgreSQL that its client has left is out until its engine has ended it, however long that takes
-// after the cancel.
+// TestOrderWaitsForACancelledLoad guards against two PostgreSQL loads of a key at once after the first one's
+// client disconnected: the next one waits until the engine has ended the first, however long after the cancel.
 func TestOrderWaitsForACancelledLoad(t *testing.T) {
 	asked, release := make(chan string, 10), make(chan []byte, 1)
 	done := pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2'), 'n'), 'C', pgproto.CString("INSERT 0 1"))
@@ -304,7 +308,7 @@
 		asked <- c.bind
 		return <-release
 	})
-	g := newGateway(t, ordered).postgres(addr)
+	g := newGateway(t, ordered).startPostgres(addr)
 	var clients []*pgClient
 	for n := range 2 {
 		k := connect(t, g.addr)
@@ -316,15 +320,15 @@
 	}
 	await(t, asked)
 	_ = clients[0].c.Close()
-	same(t, "engine heard", await(t, seen).query, "cancel")
+	assertEqual(t, "engine heard", await(t, seen).query, "cancel")
 	rested := make(chan bool)
-	g.do(func() { g.loop.Timers.Add(g.loop.Now()+settle+settle, func() { close(rested) }) })
+	g.do(func() { g.loop.Timers.Add(g.loop.Now()+settleTime+settleTime, func() { close(rested) }) })
 	await(t, rested)
 	if len(asked) > 0 {
-		t.Fatal("the next load of the key went out while the first may run")
+		t.Fatalf("engine: got %d more loads, want none while the key's first load may run", len(asked))
 	}
 	release <- pgError("57014")
 	await(t, asked)
 	release <- done
-	same(t, "answer", clients[1].until('Z'), "1 2 C(INSERT 0 1) Z")
+	assertEqual(t, "answer", clients[1].until('Z'), "1 2 C(INSERT 0 1) Z")
 }
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -27,10 +27,10 @@
 	"gannetspur/policy"
 )
 
-// patience bounds every wait, so that a story that goes wrong fails and ends.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait and every socket, so that a failing test ends.
+const waitTimeout = 10 * time.Second
 
-// gateway is a program in the test's own process.
+// gateway is a whole gateway in the test's own process, with one front end and its backend.
 type gateway struct {
 	t       *testing.T
 	loop    *netio.Loop
@@ -38,16 +38,17 @@
 	stats   *metrics.Counters
 	site    config.Site
 	log     *slog.Logger
-	addr    string
-	lines   *lineproto.Backend
-	rest    *httpapi.Frontend
-	options httpapi.Options
-	pgwire  pgfrontend.Options
-	front   *pgfrontend.Frontend
-	engine  pgbackend.Options // how engines are spoken to, beside user and database
+	addr    string               // where clients connect
+	lines   *lineproto.Backend   // nil without the HTTP front end
+	rest    *httpapi.Frontend    // nil without the HTTP front end
+	options httpapi.Options      // of the HTTP front end
+	pgwire  pgfrontend.Options   // of the PostgreSQL front end
+	front   *pgfrontend.Frontend // nil without the PostgreSQL front end
+	engine  pgbackend.Options    // of the PostgreSQL backend; startPostgres sets user and database
 }
 
-// newGateway reads the settings of the deploy folder; change may change them.
+// newGateway creates a gateway with the settings of the deploy directory, which change may modify; nil leaves
+// them as they are. It does not serve before startHTTP or startPostgres.
 func newGateway(t *testing.T, change func(*policy.Settings)) *gateway {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
@@ -70,48 +71,52 @@
 	return g
 }
 
+// run starts the event loop. At the end of the test it stops the loop and checks the balance of the counters.
 func (g *gateway) run() {
 	done := make(chan struct{})
 	go func() { g.loop.Run(); close(done) }()
 	g.t.Cleanup(func() {
 		g.loop.Post(g.loop.Stop)
 		<-done
-		g.balance()
+		g.checkBalance()
 	})
 }
 
-// balance checks, at the end of every story, that each request taken had one final
-// answer or a client that left, and each attempt sent had one end.
-func (g *gateway) balance() {
-	if g.core.Unanswered() > 0 { // cut off by the end of the test
+// checkBalance checks at the end of every test that each accepted request had one final answer or a client that
+// disconnected, and that each attempt sent had one end.
+func (g *gateway) checkBalance() {
+	if g.core.Unanswered() > 0 { // requests that the end of the test cut off have no end to count
 		return
 	}
 	if taken, over := g.stats.Sum("taken."), g.stats.Sum("answered.")+g.stats.Sum("gone."); taken != over {
-		g.t.Errorf("%d requests taken, %d answered or gone", taken, over)
+		g.t.Errorf("got %d requests answered or left by their clients, want %d, the number accepted", over, taken)
 	}
 	if sent, ended := g.stats.Sum("sent."), g.stats.Sum("ended."); sent != ended {
-		g.t.Errorf("%d attempts sent, %d ended", sent, ended)
+		g.t.Errorf("got %d attempts ended, want %d, the number sent", ended, sent)
 	}
 }
 
-// do runs f on the loop's goroutine and waits for it.
+// do runs f on the loop's goroutine and waits until it has returned.
 func (g *gateway) do(f func()) {
 	done := make(chan struct{})
 	g.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
+// count returns the sum of all counters whose names begin with name.
 func (g *gateway) count(name string) (n int64) {
 	g.do(func() { n = g.stats.Sum(name) })
 	return n
 }
 
-func (g *gateway) roster(state policy.EngineState, addrs ...string) {
-	g.do(func() { g.hear(state, addrs...) })
+// updateEngines gives the gateway an endpoint list change: the engines at the addresses, each in the given
+// state.
+func (g *gateway) updateEngines(state policy.EngineState, addrs ...string) {
+	g.do(func() { g.updateEnginesOnLoop(state, addrs...) })
 }
 
-// hear is roster on the loop.
-func (g *gateway) hear(state policy.EngineState, addrs ...string) {
+// updateEnginesOnLoop is updateEngines for callers that already run on the loop's goroutine.
+func (g *gateway) updateEnginesOnLoop(state policy.EngineState, addrs ...string) {
 	var list []core.Engine
 	for _, a := range addrs {
 		list = append(list, core.Engine{Addr: a, Engine: policy.Engine{ID: "e" + a, Zone: "hall-a", Kind: "std-8", State: state}})
@@ -119,13 +124,14 @@
 	g.core.UpdateEndpoints(policy.ListChanges, list)
 }
 
-// platform starts the platform's front with engines at the addresses.
-func platform(t *testing.T, engines ...string) *gateway {
+// httpGateway starts a gateway with the HTTP front end, default settings and engines at the addresses.
+func httpGateway(t *testing.T, engines ...string) *gateway {
 	t.Helper()
-	return newGateway(t, nil).platform(engines...)
+	return newGateway(t, nil).startHTTP(engines...)
 }
 
-func (g *gateway) platform(engines ...string) *gateway {
+// startHTTP starts the HTTP front end and the line protocol backend, with engines at the addresses.
+func (g *gateway) startHTTP(engines ...string) *gateway {
 	t := g.t
 	t.Helper()
 	g.site.MaxStreams = 32
@@ -137,17 +143,19 @@
 	}
 	g.addr, g.rest = f.Addr(), f
 	g.run()
-	g.roster(policy.EngineLive, engines...)
+	g.updateEngines(policy.EngineLive, engines...)
 	return g
 }
 
-// postgresGateway starts the second front with engines at the addresses.
+// postgresGateway starts a gateway with the PostgreSQL front end, default settings and engines at the addresses.
 func postgresGateway(t *testing.T, engines ...string) *gateway {
 	t.Helper()
-	return newGateway(t, nil).postgres(engines...)
+	return newGateway(t, nil).startPostgres(engines...)
 }
 
-func (g *gateway) postgres(engines ...string) *gateway {
+// startPostgres starts the PostgreSQL front end and backend, with engines at the addresses. Without a default
+// class in g.pgwire it sets options of its own.
+func (g *gateway) startPostgres(engines ...string) *gateway {
 	t := g.t
 	t.Helper()
 	g.engine.User, g.engine.Database = "ringwood", "register"
@@ -163,11 +171,12 @@
 	}
 	g.addr, g.front = f.Addr(), f
 	g.run()
-	g.roster(policy.EngineLive, engines...)
+	g.updateEngines(policy.EngineLive, engines...)
 	return g
 }
 
-// listen accepts for a scripted peer until the test ends.
+// listen opens a loopback listener for a scripted peer and calls serve for each connection until the test ends.
+// It returns the listener's address.
 func listen(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -181,7 +190,7 @@
 			if err != nil {
 				return
 			}
-			_ = c.SetDeadline(time.Now().Add(patience))
+			_ = c.SetDeadline(time.Now().Add(waitTimeout))
 			go func() {
 				defer func() { _ = c.Close() }()
 				serve(c)
@@ -191,33 +200,35 @@
 	return ln.Addr().String()
 }
 
+// dial opens a connection that is closed at the end of the test, with waitTimeout as its deadline.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
+// await receives a value from a channel, or fails the test after waitTimeout.
 func await[T any](t *testing.T, ch <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
-	case <-time.After(patience):
-		t.Fatal("waited in vain")
+	case <-time.After(waitTimeout):
+		t.Fatalf("got nothing from the channel within %v, want a value", waitTimeout)
 	}
 	return v
 }
 
-// lineEngine is an engine of the platform: it reports each line, with the
-// statement of a want after it, and answers as the script says.
+// lineEngine is a scripted engine of the line protocol. It reports each line in seen, a "want" line followed by
+// its statement, and writes the script's answer. The answer "hang up" closes the connection.
 func lineEngine(t *testing.T, script func(line string) (answer string)) (addr string, seen chan string) {
 	t.Helper()
 	seen = make(chan string, 100)
-	var one gosync.Mutex // scripts keep state, and connections are served side by side
+	var scriptLock gosync.Mutex // scripts keep state, and connections are served concurrently
 	return listen(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -235,9 +246,9 @@
 				}
 				line += " " + string(body[:n])
 			}
-			one.Lock()
+			scriptLock.Lock()
 			answer := script(line)
-			one.Unlock()
+			scriptLock.Unlock()
 			seen <- line
 			if answer == "hang up" {
 				return
@@ -249,34 +260,35 @@
 	}), seen
 }
 
-// pgCall is what a scripted PostgreSQL engine was asked.
+// pgCall is one batch of messages, up to Sync, that a scripted PostgreSQL engine received.
 type pgCall struct {
 	query    string
-	bind     string // past the names
-	describe bool
-	parsed   bool   // and not prepared before
-	end      func() // ends the connection
+	bind     string // body of Bind after the portal and statement names
+	describe bool   // whether a statement was described
+	parsed   bool   // whether the batch has a Parse, so that the statement was not prepared before
+	end      func() // closes the connection
 }
 
+// parseComplete is the message that answers Parse.
 var parseComplete = pgproto.AppendMessage(nil, '1')
 
-// pgEngine is a PostgreSQL engine: the script answers each batch; nil leaves the
-// batch open until a CancelRequest, which is reported as a call of its own.
+// pgEngine is a scripted PostgreSQL engine whose script answers each batch. A nil answer leaves the batch open
+// until a CancelRequest, which is reported in seen as a call with the query "cancel".
 func pgEngine(t *testing.T, script func(pgCall) []byte) (addr string, seen chan pgCall) {
 	t.Helper()
 	return slowPgEngine(t, 0, script)
 }
 
-// slowPgEngine is one whose startup takes a while.
-// breakOff as an answer has the engine end the connection in place of one.
-const breakOff = "break off"
+// closeConnection as a script's answer makes the engine close the connection instead of answering.
+const closeConnection = "break off"
 
+// slowPgEngine is a pgEngine that waits for the duration startup before it completes a connection's startup.
 func slowPgEngine(t *testing.T, startup time.Duration, script func(pgCall) []byte) (addr string, seen chan pgCall) {
 	t.Helper()
 	seen = make(chan pgCall, 100)
 	return listen(t, func(c net.Conn) {
 		var in []byte
-		more := func() bool {
+		readMore := func() bool {
 			p := make([]byte, 4096)
 			n, err := c.Read(p)
 			in = append(in, p[:n]...)
@@ -291,7 +303,7 @@
 			if in = in[n:]; n > 0 {
 				break
 			}
-			if !more() {
+			if !readMore() {
 				return
 			}
 		}
@@ -304,7 +316,7 @@
 		for {
 			kind, body, n, _ := pgproto.ReadMessage(in, 1<<20)
 			if n == 0 {
-				if !more() {
+				if !readMore() {
 					return
 				}
 				continue
@@ -327,10 +339,10 @@
 				call.end = func() { _ = c.Close() }
 				answer := script(call)
 				seen <- call
-				if string(answer) == breakOff {
+				if string(answer) == closeConnection {
 					return
 				}
-				if !call.parsed { // no ParseComplete then
+				if !call.parsed { // the batch has no Parse, so no ParseComplete answers it
 					answer = bytes.TrimPrefix(answer, parseComplete)
 				}
 				call = pgCall{}
@@ -343,6 +355,7 @@
 	}), seen
 }
 
+// oneColumn is the body of a RowDescription with one text column, part.
 var oneColumn = append([]byte{0, 1}, append([]byte("part\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
 
 // pgRows answers a batch with text rows of one column.
@@ -355,19 +368,22 @@
 	return pgproto.AppendMessage(b, 'C', pgproto.CString(fmt.Sprintf("SELECT %d", len(rows))))
 }
 
+// pgError is an ErrorResponse with the SQLSTATE code.
 func pgError(code string) []byte {
 	return pgproto.AppendMessage(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
 }
 
-// pgClient is a PostgreSQL client that writes messages as it is told.
+// pgClient is a PostgreSQL client that writes the messages that the test gives it.
 type pgClient struct {
 	t    *testing.T
 	c    net.Conn
-	in   []byte
-	key  []byte
+	in   []byte // bytes read and not yet parsed
+	key  []byte // body of BackendKeyData, which a CancelRequest repeats
 	last []byte // body of the latest message
 }
 
+// connect opens a connection as user desk with further startup parameters, given as name and value in turn, and
+// completes the startup.
 func connect(t *testing.T, addr string, params ...string) *pgClient {
 	t.Helper()
 	k := &pgClient{t: t, c: dial(t, addr)}
@@ -380,10 +396,12 @@
 	return k
 }
 
+// parse is a Parse message without parameter types.
 func parse(name, query string) []byte {
 	return pgproto.AppendMessage(nil, 'P', pgproto.CString(name), pgproto.CString(query), []byte{0, 0})
 }
 
+// bind is a Bind message with text values for a portal and a prepared statement name.
 func bind(portal, name string, values ...string) []byte {
 	b := []byte{0, 0, 0, byte(len(values))}
 	for _, v := range values {
@@ -392,14 +410,17 @@
 	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(name), b, []byte{0, 0})
 }
 
+// execute is an Execute message; most limits its rows, and 0 means no limit.
 func execute(portal string, most int) []byte {
 	return pgproto.AppendMessage(nil, 'E', pgproto.CString(portal), pgproto.Int32(most))
 }
 
+// describe is a Describe message; kind is "S" for a statement or "P" for a portal.
 func describe(kind, name string) []byte {
 	return pgproto.AppendMessage(nil, 'D', []byte(kind), pgproto.CString(name))
 }
 
+// query is a Query message of the simple protocol.
 func query(text string) []byte { return pgproto.AppendMessage(nil, 'Q', pgproto.CString(text)) }
 
 var (
@@ -407,6 +428,7 @@
 	flush = pgproto.AppendMessage(nil, 'H')
 )
 
+// send writes the messages.
 func (k *pgClient) send(messages ...[]byte) {
 	k.t.Helper()
 	for _, m := range messages {
@@ -416,19 +438,21 @@
 	}
 }
 
-// until reads up to a message of the kind, or the end, and words what came.
+// until reads messages up to one of the type last, or to the end of the connection, and returns a summary:
+// the types, with a CommandComplete's tag, a DataRow's value and an ErrorResponse's code and whether it has a
+// hint in parentheses, and "end" where the connection ended.
 func (k *pgClient) until(last byte) string {
 	k.t.Helper()
-	var words []string
+	var summary []string
 	for {
 		kind, body, n, _ := pgproto.ReadMessage(k.in, 1<<24)
 		if n == 0 {
 			p := make([]byte, 4096)
 			m, err := k.c.Read(p)
 			if k.in = append(k.in, p[:m]...); errors.Is(err, io.EOF) {
-				return strings.Join(append(words, "end"), " ")
+				return strings.Join(append(summary, "end"), " ")
 			} else if err != nil {
-				k.t.Fatalf("after %q: %v", words, err)
+				k.t.Fatalf("got the error %[2]v after %[1]q, want a message or the end of the connection", summary, err)
 			}
 			continue
 		}
@@ -451,11 +475,11 @@
 		case 'K':
 			k.key = append([]byte{}, body...)
 		}
-		words = append(words, word)
+		summary = append(summary, word)
 		k.last = append(k.last[:0], body...)
 		k.in = k.in[n:]
 		if kind == last {
-			return strings.Join(words, " ")
+			return strings.Join(summary, " ")
 		}
 	}
 }
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -18,30 +18,33 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// id is the request ID of calls that name no other.
 const id = "9b1f03aa5c7e2d41"
 
-// post words a call of the class with a statement.
+// post is a call of the class with further header lines and a short statement.
 func post(class, head string) string { return postText(class, head, "SELECT day FROM sales_17.orders") }
 
+// postText is a call of the class with further header lines and the statement text.
 func postText(class, head, text string) string {
 	return fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Wait-Ms: 2000\r\n%sContent-Length: %d\r\n\r\n%s",
 		class, id, head, len(text), text)
 }
 
-// httpClient keeps one connection.
+// httpClient is an HTTP client with one persistent connection.
 type httpClient struct {
 	t *testing.T
 	c net.Conn
 	r *bufio.Reader
 }
 
+// httpConnect opens a connection to the HTTP front end.
 func httpConnect(t *testing.T, addr string) *httpClient {
 	t.Helper()
 	c := dial(t, addr)
 	return &httpClient{t, c, bufio.NewReader(c)}
 }
 
-// call writes text and words the response.
+// call writes text and returns the response as answer does.
 func (k *httpClient) call(text string) (answer string, head http.Header) {
 	k.t.Helper()
 	if _, err := io.WriteString(k.c, text); err != nil {
@@ -50,7 +53,7 @@
 	return k.answer()
 }
 
-// answer reads and words the response.
+// answer reads a response and returns its status code and body in one line, and its header.
 func (k *httpClient) answer() (answer string, head http.Header) {
 	k.t.Helper()
 	resp, err := http.ReadResponse(k.r, nil)
@@ -65,89 +68,90 @@
 	return fmt.Sprintf("%d %s", resp.StatusCode, body), resp.Header
 }
 
-// done answers a want with one page.
+// done is an engine's answer to a "want" line, with a single page of rows.
 func done(line, page string) string {
 	return fmt.Sprintf("%s DONE batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0 %d\r\n%s\r\n", strings.Fields(line)[1], len(page), page)
 }
 
-// Rows arrive unchanged and in order; a request passes on with its id, class and key.
+// TestServed guards against rows that are changed or reordered on their way to the client, and against a request
+// that reaches the engine without its ID, class or idempotency key.
 func TestServed(t *testing.T) {
 	addr, seen := lineEngine(t, func(line string) string {
 		return id + " TELL res=p,num=0.5 0\r\n\r\n" + done(line, "a\t\"1\"\t\\x\nb\t2\té\n")
 	})
-	g := platform(t, addr)
+	g := httpGateway(t, addr)
 	k := httpConnect(t, g.addr)
 	got, _ := k.call(post("load", "Req-Token: k-1\r\nReq-Kb: 96\r\nReq-Cost: 820.0\r\n"))
-	same(t, "answer", got, `200 {"result":[["a","\"1\"","\\x"],["b","2","é"]]}`)
+	assertEqual(t, "answer", got, `200 {"result":[["a","\"1\"","\\x"],["b","2","é"]]}`)
 	line := await(t, seen)
 	for _, part := range []string{"want " + id + " kind=load,ms=", ",token=k-1,", " 31 SELECT day FROM sales_17.orders"} {
 		if !strings.Contains(line, part) {
-			t.Errorf("engine was asked %q, without %q", line, part)
+			t.Errorf("engine: got %q, want %q in it", line, part)
 		}
 	}
 	if n := g.count("notes"); n != 1 {
-		t.Errorf("%d notes, want 1", n)
+		t.Errorf("got %d notes, want 1", n)
 	}
 }
 
-// An engine dies between page 0 and the rest: no row has gone out, so another
-// engine serves the client. A result of several answers is fetched part by part,
-// and a path of no result gets a plain 404.
+// TestPagesAreCollectedBeforeARowIsPassedOn guards against truncated results. An engine fails between page 0 and
+// the rest: no row has reached the client yet, so another engine serves it. A result of several parts is fetched
+// part by part, and a path without a result gets a plain 404.
 func TestPagesAreCollectedBeforeARowIsPassedOn(t *testing.T) {
 	page := strings.Repeat("x\ty\tz\n", 1000)
-	var died bool
+	var failed bool // whether an engine has closed its connection
 	script := func(line string) string {
 		w := strings.Fields(line)
 		switch {
 		case w[0] == "want":
 			return fmt.Sprintf("%s DONE batches=16 %d\r\n%s\r\n", id, len(page), page)
-		case w[0] == "turn" && !died:
-			died = true
+		case w[0] == "turn" && !failed:
+			failed = true
 			return "hang up"
 		case w[0] == "turn":
 			return fmt.Sprintf("%s MORE batch=%s %d\r\n%s\r\n", id, w[2], len(page), page)
 		}
 		return ""
 	}
-	// One lock for both scripts: they share a variable.
-	gate := make(chan struct{}, 1)
+	// One lock for both engines' scripts, because they share a variable.
+	lock := make(chan struct{}, 1)
 	locked := func(line string) string {
-		gate <- struct{}{}
-		defer func() { <-gate }()
+		lock <- struct{}{}
+		defer func() { <-lock }()
 		return script(line)
 	}
 	one, _ := lineEngine(t, locked)
 	two, _ := lineEngine(t, locked)
-	g := platform(t, one, two)
+	g := httpGateway(t, one, two)
 	k := httpConnect(t, g.addr)
 	got, _ := k.call(post("report", ""))
 	if rows := k.fetch(got); rows != 16000 {
-		t.Errorf("%d rows, want 16000", rows)
+		t.Errorf("got %d rows, want 16000", rows)
 	}
 	if n := g.count("sent."); n != 2 {
-		t.Errorf("%d sent, want 2", n)
+		t.Errorf("got %d attempts sent, want 2", n)
 	}
-	got, _ = k.call(post("report", "")) // one that the client gives up
+	got, _ = k.call(post("report", "")) // a result that the client deletes before it has fetched all
 	_, path, _ := strings.Cut(got, `"more":"`)
 	path, _, _ = strings.Cut(path, `"`)
 	got, _ = httpConnect(t, g.addr).call("DELETE " + path + " HTTP/1.1\r\n\r\n")
-	same(t, "given up", got, "200 {}")
+	assertEqual(t, "deleted result", got, "200 {}")
 	got, _ = k.call("GET " + path + " HTTP/1.1\r\n\r\n")
-	same(t, "path that was given up", got[:3], "404")
+	assertEqual(t, "path of a deleted result", got[:3], "404")
 	got, _ = k.call("GET /more/other-1/1 HTTP/1.1\r\n\r\n")
-	same(t, "path from before a restart", got, `404 {"fault":"nothing is held under this path"}`)
-	// A planned stop lets a client fetch what it has begun to, then ends its connection.
+	assertEqual(t, "path from before a restart", got, `404 {"fault":"nothing is held under this path"}`)
+	// A graceful shutdown lets a client fetch the rest of a result, then closes its connection.
 	got, _ = k.call(post("report", ""))
 	g.do(g.rest.Drain)
 	if rows := k.fetch(got); rows != 16000 {
-		t.Errorf("%d rows after the stop began, want 16000", rows)
+		t.Errorf("after the shutdown began: got %d rows, want 16000", rows)
 	}
 	if _, err := k.r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection goes on: %v", err)
+		t.Errorf("connection after the last part: got %v, want %v", err, io.EOF)
 	}
 }
 
-// fetch follows an answer's parts and counts its rows.
+// fetch follows the paths to an answer's further parts and returns the number of rows in all of them.
 func (k *httpClient) fetch(answer string) (rows int) {
 	k.t.Helper()
 	for range 9 {
@@ -159,12 +163,13 @@
 		path, _, _ = strings.Cut(path, `"`)
 		answer, _ = k.call("GET " + path + " HTTP/1.1\r\n\r\n")
 	}
-	k.t.Fatal("more without end")
+	k.t.Fatalf("got a further part after 9, want the last: %.80q", answer)
 	return 0
 }
 
-// A refused connection proves that nothing ran, so even a load goes elsewhere; with
-// no engine left it is refused at once, with word when to come back.
+// TestRefusedConnection guards against giving up a load after a refused connection, which proves that nothing
+// ran: even a load goes to another engine. Without any engine left it is refused at once, with the time after
+// which to retry.
 func TestRefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,51 +177,52 @@
 	}
 	dead := ln.Addr().String()
 	_ = ln.Close()
-	g := platform(t, dead)
+	g := httpGateway(t, dead)
 	k := httpConnect(t, g.addr)
 	got, head := k.call(post("load", "Req-Token: k\r\n"))
-	same(t, "answer", got, `503 {"fault":"Busy"}`)
+	assertEqual(t, "answer", got, `503 {"fault":"Busy"}`)
 	if head.Get("Srv-Wait-Ms") == "" {
-		t.Error("a refusal without Srv-Wait-Ms")
+		t.Error("refusal: got no Srv-Wait-Ms, want one")
 	}
 	if n := g.count("ended.refused"); n == 0 {
-		t.Error("no attempt ended as refused")
+		t.Errorf("got %d attempts that ended as refused, want at least 1", n)
 	}
 	addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
-	g.roster(policy.EngineLive, addr)
+	g.updateEngines(policy.EngineLive, addr)
 	got, _ = k.call(post("load", "Req-Token: k\r\n"))
-	same(t, "answer", got, `200 {"result":[]}`)
+	assertEqual(t, "answer", got, `200 {"result":[]}`)
 }
 
-// A client that closes its connection has its attempt given up, and an answer that
-// comes late on the same connection ends nothing else.
+// TestClientLeavesAndTheAnswerComesLate guards against a late answer that is taken for another request's: a
+// client's disconnection cancels its attempt, and the answer that comes later on that connection must not end
+// the next request of the same ID.
 func TestClientLeavesAndTheAnswerComesLate(t *testing.T) {
-	var line string
-	addr, seen := lineEngine(t, func(l string) string {
-		if strings.HasPrefix(l, "never_mind") {
-			return done(line, "late\t\t\n")
+	var first string // the first "want" line; empty until it has come
+	addr, seen := lineEngine(t, func(line string) string {
+		if strings.HasPrefix(line, "never_mind") {
+			return done(first, "late\t\t\n")
 		}
-		if line != "" {
-			return done(l, "fresh\t\t\n")
+		if first != "" {
+			return done(line, "fresh\t\t\n")
 		}
-		line = l
+		first = line
 		return ""
 	})
-	g := platform(t, addr)
+	g := httpGateway(t, addr)
 	k := httpConnect(t, g.addr)
 	_, _ = io.WriteString(k.c, post("lookup", ""))
 	await(t, seen)
 	_ = k.c.Close()
-	same(t, "engine heard", await(t, seen), "never_mind "+id)
+	assertEqual(t, "engine heard", await(t, seen), "never_mind "+id)
 	got, _ := httpConnect(t, g.addr).call(post("lookup", ""))
-	same(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
+	assertEqual(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
 	if n := g.count("links.dialed"); n != 2 {
-		t.Errorf("%d connections, want 2: an id given up is not used again on its own", n)
+		t.Errorf("got %d connections, want 2: the ID of a cancelled attempt is not used again on its connection", n)
 	}
 }
 
-// What an engine says that can't be read ends its connection, and the client has
-// its one answer all the same.
+// TestEngineGarbage guards against unparsable answers of an engine that reach or hang the client: they close the
+// engine's connection, and the client still gets exactly one answer.
 func TestEngineGarbage(t *testing.T) {
 	for _, text := range []string{
 		"nonsense\r\n", id + " DONE - 99999999\r\n", id + " DONE - 2\r\nabcd", id + " HUH - 0\r\n\r\n",
@@ -225,21 +231,21 @@
 		id + " DONE batches=1 6\r\na\tb\t\xff\n\r\n", id + " DONE - 0\r\n\r\n", id + " DONE batches=65 0\r\n\r\n", id + " DONE batches=1 3000000000\r\n",
 	} {
 		addr, _ := lineEngine(t, func(string) string { return text })
-		g := platform(t, addr)
+		g := httpGateway(t, addr)
 		got, _ := httpConnect(t, g.addr).call(post("lookup", ""))
 		if !strings.HasPrefix(got, "503") && !strings.HasPrefix(got, "500") {
-			t.Errorf("%.20q: answer %s", text, got)
+			t.Errorf("%.20q: got %s, want status 503 or 500", text, got)
 		}
 		if n := g.count("ended.garbage"); n == 0 {
-			t.Errorf("%.20q: no attempt ended as garbage", text)
+			t.Errorf("%.20q: got %d attempts that ended as garbage, want at least 1", text, n)
 		}
 	}
 }
 
-// Bad input gets a status and a plain message, and nothing is sent.
+// TestBadInput guards against invalid calls that reach an engine: each gets its status and a plain message.
 func TestBadInput(t *testing.T) {
 	addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
-	g := platform(t, addr)
+	g := httpGateway(t, addr)
 	for name, tt := range map[string]struct{ text, want string }{
 		"no HTTP":         {"hello\r\n\r\n", "400"},
 		"unknown class":   {post("nope", ""), "404"},
@@ -260,15 +266,15 @@
 		"more, odd paths": {"GET /more/ HTTP/1.1\r\n\r\n", "404"},
 	} {
 		got, _ := httpConnect(t, g.addr).call(tt.text)
-		same(t, name, got[:3], tt.want)
+		assertEqual(t, name, got[:3], tt.want)
 	}
 	if n := g.count("taken."); n != 0 {
-		t.Errorf("%d requests taken, want none", n)
+		t.Errorf("got %d accepted requests, want 0", n)
 	}
 }
 
-// Every end has one meaning to the decisions; only what proves that nothing ran
-// may say so.
+// TestEnds guards against an attempt's outcome that the decisions misread: each has one result, and only
+// outcomes that prove that nothing ran may say so.
 func TestEnds(t *testing.T) {
 	got := map[string]policy.Result{}
 	for e := core.OutcomeUnknown; e <= core.OutcomeIdleClosed; e++ {
@@ -282,69 +288,72 @@
 		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "crowded": policy.ResultRejected, "idle": policy.ResultUnknown,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("results by outcome (-want +got):\n%s", diff)
 	}
 }
 
-// A new engine at a gone one's address is another engine: links to the old one
-// take nothing more.
+// TestAddressIsUsedAgain guards against taking a new engine at a former engine's address for the same one: the
+// connections to the former engine take no more requests.
 func TestAddressIsUsedAgain(t *testing.T) {
-	var told []string
-	p := backend.NewEngineSet[*fakeLink]()
+	var retired []string
+	engines := backend.NewEngineSet[*fakeLink]()
 	entry := func(id string, state policy.EngineState, started time.Duration) {
-		p.Update(core.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
+		engines.Update(core.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
 	}
 	entry("old", policy.EngineLive, 0)
-	p.Get("old").Connections = append(p.Get("old").Connections, &fakeLink{"old", &told})
+	engines.Get("old").Connections = append(engines.Get("old").Connections, &fakeLink{"old", &retired})
 	entry("new", policy.EngineLive, 0)
-	if p.Get("new") == p.Get("old") || len(p.Get("new").Connections) != 0 {
-		t.Error("the new engine has the old one's links")
+	if engines.Get("new") == engines.Get("old") || len(engines.Get("new").Connections) != 0 {
+		t.Errorf("new engine: got the old one's set entry or %d connections, want its own without any", len(engines.Get("new").Connections))
 	}
 	entry("old", policy.EngineDraining, 0)
 	entry("old", policy.EngineDeparted, 0)
-	if p.Get("old") != nil {
-		t.Error("the gone engine is still there")
+	if engines.Get("old") != nil {
+		t.Error("departed engine: got an entry, want none")
 	}
-	p.Get("new").Connections = append(p.Get("new").Connections, &fakeLink{"new", &told})
+	engines.Get("new").Connections = append(engines.Get("new").Connections, &fakeLink{"new", &retired})
 	entry("new", policy.EngineLive, time.Second)
-	same(t, "retired", strings.Join(told, " "), "old new")
+	assertEqual(t, "retired", strings.Join(retired, " "), "old new")
 }
 
+// fakeLink is a connection that records when it is retired.
 type fakeLink struct {
-	name string
-	told *[]string
+	name    string
+	retired *[]string
 }
 
-func (l *fakeLink) Retire() { *l.told = append(*l.told, l.name) }
+// Retire records the connection's name.
+func (l *fakeLink) Retire() { *l.retired = append(*l.retired, l.name) }
 
-// Clients that say nothing, stop in the middle, tell a wrong length or send what no
-// request may hold are closed or told so in time, and none of it reaches an engine.
-// The connection ends behind a bad call: nothing after it is answered.
+// TestBadClients guards against clients that hold a connection or smuggle a request: those that send nothing,
+// stop in the middle, give a wrong length or send what no request may contain are disconnected or answered in
+// time, and nothing of it reaches an engine. After an invalid call the connection closes, so that nothing behind
+// it is answered.
 func TestBadClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
 	g.options.RequestTimeout = 100 * time.Millisecond
-	g.platform(addr)
-	open := httpConnect(t, g.addr)
+	g.startHTTP(addr)
+	open := httpConnect(t, g.addr) // its request stays open
 	_, _ = io.WriteString(open.c, post("lookup", ""))
 	await(t, seen)
-	good := strings.Replace(post("lookup", ""), id, "0000000000000001", 1)
+	valid := strings.Replace(post("lookup", ""), id, "0000000000000001", 1)
 	cases := map[string]struct{ text, want string }{
 		"says nothing":            {"", ""},
 		"half a head":             {"POST /rpc/lookup HTTP/1.1\r\nReq-", "408"},
-		"half a body":             {good[:len(good)-5], "408"},
-		"length too small":        {good + "and more", "400"},
+		"half a body":             {valid[:len(valid)-5], "408"},
+		"length too small":        {valid + "and more", "400"},
 		"no statement":            {"POST /rpc/lookup HTTP/1.1\r\nReq-Id: 0000000000000001\r\n\r\n", "411"},
-		"statement is no text":    {strings.Replace(good, "day", "d\xffy", 1), "400"},
+		"statement is no text":    {strings.Replace(valid, "day", "d\xffy", 1), "400"},
 		"id of an open request":   {strings.Replace(post("lookup", ""), "day", "sum", 1), "409"},
-		"waits for ever":          {strings.Replace(good, "2000", "99999999999999999999999", 1), "400"},
-		"cost without bounds":     {strings.Replace(good, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
-		"no memory":               {strings.Replace(good, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
-		"empty figure":            {strings.Replace(good, "Host", "Req-Kb: \r\nHost", 1), "400"},
-		"odd retry":               {strings.Replace(good, "Host", "Req-Retry: x\r\nHost", 1), "400"},
-		"two lengths":             {strings.Replace(good, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
-		"a field behind a LF":     {strings.Replace(good, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
-		"the same again and more": {strings.Repeat(strings.Replace(good, "lookup", "nope", 1), 300), "404"},
+		"waits for ever":          {strings.Replace(valid, "2000", "99999999999999999999999", 1), "400"},
+		"cost without bounds":     {strings.Replace(valid, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
+		"no memory":               {strings.Replace(valid, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
+		"empty figure":            {strings.Replace(valid, "Host", "Req-Kb: \r\nHost", 1), "400"},
+		"odd retry":               {strings.Replace(valid, "Host", "Req-Retry: x\r\nHost", 1), "400"},
+		"two lengths":             {strings.Replace(valid, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
+		"a field behind a LF":     {strings.Replace(valid, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
+		"the same again and more": {strings.Repeat(strings.Replace(valid, "lookup", "nope", 1), 300), "404"},
 	}
 	clients := map[string]*httpClient{}
 	for name, tt := range cases {
@@ -359,28 +368,28 @@
 		if len(answers) > 12 {
 			got = string(answers[9:12])
 		}
-		same(t, name, got, tt.want)
+		assertEqual(t, name, got, tt.want)
 		if n := strings.Count(string(answers), "HTTP/1.1 "); n > 1 {
-			t.Errorf("%s: %d answers", name, n)
+			t.Errorf("%s: got %d answers, want at most 1", name, n)
 		}
 	}
 	if n := g.count("sent."); n != 1 {
-		t.Errorf("%d sent, want only the open request", n)
+		t.Errorf("got %d attempts sent, want 1: the open request's", n)
 	}
 	_, _ = io.WriteString(open.c, "no call")
 	answers, _ := io.ReadAll(open.r)
-	same(t, "junk behind an open request", string(answers[:12]), "HTTP/1.1 400")
-	same(t, "engine heard", await(t, seen), "never_mind "+id)
+	assertEqual(t, "invalid call behind an open request", string(answers[:12]), "HTTP/1.1 400")
+	assertEqual(t, "engine heard", await(t, seen), "never_mind "+id)
 }
 
-// Clients that ask once and stay leave room for others: past the limit the one that
-// has been idle longest goes, after those that never made a good call. A request
-// that is open stays, and so does an idle connection while there is room.
+// TestRoomForClients guards against idle clients that keep others out. Above the limit, clients that never made
+// a valid call are disconnected first, then the one that was idle longest. Open requests stay, and so do idle
+// connections below the limit.
 func TestRoomForClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
 	g.options.MaxClients, g.options.RequestTimeout = 4, time.Minute
-	g.platform(addr)
+	g.startHTTP(addr)
 	const health = "GET /health HTTP/1.1\r\n\r\n"
 	open := httpConnect(t, g.addr)
 	_, _ = io.WriteString(open.c, post("lookup", ""))
@@ -392,35 +401,35 @@
 		stay = append(stay, k)
 	}
 	silent := httpConnect(t, g.addr)
-	closed := func(k *httpClient) {
+	expectEOF := func(k *httpClient) {
 		t.Helper()
 		if _, err := k.r.ReadByte(); err != io.EOF {
-			t.Errorf("the connection goes on: %v", err)
+			t.Errorf("connection: got %v, want %v", err, io.EOF)
 		}
 	}
 	next := httpConnect(t, g.addr)
 	next.call(health)
-	closed(silent)
+	expectEOF(silent)
 	httpConnect(t, g.addr).call(health)
-	closed(stay[0])
+	expectEOF(stay[0])
 	for _, k := range []*httpClient{stay[1], next} {
 		got, _ := k.call(health)
-		same(t, "one that was idle for less", got, "200 {}")
+		assertEqual(t, "client that was idle for less time", got, "200 {}")
 	}
 	if n := g.count("gone."); n != 0 {
-		t.Errorf("%d open requests were cut off", n)
+		t.Errorf("got %d open requests that were cut off, want 0", n)
 	}
 }
 
-// A client that writes its call in pieces keeps its place in a crowd that says nothing: those go
-// first, although they came later. One that has stopped half way for long goes before one that served.
+// TestRoomForSlowWriters guards against disconnecting a client that writes its call in pieces in favor of silent
+// ones: those go first, although they came later.
 func TestRoomForSlowWriters(t *testing.T) {
 	g := newGateway(t, nil)
 	g.options.MaxClients, g.options.RequestTimeout = 2, time.Minute
-	g.platform()
+	g.startHTTP()
 	slow := httpConnect(t, g.addr)
 	_, _ = io.WriteString(slow.c, "GET /hea")
-	for g.count("rest.connections") == 0 || !begun(g) {
+	for g.count("rest.connections") == 0 || !partialCallBuffered(g) {
 	}
 	var crowd []*httpClient
 	for range 10 {
@@ -428,15 +437,15 @@
 	}
 	for _, k := range crowd[:9] {
 		if _, err := k.r.ReadByte(); err != io.EOF {
-			t.Errorf("a silent connection goes on: %v", err)
+			t.Errorf("silent connection: got %v, want %v", err, io.EOF)
 		}
 	}
 	got, _ := slow.call("lth HTTP/1.1\r\n\r\n")
-	same(t, "slow writer", got, "200 {}")
+	assertEqual(t, "slow writer", got, "200 {}")
 }
 
-// begun tells whether a part of a call lies in a buffer.
-func begun(g *gateway) (yes bool) {
+// partialCallBuffered reports whether any connection has unprocessed bytes in its buffer.
+func partialCallBuffered(g *gateway) (yes bool) {
 	g.do(func() {
 		for c := range g.loop.Conns() {
 			yes = yes || c.Unread() > 0
@@ -445,8 +454,8 @@
 	return yes
 }
 
-// Good answers that bring more than belongs to them, a second copy or one ahead under
-// an unknown id, leave the connection and all on it alone.
+// TestDoubledAnswers guards against losing a connection to surplus answers: a second copy, or one under an
+// unknown ID, must not disturb the connection or other requests on it.
 func TestDoubledAnswers(t *testing.T) {
 	addr, _ := lineEngine(t, func(line string) string {
 		w := strings.Fields(line)
@@ -460,19 +469,19 @@
 		}
 		return ""
 	})
-	g := platform(t, addr)
+	g := httpGateway(t, addr)
 	k := httpConnect(t, g.addr)
 	for n := range 3 {
 		got, _ := k.call(strings.Replace(post("lookup", ""), id, fmt.Sprintf("%016x", n+1), 1))
-		same(t, "answer", got, `200 {"result":[["a","",""],["b","",""]]}`)
+		assertEqual(t, "answer", got, `200 {"result":[["a","",""],["b","",""]]}`)
 	}
 	if n := g.count("links.dialed"); n != 1 {
-		t.Errorf("%d connections, want 1", n)
+		t.Errorf("got %d connections, want 1", n)
 	}
 }
 
-// An answer stops in the middle and its connection stays open: the connection ends
-// with all that is on it, soon, and another serves both requests.
+// TestAnswerStopsInTheMiddle guards against requests that hang behind an incomplete answer whose connection
+// stays open: the connection is soon closed with all attempts on it, and both requests are served on another.
 func TestAnswerStopsInTheMiddle(t *testing.T) {
 	stopped := false
 	addr, seen := lineEngine(t, func(line string) string {
@@ -486,25 +495,25 @@
 		}
 		return w[1] + " DONE batches=1 0\r\n\r\n"
 	})
-	g := platform(t, addr)
+	g := httpGateway(t, addr)
 	one, two := httpConnect(t, g.addr), httpConnect(t, g.addr)
 	_, _ = io.WriteString(one.c, post("lookup", "")) // its id ends in 1
 	await(t, seen)
 	got, _ := two.call(strings.Replace(post("lookup", ""), id, "0000000000000002", 1))
-	same(t, "the request whose answer stopped", got, `200 {"result":[]}`)
+	assertEqual(t, "the request whose answer stopped", got, `200 {"result":[]}`)
 	got, _ = one.call("")
-	same(t, "the other on that connection", got, `200 {"result":[]}`)
+	assertEqual(t, "the other request on that connection", got, `200 {"result":[]}`)
 	if n := g.count("ended.garbage"); n != 2 {
-		t.Errorf("%d attempts ended with the connection, want 2", n)
+		t.Errorf("got %d attempts that ended as garbage, want 2", n)
 	}
 }
 
-// A whole list that no longer names an engine ends the connections to it: the module
-// sends it nothing more, and nothing else would close them.
+// TestWholeListEndsConnections guards against connections that stay open to an engine which a full endpoint list
+// no longer names: nothing more is sent there, so nothing else would close them.
 func TestWholeListEndsConnections(t *testing.T) {
 	one, _ := lineEngine(t, func(line string) string { return done(line, "") })
 	two, _ := lineEngine(t, func(line string) string { return done(line, "") })
-	g := platform(t, one)
+	g := httpGateway(t, one)
 	k := httpConnect(t, g.addr)
 	k.call(post("lookup", ""))
 	g.do(func() {
@@ -514,5 +523,5 @@
 		runtime.Gosched()
 	}
 	got, _ := k.call(post("lookup", ""))
-	same(t, "answer", got, `200 {"result":[]}`)
+	assertEqual(t, "answer", got, `200 {"result":[]}`)
 }
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -12,16 +12,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// pooled is a gateway before one engine which answers a statement when it is told to.
-type pooled struct {
+// pooledGateway is a gateway before one engine, which answers each statement when the test releases it.
+type pooledGateway struct {
 	*gateway
-	asked   chan string // statements, as they come
-	release chan bool
+	asked   chan string // statements in order of arrival at the engine
+	release chan bool   // each value lets the engine answer one statement
 }
 
-func newPooled(t *testing.T, limits connpool.Limits) *pooled {
+// newPooledGateway starts a pooledGateway with the limits of the connection pool.
+func newPooledGateway(t *testing.T, limits connpool.Limits) *pooledGateway {
 	t.Helper()
-	p := &pooled{asked: make(chan string, 100), release: make(chan bool, 100)}
+	p := &pooledGateway{asked: make(chan string, 100), release: make(chan bool, 100)}
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
 		p.asked <- c.query
 		<-p.release
@@ -29,12 +30,12 @@
 	})
 	p.gateway = newGateway(t, nil)
 	p.engine.Pool = limits
-	p.postgres(addr)
+	p.startPostgres(addr)
 	return p
 }
 
-// send has a user send a statement, and waits until the core has it.
-func (p *pooled) send(user, text string) *pgClient {
+// send has a user send a statement, and waits until the core has accepted it.
+func (p *pooledGateway) send(user, text string) *pgClient {
 	p.t.Helper()
 	k := connect(p.t, p.addr, "user", user)
 	before := p.count("taken.")
@@ -45,10 +46,11 @@
 	return k
 }
 
-// No more connections are opened to an engine than it may have; the others wait, users by turns, and
-// none is lost.
+// TestPoolIsBoundedAndFair guards against too many connections to an engine and against one user who keeps
+// others waiting: with one connection allowed, the other statements wait, users take turns, and no statement is
+// lost.
 func TestPoolIsBoundedAndFair(t *testing.T) {
-	p := newPooled(t, connpool.Limits{MaxConnections: 1})
+	p := newPooledGateway(t, connpool.Limits{MaxConnections: 1})
 	var clients []*pgClient
 	for n := range 4 {
 		clients = append(clients, p.send("office", fmt.Sprintf("SELECT 'office %d' FROM stock_1.parts", n)))
@@ -65,16 +67,17 @@
 		t.Errorf("order (-want +got):\n%s", diff)
 	}
 	for _, k := range clients {
-		same(t, "answer", k.until('Z'), "T D(a) C(SELECT 1) Z")
+		assertEqual(t, "answer", k.until('Z'), "T D(a) C(SELECT 1) Z")
 	}
 	if n, waited := p.count("links.dialed"), p.count("links.waited"); n != 1 || waited != 4 {
-		t.Errorf("%d connections, %d waited", n, waited)
+		t.Errorf("got %d connections and %d statements that waited, want 1 and 4", n, waited)
 	}
 }
 
-// One user has no more connections than it may, however many are left; others have theirs.
+// TestPoolBoundsAUser guards against a user with more connections than its limit, however many are free, and
+// against that limit holding up other users.
 func TestPoolBoundsAUser(t *testing.T) {
-	p := newPooled(t, connpool.Limits{MaxConnections: 3, MaxPerUser: 1})
+	p := newPooledGateway(t, connpool.Limits{MaxConnections: 3, MaxPerUser: 1})
 	for n := range 3 {
 		p.send("office", fmt.Sprintf("SELECT %d FROM stock_1.parts", n))
 	}
@@ -86,7 +89,7 @@
 		t.Errorf("at once (-want +got):\n%s", diff)
 	}
 	if len(p.asked) > 0 {
-		t.Error("a user has two connections")
+		t.Errorf("got %d more statements at the engine, want none: a user has two connections", len(p.asked))
 	}
 	for range 4 {
 		p.release <- true
@@ -94,59 +97,62 @@
 	await(t, p.asked)
 	await(t, p.asked)
 	if n := p.count("links.dialed"); n != 2 {
-		t.Errorf("%d connections", n)
+		t.Errorf("got %d connections, want 2", n)
 	}
 }
 
-// Where transactions whose clients think have all connections, a statement waits as long as it has time, and is refused
-// then: it was never sent, and trying again is harmless, a write's too. The transaction goes on.
+// TestPoolOfIdleTransactions guards against statements that hang or get an unknown outcome because idle
+// transactions hold all connections. A statement waits until its timeout and is then refused: it was never sent,
+// so that repeating it is harmless, even for a write. The transaction goes on.
 func TestPoolOfIdleTransactions(t *testing.T) {
-	g, _ := transacting(t, func(g *gateway) { g.engine.Pool.MaxConnections = 1 })
+	g, _ := transactionGateway(t, func(g *gateway) { g.engine.Pool.MaxConnections = 1 })
 	k, other := connect(t, g.addr), connect(t, g.addr, "options", "-c statement_timeout=300")
-	k.says("BEGIN")
-	same(t, "in the transaction", k.says("SELECT 1"), "T D(SELECT 1) D() C(SELECT 2) ZT")
+	k.queryWithStatus("BEGIN")
+	assertEqual(t, "in the transaction", k.queryWithStatus("SELECT 1"), "T D(SELECT 1) D() C(SELECT 2) ZT")
 	for range 2 {
 		late := g.count("answered-late.")
-		got := other.says("DELETE FROM stock_1.parts")
+		got := other.queryWithStatus("DELETE FROM stock_1.parts")
 		want := "E(53000 hint) ZI"
-		if g.count("answered-late.") > late { // its turn came so late, on a busy machine, that its time was over
+		if g.count("answered-late.") > late { // on a busy machine the loop may handle it only after its timeout
 			want = "E(57014) ZI"
 		}
-		same(t, "a write that waited in vain", got, want)
+		assertEqual(t, "a write that waited in vain", got, want)
 	}
 	if n := g.count("ended.crowded"); n < 2 {
-		t.Errorf("%d ended for want of a connection", n)
+		t.Errorf("got %d attempts that ended for want of a connection, want at least 2", n)
 	}
-	same(t, "the transaction", k.says("COMMIT"), "C(COMMIT) ZI")
-	// The connection is tidied up first. One who has the time waits for that; who has less than the transaction took is
-	// refused until it is done, by the pool's word on how long a connection is kept.
-	same(t, "behind it, with time", connect(t, g.addr).says("SELECT 3"), "T D(SELECT 3) D() C(SELECT 2) ZI")
-	same(t, "behind it", other.says("SELECT 2"), "T D(SELECT 2) D() C(SELECT 2) ZI")
+	assertEqual(t, "the transaction", k.queryWithStatus("COMMIT"), "C(COMMIT) ZI")
+	// The session is reset first. A statement with enough time waits for that; one with less time than the transaction
+	// took is refused until the reset is done, by the pool's estimate of how long a connection stays in use.
+	assertEqual(t, "behind it, with time", connect(t, g.addr).queryWithStatus("SELECT 3"), "T D(SELECT 3) D() C(SELECT 2) ZI")
+	assertEqual(t, "behind it", other.queryWithStatus("SELECT 2"), "T D(SELECT 2) D() C(SELECT 2) ZI")
 	if n := g.count("links.dialed"); n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("got %d connections, want 1", n)
 	}
 }
 
-// Connections are opened ahead of any statement, and again for one that ended, be it by its age.
+// TestPoolKeepsConnections guards against a pool that falls below its minimum: connections are opened before any
+// statement comes, and again in place of those that ended, also of those that reached their maximum lifetime.
 func TestPoolKeepsConnections(t *testing.T) {
-	p := newPooled(t, connpool.Limits{MaxConnections: 4, MinConnections: 2, MaxLifetime: 200 * time.Millisecond})
-	for p.count("links.dialed") < 5 { // two, and those that come after them
+	p := newPooledGateway(t, connpool.Limits{MaxConnections: 4, MinConnections: 2, MaxLifetime: 200 * time.Millisecond})
+	for p.count("links.dialed") < 5 { // the first two and their replacements
 		time.Sleep(time.Millisecond)
 	}
 	p.release <- true
 	k := connect(t, p.addr)
 	k.send(query("SELECT 1 FROM stock_1.parts"))
-	same(t, "answer", k.until('Z'), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "answer", k.until('Z'), "T D(a) C(SELECT 1) Z")
 	if n := p.count("links.ended.idle"); n < 3 {
-		t.Errorf("%d ended", n)
+		t.Errorf("got %d idle connections that ended, want at least 3", n)
 	}
 }
 
-// Who waits for a connection to an engine that drains or goes is served by another, and is never sent there; who was
-// there already ends as he would.
+// TestPoolOfAnEngineThatLeaves guards against statements sent to an engine that drains or has left the endpoint
+// list: those that wait for a connection to it are served by another engine, and the one that runs there ends
+// normally.
 func TestPoolOfAnEngineThatLeaves(t *testing.T) {
 	for _, state := range []policy.EngineState{policy.EngineDraining, policy.EngineDeparted} {
-		p := newPooled(t, connpool.Limits{MaxConnections: 1})
+		p := newPooledGateway(t, connpool.Limits{MaxConnections: 1})
 		first := p.send("office", "SELECT 1 FROM stock_1.parts")
 		await(t, p.asked)
 		second := p.send("office", "SELECT 2 FROM stock_1.parts")
@@ -157,13 +163,13 @@
 			}
 		})
 		addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("b") })
-		p.roster(policy.EngineLive, addr)
-		p.roster(state, old...)
-		same(t, "who waited", second.until('Z'), "T D(b) C(SELECT 1) Z")
+		p.updateEngines(policy.EngineLive, addr)
+		p.updateEngines(state, old...)
+		assertEqual(t, "who waited", second.until('Z'), "T D(b) C(SELECT 1) Z")
 		p.release <- true
-		same(t, "who was there", first.until('Z'), "T D(a) C(SELECT 1) Z")
+		assertEqual(t, "who was there", first.until('Z'), "T D(a) C(SELECT 1) Z")
 		if len(p.asked) > 0 {
-			t.Error("what waited was sent to the engine that leaves")
+			t.Errorf("got %d more statements at the engine that leaves, want none", len(p.asked))
 		}
 	}
 }
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -13,15 +13,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func same(t *testing.T, what, got, want string) {
+// assertEqual reports a difference between got and want, named by what.
+func assertEqual(t *testing.T, what, got, want string) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("%s (-want +got):\n%s", what, diff)
 	}
 }
 
-// One prepared statement is bound many times; each execution has one answer, with
-// the rows, formats and values as they came.
+// TestPrepareOnceBindMany guards against executions of a prepared statement that lose answers or get each
+// other's. One statement is prepared once and bound many times; each execution has one answer, with rows,
+// formats and values unchanged.
 func TestPrepareOnceBindMany(t *testing.T) {
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		if c.describe {
@@ -33,24 +35,25 @@
 	k := connect(t, g.addr)
 	const text = "SELECT part FROM stock_4.parts WHERE id = $1"
 	k.send(parse("s", text), describe("S", "s"), sync)
-	same(t, "prepared", k.until('Z'), "1 t T Z")
+	assertEqual(t, "prepared", k.until('Z'), "1 t T Z")
 	k.send(bind("", "s", "a"), describe("P", ""), execute("", 0), bind("", "s", "b"), execute("", 0), sync)
-	same(t, "batch", k.until('Z'), "2 T D(chain a) C(SELECT 1) 2 D(chain b) C(SELECT 1) Z")
+	assertEqual(t, "batch", k.until('Z'), "2 T D(chain a) C(SELECT 1) 2 D(chain b) C(SELECT 1) Z")
 	k.send(bind("", "s", "c", "too many"), execute("", 0), sync)
-	same(t, "wrong count", k.until('Z'), "E(08P01) Z")
+	assertEqual(t, "wrong count", k.until('Z'), "E(08P01) Z")
 	for i, want := range []pgCall{{describe: true, parsed: true}, {}, {}} {
 		c := await(t, seen)
 		if c.query != text || c.describe != want.describe || c.parsed != want.parsed {
-			t.Errorf("call %d to the engine: %+v", i, c)
+			t.Errorf("call %d to the engine: got %+v, want %q with describe %t and parsed %t", i, c, text, want.describe, want.parsed)
 		}
 	}
 	if n := g.count("taken."); n != 3 {
-		t.Errorf("%d requests taken, want a description and two executions", n)
+		t.Errorf("got %d accepted requests, want 3: a description and two executions", n)
 	}
 }
 
-// An engine has dropped a prepared statement: it is prepared anew, and the client
-// notices nothing. An error on a statement that was just prepared is the client's.
+// TestEngineForgetsPreparedStatement guards against a client that sees an error because its engine has dropped a
+// prepared statement: the statement is prepared again unnoticed. An error on a statement that was prepared just
+// now is passed on to the client.
 func TestEngineForgetsPreparedStatement(t *testing.T) {
 	forget := false
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
@@ -66,50 +69,50 @@
 	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	k.send(parse("s", "SELECT 1"), bind("", "s"), execute("", 0), bind("", "s"), execute("", 0), sync)
-	same(t, "batch", k.until('Z'), "1 2 D(a) C(SELECT 1) 2 D(a) C(SELECT 1) Z")
+	assertEqual(t, "batch", k.until('Z'), "1 2 D(a) C(SELECT 1) 2 D(a) C(SELECT 1) Z")
 	k.send(parse("", "SELECT odd"), bind("", ""), execute("", 0), sync)
-	same(t, "engine's own error", k.until('Z'), "1 2 E(0A000) Z")
+	assertEqual(t, "engine's own error", k.until('Z'), "1 2 E(0A000) Z")
 }
 
-// A client leaves in the midst of a batch: what runs is given up, and the rest of
-// the batch is never sent.
+// TestDisconnectMidBatch guards against work for a client that disconnects in the middle of a batch: the running
+// statement is cancelled, and the rest of the batch is never sent.
 func TestDisconnectMidBatch(t *testing.T) {
 	addr, seen := pgEngine(t, func(pgCall) []byte { return nil })
 	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
 	k.send(parse("s", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "s", "k1"), execute("", 0), bind("", "s", "k2"), execute("", 0), sync)
 	if c := await(t, seen); !strings.Contains(c.bind, "k1") {
-		t.Errorf("engine was asked %+v", c)
+		t.Errorf("call to the engine: got %+v, want the key k1 in its Bind", c)
 	}
 	_ = k.c.Close()
-	same(t, "after the disconnection the engine heard", await(t, seen).query, "cancel")
+	assertEqual(t, "after the disconnection the engine heard", await(t, seen).query, "cancel")
 	if sent, gone := g.count("sent."), g.count("gone."); sent != 1 || gone != 1 {
-		t.Errorf("%d sent, %d gone, want one of each", sent, gone)
+		t.Errorf("got %d attempts sent and %d clients gone, want 1 of each", sent, gone)
 	}
 }
 
-// An engine drains while a portal is open: the portal's rows go on from what is
-// held, and new work goes elsewhere.
+// TestEngineDrainsWhilePortalIsOpen guards against lost or repeated rows when an engine drains while a portal is
+// open: the portal's remaining rows come from the buffered result, and new work goes to another engine.
 func TestEngineDrainsWhilePortalIsOpen(t *testing.T) {
 	first, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a", "b", "c") })
 	second, _ := pgEngine(t, func(pgCall) []byte { return pgRows("elsewhere") })
 	g := postgresGateway(t, first)
 	k := connect(t, g.addr)
 	k.send(parse("", "SELECT part FROM stock_1.parts"), bind("p", ""), execute("p", 2), flush)
-	same(t, "first rows", k.until('s'), "1 2 D(a) D(b) s")
-	g.roster(policy.EngineDraining, first)
-	g.roster(policy.EngineLive, second)
+	assertEqual(t, "first rows", k.until('s'), "1 2 D(a) D(b) s")
+	g.updateEngines(policy.EngineDraining, first)
+	g.updateEngines(policy.EngineLive, second)
 	k.send(execute("p", 2), bind("q", ""), execute("q", 0), sync)
-	same(t, "rest, and new work", k.until('Z'), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
+	assertEqual(t, "rest, and new work", k.until('Z'), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
 	k.send(execute("p", 0), sync)
-	same(t, "the portal after Sync", k.until('Z'), "E(34000) Z")
+	assertEqual(t, "the portal after Sync", k.until('Z'), "E(34000) Z")
 	if n := g.count("sent."); n != 2 {
-		t.Errorf("%d sent, want 2: a portal runs once", n)
+		t.Errorf("got %d attempts sent, want 2: a portal runs once", n)
 	}
 }
 
-// Each kind of failure has one ErrorResponse with a code of its own, and what
-// follows in the batch is skipped to Sync.
+// TestFailures guards against failures that a client can't tell apart or that leave the batch out of step: each
+// kind has one ErrorResponse with its own code, and the rest of the batch is skipped up to Sync.
 func TestFailures(t *testing.T) {
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
 		if strings.Contains(c.query, "missing") {
@@ -153,16 +156,17 @@
 			if strings.HasPrefix(got, "C(SET)") {
 				got += " " + k.until('Z')
 			}
-			same(t, "answer", got, tt.want)
+			assertEqual(t, "answer", got, tt.want)
 			if n := g.count("sent."); n != tt.sent {
-				t.Errorf("%d sent, want %d", n, tt.sent)
+				t.Errorf("got %d attempts sent, want %d", n, tt.sent)
 			}
 		})
 	}
 }
 
-// A load whose engine is lost after it was sent may have run: inside its key's
-// window another engine gets it, with the same key, and the client one answer.
+// TestLoadIsSentAgainWithItsKey guards against a load that is lost or answered twice when its engine fails after
+// it was sent. The load may have run, so within its deduplication window another engine gets it with the same
+// idempotency key, and the client gets one answer.
 func TestLoadIsSentAgainWithItsKey(t *testing.T) {
 	hang := make(chan struct{}, 1)
 	hang <- struct{}{}
@@ -179,7 +183,7 @@
 	g := postgresGateway(t, first, second)
 	k := connect(t, g.addr)
 	k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key-1"), execute("", 0), execute("", 0), sync)
-	same(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) E(55000) Z")
+	assertEqual(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) E(55000) Z")
 	var binds []string
 	for range 2 {
 		select {
@@ -189,14 +193,15 @@
 			binds = append(binds, c.bind)
 		}
 	}
-	same(t, "second send", binds[1], binds[0])
+	assertEqual(t, "second send", binds[1], binds[0])
 	if n := g.count("sent."); n != 2 {
-		t.Errorf("%d sent, want 2", n)
+		t.Errorf("got %d attempts sent, want 2", n)
 	}
 }
 
-// A load may have run at an engine that broke, and the connection to the next one
-// comes up only after its key's window: it is not sent a second time.
+// TestLoadIsNotSentAfterItsWindow guards against a load that runs twice. It may have run at an engine that
+// failed, and the connection to the next engine is up only after the deduplication window: it must not be sent
+// there.
 func TestLoadIsNotSentAfterItsWindow(t *testing.T) {
 	asked, release := make(chan bool), make(chan bool)
 	first, _ := pgEngine(t, func(pgCall) []byte {
@@ -205,24 +210,24 @@
 		return pgError("XX000")
 	})
 	second, seen := slowPgEngine(t, 400*time.Millisecond, func(pgCall) []byte { return pgRows() })
-	g := newGateway(t, func(s *policy.Settings) { s.Classes[2].DedupWindow = 300 * time.Millisecond }).postgres(first)
+	g := newGateway(t, func(s *policy.Settings) { s.Classes[2].DedupWindow = 300 * time.Millisecond }).startPostgres(first)
 	k := connect(t, g.addr)
 	k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key"), execute("", 0), sync)
 	await(t, asked)
-	g.roster(policy.EngineDraining, first)
-	g.roster(policy.EngineLive, second)
+	g.updateEngines(policy.EngineDraining, first)
+	g.updateEngines(policy.EngineLive, second)
 	close(release)
-	same(t, "answer", k.until('Z'), "1 2 E(XX000) Z")
+	assertEqual(t, "answer", k.until('Z'), "1 2 E(XX000) Z")
 	if n := g.count("ended.not-sent"); n != 1 {
-		t.Errorf("%d attempts ended as not sent, want 1", n)
+		t.Errorf("got %d attempts that ended as not sent, want 1", n)
 	}
 	if n := len(seen); n != 0 {
-		t.Errorf("the second engine was asked %d times", n)
+		t.Errorf("second engine: got %d calls, want 0", n)
 	}
 }
 
-// Rows of some megabytes reach a client that reads slowly whole, also when the
-// gateway closes the connection behind them; more than may be held is an error.
+// TestLargeResults guards against truncated results: rows of some megabytes must reach a slow reader whole, also
+// when the gateway closes the connection after them. A result larger than the gateway may buffer is an error.
 func TestLargeResults(t *testing.T) {
 	row := strings.Repeat("x", 1300<<10)
 	rows := []string{row, row, row}
@@ -234,25 +239,25 @@
 	})
 	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
-	_ = k.c.(*net.TCPConn).SetReadBuffer(64 << 10) // else the kernel might take all at once
+	_ = k.c.(*net.TCPConn).SetReadBuffer(64 << 10) // with its default buffer the kernel might accept the whole result at once
 	k.send(query("SELECT more"))
-	same(t, "too much", k.until('Z'), "E(54000) Z")
+	assertEqual(t, "too much", k.until('Z'), "E(54000) Z")
 	terminate := pgproto.AppendMessage(nil, 'X')
 	k.send(query("SELECT x"), terminate)
-	for g.count("answered.served") == 0 { // by then all of it waits to be sent
+	for g.count("answered.served") == 0 { // the whole result is in the gateway's buffers then
 		runtime.Gosched()
 	}
 	got := k.until(0)
-	same(t, "rows", strings.ReplaceAll(got, row, "x"), "T D(x) D(x) D(x) C(SELECT 3) Z end")
+	assertEqual(t, "rows", strings.ReplaceAll(got, row, "x"), "T D(x) D(x) D(x) C(SELECT 3) Z end")
 }
 
-// A client sends far more ahead than a buffer holds: it waits in the sockets, and
-// every execution has its answer.
+// TestClientSendsAhead guards against lost executions when a client pipelines far more than a buffer holds: the
+// rest waits in the sockets' buffers, and every execution has its answer.
 func TestClientSendsAhead(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := pgEngine(t, func(pgCall) []byte { <-release; return pgRows() })
 	go func() {
-		for range seen { // it holds only so many
+		for range seen { // the channel holds only 100 calls
 		}
 	}()
 	g := postgresGateway(t, addr)
@@ -279,17 +284,17 @@
 		t.Fatal(err)
 	}
 	if answers := strings.Count(got, "C(SELECT 0)"); answers != n {
-		t.Errorf("%d completions, want %d", answers, n)
+		t.Errorf("got %d completions, want %d", answers, n)
 	}
 }
 
-// Clients that stop in the middle of long messages can't fill the memory: past the
-// budget of all buffers the one that takes more is ended, and the others go on.
+// TestBufferBudget guards against clients that fill the memory by stopping in the middle of long messages: the
+// client whose message exceeds the budget of all buffers is disconnected, and the others are served.
 func TestBufferBudget(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
 	g.loop.SetBufferBudget(400 << 10)
-	g.postgres(addr)
+	g.startPostgres(addr)
 	long := query("SELECT '" + strings.Repeat("x", 300<<10) + "'")
 	first := connect(t, g.addr)
 	first.send(long[:250<<10])
@@ -299,17 +304,17 @@
 	second := connect(t, g.addr)
 	_, _ = second.c.Write(long[:250<<10])
 	if _, err := second.c.Read(make([]byte, 1)); err == nil {
-		t.Error("the second client goes on")
+		t.Error("second client: got bytes, want a closed connection")
 	}
 	first.send(long[250<<10:])
-	same(t, "first client", first.until('Z'), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "first client", first.until('Z'), "T D(a) C(SELECT 1) Z")
 	third := connect(t, g.addr)
 	third.send(long)
-	same(t, "a client after that", third.until('Z'), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "a client after that", third.until('Z'), "T D(a) C(SELECT 1) Z")
 }
 
-// A CancelRequest ends what its connection has open, with one answer, and only
-// with the right secret.
+// TestCancelRequest guards against a CancelRequest that is ignored or works without the secret key: it ends its
+// connection's open statement with one answer, and only with the right key.
 func TestCancelRequest(t *testing.T) {
 	addr, seen := pgEngine(t, func(pgCall) []byte { return nil })
 	g := postgresGateway(t, addr)
@@ -320,16 +325,17 @@
 	for _, key := range [][]byte{wrong, k.key} {
 		c := dial(t, g.addr)
 		_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, key))
-		_, _ = c.Read(make([]byte, 1)) // the front closes it
+		_, _ = c.Read(make([]byte, 1)) // returns once the front end closes the connection
 	}
-	same(t, "answer", k.until('Z'), "1 2 E(57014) Z")
-	same(t, "engine heard", await(t, seen).query, "cancel")
+	assertEqual(t, "answer", k.until('Z'), "1 2 E(57014) Z")
+	assertEqual(t, "engine heard", await(t, seen).query, "cancel")
 	if n := g.count("pgwire.cancels"); n != 1 {
-		t.Errorf("%d cancels, want 1", n)
+		t.Errorf("got %d cancels, want 1", n)
 	}
 }
 
-// Encryption is declined with one byte, and the startup goes on in the clear.
+// TestEncryptionIsDeclined guards against a startup that fails where encryption is not configured: each
+// encryption request is declined with one byte, and the startup goes on unencrypted.
 func TestEncryptionIsDeclined(t *testing.T) {
 	g := postgresGateway(t)
 	k := &pgClient{t: t, c: dial(t, g.addr)}
@@ -337,23 +343,23 @@
 		k.send(pgproto.AppendStartup(nil, code, nil))
 		b := make([]byte, 1)
 		if _, err := k.c.Read(b); err != nil || b[0] != 'N' {
-			t.Fatalf("got %q, %v", b, err)
+			t.Fatalf("answer to encryption request %d: got %q, %v, want \"N\"", code, b, err)
 		}
 	}
 	k.send(pgproto.AppendStartup(nil, pgproto.Version+2, append(append(pgproto.CString("user"), pgproto.CString("x")...), 0)))
-	same(t, "startup", k.until('Z'), "v R S S S S S S S K Z")
+	assertEqual(t, "startup", k.until('Z'), "v R S S S S S S S K Z")
 }
 
-// Peers that stop and stay: a client that says nothing is closed, one that stops in the
-// middle of a message is told so, and an engine that does loses its connection, so
-// that another serves the client.
+// TestPostgresPeersThatStop guards against peers that hold a connection for ever. A client that sends nothing is
+// disconnected, one that stops in the middle of a message gets an error, and an engine that stops in the middle
+// of a message loses its connection, so that another engine serves the request.
 func TestPostgresPeersThatStop(t *testing.T) {
 	stopped := make(chan struct{}, 1)
 	stopped <- struct{}{}
 	script := func(pgCall) []byte {
 		select {
 		case <-stopped:
-			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // the script's Z follows within that message
+			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // announces 200 bytes; the ReadyForQuery after the script's answer counts as part of them
 		default:
 			return append([]byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 4, 'n', 0, 0, 0, 4}, pgproto.AppendMessage(nil, 'C', pgproto.CString("INSERT 0 1"))...)
 		}
@@ -366,37 +372,37 @@
 	half.send(query("SELECT 1")[:7])
 	k := connect(t, g.addr)
 	k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key"), execute("", 0), sync)
-	same(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) Z")
-	same(t, "silent client", silent.until(0), "end")
-	same(t, "client that stopped", half.until(0), "E(08P01) end")
+	assertEqual(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) Z")
+	assertEqual(t, "silent client", silent.until(0), "end")
+	assertEqual(t, "client that stopped", half.until(0), "E(08P01) end")
 	if n := g.count("ended.garbage"); n != 1 {
-		t.Errorf("%d attempts ended with a message that stopped, want 1", n)
+		t.Errorf("got %d attempts that ended as garbage, want 1", n)
 	}
 }
 
-// The only engine has answered quickly and takes far longer once. Where second copies are not allowed, nobody else may have
-// the query: it is waited for, not given up and refused.
+// TestTheOnlyEngineIsWaitedFor guards against cancelling a query at the only engine because it takes far longer
+// than earlier ones. Where hedging is not allowed, no other engine may get the query, so the gateway must wait.
 func TestTheOnlyEngineIsWaitedFor(t *testing.T) {
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		if strings.Contains(c.query, "slow") {
-			time.Sleep(6 * overdueTicks) // this is how long its work takes
+			time.Sleep(6 * overdueTicks) // long enough to count as overdue
 		}
 		return pgRows("a")
 	})
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.AllowHedging = false }).postgres(addr)
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.AllowHedging = false }).startPostgres(addr)
 	k := connect(t, g.addr)
 	for range 20 {
 		k.send(query("SELECT quick"))
-		same(t, "quick", k.until('Z'), "T D(a) C(SELECT 1) Z")
+		assertEqual(t, "quick", k.until('Z'), "T D(a) C(SELECT 1) Z")
 	}
 	k.send(query("SELECT slow"))
-	same(t, "slow", k.until('Z'), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "slow", k.until('Z'), "T D(a) C(SELECT 1) Z")
 	for len(seen) > 0 {
 		if c := <-seen; c.query == "cancel" {
-			t.Error("the engine was told to give it up")
+			t.Error("engine: got a cancel, want none")
 		}
 	}
 }
 
-// overdueTicks is how often the module looks for what is overdue.
+// overdueTicks is the interval at which the core looks for overdue attempts.
 const overdueTicks = 100 * time.Millisecond
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -12,8 +12,8 @@
 	"gannetspur/internal/queryshape"
 )
 
-// withShapes has a gateway learn shapes, before it serves.
-func withShapes(t *testing.T, g *gateway, set queryshape.Settings) *queryshape.Service {
+// learnShapes has a gateway learn the cost of query shapes. It must be called before the gateway serves.
+func learnShapes(t *testing.T, g *gateway, set queryshape.Settings) *queryshape.Service {
 	t.Helper()
 	set.Bytes = 256 << 10
 	set.Model = decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 60}, {Name: "report"}}}
@@ -26,19 +26,19 @@
 	return s
 }
 
-// One shape, a lookup with a short list and a report with a long one: the values bound
-// tell, once a few have run. A comment goes before the shape, and what may write is
-// never sorted by it.
+// TestClassByShape guards against a class chosen by the query shape alone: one shape is a lookup with a short
+// list and a report with a long one, and after a few executions the bound values decide. A class in a comment
+// takes precedence over the shape, and a statement that may write is never classified by shape.
 func TestClassByShape(t *testing.T) {
 	addr, _ := pgEngine(t, func(c pgCall) []byte {
 		if strings.Count(c.bind, ",") > 50 {
-			time.Sleep(150 * time.Millisecond) // it works
+			time.Sleep(150 * time.Millisecond) // a long list takes long to run
 		}
 		return pgRows("a")
 	})
 	g := newGateway(t, nil)
-	withShapes(t, g, queryshape.Settings{})
-	g.postgres(addr)
+	learnShapes(t, g, queryshape.Settings{})
+	g.startPostgres(addr)
 	k := connect(t, g.addr)
 	const text = "SELECT part FROM stock_4.parts WHERE district = ANY($1)"
 	k.send(parse("s", text), sync)
@@ -46,7 +46,7 @@
 	ask := func(list string) {
 		t.Helper()
 		k.send(bind("", "s", list), execute("", 0), sync)
-		same(t, "answer", k.until('Z'), "2 D(a) C(SELECT 1) Z")
+		assertEqual(t, "answer", k.until('Z'), "2 D(a) C(SELECT 1) Z")
 	}
 	long := "{" + strings.Repeat("d,", 77) + "d}"
 	for range 8 {
@@ -59,38 +59,38 @@
 		ask("{d3}")
 	}
 	if n := g.count("taken.report") - before; n != 4 {
-		t.Errorf("%d of 4 long lists were taken as reports", n)
+		t.Errorf("got %d long lists classified as reports, want 4", n)
 	}
 	before = g.count("taken.lookup")
 	k.send(query("/* class=lookup */ "+strings.Replace(text, "$1", "'"+long+"'", 1)), sync)
 	k.until('Z')
 	if n := g.count("taken.lookup") - before; n != 1 {
-		t.Errorf("%d taken as lookups by their comment, want 1", n)
+		t.Errorf("got %d statements classified as lookups by their comment, want 1", n)
 	}
 	k = connect(t, g.addr)
 	k.send(query("SELECT part FROM stock_4.parts WHERE district = ANY('{d1}') FOR UPDATE"))
 	k.until('Z')
 	if n := g.count("taken.write"); n != 1 {
-		t.Errorf("%d taken as writes, want 1", n)
+		t.Errorf("got %d statements classified as writes, want 1", n)
 	}
 }
 
-// A damaged snapshot is put aside and named, the gateway starts without it, and the next
-// one is whole.
+// TestSnapshotOfService guards against a gateway that does not start because of a damaged snapshot, or
+// overwrites it: the file is renamed and counted, the gateway starts without it, and the next snapshot is valid.
 func TestSnapshotOfService(t *testing.T) {
 	path := t.TempDir() + "/shapes"
 	damaged := []byte("RWSHAPES no longer")
 	write(t, path, damaged)
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	s := withShapes(t, g, queryshape.Settings{SnapshotFile: path, SnapshotInterval: time.Hour})
+	s := learnShapes(t, g, queryshape.Settings{SnapshotFile: path, SnapshotInterval: time.Hour})
 	if n := g.stats.Get("shapes.snapshot-unusable"); n != 1 {
-		t.Errorf("%d snapshots found unusable, want 1", n)
+		t.Errorf("got %d unusable snapshots, want 1", n)
 	}
 	if got := read(t, path+".unusable"); got != string(damaged) {
-		t.Errorf("put aside: %q", got)
+		t.Errorf("renamed snapshot: got %q, want %q", got, damaged)
 	}
-	g.postgres(addr)
+	g.startPostgres(addr)
 	k := connect(t, g.addr)
 	for i := range 5 {
 		k.send(query(fmt.Sprintf("SELECT part FROM stock_4.parts WHERE id = %d", i)))
@@ -101,10 +101,11 @@
 	}
 	snap, err := queryshape.ReadSnapshot(path)
 	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Record.Executions != 5 {
-		t.Errorf("%+v, %v", snap, err)
+		t.Errorf("next snapshot: got %+v, %v, want one shape with 5 executions", snap, err)
 	}
 }
 
+// write writes a file, or fails the test.
 func write(t *testing.T, path string, b []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, b, 0o600); err != nil {
@@ -112,6 +113,7 @@
 	}
 }
 
+// read returns a file's content, or fails the test.
 func read(t *testing.T, path string) string {
 	t.Helper()
 	b, err := os.ReadFile(path)
@@ -121,23 +123,24 @@
 	return string(b)
 }
 
-// What is expected of a statement goes to the decisions in place of a client's estimate, and where the client told
-// none only if the settings don't say otherwise.
+// TestEstimatesOnlyWhereTold guards against an estimate given to the decisions against the settings: the learned
+// estimate replaces the client's, and where the client sent none it is used only if the settings don't require a
+// client's estimate.
 func TestEstimatesOnlyWhereTold(t *testing.T) {
 	for name, tt := range map[string]struct {
-		onlyTold, tells bool
-		corrected       int64
+		requireHint, sendsHint bool
+		corrected              int64 // learned estimates given to the decisions
 	}{
-		"none is told":                {false, false, 1},
-		"none is told, and only told": {true, false, 0},
-		"told, and only told":         {true, true, 1},
+		"no estimate sent, none required": {false, false, 1},
+		"no estimate sent, one required":  {true, false, 0},
+		"estimate sent, one required":     {true, true, 1},
 	} {
 		addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
 		g := newGateway(t, nil)
-		g.options.Shapes = withShapes(t, g, queryshape.Settings{ReplaceHints: true, RequireHint: tt.onlyTold, WorkReported: true})
-		g.platform(addr)
+		g.options.Shapes = learnShapes(t, g, queryshape.Settings{ReplaceHints: true, RequireHint: tt.requireHint, WorkReported: true})
+		g.startHTTP(addr)
 		head := ""
-		if tt.tells {
+		if tt.sendsHint {
 			head = "Req-Cost: 500.0\r\nReq-Kb: 50\r\n"
 		}
 		const learned = 40
@@ -155,7 +158,7 @@
 		before := count()
 		k.call(strings.Replace(post("lookup", head), id, fmt.Sprintf("%016x", learned), 1))
 		if n := count() - before; n != tt.corrected {
-			t.Errorf("%s: %d estimates put, want %d", name, n, tt.corrected)
+			t.Errorf("%s: got %d learned estimates, want %d", name, n, tt.corrected)
 		}
 	}
 }
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -15,19 +15,21 @@
 	"gannetspur/internal/testbed/emulator"
 )
 
-// heard is what engines were told, by session, and a way to break a session off at a statement.
-type heard struct {
+// statementLog records which statements an emulated engine received, by session, and can close a session's
+// connection at a given statement.
+type statementLog struct {
 	net.Listener
 	mu      gosync.Mutex
-	by      map[string][]string
-	order   []string
-	all     []string // statements of all sessions as they came, but for DISCARD ALL
-	conns   map[string]net.Conn
-	breakAt string
-	changed chan struct{}
+	by      map[string][]string // statements by session
+	order   []string            // sessions in the order of their first statements
+	all     []string            // statements of all sessions in order of arrival, without DISCARD ALL
+	conns   map[string]net.Conn // connections by session
+	breakAt string              // prefix of the statement at which the connection is closed; empty: none
+	changed chan struct{}       // signals a new statement; capacity 1
 }
 
-func (h *heard) Accept() (net.Conn, error) {
+// Accept records the connection by its remote address, which names the session.
+func (h *statementLog) Accept() (net.Conn, error) {
 	c, err := h.Listener.Accept()
 	if err == nil {
 		h.mu.Lock()
@@ -37,7 +39,9 @@
 	return c, err
 }
 
-func (h *heard) hear(session, statement string) {
+// record adds a statement of a session, and closes the session's connection if the statement begins with
+// breakAt.
+func (h *statementLog) record(session, statement string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.by[session] == nil {
@@ -56,8 +60,8 @@
 	}
 }
 
-// said is what the sessions were told, in the order of their first statements.
-func (h *heard) said() (all []string) {
+// bySession returns each session's statements, joined by "; ", in the order of the sessions' first statements.
+func (h *statementLog) bySession() (all []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.order {
@@ -66,61 +70,65 @@
 	return all
 }
 
-// until waits for the sessions to have been told something.
-func (h *heard) until(t *testing.T, want ...string) {
+// until waits until bySession returns want, or fails the test after waitTimeout.
+func (h *statementLog) until(t *testing.T, want ...string) {
 	t.Helper()
-	end := time.After(patience)
-	for !slices.Equal(h.said(), want) {
+	end := time.After(waitTimeout)
+	for !slices.Equal(h.bySession(), want) {
 		select {
 		case <-h.changed:
 		case <-end:
-			t.Fatalf("the engine was told %q, want %q", h.said(), want)
+			t.Fatalf("statements by session: got %q, want %q", h.bySession(), want)
 		}
 	}
 }
 
+// discard is the statement that resets a session before another client gets it.
 const discard = "DISCARD ALL"
 
-// flow checks what all sessions were told together, and that each of them was told to forget behind those
-// that may leave something. Whether the next statement finds that done, or takes another session, is chance.
-func (h *heard) flow(t *testing.T, want string, forget ...string) {
+// checkStatements checks the statements of all sessions together, and that DISCARD ALL follows, within each
+// session, exactly those statements that may leave session state, which forget lists. Whether the next statement
+// finds that reset done or takes another session depends on timing.
+func (h *statementLog) checkStatements(t *testing.T, want string, forget ...string) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if got := strings.Join(h.all, "; "); got != want {
-		t.Errorf("the engine was told %s, want %s", got, want)
+		t.Errorf("statements of all sessions: got %s, want %s", got, want)
 	}
 	for _, said := range h.by {
 		for i, s := range said[:len(said)-1] {
 			if slices.Contains(forget, s) != (said[i+1] == discard) {
-				t.Errorf("%q is followed by %q", s, said[i+1])
+				t.Errorf("after %q: got %q, want %q exactly after a statement that may leave session state", s, said[i+1], discard)
 			}
 		}
 	}
 }
 
-// transacting starts the second front with an engine that knows transactions.
-func transacting(t *testing.T, change func(*gateway)) (*gateway, *heard) {
+// transactionGateway starts a PostgreSQL gateway before an emulated engine that supports transactions; change
+// may modify the gateway before it serves.
+func transactionGateway(t *testing.T, change func(*gateway)) (*gateway, *statementLog) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &heard{Listener: ln, by: map[string][]string{}, conns: map[string]net.Conn{}, changed: make(chan struct{}, 1)}
+	h := &statementLog{Listener: ln, by: map[string][]string{}, conns: map[string]net.Conn{}, changed: make(chan struct{}, 1)}
 	t.Cleanup(func() { _ = ln.Close() })
 	go emulator.Postgres(h, emulator.Options{
-		Work: func(string) (time.Duration, float64) { return time.Millisecond, 1 }, Heard: h.hear, Log: slog.New(slog.DiscardHandler),
+		Work: func(string) (time.Duration, float64) { return time.Millisecond, 1 }, Heard: h.record, Log: slog.New(slog.DiscardHandler),
 	})
 	g := newGateway(t, nil)
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
 	if change != nil {
 		change(g)
 	}
-	return g.postgres(ln.Addr().String()), h
+	return g.startPostgres(ln.Addr().String()), h
 }
 
-// says sends a Query and words what came, with the status that follows.
-func (k *pgClient) says(text string) string {
+// queryWithStatus sends a Query and returns a summary of the answer, with the transaction status of
+// ReadyForQuery.
+func (k *pgClient) queryWithStatus(text string) string {
 	k.t.Helper()
 	k.send(query(text))
 	w := k.until('Z')
@@ -130,10 +138,10 @@
 	return w
 }
 
-// A transaction runs on one session, whole and in order, and the session forgets it before another
-// client has it.
+// TestTransaction guards against a transaction that is spread over sessions or leaves state behind: it runs on
+// one session, complete and in order, and the session is reset before another client gets it.
 func TestTransaction(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
 		{"BEGIN ISOLATION LEVEL SERIALIZABLE", "C(BEGIN) ZT"},
@@ -143,17 +151,18 @@
 		{"SET work_mem = '1MB'", "E(0A000) ZE"}, {"ROLLBACK TO SAVEPOINT a", "C(ROLLBACK) ZT"}, {"BEGIN", "N C(BEGIN) ZT"}, {"COMMIT", "C(COMMIT) ZI"},
 		{"SELECT 3", "T D(SELECT 3) D() C(SELECT 2) ZI"},
 	} {
-		if w := k.says(tt[0]); w != tt[1] {
+		if w := k.queryWithStatus(tt[0]); w != tt[1] {
 			t.Fatalf("%s: %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	h.flow(t, "BEGIN ISOLATION LEVEL SERIALIZABLE; INSERT INTO stock_1.parts VALUES ('bell'); SAVEPOINT a; SELECT 1/0; ROLLBACK TO a; SET LOCAL work_mem = '1MB'; "+
+	h.checkStatements(t, "BEGIN ISOLATION LEVEL SERIALIZABLE; INSERT INTO stock_1.parts VALUES ('bell'); SAVEPOINT a; SELECT 1/0; ROLLBACK TO a; SET LOCAL work_mem = '1MB'; "+
 		"DECLARE c CURSOR FOR SELECT 1; ROLLBACK TO SAVEPOINT a; COMMIT; SELECT 3", "COMMIT")
 }
 
-// What needs no engine bothers none, and what ends without a transaction is warned of.
+// TestTransactionsOfNothing guards against needless work at engines: transactions without statements never reach
+// one, and ending a transaction that was not begun gives a warning.
 func TestTransactionsOfNothing(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
 		{"COMMIT", "N C(COMMIT) ZI"}, {"ROLLBACK", "N C(ROLLBACK) ZI"}, {"SAVEPOINT a", "E(25P01) ZI"}, {"START TRANSACTION READ ONLY", "C(START TRANSACTION) ZT"},
@@ -161,33 +170,35 @@
 		{"LOCK TABLE a", "E(0A000) ZI"}, {"BEGIN", "C(BEGIN) ZT"}, {"DECLARE c CURSOR WITH HOLD FOR SELECT 1", "E(0A000) ZE"}, {"ABORT", "C(ROLLBACK) ZI"},
 		{"COMMIT PREPARED 'a'", "E(0A000) ZI"},
 	} {
-		if w := k.says(tt[0]); w != tt[1] {
+		if w := k.queryWithStatus(tt[0]); w != tt[1] {
 			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	if all := h.said(); len(all) > 0 {
-		t.Errorf("the engine was told %q", all)
+	if all := h.bySession(); len(all) > 0 {
+		t.Errorf("statements at the engine: got %q, want none", all)
 	}
 }
 
-// What fails at the gateway fails the transaction at the engine as well: COMMIT rolls back then.
+// TestFailedAtTheGateway guards against a transaction that commits although one of its statements was refused by
+// the gateway: COMMIT must then roll back at the engine.
 func TestFailedAtTheGateway(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
 		{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 1", "T D(UPDATE a SET b = 1) D() C(SELECT 2) ZT"}, {"COPY x FROM STDIN", "E(0A000) ZE"}, {"SELECT 1", "E(25P02) ZE"},
 		{"/* at last */ COMMIT", "C(ROLLBACK) ZI"}, {"/* c */ COMMIT PREPARED 'a'", "E(0A000) ZI"},
 	} {
-		if w := k.says(tt[0]); w != tt[1] {
+		if w := k.queryWithStatus(tt[0]); w != tt[1] {
 			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	h.until(t, "BEGIN; UPDATE a SET b = 1; ROLLBACK; DISCARD ALL")
 }
 
-// By extended messages: bound values, several in a batch, a portal that outlives a Sync.
+// TestExtendedTransaction guards against transactions that behave differently in the extended protocol: bound
+// values, several statements in a batch, and a portal that stays open after Sync until the transaction ends.
 func TestExtendedTransaction(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	run := func(text string) []byte { return append(append(parse("", text), bind("", "")...), execute("", 0)...) }
 	k.send(append(append(run("BEGIN"), run("UPDATE a SET b = 1")...), sync...))
@@ -208,65 +219,67 @@
 	}
 	k.send(append(execute("p", 0), sync...))
 	if w := k.until('Z') + string(k.last); w != "E(34000) ZI" {
-		t.Errorf("a portal of a transaction that is over: %s", w)
+		t.Errorf("portal of a transaction that has ended: got %s, want E(34000) ZI", w)
 	}
 	h.until(t, "BEGIN; UPDATE a SET b = 1; SELECT $1; COMMIT; DISCARD ALL")
 }
 
-// A client that leaves, cancels or says nothing for long has its transaction rolled back with its
-// session, and nobody waits for it.
+// TestTransactionsLeft guards against transactions that stay open on an engine: if the client disconnects or is
+// idle too long, the session is closed, which rolls the transaction back, and the next client is not held up.
 func TestTransactionsLeft(t *testing.T) {
-	g, h := transacting(t, func(g *gateway) { g.pgwire.IdleTransactionTimeout = 300 * time.Millisecond })
+	g, h := transactionGateway(t, func(g *gateway) { g.pgwire.IdleTransactionTimeout = 300 * time.Millisecond })
 	k := connect(t, g.addr)
-	k.says("BEGIN")
-	k.says("UPDATE a SET b = 1")
+	k.queryWithStatus("BEGIN")
+	k.queryWithStatus("UPDATE a SET b = 1")
 	_ = k.c.Close()
 	h.until(t, "BEGIN; UPDATE a SET b = 1")
 	idle := connect(t, g.addr)
-	idle.says("BEGIN")
-	idle.says("UPDATE a SET b = 2")
+	idle.queryWithStatus("BEGIN")
+	idle.queryWithStatus("UPDATE a SET b = 2")
 	if w := idle.until('Z'); w != "E(25P03) end" {
-		t.Errorf("idle in a transaction: %s", w)
+		t.Errorf("idle in a transaction: got %s, want E(25P03) end", w)
 	}
 	next := connect(t, g.addr)
-	if w := next.says("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
+	if w := next.queryWithStatus("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
 		t.Error(w)
 	}
 	h.until(t, "BEGIN; UPDATE a SET b = 1", "BEGIN; UPDATE a SET b = 2", "SELECT 1") // each on a session of its own
 }
 
-// Its engine dies: before COMMIT was sent all of it is rolled back, and said to be; behind it, it may have
-// run. Nothing of it is sent again.
+// TestTransactionsLost guards against a transaction with a wrong or doubled outcome when its engine's connection
+// breaks. Before COMMIT was sent, the client is told that everything was rolled back; after it, that the outcome
+// is unknown. Nothing is sent again.
 func TestTransactionsLost(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	h.breakAt = "UPDATE a SET b = 2"
 	for _, tt := range [][2]string{
 		{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 1", "T D(UPDATE a SET b = 1) D() C(SELECT 2) ZT"}, {"UPDATE a SET b = 2", "E(40000) ZE"},
 		{"SELECT 1", "E(25P02) ZE"}, {"COMMIT", "C(ROLLBACK) ZI"},
 	} {
-		if w := k.says(tt[0]); w != tt[1] {
+		if w := k.queryWithStatus(tt[0]); w != tt[1] {
 			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	first := h.said()
-	g, h = transacting(t, nil) // the first one's engine may have started anew, and is spared
+	first := h.bySession()
+	g, h = transactionGateway(t, nil) // the first gateway may take its engine for restarted and send it little
 	h.breakAt = "COMMIT"
 	other := connect(t, g.addr)
 	for _, tt := range [][2]string{{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 3", "T D(UPDATE a SET b = 3) D() C(SELECT 2) ZT"}, {"COMMIT", "E(40003) ZI"}} {
-		if w := other.says(tt[0]); w != tt[1] {
+		if w := other.queryWithStatus(tt[0]); w != tt[1] {
 			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	all := strings.Join(append(first, h.said()...), " | ")
+	all := strings.Join(append(first, h.bySession()...), " | ")
 	for _, once := range []string{"b = 1", "b = 2", "b = 3", "COMMIT"} {
 		if n := strings.Count(all, once); n != 1 {
-			t.Errorf("%q was sent %d times: %s", once, n, all)
+			t.Errorf("%q: got %d times at the engine, want 1: %s", once, n, all)
 		}
 	}
 }
 
-// A cancel in the middle of a transaction rolls it back; the client goes on with ROLLBACK.
+// TestTransactionCancelled guards against a connection that is unusable after a cancel in the middle of a
+// transaction: the transaction fails, and the client goes on after ROLLBACK.
 func TestTransactionCancelled(t *testing.T) {
 	slowly := func(text string) (time.Duration, float64) {
 		if strings.Contains(text, "slow") {
@@ -283,10 +296,10 @@
 	go emulator.Postgres(ln, emulator.Options{Work: slowly, Heard: func(_, text string) { seen <- text }, Log: slog.New(slog.DiscardHandler)})
 	g := newGateway(t, nil)
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.postgres(ln.Addr().String())
+	g.startPostgres(ln.Addr().String())
 	k := connect(t, g.addr)
-	k.says("BEGIN")
-	k.says("UPDATE a SET b = 1")
+	k.queryWithStatus("BEGIN")
+	k.queryWithStatus("UPDATE a SET b = 1")
 	k.send(query("UPDATE a SET slow = 1"))
 	for text := range seen {
 		if strings.Contains(text, "slow") {
@@ -298,18 +311,19 @@
 	if w := k.until('Z') + string(k.last); w != "E(57014) ZE" {
 		t.Error(w)
 	}
-	if w := k.says("ROLLBACK"); w != "C(ROLLBACK) ZI" {
+	if w := k.queryWithStatus("ROLLBACK"); w != "C(ROLLBACK) ZI" {
 		t.Error(w)
 	}
-	if w := k.says("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
+	if w := k.queryWithStatus("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
 		t.Error(w)
 	}
 }
 
-// Several statements in one Query are one transaction, or stand in those that they name; the first error
-// ends the message, and what it began.
+// TestSeveralStatements guards against partial effects of several statements in one Query message. They are one
+// transaction, or belong to those that they begin themselves; the first error ends the message and the
+// transaction it began.
 func TestSeveralStatements(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	row := func(s string) string { return "T D(" + s + ") D() C(SELECT 2) " }
 	for _, tt := range [][2]string{
@@ -321,24 +335,25 @@
 		{"BEGIN; SELECT 8; COMMIT; SELECT 9", "E(0A000) ZI"},
 		{"SELECT 1; COPY x FROM STDIN", "E(0A000) ZI"},
 	} {
-		if w := k.says(tt[0]); w != tt[1] {
+		if w := k.queryWithStatus(tt[0]); w != tt[1] {
 			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	all := strings.Join(h.said(), " | ")
+	all := strings.Join(h.bySession(), " | ")
 	for _, want := range []string{"BEGIN; UPDATE a SET b = 1;  SELECT 2 ; COMMIT; DISCARD ALL", "BEGIN; SELECT 3;  SELECT 1/0"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("the engine was told %s, wanted is %s", all, want)
+			t.Errorf("statements at the engine: got %s, want %s among them", all, want)
 		}
 	}
 	if strings.Contains(all, "SELECT 4") || strings.Contains(all, "SELECT 8") || strings.Contains(all, "SELECT 9") {
-		t.Errorf("what stood behind an error was sent: %s", all)
+		t.Errorf("statements at the engine: got %s, want none of those after an error", all)
 	}
 }
 
-// What a client has set follows it from engine to engine, in the fewest messages, and no other client sees it.
+// TestSettings guards against a client's session settings that get lost or reach another client: they follow the
+// client from session to session, in the fewest messages.
 func TestSettings(t *testing.T) {
-	g, h := transacting(t, nil)
+	g, h := transactionGateway(t, nil)
 	a, b := connect(t, g.addr), connect(t, g.addr)
 	for _, tt := range []struct {
 		k          *pgClient
@@ -352,16 +367,16 @@
 		{a, "SELECT set_config('work_mem', '1MB', false)", "T D(SELECT set_config('work_mem', '1MB', false)) D() C(SELECT 2) ZI"},
 		{a, "DISCARD ALL", "C(DISCARD ALL) ZI"}, {a, "SELECT 6", "T D(SELECT 6) D() C(SELECT 2) ZI"},
 	} {
-		if w := tt.k.says(tt.text); w != tt.want {
+		if w := tt.k.queryWithStatus(tt.text); w != tt.want {
 			t.Errorf("%s: %s, want %s", tt.text, w, tt.want)
 		}
 	}
-	h.flow(t, "SET search_path TO stock_1; SELECT 1; SELECT 2; RESET search_path; SELECT 3; SET work_mem = 'invalid'; SET search_path TO stock_1; SELECT 4; "+
+	h.checkStatements(t, "SET search_path TO stock_1; SELECT 1; SELECT 2; RESET search_path; SELECT 3; SET work_mem = 'invalid'; SET search_path TO stock_1; SELECT 4; "+
 		"BEGIN; UPDATE c SET d = 5; COMMIT; SELECT set_config('work_mem', '1MB', false); SELECT 6", "COMMIT", "SELECT set_config('work_mem', '1MB', false)")
 }
 
-// Any clients set, reset and ask in any order: each statement runs under its client's settings and under
-// no other's.
+// TestNoSettingLeaks guards against settings that leak between clients. Four clients set, reset and query in
+// random order; each statement must run under exactly its client's settings.
 func TestNoSettingLeaks(t *testing.T) {
 	var mu gosync.Mutex
 	sessions := map[string]map[string]string{}
@@ -387,7 +402,7 @@
 				delete(sessions[session], words[1])
 			case "DISCARD":
 				clear(sessions[session])
-			case "SELECT", "UPDATE": // its text says what it is to run under
+			case "SELECT", "UPDATE": // its comment lists the settings that it must run under
 				_, want, _ := strings.Cut(text, "/* ")
 				if got := fmt.Sprint(sessions[session]); got+" */" != want {
 					wrong = append(wrong, fmt.Sprintf("%s under %s", text, got))
@@ -397,7 +412,7 @@
 	})
 	g := newGateway(t, nil)
 	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.postgres(ln.Addr().String())
+	g.startPostgres(ln.Addr().String())
 	rng := rand.New(rand.NewPCG(1, 2))
 	var clients []*pgClient
 	has := map[*pgClient]map[string]string{}
@@ -410,21 +425,21 @@
 		k := clients[rng.IntN(len(clients))]
 		name := []string{"work_mem", "search_path", "my.tag"}[rng.IntN(3)]
 		ask := func(verb string) {
-			if w := k.says(fmt.Sprintf("%s %d /* %v */", verb, n, has[k])); !strings.Contains(w, "C(") {
+			if w := k.queryWithStatus(fmt.Sprintf("%s %d /* %v */", verb, n, has[k])); !strings.Contains(w, "C(") {
 				t.Fatal(w)
 			}
 		}
 		switch rng.IntN(8) {
 		case 0:
 			has[k][name] = fmt.Sprintf("'%d'", n)
-			k.says(fmt.Sprintf("SET %s = '%d'", name, n))
+			k.queryWithStatus(fmt.Sprintf("SET %s = '%d'", name, n))
 		case 1:
 			delete(has[k], name)
-			k.says("RESET " + name)
+			k.queryWithStatus("RESET " + name)
 		case 2:
-			k.says("BEGIN")
+			k.queryWithStatus("BEGIN")
 			ask("UPDATE a SET b =")
-			k.says([]string{"COMMIT", "ROLLBACK"}[rng.IntN(2)])
+			k.queryWithStatus([]string{"COMMIT", "ROLLBACK"}[rng.IntN(2)])
 		default:
 			ask("SELECT")
 		}
@@ -432,6 +447,6 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(wrong) > 0 {
-		t.Errorf("%d statements ran under others' settings, as %s", len(wrong), wrong[0])
+		t.Errorf("got %d statements under wrong settings, want none; the first: %s", len(wrong), wrong[0])
 	}
 }
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -9,11 +9,11 @@
 	"gannetspur/policy"
 )
 
-// An engine runs a statement and breaks the connection. What may write has run once,
-// whatever the default class, and its client is told that this can't be known; a
-// reading statement goes on to other engines.
+// TestWritesRunOnce guards against a write that runs twice. Every engine closes the connection after it received
+// a statement. A statement that may write must have run once, whatever the default class, and its client is told
+// that the outcome is unknown; a read-only statement is tried at other engines.
 func TestWritesRunOnce(t *testing.T) {
-	script := func(pgCall) []byte { return []byte(breakOff) }
+	script := func(pgCall) []byte { return []byte(closeConnection) }
 	var engines []string
 	var seen []chan pgCall
 	for range 4 {
@@ -35,23 +35,24 @@
 		"SELECT setval('s', 1)", "EXPLAIN ANALYZE DELETE FROM stock_1.parts", "SELECT 1 FROM stock_1.parts FOR UPDATE",
 		"/* class=write */ SELECT 1", "DO $$ BEGIN END $$", "SELECT count(*) -- \r, setval('s', 1)",
 	} {
-		k := connect(t, postgresGateway(t, engines...).addr) // a gateway that thinks well of all engines
+		k := connect(t, postgresGateway(t, engines...).addr) // a new gateway, which has seen no engine fail
 		k.send(parse("", text), bind("", ""), execute("", 0), sync)
-		same(t, text, k.until('Z'), "1 2 E(40003) Z")
+		assertEqual(t, text, k.until('Z'), "1 2 E(40003) Z")
 		if n := runs(); n != 1 {
-			t.Errorf("%s ran %d times", text, n)
+			t.Errorf("%s: got %d runs, want 1", text, n)
 		}
 	}
 	k := connect(t, postgresGateway(t, engines...).addr)
 	k.send(parse("", "SELECT 1"), bind("", ""), execute("", 0), sync)
 	k.until('Z')
 	if n := runs(); n < 2 {
-		t.Errorf("a reading statement ran %d times, want more than one", n)
+		t.Errorf("read-only statement: got %d runs, want more than 1", n)
 	}
 }
 
-// A class that is safe to repeat, named by the client or by a rule, is refused for
-// what may write; the operators' word lifts doubt, but not a write in plain sight.
+// TestSafeClassForWrites guards against a write under a class that is safe to repeat, named by the client or by
+// a rule: it is refused. A rule or setting of the operators may declare a doubtful statement read-only, but not
+// one that plainly writes.
 func TestSafeClassForWrites(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
@@ -59,10 +60,10 @@
 		DefaultClass: "lookup", WriteClass: "write", ReadOnlyFunctions: map[string]bool{"stock.price_of": true},
 		Rules: []postgres.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
 	}
-	g.postgres(addr)
+	g.startPostgres(addr)
 	bare := newGateway(t, nil)
 	bare.pgwire = postgres.Options{DefaultClass: "lookup"}
-	bare.postgres(addr)
+	bare.startPostgres(addr)
 	for _, tt := range []struct {
 		g          *gateway
 		text, want string
@@ -79,18 +80,19 @@
 	} {
 		k := connect(t, tt.g.addr)
 		k.send(query(tt.text))
-		same(t, tt.text, k.until('Z'), tt.want)
+		assertEqual(t, tt.text, k.until('Z'), tt.want)
 	}
 	if n := g.count("taken.write"); n != 1 {
-		t.Errorf("%d taken as writes, want 1", n)
+		t.Errorf("got %d statements classified as writes, want 1", n)
 	}
 }
 
-// What became of a write after it was sent is never told as if nothing had been done:
-// an engine short of something in its middle is the last that hears of it, a time-out
-// and a cancel leave doubt, and a name that an engine has dropped is found out before.
+// TestWordOnWrites guards against reporting a write as not executed after it was sent. An engine that runs out
+// of a resource in the middle of a write must be the last to get it, and a timeout or a cancel leaves the
+// outcome unknown. A dropped prepared statement shows before BindComplete, so that an error after it must not
+// repeat the write.
 func TestWordOnWrites(t *testing.T) {
-	hang := make(chan bool, 9)
+	hang := make(chan bool, 9) // signals a statement that the engine leaves unanswered
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		switch {
 		case strings.Contains(c.query, "short"):
@@ -103,18 +105,18 @@
 		hang <- true
 		return nil
 	})
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).postgres(addr)
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).startPostgres(addr)
 	k := connect(t, g.addr, "statement_timeout", "300ms")
 	run := func(text string) string {
 		k.send(query(text))
 		return k.until('Z')
 	}
-	same(t, "short of disk", run("UPDATE short SET a = 1"), "E(53100) Z")
-	same(t, "first", run("UPDATE odd SET a = 1"), "T D(a) C(SELECT 1) Z")
-	same(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
-	same(t, "out of time", run("UPDATE x SET a = 1"), "E(40003) Z")
+	assertEqual(t, "short of disk", run("UPDATE short SET a = 1"), "E(53100) Z")
+	assertEqual(t, "first", run("UPDATE odd SET a = 1"), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
+	assertEqual(t, "out of time", run("UPDATE x SET a = 1"), "E(40003) Z")
 	if n := g.count("sent."); n != 4 {
-		t.Errorf("%d sent, want 4", n)
+		t.Errorf("got %d attempts sent, want 4", n)
 	}
 	for len(hang) > 0 {
 		<-hang
@@ -127,5 +129,5 @@
 	await(t, hang)
 	c := dial(t, g.addr)
 	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, k.key))
-	same(t, "cancelled", k.until('Z'), "E(40003) Z")
+	assertEqual(t, "cancelled", k.until('Z'), "E(40003) Z")
 }
