--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -60,7 +60,7 @@
 		for _, i := range strings.Fields(imports) {
 			to, inModule := strings.CutPrefix(i, module)
 			if strings.HasPrefix(pkg, "internal/decide/") && slices.Contains([]string{"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash"}, i) {
-				t.Errorf("%s imports %s: want no I/O, clock or random source in decision packages", pkg, i)
+				t.Errorf("%s imports %s: want no I/O and no random source in decision packages", pkg, i)
 			}
 			switch {
 			case !inModule:
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -95,7 +95,7 @@
 		silent = append(silent, c)
 	}
 	if got := callControl(t, addr, "GET", "/ready", ""); got != "200 {}" {
-		t.Fatal(got)
+		t.Fatalf("got %s, want 200 {}", got)
 	}
 	for _, c := range silent {
 		if _, err := io.ReadAll(c); err != nil && !strings.Contains(err.Error(), "reset") {
@@ -139,7 +139,7 @@
 		t.Errorf("got %d of %d dials refused, want at least %d but not all", refused, wanted, wanted-30)
 	}
 	if got := callControl(t, addr, "GET", "/ready", ""); got != "200 {}" {
-		t.Fatal(got)
+		t.Fatalf("got %s, want 200 {}", got)
 	}
 }
 
@@ -149,9 +149,9 @@
 func (discardHandler) Data(*netio.Conn, *netio.Buffer) {}
 func (discardHandler) Closed(*netio.Conn, error)       {}
 
-// TestFiguresAreTrue guards against wrong metrics: at rest they equal what the scripted clients and engine
+// TestMetricsMatchTraffic guards against wrong metrics: at rest they equal what the scripted clients and engine
 // counted, to the last request, and while a thousand requests run they stay within what has happened.
-func TestFiguresAreTrue(t *testing.T) {
+func TestMetricsMatchTraffic(t *testing.T) {
 	var wants int64
 	engine, seen := lineEngine(t, func(line string) string {
 		if !strings.HasPrefix(line, "want ") {
@@ -248,12 +248,12 @@
 		return answer
 	}
 	if got := request(); !strings.HasPrefix(got, "200") {
-		t.Fatal(got)
+		t.Fatalf("request: got %s, want status 200", got)
 	}
 	await(t, seen)
 	for range 2 {
 		if got := callControl(t, addr, "POST", "/engines/disable", out); got != "200 {}" {
-			t.Fatal(got)
+			t.Fatalf("got %s, want 200 {}", got)
 		}
 	}
 	for _, state := range []policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineDeparted, policy.EngineLive} {
@@ -268,14 +268,14 @@
 		t.Errorf("disabled: got %+v, want 1 engine listed and 1 down", f)
 	}
 	if got := callControl(t, addr, "POST", "/engines/enable", out); got != "200 {}" {
-		t.Fatal(got)
+		t.Fatalf("got %s, want 200 {}", got)
 	}
 	g.do(func() { f = g.core.Stats() })
 	if f.EnginesDown != 0 {
 		t.Errorf("enabled again: got %+v, want 0 engines down", f)
 	}
-	if got := request(); !strings.HasPrefix(got, "200") { // it serves again
-		t.Error(got)
+	if got := request(); !strings.HasPrefix(got, "200") { // enabled, it serves again
+		t.Errorf("request: got %s, want status 200", got)
 	}
 	await(t, seen)
 	select {
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -73,7 +73,7 @@
 		t.Helper()
 		var got string
 		if err := q.QueryRow(ctx, text, args...).Scan(&got); err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got %v, want no error", text, err)
 		}
 		return got
 	}
@@ -81,17 +81,17 @@
 		t.Errorf("query: got %q, want the statement's text", got)
 	}
 	if err := c.Ping(ctx); err != nil {
-		t.Errorf("ping: %v", err)
+		t.Errorf("ping: got %v, want no error", err)
 	}
 	if _, err := c.Exec(ctx, "UPDATE parts SET a = $1", "x"); err != nil {
-		t.Errorf("exec: %v", err)
+		t.Errorf("exec: got %v, want no error", err)
 	}
 	if _, err := c.Prepare(ctx, "named", "SELECT $1"); err != nil {
-		t.Errorf("prepare: %v", err)
+		t.Errorf("prepare: got %v, want no error", err)
 	}
 	first(c, "named", "x")
 	if err := c.Deallocate(ctx, "named"); err != nil {
-		t.Errorf("deallocate: %v", err)
+		t.Errorf("deallocate: got %v, want no error", err)
 	}
 	var b pgx.Batch
 	for i := range 5 {
@@ -102,7 +102,7 @@
 		first(batchRow{r}, "")
 	}
 	if err := r.Close(); err != nil {
-		t.Errorf("batch: %v", err)
+		t.Errorf("batch: got %v, want no error", err)
 	}
 	tx, err := c.BeginTx(ctx, pgx.TxOptions{IsoLevel: pgx.Serializable})
 	if err != nil {
@@ -111,21 +111,21 @@
 	first(tx, "SELECT $1", "x")
 	inner, err := tx.Begin(ctx) // a savepoint
 	if err != nil {
-		t.Fatalf("savepoint: %v", err)
+		t.Fatalf("savepoint: got %v, want no error", err)
 	}
 	var e *pgconn.PgError
 	if _, err := inner.Exec(ctx, "SELECT 1/0"); !errors.As(err, &e) || e.Code != "22012" {
 		t.Errorf("engine's error: got %v, want code 22012", err)
 	}
 	if err := inner.Rollback(ctx); err != nil {
-		t.Errorf("rollback to a savepoint: %v", err)
+		t.Errorf("rollback to a savepoint: got %v, want no error", err)
 	}
 	if _, err := tx.Exec(ctx, "DECLARE c CURSOR FOR SELECT 1"); err != nil {
-		t.Errorf("cursor: %v", err)
+		t.Errorf("cursor: got %v, want no error", err)
 	}
 	first(tx, "FETCH 2 FROM c")
 	if err := tx.Commit(ctx); err != nil {
-		t.Errorf("commit: %v", err)
+		t.Errorf("commit: got %v, want no error", err)
 	}
 	if err := pgx.BeginFunc(ctx, c, func(pgx.Tx) error { return errors.New("no") }); err == nil {
 		t.Error("function that fails in a transaction: got no error, want its error")
@@ -183,38 +183,38 @@
 		t.Errorf("query: got %q, %v, want the statement's text", got, err)
 	}
 	if err := db.QueryRowContext(ctx, "SELECT $1", "x").Scan(&got); err != nil {
-		t.Errorf("query with a value: %v", err)
+		t.Errorf("query with a value: got %v, want no error", err)
 	}
 	if err := db.PingContext(ctx); err != nil {
-		t.Errorf("ping: %v", err)
+		t.Errorf("ping: got %v, want no error", err)
 	}
 	st, err := db.PrepareContext(ctx, "SELECT $1")
 	if err != nil {
-		t.Fatalf("prepare: %v", err)
+		t.Fatalf("prepare: got %v, want no error", err)
 	}
 	for range 5 {
 		if err := st.QueryRowContext(ctx, "x").Scan(&got); err != nil {
-			t.Errorf("prepared: %v", err)
+			t.Errorf("prepared: got %v, want no error", err)
 		}
 	}
 	tx, err := db.BeginTx(ctx, &sql.TxOptions{Isolation: sql.LevelSerializable})
 	if err != nil {
-		t.Fatalf("begin: %v", err)
+		t.Fatalf("begin: got %v, want no error", err)
 	}
 	if _, err := tx.ExecContext(ctx, "UPDATE parts SET a = $1", "x"); err != nil {
-		t.Errorf("exec in a transaction: %v", err)
+		t.Errorf("exec in a transaction: got %v, want no error", err)
 	}
 	if err := tx.Commit(); err != nil {
-		t.Errorf("commit: %v", err)
+		t.Errorf("commit: got %v, want no error", err)
 	}
 	if tx, err = db.BeginTx(ctx, &sql.TxOptions{ReadOnly: true}); err != nil {
-		t.Fatalf("begin read only: %v", err)
+		t.Fatalf("begin read only: got %v, want no error", err)
 	}
 	if err := tx.QueryRowContext(ctx, "SELECT 1").Scan(&got); err != nil {
-		t.Errorf("query in a transaction: %v", err)
+		t.Errorf("query in a transaction: got %v, want no error", err)
 	}
 	if err := tx.Rollback(); err != nil {
-		t.Errorf("rollback: %v", err)
+		t.Errorf("rollback: got %v, want no error", err)
 	}
 	if bad, err := sql.Open("postgres", fmt.Sprintf("host=%s port=%s user=desk password=wrong sslmode=require", host, port)); err != nil || bad.PingContext(ctx) == nil {
 		t.Errorf("wrong password: got a connection (sql.Open: %v), want an error from Ping", err)
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -66,6 +66,7 @@
 // byteByByteConn writes one byte at a time and reads at most seven.
 type byteByByteConn struct{ net.Conn }
 
+// Write writes b one byte at a time.
 func (s byteByByteConn) Write(b []byte) (int, error) {
 	for i := range b {
 		if _, err := s.Conn.Write(b[i : i+1]); err != nil {
@@ -75,6 +76,7 @@
 	return len(b), nil
 }
 
+// Read reads at most seven bytes.
 func (s byteByByteConn) Read(b []byte) (int, error) { return s.Conn.Read(b[:min(len(b), 7)]) }
 
 // startupOfDesk is the startup message of user desk.
@@ -143,7 +145,7 @@
 func TestEncryptionRefused(t *testing.T) {
 	g := gatewayWithTLS(t, true)
 	readAll := func(c net.Conn) string {
-		b, _ := io.ReadAll(c) // a reset is as good as a close
+		b, _ := io.ReadAll(c) // ignores the error: the connection may also be reset
 		return string(b)
 	}
 	k := &pgClient{t: t, c: dial(t, g.addr)}
@@ -224,10 +226,10 @@
 	}
 }
 
-// TestGuardedEngines guards against sending statements to an engine that is not authenticated, or without the
+// TestEngineAuthentication guards against sending statements to an engine that is not authenticated, or without the
 // password and encryption that it requires: statements run only with the right password and a known certificate
 // authority.
-func TestGuardedEngines(t *testing.T) {
+func TestEngineAuthentication(t *testing.T) {
 	dir := t.TempDir()
 	ca, err := testca.New("engines")
 	if err != nil {
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -69,10 +69,10 @@
 	return strings.Replace(call, id, fmt.Sprintf("%016x", n), 1)
 }
 
-// TestCallInTheMomentOfADrain guards against a call that runs twice: it was read but not yet handled when its
+// TestCallReadDuringADrain guards against a call that runs twice: it was read but not yet handled when its
 // idle connection is closed by a drain. It must not be sent on, because its client sees the close and repeats
 // it.
-func TestCallInTheMomentOfADrain(t *testing.T) {
+func TestCallReadDuringADrain(t *testing.T) {
 	addr, seen := lineEngine(t, func(line string) string { return done(line, "") })
 	g := httpGateway(t, addr)
 	k := httpConnect(t, g.addr)
@@ -360,9 +360,9 @@
 	return does
 }
 
-// TestTheSameAgainAsItsConnectionBreaks guards against rejecting a repeated request as a duplicate of an open
+// TestRepeatedRequestAsItsConnectionBreaks guards against rejecting a repeated request as a duplicate of an open
 // ID: its connection broke, and the client repeats it on a new one before the loop has handled the break.
-func TestTheSameAgainAsItsConnectionBreaks(t *testing.T) {
+func TestRepeatedRequestAsItsConnectionBreaks(t *testing.T) {
 	first := true
 	addr, seen := lineEngine(t, func(line string) string {
 		if first || strings.HasPrefix(line, "never_mind") {
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -119,7 +119,7 @@
 	var first, final string
 	keep := func(to *string) func(string) string { return func(s string) string { *to = s; return s } }
 	if _, w := logIn(t, g.addr, "desk", "pässword of desk", scramMessages{keep(&first), keep(&final)}); !strings.HasSuffix(w, "Z") {
-		t.Fatal(w)
+		t.Fatalf("login: got %s, want it to end in Z", w)
 	}
 	again := func(s string) func(string) string { return func(string) string { return s } }
 	k := &pgClient{t: t, c: dial(t, g.addr)}
@@ -153,7 +153,7 @@
 	good := scramMessages{unchanged, unchanged}
 	k, w := logIn(t, g.addr, "guest", "pässword of guest", good)
 	if !strings.HasSuffix(w, "Z") {
-		t.Fatal(w)
+		t.Fatalf("login: got %s, want it to end in Z", w)
 	}
 	k.send(query("UPDATE stock_1.parts SET seen = 1"))
 	if w := k.until('Z'); w != "E(42501) Z" {
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("%s DONE batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0 %d\r\n%s\r\n", strings.Fields(line)[1], len(page), page)
 }
 
-// TestServed guards against rows that are changed or reordered on their way to the client, and against a request
+// TestRowsAndRequestUnchanged guards against rows that are changed or reordered on their way to the client, and against a request
 // that reaches the engine without its ID, class or idempotency key.
-func TestServed(t *testing.T) {
+func TestRowsAndRequestUnchanged(t *testing.T) {
 	addr, seen := lineEngine(t, func(line string) string {
 		return id + " TELL res=p,num=0.5 0\r\n\r\n" + done(line, "a\t\"1\"\t\\x\nb\t2\té\n")
 	})
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestPagesAreCollectedBeforeARowIsPassedOn guards against truncated results. An engine fails between page 0 and
+// TestEngineFailsBetweenPages guards against truncated results. An engine fails between page 0 and
 // the rest: no row has reached the client yet, so another engine serves it. A result of several parts is fetched
 // part by part, and a path without a result gets a plain 404.
-func TestPagesAreCollectedBeforeARowIsPassedOn(t *testing.T) {
+func TestEngineFailsBetweenPages(t *testing.T) {
 	page := strings.Repeat("x\ty\tz\n", 1000)
 	var failed bool // whether an engine has closed its connection
 	script := func(line string) string {
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestEngineGarbage guards against unparsable answers of an engine that reach or hang the client: they close the
+// TestUnparsableEngineAnswers guards against unparsable answers of an engine that reach or hang the client: they close the
 // engine's connection, and the client still gets exactly one answer.
-func TestEngineGarbage(t *testing.T) {
+func TestUnparsableEngineAnswers(t *testing.T) {
 	for _, text := range []string{
 		"nonsense\r\n", id + " DONE - 99999999\r\n", id + " DONE - 2\r\nabcd", id + " HUH - 0\r\n\r\n",
 		id + " DONE batches=1 3\r\nabc\r\n", id + " DONE batches=x 0\r\n\r\n", strings.Repeat("x", 3000),
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestEnds guards against an attempt's outcome that the decisions misread: each has one result, and only
+// TestResultsOfOutcomes guards against an attempt's outcome that the decisions misread: each has one result, and only
 // outcomes that prove that nothing ran may say so.
-func TestEnds(t *testing.T) {
+func TestResultsOfOutcomes(t *testing.T) {
 	got := map[string]policy.Result{}
 	for e := core.OutcomeUnknown; e <= core.OutcomeIdleClosed; e++ {
 		got[e.String()] = e.PolicyResult()
@@ -382,10 +382,10 @@
 	assertEqual(t, "engine heard", await(t, seen), "never_mind "+id)
 }
 
-// TestRoomForClients guards against idle clients that keep others out. Above the limit, clients that never made
+// TestClientLimitClosesIdleFirst guards against idle clients that keep others out. Above the limit, clients that never made
 // a valid call are disconnected first, then the one that was idle longest. Open requests stay, and so do idle
 // connections below the limit.
-func TestRoomForClients(t *testing.T) {
+func TestClientLimitClosesIdleFirst(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
 	g.options.MaxClients, g.options.RequestTimeout = 4, time.Minute
@@ -421,9 +421,10 @@
 	}
 }
 
-// TestRoomForSlowWriters guards against disconnecting a client that writes its call in pieces in favor of silent
-// ones: those go first, although they came later.
-func TestRoomForSlowWriters(t *testing.T) {
+// TestClientLimitKeepsSlowWriters guards against disconnecting a client that writes its call in pieces in favor
+// of silent ones: those go first, although they came later. A client that stopped in the middle of a call long
+// ago goes before one that was served.
+func TestClientLimitKeepsSlowWriters(t *testing.T) {
 	g := newGateway(t, nil)
 	g.options.MaxClients, g.options.RequestTimeout = 2, time.Minute
 	g.startHTTP()
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -380,9 +380,9 @@
 	}
 }
 
-// TestTheOnlyEngineIsWaitedFor guards against cancelling a query at the only engine because it takes far longer
+// TestNoCancelAtTheOnlyEngine guards against cancelling a query at the only engine because it takes far longer
 // than earlier ones. Where hedging is not allowed, no other engine may get the query, so the gateway must wait.
-func TestTheOnlyEngineIsWaitedFor(t *testing.T) {
+func TestNoCancelAtTheOnlyEngine(t *testing.T) {
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		if strings.Contains(c.query, "slow") {
 			time.Sleep(6 * overdueTicks) // long enough to count as overdue
--- a/internal/integration/probes_test.go
+++ b/internal/integration/probes_test.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestProbesThatReachNobody guards against a probe that stays open although its engine is unknown or refuses the
+// TestProbesToUnreachableEngines guards against a probe that stays open although its engine is unknown or refuses the
 // connection: it must end at once. It also checks that probes only ask whether the engine is there where the
 // settings say that engines report no load.
-func TestProbesThatReachNobody(t *testing.T) {
+func TestProbesToUnreachableEngines(t *testing.T) {
 	addr, seen := lineEngine(t, func(line string) string {
 		return strings.Fields(line)[1] + " FIT - 0\r\n\r\n"
 	})
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -123,10 +123,10 @@
 	return string(b)
 }
 
-// TestEstimatesOnlyWhereTold guards against an estimate given to the decisions against the settings: the learned
+// TestLearnedEstimates guards against an estimate given to the decisions against the settings: the learned
 // estimate replaces the client's, and where the client sent none it is used only if the settings don't require a
 // client's estimate.
-func TestEstimatesOnlyWhereTold(t *testing.T) {
+func TestLearnedEstimates(t *testing.T) {
 	for name, tt := range map[string]struct {
 		requireHint, sendsHint bool
 		corrected              int64 // learned estimates given to the decisions
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -159,9 +159,9 @@
 		"DECLARE c CURSOR FOR SELECT 1; ROLLBACK TO SAVEPOINT a; COMMIT; SELECT 3", "COMMIT")
 }
 
-// TestTransactionsOfNothing guards against needless work at engines: transactions without statements never reach
+// TestEmptyTransactions guards against needless work at engines: transactions without statements never reach
 // one, and ending a transaction that was not begun gives a warning.
-func TestTransactionsOfNothing(t *testing.T) {
+func TestEmptyTransactions(t *testing.T) {
 	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
@@ -203,19 +203,19 @@
 	run := func(text string) []byte { return append(append(parse("", text), bind("", "")...), execute("", 0)...) }
 	k.send(append(append(run("BEGIN"), run("UPDATE a SET b = 1")...), sync...))
 	if w := k.until('Z') + string(k.last); w != "1 2 C(BEGIN) 1 2 D(UPDATE a SET b = 1) D() C(SELECT 2) ZT" {
-		t.Error(w)
+		t.Errorf("got %s, want 1 2 C(BEGIN) 1 2 D(UPDATE a SET b = 1) D() C(SELECT 2) ZT", w)
 	}
 	k.send(append(append(append(parse("s", "SELECT $1"), bind("p", "s", "v")...), execute("p", 1)...), sync...))
 	if w := k.until('Z') + string(k.last); w != "1 2 D(SELECT $1) s ZT" {
-		t.Error(w)
+		t.Errorf("got %s, want 1 2 D(SELECT $1) s ZT", w)
 	}
 	k.send(append(execute("p", 0), sync...))
 	if w := k.until('Z') + string(k.last); w != "D(v) C(SELECT 1) ZT" {
-		t.Error(w)
+		t.Errorf("got %s, want D(v) C(SELECT 1) ZT", w)
 	}
 	k.send(append(append(append(parse("c", "COMMIT"), describe("S", "c")...), append(bind("", "c"), execute("", 0)...)...), sync...))
 	if w := k.until('Z') + string(k.last); w != "1 t n 2 C(COMMIT) ZI" {
-		t.Error(w)
+		t.Errorf("got %s, want 1 t n 2 C(COMMIT) ZI", w)
 	}
 	k.send(append(execute("p", 0), sync...))
 	if w := k.until('Z') + string(k.last); w != "E(34000) ZI" {
@@ -224,9 +224,9 @@
 	h.until(t, "BEGIN; UPDATE a SET b = 1; SELECT $1; COMMIT; DISCARD ALL")
 }
 
-// TestTransactionsLeft guards against transactions that stay open on an engine: if the client disconnects or is
+// TestAbandonedTransactions guards against transactions that stay open on an engine: if the client disconnects or is
 // idle too long, the session is closed, which rolls the transaction back, and the next client is not held up.
-func TestTransactionsLeft(t *testing.T) {
+func TestAbandonedTransactions(t *testing.T) {
 	g, h := transactionGateway(t, func(g *gateway) { g.pgwire.IdleTransactionTimeout = 300 * time.Millisecond })
 	k := connect(t, g.addr)
 	k.queryWithStatus("BEGIN")
@@ -241,15 +241,15 @@
 	}
 	next := connect(t, g.addr)
 	if w := next.queryWithStatus("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
-		t.Error(w)
+		t.Errorf("got %s, want T D(SELECT 1) D() C(SELECT 2) ZI", w)
 	}
 	h.until(t, "BEGIN; UPDATE a SET b = 1", "BEGIN; UPDATE a SET b = 2", "SELECT 1") // each on a session of its own
 }
 
-// TestTransactionsLost guards against a transaction with a wrong or doubled outcome when its engine's connection
+// TestTransactionsOnBrokenConnections guards against a transaction with a wrong or doubled outcome when its engine's connection
 // breaks. Before COMMIT was sent, the client is told that everything was rolled back; after it, that the outcome
 // is unknown. Nothing is sent again.
-func TestTransactionsLost(t *testing.T) {
+func TestTransactionsOnBrokenConnections(t *testing.T) {
 	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	h.breakAt = "UPDATE a SET b = 2"
@@ -309,13 +309,13 @@
 	c := dial(t, g.addr)
 	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, k.key))
 	if w := k.until('Z') + string(k.last); w != "E(57014) ZE" {
-		t.Error(w)
+		t.Errorf("got %s, want E(57014) ZE", w)
 	}
 	if w := k.queryWithStatus("ROLLBACK"); w != "C(ROLLBACK) ZI" {
-		t.Error(w)
+		t.Errorf("got %s, want C(ROLLBACK) ZI", w)
 	}
 	if w := k.queryWithStatus("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
-		t.Error(w)
+		t.Errorf("got %s, want T D(SELECT 1) D() C(SELECT 2) ZI", w)
 	}
 }
 
@@ -426,7 +426,7 @@
 		name := []string{"work_mem", "search_path", "my.tag"}[rng.IntN(3)]
 		ask := func(verb string) {
 			if w := k.queryWithStatus(fmt.Sprintf("%s %d /* %v */", verb, n, has[k])); !strings.Contains(w, "C(") {
-				t.Fatal(w)
+				t.Fatalf("%s %d: got %s, want a CommandComplete", verb, n, w)
 			}
 		}
 		switch rng.IntN(8) {
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -87,11 +87,11 @@
 	}
 }
 
-// TestWordOnWrites guards against reporting a write as not executed after it was sent. An engine that runs out
+// TestOutcomeOfSentWrites guards against reporting a write as not executed after it was sent. An engine that runs out
 // of a resource in the middle of a write must be the last to get it, and a timeout or a cancel leaves the
 // outcome unknown. A dropped prepared statement shows before BindComplete, so that an error after it must not
 // repeat the write.
-func TestWordOnWrites(t *testing.T) {
+func TestOutcomeOfSentWrites(t *testing.T) {
 	hang := make(chan bool, 9) // signals a statement that the engine leaves unanswered
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		switch {
