--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -19,7 +19,7 @@
 // The tests of this file end a connection, request or drain at a critical instant: everything before it must be
 // completed, and nothing after it may be started.
 
-// healthCall is a call that no engine is needed for.
+// healthCall is a call that the gateway answers without an engine.
 const healthCall = "GET /health HTTP/1.1\r\n\r\n"
 
 // whileLoopBlocked runs f while the event loop stands still in the middle of a turn, as it does under load: what
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -97,14 +97,14 @@
 		p              scramMessages
 		want           string
 	}{
-		"a wrong password":      {"desk", "password of desk", good, "E(28P01) end"},
-		"an unknown user":       {"nobody", "pässword of desk", good, "E(28P01) end"},
-		"another's password":    {"guest", "pässword of desk", good, "E(28P01) end"},
-		"no message":            {"desk", "pässword of desk", scramMessages{func(string) string { return "" }, unchanged}, "E(08P01) end"},
-		"cut short":             {"desk", "pässword of desk", scramMessages{func(s string) string { return s[:5] }, unchanged}, "E(08P01) end"},
-		"wants channel binding": {"desk", "pässword of desk", scramMessages{func(s string) string { return "p=tls-unique" + s[1:] }, unchanged}, "E(08P01) end"},
-		"a proof cut short":     {"desk", "pässword of desk", scramMessages{unchanged, func(s string) string { return s[:len(s)-10] }}, "E(28P01) end"},
-		"another's nonce":       {"desk", "pässword of desk", scramMessages{unchanged, func(s string) string { return strings.Replace(s, "r=", "r=x", 1) }}, "E(28P01) end"},
+		"a wrong password":         {"desk", "password of desk", good, "E(28P01) end"},
+		"an unknown user":          {"nobody", "pässword of desk", good, "E(28P01) end"},
+		"another's password":       {"guest", "pässword of desk", good, "E(28P01) end"},
+		"empty first message":      {"desk", "pässword of desk", scramMessages{func(string) string { return "" }, unchanged}, "E(08P01) end"},
+		"first message cut short":  {"desk", "pässword of desk", scramMessages{func(s string) string { return s[:5] }, unchanged}, "E(08P01) end"},
+		"requires channel binding": {"desk", "pässword of desk", scramMessages{func(s string) string { return "p=tls-unique" + s[1:] }, unchanged}, "E(08P01) end"},
+		"proof cut short":          {"desk", "pässword of desk", scramMessages{unchanged, func(s string) string { return s[:len(s)-10] }}, "E(28P01) end"},
+		"altered nonce":            {"desk", "pässword of desk", scramMessages{unchanged, func(s string) string { return strings.Replace(s, "r=", "r=x", 1) }}, "E(28P01) end"},
 	} {
 		if _, w := logIn(t, g.addr, tt.user, tt.password, tt.p); w != tt.want {
 			t.Errorf("%s: got %s, want %s", name, w, tt.want)
