--- a/internal/archtest/edge_test.go
+++ b/internal/archtest/edge_test.go
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("%s %s: status %d, want 200: %s", method, url, response.StatusCode, answer)
+		t.Errorf("%s %s: got status %d, want 200: %s", method, url, response.StatusCode, answer)
 	}
 	return string(answer)
 }
--- a/internal/archtest/guides_test.go
+++ b/internal/archtest/guides_test.go
@@ -20,10 +20,12 @@
 var (
 	// Matches a name of dotted words in backquotes: a log event, a counter, a metric or a settings key.
 	dottedName = regexp.MustCompile("`([a-z_]+(?:\\.[a-zA-Z*_-]+)+)`")
-	// Matches the last part of a name where a guide writes a placeholder for any class, state or reason.
+	// Matches the placeholder that a guide writes as the last part of a name for any class, state or reason.
 	placeholder = regexp.MustCompile(`\.(\*|[A-Z_]+)$`)
-	guideFlag   = regexp.MustCompile(`(?:^|[ ` + "`" + `])--([a-z][a-z-]*)`)
-	guideCall   = regexp.MustCompile(`bin/(gateway|testbed) ([a-z]+)`)
+	// Matches a command-line flag.
+	guideFlag = regexp.MustCompile(`(?:^|[ ` + "`" + `])--([a-z][a-z-]*)`)
+	// Matches a call of a program with a command.
+	guideCall = regexp.MustCompile(`bin/(gateway|testbed) ([a-z]+)`)
 )
 
 // notInPrograms are dotted names in the guides that no program of the repository prints or reads.
@@ -69,10 +71,11 @@
 }
 
 // isPrinted reports whether the programs have a literal equal to the name, or one that is a prefix of it and
-// ends in a dot, as for names that are composed with a class or a state.
+// ends in a dot, as for names that are composed with a class or a state. A metric, which begins with "lb.", is
+// looked up without that prefix and without "calls.CLASS".
 func isPrinted(name string, literals map[string]bool) bool {
-	if figure, ok := strings.CutPrefix(name, "lb."); ok {
-		name = strings.TrimPrefix(figure, "calls.CLASS")
+	if metric, ok := strings.CutPrefix(name, "lb."); ok {
+		name = strings.TrimPrefix(metric, "calls.CLASS")
 		return literals[name]
 	}
 	if prefix := placeholder.ReplaceAllString(name, "."); prefix != name {
@@ -182,7 +185,8 @@
 	return b.String()
 }
 
-// commandNames returns the commands that the programs' help lists, including subcommands.
+// commandNames returns the words of each line of the programs' help up to the first argument in brackets. They
+// include all commands and subcommands.
 func commandNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// module is the module path with the slash that ends it as a prefix of package paths.
 const module = "gannetspur/"
 
 // layers lists the gateway's packages by prefix, from the top layer down. A package may import only packages of
@@ -46,8 +47,8 @@
 }
 
 // TestImports guards against dependencies that break the architecture: imports must not point to a higher layer,
-// decision packages must do no I/O, read no clock and have no random source of their own, and the serving
-// programs must not link testbed packages.
+// decision packages must do no I/O and have no random source of their own, and the serving programs must not
+// link testbed packages.
 func TestImports(t *testing.T) {
 	for _, line := range goList(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
 		pkg, imports, _ := strings.Cut(line, ": ")
@@ -57,17 +58,17 @@
 		if layer < 0 && !inTestbed && pkg != "internal/integration" && pkg != "internal/archtest" {
 			t.Errorf("%s: got no layer, want one", pkg)
 		}
-		for _, i := range strings.Fields(imports) {
-			to, inModule := strings.CutPrefix(i, module)
-			if strings.HasPrefix(pkg, "internal/decide/") && slices.Contains([]string{"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash"}, i) {
-				t.Errorf("%s imports %s: want no I/O and no random source in decision packages", pkg, i)
+		for _, imported := range strings.Fields(imports) {
+			to, inModule := strings.CutPrefix(imported, module)
+			if strings.HasPrefix(pkg, "internal/decide/") && slices.Contains([]string{"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash"}, imported) {
+				t.Errorf("%s imports %s: want no I/O and no random source in decision packages", pkg, imported)
 			}
 			switch {
 			case !inModule:
 			case strings.HasPrefix(to, "internal/testbed/") && !inTestbed && pkg != "cmd/testbed":
-				t.Errorf("%s imports %s: want no testbed package in a serving program", pkg, to)
+				t.Errorf("%s imports %s: want testbed packages imported only by the testbed", pkg, to)
 			case inTestbed && strings.HasPrefix(to, "cmd/"):
-				t.Errorf("%s imports %s: want no import of a program by the testbed", pkg, to)
+				t.Errorf("%s imports %s: want no package of cmd/ imported by the testbed", pkg, to)
 			case !inTestbed && layer >= 0 && layerOf(to) >= 0 && layerOf(to) < layer:
 				t.Errorf("%s imports %s: got an import of a higher layer, want its own layer or a lower one", pkg, to)
 			}
--- a/internal/integration/conformance_test.go
+++ b/internal/integration/conformance_test.go
@@ -40,7 +40,7 @@
 		c := conformance.Chain(12, seed)
 		for _, way := range conformance.Ways {
 			if got, err := conformance.Play(g.addr, c, way, seed); err != nil || got != c.Want {
-				t.Errorf("%s, %v, %v:\n got %s\nwant %s", c.Name, way, err, got, c.Want)
+				t.Errorf("%s, %v (error %v):\n got %s\nwant %s", c.Name, way, err, got, c.Want)
 			}
 		}
 	}
--- a/internal/integration/control_test.go
+++ b/internal/integration/control_test.go
@@ -31,13 +31,13 @@
 // openControl opens the gateway's control endpoint and returns its address.
 func (g *gateway) openControl() string {
 	g.t.Helper()
-	var d *control.Server
+	var server *control.Server
 	var err error
-	g.do(func() { d, err = control.Open(g.loop, "127.0.0.1:0", controlTarget{g.core}, g.stats) })
+	g.do(func() { server, err = control.Open(g.loop, "127.0.0.1:0", controlTarget{g.core}, g.stats) })
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	return d.Addr()
+	return server.Addr()
 }
 
 // callControl makes one call at a control endpoint and returns the status code and body.
@@ -82,7 +82,8 @@
 }
 
 // TestControlWithSilentCallers guards against silent callers that block the control endpoint: callers that send
-// nothing or half a call are disconnected within the second that others wait, and keep nobody out.
+// nothing or half a call are disconnected when the endpoint's timeout of a second has passed, and other callers are
+// answered.
 func TestControlWithSilentCallers(t *testing.T) {
 	g := httpGateway(t)
 	addr := g.openControl()
@@ -105,7 +106,8 @@
 }
 
 // TestControlWithoutDescriptors guards against a control endpoint that is unreachable when clients and engines
-// have used up their descriptors, and against clients that take the descriptors of connections to engines.
+// have used up their descriptors. More connections to an engine are dialed than descriptors are left: those within
+// the limit are established, the others fail with a descriptor shortage.
 func TestControlWithoutDescriptors(t *testing.T) {
 	g := httpGateway(t)
 	addr := g.openControl()
@@ -113,23 +115,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	room := len(open) + 30
+	limit := len(open) + 30
 	g.do(func() {
-		if err := g.loop.LimitDescriptors(room, 0); err != nil {
+		if err := g.loop.LimitDescriptors(limit, 0); err != nil {
 			t.Error(err)
 		}
 	})
 	sink := listen(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 	const wanted = 100
-	ends := make(chan error, wanted)
+	dialed := make(chan error, wanted)
 	for range wanted {
 		g.do(func() {
-			g.loop.Dial(sink, 5*time.Second, 1024, discardHandler{}, func(_ *netio.Conn, err error) { ends <- err })
+			g.loop.Dial(sink, 5*time.Second, 1024, discardHandler{}, func(_ *netio.Conn, err error) { dialed <- err })
 		})
 	}
 	var refused int
 	for range wanted {
-		if err := await(t, ends); netio.IsDescriptorShortage(err) {
+		if err := await(t, dialed); netio.IsDescriptorShortage(err) {
 			refused++
 		} else if err != nil {
 			t.Fatal(err)
@@ -242,7 +244,7 @@
 	engine, seen := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
 	g := newGateway(t, func(s *policy.Settings) { s.Rules.OverloadWindow = 0 }).startHTTP(engine) // no overload window: an engine that is enabled again otherwise gets a slow start, in steps of a second
 	addr := g.openControl()
-	out := fmt.Sprintf(`{"target":"e%s"}`, engine)
+	target := fmt.Sprintf(`{"target":"e%s"}`, engine)
 	request := func() string {
 		answer, _ := httpConnect(t, g.addr).call(post("lookup", ""))
 		return answer
@@ -252,7 +254,7 @@
 	}
 	await(t, seen)
 	for range 2 {
-		if got := callControl(t, addr, "POST", "/engines/disable", out); got != "200 {}" {
+		if got := callControl(t, addr, "POST", "/engines/disable", target); got != "200 {}" {
 			t.Fatalf("got %s, want 200 {}", got)
 		}
 	}
@@ -262,17 +264,17 @@
 			t.Fatalf("engine state %d from discovery: got %s, want status 503", state, got)
 		}
 	}
-	var f core.Stats
-	g.do(func() { f = g.core.Stats() })
-	if f.EnginesListed != 1 || f.EnginesDown != 1 {
-		t.Errorf("disabled: got %+v, want 1 engine listed and 1 down", f)
+	var stats core.Stats
+	g.do(func() { stats = g.core.Stats() })
+	if stats.EnginesListed != 1 || stats.EnginesDown != 1 {
+		t.Errorf("disabled: got %+v, want 1 engine listed and 1 down", stats)
 	}
-	if got := callControl(t, addr, "POST", "/engines/enable", out); got != "200 {}" {
+	if got := callControl(t, addr, "POST", "/engines/enable", target); got != "200 {}" {
 		t.Fatalf("got %s, want 200 {}", got)
 	}
-	g.do(func() { f = g.core.Stats() })
-	if f.EnginesDown != 0 {
-		t.Errorf("enabled again: got %+v, want 0 engines down", f)
+	g.do(func() { stats = g.core.Stats() })
+	if stats.EnginesDown != 0 {
+		t.Errorf("enabled again: got %+v, want 0 engines down", stats)
 	}
 	if got := request(); !strings.HasPrefix(got, "200") { // enabled, it serves again
 		t.Errorf("request: got %s, want status 200", got)
--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -67,6 +67,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close(ctx) }()
+	// first returns the first column of a query's first row.
 	first := func(q interface {
 		QueryRow(ctx context.Context, sql string, args ...any) pgx.Row
 	}, text string, args ...any) string {
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -140,7 +140,7 @@
 }
 
 // TestEncryptionRefused guards against letting in clients that must not be: those that send plain bytes where
-// encryption is required or behind the request for it, speak no TLS, name no or another protocol, use TLS 1.1,
+// encryption is required or right after the request for it, speak no TLS, name no protocol, use TLS 1.1,
 // or stop in the handshake.
 func TestEncryptionRefused(t *testing.T) {
 	g := gatewayWithTLS(t, true)
@@ -156,7 +156,7 @@
 	c := dial(t, g.addr)
 	_, _ = c.Write(append(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil), startupOfDesk...))
 	if got := readAll(c); !strings.Contains(got, "unencrypted data after SSL request") || strings.HasPrefix(got, "S") {
-		t.Errorf("plain bytes behind the encryption request: got %q, want the error \"unencrypted data after SSL request\" and no S", got)
+		t.Errorf("plain bytes right after the encryption request: got %q, want the error \"unencrypted data after SSL request\" and no S", got)
 	}
 	c = dial(t, g.addr)
 	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.SSLRequest, nil))
@@ -263,7 +263,7 @@
 	}
 	ran := "T D(SELECT 1) D() C(SELECT 2) ZI"
 	for name, tt := range map[string]struct {
-		engine *tls.Config // the engine's; nil: it declines encryption
+		engine *tls.Config // TLS configuration of the engine; nil: it declines encryption
 		opts   pgbackend.Options
 		want   string
 	}{
@@ -279,11 +279,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = ln.Close() })
-		ranOn := make(chan string, 10)
+		received := make(chan string, 10)
 		go emulator.Postgres(ln, emulator.Options{
 			Work:   func(string) (time.Duration, float64) { return time.Millisecond, 1 },
 			Logins: scramauth.NewUsers([]scramauth.User{{Name: "ringwood", Verifier: v}}), TLS: tt.engine, Log: slog.New(slog.DiscardHandler),
-			Heard: func(_, text string) { ranOn <- text },
+			Heard: func(_, text string) { received <- text },
 		})
 		g := newGateway(t, nil)
 		g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
@@ -292,8 +292,8 @@
 		if w := connect(t, g.addr).queryWithStatus("SELECT 1"); w != tt.want {
 			t.Errorf("%s: got %s, want %s", name, w, tt.want)
 		}
-		if (len(ranOn) > 0) != (tt.want == ran) {
-			t.Errorf("%s: got %d statements at the engine, want some: %t", name, len(ranOn), tt.want == ran)
+		if (len(received) > 0) != (tt.want == ran) {
+			t.Errorf("%s: got %d statements at the engine; want at least one: %t", name, len(received), tt.want == ran)
 		}
 	}
 }
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -100,28 +100,28 @@
 		return done(line, "")
 	})
 	g := httpGateway(t, addr)
-	slow, ahead := httpConnect(t, g.addr), httpConnect(t, g.addr)
+	slow, pipelined := httpConnect(t, g.addr), httpConnect(t, g.addr)
 	half := numbered(9, post("lookup", ""))
 	_, _ = io.WriteString(slow.c, half[:40])
 	waitUntil(func() bool { return partialCallBuffered(g) })
-	_, _ = io.WriteString(ahead.c, numbered(1, post("lookup", ""))+numbered(2, post("lookup", ""))+numbered(3, post("lookup", "")))
+	_, _ = io.WriteString(pipelined.c, numbered(1, post("lookup", ""))+numbered(2, post("lookup", ""))+numbered(3, post("lookup", "")))
 	waitUntil(func() bool { return g.count("taken.") == 1 })
 	g.do(g.rest.Drain)
 	close(hold)
 	await(t, seen)
 	for n := range 3 {
-		got, _ := ahead.answer()
+		got, _ := pipelined.answer()
 		assertEqual(t, fmt.Sprintf("call %d", n+1), got, `200 {"result":[]}`)
 	}
-	ahead.expectClose()
+	pipelined.expectClose()
 	got, _ := slow.call(half[40:])
 	assertEqual(t, "call that had arrived in part", got, `200 {"result":[]}`)
 	slow.expectClose()
 }
 
-// TestNoResetBehindAnAnswer guards against a reset that overtakes the last answer, as happens when a connection
+// TestNoResetAfterAnAnswer guards against a reset that overtakes the last answer, as happens when a connection
 // is closed with unread bytes: the connection must close without one.
-func TestNoResetBehindAnAnswer(t *testing.T) {
+func TestNoResetAfterAnAnswer(t *testing.T) {
 	addr, _ := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
 	g := httpGateway(t, addr)
 	k := httpConnect(t, g.addr)
@@ -181,9 +181,9 @@
 	expectNoRequest(t, seen)
 }
 
-// TestTimeOfACallWrittenAhead guards against sending a pipelined call whose timeout has passed. The timeout runs
+// TestTimeoutOfAPipelinedCall guards against sending a pipelined call whose timeout has passed. The timeout runs
 // from the call's last byte; a call that reaches its turn too late is answered at once and never sent.
-func TestTimeOfACallWrittenAhead(t *testing.T) {
+func TestTimeoutOfAPipelinedCall(t *testing.T) {
 	hold := make(chan struct{})
 	addr, seen := lineEngine(t, func(line string) string {
 		<-hold
@@ -194,11 +194,11 @@
 	brief := strings.Replace(numbered(2, post("lookup", "")), "2000", "100", 1)
 	_, _ = io.WriteString(k.c, numbered(1, post("lookup", ""))+brief)
 	waitUntil(func() bool { return g.count("taken.") == 1 })
-	over := time.Now().Add(150 * time.Millisecond)
-	waitUntil(func() bool { return time.Now().After(over) })
+	expired := time.Now().Add(150 * time.Millisecond)
+	waitUntil(func() bool { return time.Now().After(expired) })
 	close(hold)
 	got, _ := k.answer()
-	assertEqual(t, "the first", got, `200 {"result":[]}`)
+	assertEqual(t, "first call", got, `200 {"result":[]}`)
 	got, _ = k.answer()
 	assertEqual(t, "call whose timeout had passed", got, `503 {"fault":"Busy"}`)
 	await(t, seen)
@@ -208,7 +208,7 @@
 // TestAnswerThatNeverEnds guards against an engine that holds a request by sending its answer byte by byte
 // without end: the connection is closed long before the request's timeout, with all attempts on it.
 func TestAnswerThatNeverEnds(t *testing.T) {
-	drip := listen(t, func(c net.Conn) {
+	engine := listen(t, func(c net.Conn) {
 		_, _ = bufio.NewReader(c).ReadString('\n')
 		_, err := io.WriteString(c, id+" DONE batches=1 16000\r\n")
 		for err == nil { // often enough that the connection does not count as stalled
@@ -216,7 +216,7 @@
 			_, err = io.WriteString(c, "a")
 		}
 	})
-	g := httpGateway(t, drip)
+	g := httpGateway(t, engine)
 	got, _ := httpConnect(t, g.addr).call(strings.Replace(post("write", ""), "2000", "9000", 1)) // a write runs at most once
 	assertEqual(t, "answer", got, `500 {"fault":"Failed"}`)
 	if n := g.count("ended.garbage"); n != 1 {
@@ -224,11 +224,11 @@
 	}
 }
 
-// TestRestingConnectionEndsUnderARequest guards against failing a request because the engine closed an idle
+// TestIdleConnectionClosesUnderARequest guards against failing a request because the engine closed an idle
 // connection just before it was to be written there. Nothing of it has left, so that even a request that may run
 // at most once goes out on another connection.
-func TestRestingConnectionEndsUnderARequest(t *testing.T) {
-	resting := make(chan net.Conn, 4)
+func TestIdleConnectionClosesUnderARequest(t *testing.T) {
+	idle := make(chan net.Conn, 4)
 	addr := listen(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			line, err := in.ReadString('\n')
@@ -237,14 +237,14 @@
 			}
 			if strings.HasPrefix(line, "want ") {
 				_, _ = io.WriteString(c, done(line, "a\tb\tc\n"))
-				resting <- c
+				idle <- c
 			}
 		}
 	})
 	g := httpGateway(t, addr)
 	k := httpConnect(t, g.addr)
 	k.call(post("write", ""))
-	c := await(t, resting)
+	c := await(t, idle)
 	g.whileLoopBlocked(func(find func(*httpClient) *netio.Conn) {
 		_, _ = io.WriteString(k.c, numbered(2, post("write", "")))
 		waitUntil(func() bool { return find(k).Unread() > 0 })
@@ -259,9 +259,10 @@
 	}
 }
 
-// TestRestingConnectionEndsUnderAStatement guards against the same failure between PostgreSQL statements: a
-// statement that may run at most once goes out on another connection.
-func TestRestingConnectionEndsUnderAStatement(t *testing.T) {
+// TestIdleConnectionClosesUnderAStatement guards against failing a PostgreSQL statement because the engine
+// closed an idle connection just before the statement was to be written there. Nothing of it has left, so that
+// even a statement that may run at most once goes out on another connection.
+func TestIdleConnectionClosesUnderAStatement(t *testing.T) {
 	addr, seen := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := postgresGateway(t, addr)
 	k := connect(t, g.addr)
@@ -282,10 +283,10 @@
 	}
 }
 
-// TestClientLeavesBehindAnEngineThatDoesNotRead guards against sending requests of disconnected clients. The
+// TestClientLeavesWhileTheEngineDoesNotRead guards against sending requests of disconnected clients. The
 // engine does not read, so that what is written for it waits in the gateway; the request of a client that comes
 // and disconnects meanwhile must never reach the engine.
-func TestClientLeavesBehindAnEngineThatDoesNotRead(t *testing.T) {
+func TestClientLeavesWhileTheEngineDoesNotRead(t *testing.T) {
 	stopped, reads := make(chan struct{}, 100), make(chan struct{})
 	addr, seen := lineEngine(t, func(line string) string {
 		switch {
@@ -319,7 +320,7 @@
 	waitUntil(func() bool { return g.count("gone.") == 1 })
 	close(reads)
 	got, _ = k.call(numbered(5, strings.Replace(post("lookup", ""), "2000", "6000", 1))) // through the small buffers it takes 2.4 s
-	assertEqual(t, "one that comes later", got, `200 {"result":[]}`)
+	assertEqual(t, "request after the engine reads again", got, `200 {"result":[]}`)
 	for line := ""; !strings.Contains(line, fmt.Sprintf("%016x", 5)); {
 		if line = await(t, seen); strings.Contains(line, fmt.Sprintf("%016x", 4)) {
 			t.Errorf("engine: got %.40q, want nothing of request 4", line)
@@ -355,9 +356,9 @@
 }
 
 // writePending reports whether bytes for the peer at an address wait in the gateway.
-func (g *gateway) writePending(addr string) (does bool) {
-	g.do(func() { does = g.conn(addr).Pending() > 0 })
-	return does
+func (g *gateway) writePending(addr string) (pending bool) {
+	g.do(func() { pending = g.conn(addr).Pending() > 0 })
+	return pending
 }
 
 // TestRepeatedRequestAsItsConnectionBreaks guards against rejecting a repeated request as a duplicate of an open
@@ -414,9 +415,9 @@
 	expectNoRequest(t, seen)
 }
 
-// TestCallBehindTheListenersClose guards against dropping clients that were accepted before the listener closed:
+// TestCallAfterTheListenerCloses guards against dropping clients that were accepted before the listener closed:
 // their calls are answered, and idle ones see the connection close at the drain.
-func TestCallBehindTheListenersClose(t *testing.T) {
+func TestCallAfterTheListenerCloses(t *testing.T) {
 	addr, _ := lineEngine(t, func(line string) string { return done(line, "a\tb\tc\n") })
 	g := httpGateway(t, addr)
 	k, silent := httpConnect(t, g.addr), httpConnect(t, g.addr)
@@ -431,7 +432,7 @@
 }
 
 // idle reports whether all clients have had their answers and have disconnected.
-func (g *gateway) idle() (yes bool) {
-	g.do(func() { yes = g.rest.Idle() })
-	return yes
+func (g *gateway) idle() (idle bool) {
+	g.do(func() { idle = g.rest.Idle() })
+	return idle
 }
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if u.Verifier, err = scramauth.ParseVerifier(v.String()); err != nil { // as from a file
+		if u.Verifier, err = scramauth.ParseVerifier(v.String()); err != nil { // formatted and parsed, as when it is read from a file
 			t.Fatal(err)
 		}
 		users = append(users, u)
@@ -79,8 +79,8 @@
 	return k, w
 }
 
-// TestLogins guards against logins without the right password: only its holder is let in and may run statements.
-// An unknown user gets the same answer as a wrong password, so that user names can't be probed.
+// TestLogins guards against logins without the right password: only a user who has it is let in and may run
+// statements. An unknown user gets the same answer as a wrong password, so that user names can't be probed.
 func TestLogins(t *testing.T) {
 	g := gatewayWithLogins(t)
 	good := scramMessages{unchanged, unchanged}
@@ -119,7 +119,7 @@
 	var first, final string
 	keep := func(to *string) func(string) string { return func(s string) string { *to = s; return s } }
 	if _, w := logIn(t, g.addr, "desk", "pässword of desk", scramMessages{keep(&first), keep(&final)}); !strings.HasSuffix(w, "Z") {
-		t.Fatalf("login: got %s, want it to end in Z", w)
+		t.Fatalf("login: got %s, want a summary that ends in Z", w)
 	}
 	again := func(s string) func(string) string { return func(string) string { return s } }
 	k := &pgClient{t: t, c: dial(t, g.addr)}
@@ -153,21 +153,21 @@
 	good := scramMessages{unchanged, unchanged}
 	k, w := logIn(t, g.addr, "guest", "pässword of guest", good)
 	if !strings.HasSuffix(w, "Z") {
-		t.Fatalf("login: got %s, want it to end in Z", w)
+		t.Fatalf("login: got %s, want a summary that ends in Z", w)
 	}
 	k.send(query("UPDATE stock_1.parts SET seen = 1"))
 	if w := k.until('Z'); w != "E(42501) Z" {
 		t.Errorf("class that the user may not use: got %s, want E(42501) Z", w)
 	}
 	if _, w := logIn(t, g.addr, "guest", "pässword of guest", good); w != "R E(53300) end" && w != "E(53300) end" {
-		t.Errorf("second connection: got %s, want E(53300) end", w)
+		t.Errorf("second connection: got %s, want E(53300) end, with or without R before it", w)
 	}
 	last := ""
 	for i := range 12 {
 		_, last = logIn(t, g.addr, fmt.Sprint("user", i), "guess", good)
 	}
 	if last != "E(28000) end " && last != "E(28000) end end" {
-		t.Errorf("after a dozen guesses: got %q, want E(28000) end", last)
+		t.Errorf("after a dozen guesses: got %q, want \"E(28000) end \" or \"E(28000) end end\"", last)
 	}
 	if _, w := logIn(t, g.addr, "desk", "pässword of desk", good); !strings.HasPrefix(w, "E(28000)") {
 		t.Errorf("next login from that address: got %s, want E(28000)", w)
--- a/internal/integration/order_test.go
+++ b/internal/integration/order_test.go
@@ -144,14 +144,14 @@
 	left := time.Now()
 	_ = clients[1].c.Close()
 	assertEqual(t, "third", await(t, e.wants), ids(2))
-	if rest := time.Since(left); rest < settleTime {
-		t.Errorf("wait after a client disconnected: got %v, want at least %v", rest, settleTime)
+	if waited := time.Since(left); waited < settleTime {
+		t.Errorf("wait after a client disconnected: got %v, want at least %v", waited, settleTime)
 	}
 	broke := time.Now()
 	e.replies <- "break"
 	assertEqual(t, "fourth", await(t, e.wants), ids(3))
-	if rest := time.Since(broke); rest < settleTime {
-		t.Errorf("wait after a connection broke: got %v, want at least %v", rest, settleTime)
+	if waited := time.Since(broke); waited < settleTime {
+		t.Errorf("wait after a connection broke: got %v, want at least %v", waited, settleTime)
 	}
 	e.replies <- ids(3)
 	if got, _ := clients[3].answer(); !strings.HasPrefix(got, "200") {
@@ -188,10 +188,10 @@
 			next := httpConnect(t, g.addr)
 			_, _ = io.WriteString(next.c, strings.Replace(loadWithKey(1, "a"), "2000", "20000", 1))
 			for range 2 { // the engine is asked again a second later, after the settle time
-				assertEqual(t, "asked", await(t, e.pages), first)
+				assertEqual(t, "request for a page", await(t, e.pages), first)
 			}
 			e.replies <- first + " TELL res=0.5,num=1 0\r\n\r\n" // says that it still runs
-			assertEqual(t, "asked", await(t, e.pages), first)
+			assertEqual(t, "request for a page", await(t, e.pages), first)
 			e.expectNoWant(t, "while the first of its key may run")
 			if tt.restart {
 				g.do(func() {
@@ -248,7 +248,7 @@
 	g := newGateway(t, ordered).startHTTP(e.addr)
 	for name, head := range map[string]string{
 		"missing": "", "empty": "Req-Key: \r\n", "oversized": "Req-Key: " + strings.Repeat("7", 65) + "\r\n",
-		"repeated": "Req-Key: a\r\nReq-Key: a\r\n", "odd": "Req-Key: a b\r\n",
+		"repeated": "Req-Key: a\r\nReq-Key: a\r\n", "spaced": "Req-Key: a b\r\n",
 	} {
 		if got, _ := httpConnect(t, g.addr).call(post("load", head)); !strings.HasPrefix(got, "400") {
 			t.Errorf("%s key: got %s, want status 400", name, got)
@@ -320,10 +320,10 @@
 	}
 	await(t, asked)
 	_ = clients[0].c.Close()
-	assertEqual(t, "engine heard", await(t, seen).query, "cancel")
-	rested := make(chan bool)
-	g.do(func() { g.loop.Timers.Add(g.loop.Now()+settleTime+settleTime, func() { close(rested) }) })
-	await(t, rested)
+	assertEqual(t, "engine received", await(t, seen).query, "cancel")
+	settled := make(chan bool)
+	g.do(func() { g.loop.Timers.Add(g.loop.Now()+settleTime+settleTime, func() { close(settled) }) })
+	await(t, settled)
 	if len(asked) > 0 {
 		t.Fatalf("engine: got %d more loads, want none while the key's first load may run", len(asked))
 	}
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -41,10 +41,10 @@
 	addr    string               // where clients connect
 	lines   *lineproto.Backend   // nil without the HTTP front end
 	rest    *httpapi.Frontend    // nil without the HTTP front end
-	options httpapi.Options      // of the HTTP front end
-	pgwire  pgfrontend.Options   // of the PostgreSQL front end
+	options httpapi.Options      // options of the HTTP front end, read when it starts
+	pgwire  pgfrontend.Options   // options of the PostgreSQL front end, read when it starts
 	front   *pgfrontend.Frontend // nil without the PostgreSQL front end
-	engine  pgbackend.Options    // of the PostgreSQL backend; startPostgres sets user and database
+	engine  pgbackend.Options    // options of the PostgreSQL backend; startPostgres sets user and database
 }
 
 // newGateway creates a gateway with the settings of the deploy directory, which change may modify; nil leaves
@@ -88,8 +88,8 @@
 	if g.core.Unanswered() > 0 { // requests that the end of the test cut off have no end to count
 		return
 	}
-	if taken, over := g.stats.Sum("taken."), g.stats.Sum("answered.")+g.stats.Sum("gone."); taken != over {
-		g.t.Errorf("got %d requests answered or left by their clients, want %d, the number accepted", over, taken)
+	if taken, finished := g.stats.Sum("taken."), g.stats.Sum("answered.")+g.stats.Sum("gone."); taken != finished {
+		g.t.Errorf("got %d requests answered or left by their clients, want %d, the number accepted", finished, taken)
 	}
 	if sent, ended := g.stats.Sum("sent."), g.stats.Sum("ended."); sent != ended {
 		g.t.Errorf("got %d attempts ended, want %d, the number sent", ended, sent)
@@ -355,7 +355,7 @@
 	}), seen
 }
 
-// oneColumn is the body of a RowDescription with one text column, part.
+// oneColumn is the body of a RowDescription with one text column named part.
 var oneColumn = append([]byte{0, 1}, append([]byte("part\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
 
 // pgRows answers a batch with text rows of one column.
@@ -410,9 +410,9 @@
 	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(name), b, []byte{0, 0})
 }
 
-// execute is an Execute message; most limits its rows, and 0 means no limit.
-func execute(portal string, most int) []byte {
-	return pgproto.AppendMessage(nil, 'E', pgproto.CString(portal), pgproto.Int32(most))
+// execute is an Execute message; maxRows limits its rows, and 0 means no limit.
+func execute(portal string, maxRows int) []byte {
+	return pgproto.AppendMessage(nil, 'E', pgproto.CString(portal), pgproto.Int32(maxRows))
 }
 
 // describe is a Describe message; kind is "S" for a statement or "P" for a portal.
@@ -439,8 +439,8 @@
 }
 
 // until reads messages up to one of the type last, or to the end of the connection, and returns a summary:
-// the types, with a CommandComplete's tag, a DataRow's value and an ErrorResponse's code and whether it has a
-// hint in parentheses, and "end" where the connection ended.
+// the type byte of each message and, in parentheses after it, a CommandComplete's tag, a DataRow's value, or an
+// ErrorResponse's code followed by "hint" if it has one. The word "end" stands for the end of the connection.
 func (k *pgClient) until(last byte) string {
 	k.t.Helper()
 	var summary []string
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -73,8 +73,8 @@
 	return fmt.Sprintf("%s DONE batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0 %d\r\n%s\r\n", strings.Fields(line)[1], len(page), page)
 }
 
-// TestRowsAndRequestUnchanged guards against rows that are changed or reordered on their way to the client, and against a request
-// that reaches the engine without its ID, class or idempotency key.
+// TestRowsAndRequestUnchanged guards against rows that are changed or reordered on their way to the client, and
+// against a request that reaches the engine without its ID, class or idempotency key.
 func TestRowsAndRequestUnchanged(t *testing.T) {
 	addr, seen := lineEngine(t, func(line string) string {
 		return id + " TELL res=p,num=0.5 0\r\n\r\n" + done(line, "a\t\"1\"\t\\x\nb\t2\té\n")
@@ -213,7 +213,7 @@
 	_, _ = io.WriteString(k.c, post("lookup", ""))
 	await(t, seen)
 	_ = k.c.Close()
-	assertEqual(t, "engine heard", await(t, seen), "never_mind "+id)
+	assertEqual(t, "engine received", await(t, seen), "never_mind "+id)
 	got, _ := httpConnect(t, g.addr).call(post("lookup", ""))
 	assertEqual(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
 	if n := g.count("links.dialed"); n != 2 {
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestUnparsableEngineAnswers guards against unparsable answers of an engine that reach or hang the client: they close the
-// engine's connection, and the client still gets exactly one answer.
+// TestUnparsableEngineAnswers guards against unparsable answers of an engine that reach the client or leave it
+// without an answer: they close the engine's connection, and the client still gets exactly one answer.
 func TestUnparsableEngineAnswers(t *testing.T) {
 	for _, text := range []string{
 		"nonsense\r\n", id + " DONE - 99999999\r\n", id + " DONE - 2\r\nabcd", id + " HUH - 0\r\n\r\n",
@@ -250,17 +250,17 @@
 		"not HTTP":                  {"hello\r\n\r\n", "400"},
 		"unknown class":             {post("nope", ""), "404"},
 		"unknown path":              {"GET /x HTTP/1.1\r\n\r\n", "404"},
-		"method":                    {"GET /rpc/lookup HTTP/1.1\r\n\r\n", "405"},
+		"wrong method":              {"GET /rpc/lookup HTTP/1.1\r\n\r\n", "405"},
 		"bad id":                    {strings.Replace(post("lookup", ""), id, "xyz", 1), "400"},
 		"bad wait":                  {strings.Replace(post("lookup", ""), "2000", "NaN", 1), "400"},
 		"bad cost":                  {post("lookup", "Req-Cost: -1\r\n"), "400"},
 		"load, no key":              {post("load", ""), "400"},
 		"key with comma":            {post("load", "Req-Token: a,b\r\n"), "400"},
-		"field twice":               {post("lookup", "Req-Id: "+id+"\r\n"), "400"},
+		"repeated field":            {post("lookup", "Req-Id: "+id+"\r\n"), "400"},
 		"large body":                {"POST /rpc/lookup HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n", "413"},
 		"large head":                {"GET /" + strings.Repeat("x", 20000), "431"},
-		"chunked":                   {"POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501"},
-		"version":                   {"GET /health HTTP/2.0\r\n\r\n", "505"},
+		"chunked body":              {"POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501"},
+		"unknown version":           {"GET /health HTTP/2.0\r\n\r\n", "505"},
 		"delete unknown":            {"DELETE /more/x/1 HTTP/1.1\r\n\r\n", "404"},
 		"health call is valid":      {"GET /health HTTP/1.1\r\n\r\n", "200"},
 		"incomplete path of a part": {"GET /more/ HTTP/1.1\r\n\r\n", "404"},
@@ -327,7 +327,7 @@
 
 // TestBadClients guards against clients that hold a connection or smuggle a request: those that send nothing,
 // stop in the middle, give a wrong length or send what no request may contain are disconnected or answered in
-// time, and nothing of it reaches an engine. After an invalid call the connection closes, so that nothing behind
+// time, and nothing of it reaches an engine. After an invalid call the connection closes, so that nothing after
 // it is answered.
 func TestBadClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
@@ -378,13 +378,13 @@
 	}
 	_, _ = io.WriteString(open.c, "no call")
 	answers, _ := io.ReadAll(open.r)
-	assertEqual(t, "invalid call behind an open request", string(answers[:12]), "HTTP/1.1 400")
-	assertEqual(t, "engine heard", await(t, seen), "never_mind "+id)
+	assertEqual(t, "invalid call after an open request", string(answers[:12]), "HTTP/1.1 400")
+	assertEqual(t, "engine received", await(t, seen), "never_mind "+id)
 }
 
-// TestClientLimitClosesIdleFirst guards against idle clients that keep others out. Above the limit, clients that never made
-// a valid call are disconnected first, then the one that was idle longest. Open requests stay, and so do idle
-// connections below the limit.
+// TestClientLimitClosesIdleFirst guards against idle clients that keep others out. Above the limit, clients that
+// never made a valid call are disconnected first, then the one that was idle longest. Open requests stay, and so
+// do idle connections below the limit.
 func TestClientLimitClosesIdleFirst(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
@@ -422,8 +422,8 @@
 }
 
 // TestClientLimitKeepsSlowWriters guards against disconnecting a client that writes its call in pieces in favor
-// of silent ones: those go first, although they came later. A client that stopped in the middle of a call long
-// ago goes before one that was served.
+// of silent ones: those go first, although they came later. This test does not cover the rule that a client that
+// stopped in the middle of a call long ago goes before one that was served.
 func TestClientLimitKeepsSlowWriters(t *testing.T) {
 	g := newGateway(t, nil)
 	g.options.MaxClients, g.options.RequestTimeout = 2, time.Minute
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -47,8 +47,8 @@
 }
 
 // TestPoolIsBoundedAndFair guards against too many connections to an engine and against one user who keeps
-// others waiting: with one connection allowed, the other statements wait, users take turns, and no statement is
-// lost.
+// others waiting: while a statement runs on the only allowed connection, the others wait; users take turns, and no
+// statement is lost.
 func TestPoolIsBoundedAndFair(t *testing.T) {
 	p := newPooledGateway(t, connpool.Limits{MaxConnections: 1})
 	var clients []*pgClient
@@ -86,10 +86,10 @@
 	slices.Sort(first)
 	want := []string{"/* class=lookup */ SELECT 0 FROM stock_1.parts", "/* class=lookup */ SELECT 9 FROM stock_1.parts"}
 	if diff := cmp.Diff(want, first); diff != "" {
-		t.Errorf("at once (-want +got):\n%s", diff)
+		t.Errorf("statements at the engine at once (-want +got):\n%s", diff)
 	}
 	if len(p.asked) > 0 {
-		t.Errorf("got %d more statements at the engine, want none: a user has two connections", len(p.asked))
+		t.Errorf("got %d more statements at the engine, want none while the user's only connection is in use", len(p.asked))
 	}
 	for range 4 {
 		p.release <- true
@@ -110,13 +110,13 @@
 	k.queryWithStatus("BEGIN")
 	assertEqual(t, "in the transaction", k.queryWithStatus("SELECT 1"), "T D(SELECT 1) D() C(SELECT 2) ZT")
 	for range 2 {
-		late := g.count("answered-late.")
+		timedOut := g.count("answered-late.")
 		got := other.queryWithStatus("DELETE FROM stock_1.parts")
 		want := "E(53000 hint) ZI"
-		if g.count("answered-late.") > late { // on a busy machine the loop may handle it only after its timeout
+		if g.count("answered-late.") > timedOut { // on a busy machine the loop may handle it only after its timeout
 			want = "E(57014) ZI"
 		}
-		assertEqual(t, "a write that waited in vain", got, want)
+		assertEqual(t, "write that waited until its timeout", got, want)
 	}
 	if n := g.count("ended.crowded"); n < 2 {
 		t.Errorf("got %d attempts that ended for want of a connection, want at least 2", n)
@@ -124,8 +124,8 @@
 	assertEqual(t, "the transaction", k.queryWithStatus("COMMIT"), "C(COMMIT) ZI")
 	// The session is reset first. A statement with enough time waits for that; one with less time than the transaction
 	// took is refused until the reset is done, by the pool's estimate of how long a connection stays in use.
-	assertEqual(t, "behind it, with time", connect(t, g.addr).queryWithStatus("SELECT 3"), "T D(SELECT 3) D() C(SELECT 2) ZI")
-	assertEqual(t, "behind it", other.queryWithStatus("SELECT 2"), "T D(SELECT 2) D() C(SELECT 2) ZI")
+	assertEqual(t, "statement after it, with enough time", connect(t, g.addr).queryWithStatus("SELECT 3"), "T D(SELECT 3) D() C(SELECT 2) ZI")
+	assertEqual(t, "statement after it", other.queryWithStatus("SELECT 2"), "T D(SELECT 2) D() C(SELECT 2) ZI")
 	if n := g.count("links.dialed"); n != 1 {
 		t.Errorf("got %d connections, want 1", n)
 	}
@@ -165,9 +165,9 @@
 		addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("b") })
 		p.updateEngines(policy.EngineLive, addr)
 		p.updateEngines(state, old...)
-		assertEqual(t, "who waited", second.until('Z'), "T D(b) C(SELECT 1) Z")
+		assertEqual(t, "statement that waited", second.until('Z'), "T D(b) C(SELECT 1) Z")
 		p.release <- true
-		assertEqual(t, "who was there", first.until('Z'), "T D(a) C(SELECT 1) Z")
+		assertEqual(t, "statement that was running", first.until('Z'), "T D(a) C(SELECT 1) Z")
 		if len(p.asked) > 0 {
 			t.Errorf("got %d more statements at the engine that leaves, want none", len(p.asked))
 		}
--- a/internal/integration/postgres_test.go
+++ b/internal/integration/postgres_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("call to the engine: got %+v, want the key k1 in its Bind", c)
 	}
 	_ = k.c.Close()
-	assertEqual(t, "after the disconnection the engine heard", await(t, seen).query, "cancel")
+	assertEqual(t, "engine received after the disconnection", await(t, seen).query, "cancel")
 	if sent, gone := g.count("sent."), g.count("gone."); sent != 1 || gone != 1 {
 		t.Errorf("got %d attempts sent and %d clients gone, want 1 of each", sent, gone)
 	}
@@ -103,7 +103,7 @@
 	g.updateEngines(policy.EngineDraining, first)
 	g.updateEngines(policy.EngineLive, second)
 	k.send(execute("p", 2), bind("q", ""), execute("q", 0), sync)
-	assertEqual(t, "rest, and new work", k.until('Z'), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
+	assertEqual(t, "remaining rows, and new work", k.until('Z'), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
 	k.send(execute("p", 0), sync)
 	assertEqual(t, "the portal after Sync", k.until('Z'), "E(34000) Z")
 	if n := g.count("sent."); n != 2 {
@@ -168,11 +168,11 @@
 // it was sent. The load may have run, so within its deduplication window another engine gets it with the same
 // idempotency key, and the client gets one answer.
 func TestLoadIsSentAgainWithItsKey(t *testing.T) {
-	hang := make(chan struct{}, 1)
-	hang <- struct{}{}
+	failOnce := make(chan struct{}, 1) // holds one value; the statement that takes it fails
+	failOnce <- struct{}{}
 	script := func(pgCall) []byte {
 		select {
-		case <-hang:
+		case <-failOnce:
 			return pgError("XX000")
 		default:
 			return pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(pgproto.AppendMessage(nil, '1'), '2'), 'n'), 'C', pgproto.CString("INSERT 0 1"))
@@ -241,7 +241,7 @@
 	k := connect(t, g.addr)
 	_ = k.c.(*net.TCPConn).SetReadBuffer(64 << 10) // with its default buffer the kernel might accept the whole result at once
 	k.send(query("SELECT more"))
-	assertEqual(t, "too much", k.until('Z'), "E(54000) Z")
+	assertEqual(t, "result that is too large", k.until('Z'), "E(54000) Z")
 	terminate := pgproto.AppendMessage(nil, 'X')
 	k.send(query("SELECT x"), terminate)
 	for g.count("answered.served") == 0 { // the whole result is in the gateway's buffers then
@@ -328,7 +328,7 @@
 		_, _ = c.Read(make([]byte, 1)) // returns once the front end closes the connection
 	}
 	assertEqual(t, "answer", k.until('Z'), "1 2 E(57014) Z")
-	assertEqual(t, "engine heard", await(t, seen).query, "cancel")
+	assertEqual(t, "engine received", await(t, seen).query, "cancel")
 	if n := g.count("pgwire.cancels"); n != 1 {
 		t.Errorf("got %d cancels, want 1", n)
 	}
@@ -354,11 +354,11 @@
 // disconnected, one that stops in the middle of a message gets an error, and an engine that stops in the middle
 // of a message loses its connection, so that another engine serves the request.
 func TestPostgresPeersThatStop(t *testing.T) {
-	stopped := make(chan struct{}, 1)
-	stopped <- struct{}{}
+	stopOnce := make(chan struct{}, 1) // holds one value; the engine that takes it stops in a message
+	stopOnce <- struct{}{}
 	script := func(pgCall) []byte {
 		select {
-		case <-stopped:
+		case <-stopOnce:
 			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // announces 200 bytes; the ReadyForQuery after the script's answer counts as part of them
 		default:
 			return append([]byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 4, 'n', 0, 0, 0, 4}, pgproto.AppendMessage(nil, 'C', pgproto.CString("INSERT 0 1"))...)
@@ -385,7 +385,7 @@
 func TestNoCancelAtTheOnlyEngine(t *testing.T) {
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		if strings.Contains(c.query, "slow") {
-			time.Sleep(6 * overdueTicks) // long enough to count as overdue
+			time.Sleep(6 * overdueInterval) // long enough to count as overdue
 		}
 		return pgRows("a")
 	})
@@ -404,5 +404,5 @@
 	}
 }
 
-// overdueTicks is the interval at which the core looks for overdue attempts.
-const overdueTicks = 100 * time.Millisecond
+// overdueInterval is the interval at which the core looks for overdue attempts.
+const overdueInterval = 100 * time.Millisecond
--- a/internal/integration/probes_test.go
+++ b/internal/integration/probes_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestProbes guards against a probe that ends twice or never, whatever the engine answers: a valid answer, none,
-// a late or repeated one, one under another tag, or one that can't be parsed. Answers that match no open probe
+// a repeated one, one under another tag, or one that can't be parsed. Answers that match no open probe
 // must not disturb the connection or the requests on it.
 func TestProbes(t *testing.T) {
 	const garbage = "garbage"
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestProbesToUnreachableEngines guards against a probe that stays open although its engine is unknown or refuses the
-// connection: it must end at once. It also checks that probes only ask whether the engine is there where the
+// TestProbesToUnreachableEngines guards against a probe that stays open although its engine is unknown or refuses
+// the connection: it must end at once. It also checks that probes only ask whether the engine is there where the
 // settings say that engines report no load.
 func TestProbesToUnreachableEngines(t *testing.T) {
 	addr, seen := lineEngine(t, func(line string) string {
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/costmodel"
+	"gannetspur/internal/decide/costmodel"
 	"gannetspur/internal/frontend/postgres"
 	"gannetspur/internal/queryshape"
 )
 
 // learnShapes has a gateway learn the cost of query shapes. It must be called before the gateway serves.
-func learnShapes(t *testing.T, g *gateway, set queryshape.Settings) *queryshape.Service {
+func learnShapes(t *testing.T, g *gateway, settings queryshape.Settings) *queryshape.Service {
 	t.Helper()
-	set.Bytes = 256 << 10
-	set.Model = decide.Config{Classes: []decide.Class{{Name: "lookup", MaxWorkMS: 60}, {Name: "report"}}}
-	s, err := queryshape.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
+	settings.Bytes = 256 << 10
+	settings.Model = costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", MaxWorkMS: 60}, {Name: "report"}}}
+	s, err := queryshape.NewService(settings, g.site.Policy.Classes, g.loop, g.stats, g.log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 	return string(b)
 }
 
-// TestLearnedEstimates guards against an estimate given to the decisions against the settings: the learned
+// TestLearnedEstimates guards against decisions that use the wrong estimate of a statement's cost: the learned
 // estimate replaces the client's, and where the client sent none it is used only if the settings don't require a
 // client's estimate.
 func TestLearnedEstimates(t *testing.T) {
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -16,7 +16,8 @@
 )
 
 // statementLog records which statements an emulated engine received, by session, and can close a session's
-// connection at a given statement.
+// connection at a given statement. A session is one connection of the gateway to the engine, named by its remote
+// address.
 type statementLog struct {
 	net.Listener
 	mu      gosync.Mutex
@@ -28,7 +29,7 @@
 	changed chan struct{}       // signals a new statement; capacity 1
 }
 
-// Accept records the connection by its remote address, which names the session.
+// Accept records the connection under its session's name.
 func (h *statementLog) Accept() (net.Conn, error) {
 	c, err := h.Listener.Accept()
 	if err == nil {
@@ -87,19 +88,19 @@
 const discard = "DISCARD ALL"
 
 // checkStatements checks the statements of all sessions together, and that DISCARD ALL follows, within each
-// session, exactly those statements that may leave session state, which forget lists. Whether the next statement
+// session, exactly those statements that may leave session state, which stateful lists. Whether the next statement
 // finds that reset done or takes another session depends on timing.
-func (h *statementLog) checkStatements(t *testing.T, want string, forget ...string) {
+func (h *statementLog) checkStatements(t *testing.T, want string, stateful ...string) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if got := strings.Join(h.all, "; "); got != want {
 		t.Errorf("statements of all sessions: got %s, want %s", got, want)
 	}
-	for _, said := range h.by {
-		for i, s := range said[:len(said)-1] {
-			if slices.Contains(forget, s) != (said[i+1] == discard) {
-				t.Errorf("after %q: got %q, want %q exactly after a statement that may leave session state", s, said[i+1], discard)
+	for _, statements := range h.by {
+		for i, s := range statements[:len(statements)-1] {
+			if slices.Contains(stateful, s) != (statements[i+1] == discard) {
+				t.Errorf("after %q: got %q, want %q exactly after a statement that may leave session state", s, statements[i+1], discard)
 			}
 		}
 	}
@@ -152,7 +153,7 @@
 		{"SELECT 3", "T D(SELECT 3) D() C(SELECT 2) ZI"},
 	} {
 		if w := k.queryWithStatus(tt[0]); w != tt[1] {
-			t.Fatalf("%s: %s, want %s", tt[0], w, tt[1])
+			t.Fatalf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	h.checkStatements(t, "BEGIN ISOLATION LEVEL SERIALIZABLE; INSERT INTO stock_1.parts VALUES ('bell'); SAVEPOINT a; SELECT 1/0; ROLLBACK TO a; SET LOCAL work_mem = '1MB'; "+
@@ -171,7 +172,7 @@
 		{"COMMIT PREPARED 'a'", "E(0A000) ZI"},
 	} {
 		if w := k.queryWithStatus(tt[0]); w != tt[1] {
-			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
+			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	if all := h.bySession(); len(all) > 0 {
@@ -189,7 +190,7 @@
 		{"/* at last */ COMMIT", "C(ROLLBACK) ZI"}, {"/* c */ COMMIT PREPARED 'a'", "E(0A000) ZI"},
 	} {
 		if w := k.queryWithStatus(tt[0]); w != tt[1] {
-			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
+			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	h.until(t, "BEGIN; UPDATE a SET b = 1; ROLLBACK; DISCARD ALL")
@@ -246,9 +247,9 @@
 	h.until(t, "BEGIN; UPDATE a SET b = 1", "BEGIN; UPDATE a SET b = 2", "SELECT 1") // each on a session of its own
 }
 
-// TestTransactionsOnBrokenConnections guards against a transaction with a wrong or doubled outcome when its engine's connection
-// breaks. Before COMMIT was sent, the client is told that everything was rolled back; after it, that the outcome
-// is unknown. Nothing is sent again.
+// TestTransactionsOnBrokenConnections guards against a transaction with a wrong or doubled outcome when its
+// engine's connection breaks. Before COMMIT was sent, the client is told that everything was rolled back; after
+// it, that the outcome is unknown. Nothing is sent again.
 func TestTransactionsOnBrokenConnections(t *testing.T) {
 	g, h := transactionGateway(t, nil)
 	k := connect(t, g.addr)
@@ -258,7 +259,7 @@
 		{"SELECT 1", "E(25P02) ZE"}, {"COMMIT", "C(ROLLBACK) ZI"},
 	} {
 		if w := k.queryWithStatus(tt[0]); w != tt[1] {
-			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
+			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	first := h.bySession()
@@ -267,7 +268,7 @@
 	other := connect(t, g.addr)
 	for _, tt := range [][2]string{{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 3", "T D(UPDATE a SET b = 3) D() C(SELECT 2) ZT"}, {"COMMIT", "E(40003) ZI"}} {
 		if w := other.queryWithStatus(tt[0]); w != tt[1] {
-			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
+			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	all := strings.Join(append(first, h.bySession()...), " | ")
@@ -336,7 +337,7 @@
 		{"SELECT 1; COPY x FROM STDIN", "E(0A000) ZI"},
 	} {
 		if w := k.queryWithStatus(tt[0]); w != tt[1] {
-			t.Errorf("%s: %s, want %s", tt[0], w, tt[1])
+			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
 	all := strings.Join(h.bySession(), " | ")
@@ -351,7 +352,7 @@
 }
 
 // TestSettings guards against a client's session settings that get lost or reach another client: they follow the
-// client from session to session, in the fewest messages.
+// client from session to session, in as few messages as possible.
 func TestSettings(t *testing.T) {
 	g, h := transactionGateway(t, nil)
 	a, b := connect(t, g.addr), connect(t, g.addr)
@@ -368,7 +369,7 @@
 		{a, "DISCARD ALL", "C(DISCARD ALL) ZI"}, {a, "SELECT 6", "T D(SELECT 6) D() C(SELECT 2) ZI"},
 	} {
 		if w := tt.k.queryWithStatus(tt.text); w != tt.want {
-			t.Errorf("%s: %s, want %s", tt.text, w, tt.want)
+			t.Errorf("%s: got %s, want %s", tt.text, w, tt.want)
 		}
 	}
 	h.checkStatements(t, "SET search_path TO stock_1; SELECT 1; SELECT 2; RESET search_path; SELECT 3; SET work_mem = 'invalid'; SET search_path TO stock_1; SELECT 4; "+
@@ -415,26 +416,26 @@
 	g.startPostgres(ln.Addr().String())
 	rng := rand.New(rand.NewPCG(1, 2))
 	var clients []*pgClient
-	has := map[*pgClient]map[string]string{}
+	settings := map[*pgClient]map[string]string{}
 	for range 4 {
 		k := connect(t, g.addr)
 		clients = append(clients, k)
-		has[k] = map[string]string{}
+		settings[k] = map[string]string{}
 	}
 	for n := range 600 {
 		k := clients[rng.IntN(len(clients))]
 		name := []string{"work_mem", "search_path", "my.tag"}[rng.IntN(3)]
 		ask := func(verb string) {
-			if w := k.queryWithStatus(fmt.Sprintf("%s %d /* %v */", verb, n, has[k])); !strings.Contains(w, "C(") {
+			if w := k.queryWithStatus(fmt.Sprintf("%s %d /* %v */", verb, n, settings[k])); !strings.Contains(w, "C(") {
 				t.Fatalf("%s %d: got %s, want a CommandComplete", verb, n, w)
 			}
 		}
 		switch rng.IntN(8) {
 		case 0:
-			has[k][name] = fmt.Sprintf("'%d'", n)
+			settings[k][name] = fmt.Sprintf("'%d'", n)
 			k.queryWithStatus(fmt.Sprintf("SET %s = '%d'", name, n))
 		case 1:
-			delete(has[k], name)
+			delete(settings[k], name)
 			k.queryWithStatus("RESET " + name)
 		case 2:
 			k.queryWithStatus("BEGIN")
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -111,10 +111,10 @@
 		k.send(query(text))
 		return k.until('Z')
 	}
-	assertEqual(t, "short of disk", run("UPDATE short SET a = 1"), "E(53100) Z")
-	assertEqual(t, "first", run("UPDATE odd SET a = 1"), "T D(a) C(SELECT 1) Z")
-	assertEqual(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
-	assertEqual(t, "out of time", run("UPDATE x SET a = 1"), "E(40003) Z")
+	assertEqual(t, "engine that runs out of disk space", run("UPDATE short SET a = 1"), "E(53100) Z")
+	assertEqual(t, "first execution", run("UPDATE odd SET a = 1"), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "error after BindComplete", run("UPDATE odd SET a = 1"), "E(0A000) Z")
+	assertEqual(t, "write past its timeout", run("UPDATE x SET a = 1"), "E(40003) Z")
 	if n := g.count("sent."); n != 4 {
 		t.Errorf("got %d attempts sent, want 4", n)
 	}
