--- a/internal/integration/drivers_test.go
+++ b/internal/integration/drivers_test.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.pgwire.Users = scramauth.NewUsers([]scramauth.User{{Name: "desk", Verifier: v}})
-	g.pgwire.TLS, g.pgwire.RequireTLS = serverTLS(certificate(t)), true
+	g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
+	g.pgOptions.Users = scramauth.NewUsers([]scramauth.User{{Name: "desk", Verifier: v}})
+	g.pgOptions.TLS, g.pgOptions.RequireTLS = serverTLS(certificate(t)), true
 	return g.startPostgres(ln.Addr().String())
 }
 
--- a/internal/integration/encryption_test.go
+++ b/internal/integration/encryption_test.go
@@ -58,8 +58,8 @@
 		return pgRows("bell")
 	})
 	g := newGateway(t, nil)
-	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.pgwire.TLS, g.pgwire.RequireTLS = serverTLS(certificate(t)), require
+	g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
+	g.pgOptions.TLS, g.pgOptions.RequireTLS = serverTLS(certificate(t)), require
 	return g.startPostgres(engine)
 }
 
@@ -194,10 +194,10 @@
 	g := gatewayWithTLS(t, false)
 	before := negotiate(t, g.addr, &tls.Config{}, unwrapped)
 	before.until('Z')
-	next := g.pgwire
+	next := g.pgOptions
 	next.TLS = serverTLS(certificate(t))
 	done := make(chan struct{})
-	g.loop.Post(func() { g.front.SetOptions(next); close(done) })
+	g.loop.Post(func() { g.pgFront.SetOptions(next); close(done) })
 	<-done
 	after := negotiate(t, g.addr, &tls.Config{}, unwrapped)
 	after.until('Z')
@@ -214,7 +214,7 @@
 			t.Errorf("statement: got %s, want T D(bell) C(SELECT 1) Z", w)
 		}
 	}
-	g.loop.Post(g.front.CloseUnmovable)
+	g.loop.Post(g.pgFront.CloseUnmovable)
 	for _, k := range []*pgClient{before, after} {
 		if w := k.until('Z'); w != "E(57P01) end" {
 			t.Errorf("encrypted connection at a takeover: got %s, want E(57P01) end", w)
@@ -286,8 +286,8 @@
 			Heard: func(_, text string) { received <- text },
 		})
 		g := newGateway(t, nil)
-		g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-		g.engine = tt.opts
+		g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
+		g.backendOptions = tt.opts
 		g.startPostgres(ln.Addr().String())
 		if w := connect(t, g.addr).queryWithStatus("SELECT 1"); w != tt.want {
 			t.Errorf("%s: got %s, want %s", name, w, tt.want)
--- a/internal/integration/endings_test.go
+++ b/internal/integration/endings_test.go
@@ -80,7 +80,7 @@
 	g.whileLoopBlocked(func(find func(*httpClient) *netio.Conn) {
 		_, _ = io.WriteString(k.c, post("lookup", ""))
 		waitUntil(func() bool { return find(k).Unread() > 0 })
-		g.rest.Drain()
+		g.httpFront.Drain()
 	})
 	k.expectClose()
 	if n := g.count("taken."); n != 0 {
@@ -106,7 +106,7 @@
 	waitUntil(func() bool { return partialCallBuffered(g) })
 	_, _ = io.WriteString(pipelined.c, numbered(1, post("lookup", ""))+numbered(2, post("lookup", ""))+numbered(3, post("lookup", "")))
 	waitUntil(func() bool { return g.count("taken.") == 1 })
-	g.do(g.rest.Drain)
+	g.do(g.httpFront.Drain)
 	close(hold)
 	await(t, seen)
 	for n := range 3 {
@@ -422,10 +422,10 @@
 	g := httpGateway(t, addr)
 	k, silent := httpConnect(t, g.addr), httpConnect(t, g.addr)
 	waitUntil(func() bool { return g.count("rest.connections") == 2 })
-	g.do(g.rest.CloseListener)
+	g.do(g.httpFront.CloseListener)
 	got, _ := k.call(post("lookup", ""))
 	assertEqual(t, "answer", got, `200 {"result":[["a","b","c"]]}`)
-	g.do(g.rest.Drain)
+	g.do(g.httpFront.Drain)
 	k.expectClose()
 	silent.expectClose()
 	waitUntil(func() bool { return g.idle() })
@@ -433,6 +433,6 @@
 
 // idle reports whether all clients have had their answers and have disconnected.
 func (g *gateway) idle() (idle bool) {
-	g.do(func() { idle = g.rest.Idle() })
+	g.do(func() { idle = g.httpFront.Idle() })
 	return idle
 }
--- a/internal/integration/logins_test.go
+++ b/internal/integration/logins_test.go
@@ -28,8 +28,8 @@
 		}
 		users = append(users, u)
 	}
-	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
-	g.pgwire.Users = scramauth.NewUsers(users)
+	g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
+	g.pgOptions.Users = scramauth.NewUsers(users)
 	return g.startPostgres(engine)
 }
 
--- a/internal/integration/peers_test.go
+++ b/internal/integration/peers_test.go
@@ -32,19 +32,19 @@
 
 // gateway is a whole gateway in the test's own process, with one front end and its backend.
 type gateway struct {
-	t       *testing.T
-	loop    *netio.Loop
-	core    *core.Core
-	stats   *metrics.Counters
-	site    config.Site
-	log     *slog.Logger
-	addr    string               // where clients connect
-	lines   *lineproto.Backend   // nil without the HTTP front end
-	rest    *httpapi.Frontend    // nil without the HTTP front end
-	options httpapi.Options      // options of the HTTP front end, read when it starts
-	pgwire  pgfrontend.Options   // options of the PostgreSQL front end, read when it starts
-	front   *pgfrontend.Frontend // nil without the PostgreSQL front end
-	engine  pgbackend.Options    // options of the PostgreSQL backend; startPostgres sets user and database
+	t              *testing.T
+	loop           *netio.Loop
+	core           *core.Core
+	stats          *metrics.Counters
+	site           config.Site
+	log            *slog.Logger
+	addr           string               // where clients connect
+	lines          *lineproto.Backend   // nil without the HTTP front end
+	httpFront      *httpapi.Frontend    // nil without the HTTP front end
+	httpOptions    httpapi.Options      // options of the HTTP front end, read when it starts
+	pgOptions      pgfrontend.Options   // options of the PostgreSQL front end, read when it starts
+	pgFront        *pgfrontend.Frontend // nil without the PostgreSQL front end
+	backendOptions pgbackend.Options    // options of the PostgreSQL backend; startPostgres sets user and database
 }
 
 // newGateway creates a gateway with the settings of the deploy directory, which change may modify; nil leaves
@@ -137,11 +137,11 @@
 	g.site.MaxStreams = 32
 	g.lines = lineproto.New(g.loop, g.core, g.site, g.stats, g.log)
 	g.core.SetBackend(g.lines)
-	f := httpapi.New(g.loop, g.core, g.options, g.stats)
+	f := httpapi.New(g.loop, g.core, g.httpOptions, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	g.addr, g.rest = f.Addr(), f
+	g.addr, g.httpFront = f.Addr(), f
 	g.run()
 	g.updateEngines(policy.EngineLive, engines...)
 	return g
@@ -154,22 +154,22 @@
 }
 
 // startPostgres starts the PostgreSQL front end and backend, with engines at the addresses. Without a default
-// class in g.pgwire it sets options of its own.
+// class in g.pgOptions it sets options of its own.
 func (g *gateway) startPostgres(engines ...string) *gateway {
 	t := g.t
 	t.Helper()
-	g.engine.User, g.engine.Database = "ringwood", "register"
-	g.core.SetBackend(pgbackend.New(g.loop, g.core, g.engine, g.stats, g.log))
-	if g.pgwire.DefaultClass == "" {
-		g.pgwire = pgfrontend.Options{
+	g.backendOptions.User, g.backendOptions.Database = "ringwood", "register"
+	g.core.SetBackend(pgbackend.New(g.loop, g.core, g.backendOptions, g.stats, g.log))
+	if g.pgOptions.DefaultClass == "" {
+		g.pgOptions = pgfrontend.Options{
 			DefaultClass: "lookup", WriteClass: "write", Rules: []pgfrontend.Rule{{Starts: "insert into", Class: "load", Key: 1}},
 		}
 	}
-	f := pgfrontend.New(g.loop, g.core, g.pgwire, g.stats)
+	f := pgfrontend.New(g.loop, g.core, g.pgOptions, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	g.addr, g.front = f.Addr(), f
+	g.addr, g.pgFront = f.Addr(), f
 	g.run()
 	g.updateEngines(policy.EngineLive, engines...)
 	return g
--- a/internal/integration/platform_test.go
+++ b/internal/integration/platform_test.go
@@ -142,7 +142,7 @@
 	assertEqual(t, "path from before a restart", got, `404 {"fault":"nothing is held under this path"}`)
 	// A graceful shutdown lets a client fetch the rest of a result, then closes its connection.
 	got, _ = k.call(post("report", ""))
-	g.do(g.rest.Drain)
+	g.do(g.httpFront.Drain)
 	if rows := k.fetch(got); rows != 16000 {
 		t.Errorf("after the shutdown began: got %d rows, want 16000", rows)
 	}
@@ -332,7 +332,7 @@
 func TestBadClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
-	g.options.RequestTimeout = 100 * time.Millisecond
+	g.httpOptions.RequestTimeout = 100 * time.Millisecond
 	g.startHTTP(addr)
 	open := httpConnect(t, g.addr) // its request stays open
 	_, _ = io.WriteString(open.c, post("lookup", ""))
@@ -388,7 +388,7 @@
 func TestClientLimitClosesIdleFirst(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
-	g.options.MaxClients, g.options.RequestTimeout = 4, time.Minute
+	g.httpOptions.MaxClients, g.httpOptions.RequestTimeout = 4, time.Minute
 	g.startHTTP(addr)
 	const health = "GET /health HTTP/1.1\r\n\r\n"
 	open := httpConnect(t, g.addr)
@@ -426,7 +426,7 @@
 // stopped in the middle of a call long ago goes before one that was served.
 func TestClientLimitKeepsSlowWriters(t *testing.T) {
 	g := newGateway(t, nil)
-	g.options.MaxClients, g.options.RequestTimeout = 2, time.Minute
+	g.httpOptions.MaxClients, g.httpOptions.RequestTimeout = 2, time.Minute
 	g.startHTTP()
 	slow := httpConnect(t, g.addr)
 	_, _ = io.WriteString(slow.c, "GET /hea")
--- a/internal/integration/pool_test.go
+++ b/internal/integration/pool_test.go
@@ -29,7 +29,7 @@
 		return pgRows("a")
 	})
 	p.gateway = newGateway(t, nil)
-	p.engine.Pool = limits
+	p.backendOptions.Pool = limits
 	p.startPostgres(addr)
 	return p
 }
@@ -105,7 +105,7 @@
 // transactions hold all connections. A statement waits until its timeout and is then refused: it was never sent,
 // so that repeating it is harmless, even for a write. The transaction goes on.
 func TestPoolOfIdleTransactions(t *testing.T) {
-	g, _ := transactionGateway(t, func(g *gateway) { g.engine.Pool.MaxConnections = 1 })
+	g, _ := transactionGateway(t, func(g *gateway) { g.backendOptions.Pool.MaxConnections = 1 })
 	k, other := connect(t, g.addr), connect(t, g.addr, "options", "-c statement_timeout=300")
 	k.queryWithStatus("BEGIN")
 	assertEqual(t, "in the transaction", k.queryWithStatus("SELECT 1"), "T D(SELECT 1) D() C(SELECT 2) ZT")
--- a/internal/integration/shapes_test.go
+++ b/internal/integration/shapes_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	g.core.SetCostObserver(s)
-	g.pgwire = postgres.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []postgres.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
+	g.pgOptions = postgres.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []postgres.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
 	return s
 }
 
@@ -137,7 +137,7 @@
 	} {
 		addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
 		g := newGateway(t, nil)
-		g.options.Shapes = learnShapes(t, g, queryshape.Settings{ReplaceHints: true, RequireHint: tt.requireHint, WorkReported: true})
+		g.httpOptions.Shapes = learnShapes(t, g, queryshape.Settings{ReplaceHints: true, RequireHint: tt.requireHint, WorkReported: true})
 		g.startHTTP(addr)
 		head := ""
 		if tt.sendsHint {
@@ -150,7 +150,7 @@
 		}
 		count := func() (n int64) {
 			g.do(func() {
-				g.options.Shapes.UpdateMetrics()
+				g.httpOptions.Shapes.UpdateMetrics()
 				n = g.stats.All()["shapes.corrected"]
 			})
 			return n
--- a/internal/integration/transactions_test.go
+++ b/internal/integration/transactions_test.go
@@ -20,66 +20,66 @@
 // address.
 type statementLog struct {
 	net.Listener
-	mu      gosync.Mutex
-	by      map[string][]string // statements by session
-	order   []string            // sessions in the order of their first statements
-	all     []string            // statements of all sessions in order of arrival, without DISCARD ALL
-	conns   map[string]net.Conn // connections by session
-	breakAt string              // prefix of the statement at which the connection is closed; empty: none
-	changed chan struct{}       // signals a new statement; capacity 1
+	mu         gosync.Mutex
+	statements map[string][]string // statements by session
+	order      []string            // sessions in the order of their first statements
+	all        []string            // statements of all sessions in order of arrival, without DISCARD ALL
+	conns      map[string]net.Conn // connections by session
+	breakAt    string              // prefix of the statement at which the connection is closed; empty: none
+	changed    chan struct{}       // signals a new statement; capacity 1
 }
 
 // Accept records the connection under its session's name.
-func (h *statementLog) Accept() (net.Conn, error) {
-	c, err := h.Listener.Accept()
+func (log *statementLog) Accept() (net.Conn, error) {
+	c, err := log.Listener.Accept()
 	if err == nil {
-		h.mu.Lock()
-		h.conns[c.RemoteAddr().String()] = c
-		h.mu.Unlock()
+		log.mu.Lock()
+		log.conns[c.RemoteAddr().String()] = c
+		log.mu.Unlock()
 	}
 	return c, err
 }
 
 // record adds a statement of a session, and closes the session's connection if the statement begins with
 // breakAt.
-func (h *statementLog) record(session, statement string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.by[session] == nil {
-		h.order = append(h.order, session)
+func (log *statementLog) record(session, statement string) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	if log.statements[session] == nil {
+		log.order = append(log.order, session)
 	}
-	h.by[session] = append(h.by[session], statement)
+	log.statements[session] = append(log.statements[session], statement)
 	if statement != discard {
-		h.all = append(h.all, statement)
+		log.all = append(log.all, statement)
 	}
-	if h.breakAt != "" && strings.HasPrefix(statement, h.breakAt) {
-		_ = h.conns[session].Close()
+	if log.breakAt != "" && strings.HasPrefix(statement, log.breakAt) {
+		_ = log.conns[session].Close()
 	}
 	select {
-	case h.changed <- struct{}{}:
+	case log.changed <- struct{}{}:
 	default:
 	}
 }
 
 // bySession returns each session's statements, joined by "; ", in the order of the sessions' first statements.
-func (h *statementLog) bySession() (all []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, s := range h.order {
-		all = append(all, strings.Join(h.by[s], "; "))
+func (log *statementLog) bySession() (all []string) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	for _, s := range log.order {
+		all = append(all, strings.Join(log.statements[s], "; "))
 	}
 	return all
 }
 
 // until waits until bySession returns want, or fails the test after waitTimeout.
-func (h *statementLog) until(t *testing.T, want ...string) {
+func (log *statementLog) until(t *testing.T, want ...string) {
 	t.Helper()
 	end := time.After(waitTimeout)
-	for !slices.Equal(h.bySession(), want) {
+	for !slices.Equal(log.bySession(), want) {
 		select {
-		case <-h.changed:
+		case <-log.changed:
 		case <-end:
-			t.Fatalf("statements by session: got %q, want %q", h.bySession(), want)
+			t.Fatalf("statements by session: got %q, want %q", log.bySession(), want)
 		}
 	}
 }
@@ -90,14 +90,14 @@
 // checkStatements checks the statements of all sessions together, and that DISCARD ALL follows, within each
 // session, exactly those statements that may leave session state, which stateful lists. Whether the next statement
 // finds that reset done or takes another session depends on timing.
-func (h *statementLog) checkStatements(t *testing.T, want string, stateful ...string) {
+func (log *statementLog) checkStatements(t *testing.T, want string, stateful ...string) {
 	t.Helper()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if got := strings.Join(h.all, "; "); got != want {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	if got := strings.Join(log.all, "; "); got != want {
 		t.Errorf("statements of all sessions: got %s, want %s", got, want)
 	}
-	for _, statements := range h.by {
+	for _, statements := range log.statements {
 		for i, s := range statements[:len(statements)-1] {
 			if slices.Contains(stateful, s) != (statements[i+1] == discard) {
 				t.Errorf("after %q: got %q, want %q exactly after a statement that may leave session state", s, statements[i+1], discard)
@@ -114,17 +114,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &statementLog{Listener: ln, by: map[string][]string{}, conns: map[string]net.Conn{}, changed: make(chan struct{}, 1)}
+	log := &statementLog{Listener: ln, statements: map[string][]string{}, conns: map[string]net.Conn{}, changed: make(chan struct{}, 1)}
 	t.Cleanup(func() { _ = ln.Close() })
-	go emulator.Postgres(h, emulator.Options{
-		Work: func(string) (time.Duration, float64) { return time.Millisecond, 1 }, Heard: h.record, Log: slog.New(slog.DiscardHandler),
+	go emulator.Postgres(log, emulator.Options{
+		Work: func(string) (time.Duration, float64) { return time.Millisecond, 1 }, Heard: log.record, Log: slog.New(slog.DiscardHandler),
 	})
 	g := newGateway(t, nil)
-	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
+	g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
 	if change != nil {
 		change(g)
 	}
-	return g.startPostgres(ln.Addr().String()), h
+	return g.startPostgres(ln.Addr().String()), log
 }
 
 // queryWithStatus sends a Query and returns a summary of the answer, with the transaction status of
@@ -142,7 +142,7 @@
 // TestTransaction guards against a transaction that is spread over sessions or leaves state behind: it runs on
 // one session, complete and in order, and the session is reset before another client gets it.
 func TestTransaction(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
 		{"BEGIN ISOLATION LEVEL SERIALIZABLE", "C(BEGIN) ZT"},
@@ -156,14 +156,14 @@
 			t.Fatalf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	h.checkStatements(t, "BEGIN ISOLATION LEVEL SERIALIZABLE; INSERT INTO stock_1.parts VALUES ('bell'); SAVEPOINT a; SELECT 1/0; ROLLBACK TO a; SET LOCAL work_mem = '1MB'; "+
+	log.checkStatements(t, "BEGIN ISOLATION LEVEL SERIALIZABLE; INSERT INTO stock_1.parts VALUES ('bell'); SAVEPOINT a; SELECT 1/0; ROLLBACK TO a; SET LOCAL work_mem = '1MB'; "+
 		"DECLARE c CURSOR FOR SELECT 1; ROLLBACK TO SAVEPOINT a; COMMIT; SELECT 3", "COMMIT")
 }
 
 // TestEmptyTransactions guards against needless work at engines: transactions without statements never reach
 // one, and ending a transaction that was not begun gives a warning.
 func TestEmptyTransactions(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
 		{"COMMIT", "N C(COMMIT) ZI"}, {"ROLLBACK", "N C(ROLLBACK) ZI"}, {"SAVEPOINT a", "E(25P01) ZI"}, {"START TRANSACTION READ ONLY", "C(START TRANSACTION) ZT"},
@@ -175,7 +175,7 @@
 			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	if all := h.bySession(); len(all) > 0 {
+	if all := log.bySession(); len(all) > 0 {
 		t.Errorf("statements at the engine: got %q, want none", all)
 	}
 }
@@ -183,7 +183,7 @@
 // TestFailedAtTheGateway guards against a transaction that commits although one of its statements was refused by
 // the gateway: COMMIT must then roll back at the engine.
 func TestFailedAtTheGateway(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	for _, tt := range [][2]string{
 		{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 1", "T D(UPDATE a SET b = 1) D() C(SELECT 2) ZT"}, {"COPY x FROM STDIN", "E(0A000) ZE"}, {"SELECT 1", "E(25P02) ZE"},
@@ -193,13 +193,13 @@
 			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	h.until(t, "BEGIN; UPDATE a SET b = 1; ROLLBACK; DISCARD ALL")
+	log.until(t, "BEGIN; UPDATE a SET b = 1; ROLLBACK; DISCARD ALL")
 }
 
 // TestExtendedTransaction guards against transactions that behave differently in the extended protocol: bound
 // values, several statements in a batch, and a portal that stays open after Sync until the transaction ends.
 func TestExtendedTransaction(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	run := func(text string) []byte { return append(append(parse("", text), bind("", "")...), execute("", 0)...) }
 	k.send(append(append(run("BEGIN"), run("UPDATE a SET b = 1")...), sync...))
@@ -222,18 +222,18 @@
 	if w := k.until('Z') + string(k.last); w != "E(34000) ZI" {
 		t.Errorf("portal of a transaction that has ended: got %s, want E(34000) ZI", w)
 	}
-	h.until(t, "BEGIN; UPDATE a SET b = 1; SELECT $1; COMMIT; DISCARD ALL")
+	log.until(t, "BEGIN; UPDATE a SET b = 1; SELECT $1; COMMIT; DISCARD ALL")
 }
 
 // TestAbandonedTransactions guards against transactions that stay open on an engine: if the client disconnects or is
 // idle too long, the session is closed, which rolls the transaction back, and the next client is not held up.
 func TestAbandonedTransactions(t *testing.T) {
-	g, h := transactionGateway(t, func(g *gateway) { g.pgwire.IdleTransactionTimeout = 300 * time.Millisecond })
+	g, log := transactionGateway(t, func(g *gateway) { g.pgOptions.IdleTransactionTimeout = 300 * time.Millisecond })
 	k := connect(t, g.addr)
 	k.queryWithStatus("BEGIN")
 	k.queryWithStatus("UPDATE a SET b = 1")
 	_ = k.c.Close()
-	h.until(t, "BEGIN; UPDATE a SET b = 1")
+	log.until(t, "BEGIN; UPDATE a SET b = 1")
 	idle := connect(t, g.addr)
 	idle.queryWithStatus("BEGIN")
 	idle.queryWithStatus("UPDATE a SET b = 2")
@@ -244,16 +244,16 @@
 	if w := next.queryWithStatus("SELECT 1"); w != "T D(SELECT 1) D() C(SELECT 2) ZI" {
 		t.Errorf("got %s, want T D(SELECT 1) D() C(SELECT 2) ZI", w)
 	}
-	h.until(t, "BEGIN; UPDATE a SET b = 1", "BEGIN; UPDATE a SET b = 2", "SELECT 1") // each on a session of its own
+	log.until(t, "BEGIN; UPDATE a SET b = 1", "BEGIN; UPDATE a SET b = 2", "SELECT 1") // each on a session of its own
 }
 
 // TestTransactionsOnBrokenConnections guards against a transaction with a wrong or doubled outcome when its
 // engine's connection breaks. Before COMMIT was sent, the client is told that everything was rolled back; after
 // it, that the outcome is unknown. Nothing is sent again.
 func TestTransactionsOnBrokenConnections(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	k := connect(t, g.addr)
-	h.breakAt = "UPDATE a SET b = 2"
+	log.breakAt = "UPDATE a SET b = 2"
 	for _, tt := range [][2]string{
 		{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 1", "T D(UPDATE a SET b = 1) D() C(SELECT 2) ZT"}, {"UPDATE a SET b = 2", "E(40000) ZE"},
 		{"SELECT 1", "E(25P02) ZE"}, {"COMMIT", "C(ROLLBACK) ZI"},
@@ -262,16 +262,16 @@
 			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	first := h.bySession()
-	g, h = transactionGateway(t, nil) // the first gateway may take its engine for restarted and send it little
-	h.breakAt = "COMMIT"
+	first := log.bySession()
+	g, log = transactionGateway(t, nil) // the first gateway may take its engine for restarted and send it little
+	log.breakAt = "COMMIT"
 	other := connect(t, g.addr)
 	for _, tt := range [][2]string{{"BEGIN", "C(BEGIN) ZT"}, {"UPDATE a SET b = 3", "T D(UPDATE a SET b = 3) D() C(SELECT 2) ZT"}, {"COMMIT", "E(40003) ZI"}} {
 		if w := other.queryWithStatus(tt[0]); w != tt[1] {
 			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	all := strings.Join(append(first, h.bySession()...), " | ")
+	all := strings.Join(append(first, log.bySession()...), " | ")
 	for _, once := range []string{"b = 1", "b = 2", "b = 3", "COMMIT"} {
 		if n := strings.Count(all, once); n != 1 {
 			t.Errorf("%q: got %d times at the engine, want 1: %s", once, n, all)
@@ -296,7 +296,7 @@
 	seen := make(chan string, 100)
 	go emulator.Postgres(ln, emulator.Options{Work: slowly, Heard: func(_, text string) { seen <- text }, Log: slog.New(slog.DiscardHandler)})
 	g := newGateway(t, nil)
-	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
+	g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
 	g.startPostgres(ln.Addr().String())
 	k := connect(t, g.addr)
 	k.queryWithStatus("BEGIN")
@@ -324,7 +324,7 @@
 // transaction, or belong to those that they begin themselves; the first error ends the message and the
 // transaction it began.
 func TestSeveralStatements(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	k := connect(t, g.addr)
 	row := func(s string) string { return "T D(" + s + ") D() C(SELECT 2) " }
 	for _, tt := range [][2]string{
@@ -340,7 +340,7 @@
 			t.Errorf("%s: got %s, want %s", tt[0], w, tt[1])
 		}
 	}
-	all := strings.Join(h.bySession(), " | ")
+	all := strings.Join(log.bySession(), " | ")
 	for _, want := range []string{"BEGIN; UPDATE a SET b = 1;  SELECT 2 ; COMMIT; DISCARD ALL", "BEGIN; SELECT 3;  SELECT 1/0"} {
 		if !strings.Contains(all, want) {
 			t.Errorf("statements at the engine: got %s, want %s among them", all, want)
@@ -354,7 +354,7 @@
 // TestSettings guards against a client's session settings that get lost or reach another client: they follow the
 // client from session to session, in as few messages as possible.
 func TestSettings(t *testing.T) {
-	g, h := transactionGateway(t, nil)
+	g, log := transactionGateway(t, nil)
 	a, b := connect(t, g.addr), connect(t, g.addr)
 	for _, tt := range []struct {
 		k          *pgClient
@@ -372,7 +372,7 @@
 			t.Errorf("%s: got %s, want %s", tt.text, w, tt.want)
 		}
 	}
-	h.checkStatements(t, "SET search_path TO stock_1; SELECT 1; SELECT 2; RESET search_path; SELECT 3; SET work_mem = 'invalid'; SET search_path TO stock_1; SELECT 4; "+
+	log.checkStatements(t, "SET search_path TO stock_1; SELECT 1; SELECT 2; RESET search_path; SELECT 3; SET work_mem = 'invalid'; SET search_path TO stock_1; SELECT 4; "+
 		"BEGIN; UPDATE c SET d = 5; COMMIT; SELECT set_config('work_mem', '1MB', false); SELECT 6", "COMMIT", "SELECT set_config('work_mem', '1MB', false)")
 }
 
@@ -412,7 +412,7 @@
 		},
 	})
 	g := newGateway(t, nil)
-	g.pgwire.DefaultClass, g.pgwire.WriteClass = "lookup", "write"
+	g.pgOptions.DefaultClass, g.pgOptions.WriteClass = "lookup", "write"
 	g.startPostgres(ln.Addr().String())
 	rng := rand.New(rand.NewPCG(1, 2))
 	var clients []*pgClient
--- a/internal/integration/writes_test.go
+++ b/internal/integration/writes_test.go
@@ -56,13 +56,13 @@
 func TestSafeClassForWrites(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	g.pgwire = postgres.Options{
+	g.pgOptions = postgres.Options{
 		DefaultClass: "lookup", WriteClass: "write", ReadOnlyFunctions: map[string]bool{"stock.price_of": true},
 		Rules: []postgres.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
 	}
 	g.startPostgres(addr)
 	bare := newGateway(t, nil)
-	bare.pgwire = postgres.Options{DefaultClass: "lookup"}
+	bare.pgOptions = postgres.Options{DefaultClass: "lookup"}
 	bare.startPostgres(addr)
 	for _, tt := range []struct {
 		g          *gateway
@@ -92,7 +92,7 @@
 // outcome unknown. A dropped prepared statement shows before BindComplete, so that an error after it must not
 // repeat the write.
 func TestOutcomeOfSentWrites(t *testing.T) {
-	hang := make(chan bool, 9) // signals a statement that the engine leaves unanswered
+	unanswered := make(chan bool, 9) // signals a statement that the engine leaves unanswered
 	addr, seen := pgEngine(t, func(c pgCall) []byte {
 		switch {
 		case strings.Contains(c.query, "short"):
@@ -102,7 +102,7 @@
 		case strings.Contains(c.query, "odd"):
 			return pgRows("a")
 		}
-		hang <- true
+		unanswered <- true
 		return nil
 	})
 	g := newGateway(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).startPostgres(addr)
@@ -118,15 +118,15 @@
 	if n := g.count("sent."); n != 4 {
 		t.Errorf("got %d attempts sent, want 4", n)
 	}
-	for len(hang) > 0 {
-		<-hang
+	for len(unanswered) > 0 {
+		<-unanswered
 	}
 	for len(seen) > 0 {
 		<-seen
 	}
 	k = connect(t, g.addr)
 	k.send(query("UPDATE x SET a = 2"))
-	await(t, hang)
+	await(t, unanswered)
 	c := dial(t, g.addr)
 	_, _ = c.Write(pgproto.AppendStartup(nil, pgproto.CancelRequest, k.key))
 	assertEqual(t, "cancelled", k.until('Z'), "E(40003) Z")
