--- a/cmd/testbed/compare.go
+++ b/cmd/testbed/compare.go
@@ -14,14 +14,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// compareCommand compares one column of two result files, group by group.
 type compareCommand struct {
-	A  string   `arg:"" help:"Figures of one run, as testbed run keeps them (CSV)." name:"a"`
-	B  string   `arg:"" help:"Figures of another." name:"b"`
-	By []string `default:"front,connections,phase" help:"Columns whose values make a row." name:"by"`
-	Of string   `default:"latency_ms" help:"Column that is compared." name:"of"`
+	A  string   `arg:"" help:"CSV file of the first run, as written by testbed run --out." name:"a"`
+	B  string   `arg:"" help:"CSV file of the second run." name:"b"`
+	By []string `default:"front,connections,phase" help:"Columns to group by: each combination of their values is one row of the comparison." name:"by"`
+	Of string   `default:"latency_ms" help:"Numeric column to compare." name:"of"`
 }
 
-// Run sets two runs of an experiment side by side.
+// Run prints quantiles of both runs for each group, and the distance between their distributions.
 func (c *compareCommand) Run() error {
 	a, order, err := c.read(c.A, nil)
 	if err != nil {
@@ -31,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	t := report.Table{Columns: append(slices.Clone(c.By), "number", "p50", "p99", "worst", "p99, B / A", "farthest apart")}
+	t := report.Table{Columns: append(slices.Clone(c.By), "values (A, B)", "p50 (A, B)", "p99 (A, B)", "max (A, B)", "p99 ratio (B / A)", "farthest apart (0 to 1)")}
 	for _, key := range order {
 		x, y := a[key], b[key]
 		row := make([]any, 0, len(t.Columns))
@@ -58,11 +59,12 @@
 		return err
 	}
 	fmt.Print(md)
-	fmt.Println("A, B in each cell. Farthest apart: the largest distance between the two distributions, 0 to 1 (Kolmogorov and Smirnov).")
+	fmt.Println("p50, p99 and max are in the unit of the compared column. \"farthest apart\" is the Kolmogorov-Smirnov distance: the largest difference between the two cumulative distributions, from 0 (identical) to 1.")
 	return nil
 }
 
-// read reads the figures of a run by key, and adds keys that are new to the order.
+// read returns the compared values of a file by group key. keys is order, followed by the keys that
+// only this file has, in the order of their first row.
 func (c *compareCommand) read(path string, order []string) (by map[string][]float64, keys []string, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -74,32 +76,32 @@
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(rows) < 2 {
-		return nil, nil, fmt.Errorf("%s: no figures", path)
+		return nil, nil, fmt.Errorf("%s: no rows below the header; write the file with testbed run --out", path)
 	}
 	var faults []error
-	place := func(name string) int {
+	columnIndex := func(name string) int {
 		i := slices.Index(rows[0], name)
 		if i < 0 {
-			faults = append(faults, fmt.Errorf("%s: there is no column %q among %s", path, name, strings.Join(rows[0], ", ")))
+			faults = append(faults, fmt.Errorf("%s: no column %q; the columns are %s", path, name, strings.Join(rows[0], ", ")))
 		}
 		return i
 	}
-	of := place(c.Of)
-	places := make([]int, len(c.By))
+	valueColumn := columnIndex(c.Of)
+	groupColumns := make([]int, len(c.By))
 	for i, name := range c.By {
-		places[i] = place(name)
+		groupColumns[i] = columnIndex(name)
 	}
 	if err := errors.Join(faults...); err != nil {
 		return nil, nil, err
 	}
 	by = map[string][]float64{}
 	for n, row := range rows[1:] {
-		x, err := strconv.ParseFloat(row[of], 64)
+		x, err := strconv.ParseFloat(row[valueColumn], 64)
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: row %d: %w", path, n+2, err)
 		}
-		parts := make([]string, len(places))
-		for i, p := range places {
+		parts := make([]string, len(groupColumns))
+		for i, p := range groupColumns {
 			parts[i] = row[p]
 		}
 		key := strings.Join(parts, "\x00")
--- a/cmd/testbed/conform.go
+++ b/cmd/testbed/conform.go
@@ -16,15 +16,16 @@
 	"gannetspur/internal/testbed/harness"
 )
 
+// conformCommand tests a PostgreSQL front end against the wire protocol.
 type conformCommand struct {
-	Server string `arg:"" optional:"" help:"Address of a PostgreSQL front on loopback, before emulated engines; without it, this folder's is built and started before one." name:"server"`
-	Engine string `placeholder:"ADDR" help:"With a server: an emulated engine to be asked the same by itself." name:"engine"`
-	Chains int    `default:"100" help:"Chains of twelve cases on one connection, drawn by chance; each is sent whole, byte by byte and in pieces." name:"chains"`
-	Seed   uint64 `default:"1" help:"Of what is drawn." name:"seed"`
-	Out    string `placeholder:"FILE" help:"Write the table there; without it, it is printed." name:"out"`
+	Server string `arg:"" optional:"" help:"Loopback address (HOST:PORT) of a PostgreSQL front end that serves emulated engines; if omitted, the gateway in this folder is built and started with one emulated engine." name:"server"`
+	Engine string `placeholder:"ADDR" help:"With a server: address of an emulated engine, which is sent the same cases directly." name:"engine"`
+	Chains int    `default:"100" help:"Number of random chains of twelve cases on one connection, 0 to 10000; each is sent whole, byte by byte and in pieces." name:"chains"`
+	Seed   uint64 `default:"1" help:"Random seed of the chains." name:"seed"`
+	Out    string `placeholder:"FILE" help:"Write the table to this file instead of standard output." name:"out"`
 }
 
-// Run plays all cases, writes the table, and fails if anything came otherwise than expected.
+// Run sends all cases and chains, writes the table, and fails if any answer differs from the expected one.
 func (c *conformCommand) Run() error {
 	for _, addr := range []string{c.Server, c.Engine} {
 		if addr != "" {
@@ -34,7 +35,7 @@
 		}
 	}
 	if c.Chains < 0 || c.Chains > 10000 {
-		return fmt.Errorf("--chains: %d is not from 0 to 10000", c.Chains)
+		return fmt.Errorf("--chains: %d is out of range, want 0 to 10000", c.Chains)
 	}
 	if c.Server == "" {
 		stop, err := c.start()
@@ -69,11 +70,11 @@
 			}
 		}
 	}
-	fmt.Fprintf(os.Stderr, "%d cases and %d chains, each in %d ways: %d came otherwise\n", len(list), c.Chains, len(conformance.Ways), len(faults))
+	fmt.Fprintf(os.Stderr, "%d cases and %d chains (each chain sent in %d ways): %d answers differ from what was expected\n", len(list), c.Chains, len(conformance.Ways), len(faults))
 	return errors.Join(faults...)
 }
 
-// start builds this folder's gateway and has it serve before one emulated engine.
+// start builds the gateway in this folder and starts it with one emulated engine. It sets c.Server and c.Engine.
 func (c *conformCommand) start() (stop func(), err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -117,14 +118,14 @@
 	return stop, harness.WaitListening(ctx, addr)
 }
 
-// loopback returns an error unless an address is of this machine's loopback.
+// loopback returns an error unless addr is a loopback address with a port.
 func loopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if ip, err := netip.ParseAddr(host); err != nil || !ip.IsLoopback() {
-		return fmt.Errorf("%s is not on this machine's loopback", addr)
+		return fmt.Errorf("%s is not a loopback address: the test runs only against this machine, for example 127.0.0.1:5433", addr)
 	}
 	return nil
 }
--- a/cmd/testbed/experiment_file_test.go
+++ b/cmd/testbed/experiment_file_test.go
@@ -8,11 +8,11 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Every experiment file in the repository decodes without an unknown key.
+// TestExperimentFiles reads every experiment file in the repository: none has an unknown key or a value out of range.
 func TestExperimentFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no experiment files: %v", err)
+		t.Fatalf("found no experiment files in ../../experiments (error: %v)", err)
 	}
 	readers := map[string]func(path string) error{
 		"upgrades": func(path string) error { _, err := readExperiment(path); return err },
@@ -31,7 +31,7 @@
 			}
 			read := readers[header.Kind]
 			if read == nil {
-				t.Fatalf("no reader for kind %q", header.Kind)
+				t.Fatalf("kind %q has no reader", header.Kind)
 			}
 			if err := read(path); err != nil {
 				t.Error(err)
@@ -40,7 +40,8 @@
 	}
 }
 
-// Keys of experiment files keep their names where the fields behind them have others.
+// TestExperimentKeys guards the keys of experiment files whose struct fields have other names: a renamed
+// field must not rename its key.
 func TestExperimentKeys(t *testing.T) {
 	decode := func(text string, into any) {
 		t.Helper()
@@ -49,7 +50,7 @@
 			t.Fatal(err)
 		}
 		if left := meta.Undecoded(); len(left) > 0 {
-			t.Fatalf("keys without a field: %v", left)
+			t.Fatalf("keys not decoded into any field: %v", left)
 		}
 	}
 	check := func(name string, got, want any) {
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -19,41 +19,42 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// multiSiteSettings are what experiments with several sites have in common.
+// multiSiteSettings are the settings that all experiments with several sites have in common.
 type multiSiteSettings struct {
 	Name            string   `toml:"name"`
 	Title           string   `toml:"title"`
 	Kind            string   `toml:"kind"`
 	Seeds           []uint64 `toml:"seeds"`
-	Gateways        int      `toml:"gateways"` // of a site
-	Engines         int      `toml:"engines"`  // of a site
-	Rate            float64  `toml:"rate"`
-	Loads           float64  `toml:"loads"`
-	Reports         float64  `toml:"reports"`
-	Writes          float64  `toml:"writes"`
-	Elsewhere       float64  `toml:"elsewhere"`
-	Estimates       bool     `toml:"estimates"`
-	DelayMS         float64  `toml:"delay_ms"` // between sites, one way
-	Stall           float64  `toml:"stall"`
-	StallMS         float64  `toml:"stall_ms"`
-	MBps            float64  `toml:"mb_per_s"`
-	WarmS           float64  `toml:"warm_s"`
-	SpanS           float64  `toml:"span_s"`
-	NotifiedAfterMS float64  `toml:"told_after_ms"`
+	Gateways        int      `toml:"gateways"`      // gateways per site
+	Engines         int      `toml:"engines"`       // engines per site
+	Rate            float64  `toml:"rate"`          // requests per second at each site
+	Loads           float64  `toml:"loads"`         // share of requests that are loads
+	Reports         float64  `toml:"reports"`       // share of requests that are reports
+	Writes          float64  `toml:"writes"`        // share of requests that are other writes
+	Elsewhere       float64  `toml:"elsewhere"`     // share of a load's retries that go to a gateway of another site
+	Estimates       bool     `toml:"estimates"`     // clients send estimates of work and memory
+	DelayMS         float64  `toml:"delay_ms"`      // one-way delay between sites, in milliseconds
+	Stall           float64  `toml:"stall"`         // share of the data between sites that is delayed by StallMS
+	StallMS         float64  `toml:"stall_ms"`      // additional delay of a stall, in milliseconds
+	MBps            float64  `toml:"mb_per_s"`      // bandwidth of a link between sites, in MB/s
+	WarmS           float64  `toml:"warm_s"`        // warm-up in seconds, excluded from the results
+	SpanS           float64  `toml:"span_s"`        // measured time in seconds
+	NotifiedAfterMS float64  `toml:"told_after_ms"` // delay until discovery reports a change of an engine, in milliseconds
 }
 
+// check reports settings that are missing or out of range.
 func (f *multiSiteSettings) check(require requireFunc) {
 	requireCommon(require, f.Name, f.Seeds, f.Engines, f.Rate)
-	require(f.Gateways >= 1 && f.Gateways <= 64, "gateways: %d is not from 1 to 64", f.Gateways)
-	require(f.SpanS >= 10 && f.SpanS <= 864000, "span_s: %g is not from 10 to 864000", f.SpanS)
-	require(f.WarmS >= 0 && f.WarmS <= 3600, "warm_s: %g is not from 0 to 3600", f.WarmS)
-	require(f.DelayMS >= 0 && f.DelayMS <= 5000, "delay_ms: %g is not from 0 to 5000", f.DelayMS)
+	require(f.Gateways >= 1 && f.Gateways <= 64, "gateways: %d is out of range, want 1 to 64", f.Gateways)
+	require(f.SpanS >= 10 && f.SpanS <= 864000, "span_s: %g is out of range, want 10 to 864000 s", f.SpanS)
+	require(f.WarmS >= 0 && f.WarmS <= 3600, "warm_s: %g is out of range, want 0 to 3600 s", f.WarmS)
+	require(f.DelayMS >= 0 && f.DelayMS <= 5000, "delay_ms: %g is out of range, want 0 to 5000 ms", f.DelayMS)
 	for _, s := range []float64{f.Loads, f.Reports, f.Writes, f.Elsewhere, f.Stall, f.Loads + f.Reports + f.Writes} {
-		require(s >= 0 && s <= 1, "loads, reports, writes, elsewhere, stall: a share is not from 0 to 1")
+		require(s >= 0 && s <= 1, "loads, reports, writes, elsewhere, stall: a share, or loads + reports + writes, is %g; want 0 to 1", s)
 	}
 }
 
-// options are those of one run.
+// options returns the simulation options of one run.
 func (f *multiSiteSettings) options(set config.Site) simulation.Options {
 	ms := config.FromMS
 	cfg := decide.Defaults()
@@ -66,23 +67,24 @@
 	}
 }
 
-// siteConfig returns the settings that the PostgreSQL front is deployed with.
+// siteConfig returns the settings that the PostgreSQL front end is deployed with.
 func siteConfig() (config.Site, error) {
 	p, err := config.LoadPostgres("deploy/postgres.toml")
 	if err != nil {
-		return config.Site{}, fmt.Errorf("start this from the repository's root: %w", err)
+		return config.Site{}, fmt.Errorf("cannot read the deployed settings; run this command from the root of the repository: %w", err)
 	}
 	return p.SiteSettings, nil
 }
 
+// fleetExperiment simulates several sites in virtual time and compares strategies of working together.
 type fleetExperiment struct {
 	multiSiteSettings
 	Sites      int      `toml:"sites"`
-	Strategies []string `toml:"ways"`
+	Strategies []string `toml:"ways"` // names of strategies, such as simulation.Ours
 	Scenarios  []string `toml:"scenarios"`
 }
 
-// runJobs runs n jobs, at most parallel at a time, under a bar that shows how many are done.
+// runJobs runs n jobs, at most parallel at a time, and shows a progress bar. It returns the errors of all jobs.
 func (c *runCommand) runJobs(name string, n, parallel int, job func(i int) error) error {
 	bar := c.newProgressBar(name, n)
 	defer bar.end()
@@ -108,22 +110,23 @@
 	res                *simulation.Result
 }
 
+// readFleet reads and checks a fleet experiment.
 func readFleet(path string) (*fleetExperiment, error) {
 	var e fleetExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
 		e.check(require)
-		require(e.Sites >= 2 && e.Sites <= 50, "sites: %d is not from 2 to 50", e.Sites)
+		require(e.Sites >= 2 && e.Sites <= 50, "sites: %d is out of range, want 2 to 50", e.Sites)
 		for _, w := range e.Strategies {
-			require(slices.Contains([]string{simulation.Alone, simulation.Ours, simulation.Random, simulation.Nearest}, w), "ways: there is no %q", w)
+			require(slices.Contains([]string{simulation.Alone, simulation.Ours, simulation.Random, simulation.Nearest}, w), "ways: unknown strategy %q, want %s, %s, %s or %s", w, simulation.Alone, simulation.Ours, simulation.Random, simulation.Nearest)
 		}
 		for _, s := range e.Scenarios {
-			require(simulation.ScenarioOf(s) != nil, "scenarios: there is no %q", s)
+			require(simulation.ScenarioOf(s) != nil, "scenarios: unknown scenario %q", s)
 		}
-		require(len(e.Strategies) > 0 && len(e.Scenarios) > 0, "ways, scenarios: none")
+		require(len(e.Strategies) > 0 && len(e.Scenarios) > 0, "ways, scenarios: at least one of each is required")
 	})
 }
 
-// runFleet plays several sites in virtual time, in each scenario and each way of working together.
+// runFleet simulates several sites in virtual time, for each scenario, strategy and seed.
 func runFleet(c *runCommand) error {
 	e, err := readFleet(c.File)
 	if err != nil {
@@ -163,11 +166,12 @@
 	return nil
 }
 
-// report writes the tables and the chart of all runs, and returns the rules broken where sites work together.
+// report writes the tables and the chart of all runs. It returns the rules broken with the strategy of the
+// product only; the other strategies are baselines.
 func (e *fleetExperiment) report(dir string, runs []*fleetRun) (faults []string, err error) {
-	t := report.Table{Columns: []string{"what happens", "way", "service, median (least to most)", "worst 10 s", "crossed, of requests", "wasted, of work", "rules broken"}}
+	t := report.Table{Columns: []string{"scenario", "strategy", "service (share of value), median (min to max)", "service in the worst 10 s", "share of requests sent to another site", "share of engine time wasted", "rules broken"}}
 	raw := report.Table{Columns: []string{"scenario", "way", "seed", "service", "worst", "requests", "crossed", "spent_s", "wasted_s", "messages", "bytes", "faults"}}
-	chart := report.Bars{Title: e.Title, Axis: "worth answered in time over worth asked for", Series: e.Strategies, Values: make([][]float64, len(e.Strategies))}
+	chart := report.Bars{Title: e.Title, Axis: "service: value answered in time / value requested", Series: e.Strategies, Values: make([][]float64, len(e.Strategies))}
 	for _, s := range e.Scenarios {
 		chart.Groups = append(chart.Groups, s)
 		for i, w := range e.Strategies {
@@ -183,7 +187,7 @@
 				broken += len(r.res.Faults)
 				raw.Add(s, w, r.seed, fmt.Sprintf("%.4f", r.res.Service()), fmt.Sprintf("%.4f", r.res.Worst), r.res.Requests, r.res.Crossed,
 					fmt.Sprintf("%.1f", r.res.Spent), fmt.Sprintf("%.1f", r.res.Wasted), r.res.Messages, r.res.Bytes, len(r.res.Faults))
-				if w != simulation.Ours { // the others are for comparison: alone, nothing is told of keys
+				if w != simulation.Ours { // baselines may break rules: sites that work alone do not share idempotency keys
 					continue
 				}
 				for _, f := range r.res.Faults {
@@ -204,22 +208,22 @@
 	return stat.Quantile(0.5, stat.Empirical, y, nil)
 }
 
-// medianAndRange formats the median of values, and the least and the largest.
+// medianAndRange formats the median, the minimum and the maximum of values.
 func medianAndRange(x []float64) string {
 	return fmt.Sprintf("%.3f (%.3f to %.3f)", median(x), slices.Min(x), slices.Max(x))
 }
 
-// growthExperiment asks how cost grows with the number of sites.
+// growthExperiment measures how cost grows with the number of sites.
 type growthExperiment struct {
 	multiSiteSettings
 	Sites     []int   `toml:"sites"`
-	Neighbour int     `toml:"neighbour"` // sites on each side, on a ring, that a site is linked to
-	DayS      float64 `toml:"day_s"`     // length of a day, whose hours are a curve of load
-	Swing     float64 `toml:"swing"`     // of it, 0 to 1; each site's noon is at another time
-	Lose      float64 `toml:"lose"`      // part of a day after which a site in ten loses all its engines, for a tenth of a day
+	Neighbour int     `toml:"neighbour"` // on a ring of sites, the number of neighbours on each side that a site is linked to; 0: all sites
+	DayS      float64 `toml:"day_s"`     // length of the simulated day in seconds; the load follows a sine curve over it
+	Swing     float64 `toml:"swing"`     // relative amplitude of the load curve, from 0 to below 1; each site has its peak at another time
+	Lose      float64 `toml:"lose"`      // time, as a share of the day, when one site in ten loses all its engines for a tenth of a day; 0: never
 }
 
-// repeated names a second play of the first seed, which must give the same bytes.
+// repeated marks a second run of the first seed, whose results must be identical byte for byte.
 const repeated = "again"
 
 // growthRun is one run of a growth experiment.
@@ -239,11 +243,11 @@
 		e.check(require)
 		require(len(e.Sites) > 0 && slices.Min(e.Sites) >= 1 && slices.Max(e.Sites) <= 50, "sites: wanted are numbers from 1 to 50")
 		require(e.DayS >= 10, "day_s: %g is below 10", e.DayS)
-		require(e.Swing >= 0 && e.Swing < 1, "swing: %g is not from 0 to below 1", e.Swing)
+		require(e.Swing >= 0 && e.Swing < 1, "swing: %g is out of range, want 0 to below 1", e.Swing)
 	})
 }
 
-// runGrowth plays growing numbers of sites in virtual time.
+// runGrowth simulates growing numbers of sites in virtual time.
 func runGrowth(c *runCommand) error {
 	e, err := readGrowth(c.File)
 	if err != nil {
@@ -254,7 +258,7 @@
 		return err
 	}
 	var runs []*growthRun
-	for _, n := range slices.Backward(e.Sites) { // what takes longest begins first
+	for _, n := range slices.Backward(e.Sites) { // the longest runs start first
 		for i, seed := range e.Seeds {
 			runs = append(runs, &growthRun{sites: n, seed: seed, strategy: simulation.Ours}, &growthRun{sites: n, seed: seed, strategy: simulation.Alone})
 			if i == 0 {
@@ -269,7 +273,7 @@
 	return e.report(c.Out, runs)
 }
 
-// play plays one run and measures what its decisions cost.
+// play runs one simulation and measures the time that its decisions take.
 func (e *growthExperiment) play(set config.Site, r *growthRun) (err error) {
 	o := e.options(set)
 	o.Sites, o.Seed, o.Neighbour = r.sites, r.seed, e.Neighbour
@@ -293,10 +297,10 @@
 	return err
 }
 
-// report writes the tables and the chart of all runs, and fails if a rule was broken or a repeated run differs.
+// report writes the tables and the chart of all runs. It fails if a rule was broken or a repeated run differs.
 func (e *growthExperiment) report(dir string, runs []*growthRun) error {
-	t := report.Table{Columns: []string{"sites", "gateways", "engines", "requests", "service", "alone", "crossed, of requests", "messages per request", "bytes per request",
-		"bytes per s and link", "site decision (us)", "played in (s)", "same bytes again", "rules broken"}}
+	t := report.Table{Columns: []string{"sites", "gateways", "engines", "requests", "service, median (min to max)", "service without other sites, median (min to max)", "share of requests sent to another site", "messages per request", "bytes per request",
+		"bytes/s per link", "mean time of a site decision (us)", "wall time (s)", "repeat is identical", "rules broken"}}
 	raw := report.Table{Columns: []string{"sites", "seed", "way", "requests", "service", "crossed", "messages", "bytes", "decisions", "decision_us", "played_s", "faults"}}
 	var points [3][][2]float64
 	broken := 0
@@ -329,7 +333,7 @@
 		}
 		broken += faults
 		if !same {
-			return fmt.Errorf("%d sites: the same seed gave other bytes", n)
+			return fmt.Errorf("%d sites: two runs with the same seed gave different results, want identical ones", n)
 		}
 		t.Add(n, n*e.Gateways, n*e.Engines, requests, medianAndRange(service), medianAndRange(alone), median(crossed), median(messages), fmt.Sprintf("%.0f", median(bytes)),
 			fmt.Sprintf("%.0f", median(line)), median(cost), fmt.Sprintf("%.1f", median(played)), same, faults)
@@ -337,8 +341,8 @@
 			points[i] = append(points[i], [2]float64{float64(n), median(v)})
 		}
 	}
-	chart := report.Lines{Title: e.Title, X: "sites", Y: "service; messages per request; us per site decision",
-		Series: []string{"service", "messages per request", "site decision, us"}, Points: points[:]}
+	chart := report.Lines{Title: e.Title, X: "sites", Y: "service; messages per request; time of a site decision (us)",
+		Series: []string{"service", "messages per request", "site decision (us)"}, Points: points[:]}
 	if err := keep(dir, e.Name, &t, &raw, chart.SVG); err != nil {
 		return err
 	}
@@ -348,7 +352,7 @@
 	return nil
 }
 
-// linkedPairs returns how many pairs of sites are linked.
+// linkedPairs returns the number of pairs of sites that are linked. neighbour is as in growthExperiment.
 func linkedPairs(sites, neighbour int) int {
 	if neighbour <= 0 || 2*neighbour >= sites-1 {
 		return sites * (sites - 1) / 2
--- a/cmd/testbed/keys.go
+++ b/cmd/testbed/keys.go
@@ -7,12 +7,13 @@
 	"gannetspur/internal/testbed/testca"
 )
 
+// keysCommand issues short-lived keys and certificates for gateways of several sites.
 type keysCommand struct {
-	Folder   string   `arg:"" type:"existingdir" help:"Where the files go: authority.pem, revoked.pem, and GATEWAY.pem and GATEWAY.key of each." name:"folder"`
-	Gateways []string `arg:"" help:"Gateways, as SITE/GATEWAY." name:"gateways"`
+	Folder   string   `arg:"" type:"existingdir" help:"Existing folder for the files: authority.pem, revoked.pem, and GATEWAY.pem and GATEWAY.key for each gateway." name:"folder"`
+	Gateways []string `arg:"" help:"Gateways to issue keys for, each as SITE/GATEWAY." name:"gateways"`
 }
 
-// Run makes an authority that forgets its key, and keys for gateways that hold for a day.
+// Run creates a certificate authority whose key is not stored, and a key and certificate for each gateway, valid for a day.
 func (c *keysCommand) Run() error {
 	ca, err := testca.New("laboratory")
 	if err != nil {
@@ -21,7 +22,7 @@
 	for _, g := range c.Gateways {
 		site, gateway, ok := strings.Cut(g, "/")
 		if !ok || site == "" || gateway == "" || strings.Contains(gateway, "/") {
-			return fmt.Errorf("%q is no SITE/GATEWAY", g)
+			return fmt.Errorf("%q is not of the form SITE/GATEWAY, for example lalitpur/lalitpur-1", g)
 		}
 		if _, err := ca.Issue(c.Folder, gateway, site, gateway, testca.DefaultExpiry()); err != nil {
 			return err
@@ -30,6 +31,6 @@
 	if err := ca.WriteFiles(c.Folder); err != nil {
 		return err
 	}
-	fmt.Printf("keys of %d gateways, good for a day, for trials only\n", len(c.Gateways))
+	fmt.Printf("wrote keys for %d gateways to %s; they are valid for a day and for tests only\n", len(c.Gateways), c.Folder)
 	return nil
 }
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -11,7 +11,8 @@
 	"gannetspur/internal/testbed/report"
 )
 
-// membersExperiment plays membership in virtual time: ours and baselines, on one network.
+// membersExperiment simulates membership protocols in virtual time, the product's own and baselines, on the same
+// network model.
 type membersExperiment struct {
 	Kind  string        `toml:"kind"`
 	Name  string        `toml:"name"`
@@ -20,34 +21,36 @@
 	Plays []membersPlay `toml:"play"`
 }
 
+// membersPlay is one scenario; it runs for each number of members, protocol and seed.
 type membersPlay struct {
 	Name            string   `toml:"name"`
-	Protocols       []string `toml:"ways"` // names in membershipsim.Ways
-	Members         []int    `toml:"members"`
-	Loss            float64  `toml:"loss"`
-	Seeds           int      `toml:"seeds"`  // number of members that each knows at its start; 0: all
-	WarmS           float64  `toml:"warm_s"` // until all have found each other
-	RestS           float64  `toml:"rest_s"`
-	PauseS          float64  `toml:"pause_s"` // one process stops for a while
-	Crashes         int      `toml:"crashes"` // one after the other
-	FinalCrashShare float64  `toml:"most"`    // share of the members that dies at once in the end
+	Protocols       []string `toml:"ways"`    // names of protocols, as in membershipsim.Ways
+	Members         []int    `toml:"members"` // cluster sizes to simulate
+	Loss            float64  `toml:"loss"`    // share of datagrams lost, from 0 to below 1
+	Seeds           int      `toml:"seeds"`   // number of members that each member knows at its start; 0: all
+	WarmS           float64  `toml:"warm_s"`  // time allowed for all members to find each other, in seconds
+	RestS           float64  `toml:"rest_s"`  // time without faults other than loss, in seconds
+	PauseS          float64  `toml:"pause_s"` // time in seconds for which one process is paused; 0: none
+	Crashes         int      `toml:"crashes"` // number of crashes, one after the other
+	FinalCrashShare float64  `toml:"most"`    // share of the members that crash together at the end; 0: none
 }
 
+// readMembers reads and checks a members experiment.
 func readMembers(path string) (*membersExperiment, error) {
 	var e membersExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
 		requireCommon(require, e.Name, e.Seeds, 1, 1)
-		require(len(e.Plays) > 0, "play: none")
+		require(len(e.Plays) > 0, "play: at least one is required")
 		for i, p := range e.Plays {
 			for _, w := range p.Protocols {
-				require(membershipsim.Ways[w] != nil, "play[%d].ways: there is no %q", i, w)
+				require(membershipsim.Ways[w] != nil, "play[%d].ways: unknown protocol %q", i, w)
 			}
 			for _, n := range p.Members {
-				require(n >= 3 && n <= 2000, "play[%d].members: %d is not from 3 to 2000", i, n)
+				require(n >= 3 && n <= 2000, "play[%d].members: %d is out of range, want 3 to 2000", i, n)
 			}
-			require(p.Loss >= 0 && p.Loss < 1 && p.FinalCrashShare >= 0 && p.FinalCrashShare < 1, "play[%d].loss, most: not from 0 to 1", i)
-			require(p.Seeds >= 0, "play[%d].seeds: below 0", i)
-			require(p.WarmS > 0 && p.RestS > 0 && p.WarmS+p.RestS <= 200000, "play[%d].warm_s, rest_s: not above 0", i)
+			require(p.Loss >= 0 && p.Loss < 1 && p.FinalCrashShare >= 0 && p.FinalCrashShare < 1, "play[%d].loss, most: got %g and %g, want 0 to below 1", i, p.Loss, p.FinalCrashShare)
+			require(p.Seeds >= 0, "play[%d].seeds: %d is below 0", i, p.Seeds)
+			require(p.WarmS > 0 && p.RestS > 0 && p.WarmS+p.RestS <= 200000, "play[%d].warm_s, rest_s: got %g and %g, want above 0 and together at most 200000 s", i, p.WarmS, p.RestS)
 		}
 	})
 }
@@ -59,7 +62,7 @@
 	found membershipsim.Found
 }
 
-// jobs returns all runs, those that share a row of the table next to each other.
+// jobs returns all runs; runs that share a row of the table are adjacent, as report requires.
 func (e *membersExperiment) jobs() (jobs []*membersJob) {
 	for _, p := range e.Plays {
 		for _, n := range p.Members {
@@ -75,7 +78,7 @@
 	return jobs
 }
 
-// runMembers plays all of it, as many plays at once as there are processors. The CSV is the same for the same seeds.
+// runMembers runs all jobs, as many at a time as there are CPUs. The CSV file is identical for the same seeds.
 func runMembers(c *runCommand) error {
 	e, err := readMembers(c.File)
 	if err != nil {
@@ -104,11 +107,11 @@
 
 // report writes the tables and the chart of all jobs.
 func (e *membersExperiment) report(dir string, jobs []*membersJob) error {
-	table := report.Table{Columns: []string{"play", "members", "way", "plays", "settled after the start: worst (s)", "known to a survivor: p50, p99 (s)", "to the last: worst (s)", "never known", "wrong deaths a member and day",
-		"by one that stood still", "changes of the view a crash", "bytes a second, at rest", "in a trouble", "datagrams a second", "CPU a second (ms)", "a decision (us)",
-		"most dead: one view of the rest (s)", "changes"}}
+	table := report.Table{Columns: []string{"play", "members", "protocol", "runs", "all found after start, worst (s)", "crash known to a survivor, p50, p99 (s)", "crash known to the last survivor, worst (s)", "crashes not known within 15 s", "false deaths per member and day",
+		"false deaths reported by the paused member", "view changes per survivor and crash", "bytes/s per member, at rest", "bytes/s per member, busiest 10 s", "datagrams/s per member", "CPU per member (ms/s)", "CPU per decision (us)",
+		"after the mass crash: until survivors agree (s)", "view changes of one survivor, most"}}
 	raw := report.Table{Columns: []string{"play", "members", "way", "seed", "agreed", "settled_s", "p50_s", "p99_s", "last_s", "never", "wrong", "wrong_by_paused", "changes", "bytes", "busy_bytes", "datagrams", "most_s", "most_changes"}}
-	chart := report.Lines{Title: e.Title, X: "members", Y: "until the last survivor knows of a crash, s"}
+	chart := report.Lines{Title: e.Title, X: "members", Y: "until the last survivor knows of a crash (s)"}
 	for i := 0; i < len(jobs); {
 		first := jobs[i]
 		var detected, last, most, settled []time.Duration
@@ -157,11 +160,11 @@
 			chart.Points[at] = append(chart.Points[at], [2]float64{float64(first.m.Members), slices.Max(last).Seconds()})
 		}
 	}
-	chart.LogX = len(chart.Points) > 0 // there is no logarithm of nothing
+	chart.LogX = len(chart.Points) > 0 // a logarithmic axis needs at least one point
 	return keep(dir, e.Name, &table, &raw, chart.SVG)
 }
 
-// longestSeconds formats the longest of durations, in seconds.
+// longestSeconds formats the longest duration in seconds, or "-" if there is none.
 func longestSeconds(all []time.Duration) string {
 	if len(all) == 0 {
 		return "-"
@@ -169,7 +172,7 @@
 	return fmt.Sprintf("%.2f", slices.Max(all).Seconds())
 }
 
-// quantileSeconds formats a quantile of sorted durations, in seconds.
+// quantileSeconds formats quantile q (0 to 1) of sorted durations in seconds, or "-" if there is none.
 func quantileSeconds(all []time.Duration, q float64) string {
 	if len(all) == 0 {
 		return "-"
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -19,17 +19,18 @@
 	"gannetspur/internal/testbed/harness"
 )
 
+// replaceCommand replaces a front end process behind a shared listening socket while clients send calls.
 type replaceCommand struct {
-	Ringwood string        `default:"bin/gateway" help:"The program." name:"ringwood"`
-	Times    int           `default:"3" help:"How often the process is replaced." name:"times"`
-	Rate     float64       `default:"100" help:"Calls a second, half of them on kept connections." name:"rate"`
-	For      time.Duration `default:"1s" help:"Time between two replacements." name:"for"`
+	Program string        `default:"bin/gateway" help:"Path of the gateway's program." name:"ringwood"`
+	Times   int           `default:"3" help:"Number of replacements." name:"times"`
+	Rate    float64       `default:"100" help:"Calls per second; half of them use keep-alive connections." name:"rate"`
+	For     time.Duration `default:"1s" help:"Time between two replacements." name:"for"`
 }
 
-// readyTimeout is how long the platform waits until a new process is ready.
+// readyTimeout is the time that the platform gives a new process to become ready.
 const readyTimeout = 6 * time.Second
 
-// Run holds a socket, as the platform does, and replaces the process at it under calls.
+// Run holds a listening socket, as the platform does, and replaces the process behind it while calls arrive.
 func (c *replaceCommand) Run() (err error) {
 	dir, err := os.MkdirTemp("", "testbed-replace")
 	if err != nil {
@@ -44,7 +45,7 @@
 		return err
 	}
 	defer r.Close()
-	p := &platform{dir: dir, config: r.Config, program: c.Ringwood}
+	p := &platform{dir: dir, config: r.Config, program: c.Program}
 	if p.socket, p.addr, err = harness.OpenListener("127.0.0.1:0"); err != nil {
 		return err
 	}
@@ -78,20 +79,20 @@
 	if _, err := terminate(current); err != nil {
 		return fmt.Errorf("the last process: %w", err)
 	}
-	fmt.Printf("%d calls answered, %d failed\n", answered, failed)
+	fmt.Printf("%d calls answered, %d failed (at most %d may fail)\n", answered, failed, 2*c.Times)
 	if failed > 2*c.Times {
-		return errors.New("more than two calls a replacement failed")
+		return fmt.Errorf("%d calls failed during %d replacements, want at most two per replacement; see the errors above", failed, c.Times)
 	}
 	return nil
 }
 
-// platform holds the clients' socket.
+// platform holds the clients' listening socket and starts gateway processes on it.
 type platform struct {
 	dir, config, program, addr string
 	socket                     *os.File
 }
 
-// start starts a process and waits until it is ready.
+// start starts a process, waits until its control endpoint reports ready, and returns how long that took.
 func (p *platform) start() (*exec.Cmd, time.Duration, error) {
 	endpoint, err := harness.UnusedAddress()
 	if err != nil {
@@ -117,10 +118,11 @@
 	}
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	return nil, 0, fmt.Errorf("no yes within %v: %s", readyTimeout, strings.TrimSpace(log.String()))
+	return nil, 0, fmt.Errorf("the new process was not ready within %v; its log: %s", readyTimeout, strings.TrimSpace(log.String()))
 }
 
-// terminate ends a process as the platform does.
+// terminate ends a process as the platform does, with SIGTERM and, after harness.TerminationTimeout, SIGKILL.
+// It returns how long the process took to end.
 func terminate(cmd *exec.Cmd) (time.Duration, error) {
 	began := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -132,13 +134,13 @@
 	return time.Since(began), err
 }
 
-// startCalls makes calls at a rate until the context ends. What is returned waits for the last
-// answers and counts.
+// startCalls sends rate calls per second, alternately on keep-alive and new connections, until the
+// context ends. The returned function waits for the last answers and returns the counts.
 func startCalls(ctx context.Context, url string, rate float64) func() (answered, failed int) {
 	var mu sync.Mutex
 	var answered, failed int
 	var all sync.WaitGroup
-	fresh, kept := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+	perCall, keepAlive := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	all.Go(func() {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 		defer tick.Stop()
@@ -148,9 +150,9 @@
 				return
 			case <-tick.C:
 			}
-			client := fresh
+			client := perCall
 			if n%2 == 0 {
-				client = kept
+				client = keepAlive
 			}
 			all.Go(func() {
 				err := callOnce(client, url, n)
@@ -168,12 +170,13 @@
 	return func() (int, int) { all.Wait(); return answered, failed }
 }
 
+// callOnce sends call number n. An answer of 200 or 503 counts as answered.
 func callOnce(client *http.Client, url string, n int) error {
 	req, err := http.NewRequest(http.MethodPost, url+"/rpc/lookup", strings.NewReader("SELECT day FROM sales_17.orders"))
 	if err != nil {
 		return err
 	}
-	req.GetBody = nil // no repeat of its own
+	req.GetBody = nil // keeps the HTTP client from retrying by itself
 	req.Header.Set("Req-Id", fmt.Sprintf("%016x", n+1))
 	req.Header.Set("Req-Wait-Ms", "3000")
 	resp, err := client.Do(req)
@@ -185,7 +188,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-		return errors.New(resp.Status)
+		return fmt.Errorf("got status %q, want 200 or 503", resp.Status)
 	}
 	return nil
 }
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -31,50 +31,51 @@
 	"github.com/vbauerster/mpb/v8/decor"
 )
 
+// runCommand runs the experiment that a file describes.
 type runCommand struct {
-	File     string   `arg:"" help:"The experiment, as in experiments/." name:"file"`
-	Ringwood string   `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder." name:"ringwood"`
-	Out      string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, under the experiment's name." name:"out"`
-	Log      string   `placeholder:"FILE" help:"Keep the gateways' events there." name:"log"`
-	Seed     []uint64 `placeholder:"N" help:"Seeds in place of the file's; of experiments of kind tier and members." name:"seed"`
-	Quiet    bool     `help:"No bar of progress." name:"quiet"`
+	File    string   `arg:"" help:"Experiment file, for example experiments/upgrade-short.toml." name:"file"`
+	Program string   `placeholder:"FILE" help:"Path of the gateway's program; if omitted, it is built from this folder." name:"ringwood"`
+	Out     string   `placeholder:"FOLDER" help:"Write table (.md), figures (.csv) and chart (.svg) to this folder, named after the experiment." name:"out"`
+	Log     string   `placeholder:"FILE" help:"Write the gateways' log to this file." name:"log"`
+	Seed    []uint64 `placeholder:"N" help:"Seeds to use instead of the file's; only for experiments of kind tier and members." name:"seed"`
+	Quiet   bool     `help:"Show no progress." name:"quiet"`
 }
 
-// upgradeExperiment is a file of an upgradeExperiment with upgrades.
+// upgradeExperiment upgrades a gateway repeatedly, to valid and to faulty successors, while clients send requests.
 type upgradeExperiment struct {
 	Name          string   `toml:"name"`
 	Title         string   `toml:"title"`
 	Kind          string   `toml:"kind"`
 	Seeds         []uint64 `toml:"seeds"`
-	Fronts        []string `toml:"fronts"`
+	Fronts        []string `toml:"fronts"` // front ends to test: "rest", "postgres"
 	Engines       int      `toml:"engines"`
-	WorkMS        float64  `toml:"work_ms"`
-	Connections   []int    `toml:"connections"`
-	Rate          float64  `toml:"rate"`
-	Loads         float64  `toml:"loads"`
-	Writes        float64  `toml:"writes"`
+	WorkMS        float64  `toml:"work_ms"`     // time of each statement at an engine, in milliseconds
+	Connections   []int    `toml:"connections"` // numbers of client connections; each is one series
+	Rate          float64  `toml:"rate"`        // requests per second
+	Loads         float64  `toml:"loads"`       // share of requests that are loads
+	Writes        float64  `toml:"writes"`      // share of requests that are other writes
 	Churn         float64  `toml:"churn"`
-	Traffic       string   `toml:"traffic"`    // file of recorded traffic (testbed traffic generate) that is played in place of the clients' own; "": none
-	ValidUpgrades int      `toml:"good"`       // upgrades that must go through
-	FaultyKinds   []string `toml:"broken"`     // and others, of these kinds
-	MayReturn     bool     `toml:"may_return"` // good ones may be returned from, as engines have troubles
-	GapMS         float64  `toml:"gap_ms"`
-	ProveForMS    float64  `toml:"prove_for_ms"`
-	DelayMS       float64  `toml:"delay_ms"`  // of a link between gateway and engines, one way
-	JitterMS      float64  `toml:"jitter_ms"` // added to it
+	Traffic       string   `toml:"traffic"`      // file of recorded traffic (testbed traffic generate) to replay instead of generated requests; "": none
+	ValidUpgrades int      `toml:"good"`         // number of upgrades that must succeed
+	FaultyKinds   []string `toml:"broken"`       // kinds of faulty upgrades, one upgrade for each entry
+	MayReturn     bool     `toml:"may_return"`   // valid upgrades may be rolled back, because engine faults can be mistaken for the new process's
+	GapMS         float64  `toml:"gap_ms"`       // time between upgrades, in milliseconds
+	ProveForMS    float64  `toml:"prove_for_ms"` // probation of a new process, in milliseconds
+	DelayMS       float64  `toml:"delay_ms"`     // one-way delay between gateway and engines, in milliseconds
+	JitterMS      float64  `toml:"jitter_ms"`    // jitter added to the delay, in milliseconds
 	Events        []struct {
-		AtS    float64 `toml:"at_s"` // from the first upgrade
+		AtS    float64 `toml:"at_s"` // seconds from the first upgrade
 		Do     string  `toml:"do"`
-		Engine int     `toml:"engine"` // from 1
+		Engine int     `toml:"engine"` // engine number, from 1
 	} `toml:"event"`
 	LinkFaults []struct {
 		Kind  faultproxy.Kind `toml:"kind"`
-		FromS float64         `toml:"from_s"` // from the start of the links, some 2 s before the first upgrade
-		ForS  float64         `toml:"for_s"`  // 0: to the end
+		FromS float64         `toml:"from_s"` // seconds from the start of the links, about 2 s before the first upgrade
+		ForS  float64         `toml:"for_s"`  // duration in seconds; 0: until the end
 	} `toml:"link_fault"`
 }
 
-// link is what lies between gateway and engines.
+// link returns the delays and faults between gateway and engines; nil: a direct connection.
 func (e *upgradeExperiment) link(seed uint64) *faultproxy.Options {
 	if e.DelayMS <= 0 && e.JitterMS <= 0 && len(e.LinkFaults) == 0 {
 		return nil
@@ -86,7 +87,7 @@
 	return opts
 }
 
-// recorded reads the file of recorded traffic, if there is one.
+// recorded returns the recorded traffic to replay; nil: none.
 func (e *upgradeExperiment) recorded() ([]traffic.Record, error) {
 	if e.Traffic == "" {
 		return nil, nil
@@ -103,6 +104,7 @@
 	return all, nil
 }
 
+// events returns the engine events of the experiment.
 func (e *upgradeExperiment) events() (all []upgrades.Event) {
 	for _, ev := range e.Events {
 		all = append(all, upgrades.Event{At: seconds(ev.AtS), Do: ev.Do, Engine: ev.Engine})
@@ -110,10 +112,10 @@
 	return all
 }
 
-// requireFunc notes a fault of an experiment's file unless ok.
+// requireFunc records an error in an experiment file unless ok is true.
 type requireFunc func(ok bool, format string, args ...any)
 
-// readFile reads an experiment, and names every fault in it.
+// readFile decodes an experiment file into e and checks it. The error names every problem in the file.
 func readFile(path string, e any, check func(require requireFunc)) error {
 	meta, err := toml.DecodeFile(path, e)
 	if err != nil {
@@ -126,41 +128,42 @@
 		}
 	}
 	for _, key := range meta.Undecoded() {
-		require(false, "%s: there is no such field", key)
+		require(false, "%s: unknown field", key)
 	}
 	check(require)
 	return errors.Join(faults...)
 }
 
-// requireCommon checks what all experiments have.
+// requireCommon checks the settings that all experiments have.
 func requireCommon(require requireFunc, name string, seeds []uint64, engines int, rate float64) {
-	require(name != "" && !strings.ContainsAny(name, "/ "), "name: missing, or not fit for a file's name")
-	require(len(seeds) > 0, "seeds: none")
-	require(engines > 0 && engines <= 64, "engines: %d is not from 1 to 64", engines)
-	require(rate > 0 && rate <= 5000, "rate: %g is not above 0, up to 5000 a second", rate)
+	require(name != "" && !strings.ContainsAny(name, "/ "), "name: %q is empty or contains a slash or a space; it becomes a file name", name)
+	require(len(seeds) > 0, "seeds: at least one is required")
+	require(engines > 0 && engines <= 64, "engines: %d is out of range, want 1 to 64", engines)
+	require(rate > 0 && rate <= 5000, "rate: %g is out of range, want above 0 and at most 5000 requests per second", rate)
 }
 
+// readExperiment reads and checks an upgrade experiment.
 func readExperiment(path string) (*upgradeExperiment, error) {
 	var e upgradeExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
 		requireCommon(require, e.Name, e.Seeds, e.Engines, e.Rate)
-		require(len(e.Connections) > 0 && slices.Min(e.Connections) > 0 && slices.Max(e.Connections) <= 20000, "connections: wanted are numbers from 1 to 20000")
-		require(e.ProveForMS >= 100 && e.ProveForMS <= 60000, "prove_for_ms: %g is not from 100 to 60000", e.ProveForMS)
+		require(len(e.Connections) > 0 && slices.Min(e.Connections) > 0 && slices.Max(e.Connections) <= 20000, "connections: got %v, want one or more numbers from 1 to 20000", e.Connections)
+		require(e.ProveForMS >= 100 && e.ProveForMS <= 60000, "prove_for_ms: %g is out of range, want 100 to 60000 ms", e.ProveForMS)
 		for _, f := range e.Fronts {
-			require(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
+			require(f == "rest" || f == "postgres", "fronts: unknown front end %q, want rest or postgres", f)
 		}
-		require(e.DelayMS >= 0 && e.DelayMS <= 1000 && e.JitterMS >= 0 && e.JitterMS <= 1000, "delay_ms, jitter_ms: not from 0 to 1000")
+		require(e.DelayMS >= 0 && e.DelayMS <= 1000 && e.JitterMS >= 0 && e.JitterMS <= 1000, "delay_ms, jitter_ms: got %g and %g, want 0 to 1000 ms", e.DelayMS, e.JitterMS)
 		for i, ev := range e.Events {
-			require(emulator.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: there is no %q", i, ev.Do)
-			require(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is not from 1 to %d", i, ev.Engine, e.Engines)
+			require(emulator.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: unknown event %q", i, ev.Do)
+			require(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is out of range, want 1 to %d", i, ev.Engine, e.Engines)
 		}
 		for _, k := range e.FaultyKinds {
-			require(upgrades.Broken[k] != "", "broken: there is no kind %q", k)
+			require(upgrades.Broken[k] != "", "broken: unknown kind of faulty upgrade %q", k)
 		}
 	})
 }
 
-// kinds are the upgrades of one run, the broken ones shuffled among the good.
+// kinds returns the kinds of upgrades of one run, faulty and valid ones in random order.
 func (e *upgradeExperiment) kinds(seed uint64) []string {
 	all := slices.Clone(e.FaultyKinds)
 	for range e.ValidUpgrades {
@@ -171,12 +174,12 @@
 	return all
 }
 
-// environment is what an experiment with gateway processes runs in.
+// environment holds the programs and folders that experiments with gateway processes need.
 type environment struct {
-	program string    // the gateway's program, an absolute path
-	testbed string    // this program, which acts as a faulty successor in some upgrades
-	dir     string    // for temporary files
-	log     io.Writer // receives the gateways' events
+	program string    // absolute path of the gateway's program
+	testbed string    // path of this program, which acts as a faulty successor in some upgrades
+	dir     string    // folder for temporary files
+	log     io.Writer // receives the gateways' log
 }
 
 // processExperiment is an experiment that starts gateway processes.
@@ -207,7 +210,7 @@
 	return c.runProcesses(e)
 }
 
-// readProcessExperiment reads the experiment's file as one of that kind.
+// readProcessExperiment reads the experiment file as one of the given kind.
 func (c *runCommand) readProcessExperiment(kind string) (processExperiment, error) {
 	switch kind {
 	case "upgrades":
@@ -223,11 +226,11 @@
 	case "sites":
 		return readSites(c.File)
 	default:
-		return nil, fmt.Errorf("%s: kind: there is no %q; wanted is upgrades, service, fleet, growth, sites, members or tier", c.File, kind)
+		return nil, fmt.Errorf("%s: kind: unknown kind %q, want upgrades, service, fleet, growth, sites, members or tier", c.File, kind)
 	}
 }
 
-// runProcesses prepares program, folder and log, and runs an experiment with them until it ends or a signal comes.
+// runProcesses prepares program, folder and log, and runs an experiment until it ends or a signal arrives.
 func (c *runCommand) runProcesses(e processExperiment) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -254,9 +257,9 @@
 	return e.run(ctx, c, env)
 }
 
-// gatewayProgram returns the absolute path of the named program, or of one built from this folder.
+// gatewayProgram returns the absolute path of the named program, or of one built from this folder into dir.
 func (c *runCommand) gatewayProgram(ctx context.Context, dir string) (string, error) {
-	program := c.Ringwood
+	program := c.Program
 	if program == "" {
 		built, err := harness.Build(ctx, ".", dir)
 		if err != nil {
@@ -271,7 +274,7 @@
 	return filepath.Abs(found)
 }
 
-// run plays all series of upgrades, and fails if a rule was broken or an upgrade ended otherwise than it must.
+// run runs all series of upgrades. It fails if a rule was broken or an upgrade did not end as its kind requires.
 func (e *upgradeExperiment) run(ctx context.Context, c *runCommand, env environment) error {
 	recorded, err := e.recorded()
 	if err != nil {
@@ -291,20 +294,20 @@
 				for _, u := range res.Upgrades {
 					if !u.Right {
 						wrong++
-						fmt.Printf("%s: an upgrade of kind %s ended as it must not: %q\n", front, u.Kind, u.Why)
+						fmt.Printf("%s: an upgrade of kind %s did not end as expected; reason given: %q\n", front, u.Kind, u.Why)
 					}
 				}
 				t.add(front, connections, seed, res)
 			}
 		}
 	}
-	if err := t.keep(c.Out, e); err != nil {
+	if err := t.write(c.Out, e); err != nil {
 		return err
 	}
 	return reportViolations(faults, wrong)
 }
 
-// play plays one series of upgrades. The options name what differs between series; the rest is filled in here.
+// play runs one series of upgrades. opts holds what differs between series; play fills in the rest.
 func (e *upgradeExperiment) play(ctx context.Context, c *runCommand, env environment, opts upgrades.Options) (*upgrades.Result, error) {
 	opts.Root = "."
 	opts.Dir = filepath.Join(env.dir, fmt.Sprintf("%s-%d-%d", opts.Front, opts.Connections, opts.Seed))
@@ -333,25 +336,26 @@
 	return res, err
 }
 
-// milliseconds converts a number of an experiment's file, in milliseconds.
+// milliseconds converts a number of milliseconds from an experiment file.
 func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// seconds converts a number of an experiment's file, in seconds.
+// seconds converts a number of seconds from an experiment file.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// reportViolations prints the rules broken, and returns an error where there are any.
+// reportViolations prints at most 20 broken rules. It returns an error if a rule was broken or wrong, the number
+// of upgrades that did not end as expected, is above 0.
 func reportViolations(faults []load.Fault, wrong int) error {
 	for i, f := range faults {
 		if i == 20 {
-			fmt.Printf("and %d more\n", len(faults)-i)
+			fmt.Printf("and %d more broken rules\n", len(faults)-i)
 			break
 		}
 		fmt.Println(f)
 	}
 	if len(faults) > 0 || wrong > 0 {
-		return fmt.Errorf("%d rules broken, %d upgrades that ended as they must not", len(faults), wrong)
+		return fmt.Errorf("%d rules broken, %d upgrades did not end as expected", len(faults), wrong)
 	}
-	fmt.Println("every request had its one answer; no rule was broken")
+	fmt.Println("every request got exactly one answer; no rule was broken")
 	return nil
 }
 
@@ -361,7 +365,7 @@
 	bar       *mpb.Bar
 }
 
-// newProgressBar returns a bar of that many steps on standard error, or a silent one with --quiet.
+// newProgressBar returns a bar of that many steps on standard error, or one that shows nothing with --quiet.
 func (c *runCommand) newProgressBar(name string, steps int) *progressBar {
 	if c.Quiet {
 		return &progressBar{}
@@ -385,7 +389,7 @@
 	}
 }
 
-// upgradeTables are the results of an experiment with upgrades.
+// upgradeTables collects the results of an upgrade experiment.
 type upgradeTables struct {
 	requests, kinds, raw report.Table
 	chart                report.Bars
@@ -394,16 +398,17 @@
 func newUpgradeTables(e *upgradeExperiment) *upgradeTables {
 	return &upgradeTables{
 		requests: report.Table{Columns: []string{"front", "connections", "seed", "upgrades", "requests", "served", "refused", "in doubt or failed", "rules broken",
-			"steady p50, p99, worst (ms)", "during good ones", "during broken ones", "resident (MB)", "more during an upgrade (MB)"}},
-		kinds: report.Table{Columns: []string{"front", "connections", "kind", "played", "as it must", "until decided, median (s)", "worst (s)", "reason, the last"}},
+			"steady: p50, p99, max (ms)", "during valid upgrades: p50, p99, max (ms)", "during faulty upgrades: p50, p99, max (ms)", "resident memory (MB)", "extra memory during an upgrade (MB)"}},
+		kinds: report.Table{Columns: []string{"front", "connections", "kind", "upgrades", "ended as expected", "time until decided, median (s)", "time until decided, max (s)", "last reason"}},
 		raw:   report.Table{Columns: []string{"front", "connections", "seed", "phase", "kind", "due_ms", "latency_ms", "verdict", "tries"}},
-		chart: report.Bars{Title: e.Title, Axis: "latency, ms", Series: []string{"steady p99", "good p99", "broken p99", "worst of all"}, Values: make([][]float64, 4)},
+		chart: report.Bars{Title: e.Title, Axis: "latency (ms)", Series: []string{"steady p99", "valid upgrades p99", "faulty upgrades p99", "max"}, Values: make([][]float64, 4)},
 	}
 }
 
-// upgradeAftermath is how long behind an upgrade's end a request still counts as during it.
-const upgradeAftermath = 500 * time.Millisecond
+// upgradeSettleTime is the time after an upgrade's end in which requests still count as sent during it.
+const upgradeSettleTime = 500 * time.Millisecond
 
+// add adds the results of one series to the tables and the chart.
 func (t *upgradeTables) add(front string, connections int, seed uint64, res *upgrades.Result) {
 	var h [3]*hdrhistogram.Histogram
 	for i := range h {
@@ -413,14 +418,14 @@
 	for _, r := range res.Records {
 		phase := 0
 		for _, u := range res.Upgrades {
-			if r.End.After(u.Began) && r.Due.Before(u.Done.Add(upgradeAftermath)) {
+			if r.End.After(u.Began) && r.Due.Before(u.Done.Add(upgradeSettleTime)) {
 				if phase = 1; u.Kind != upgrades.Good {
 					phase = 2
 				}
 				break
 			}
 		}
-		_ = h[phase].RecordValue(max(r.Latency().Microseconds(), 1)) // within its bounds: clients wait 6 s
+		_ = h[phase].RecordValue(max(r.Latency().Microseconds(), 1)) // within the histogram's range of 60 s: clients wait 6 s
 		switch r.Verdict {
 		case load.Served:
 			served++
@@ -433,14 +438,14 @@
 			fmt.Sprintf("%.3f", float64(r.Latency().Microseconds())/1000), r.Verdict, len(r.Attempts))
 	}
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	three := func(h *hdrhistogram.Histogram) string {
+	formatLatencies := func(h *hdrhistogram.Histogram) string {
 		if h.TotalCount() == 0 {
 			return "-"
 		}
 		return fmt.Sprintf("%.1f, %.1f, %.1f", ms(h, 50), ms(h, 99), float64(h.Max())/1000)
 	}
 	t.requests.Add(front, connections, seed, len(res.Upgrades), len(res.Records), served, refused, failed, len(res.Faults),
-		three(h[0]), three(h[1]), three(h[2]), fmt.Sprintf("%.0f", float64(res.Resident)/1e6), fmt.Sprintf("%.0f", float64(res.Extra)/1e6))
+		formatLatencies(h[0]), formatLatencies(h[1]), formatLatencies(h[2]), fmt.Sprintf("%.0f", float64(res.Resident)/1e6), fmt.Sprintf("%.0f", float64(res.Extra)/1e6))
 	t.chart.Groups = append(t.chart.Groups, fmt.Sprintf("%s %d", front, connections))
 	worst := 0.0
 	for i := range h {
@@ -472,7 +477,8 @@
 	}
 }
 
-func (t *upgradeTables) keep(dir string, e *upgradeExperiment) error {
+// write prints the tables, and writes them with figures and chart to dir unless it is "".
+func (t *upgradeTables) write(dir string, e *upgradeExperiment) error {
 	var b strings.Builder
 	for _, table := range []*report.Table{&t.requests, &t.kinds} {
 		md, err := table.Markdown()
--- a/cmd/testbed/scripted.go
+++ b/cmd/testbed/scripted.go
@@ -13,12 +13,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// scriptedCommand is a process that is started to take over and does something else.
+// scriptedCommand is a successor process of an upgrade that misbehaves in a given way.
 type scriptedCommand struct {
-	How  string   `arg:"" enum:"version,garbage,forget" help:"${enum}." name:"how"`
-	Args []string `arg:"" optional:"" passthrough:"" help:"Of forget: the gateway's program and its arguments." name:"args"`
+	How  string   `arg:"" enum:"version,garbage,forget" help:"How to misbehave: ${enum}." name:"how"`
+	Args []string `arg:"" optional:"" passthrough:"" help:"For forget: the gateway's program and its arguments." name:"args"`
 }
 
+// Run sends garbage, announces an incompatible version, or relays to a successor without the learned state.
 func (c *scriptedCommand) Run() error {
 	if c.How == "garbage" {
 		f := os.NewFile(3, "channel")
@@ -28,7 +29,7 @@
 	}
 	in, err := handover.Inherit()
 	if err != nil || in == nil {
-		return errors.Join(errors.New("this is for upgrades to start"), err)
+		return errors.Join(errors.New("no channel from an old process: this command is started only by upgrade experiments"), err)
 	}
 	if c.How == "forget" {
 		return forget(in, c.Args)
@@ -40,11 +41,11 @@
 	return nil
 }
 
-// forget stands between the old process and a new one, and passes everything on but what
-// the decision module has learned: what an upgrade would be worth without it.
+// forget relays between the old process and a new one and passes on everything except what the
+// decision module has learned. It shows how an upgrade would perform without that state.
 func forget(in *handover.Inheritance, args []string) error {
 	if len(args) == 0 {
-		return errors.New("forget: no program")
+		return errors.New("forget: missing argument: path of the gateway's program")
 	}
 	ch, theirs, err := handover.NewChannelPair()
 	if err != nil {
@@ -58,30 +59,31 @@
 		return err
 	}
 	_ = theirs.Close()
-	pass := func(from, to *handover.Channel) {
-		_ = from.Read(func(m handover.Message, fds []int) { // its end is the end of all
-			if w, ok := m.(*handover.State); ok {
-				dropLearned(w)
+	relay := func(from, to *handover.Channel) {
+		_ = from.Read(func(m handover.Message, fds []int) { // returns when the channel closes, which ends the relay
+			if state, ok := m.(*handover.State); ok {
+				dropLearned(state)
 			}
-			_ = to.Send(m, fds...) // who has ended needs none
+			_ = to.Send(m, fds...) // a receiver that has ended needs no message
 			for _, fd := range fds {
 				_ = unix.Close(fd)
 			}
 		})
 		_ = to.Close()
 	}
-	go pass(ch, in.Channel)
-	go pass(in.Channel, ch)
+	go relay(ch, in.Channel)
+	go relay(in.Channel, ch)
 	return p.Wait()
 }
 
-func dropLearned(w *handover.State) {
+// dropLearned removes what the decision module has learned from the handed-over state.
+func dropLearned(state *handover.State) {
 	var core map[string]cbor.RawMessage
-	if cbor.Unmarshal(w.Sections["core"], &core) != nil {
+	if cbor.Unmarshal(state.Sections["core"], &core) != nil {
 		return
 	}
 	delete(core, "Learned")
 	if b, err := cbor.Marshal(core); err == nil {
-		w.Sections["core"] = b
+		state.Sections["core"] = b
 	}
 }
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -15,39 +15,41 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// serviceExperiment is a file of an experiment on what an event costs the service.
+// serviceExperiment measures the service before and after an operation such as an upgrade or a restart.
 type serviceExperiment struct {
 	Name        string   `toml:"name"`
 	Title       string   `toml:"title"`
 	Kind        string   `toml:"kind"`
 	Seeds       []uint64 `toml:"seeds"`
-	Operations  []string `toml:"ways"`
+	Operations  []string `toml:"ways"` // operations to compare, such as upgrades.TakeOver
 	Engines     int      `toml:"engines"`
-	Crowded     int      `toml:"crowded"`
-	Share       float64  `toml:"share"`
-	Rate        float64  `toml:"rate"`
+	Crowded     int      `toml:"crowded"` // number of engines that another program also uses
+	Share       float64  `toml:"share"`   // share of a crowded engine that the other program takes, from 0 to below 1
+	Rate        float64  `toml:"rate"`    // requests per second
 	Connections int      `toml:"connections"`
-	WarmS       float64  `toml:"warm_s"`
-	SpanS       float64  `toml:"span_s"`
-	Parallel    int      `toml:"at_once"` // rounds side by side
+	WarmS       float64  `toml:"warm_s"`  // warm-up in seconds, before the measured time
+	SpanS       float64  `toml:"span_s"`  // measured time before the operation, and again after it, in seconds
+	Parallel    int      `toml:"at_once"` // number of rounds run at the same time
 }
 
+// readService reads and checks a service experiment.
 func readService(path string) (*serviceExperiment, error) {
 	var e serviceExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
 		requireCommon(require, e.Name, e.Seeds, e.Engines, e.Rate)
-		require(e.Crowded >= 0 && e.Crowded <= e.Engines, "crowded: %d is not from 0 to the number of engines", e.Crowded)
-		require(e.Share >= 0 && e.Share < 1, "share: %g is not from 0 to below 1", e.Share)
-		require(e.Connections > 0 && e.Connections <= 10000, "connections: %d is not from 1 to 10000", e.Connections)
-		require(e.WarmS >= 0 && e.WarmS <= 600, "warm_s: %g is not from 0 to 600", e.WarmS)
-		require(e.SpanS >= 1 && e.SpanS <= 600, "span_s: %g is not from 1 to 600", e.SpanS)
-		require(e.Parallel > 0 && e.Parallel <= 16, "at_once: %d is not from 1 to 16", e.Parallel)
+		require(e.Crowded >= 0 && e.Crowded <= e.Engines, "crowded: %d is out of range, want 0 to engines = %d", e.Crowded, e.Engines)
+		require(e.Share >= 0 && e.Share < 1, "share: %g is out of range, want 0 to below 1", e.Share)
+		require(e.Connections > 0 && e.Connections <= 10000, "connections: %d is out of range, want 1 to 10000", e.Connections)
+		require(e.WarmS >= 0 && e.WarmS <= 600, "warm_s: %g is out of range, want 0 to 600 s", e.WarmS)
+		require(e.SpanS >= 1 && e.SpanS <= 600, "span_s: %g is out of range, want 1 to 600 s", e.SpanS)
+		require(e.Parallel > 0 && e.Parallel <= 16, "at_once: %d is out of range, want 1 to 16", e.Parallel)
 		for _, w := range e.Operations {
-			require(slices.Contains([]string{upgrades.Nothing, upgrades.TakeOver, upgrades.Forget, upgrades.Restart}, w), "ways: there is no %q", w)
+			require(slices.Contains([]string{upgrades.Nothing, upgrades.TakeOver, upgrades.Forget, upgrades.Restart}, w), "ways: unknown operation %q, want %s, %s, %s or %s", w, upgrades.Nothing, upgrades.TakeOver, upgrades.Forget, upgrades.Restart)
 		}
 	})
 }
 
+// run runs every operation with every seed, writes the results, and fails if a rule was broken.
 func (e *serviceExperiment) run(ctx context.Context, c *runCommand, env environment) error {
 	type round struct {
 		way  string
@@ -75,9 +77,9 @@
 	if err != nil {
 		return err
 	}
-	t := report.Table{Columns: []string{"way", "rounds", "service before", "service after", "after / before, median (least to most)", "requests", "without an answer"}}
+	t := report.Table{Columns: []string{"operation", "rounds", "service before, median", "service after, median", "after / before, median (min to max)", "requests", "requests without an answer"}}
 	raw := report.Table{Columns: []string{"way", "seed", "before", "after", "requests", "lost"}}
-	chart := report.Bars{Title: e.Title, Axis: "worth answered in time over worth asked for", Series: []string{"before", "after"}, Values: make([][]float64, 2)}
+	chart := report.Bars{Title: e.Title, Axis: "service: value answered in time / value requested", Series: []string{"before", "after"}, Values: make([][]float64, 2)}
 	var faults []load.Fault
 	for _, way := range e.Operations {
 		var before, after, ratio []float64
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -18,22 +18,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// shapesCommand groups the measurements of the statement classifier.
 type shapesCommand struct {
-	Evaluate evaluateCommand `cmd:"" help:"Judge classes and estimates on recorded traffic, with each part switched off in turn." name:"evaluate"`
-	Flood    floodCommand    `cmd:"" help:"Flood the cache with shapes that come once while others recur." name:"flood"`
-	Cost     costCommand     `cmd:"" help:"Measure the CPU that reading shapes adds to a request through the PostgreSQL front." name:"cost"`
+	Evaluate evaluateCommand `cmd:"" help:"Measure the accuracy of classes and estimates on recorded traffic, with each component switched off in turn." name:"evaluate"`
+	Flood    floodCommand    `cmd:"" help:"Measure the cache's hit rate and memory under a flood of shapes that occur once, while others recur." name:"flood"`
+	Cost     costCommand     `cmd:"" help:"Measure the CPU time that reading shapes adds to a request through the PostgreSQL front end." name:"cost"`
 }
 
+// evaluateCommand measures the accuracy of learned classes and estimates.
 type evaluateCommand struct {
-	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; without any, traffic is generated from the seeds."`
-	Seeds  []uint64 `default:"1,2,3,4,5" help:"Of traffic that is generated here." name:"seeds"`
-	Number int      `default:"20000" help:"Statements of each seed." name:"number"`
-	Train  float64  `default:"0.5" help:"Share of the records that is not judged." name:"train"`
-	Kbytes int      `default:"2048" help:"Bound of the cache." name:"kbytes"`
-	Out    string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*." name:"out"`
+	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files, as written by testbed traffic generate; if omitted, traffic is generated from the seeds."`
+	Seeds  []uint64 `default:"1,2,3,4,5" help:"Seeds of generated traffic." name:"seeds"`
+	Number int      `default:"20000" help:"Generated statements per seed." name:"number"`
+	Train  float64  `default:"0.5" help:"Share of the records, from the start, used only for learning and not evaluated; 0 to 1." name:"train"`
+	Kbytes int      `default:"2048" help:"Memory limit of the cache, in KiB." name:"kbytes"`
+	Out    string   `placeholder:"FOLDER" help:"Write table, figures and chart to this folder, as shapes-evaluate.*." name:"out"`
 }
 
-// medians of the results of one variant over all files, with the spread.
+// spread formats the median, minimum and maximum of a figure over the results of one variant.
 func spread(results []shapes.Result, of func(shapes.Result) float64) string {
 	x := make([]float64, len(results))
 	for i, r := range results {
@@ -43,6 +45,7 @@
 	return fmt.Sprintf("%.3f (%.3f to %.3f)", stat.Quantile(0.5, stat.Empirical, x, nil), x[0], x[len(x)-1])
 }
 
+// Run evaluates every variant of the classifier on every file or seed.
 func (c *evaluateCommand) Run() error {
 	var traces [][]traffic.Record
 	var seeds []uint64
@@ -63,10 +66,10 @@
 			traces, seeds = append(traces, shapes.Generated(workload.Defaults(seed), c.Number)), append(seeds, seed)
 		}
 	}
-	t := report.Table{Columns: []string{"variant", "class right by count", "by worth", "hard cases alone", "writes taken as reads", "median error", "p90 error"}}
+	t := report.Table{Columns: []string{"variant", "correct class (share of statements)", "correct class (share of value)", "correct class (share of hard cases)", "writes taken as reads", "median error (log2 of estimate / actual)", "p90 error (log2)"}}
 	raw := report.Table{Columns: []string{"variant", "seed", "judged", "by_count", "by_worth", "hard", "hard_judged", "writes_safe", "writes_seen", "reads_denied",
 		"median", "p90", "hint_median", "hint_p90", "mean_median", "mean_p90", "hint_class", "shapes", "bytes", "hit_rate"}}
-	chart := report.Bars{Title: "Classes right, median of the seeds", Axis: "share", Series: []string{"by count", "by worth", "hard cases"}, Values: make([][]float64, 3)}
+	chart := report.Bars{Title: "Correctly classified statements, median of the seeds", Axis: "share", Series: []string{"by count", "by value", "hard cases"}, Values: make([][]float64, 3)}
 	var first []shapes.Result
 	for _, v := range shapes.Variants() {
 		var results []shapes.Result
@@ -108,7 +111,7 @@
 	return keep(c.Out, "shapes-evaluate", &t, &raw, chart.SVG)
 }
 
-// keep prints a table, and writes it with its figures and chart where a folder is named.
+// keep prints a table, and writes it with its raw figures and its chart to dir unless dir is "".
 func keep(dir, name string, t, raw *report.Table, svg func() ([]byte, error)) error {
 	md, err := t.Markdown()
 	if err != nil {
@@ -128,24 +131,26 @@
 	}
 	err = report.Write(dir, map[string][]byte{name + ".md": []byte(md), name + ".csv": []byte(csv), name + ".svg": chart})
 	if err == nil {
-		fmt.Println("kept in", filepath.Join(dir, name)+".*")
+		fmt.Println("results written to", filepath.Join(dir, name)+".*")
 	}
 	return err
 }
 
+// floodCommand measures the shape cache, and other cache policies, under a flood of shapes that occur once.
 type floodCommand struct {
-	Seeds     []uint64 `default:"1,2,3,4,5" help:"One run each." name:"seeds"`
-	Recurring int      `default:"200" help:"Shapes that come again." name:"recurring"`
-	OneOff    int      `default:"1000000" help:"Shapes that come once." name:"one-off"`
-	Share     float64  `default:"0.2" help:"Of statements that are of recurring shapes." name:"share"`
-	Kbytes    int      `default:"1024" help:"Bound of the cache." name:"kbytes"`
-	Out       string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*." name:"out"`
+	Seeds     []uint64 `default:"1,2,3,4,5" help:"Random seeds; one run for each." name:"seeds"`
+	Recurring int      `default:"200" help:"Number of shapes that recur." name:"recurring"`
+	OneOff    int      `default:"1000000" help:"Number of shapes that occur once." name:"one-off"`
+	Share     float64  `default:"0.2" help:"Share of statements that have a recurring shape, 0 to 1." name:"share"`
+	Kbytes    int      `default:"1024" help:"Memory limit of the cache, in KiB." name:"kbytes"`
+	Out       string   `placeholder:"FOLDER" help:"Write table, figures and chart to this folder, as shapes-flood.*." name:"out"`
 }
 
+// Run measures each cache policy with each seed.
 func (c *floodCommand) Run() error {
-	t := report.Table{Columns: []string{"cache", "recurring shapes found", "shapes held", "bytes as counted", "heap grew by", "resident memory of the process"}}
+	t := report.Table{Columns: []string{"cache", "hit rate of recurring shapes, median (min to max)", "shapes held", "memory counted by the cache", "heap growth", "resident memory of the process"}}
 	raw := report.Table{Columns: []string{"cache", "seed", "asked", "hits", "held", "counted", "heap", "rss"}}
-	chart := report.Bars{Title: fmt.Sprintf("Recurring shapes found among %d that come once", c.OneOff), Axis: "share", Series: []string{"found"}, Values: make([][]float64, 1)}
+	chart := report.Bars{Title: fmt.Sprintf("Hit rate of recurring shapes among %d shapes that occur once", c.OneOff), Axis: "share", Series: []string{"hits"}, Values: make([][]float64, 1)}
 	for _, name := range []string{"w-tinylfu", "lru", "2q"} {
 		var hits, held, counted, heap, rss []float64
 		for _, seed := range c.Seeds {
@@ -169,20 +174,22 @@
 	return keep(c.Out, "shapes-flood", &t, &raw, chart.SVG)
 }
 
+// costCommand measures the CPU time that reading shapes adds to a request.
 type costCommand struct {
-	Ringwood string `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder." name:"ringwood"`
-	Clients  int    `default:"8" help:"Connections." name:"clients"`
-	Requests int    `default:"40000" help:"Of each round." name:"requests"`
-	Rounds   int    `default:"5" help:"Pairs of rounds, without and with." name:"rounds"`
-	Prepared bool   `help:"Statements are prepared once and bound again, in place of a Query each." name:"prepared"`
-	Seed     uint64 `default:"1" help:"Of the statements." name:"seed"`
-	Out      string `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*." name:"out"`
+	Program  string `placeholder:"FILE" help:"Path of the gateway's program; if omitted, it is built from this folder." name:"ringwood"`
+	Clients  int    `default:"8" help:"Number of client connections." name:"clients"`
+	Requests int    `default:"40000" help:"Requests per round." name:"requests"`
+	Rounds   int    `default:"5" help:"Number of pairs of rounds, one without and one with shapes." name:"rounds"`
+	Prepared bool   `help:"Prepare statements once and bind them again, instead of sending a Query message for each." name:"prepared"`
+	Seed     uint64 `default:"1" help:"Random seed of the statements." name:"seed"`
+	Out      string `placeholder:"FOLDER" help:"Write table, figures and chart to this folder, as shapes-cost-query.* or shapes-cost-prepared.*." name:"out"`
 }
 
+// Run measures rounds with and without shapes in turn and prints the ratio of their CPU times.
 func (c *costCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Minute)
 	defer cancel()
-	program := c.Ringwood
+	program := c.Program
 	if program == "" {
 		dir, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
@@ -199,9 +206,9 @@
 	if err != nil {
 		return err
 	}
-	t := report.Table{Columns: []string{"", "CPU a request, us", "requests a second", "resident"}}
+	t := report.Table{Columns: []string{"", "CPU per request (us), median (min to max)", "requests/s", "resident memory"}}
 	raw := report.Table{Columns: []string{"shapes", "round", "cpu_us", "rate", "kb"}}
-	chart := report.Bars{Title: "CPU of the gateway a request", Axis: "us", Series: []string{"without", "with shapes"}, Values: make([][]float64, 2)}
+	chart := report.Bars{Title: "CPU time of the gateway per request", Axis: "CPU per request (us)", Series: []string{"without", "with shapes"}, Values: make([][]float64, 2)}
 	var ratios []float64
 	for i := range with {
 		ratios = append(ratios, with[i].CPU/without[i].CPU)
--- a/cmd/testbed/sitelink.go
+++ b/cmd/testbed/sitelink.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -11,17 +10,19 @@
 	"gannetspur/policy"
 )
 
+// sitelinkCommand measures the link between sites.
 type sitelinkCommand struct {
-	Out     string        `placeholder:"FOLDER" help:"Keep table, figures and chart there, as site-link." name:"out"`
-	For     time.Duration `default:"3s" help:"Length of each measurement, 100 ms to 1 min." name:"for"`
-	Rounds  int           `default:"5" help:"Measurements of each, by turns; the median counts." name:"rounds"`
-	Streams int           `default:"10000" help:"Streams that are opened at once." name:"streams"`
+	Out     string        `placeholder:"FOLDER" help:"Write table, figures and chart to this folder, as site-link.*." name:"out"`
+	For     time.Duration `default:"3s" help:"Duration of each measurement, 100ms to 1m." name:"for"`
+	Rounds  int           `default:"5" help:"Number of measurements of each load and path, taken in turn, 1 to 50; the median is reported." name:"rounds"`
+	Streams int           `default:"10000" help:"Number of streams open at the same time, 1 to 16000." name:"streams"`
 }
 
-// Run measures the link between sites against a bare relay, by turns.
+// Run measures the link between sites and a plain TCP relay in turn, then the memory of open streams and the
+// cost of compression.
 func (c *sitelinkCommand) Run() error {
 	if c.For < 100*time.Millisecond || c.For > time.Minute || c.Rounds < 1 || c.Rounds > 50 || c.Streams < 1 || c.Streams > 16000 {
-		return errors.New("--for, --rounds, --streams: out of their ranges")
+		return fmt.Errorf("--for %v, --rounds %d, --streams %d: out of range, want 100ms to 1m, 1 to 50 and 1 to 16000", c.For, c.Rounds, c.Streams)
 	}
 	set, err := siteConfig()
 	if err != nil {
@@ -42,15 +43,16 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\n%d open streams: %.1f MB of heap in both gateways together, %.0f bytes a stream\n\n", open.Streams, open.HeapMB, open.PerStream)
+	fmt.Printf("\n%d open streams: %.1f MB of heap in both gateways together, %.0f bytes per stream\n\n", open.Streams, open.HeapMB, open.PerStream)
 	return reportPacking()
 }
 
-// measureRates measures each load by turns over a bare relay and over the link, and writes tables and chart.
+// measureRates measures each load over a plain relay and over the link, in turn so that changes of the machine
+// affect both alike, and writes tables and chart.
 func (c *sitelinkCommand) measureRates(dir string, settings policy.Settings) error {
-	t := report.Table{Columns: []string{"load", "way", "per second", "MB/s", "p50 (ms)", "p99 (ms)", "rounds"}}
+	t := report.Table{Columns: []string{"load", "path", "requests/s", "MB/s", "p50 (ms)", "p99 (ms)", "rounds"}}
 	raw := report.Table{Columns: []string{"load", "way", "round", "per_s", "mb_per_s", "p50_ms", "p99_ms"}}
-	chart := report.Bars{Title: "One link between sites", Axis: "of a bare relay's rate", Series: []string{"link", "link, zstd"}, Values: make([][]float64, 2)}
+	chart := report.Bars{Title: "One link between sites", Axis: "request rate / rate of a bare relay", Series: []string{"link", "link, zstd"}, Values: make([][]float64, 2)}
 	for _, l := range []struct {
 		name string
 		load sitelink.Load
@@ -98,13 +100,13 @@
 	return keep(c.Out, "site-link", &t, &raw, chart.SVG)
 }
 
-// reportPacking prints what compression does to bodies of several sizes.
+// reportPacking prints the cost and the benefit of compressing bodies of several sizes.
 func reportPacking() error {
 	packed, err := sitelink.Packed([]int{400, 1 << 10, 4 << 10, 20_000, 64 << 10, 1 << 20})
 	if err != nil {
 		return err
 	}
-	p := report.Table{Columns: []string{"body, bytes", "travels", "pack (us)", "read (us)", "pays on lines up to (MB/s)"}}
+	p := report.Table{Columns: []string{"body (bytes)", "compressed size (share of body)", "compress (us)", "decompress (us)", "saves time on links up to (MB/s)"}}
 	for _, body := range packed {
 		p.Add(body.Size, body.Part, body.Pack, body.Read, body.Pays)
 	}
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -20,39 +20,40 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// sitesExperiment plays two sites on sockets, each scenario alone and together, and in virtual
-// time besides where that is asked for.
+// sitesExperiment runs two sites as processes connected by sockets, for each scenario and strategy,
+// and on request simulates the same in virtual time for comparison.
 type sitesExperiment struct {
 	multiSiteSettings
 	Fronts      []string `toml:"fronts"`
 	Strategies  []string `toml:"ways"`
 	Scenarios   []string `toml:"scenarios"`
-	Connections int      `toml:"connections"`
-	Virtual     bool     `toml:"virtual"` // the same in virtual time, side by side
-	Parallel    int      `toml:"at_once"`
+	Connections int      `toml:"connections"` // client connections at each site
+	Virtual     bool     `toml:"virtual"`     // also simulate the same runs in virtual time
+	Parallel    int      `toml:"at_once"`     // number of runs at the same time
 }
 
+// readSites reads and checks a sites experiment.
 func readSites(path string) (*sitesExperiment, error) {
 	var e sitesExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
 		e.check(require)
-		require(e.Gateways == 1, "gateways: %d is not 1: on sockets each site has one", e.Gateways)
-		require(e.Connections > 0 && e.Connections <= 2000, "connections: %d is not from 1 to 2000", e.Connections)
-		require(e.Parallel > 0 && e.Parallel <= 32, "at_once: %d is not from 1 to 32", e.Parallel)
-		require(len(e.Fronts) > 0 && len(e.Strategies) > 0 && len(e.Scenarios) > 0, "fronts, ways, scenarios: none")
+		require(e.Gateways == 1, "gateways: %d, want 1: experiments on sockets have one gateway per site", e.Gateways)
+		require(e.Connections > 0 && e.Connections <= 2000, "connections: %d is out of range, want 1 to 2000", e.Connections)
+		require(e.Parallel > 0 && e.Parallel <= 32, "at_once: %d is out of range, want 1 to 32", e.Parallel)
+		require(len(e.Fronts) > 0 && len(e.Strategies) > 0 && len(e.Scenarios) > 0, "fronts, ways, scenarios: at least one of each is required")
 		for _, f := range e.Fronts {
-			require(f == "rest" || f == "postgres", "fronts: there is no %q; wanted is rest or postgres", f)
+			require(f == "rest" || f == "postgres", "fronts: unknown front end %q, want rest or postgres", f)
 		}
 		for _, w := range e.Strategies {
-			require(w == simulation.Alone || w == simulation.Ours, "ways: there is no %q on sockets", w)
+			require(w == simulation.Alone || w == simulation.Ours, "ways: unknown strategy %q on sockets, want %s or %s", w, simulation.Alone, simulation.Ours)
 		}
 		for _, s := range e.Scenarios {
-			require(socketScenario(s) != nil, "scenarios: there is no %q", s)
+			require(socketScenario(s) != nil, "scenarios: unknown scenario %q", s)
 		}
 	})
 }
 
-// socketOnlyScenarios are scenarios that sockets have beside those of virtual time.
+// socketOnlyScenarios are scenarios that exist only on sockets, in addition to those of the simulation.
 var socketOnlyScenarios = []simulation.Scenario{
 	{Name: "upgrades", What: "both gateways are upgraded in turn while the first site is overloaded", Events: func(span time.Duration, _ int) []simulation.Event {
 		return []simulation.Event{{At: span / 6, Do: simulation.Load, Part: 2}, {At: span / 3, Do: sites.Upgrade, Site: 1}, {At: span / 2, Do: sites.Upgrade},
@@ -64,6 +65,7 @@
 	}},
 }
 
+// socketScenario returns the scenario of that name; nil: there is none.
 func socketScenario(name string) *simulation.Scenario {
 	for i := range socketOnlyScenarios {
 		if socketOnlyScenarios[i].Name == name {
@@ -73,11 +75,11 @@
 	return simulation.ScenarioOf(name)
 }
 
-// events are a scenario's on sockets.
+// events translates the events of a simulated scenario to those of the socket experiment.
 func (e *sitesExperiment) events(all []simulation.Event) (out []sites.Event) {
 	for i, ev := range all {
 		one := sites.Event{At: ev.At, Do: ev.Do, Site: ev.Site, Factor: ev.Part}
-		until := time.Duration(0) // of a link's fault
+		until := time.Duration(0) // duration of a link fault, until the next Mend; 0: there is none
 		for _, later := range all[i+1:] {
 			if later.Do == simulation.Mend {
 				until = later.At - ev.At
@@ -127,13 +129,15 @@
 	return out
 }
 
+// siteRun is one run of a sites experiment.
 type siteRun struct {
 	front, scenario, strategy string
 	seed                      uint64
 	res                       *sites.Result
-	virtual                   *simulation.Result
+	virtual                   *simulation.Result // the same run in virtual time; nil: not simulated
 }
 
+// run runs every combination of front end, scenario, strategy and seed, and fails if a rule was broken.
 func (e *sitesExperiment) run(ctx context.Context, c *runCommand, env environment) error {
 	set, err := siteConfig()
 	if err != nil {
@@ -160,7 +164,7 @@
 	return reportViolations(faults, 0)
 }
 
-// play plays run n on sockets, and in virtual time besides where that is asked for.
+// play executes run n on sockets and, if the experiment asks for it, in virtual time.
 func (e *sitesExperiment) play(ctx context.Context, env environment, set config.Site, n int, r *siteRun) (err error) {
 	sub := filepath.Join(env.dir, strconv.Itoa(n))
 	if err := os.Mkdir(sub, 0o700); err != nil {
@@ -186,11 +190,11 @@
 
 // report writes the tables and the chart of all runs, and returns the rules broken.
 func (e *sitesExperiment) report(dir string, runs []*siteRun) (faults []load.Fault, err error) {
-	t := report.Table{Columns: []string{"front", "what happens", "way", "requests", "service, median (least to most)", "worst 10 s", "p50, p99 of served (ms)", "crossed", "answered for here", "rules broken"}}
+	t := report.Table{Columns: []string{"front", "scenario", "strategy", "requests", "service (share of value), median (min to max)", "service in the worst 10 s", "latency of served requests, p50, p99 (ms)", "requests sent to another site", "requests run locally instead", "rules broken"}}
 	raw := report.Table{Columns: []string{"front", "scenario", "way", "seed", "requests", "service", "worst", "crossed", "virtual_service", "virtual_worst", "virtual_crossed", "faults"}}
-	chart := report.Bars{Title: e.Title, Axis: "worth answered in time over worth asked for", Series: slices.Clone(e.Strategies), Values: make([][]float64, len(e.Strategies))}
+	chart := report.Bars{Title: e.Title, Axis: "service: value answered in time / value requested", Series: slices.Clone(e.Strategies), Values: make([][]float64, len(e.Strategies))}
 	if e.Virtual {
-		t.Columns = slices.Insert(t.Columns, 6, "the same in virtual time", "worst there")
+		t.Columns = slices.Insert(t.Columns, 6, "service in virtual time, median (min to max)", "worst 10 s in virtual time")
 		for _, w := range e.Strategies {
 			chart.Series = append(chart.Series, w+", virtual")
 			chart.Values = append(chart.Values, nil)
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -19,24 +19,25 @@
 	"github.com/vbauerster/mpb/v8/decor"
 )
 
+// trafficCommand groups the commands for recorded traffic.
 type trafficCommand struct {
-	Generate generateCommand `cmd:"" help:"Write a file of seeded traffic on the model of the register." name:"generate"`
-	Show     showCommand     `cmd:"" help:"Print records." name:"show"`
-	Stats    statsCommand    `cmd:"" help:"Sum a file up." name:"stats"`
+	Generate generateCommand `cmd:"" help:"Generate a traffic file from a seed, with statements of the register of parts and wholesalers." name:"generate"`
+	Show     showCommand     `cmd:"" help:"Print records of a traffic file." name:"show"`
+	Stats    statsCommand    `cmd:"" help:"Summarise a traffic file." name:"stats"`
 }
 
-// workloadFlags are the flags that make a workloadFlags of the model.
+// workloadFlags are the flags that configure the workload model.
 type workloadFlags struct {
-	Seed        uint64  `default:"1" help:"Of everything that is drawn."`
-	Number      int     `default:"20000" help:"How many statements."`
-	Templates   int     `default:"200" help:"Shapes that recur."`
-	OneOff      float64 `default:"0.05" help:"Share of statements whose shape never comes again."`
-	Hard        float64 `default:"0.04" help:"Share of lookups whose values make them broad reports."`
-	Writes      float64 `default:"0.02" help:"Share of statements that write and are no loads."`
-	DriftAt     float64 `default:"0.6" help:"When the table of orders has grown, as a share of the statements; 0: never."`
-	Drift       float64 `default:"3" help:"And by which factor."`
-	HintNoise   float64 `default:"0.7" help:"Scatter of the clients' estimates, of the natural logarithm."`
-	HintMissing float64 `default:"0.15" help:"Share of statements without one."`
+	Seed        uint64  `default:"1" help:"Random seed of the generated traffic."`
+	Number      int     `default:"20000" help:"Number of statements."`
+	Templates   int     `default:"200" help:"Number of shapes that recur."`
+	OneOff      float64 `default:"0.05" help:"Share of statements whose shape occurs only once, 0 to 1."`
+	Hard        float64 `default:"0.04" help:"Share of lookups whose parameter values make them as expensive as broad reports, 0 to 1."`
+	Writes      float64 `default:"0.02" help:"Share of statements that write but are not loads, 0 to 1."`
+	DriftAt     float64 `default:"0.6" help:"Point at which the table of orders has grown, as a share of the statements; 0: never."`
+	Drift       float64 `default:"3" help:"Factor by which the table of orders grows."`
+	HintNoise   float64 `default:"0.7" help:"Standard deviation of the natural logarithm of the error in clients' estimates."`
+	HintMissing float64 `default:"0.15" help:"Share of statements without a client's estimate, 0 to 1."`
 }
 
 func (w workloadFlags) options() workload.Options {
@@ -46,11 +47,12 @@
 	}
 }
 
+// generateCommand writes a file of generated traffic.
 type generateCommand struct {
 	workloadFlags
-	File     string  `arg:"" help:"The file to write." name:"file"`
-	Rate     float64 `default:"99" help:"Statements a second on average." name:"rate"`
-	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
+	File     string  `arg:"" help:"Traffic file to write." name:"file"`
+	Rate     float64 `default:"99" help:"Average statements per second." name:"rate"`
+	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival pattern: ${enum}."`
 }
 
 func (c *generateCommand) Run() (err error) {
@@ -71,13 +73,13 @@
 		err = e
 	}
 	if err == nil {
-		fmt.Printf("%d statements of seed %d in %s\n", c.Number, c.Seed, c.File)
+		fmt.Printf("wrote %d statements, generated with seed %d, to %s\n", c.Number, c.Seed, c.File)
 	}
 	return err
 }
 
-// records reads a file and hands its records on. A file that was cut off is read as far
-// as it is whole, and the error says so.
+// records calls each for every record of a file until each returns false. A truncated file is read
+// up to its last complete record, and the error reports the truncation.
 func records(path string, each func(*traffic.Record) bool) (traffic.Head, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -103,11 +105,12 @@
 	}
 }
 
+// showCommand prints records of a traffic file.
 type showCommand struct {
-	File string `arg:"" help:"The file." name:"file"`
-	From int    `default:"0" help:"The first record to print, from 0." name:"from"`
-	Max  int    `name:"most" default:"20" help:"How many."`
-	Hard bool   `help:"Only the hard cases." name:"hard"`
+	File string `arg:"" help:"Traffic file to read." name:"file"`
+	From int    `default:"0" help:"Number of the first record to print, counted from 0." name:"from"`
+	Max  int    `name:"most" default:"20" help:"Maximum number of records to print."`
+	Hard bool   `help:"Print only hard cases: statements whose cost their shape does not show." name:"hard"`
 }
 
 func (c *showCommand) Run() error {
@@ -133,13 +136,14 @@
 	return err
 }
 
+// statsCommand summarises a traffic file.
 type statsCommand struct {
-	File string `arg:"" help:"The file." name:"file"`
+	File string `arg:"" help:"Traffic file to read." name:"file"`
 }
 
 func (c *statsCommand) Run() error {
 	type sum struct {
-		n, worth float64
+		n, value float64
 		work     *hdrhistogram.Histogram // microseconds
 		hard     int
 	}
@@ -154,8 +158,8 @@
 			classes[r.Class] = s
 		}
 		s.n++
-		s.worth += r.Value
-		_ = s.work.RecordValue(max(int64(r.Work*1000), 1)) // past an hour it would only be left out
+		s.value += r.Value
+		_ = s.work.RecordValue(max(int64(r.Work*1000), 1)) // values above an hour exceed the histogram's range and are left out
 		if r.Hard != "" {
 			s.hard++
 			hard[r.Hard]++
@@ -170,10 +174,10 @@
 		last = r.At
 		return true
 	})
-	fmt.Printf("seed %d, %s arrivals, %d statements in %s; %d shapes recur, %d come once; %d bytes a statement\n%s\n\n",
+	fmt.Printf("seed %d, %s arrivals, %d statements in %s; %d shapes recur, %d occur once; %d bytes per statement on average\n%s\n\n",
 		head.Seed, head.Arrivals, total, time.Duration(last)*time.Microsecond, len(shapes), oneOff, bytes/max(total, 1), head.Model)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "class\tshare\tworth\tmedian ms\tp90 ms\tp99 ms\thard\n")
+	fmt.Fprintf(w, "class\tshare\ttotal value\twork p50 (ms)\twork p90 (ms)\twork p99 (ms)\thard cases\n")
 	names := make([]string, 0, len(classes))
 	for name := range classes {
 		names = append(names, name)
@@ -182,16 +186,16 @@
 	for _, name := range names {
 		s := classes[name]
 		ms := func(q float64) float64 { return float64(s.work.ValueAtQuantile(q)) / 1000 }
-		fmt.Fprintf(w, "%s\t%.1f %%\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", name, 100*s.n/float64(total), s.worth, ms(50), ms(90), ms(99), s.hard)
+		fmt.Fprintf(w, "%s\t%.1f %%\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", name, 100*s.n/float64(total), s.value, ms(50), ms(90), ms(99), s.hard)
 	}
-	_ = w.Flush() // to standard output
+	_ = w.Flush() // an error on standard output has nowhere to be reported
 	cases := make([]string, 0, len(hard))
 	for name, n := range hard {
 		cases = append(cases, fmt.Sprintf("%s (%d)", name, n))
 	}
 	slices.Sort(cases)
 	if len(cases) > 0 {
-		fmt.Printf("\nhard: %s\n", strings.Join(cases, ", "))
+		fmt.Printf("\nhard cases (count): %s\n", strings.Join(cases, ", "))
 	}
 	return err
 }
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -15,18 +15,19 @@
 	"gannetspur/internal/testbed/harness"
 )
 
+// tryCommand starts the gateway on loopback with everything it needs, to try it out by hand.
 type tryCommand struct {
-	Ringwood string        `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder." name:"ringwood"`
-	Engines  int           `default:"3" help:"Emulated engines of each wire, 1 to 16." name:"engines"`
-	HTTP     string        `default:"127.0.0.1:9090" help:"Where the platform's front listens." name:"http"`
-	Postgres string        `default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens." name:"postgres"`
-	For      time.Duration `default:"1h" help:"Stop by itself after so long." name:"for"`
+	Program  string        `placeholder:"FILE" help:"Path of the gateway's program; if omitted, it is built from this folder." name:"ringwood"`
+	Engines  int           `default:"3" help:"Number of emulated engines for each of the two protocols, 1 to 16." name:"engines"`
+	HTTP     string        `default:"127.0.0.1:9090" help:"Address on which the platform's HTTP front end listens." name:"http"`
+	Postgres string        `default:"127.0.0.1:5433" help:"Address on which the PostgreSQL front end listens." name:"postgres"`
+	For      time.Duration `default:"1h" help:"Stop after this time." name:"for"`
 }
 
-// Run starts everything, prints lines to paste, and stops on Ctrl-C or once a part ends.
+// Run starts everything, prints commands to paste, and stops on Ctrl-C, after c.For, or when a gateway ends.
 func (c *tryCommand) Run() error {
 	if c.Engines < 1 || c.Engines > 16 {
-		return fmt.Errorf("--engines: %d is not from 1 to 16", c.Engines)
+		return fmt.Errorf("--engines: %d is out of range, want 1 to 16", c.Engines)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -37,7 +38,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	program := c.Ringwood
+	program := c.Program
 	if program == "" {
 		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
@@ -66,13 +67,13 @@
 	}
 	host, port, _ := strings.Cut(c.Postgres, ":")
 	fmt.Printf(`
-Both fronts are up. To try, in another terminal:
+Both front ends are listening. To try them, run in another terminal:
 
   curl -i http://%s/rpc/lookup -H 'Req-Id: 9b1f03aa5c7e2d41' -H 'Req-Wait-Ms: 1500' \
       --data "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"
   psql 'host=%s port=%s user=desk sslmode=disable' -c 'SELECT day FROM stock_17.orders'
 
-Engines say above what they are asked. Ctrl-C stops all.
+The engines log above each statement that they receive. Press Ctrl-C to stop everything.
 `, c.HTTP, host, port)
 	select {
 	case <-ctx.Done():
@@ -82,5 +83,5 @@
 	case err = <-ended[1]:
 		ended[1] <- err
 	}
-	return errors.Join(errors.New("a gateway has ended; its log says why"), err)
+	return errors.Join(errors.New("a gateway ended unexpectedly; its log above gives the reason"), err)
 }
--- a/cmd/testbed/try_test.go
+++ b/cmd/testbed/try_test.go
@@ -17,8 +17,8 @@
 	"gannetspur/internal/testbed/harness"
 )
 
-// Both fronts come up with one command, answer what the page says to paste, and all of it
-// ends when told.
+// TestTry starts the try command in a child process. Both front ends must listen, serve the statements that the
+// command prints for the user, and stop listening after SIGINT.
 func TestTry(t *testing.T) {
 	if os.Getenv("TESTBED_TRY") != "" {
 		c := tryCommand{Engines: 2, HTTP: os.Getenv("HTTP"), Postgres: os.Getenv("POSTGRES"), For: time.Minute}
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 	}
-	// The PostgreSQL front hears of its engines a moment after it listens.
+	// A front end listens shortly before it knows its engines, so the first requests may fail.
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+web+"/rpc/lookup", strings.NewReader("SELECT day FROM sales_17.orders WHERE tag = '3f9c'"))
 		if err != nil {
@@ -74,12 +74,12 @@
 			break
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("%d %s", res.StatusCode, body)
+			t.Fatalf("HTTP front end: got status %d, body %q until the timeout; want 200 and a body that contains 3f9c", res.StatusCode, body)
 		}
 	}
 	for !queryServed(t, pg) {
 		if ctx.Err() != nil {
-			t.Fatal("the PostgreSQL front serves nothing")
+			t.Fatal("PostgreSQL front end: no statement was served until the timeout, want the tag SELECT 2")
 		}
 	}
 	if err := p.Process.Signal(syscall.SIGINT); err != nil {
@@ -87,17 +87,17 @@
 	}
 	if err := p.Wait(); err != nil {
 		b, _ := os.ReadFile(log.Name())
-		t.Fatalf("%v\n%s", err, b)
+		t.Fatalf("after SIGINT: got %v, want exit status 0; log:\n%s", err, b)
 	}
 	for _, addr := range []string{web, pg} {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			_ = c.Close()
-			t.Errorf("somebody still listens at %s", addr)
+			t.Errorf("%s still accepts connections after the command ended, want none", addr)
 		}
 	}
 }
 
-// queryServed reports whether one statement was served.
+// queryServed sends one statement to the PostgreSQL front end and reports whether it was served.
 func queryServed(t *testing.T, addr string) bool {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
