--- a/cmd/testbed/cluster.go
+++ b/cmd/testbed/cluster.go
@@ -20,7 +20,7 @@
 	Name      string        `toml:"name"`
 	Title     string        `toml:"title"`
 	Seeds     []uint64      `toml:"seeds"`
-	Processes int           `toml:"processes"`
+	Processes int           `toml:"processes"` // number of gateway processes of plays that set none
 	Engines   int           `toml:"engines"`
 	Rate      float64       `toml:"rate"` // requests per second at each front end
 	Plays     []clusterPlay `toml:"play"`
@@ -38,18 +38,19 @@
 
 // clusterFault is one fault of a play.
 type clusterFault struct {
-	AtS            float64         `toml:"at_s"`  // start in seconds, from when all members have found each other
-	ForS           float64         `toml:"for_s"` // duration in seconds
-	Do             cluster.Do      `toml:"do"`
+	AtS            float64         `toml:"at_s"`    // start in seconds, from when all members have found each other
+	ForS           float64         `toml:"for_s"`   // duration in seconds; 0: until the end of the play
+	Do             cluster.Do      `toml:"do"`      // kind of fault, one of cluster.Kinds
 	Who            []int           `toml:"who"`     // affected front ends, numbered from 1
-	To             []int           `toml:"to"`      // front ends at the other end of the affected paths, numbered from 1; empty: all others
+	To             []int           `toml:"to"`      // for faults of datagrams: front ends to which those from Who are affected, numbered from 1; empty: all others
 	BothDirections bool            `toml:"back"`    // the fault also affects the opposite direction
-	DroppedShare   float64         `toml:"share"`   // share of datagrams affected, 0 to 1
-	SlowMS         float64         `toml:"slow_ms"` // added delay in milliseconds
+	DroppedShare   float64         `toml:"share"`   // share of datagrams affected, or for "starve" of the time in which the process is stopped, 0 to 1
+	SlowMS         float64         `toml:"slow_ms"` // for "slow": added delay of datagrams, in milliseconds
 	Side           cluster.Side    `toml:"side"`    // for "link": "engines" (To holds engine numbers from 1; empty: all), "bus" or "clients"
 	Kind           faultproxy.Kind `toml:"kind"`    // for "link": kind of fault, named as in upgrade experiments
 }
 
+// readCluster reads and checks a cluster experiment.
 func readCluster(path string) (*clusterExperiment, error) {
 	var e clusterExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -76,12 +76,12 @@
 	return p.SiteSettings, nil
 }
 
-// fleetExperiment simulates several sites in virtual time and compares strategies of working together.
+// fleetExperiment simulates several sites in virtual time and compares strategies of cooperation.
 type fleetExperiment struct {
 	multiSiteSettings
-	Sites      int      `toml:"sites"`
-	Strategies []string `toml:"ways"` // names of strategies, such as simulation.Ours
-	Scenarios  []string `toml:"scenarios"`
+	Sites      int      `toml:"sites"`     // number of sites, 2 to 50
+	Strategies []string `toml:"ways"`      // names of strategies, such as simulation.Ours
+	Scenarios  []string `toml:"scenarios"` // names of scenarios, as known to simulation.ScenarioOf
 }
 
 // runJobs runs n jobs, at most parallel at a time, and shows a progress bar. It returns the errors of all jobs.
@@ -216,7 +216,7 @@
 // growthExperiment measures how cost grows with the number of sites.
 type growthExperiment struct {
 	multiSiteSettings
-	Sites     []int   `toml:"sites"`
+	Sites     []int   `toml:"sites"`     // numbers of sites to simulate, each 1 to 50
 	Neighbour int     `toml:"neighbour"` // on a ring of sites, the number of neighbours on each side that a site is linked to; 0: all sites
 	DayS      float64 `toml:"day_s"`     // length of the simulated day in seconds; the load follows a sine curve over it
 	Swing     float64 `toml:"swing"`     // relative amplitude of the load curve, from 0 to below 1; each site has its peak at another time
@@ -237,12 +237,13 @@
 	elapsedSeconds float64
 }
 
+// readGrowth reads and checks a growth experiment.
 func readGrowth(path string) (*growthExperiment, error) {
 	var e growthExperiment
 	return &e, readFile(path, &e, func(require requireFunc) {
 		e.check(require)
-		require(len(e.Sites) > 0 && slices.Min(e.Sites) >= 1 && slices.Max(e.Sites) <= 50, "sites: wanted are numbers from 1 to 50")
-		require(e.DayS >= 10, "day_s: %g is below 10", e.DayS)
+		require(len(e.Sites) > 0 && slices.Min(e.Sites) >= 1 && slices.Max(e.Sites) <= 50, "sites: got %v, want one or more numbers from 1 to 50", e.Sites)
+		require(e.DayS >= 10, "day_s: %g is out of range, want at least 10 s", e.DayS)
 		require(e.Swing >= 0 && e.Swing < 1, "swing: %g is out of range, want 0 to below 1", e.Swing)
 	})
 }
@@ -352,7 +353,8 @@
 	return nil
 }
 
-// linkedPairs returns the number of pairs of sites that are linked. neighbour is as in growthExperiment.
+// linkedPairs returns the number of pairs of linked sites, if each site on a ring is linked to that many
+// neighbours on each side. With 0 neighbours, all pairs are linked.
 func linkedPairs(sites, neighbour int) int {
 	if neighbour <= 0 || 2*neighbour >= sites-1 {
 		return sites * (sites - 1) / 2
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -49,7 +49,7 @@
 				require(n >= 3 && n <= 2000, "play[%d].members: %d is out of range, want 3 to 2000", i, n)
 			}
 			require(p.Loss >= 0 && p.Loss < 1 && p.FinalCrashShare >= 0 && p.FinalCrashShare < 1, "play[%d].loss, most: got %g and %g, want 0 to below 1", i, p.Loss, p.FinalCrashShare)
-			require(p.Seeds >= 0, "play[%d].seeds: %d is below 0", i, p.Seeds)
+			require(p.Seeds >= 0, "play[%d].seeds: %d is out of range, want 0 or more", i, p.Seeds)
 			require(p.WarmS > 0 && p.RestS > 0 && p.WarmS+p.RestS <= 200000, "play[%d].warm_s, rest_s: got %g and %g, want above 0 and together at most 200000 s", i, p.WarmS, p.RestS)
 		}
 	})
@@ -107,7 +107,7 @@
 
 // report writes the tables and the chart of all jobs.
 func (e *membersExperiment) report(dir string, jobs []*membersJob) error {
-	table := report.Table{Columns: []string{"play", "members", "protocol", "runs", "all found after start, worst (s)", "crash known to a survivor, p50, p99 (s)", "crash known to the last survivor, worst (s)", "crashes not known within 15 s", "false deaths per member and day",
+	table := report.Table{Columns: []string{"play", "members", "protocol", "runs", "all found after start, worst (s)", "crash known to a survivor, p50, p99 (s)", "crash known to the last survivor, worst (s)", "crash not known to a survivor within 15 s (cases)", "false deaths per member and day",
 		"false deaths reported by the paused member", "view changes per survivor and crash", "bytes/s per member, at rest", "bytes/s per member, busiest 10 s", "datagrams/s per member", "CPU per member (ms/s)", "CPU per decision (us)",
 		"after the mass crash: until survivors agree (s)", "view changes of one survivor, most"}}
 	raw := report.Table{Columns: []string{"play", "members", "way", "seed", "agreed", "settled_s", "p50_s", "p99_s", "last_s", "never", "wrong", "wrong_by_paused", "changes", "bytes", "busy_bytes", "datagrams", "most_s", "most_changes"}}
--- a/cmd/testbed/replace.go
+++ b/cmd/testbed/replace.go
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// platform holds the clients' listening socket and starts gateway processes on it.
+// platform plays the role of the platform that runs the gateway in service: it holds the clients' listening
+// socket and starts gateway processes on it.
 type platform struct {
 	dir, config, program, addr string
 	socket                     *os.File
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -64,9 +64,9 @@
 	DelayMS       float64  `toml:"delay_ms"`     // one-way delay between gateway and engines, in milliseconds
 	JitterMS      float64  `toml:"jitter_ms"`    // jitter added to the delay, in milliseconds
 	Events        []struct {
-		AtS    float64 `toml:"at_s"` // seconds from the first upgrade
-		Do     string  `toml:"do"`
-		Engine int     `toml:"engine"` // engine number, from 1
+		AtS    float64 `toml:"at_s"`   // seconds from the first upgrade
+		Do     string  `toml:"do"`     // kind of event, one that emulator.Known accepts or upgrades.Reconnect
+		Engine int     `toml:"engine"` // engine number, from 1; 0: the event concerns no single engine
 	} `toml:"event"`
 	LinkFaults []struct {
 		Kind  faultproxy.Kind `toml:"kind"`
@@ -155,7 +155,7 @@
 		require(e.DelayMS >= 0 && e.DelayMS <= 1000 && e.JitterMS >= 0 && e.JitterMS <= 1000, "delay_ms, jitter_ms: got %g and %g, want 0 to 1000 ms", e.DelayMS, e.JitterMS)
 		for i, ev := range e.Events {
 			require(emulator.Known(ev.Do) || ev.Do == upgrades.Reconnect, "event[%d].do: unknown event %q", i, ev.Do)
-			require(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is out of range, want 1 to %d", i, ev.Engine, e.Engines)
+			require(ev.Engine >= 0 && ev.Engine <= e.Engines, "event[%d].engine: %d is out of range, want 1 to %d, or 0 for an event that concerns no single engine", i, ev.Engine, e.Engines)
 		}
 		for _, k := range e.FaultyKinds {
 			require(upgrades.Broken[k] != "", "broken: unknown kind of faulty upgrade %q", k)
@@ -342,7 +342,8 @@
 // seconds converts a number of seconds from an experiment file.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// reportViolations prints at most 20 broken rules. It returns an error if a rule was broken or wrong, the number
+// reportViolations prints at most 20 violations of the rules that load.Check verifies, for example that each
+// request gets exactly one answer. It returns an error if a rule was broken or wrong, the number
 // of upgrades that did not end as expected, is above 0.
 func reportViolations(faults []load.Fault, wrong int) error {
 	for i, f := range faults {
@@ -372,16 +373,18 @@
 	}
 	p := mpb.New(mpb.WithWidth(40), mpb.WithOutput(os.Stderr))
 	elapsed := decor.Elapsed(decor.ET_STYLE_GO, decor.WCSyncSpace)
-	bar := p.AddBar(int64(steps), mpb.PrependDecorators(decor.Name(name+" ")), mpb.AppendDecorators(decor.CountersNoUnit("%d of %d upgrades"), elapsed))
+	bar := p.AddBar(int64(steps), mpb.PrependDecorators(decor.Name(name+" ")), mpb.AppendDecorators(decor.CountersNoUnit("%d of %d"), elapsed))
 	return &progressBar{container: p, bar: bar}
 }
 
+// step marks one more step as done.
 func (s *progressBar) step() {
 	if s.bar != nil {
 		s.bar.Increment()
 	}
 }
 
+// end stops the bar and leaves it on the screen.
 func (s *progressBar) end() {
 	if s.bar != nil {
 		s.bar.Abort(false)
--- a/cmd/testbed/scripted.go
+++ b/cmd/testbed/scripted.go
@@ -22,7 +22,7 @@
 // Run sends garbage, announces an incompatible version, or relays to a successor without the learned state.
 func (c *scriptedCommand) Run() error {
 	if c.How == "garbage" {
-		f := os.NewFile(3, "channel")
+		f := os.NewFile(3, "channel") // the channel to the old process
 		_, err := f.Write([]byte("\x7fthis is no frame at all"))
 		time.Sleep(10 * time.Second)
 		return err
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -15,7 +15,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// serviceExperiment measures the service before and after an operation such as an upgrade or a restart.
+// serviceExperiment measures the service (value answered in time / value requested) before and after an operation
+// such as an upgrade or a restart.
 type serviceExperiment struct {
 	Name        string   `toml:"name"`
 	Title       string   `toml:"title"`
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -66,7 +66,7 @@
 			traces, seeds = append(traces, shapes.Generated(workload.Defaults(seed), c.Number)), append(seeds, seed)
 		}
 	}
-	t := report.Table{Columns: []string{"variant", "correct class (share of statements)", "correct class (share of value)", "correct class (share of hard cases)", "writes taken as reads", "median error (log2 of estimate / actual)", "p90 error (log2)"}}
+	t := report.Table{Columns: []string{"variant", "correct class (share of statements), median (min to max)", "correct class (share of value)", "correct class (share of hard cases)", "writes taken as reads", "median absolute error (log2 of estimate / actual)", "p90 absolute error (log2)"}}
 	raw := report.Table{Columns: []string{"variant", "seed", "judged", "by_count", "by_worth", "hard", "hard_judged", "writes_safe", "writes_seen", "reads_denied",
 		"median", "p90", "hint_median", "hint_p90", "mean_median", "mean_p90", "hint_class", "shapes", "bytes", "hit_rate"}}
 	chart := report.Bars{Title: "Correctly classified statements, median of the seeds", Axis: "share", Series: []string{"by count", "by value", "hard cases"}, Values: make([][]float64, 3)}
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -24,9 +24,9 @@
 // and on request simulates the same in virtual time for comparison.
 type sitesExperiment struct {
 	multiSiteSettings
-	Fronts      []string `toml:"fronts"`
-	Strategies  []string `toml:"ways"`
-	Scenarios   []string `toml:"scenarios"`
+	Fronts      []string `toml:"fronts"`      // front ends to test: "rest", "postgres"
+	Strategies  []string `toml:"ways"`        // simulation.Alone or simulation.Ours
+	Scenarios   []string `toml:"scenarios"`   // names of scenarios, as known to socketScenario
 	Connections int      `toml:"connections"` // client connections at each site
 	Virtual     bool     `toml:"virtual"`     // also simulate the same runs in virtual time
 	Parallel    int      `toml:"at_once"`     // number of runs at the same time
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -78,7 +78,7 @@
 	return err
 }
 
-// records calls each for every record of a file until each returns false. A truncated file is read
+// records passes the records of a file to the function each, until that returns false. A truncated file is read
 // up to its last complete record, and the error reports the truncation.
 func records(path string, each func(*traffic.Record) bool) (traffic.Head, error) {
 	f, err := os.Open(path)
