--- a/internal/testbed/faultproxy/connection.go
+++ b/internal/testbed/faultproxy/connection.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// chunkBytes bounds what is passed on at once.
+	// chunkBytes is the maximum size of one read, and so of one write, in bytes.
 	chunkBytes = 16 << 10
-	// queuedChunks bounds what is in transit in one direction, so that a slow link exerts
-	// backpressure.
+	// queuedChunks is the maximum number of chunks in transit in one direction. The limit makes a
+	// slow link exert backpressure on the sender.
 	queuedChunks = 64
 )
 
@@ -29,17 +29,19 @@
 	link           *Link
 	client, server *net.TCPConn
 	once           sync.Once
-	done           chan struct{}
+	done           chan struct{} // closed when the connection ends
 }
 
-// close closes both sides in good order.
+// close closes both sides gracefully, with FIN.
 func (c *connection) close() {
 	c.end(func(side *net.TCPConn) { _ = side.Close() })
 }
 
-// reset resets both sides.
+// reset closes both sides with RST.
 func (c *connection) reset() { c.end(reset) }
 
+// end closes both sides with closeSide and removes the connection from its link. Only the first
+// call has an effect.
 func (c *connection) end(closeSide func(*net.TCPConn)) {
 	c.once.Do(func() {
 		close(c.done)
@@ -49,7 +51,7 @@
 	})
 }
 
-// reset closes a connection by RST.
+// reset closes a TCP connection with RST.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0) // without it the connection would be closed by FIN
 	_ = c.Close()
@@ -58,7 +60,7 @@
 // chunk is a piece of data in transit.
 type chunk struct {
 	data []byte
-	due  time.Time // of its delivery
+	due  time.Time // when it is delivered
 	end  bool      // the sender has closed its side; there is no data
 }
 
@@ -70,8 +72,8 @@
 	return c.server, c.client
 }
 
-// relay carries one direction: a reader stamps chunks with the time at which they are due, a
-// writer delivers them then.
+// relay forwards one direction. A reader goroutine stamps each chunk with its delivery time, and
+// the writer delivers it at that time.
 func (c *connection) relay(d direction) {
 	from, to := c.sides(d)
 	transit := make(chan chunk, queuedChunks)
@@ -109,7 +111,7 @@
 				continue
 			}
 			due := time.Now().Add(c.link.latency())
-			if due.Before(last) { // a connection keeps its order
+			if due.Before(last) { // TCP delivers in order, whatever the jitter
 				due = last
 			}
 			last = due
@@ -141,8 +143,8 @@
 	}
 }
 
-// wait waits until the given time and for the end of the faults that hold back the direction. It
-// returns false if the connection ended first.
+// wait waits until the given time, then until no fault holds back the direction. It returns false
+// if the connection ended first.
 func (c *connection) wait(at time.Time, d direction) bool {
 	if remaining := time.Until(at); remaining > 0 {
 		timer := time.NewTimer(remaining)
--- a/internal/testbed/faultproxy/fault.go
+++ b/internal/testbed/faultproxy/fault.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind is what a fault does.
+// Kind is the effect of a fault, as experiment files write it.
 type Kind string
 
 // Kinds of fault. Requests flow from the client to the server, replies from the server to the
@@ -20,11 +20,11 @@
 // Kinds lists all kinds of fault.
 var Kinds = []Kind{Silence, HeldRequests, DroppedReplies, Garbage, Cut, Reset, HalfClose}
 
-// Fault is one fault of a schedule.
+// Fault is one scheduled fault.
 type Fault struct {
 	Kind Kind
-	From time.Duration // since the start of the link
-	For  time.Duration // 0: until the link closes; Reset and HalfClose happen once
+	From time.Duration // start, relative to the start of the link
+	For  time.Duration // duration; 0: until the link closes; ignored by Reset and HalfClose, which happen once
 }
 
 // activeAt reports whether the fault is in effect at a time since the start of the link.
--- a/internal/testbed/faultproxy/link.go
+++ b/internal/testbed/faultproxy/link.go
@@ -14,19 +14,20 @@
 
 // Options configure a link.
 type Options struct {
-	Delay     time.Duration // in each direction
-	Jitter    time.Duration // added to Delay: uniform from 0 to this; order is kept
-	Bandwidth int           // bytes a second in each direction; 0: unlimited
-	Stall     float64       // fraction of chunks that are delayed by StallFor, with all behind them
-	StallFor  time.Duration
-	Faults    []Fault
-	Seed      uint64
+	Delay     time.Duration // latency in each direction
+	Jitter    time.Duration // added to Delay: uniformly distributed from 0 to Jitter; chunks stay in order
+	Bandwidth int           // bytes per second in each direction; 0: unlimited
+	Stall     float64       // fraction of chunks, 0 to 1, that are delayed by StallFor, along with all chunks behind them
+	StallFor  time.Duration // additional delay of a stalled chunk
+	Faults    []Fault       // scheduled faults; nil: none
+	Seed      uint64        // seeds jitter, stalls and corruption
 }
 
 const (
-	// dialTimeout bounds the connection to the server.
+	// dialTimeout limits how long a connection to the server may take to open.
 	dialTimeout = 2 * time.Second
-	// randomStream is the second word of the seed, which keeps this source apart from others.
+	// randomStream is the second word of the PCG seed. It makes this random stream differ from others
+	// with the same first word.
 	randomStream = 0x6c696e6b
 )
 
@@ -45,16 +46,16 @@
 	closed      bool
 }
 
-// Listen opens a relay to a server. Both are on loopback.
+// Listen opens a relay to a server. Both addresses must be on loopback.
 func Listen(server string, opts Options) (*Link, error) {
 	for i, f := range opts.Faults {
 		if !slices.Contains(Kinds, f.Kind) {
-			return nil, fmt.Errorf("faultproxy: fault %d: there is no kind %q", i, f.Kind)
+			return nil, fmt.Errorf("faultproxy: fault %d has unknown kind %q; use one of %q", i, f.Kind, Kinds)
 		}
 	}
 	host, _, err := net.SplitHostPort(server)
 	if err != nil || !net.ParseIP(host).IsLoopback() {
-		return nil, fmt.Errorf("faultproxy: %q is no loopback address", server)
+		return nil, fmt.Errorf("faultproxy: server address %q must be a loopback IP address with a port, such as 127.0.0.1:5432", server)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,6 +92,7 @@
 	l.forEach((*connection).close)
 }
 
+// accept accepts client connections and relays each to the server, until the listener closes.
 func (l *Link) accept() {
 	for {
 		accepted, err := l.listener.Accept()
@@ -128,13 +130,15 @@
 	return true
 }
 
+// remove unregisters a connection that has ended.
 func (l *Link) remove(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.connections, c)
 }
 
-// forEach calls do for each connection, without the lock, so that do may close it.
+// forEach calls do for each connection. It does not hold the lock meanwhile, so do may close the
+// connection.
 func (l *Link) forEach(do func(*connection)) {
 	l.mu.Lock()
 	all := make([]*connection, 0, len(l.connections))
--- a/internal/testbed/faultproxy/link_test.go
+++ b/internal/testbed/faultproxy/link_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// echo answers each byte that it is sent, and reports what it saw.
+// echo starts a server that echoes each byte and sends each byte it received on seen.
 func echo(t *testing.T) (addr string, seen chan byte) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,6 +43,7 @@
 	return ln.Addr().String(), seen
 }
 
+// open starts a link to an echo server and connects one client to it.
 func open(t *testing.T, opts Options) (*Link, net.Conn, chan byte) {
 	t.Helper()
 	addr, seen := echo(t)
@@ -60,6 +61,7 @@
 	return l, c, seen
 }
 
+// ask sends one byte and returns the reply.
 func ask(c net.Conn, b byte) (byte, error) {
 	if _, err := c.Write([]byte{b}); err != nil {
 		return 0, err
@@ -69,12 +71,12 @@
 	return got[0], err
 }
 
-// A link delays both ways at least so long, and keeps the order whatever the jitter.
+// A link delays both directions by at least Delay, and keeps bytes in order in spite of jitter.
 func TestDelay(t *testing.T) {
 	_, c, _ := open(t, Options{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond, Seed: 1})
 	start := time.Now()
 	if got, err := ask(c, 'a'); err != nil || got != 'a' || time.Since(start) < 40*time.Millisecond {
-		t.Errorf("%q, %v after %v", got, err, time.Since(start))
+		t.Errorf("got reply %q, error %v after %v; want 'a' after at least 40ms", got, err, time.Since(start))
 	}
 	want := []byte("the order is kept")
 	for _, b := range want {
@@ -84,51 +86,51 @@
 	}
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, error %v; want %q", got, err, want)
 	}
 }
 
-// Each fault does what it says, and no more.
+// Each kind of fault has its documented effect, and no other.
 func TestFaults(t *testing.T) {
 	for _, kind := range []Kind{DroppedReplies, Garbage, Cut, Reset, HalfClose, Silence} {
 		t.Run(string(kind), func(t *testing.T) {
 			l, c, seen := open(t, Options{Faults: []Fault{{Kind: kind, From: 100 * time.Millisecond, For: 200 * time.Millisecond}}, Seed: 1})
 			if got, err := ask(c, 'a'); err != nil || got != 'a' {
-				t.Fatalf("before the fault: %q, %v", got, err)
+				t.Fatalf("before the fault: got reply %q, error %v; want 'a'", got, err)
 			}
 			<-seen
 			change := l.nextChange()
 			if !l.active(kind) {
-				<-change // it has begun
+				<-change // closed when the fault begins
 			}
 			switch kind {
 			case DroppedReplies:
 				_, _ = c.Write([]byte{'b'})
 				if got := <-seen; got != 'b' {
-					t.Errorf("the server saw %q", got)
+					t.Errorf("the server received %q, want 'b'", got)
 				}
 				for l.active(kind) {
 					<-l.nextChange()
 				}
 				if got, err := ask(c, 'c'); err != nil || got != 'c' {
-					t.Errorf("after it: %q, %v", got, err)
+					t.Errorf("after the fault: got reply %q, error %v; want 'c'", got, err)
 				}
 			case Garbage:
 				if got, err := ask(c, 'b'); err != nil || got == 'b' {
-					t.Errorf("%q, %v: it came unchanged", got, err)
+					t.Errorf("got reply %q, error %v; want a byte other than 'b'", got, err)
 				}
 			case Silence:
 				start := time.Now()
 				if got, err := ask(c, 'b'); err != nil || got != 'b' || time.Since(start) < 20*time.Millisecond {
-					t.Errorf("%q, %v after %v: it was not held back", got, err, time.Since(start))
+					t.Errorf("got reply %q, error %v after %v; want 'b' after at least 20ms", got, err, time.Since(start))
 				}
 			case Reset:
 				if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-					t.Errorf("read: %v, want a reset", err)
+					t.Errorf("read: got error %v, want ECONNRESET", err)
 				}
 			case Cut:
 				if _, err := c.Read(make([]byte, 1)); err == nil {
-					t.Error("the connection goes on")
+					t.Error("read from the existing connection succeeded, want an error")
 				}
 				n, err := net.Dial("tcp", l.Addr())
 				if err == nil {
@@ -136,19 +138,19 @@
 					_, err = n.Read(make([]byte, 1))
 				}
 				if err == nil {
-					t.Error("a new one is taken")
+					t.Error("a new connection works during the cut, want it refused")
 				}
 			case HalfClose:
 				if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-					t.Errorf("read: %v, want the end of the replies", err)
+					t.Errorf("read: got error %v, want EOF", err)
 				}
 			}
 		})
 	}
 	if _, err := Listen("127.0.0.1:1", Options{Faults: []Fault{{Kind: "odd"}}}); err == nil {
-		t.Error("an unknown kind was taken")
+		t.Error("Listen accepted an unknown kind of fault, want an error")
 	}
 	if _, err := Listen("10.0.0.1:1", Options{}); err == nil {
-		t.Error("an address that is no loopback was taken")
+		t.Error("Listen accepted an address outside loopback, want an error")
 	}
 }
--- a/internal/testbed/faultproxy/schedule.go
+++ b/internal/testbed/faultproxy/schedule.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Add begins a fault now, for as long as it says.
+// Add starts a fault now. It lasts for f.For; f.From is ignored.
 func (l *Link) Add(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -11,12 +11,12 @@
 	l.schedule(f, 0)
 }
 
-// schedule sets the timers that begin and end a fault. The caller holds the lock, or the link is
-// not shared yet.
-func (l *Link) schedule(f Fault, in time.Duration) {
-	l.timers = append(l.timers, time.AfterFunc(in, func() { l.begin(f) }))
+// schedule sets the timers that begin the fault after the given delay and end it. The caller must
+// hold the lock, unless the link is not shared yet.
+func (l *Link) schedule(f Fault, delay time.Duration) {
+	l.timers = append(l.timers, time.AfterFunc(delay, func() { l.begin(f) }))
 	if f.For > 0 {
-		l.timers = append(l.timers, time.AfterFunc(in+f.For, l.notifyChange))
+		l.timers = append(l.timers, time.AfterFunc(delay+f.For, l.notifyChange))
 	}
 }
 
@@ -38,7 +38,7 @@
 	return l.active(Silence) || d == requests && l.active(HeldRequests)
 }
 
-// begin carries out what a fault does once, at its start.
+// begin applies the one-time effect of a fault at its start.
 func (l *Link) begin(f Fault) {
 	switch f.Kind {
 	case Cut:
@@ -87,7 +87,7 @@
 	data[l.random.IntN(len(data))] ^= 0x55
 }
 
-// transmission returns how long the bandwidth limit takes to transmit so many bytes.
+// transmission returns how long it takes to transmit length bytes at the bandwidth limit.
 func (l *Link) transmission(length int) time.Duration {
 	if l.opts.Bandwidth <= 0 {
 		return 0
--- a/internal/testbed/harness/files.go
+++ b/internal/testbed/harness/files.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// spareSockets are added to the two sockets that each client needs.
+	// spareSockets is the number of sockets allowed beyond the two that each client needs.
 	spareSockets = 1024
-	// spareClients are added to the clients that the PostgreSQL frontend accepts.
+	// spareClients is the number of clients that the PostgreSQL frontend accepts beyond
+	// Options.Clients.
 	spareClients = 256
 )
 
-// target is an engine as a platform configuration names it.
+// target is the entry of one engine in the platform configuration.
 type target struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -38,11 +39,12 @@
 	return nil
 }
 
-// writePlatformConfig writes the HTTP frontend's file, from the example's.
+// writePlatformConfig writes the HTTP frontend's configuration file, based on the one in
+// examples/toy.
 func (h *Harness) writePlatformConfig(opts Options, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
-		return fmt.Errorf("start this from the repository's root: %w", err)
+		return fmt.Errorf("cannot read the example configuration; run this from the repository's root: %w", err)
 	}
 	var config map[string]any
 	if err := json.Unmarshal(raw, &config); err != nil {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// writeDeployFile writes one of the PostgreSQL frontend's files, from the one in deploy/.
+// writeDeployFile writes one of the PostgreSQL frontend's files, based on the one in deploy/.
 func writeDeployFile(opts Options, name, agent string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "deploy", name))
 	if err != nil {
--- a/internal/testbed/harness/harness.go
+++ b/internal/testbed/harness/harness.go
@@ -1,5 +1,6 @@
 // Package harness runs ringwood against emulated systems on loopback addresses: engines, event
-// bus, service catalogue, the configuration files that name them, and gateway processes.
+// bus and service catalogue. It writes the configuration files that name them and starts gateway
+// processes.
 package harness
 
 import (
@@ -15,24 +16,24 @@
 	"gannetspur/internal/testbed/faultproxy"
 )
 
-// Options say what to set up.
+// Options configure a harness.
 type Options struct {
-	Root     string // the repository, whose deploy files are the templates
-	Dir      string // where files are written
-	Engines  int    // of each wire protocol
-	Work     emulator.Work
-	HTTP     string // listen address of the HTTP frontend
-	Postgres string // listen address of the PostgreSQL frontend
-	Shapes   bool   // whether the PostgreSQL frontend's configuration enables query shapes
-	User     string // the user that PostgreSQL engines trust; "": any
-	Clients  int    // connections to size the frontends for; 0: as the templates say
-	Ledger   *emulator.Ledger
-	Name     string // prefix of the engines' names in the ledger
-	// Machine and QueryFor, where given, make engines whose statements compete for resources.
+	Root     string           // root of the repository, whose example and deploy files are the templates
+	Dir      string           // directory for the written files
+	Engines  int              // number of engines of each wire protocol
+	Work     emulator.Work    // how engines execute statements
+	HTTP     string           // listen address of the HTTP frontend
+	Postgres string           // listen address of the PostgreSQL frontend
+	Shapes   bool             // whether the PostgreSQL frontend's configuration enables query shapes
+	User     string           // user that PostgreSQL engines accept; "": any
+	Clients  int              // client connections to size the frontends for; 0: keep the templates' limits
+	Ledger   *emulator.Ledger // records what engines executed
+	Name     string           // prefix of the engines' names in the ledger
+	// Machine and QueryFor, if set, make engines whose statements compete for resources.
 	Machine  func(i int) *emulator.Machine
 	QueryFor func(statement string) enginemodel.Query
 	Link     *faultproxy.Options // between gateways and engines; nil: direct connections
-	Log      *slog.Logger
+	Log      *slog.Logger        // log of the engines
 }
 
 // Harness holds the emulated systems and the files that describe them. Close stops the systems.
@@ -59,6 +60,7 @@
 	return h, nil
 }
 
+// start starts the engines, the event bus and the Consul agent, and writes the files.
 func (h *Harness) start(opts Options) error {
 	if err := h.startEngines(opts); err != nil {
 		return err
@@ -76,7 +78,7 @@
 	return h.writeFiles(opts, bus.Addr().String(), agent.Addr().String())
 }
 
-// startEngines starts the engines of both protocols. Engines of one number share a machine.
+// startEngines starts the engines of both protocols. Engines with the same number share a machine.
 func (h *Harness) startEngines(opts Options) error {
 	for i := range opts.Engines {
 		engine := emulator.Options{Work: opts.Work, QueryFor: opts.QueryFor, Ledger: opts.Ledger}
@@ -128,6 +130,7 @@
 	return fleet.Add(spec.id, listener, addr, serve, spec.start)
 }
 
+// listen opens a loopback listener that Close closes.
 func (h *Harness) listen() (net.Listener, error) {
 	listener, err := emulator.Listen("127.0.0.1:0")
 	if err == nil {
@@ -136,7 +139,7 @@
 	return listener, err
 }
 
-// Apply applies one change to the engines of both protocols, or to their discovery.
+// Apply applies a change of the given kind to one engine of each protocol, or to their discovery.
 func (h *Harness) Apply(kind string, engine int) error {
 	return errors.Join(h.Lines.Apply(kind, engine), h.Postgres.Apply(kind, engine))
 }
--- a/internal/testbed/harness/network.go
+++ b/internal/testbed/harness/network.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// firstUnusedPort and unusedPorts give a range below the ports that systems assign by
-	// themselves.
+	// firstUnusedPort and unusedPorts give the start and size of a port range below the ephemeral
+	// ports, which the operating system assigns.
 	firstUnusedPort = 18000
 	unusedPorts     = 14000
-	// portAttempts is how many ports UnusedAddress tries.
+	// portAttempts is the number of ports that UnusedAddress tries.
 	portAttempts = 100
 )
 
@@ -45,15 +45,15 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(fmt.Errorf("nothing listens at %s", addr), ctx.Err())
+			return errors.Join(fmt.Errorf("no process listens at %s", addr), ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// UnusedAddress returns a loopback address that nothing listens on at present. Its port lies
-// below those that systems assign by themselves, so that no emulated system and no outgoing
-// connection takes it before the caller does.
+// UnusedAddress returns a loopback address on which nothing listens at present. Its port is below
+// the ephemeral range, so that no emulated system or outgoing connection takes it before the caller
+// does.
 func UnusedAddress() (string, error) {
 	var last error
 	for range portAttempts {
@@ -68,7 +68,7 @@
 	return "", last
 }
 
-// Sleep waits for the duration, or returns the context's error if that ends first.
+// Sleep waits for the duration. It returns the context's error if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/testbed/testca/authority.go
+++ b/internal/testbed/testca/authority.go
@@ -1,5 +1,5 @@
-// Package testca is a certificate authority for tests: it issues certificates to gateways, valid
-// and invalid ones, and publishes a revocation list (RFC 5280).
+// Package testca is a certificate authority for tests. It issues valid and invalid certificates to
+// gateways and publishes a revocation list (RFC 5280).
 package testca
 
 import (
@@ -17,12 +17,12 @@
 	"time"
 )
 
-// Authority signs certificates and a list of the revoked ones.
+// Authority signs certificates and the list of those it has revoked.
 type Authority struct {
 	key     *ecdsa.PrivateKey
 	cert    *x509.Certificate
-	serial  int64 // of the latest certificate
-	number  int64 // of the latest revocation list
+	serial  int64 // serial number of the latest certificate
+	number  int64 // number of the latest revocation list
 	revoked []x509.RevocationListEntry
 }
 
@@ -57,8 +57,8 @@
 	return &Authority{key: key, cert: cert, serial: 1}, nil
 }
 
-// Issue writes a certificate and its key for a gateway, NAME.pem and NAME.key, and returns the
-// certificate's serial number. The certificate is valid from a day ago until the given time.
+// Issue writes a certificate and its key for a gateway to NAME.pem and NAME.key in dir, and returns
+// the certificate's serial number. The certificate is valid from a day ago until the given time.
 func (a *Authority) Issue(dir, name, site, gateway string, until time.Time) (serial int64, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -88,17 +88,17 @@
 	return a.serial, writePEM(dir, name+".key", "PRIVATE KEY", raw)
 }
 
-// DefaultExpiry returns the usual end of a certificate's validity, a day from now.
+// DefaultExpiry returns the usual expiry time of a certificate, a day from now.
 func DefaultExpiry() time.Time { return time.Now().Add(day) }
 
-// Revoke adds a certificate to the revocation lists that are written from now on.
+// Revoke revokes a certificate. It appears in the revocation lists written after this call.
 func (a *Authority) Revoke(serial int64) {
 	entry := x509.RevocationListEntry{SerialNumber: big.NewInt(serial), RevocationTime: time.Now()}
 	a.revoked = append(a.revoked, entry)
 }
 
 // WriteFiles writes the authority's certificate, authority.pem, and its revocation list,
-// revoked.pem.
+// revoked.pem, to dir.
 func (a *Authority) WriteFiles(dir string) error {
 	a.number++
 	list, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{
