--- a/internal/testbed/cluster/check.go
+++ b/internal/testbed/cluster/check.go
@@ -11,12 +11,12 @@
 	"gannetspur/internal/testbed/load"
 )
 
-// reportGrace is how long what was said of a front end may still be said once it is back, or heard again: a watcher has to
-// hear it, and to tell.
+// reportGrace is how long a report about a front end may still appear after the front end is back or reachable again:
+// another member first has to hear from it, and then to spread the news.
 const reportGrace = 5 * time.Second
 
-// check checks the invariants on what was observed. It knows nothing of how members decide: only what was done to them,
-// what they logged, and what clients and engines saw.
+// check checks the invariants on the observations. It does not depend on how members decide: it uses only the injected
+// faults, the members' logs, and what clients and engines saw.
 func (t *cluster) check(res *Result, records []load.Record, runs []emulator.Run) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,9 +33,9 @@
 	res.Passed, res.Lost = t.mesh.passed, t.mesh.dropped
 }
 
-// reachable reports whether a front end ran and was heard by more than half, both ways, at a time.
+// reachable reports whether a front end was running at a time and had two-way contact with more than half of the front ends.
 func (t *cluster) reachable(who int, at time.Time) bool {
-	deaf := map[int]bool{}
+	unreachable := map[int]bool{}
 	for _, s := range t.spans {
 		if s.who != who || at.Before(s.from) || !s.to.IsZero() && at.After(s.to.Add(reportGrace)) {
 			continue
@@ -44,24 +44,26 @@
 			return false
 		}
 		for _, n := range s.unreachable {
-			deaf[n] = true
+			unreachable[n] = true
 		}
 	}
-	return 2*(len(t.procs)-len(deaf)) > len(t.procs)
+	return 2*(len(t.procs)-len(unreachable)) > len(t.procs)
 }
 
-// becameMember reports whether an event says that a process has joined anew, not continued as its predecessor.
+// becameMember reports whether an event says that a process joined as a new member, instead of continuing the membership of
+// its predecessor.
 func becameMember(e Event) bool { return e.Name == "members" && e.Fields["carried"] != true }
 
-// stopped reports whether a front end did not run at a time, or not long before.
+// stopped reports whether a front end had been down at the given time or at any time before it.
 func (t *cluster) stopped(who int, at time.Time) bool {
 	return slices.ContainsFunc(t.spans, func(s span) bool { return s.who == who && s.down && !at.Before(s.from) })
 }
 
-// checkDeaths checks what members reported of each other against what was done to them: whom most could hear is not called dead; whom
-// a member that most can hear loses sight of is not called lost; and who is gone for good is known by all to be.
+// checkDeaths checks the members' reports about each other against the injected faults. A member that more than half can
+// reach must not be reported dead. A member may not be reported lost if both it and the reporter are reachable by more than
+// half. All running members must know of a front end that is down for good.
 func (t *cluster) checkDeaths(res *Result, broken func(string, ...any)) {
-	known := map[[2]int]time.Time{} // by whom, of whom
+	known := map[[2]int]time.Time{} // first report of the end of a member, by reporter and subject
 	views := map[int]int{}
 	for _, e := range res.Events {
 		switch {
@@ -89,17 +91,17 @@
 	t.checkDeathsKnown(res, known, broken)
 }
 
-// checkReport checks one report of a member's end against what was done to the member.
+// checkReport checks one report of a member's end against the faults injected into the member.
 func (t *cluster) checkReport(e Event, of int, state string, broken func(string, ...any)) {
 	if state == "left" && !t.stopped(of, e.At) {
-		broken("wrong word: %v after the start %d says that %d left, which nobody told to stop", e.At.Sub(t.began).Round(time.Millisecond), e.From, of)
+		broken("false leave report: %v after the start, front end %d reports that front end %d left, but it was not stopped", e.At.Sub(t.began).Round(time.Millisecond), e.From, of)
 	}
 	if state == "dead" && t.reachable(of, e.At) || state == "lost" && t.reachable(of, e.At) && t.reachable(e.From, e.At) {
-		broken("%s: %v after the start %d calls %d %s: %v, %v", "wrong death", e.At.Sub(t.began).Round(time.Millisecond), e.From, of, state, e.Fields["why"], e.Fields["witnesses"])
+		broken("%s: %v after the start, front end %d reports front end %d, which is reachable, as %s: reason %v, witnesses %v", "false death report", e.At.Sub(t.began).Round(time.Millisecond), e.From, of, state, e.Fields["why"], e.Fields["witnesses"])
 	}
 }
 
-// checkDeathsKnown checks that all that are up know of each front end that is gone for good.
+// checkDeathsKnown checks that all running front ends know of each front end that is down for good.
 func (t *cluster) checkDeathsKnown(res *Result, known map[[2]int]time.Time, broken func(string, ...any)) {
 	for _, s := range t.spans {
 		if !s.down || !s.to.IsZero() {
@@ -112,7 +114,7 @@
 			}
 			at, ok := known[[2]int{n, s.who}]
 			if !ok {
-				broken("unknown death: %d does not know that %d is gone", n, s.who)
+				broken("undetected death: front end %d has no report that front end %d is down", n, s.who)
 			}
 			last = max(last, at.Sub(s.from))
 		}
@@ -120,8 +122,8 @@
 	}
 }
 
-// checkAnswers checks what clients received against what engines did. A request at a process that did not run meanwhile may
-// have no answer: nobody there could give one.
+// checkAnswers checks what clients received against what engines executed. A request to a process that was down meanwhile
+// may stay without an answer.
 func (t *cluster) checkAnswers(res *Result, records []load.Record, runs []emulator.Run, broken func(string, ...any)) {
 	by, ran := map[string]load.Record{}, map[string]bool{}
 	for _, r := range runs {
@@ -138,7 +140,7 @@
 			if parts := strings.Split(f.Mark, "-"); len(parts) == 3 {
 				n, _ := strconv.Atoi(parts[1])
 				if slices.ContainsFunc(t.spans, func(s span) bool {
-					// A connection that its process left behind is found dead when it is used next.
+					// A client finds out that a connection of an earlier process is closed only at its next use.
 					return (s.down || s.disconnected || s.idleDisconnected && !ran[f.Mark]) && s.who == n && s.from.Add(-time.Second).Before(r.End) && (s.to.IsZero() || s.to.Add(reportGrace).After(r.Due))
 				}) {
 					continue
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -23,33 +23,33 @@
 
 // Options describe a run.
 type Options struct {
-	Root      string // the repository, whose examples are taken
-	Program   string
-	Dir       string // for files
-	Processes int    // 3 to 24
-	Engines   int
-	Rate      float64 // requests a second at each front end
-	Seed      uint64
-	Faults    []Fault
-	Span      time.Duration // from the time on when all have found each other
-	Alone     bool          // they are no members: nothing is checked of views
-	Log       io.Writer     // of all processes; nil: none
+	Root      string        // root of the repository, which holds the example configuration
+	Program   string        // path of the gateway program
+	Dir       string        // directory for the written files
+	Processes int           // number of front ends, 3 to 24
+	Engines   int           // number of engines
+	Rate      float64       // requests per second at each front end
+	Seed      uint64        // seeds the requests and the simulated network
+	Faults    []Fault       // schedule; nil: no faults
+	Span      time.Duration // duration of the run, counted from the time when all views agree
+	Alone     bool          // front ends run without membership, and views are not checked
+	Log       io.Writer     // receives the logs of all processes; nil: discarded
 }
 
-// Result is what was seen.
+// Result holds the observations of a run.
 type Result struct {
-	Events   []Event
-	Broken   []string // rules, each with what broke it
+	Events   []Event  // logged events of all front ends, by time
+	Broken   []string // violated invariants, each with the observation that violates it
 	Verdicts map[load.Verdict]int
 	Requests int
-	Began    time.Time       // when all had found each other
-	Found    time.Duration   // until all had found each other
-	Known    []time.Duration // of each crash: until the last survivor called it dead or lost
-	Views    int             // the most changes of the view that one front end had
-	Passed   int             // datagrams
-	Lost     int
-	CPU      time.Duration // of a process and second, the mean over those that ran all the time
-	Memory   int           // resident bytes of a process in the end, the same
+	Began    time.Time       // when all views first agreed
+	Found    time.Duration   // time from the start until all views agreed
+	Known    []time.Duration // for each front end that is down for good: time until the last survivor reported it
+	Views    int             // maximum number of view changes at one front end
+	Passed   int             // datagrams forwarded between front ends
+	Lost     int             // datagrams dropped between front ends
+	CPU      time.Duration   // CPU time of a process per second, the mean over the processes that ran for the whole span
+	Memory   int             // resident bytes of a process at the end, the mean over the same processes
 }
 
 // cluster is the state of one run.
@@ -57,36 +57,36 @@
 	opts    Options
 	mesh    *mesh
 	procs   []*frontEnd
-	proxies []connectionProxies // of each front end's connections
-	began   time.Time           // when all had found each other
+	proxies []connectionProxies // by front end
+	began   time.Time           // when all views first agreed
 
-	limits       map[limitKey]uint64 // what was before
-	starving     map[int]func()      // ends it
-	replacements sync.WaitGroup      // replacements under way
-	held         bool                // processes take each other's place at sockets that are held here
+	limits        map[limitKey]uint64 // soft limits before a fault, to be restored at its end
+	starving      map[int]func()      // by front end: stops the CPU starvation
+	replacements  sync.WaitGroup      // replacements under way
+	sharedSockets bool                // listening sockets are opened here and inherited by successive processes
 
 	mu      sync.Mutex
 	events  []Event
 	changed chan struct{} // closed and replaced at each event
-	spans   []span        // of front ends that were not there, or not heard by all
-	up      []bool
-	failed  error // of replacements
+	spans   []span        // times in which front ends were down or not reachable by all
+	up      []bool        // by front end: whether it belongs in the views
+	failed  error         // errors of replacements
 }
 
-// span is a time in which a front end could not be relied on.
+// span is a period in which a front end was impaired.
 type span struct {
-	who              int
-	from, to         time.Time // zero: to the end
+	who              int       // number of the front end, from 0
+	from, to         time.Time // zero to: until the end of the run
 	down             bool      // its process did not run
 	disconnected     bool      // its clients may have lost their connections
-	idleDisconnected bool      // the same, but only such as were idle: what was taken is answered
-	unreachable      []int     // with whom it had no whole way, both ways
+	idleDisconnected bool      // only idle client connections may have been lost: accepted requests are answered
+	unreachable      []int     // front ends with which it had no two-way contact
 }
 
-// limitKey is a resource of a front end.
+// limitKey identifies a resource limit of a front end.
 type limitKey struct{ who, resource int }
 
-// Run runs the schedule. It returns an error where that was not possible; broken invariants are in the result.
+// Run runs the schedule. It returns an error if the run could not be carried out; violated invariants are in Result.Broken.
 func Run(ctx context.Context, opts Options) (res *Result, err error) {
 	t := &cluster{
 		opts: opts, changed: make(chan struct{}), up: make([]bool, opts.Processes), proxies: make([]connectionProxies, opts.Processes), limits: map[limitKey]uint64{}, starving: map[int]func(){},
@@ -107,20 +107,20 @@
 	if err := t.prepare(r); err != nil {
 		return nil, err
 	}
-	defer func() { // by their ids, also where something failed
+	defer func() { // stops the processes after errors too
 		for _, end := range t.starving {
 			end()
 		}
 		for _, p := range t.procs {
-			p.end()
+			p.kill()
 		}
 	}()
-	if err := t.each(func(p *frontEnd) error { return t.start(p.n) }); err != nil {
+	if err := t.forEachFrontEnd(func(p *frontEnd) error { return t.start(p.n) }); err != nil {
 		return nil, err
 	}
 	started := time.Now()
-	if err := t.await(ctx, 30*time.Second, t.settled); err != nil {
-		return nil, fmt.Errorf("the front ends do not find each other: %w", err)
+	if err := t.await(ctx, 30*time.Second, t.viewsAgree); err != nil {
+		return nil, fmt.Errorf("the front ends did not agree on one membership view; see their logs: %w", err)
 	}
 	t.began = time.Now()
 	res = &Result{Verdicts: map[load.Verdict]int{}, Began: t.began, Found: t.began.Sub(started)}
@@ -141,9 +141,9 @@
 		running.Go(func() { s.Run(loading) })
 	}
 	costs := t.costs()
-	err = t.play(ctx)
+	err = t.runSchedule(ctx)
 	t.replacements.Wait()
-	t.spent(res, costs, t.costs())
+	t.recordCosts(res, costs, t.costs())
 	err = errors.Join(err, t.failed)
 	stop()
 	running.Wait()
@@ -156,7 +156,7 @@
 
 // checkRun waits until all views agree, and checks the invariants on what was observed.
 func (t *cluster) checkRun(ctx context.Context, res *Result, sources []*load.Source, ledger *emulator.Ledger) {
-	if err := t.await(ctx, settleTimeout, t.settled); err != nil {
+	if err := t.await(ctx, settleTimeout, t.viewsAgree); err != nil {
 		res.Broken = append(res.Broken, "views: "+t.views())
 	}
 	var records []load.Record
@@ -166,7 +166,7 @@
 	t.check(res, records, ledger.Runs())
 }
 
-// closeRelays closes all relays to, from and between the front ends.
+// closeRelays closes all proxies to, from and between the front ends.
 func (t *cluster) closeRelays() {
 	for i := range t.proxies {
 		t.proxies[i].close()
@@ -176,7 +176,8 @@
 	}
 }
 
-// openSources opens a source of requests for each front end, at the relay to it. With an error it returns those opened before.
+// openSources opens a source of requests for each front end, which connects through the front end's proxy. With an error, it
+// also returns the sources opened before.
 func (t *cluster) openSources() (sources []*load.Source, err error) {
 	for _, p := range t.procs {
 		addr, err := t.proxies[p.n].open(Clients, p.addr, t.opts.Seed)
@@ -195,7 +196,7 @@
 	return sources, nil
 }
 
-// costs are what processes have taken so far.
+// costs returns the resource use of all processes so far. The entry of a process that has ended is zero.
 func (t *cluster) costs() (all []cost) {
 	for _, p := range t.procs {
 		c, err := p.cost()
@@ -207,8 +208,8 @@
 	return all
 }
 
-// spent records what was used between two times, by those that ran at both.
-func (t *cluster) spent(res *Result, before, after []cost) {
+// recordCosts records the mean resource use between two samples, over the processes that ran at both.
+func (t *cluster) recordCosts(res *Result, before, after []cost) {
 	n := 0
 	for i, a := range after {
 		if b := before[i]; a.pid != 0 && a.pid == b.pid {
@@ -222,10 +223,10 @@
 	}
 }
 
-// settleTimeout is how long views may differ after the last fault.
+// settleTimeout is how long views may differ after the end of the schedule.
 const settleTimeout = 15 * time.Second
 
-// prepare writes the files of all front ends.
+// prepare creates the mesh and the proxies and writes the configuration files of all front ends.
 func (t *cluster) prepare(r *harness.Harness) error {
 	raw, err := os.ReadFile(r.Config)
 	if err != nil {
@@ -241,7 +242,7 @@
 			addrs = append(addrs, a)
 		}
 	}
-	t.held = slices.ContainsFunc(t.opts.Faults, func(f Fault) bool { return f.Do == Replace || f.Do == ReplaceOld || f.Do == ReplaceNew })
+	t.sharedSockets = slices.ContainsFunc(t.opts.Faults, func(f Fault) bool { return f.Do == Replace || f.Do == ReplaceOld || f.Do == ReplaceNew })
 	if t.mesh, err = newMesh(addrs, t.opts.Seed); err != nil {
 		return err
 	}
@@ -256,7 +257,7 @@
 		}
 		var peers []string
 		for j := range t.opts.Processes {
-			peers = append(peers, t.mesh.seen(i, j))
+			peers = append(peers, t.mesh.addressSeenBy(i, j))
 		}
 		file["name"], file["listen"], file["peer_listen"], file["peers"] = fmt.Sprintf("n%d", i), addr, addrs[i].String(), peers
 		settings := file["settings"].(map[string]any)
@@ -277,10 +278,10 @@
 			os.WriteFile(filepath.Join(dir, "fleet.toml"), []byte("peers = \"platform\"\n"), 0o600)); err != nil {
 			return err
 		}
-		f := &frontEnd{n: i, program: t.opts.Program, dir: dir, alone: t.opts.Alone, addr: addr, log: t.opts.Log, onEvent: t.record}
+		f := &frontEnd{n: i, program: t.opts.Program, dir: dir, notMember: t.opts.Alone, addr: addr, log: t.opts.Log, onEvent: t.record}
 		t.procs = append(t.procs, f)
-		if t.held {
-			if err := f.hold(); err != nil {
+		if t.sharedSockets {
+			if err := f.openSocket(); err != nil {
 				return err
 			}
 		}
@@ -288,7 +289,8 @@
 	return nil
 }
 
-// useProxies puts relays of a front end's own in place of what its file names.
+// useProxies replaces the addresses of the event bus and of the engines in a front end's configuration with those of
+// proxies of its own.
 func (t *cluster) useProxies(i int, file map[string]any, r *harness.Harness) (err error) {
 	w := &t.proxies[i]
 	if file["bus"], err = w.open(Bus, file["bus"].(string), t.opts.Seed); err != nil {
@@ -309,7 +311,8 @@
 	return nil
 }
 
-func (t *cluster) each(f func(*frontEnd) error) error {
+// forEachFrontEnd calls f for all front ends at the same time and waits for the calls to return.
+func (t *cluster) forEachFrontEnd(f func(*frontEnd) error) error {
 	errs := make([]error, len(t.procs))
 	var all sync.WaitGroup
 	for i, p := range t.procs {
@@ -319,6 +322,7 @@
 	return errors.Join(errs...)
 }
 
+// record appends a logged event and wakes the callers of await.
 func (t *cluster) record(e Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -327,7 +331,7 @@
 	t.changed = make(chan struct{})
 }
 
-// await waits until something is so, looking at each event.
+// await waits until the condition holds, evaluating it at each event. The condition is called with the lock held.
 func (t *cluster) await(ctx context.Context, timeout time.Duration, condition func() bool) error {
 	late := time.After(timeout)
 	for {
@@ -340,14 +344,14 @@
 		select {
 		case <-news:
 		case <-late:
-			return fmt.Errorf("not within %v", timeout)
+			return fmt.Errorf("the condition did not hold within %v", timeout)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// latest are the views that the front ends that are up have: the digests, and the sizes. The caller holds the lock.
+// latest returns the digest and the size of the latest view of each running front end. The caller must hold the lock.
 func (t *cluster) latest() (digest map[int]string, size map[int]int) {
 	digest, size = map[int]string{}, map[int]int{}
 	for _, e := range t.events {
@@ -362,8 +366,9 @@
 	return digest, size
 }
 
-// settled reports whether all that are up have the view of just these. The caller holds the lock.
-func (t *cluster) settled() bool {
+// viewsAgree reports whether all running front ends have the same view, of exactly as many members as are running. The
+// caller must hold the lock.
+func (t *cluster) viewsAgree() bool {
 	if t.opts.Alone {
 		return true
 	}
@@ -386,7 +391,7 @@
 	return len(seen) == 1
 }
 
-// views describes the views that differ.
+// views describes the latest view of each running front end.
 func (t *cluster) views() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -394,12 +399,13 @@
 	var all []string
 	for i, is := range t.up {
 		if is {
-			all = append(all, fmt.Sprintf("%d has %d members (%s)", i, size[i], digest[i]))
+			all = append(all, fmt.Sprintf("front end %d has %d members (digest %s)", i, size[i], digest[i]))
 		}
 	}
 	return strings.Join(all, ", ")
 }
 
+// start starts a front end and waits until it serves.
 func (t *cluster) start(n int) error {
 	t.mu.Lock()
 	t.up[n] = true
@@ -407,17 +413,17 @@
 	return t.procs[n].start()
 }
 
-// play does what the schedule says.
-func (t *cluster) play(ctx context.Context) error {
+// runSchedule begins and ends the scheduled faults at their times, and returns at the end of the span.
+func (t *cluster) runSchedule(ctx context.Context) error {
 	type step struct {
 		at time.Duration
 		do func() error
 	}
 	var steps []step
 	for _, f := range t.opts.Faults {
-		steps = append(steps, step{f.At, func() error { return t.do(f, faultBegins) }})
+		steps = append(steps, step{f.At, func() error { return t.applyFault(f, faultBegins) }})
 		if f.For > 0 {
-			steps = append(steps, step{f.At + f.For, func() error { return t.do(f, faultEnds) }})
+			steps = append(steps, step{f.At + f.For, func() error { return t.applyFault(f, faultEnds) }})
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
--- a/internal/testbed/cluster/connection_proxies.go
+++ b/internal/testbed/cluster/connection_proxies.go
@@ -8,7 +8,7 @@
 	"gannetspur/internal/testbed/faultproxy"
 )
 
-// Side names what a front end has connections with.
+// Side names the other end of a front end's connections, as experiment files write it.
 type Side string
 
 // Sides of a front end's connections.
@@ -18,18 +18,18 @@
 	Clients Side = "clients"
 )
 
-// Sides are all of them.
+// Sides lists all sides.
 var Sides = []Side{Engines, Bus, Clients}
 
-// connectionProxies are the relays of one front end's connections: one to each engine, one to the event bus, and one that its clients come
-// through. With the mesh's, nothing that a front end says or hears passes by a relay.
+// connectionProxies are the fault proxies of one front end's connections: one to each engine, one to the event bus, and one
+// for its clients. Together with the mesh, they carry all traffic of a front end.
 type connectionProxies struct{ all map[Side][]*faultproxy.Link }
 
-// open opens a relay to an address and returns where it listens.
+// open opens a proxy to an address and returns the address where the proxy listens.
 func (w *connectionProxies) open(side Side, to string, seed uint64) (string, error) {
 	l, err := faultproxy.Listen(to, faultproxy.Options{Seed: seed})
 	if err != nil {
-		return "", fmt.Errorf("%s: %w", side, err)
+		return "", fmt.Errorf("cannot open a proxy for side %s: %w", side, err)
 	}
 	if w.all == nil {
 		w.all = map[Side][]*faultproxy.Link{}
@@ -38,8 +38,8 @@
 	return l.Addr(), nil
 }
 
-// do has something happen to the ways on a side, of these numbers or, where none is given, of all.
-func (w *connectionProxies) do(side Side, which []int, kind faultproxy.Kind, span time.Duration) {
+// inject starts a fault on the proxies of a side. which holds the proxies' numbers; an empty one means all.
+func (w *connectionProxies) inject(side Side, which []int, kind faultproxy.Kind, span time.Duration) {
 	for i, l := range w.all[side] {
 		if len(which) == 0 || slices.Contains(which, i) {
 			l.Add(faultproxy.Fault{Kind: kind, For: span})
@@ -47,6 +47,7 @@
 	}
 }
 
+// close closes all proxies and their connections.
 func (w *connectionProxies) close() {
 	for _, all := range w.all {
 		for _, l := range all {
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -13,46 +13,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fault is what happens to front ends, or to the ways from some to others, at a time.
+// Fault is one scheduled fault of front ends, or of the network paths between them.
 type Fault struct {
-	At    time.Duration
-	For   time.Duration // pauses and changes of ways last so long; 0: to the end
+	At    time.Duration // start, relative to the start of the span
+	For   time.Duration // duration of a fault that ends; 0: until the end of the run
 	Do    Do
-	Who   []int // front ends from 0
-	To    []int // of ways: to these; nil: to all others
-	Back  bool  // and the way back
-	Share float64
-	Slow  time.Duration
-	Side  Side            // of Link: ways to engines (of the numbers in To, from 0; nil: all), to the bus, or from clients
-	Kind  faultproxy.Kind // of Link
+	Who   []int           // affected front ends, numbered from 0
+	To    []int           // of path faults: destination front ends; nil: all others
+	Back  bool            // of path faults: the opposite direction is affected too
+	Share float64         // fraction of the datagrams, or of the time for Starve; 0 to 1
+	Slow  time.Duration   // of Slow: the minimum additional latency
+	Side  Side            // of Link: connections to engines (numbers in To, from 0; nil: all), to the bus, or from clients
+	Kind  faultproxy.Kind // of Link: the fault to inject
 }
 
-// Do is a kind of fault.
+// Do is a kind of fault, as experiment files write it.
 type Do string
 
 // Kinds of fault.
 const (
-	Cut     Do = "cut"     // nothing passes
-	Lossy   Do = "lossy"   // a share is lost
-	Twice   Do = "twice"   // a share comes twice
-	Spoil   Do = "spoil"   // of a share a byte is changed
-	Slow    Do = "slow"    // datagrams take so much longer, and up to as much again
+	Cut     Do = "cut"     // no datagram passes
+	Lossy   Do = "lossy"   // the share Share of the datagrams is lost
+	Twice   Do = "twice"   // the share Share is duplicated
+	Spoil   Do = "spoil"   // one byte of the share Share is corrupted
+	Slow    Do = "slow"    // latency rises by Slow, plus a random part of up to Slow
 	Pause   Do = "pause"   // SIGSTOP, and SIGCONT later
 	Crash   Do = "crash"   // SIGKILL
 	Stop    Do = "stop"    // SIGTERM
-	Start   Do = "start"   // what ended starts again
-	Restart Do = "restart" // SIGKILL, and a start at once
+	Start   Do = "start"   // starts a front end that ended
+	Restart Do = "restart" // SIGKILL, then an immediate start
 
-	Replace    Do = "replace"     // another process takes the place, then SIGTERM to the one before
-	ReplaceOld Do = "replace-old" // the same, with SIGKILL: it dies in the middle
-	ReplaceNew Do = "replace-new" // the other process dies in the middle, and the one before goes on
-	Starve     Do = "starve"      // it stands still for Share of each tenth of a second
-	DiskFull   Do = "disk-full"   // nothing more can be written to files (RLIMIT_FSIZE)
-	NoFiles    Do = "no-files"    // no descriptor more than it has (RLIMIT_NOFILE)
-	Link       Do = "link"        // what Kind says happens to its connections on a Side
+	Replace    Do = "replace"     // a new process takes over, then the old one gets SIGTERM
+	ReplaceOld Do = "replace-old" // the same with SIGKILL: the old process dies during the handover
+	ReplaceNew Do = "replace-new" // the new process dies during the handover, and the old one continues
+	Starve     Do = "starve"      // stopped for the share Share of each 100 ms
+	DiskFull   Do = "disk-full"   // file writes fail (RLIMIT_FSIZE 0)
+	NoFiles    Do = "no-files"    // no further file descriptors (RLIMIT_NOFILE)
+	Link       Do = "link"        // the connections on Side get the fault Kind
 )
 
-// phase is a point in a fault's life.
+// phase is the beginning or the end of a fault.
 type phase int
 
 const (
@@ -60,11 +60,11 @@
 	faultEnds
 )
 
-// Kinds are all kinds of fault.
+// Kinds lists all kinds of fault.
 var Kinds = []Do{Cut, Lossy, Twice, Spoil, Slow, Pause, Crash, Stop, Start, Restart, Replace, ReplaceOld, ReplaceNew, Starve, DiskFull, NoFiles, Link}
 
-// do begins or ends a fault.
-func (t *cluster) do(f Fault, at phase) error {
+// applyFault begins or ends a fault, depending on the phase.
+func (t *cluster) applyFault(f Fault, at phase) error {
 	switch f.Do {
 	case Cut, Lossy, Twice, Spoil, Slow:
 		t.disturb(f, at)
@@ -79,11 +79,11 @@
 			t.replacements.Go(func() { t.replace(n, f.Do) })
 		}
 	case Link:
-		if at == faultBegins { // it ends by itself
+		if at == faultBegins { // the proxy ends the fault by itself
 			t.disturbConnections(f)
 		}
 	default:
-		return t.strain(f, at)
+		return t.limitResources(f, at)
 	}
 	return nil
 }
@@ -123,7 +123,7 @@
 	}
 }
 
-// pause stops a process or has it continue.
+// pause stops a process with SIGSTOP, or continues it.
 func (t *cluster) pause(n int, at phase) {
 	if at == faultBegins {
 		t.markDown(n, true)
@@ -134,7 +134,7 @@
 	t.markUp(n)
 }
 
-// endOrStart ends processes, starts them, or does both, after replacements under way there.
+// endOrStart stops processes, starts them, or does both. It first waits for replacements in progress at these front ends.
 func (t *cluster) endOrStart(f Fault) error {
 	for _, n := range f.Who {
 		t.procs[n].lifecycle.Lock()
@@ -151,21 +151,21 @@
 	return nil
 }
 
-// disturbConnections has a fault happen to front ends' connections on a side.
+// disturbConnections starts a fault on the connections of front ends on a side.
 func (t *cluster) disturbConnections(f Fault) {
 	for _, n := range f.Who {
-		t.proxies[n].do(f.Side, f.To, f.Kind, f.For)
+		t.proxies[n].inject(f.Side, f.To, f.Kind, f.For)
 		if f.Side == Clients {
 			t.noteBrokenConnections(n, f.For, false)
 		}
 	}
 }
 
-// replace has another process take the place of a front end's, while all else goes on.
+// replace replaces the process of a front end while the schedule continues. It records an error in t.failed.
 func (t *cluster) replace(n int, how Do) {
 	var err error
 	switch how {
-	case ReplaceNew: // the process that serves goes on, with all its clients
+	case ReplaceNew: // the serving process continues, with all its clients
 		err = t.procs[n].replaceAborted()
 	case ReplaceOld:
 		t.noteBrokenConnections(n, startTimeout, false)
@@ -181,7 +181,7 @@
 	}
 }
 
-// noteBrokenConnections notes that connections of a front end's clients may end, or only idle ones.
+// noteBrokenConnections records that client connections of a front end, or only the idle ones, may close within maxTime.
 func (t *cluster) noteBrokenConnections(n int, maxTime time.Duration, idle bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,11 +189,11 @@
 	t.spans = append(t.spans, span{who: n, from: now, to: now.Add(maxTime), disconnected: !idle, idleDisconnected: idle})
 }
 
-// starvePeriod is how often a process that is starved of time stands still.
+// starvePeriod is the interval at which a process starved of CPU time is stopped.
 const starvePeriod = 100 * time.Millisecond
 
-// strain takes from a process what it needs of the machine, or gives it back.
-func (t *cluster) strain(f Fault, at phase) error {
+// limitResources limits the CPU time, file size or file descriptors of processes, or lifts the limit.
+func (t *cluster) limitResources(f Fault, at phase) error {
 	for _, n := range f.Who {
 		p := t.procs[n]
 		var err error
@@ -207,11 +207,11 @@
 				t.starving[n] = p.starve(time.Duration(f.Share * float64(starvePeriod)))
 			}
 		case DiskFull:
-			err = t.limit(n, unix.RLIMIT_FSIZE, 0, at)
+			err = t.setLimit(n, unix.RLIMIT_FSIZE, 0, at)
 		case NoFiles:
 			var open uint64
-			if open, err = p.open(); err == nil {
-				err = t.limit(n, unix.RLIMIT_NOFILE, open, at)
+			if open, err = p.openDescriptors(); err == nil {
+				err = t.setLimit(n, unix.RLIMIT_NOFILE, open, at)
 			}
 		}
 		if err != nil {
@@ -221,19 +221,20 @@
 	return nil
 }
 
-func (t *cluster) limit(n, resource int, cur uint64, at phase) error {
+// setLimit sets a soft resource limit of a front end at the beginning of a fault, and restores it at the end.
+func (t *cluster) setLimit(n, resource int, cur uint64, at phase) error {
 	key := limitKey{n, resource}
 	if at == faultEnds {
 		cur = t.limits[key]
 	}
-	was, err := t.procs[n].limit(resource, cur)
+	was, err := t.procs[n].setLimit(resource, cur)
 	if err == nil && at == faultBegins {
 		t.limits[key] = was
 	}
 	return err
 }
 
-// kill ends processes.
+// kill ends processes with the signal of the fault and waits for their end.
 func (t *cluster) kill(f Fault) error {
 	for _, n := range f.Who {
 		s := syscall.SIGKILL
@@ -247,20 +248,21 @@
 		if err := t.procs[n].wait(); err != nil {
 			return err
 		}
-		if f.Do != Restart { // with its machine: clients that connect are refused, and do not wait for nobody
-			t.procs[n].drop()
+		if f.Do != Restart { // as if the machine were gone: connecting clients are refused instead of waiting in the backlog
+			t.procs[n].closeSocket()
 		}
 	}
 	return nil
 }
 
+// startAgain starts front ends that ended, all at the same time.
 func (t *cluster) startAgain(who []int) error {
 	errs := make([]error, len(who))
 	var all sync.WaitGroup
 	for i, n := range who {
 		all.Go(func() {
-			if t.held && t.procs[n].socket == nil {
-				errs[i] = t.procs[n].hold()
+			if t.sharedSockets && t.procs[n].socket == nil {
+				errs[i] = t.procs[n].openSocket()
 			}
 			errs[i] = errors.Join(errs[i], t.start(n))
 			t.markUp(n)
@@ -270,7 +272,7 @@
 	return errors.Join(errs...)
 }
 
-// markDown notes that a process does not run from now on; counts tells that it is still one of those who serve.
+// markDown records that a process is down from now on. counts says whether the front end still belongs in the views.
 func (t *cluster) markDown(n int, counts bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -278,6 +280,7 @@
 	t.spans = append(t.spans, span{who: n, from: time.Now(), down: true})
 }
 
+// markUp records that a front end is running again.
 func (t *cluster) markUp(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,7 +291,7 @@
 	}
 }
 
-// notePartition notes between whom nothing passes in one direction at least.
+// notePartition records between which front ends at least one direction is cut, or no longer is.
 func (t *cluster) notePartition(f Fault, to []int, at phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testbed/cluster/mesh.go
+++ b/internal/testbed/cluster/mesh.go
@@ -1,5 +1,5 @@
 // Package cluster runs several gateway processes as one cluster with emulated engines, event bus and clients. It puts
-// relays between them, injects the faults of a schedule, merges what all processes logged, and checks the invariants.
+// proxies between them, injects the faults of a schedule, merges the logs of all processes, and checks the invariants.
 package cluster
 
 import (
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// path is what happens on the path from one front end to another.
+// path holds the faults of the one-way path from one front end to another. Its zero value has none.
 type path struct {
-	cut        bool
-	loss       float64
-	duplicated float64       // share that comes twice
-	corrupted  float64       // share of which a byte is changed
-	delay      time.Duration // each takes longer by this, and by up to as much again
+	cut        bool          // all datagrams are dropped
+	loss       float64       // share of dropped datagrams, 0 to 1
+	duplicated float64       // share of duplicated datagrams, 0 to 1
+	corrupted  float64       // share of datagrams with one changed byte, 0 to 1
+	delay      time.Duration // additional latency, plus a random part of up to as much
 }
 
-// mesh relays datagrams between front ends: each has an address of its own for each other one, which is where that
-// other seems to be, for all that it sends and hears.
+// mesh relays datagrams between front ends. For each pair of front ends, it has a socket that stands for the one towards
+// the other: the other sends to its address and receives from it.
 type mesh struct {
 	n     int
 	addrs []netip.AddrPort
-	socks [][]*net.UDPConn // [a][b]: b as a sees it
+	socks [][]*net.UDPConn // [a][b] stands for b towards a
 
 	mu      sync.Mutex
 	paths   [][]path
@@ -65,15 +65,15 @@
 	return m, nil
 }
 
-// seen is where a front end sees another one, and itself.
-func (m *mesh) seen(a, b int) string {
+// addressSeenBy returns the address at which front end a reaches front end b; for a itself, its own address.
+func (m *mesh) addressSeenBy(a, b int) string {
 	if a == b {
 		return m.addrs[a].String()
 	}
 	return m.socks[a][b].LocalAddr().String()
 }
 
-// relay passes on what a sends to b.
+// relay forwards the datagrams from a to b, with the faults of the path.
 func (m *mesh) relay(a, b int) {
 	buf := make([]byte, 2048)
 	for {
@@ -106,7 +106,7 @@
 		to := net.UDPAddrFromAddrPort(m.addrs[b])
 		for range times {
 			if later == 0 {
-				_, _ = back.WriteToUDP(buf[:n], to) // one that is down receives nothing
+				_, _ = back.WriteToUDP(buf[:n], to) // fails if b is down
 				continue
 			}
 			payload := append([]byte(nil), buf[:n]...)
@@ -115,7 +115,7 @@
 	}
 }
 
-// change changes the ways from some to others.
+// change applies f to all paths from one group of front ends to another.
 func (m *mesh) change(from, to []int, f func(*path)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -20,63 +20,63 @@
 	"golang.org/x/sys/unix"
 )
 
-// Event is one line of a process's log.
+// Event is one log record of a process.
 type Event struct {
 	At     time.Time
-	From   int // the front end, from 0
-	Name   string
-	Fields map[string]any
+	From   int            // number of the front end, from 0
+	Name   string         // the record's message
+	Fields map[string]any // all attributes of the record
 }
 
-// frontEnd is one frontEnd end: a process at a time, or two while one takes the other's place.
+// frontEnd is one front end. It has one process at a time, or two during a replacement.
 type frontEnd struct {
-	n       int
-	program string
-	dir     string
-	alone   bool     // it is no member
-	addr    string   // where clients connect
-	socket  *os.File // listens there, where processes take each other's place; nil: each opens its own
-	log     io.Writer
-	onEvent func(Event)
+	n         int
+	program   string
+	dir       string
+	notMember bool     // it runs without membership
+	addr      string   // listen address for clients
+	socket    *os.File // inherited listening socket at addr; nil: each process opens its own
+	log       io.Writer
+	onEvent   func(Event)
 
-	lifecycle sync.Mutex // of whoever has processes of it end or follow each other
+	lifecycle sync.Mutex // serializes stops, starts and replacements
 	mu        sync.Mutex
 	current   *process
-	failed    error // one ended though nobody told it to
+	failed    error // a process ended without a request; nil: none
 }
 
-// process is one of a front end.
+// process is one process of a front end.
 type process struct {
 	cmd          *exec.Cmd
-	serves       chan struct{}
-	ended        chan struct{}
-	endRequested bool // to end
+	serves       chan struct{} // closed when it serves
+	ended        chan struct{} // closed when it has ended
+	endRequested bool          // its end was requested by a signal
 }
 
-// hold opens the socket that processes of the front end follow each other at, as the platform does.
-func (f *frontEnd) hold() (err error) {
+// openSocket opens the listening socket that successive processes of the front end inherit, as on the platform.
+func (f *frontEnd) openSocket() (err error) {
 	if f.socket, _, err = harness.OpenListener(f.addr); err != nil {
 		return fmt.Errorf("front end %d: %w", f.n, err)
 	}
 	return nil
 }
 
-// drop lets go of the socket.
-func (f *frontEnd) drop() {
+// closeSocket closes the inherited listening socket, if there is one.
+func (f *frontEnd) closeSocket() {
 	if f.socket != nil {
 		_ = f.socket.Close()
 		f.socket = nil
 	}
 }
 
-// begin starts a process.
-func (f *frontEnd) begin() (*process, error) {
+// startProcess starts a process without waiting until it serves.
+func (f *frontEnd) startProcess() (*process, error) {
 	out, w, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("front end %d: %w", f.n, err)
 	}
 	args := []string{"serve", "--config", filepath.Join(f.dir, "config.json")}
-	if !f.alone {
+	if !f.notMember {
 		args = append(args, "--fleet", filepath.Join(f.dir, "fleet.toml"))
 	}
 	cmd := exec.Command(f.program, args...)
@@ -97,7 +97,7 @@
 	return p, nil
 }
 
-// read hears what a process logs, until it ends.
+// read parses the log of a process until it ends.
 func (f *frontEnd) read(p *process, out io.ReadCloser) {
 	defer close(p.ended)
 	once := sync.OnceFunc(func() { close(p.serves) })
@@ -121,13 +121,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !p.endRequested {
-		f.failed = fmt.Errorf("front end %d ended by itself: %w", f.n, err)
+		f.failed = fmt.Errorf("front end %d ended without a request: %w", f.n, err)
 	}
 }
 
 // start starts a process, and waits until it serves.
 func (f *frontEnd) start() error {
-	p, err := f.begin()
+	p, err := f.startProcess()
 	if err != nil {
 		return err
 	}
@@ -137,22 +137,23 @@
 	return f.await(p)
 }
 
-// startTimeout is how long a process may take until it serves.
+// startTimeout is the maximum time from the start of a process until it serves.
 const startTimeout = 20 * time.Second
 
+// await waits until a process serves.
 func (f *frontEnd) await(p *process) error {
 	select {
 	case <-p.serves:
 		return nil
 	case <-p.ended:
-		return fmt.Errorf("front end %d did not start", f.n)
+		return fmt.Errorf("front end %d ended before it served; see its log", f.n)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("front end %d does not serve", f.n)
+		return fmt.Errorf("front end %d does not serve within %v; see its log", f.n, startTimeout)
 	}
 }
 
-// replace starts a process that takes the place of the one that runs. Once the new one serves, the old one is told to end
-// by a signal, as the platform does. Where the new one does not serve, the old one goes on.
+// replace starts a process that takes over from the running one. Once the new one serves, the old one gets the signal to
+// end, as on the platform. If the new one does not serve, the old one continues.
 func (f *frontEnd) replace(signal syscall.Signal) error {
 	f.lifecycle.Lock()
 	defer f.lifecycle.Unlock()
@@ -160,7 +161,7 @@
 	if old.hasEnded() {
 		return nil
 	}
-	next, err := f.begin()
+	next, err := f.startProcess()
 	if err != nil {
 		return err
 	}
@@ -177,14 +178,14 @@
 	return f.waitForEnd(old)
 }
 
-// replaceAborted starts a process that would take the place of the one that runs, and kills it at once: the old one goes on.
+// replaceAborted starts a process that would take over from the running one, and kills it at once. The old one continues.
 func (f *frontEnd) replaceAborted() error {
 	f.lifecycle.Lock()
 	defer f.lifecycle.Unlock()
 	if f.running().hasEnded() {
 		return nil
 	}
-	next, err := f.begin()
+	next, err := f.startProcess()
 	if err != nil {
 		return err
 	}
@@ -202,7 +203,7 @@
 	}
 }
 
-// endTimeout is how long a process may take to end.
+// endTimeout is the maximum time that a process may take to end.
 const endTimeout = 10 * time.Second
 
 // waitForEnd waits for the end of a process.
@@ -212,11 +213,11 @@
 		return nil
 	case <-time.After(endTimeout):
 		f.sendSignal(p, syscall.SIGKILL, true)
-		return fmt.Errorf("front end %d: its process does not end", f.n)
+		return fmt.Errorf("front end %d: its process did not end within %v", f.n, endTimeout)
 	}
 }
 
-// sendSignal sends a signal to a process that was started here; last tells that it is to end by it.
+// sendSignal sends a signal to a process started by this front end. last says that the signal requests its end.
 func (f *frontEnd) sendSignal(p *process, s syscall.Signal, last bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,20 +225,21 @@
 		return
 	}
 	p.endRequested = p.endRequested || last
-	_ = p.cmd.Process.Signal(s) // one that has ended needs none
+	_ = p.cmd.Process.Signal(s) // fails only if the process has ended
 }
 
-// signal sends a signal to the process that runs.
+// signal sends a signal to the current process.
 func (f *frontEnd) signal(s syscall.Signal, last bool) { f.sendSignal(f.running(), s, last) }
 
+// running returns the current process; nil: none was started.
 func (f *frontEnd) running() *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current
 }
 
-// limit changes what the process that runs may have of a resource, and tells what it might before.
-func (f *frontEnd) limit(resource int, cur uint64) (was uint64, err error) {
+// setLimit sets a soft resource limit of the current process, at most its hard limit, and returns the previous soft limit.
+func (f *frontEnd) setLimit(resource int, cur uint64) (was uint64, err error) {
 	p := f.running()
 	var old, set unix.Rlimit
 	if err := unix.Prlimit(p.cmd.Process.Pid, resource, nil, &old); err != nil {
@@ -248,7 +250,7 @@
 	return old.Cur, unix.Prlimit(p.cmd.Process.Pid, resource, &set, nil)
 }
 
-// starve has the process that runs stand still for a part of each strainEvery, until what is returned is called.
+// starve stops the current process for the duration still in each starvePeriod, until the returned function is called.
 func (f *frontEnd) starve(still time.Duration) (end func()) {
 	p, over, done := f.running(), make(chan struct{}), make(chan struct{})
 	go func() {
@@ -257,7 +259,7 @@
 		defer tick.Stop()
 		for {
 			f.sendSignal(p, syscall.SIGSTOP, false)
-			time.Sleep(still) // this is what is played: it waits for nothing
+			time.Sleep(still) // the duration is the fault itself; there is no event to wait for
 			f.sendSignal(p, syscall.SIGCONT, false)
 			select {
 			case <-over:
@@ -272,30 +274,30 @@
 	}
 }
 
-// open is how many descriptors the process that runs has.
-func (f *frontEnd) open() (uint64, error) {
+// openDescriptors returns the number of open file descriptors of the current process.
+func (f *frontEnd) openDescriptors() (uint64, error) {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.running().cmd.Process.Pid))
 	return uint64(len(all)), err
 }
 
-// cost is what a process has taken of its machine.
+// cost is the resource use of a process.
 type cost struct {
 	pid    int
-	cpu    time.Duration // by all its threads, in hundredths of a second
+	cpu    time.Duration // CPU time of all its threads, with a resolution of 10 ms
 	memory int           // resident bytes
 }
 
-// cost reads it of the process that runs (proc(5): stat and statm).
+// cost reads the resource use of the current process from /proc/PID/stat (proc(5)).
 func (f *frontEnd) cost() (cost, error) {
 	c := cost{pid: f.running().cmd.Process.Pid}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.pid))
 	if err != nil {
 		return c, err
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // behind the program's name
+	_, rest, _ := strings.Cut(string(stat), ") ") // skips the program's name, which may contain spaces
 	words := strings.Fields(rest)
 	if len(words) < 22 {
-		return c, fmt.Errorf("stat of process %d: %d words", c.pid, len(words))
+		return c, fmt.Errorf("stat of process %d: got %d fields after the program name, want at least 22", c.pid, len(words))
 	}
 	var ticks [2]int
 	for i := range ticks {
@@ -308,16 +310,16 @@
 	return c, err
 }
 
-// end ends what runs, whatever it does, and waits.
-func (f *frontEnd) end() {
+// kill kills the current process, waits for its end and closes the inherited socket.
+func (f *frontEnd) kill() {
 	if p := f.running(); p != nil {
 		f.signal(syscall.SIGKILL, true)
-		_ = f.wait() // nothing more can be done to one that outlives it
+		_ = f.wait() // nothing more can be done if it outlives SIGKILL
 	}
-	f.drop()
+	f.closeSocket()
 }
 
-// wait waits for the end of what was told to end.
+// wait waits for the end of the current process.
 func (f *frontEnd) wait() error {
 	if p := f.running(); p != nil {
 		return f.waitForEnd(p)
--- a/internal/testbed/cluster/random_faults.go
+++ b/internal/testbed/cluster/random_faults.go
@@ -7,8 +7,8 @@
 	"gannetspur/internal/testbed/faultproxy"
 )
 
-// Drawn returns a random schedule, the same for the same seed: faults of all kinds, one after the other and at once.
-// The last quarter of the span is quiet.
+// Drawn returns a random schedule of count faults, the same for the same seed. Faults of different kinds may overlap. All
+// end before the last quarter of the span, which is free of faults.
 func Drawn(seed uint64, processes, engines, count int, span time.Duration) (faults []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x74696572))
 	who := func(maxCount int) []int {
@@ -36,7 +36,7 @@
 			f.For = min(f.For, 10*time.Second)
 		case 6:
 			f.Do, f.For, f.Who = Restart, 0, f.Who[:1]
-		case 7: // and starts again, so that a crash and a pause don't meet at one
+		case 7: // a restart in place of a crash, so that a crash and a pause never coincide at one front end
 			f.Do, f.For, f.Who = Restart, 0, f.Who[:1]
 			f.At += quiet / 4
 		case 8, 9:
