--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -17,40 +17,40 @@
 	"gannetspur/internal/testbed/workcost"
 )
 
-// Ways in which a new version comes into service.
+// Ways in which a new version comes into service, as experiment files write them.
 const (
-	Nothing  = "nothing" // none does: what a span is worth by itself
-	TakeOver = "upgrade" // it takes over
-	Forget   = "forget"  // it takes over, but for what the decision module has learned
-	Restart  = "restart" // the old one is stopped by plan, the new one starts cold at its address
+	Nothing  = "nothing" // no new version: the baseline
+	TakeOver = "upgrade" // it takes over from the running process
+	Forget   = "forget"  // it takes over without the learned state of the decision module
+	Restart  = "restart" // the old process is stopped gracefully, then the new one starts cold at its address
 )
 
-// ServiceOptions say what to play.
+// ServiceOptions configure a run of PlayService.
 type ServiceOptions struct {
-	Way         string
-	Root, Dir   string
-	Program     string
-	Lab         string // this program
+	Way         string // how the new version comes into service
+	Root, Dir   string // root of the repository; directory for the written files
+	Program     string // path of the gateway program
+	Lab         string // path of the testbed program, which runs scripted processes
 	Engines     int
-	Crowded     int     // engines that another program has most of
-	Share       float64 // which it has
-	Rate        float64
-	Connections int
-	Warm        time.Duration // before the span that is compared
-	Span        time.Duration // before the event, and after it
+	Crowded     int           // number of engines whose machine is shared with another program
+	Share       float64       // fraction of such a machine that the other program uses, 0 to 1
+	Rate        float64       // requests per second
+	Connections int           // client connections
+	Warm        time.Duration // warm-up before the first measured span
+	Span        time.Duration // length of each measured span: one before the event, one after
 	Seed        uint64
-	Log         io.Writer
+	Log         io.Writer // log of the gateways
 }
 
-// Service is what a span before the event and one after it were worth.
+// Service compares the value of the answers in the spans before and after the event.
 type Service struct {
-	Before, After float64 // worth of answers in time over what was asked for
-	Lost          int     // requests with no answer, or that found nobody
-	Requests      int
-	Faults        []load.Fault
+	Before, After float64      // value of timely answers, as a fraction of the value of all requests
+	Lost          int          // requests without an answer or without a connection
+	Requests      int          // requests in both spans
+	Faults        []load.Fault // violated rules
 }
 
-// PlayService plays one event and tells what it cost.
+// PlayService runs one event under traffic and returns the service before and after it.
 func PlayService(ctx context.Context, opts ServiceOptions) (res *Service, err error) {
 	ledger := emulator.NewLedger(window)
 	g, err := open(ctx, Options{
@@ -92,19 +92,19 @@
 	case TakeOver:
 		u, err := g.upgrade(ctx, Good, nil)
 		if err != nil || !u.Right {
-			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", u.Why), err)
+			return nil, errors.Join(fmt.Errorf("want the upgrade to succeed, but it ended with %q; see the gateways' log", u.Why), err)
 		}
 	case Forget:
 		r := admin.Request{Command: admin.CommandUpgrade, Program: opts.Lab, Args: append([]string{"scripted", "forget", opts.Program}, g.args...)}
 		last, err := admin.Call(ctx, g.admin, r, func(admin.Reply) {})
 		if err != nil || last.Problem != "" {
-			return nil, errors.Join(fmt.Errorf("the upgrade ended with %q", last.Problem), err)
+			return nil, errors.Join(fmt.Errorf("want the upgrade to succeed, but it ended with %q; see the gateways' log", last.Problem), err)
 		}
 	case Restart:
 		_ = g.first.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-g.first.Ended:
-			g.first.Ended <- nil // for whoever stops it again
+			g.first.Ended <- nil // lets a later Stop return
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -112,7 +112,7 @@
 			return nil, err
 		}
 	default:
-		return nil, fmt.Errorf("there is no way %q", opts.Way)
+		return nil, fmt.Errorf("unknown way %q; use one of %q", opts.Way, []string{Nothing, TakeOver, Forget, Restart})
 	}
 	if err := harness.Sleep(ctx, time.Until(event.Add(opts.Span))); err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 	stop()
 	running.Wait()
 	res = &Service{}
-	var got, asked [2]float64
+	var got, asked [2]float64 // value before and after the event
 	for _, rec := range s.Records() {
 		span := 0
 		switch since := rec.Due.Sub(event); {
@@ -141,7 +141,7 @@
 	}
 	res.Before, res.After = got[0]/asked[0], got[1]/asked[1]
 	for _, f := range load.Check(s.Records(), ledger.Runs(), window) {
-		if opts.Way != Restart || f.Rule != "no answer" && f.Rule != "not reached" { // a restart loses those: they are counted
+		if opts.Way != Restart || f.Rule != "no answer" && f.Rule != "not reached" { // a restart loses requests: Lost counts them
 			res.Faults = append(res.Faults, f)
 		}
 	}
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -1,5 +1,5 @@
-// Package upgrades plays upgrades of a gateway under steady traffic, good ones and ones that
-// are broken in every way that is known, and judges what clients and engines saw of them.
+// Package upgrades runs upgrades of a gateway under steady traffic, both to good versions and to
+// versions that are broken in each known way, and checks what clients and engines saw.
 package upgrades
 
 import (
@@ -26,10 +26,10 @@
 	"gannetspur/internal/testbed/traffic"
 )
 
-// Good is the kind of an upgrade that must go through.
+// Good is the kind of upgrade that must succeed.
 const Good = "good"
 
-// Broken are the kinds of new versions that must not, and what each does.
+// Broken maps the kinds of upgrade that must fail to what the new version does.
 var Broken = map[string]string{
 	"exit":         "ends at once",
 	"missing":      "there is no such program",
@@ -45,80 +45,80 @@
 	"errors":       "answers errors only, or refuses all",
 }
 
-// window is how long engines drop repeats of a key, as the settings say.
+// window is how long engines drop requests with a repeated idempotency key, as in the settings.
 const window = 12 * time.Second
 
-// Options say what to play on one front.
+// Options configure a run on one frontend.
 type Options struct {
-	Front       string // rest or postgres
-	Root        string // the repository
-	Dir         string // for files
-	Program     string // ringwood
-	Lab         string // this program, for scripted processes
+	Front       string // frontend: rest or postgres
+	Root        string // root of the repository
+	Dir         string // directory for the written files
+	Program     string // path of the gateway program
+	Lab         string // path of the testbed program, which runs scripted processes
 	Engines     int
-	Work        time.Duration // of each statement
-	Connections int
-	Rate        float64
-	Loads       float64
-	Writes      float64
-	Churn       float64
-	Recorded    []traffic.Record // statements in place of the clients' own; of the PostgreSQL front
-	Kinds       []string         // of the upgrades, in order
-	MayReturn   bool             // a good one may be returned from: troubles of the engines are taken for its own
-	Gap         time.Duration
-	ProveFor    time.Duration
-	Link        *faultproxy.Options // between gateway and engines; nil: none
-	Events      []Event             // among the engines, by time from the first upgrade
+	Work        time.Duration       // execution time of each statement
+	Connections int                 // client connections
+	Rate        float64             // requests per second
+	Loads       float64             // fraction of requests that are loads, 0 to 1
+	Writes      float64             // fraction of requests that are writes; rest: always 0
+	Churn       float64             // connection churn, as in load.Options
+	Recorded    []traffic.Record    // statements in place of generated ones; PostgreSQL frontend only
+	Kinds       []string            // kinds of the upgrades, in order
+	MayReturn   bool                // a good upgrade may be rolled back, because engine faults can be taken for its own
+	Gap         time.Duration       // pause after each upgrade
+	ProveFor    time.Duration       // probation of a new version
+	Link        *faultproxy.Options // faults between gateway and engines; nil: direct connections
+	Events      []Event             // events, timed from the start of the first upgrade
 	Seed        uint64
-	Log         io.Writer // of the gateways
-	Each        func(Upgrade)
+	Log         io.Writer     // log of the gateways
+	Each        func(Upgrade) // called after each upgrade
 }
 
-// Reconnect has every client whose connection is free close it and make another, all at once.
+// Reconnect is the event at which all clients with an idle connection close it and open a new one at
+// the same time.
 const Reconnect = "reconnect"
 
-// Event is Reconnect, or something that happens to an engine or to what tells of them
-// (emul.Fleet.Do).
+// Event is Reconnect, or a change of an engine or of its discovery (emulator.Fleet.Apply).
 type Event struct {
-	At     time.Duration
+	At     time.Duration // since the start of the first upgrade
 	Do     string
-	Engine int
+	Engine int // number of the engine, for events of engines
 }
 
-// Upgrade is one upgrade that was played.
+// Upgrade is the outcome of one upgrade.
 type Upgrade struct {
 	Kind        string
 	Began, Done time.Time
-	Why         string // of a return; "": it went through
-	Right       bool   // it ended as its kind must
+	Why         string // reason of the rollback or failure; "": it succeeded
+	Right       bool   // it ended as its kind requires
 }
 
-// Result is what was seen.
+// Result holds the observations of a run.
 type Result struct {
 	Upgrades []Upgrade
 	Records  []load.Record
 	Runs     []emulator.Run
 	Faults   []load.Fault
-	Ended    int // connections that had ended without a word, at the end
-	Unasked  int // that had an answer waiting that nobody asked for
-	Resident int64
-	Extra    int64     // the most that both processes of an upgrade took beyond what the one had taken
-	Stable   time.Time // traffic before this is the steady state
+	Ended    int       // idle connections found closed at the end of the run
+	Unasked  int       // connections with an unsolicited answer at the end of the run
+	Resident int64     // resident memory of the gateway at the end, bytes
+	Extra    int64     // maximum additional resident memory during a good upgrade, bytes
+	Stable   time.Time // end of the start-up: traffic from here until the first upgrade is the steady state
 }
 
-// gate is the gateway that serves just now, whichever process that is.
-type gate struct {
-	opts  Options
-	rig   *harness.Harness
-	addr  string
-	admin string
-	args  []string
-	first *harness.Gateway
+// gatewayUnderTest is the gateway that serves at an address, whichever process that is at present.
+type gatewayUnderTest struct {
+	opts    Options
+	harness *harness.Harness
+	addr    string
+	admin   string
+	args    []string
+	first   *harness.Gateway
 }
 
-// open sets a gateway up between engines, and returns once it serves. set says what is set up
-// beside what the options say.
-func open(ctx context.Context, opts Options, set harness.Options) (g *gate, err error) {
+// open starts the emulated systems and a gateway, and returns once it serves. set holds further
+// options of the harness.
+func open(ctx context.Context, opts Options, set harness.Options) (g *gatewayUnderTest, err error) {
 	addr, err := harness.UnusedAddress()
 	if err != nil {
 		return nil, err
@@ -129,28 +129,28 @@
 	if err != nil {
 		return nil, err
 	}
-	g = &gate{opts: opts, rig: r, addr: addr, admin: filepath.Join(opts.Dir, "admin")}
-	if err = g.write(); err == nil {
+	g = &gatewayUnderTest{opts: opts, harness: r, addr: addr, admin: filepath.Join(opts.Dir, "admin")}
+	if err = g.writeFiles(); err == nil {
 		g.first, err = harness.Start(opts.Program, opts.Log, g.args...)
 	}
 	if err != nil {
 		r.Close()
 		return nil, err
 	}
-	if err := g.settled(ctx); err != nil {
+	if err := g.waitServing(ctx); err != nil {
 		g.close()
 		return nil, err
 	}
 	return g, nil
 }
 
-// close ends the gateway, and what is round it.
-func (g *gate) close() {
+// close stops the gateway and the emulated systems.
+func (g *gatewayUnderTest) close() {
 	g.stop()
-	g.rig.Close()
+	g.harness.Close()
 }
 
-// Play plays the upgrades.
+// Play runs the upgrades under traffic and checks the observations.
 func Play(ctx context.Context, opts Options) (res *Result, err error) {
 	ledger := emulator.NewLedger(window)
 	g, err := open(ctx, opts, harness.Options{
@@ -160,11 +160,11 @@
 		return nil, err
 	}
 	defer g.close()
-	r, addr := g.rig, g.addr
+	r, addr := g.harness, g.addr
 	dial := func(seed uint64) (load.Client, error) { return load.DialHTTP(addr, seed) }
 	name := "1"
 	if opts.Front == "rest" {
-		opts.Writes, opts.Recorded = 0, nil // the toy settings have no class for them
+		opts.Writes, opts.Recorded = 0, nil // the example settings have no class for writes
 	} else {
 		dial, name = func(uint64) (load.Client, error) { return load.DialPostgres(addr) }, "2"
 	}
@@ -198,7 +198,7 @@
 		defer t.Stop()
 	}
 	for _, kind := range opts.Kinds {
-		sampled := g.sample(ctx, kind == Good)
+		sampled := g.sampleMemory(ctx, kind == Good)
 		u, err := g.upgrade(ctx, kind, chance)
 		res.Extra = max(res.Extra, sampled())
 		if err != nil {
@@ -242,7 +242,7 @@
 	return res, nil
 }
 
-// during names the upgrade that a request met.
+// during describes the upgrade that overlapped with a request; "": none.
 func (res *Result) during(mark string) string {
 	for _, r := range res.Records {
 		if r.Mark != mark {
@@ -257,8 +257,8 @@
 	return ""
 }
 
-// settled waits until the gateway serves what it is asked: it knows its engines.
-func (g *gate) settled(ctx context.Context) error {
+// waitServing waits until the gateway serves a lookup, which shows that it knows its engines.
+func (g *gatewayUnderTest) waitServing(ctx context.Context) error {
 	for {
 		var c load.Client
 		var err error
@@ -275,16 +275,16 @@
 			}
 		}
 		if over := harness.Sleep(ctx, 50*time.Millisecond); over != nil {
-			return errors.Join(errors.New("the gateway never served"), err, over)
+			return errors.Join(errors.New("the gateway did not answer a lookup before the context ended; see its log"), err, over)
 		}
 	}
 }
 
-// write writes the files of the gateway and of the broken ones.
-func (g *gate) write() error {
+// writeFiles writes the configuration files of the gateway and of the broken versions.
+func (g *gatewayUnderTest) writeFiles() error {
 	text, err := os.ReadFile(filepath.Join(g.opts.Root, "deploy", "upgrade.toml"))
 	if err != nil {
-		return fmt.Errorf("start this from the repository's root: %w", err)
+		return fmt.Errorf("cannot read the upgrade settings; run this from the repository's root: %w", err)
 	}
 	s := strings.Replace(string(text), `"/tmp/ringwood-admin.sock"`, fmt.Sprintf("%q", g.admin), 1)
 	s = strings.Replace(s, "greet_within_s = 5 ", "greet_within_s = 2 ", 1)
@@ -295,15 +295,15 @@
 		return err
 	}
 	if g.opts.Front == "postgres" {
-		g.args = []string{"serve", "--postgres", g.rig.Deploy, "--upgrade", file}
+		g.args = []string{"serve", "--postgres", g.harness.Deploy, "--upgrade", file}
 	} else {
-		g.args = []string{"serve", "--config", g.rig.Config, "--upgrade", file}
+		g.args = []string{"serve", "--config", g.harness.Config, "--upgrade", file}
 	}
-	// Settings with which every answer is an error or a refusal, or there is none: engines
-	// don't trust this user, or lookups may run in no hall that has one.
+	// Settings with which each request fails or is refused or gets no answer: engines do not accept
+	// this user, or lookups may run only in a hall without engines.
 	for _, f := range []struct{ from, to, old, new string }{
-		{g.rig.Deploy, "stranger.toml", `user = "ringwood"`, `user = "stranger"`},
-		{g.rig.Config, "stranger.json", `"effect": "read_like"`, `"runs-in": ["hall-b"], "effect": "read_like"`},
+		{g.harness.Deploy, "stranger.toml", `user = "ringwood"`, `user = "stranger"`},
+		{g.harness.Config, "stranger.json", `"effect": "read_like"`, `"runs-in": ["hall-b"], "effect": "read_like"`},
 	} {
 		raw, err := os.ReadFile(f.from)
 		if err != nil {
@@ -316,14 +316,15 @@
 	return nil
 }
 
-// script is a program that acts before, or beside, the gateway that it becomes.
-func (g *gate) script(name, text string) (string, error) {
+// script writes a shell script that acts before or beside the gateway program and then runs it.
+func (g *gatewayUnderTest) script(name, text string) (string, error) {
 	path := filepath.Join(g.opts.Dir, name+".sh")
 	text = strings.ReplaceAll(text, "RINGWOOD", "'"+g.opts.Program+"'")
 	return path, os.WriteFile(path, []byte("#!/bin/sh\n"+text+"\n"), 0o700)
 }
 
-func (g *gate) request(kind string, chance *rand.Rand) (r admin.Request, err error) {
+// request returns the upgrade request for a kind of upgrade, and writes the script that it needs.
+func (g *gatewayUnderTest) request(kind string, chance *rand.Rand) (r admin.Request, err error) {
 	r.Command = admin.CommandUpgrade
 	between := func(low, high time.Duration) float64 {
 		return (low + time.Duration(chance.Int64N(int64(high-low)))).Seconds()
@@ -361,21 +362,21 @@
 			text = strings.Replace(text, "stranger.toml", "stranger.json", 1)
 		}
 	default:
-		return r, fmt.Errorf("there is no kind of upgrade %q", kind)
+		return r, fmt.Errorf("unknown kind of upgrade %q; use %q or a key of Broken", kind, Good)
 	}
 	r.Program, err = g.script(kind, text)
 	return r, err
 }
 
-// upgrade plays one upgrade.
-func (g *gate) upgrade(ctx context.Context, kind string, chance *rand.Rand) (u Upgrade, err error) {
+// upgrade requests one upgrade and waits for its outcome.
+func (g *gatewayUnderTest) upgrade(ctx context.Context, kind string, chance *rand.Rand) (u Upgrade, err error) {
 	r, err := g.request(kind, chance)
 	if err != nil {
 		return u, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, 60*time.Second)
 	defer cancel()
-	// The process before the last one may still answer what it had taken.
+	// The previous upgrade is not through while its old process still answers accepted requests.
 	for {
 		u = Upgrade{Kind: kind, Began: time.Now()}
 		last, err := admin.Call(ctx, g.admin, r, func(admin.Reply) {})
@@ -394,9 +395,9 @@
 	}
 }
 
-// sample looks at the memory of the process that serves and of its children until the
-// returned function is called, which tells the most that they took beyond the start.
-func (g *gate) sample(ctx context.Context, on bool) (end func() int64) {
+// sampleMemory samples the memory of the serving process and of its children until the
+// returned function is called. That function returns the maximum increase since the start, in bytes.
+func (g *gatewayUnderTest) sampleMemory(ctx context.Context, on bool) (end func() int64) {
 	st, err := admin.FetchStatus(ctx, g.admin)
 	if !on || err != nil {
 		return func() int64 { return 0 }
@@ -424,11 +425,11 @@
 	return func() int64 { close(stop); return <-most }
 }
 
-// children are the processes that any thread of a process has started (proc(5)).
+// children returns the child processes of all threads of a process (proc(5)).
 func children(pid int) (pids []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, t := range tasks {
-		b, _ := os.ReadFile(t) // one that has left has none
+		b, _ := os.ReadFile(t) // a thread that has ended has no children
 		for _, child := range strings.Fields(string(b)) {
 			if n, err := strconv.Atoi(child); err == nil {
 				pids = append(pids, n)
@@ -438,13 +439,13 @@
 	return pids
 }
 
-// stop ends the process that serves, and the first one where it still lives.
-func (g *gate) stop() {
+// stop ends the serving process, and the first process if it still runs.
+func (g *gatewayUnderTest) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	if st, err := admin.FetchStatus(ctx, g.admin); err == nil && st.PID != g.first.Process.Pid {
 		_ = syscall.Kill(st.PID, syscall.SIGTERM)
-		for range 400 { // it is nobody's child here: its socket tells when it has ended
+		for range 400 { // not a child of this process: wait until its admin socket is closed
 			c, err := net.Dial("unix", g.admin)
 			if err != nil {
 				break
