--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -1,5 +1,5 @@
-// Package sites sets up two sites on loopback, each a gateway with engines of its own, and a
-// link between them that does what long lines do, and judges what clients and engines saw
+// Package sites sets up two sites on loopback, each a gateway with its own engines, and a link
+// between them with the faults of a wide-area network. It checks what clients and engines see
 // while engines, gateways and the link fail.
 package sites
 
@@ -30,97 +30,98 @@
 	"gannetspur/internal/testbed/workcost"
 )
 
-// Names of the two sites. The first one's gateway dials the other's.
+// Names holds the names of the two sites. The gateway of the first site dials that of the second.
 var Names = [2]string{"lalitpur", "pokhara"}
 
-// window is how long engines drop repeats of a key, as the settings say.
+// window is how long engines drop requests with a repeated idempotency key, as in the settings.
 const window = 12 * time.Second
 
-// Kinds of event beside those of engines (emul.Fleet.Do) and of links (link.Kind).
+// Kinds of event besides those of engines (emulator.Fleet.Apply) and of links (faultproxy.Kind).
 const (
-	GatewayDies = "gateway-dies" // by force; another starts in its place half a second later
+	GatewayDies = "gateway-dies" // SIGKILL; a new process starts half a second later
 	Upgrade     = "upgrade"      // a new version takes over at a gateway
-	SiteDrain   = "site-drain"   // a gateway says that it takes nothing of other sites
-	SiteBack    = "site-undrain"
-	Busy        = "busy" // arrivals at a site are Factor times the usual from now on
+	SiteDrain   = "site-drain"   // a gateway stops accepting requests from other sites
+	SiteBack    = "site-undrain" // it accepts them again
+	Busy        = "busy"         // the arrival rate at a site is Factor times the usual one from now on
 )
 
-// Known tells whether there is a kind of event of this name.
+// Known reports whether an event of this kind exists.
 func Known(do string) bool {
 	return emulator.Known(do) || slices.Contains([]string{GatewayDies, Upgrade, SiteDrain, SiteBack, Busy,
 		string(faultproxy.Silence), string(faultproxy.HeldRequests), string(faultproxy.DroppedReplies), string(faultproxy.Cut), string(faultproxy.Reset)}, do)
 }
 
-// Event is something that happens.
+// Event is one scheduled event.
 type Event struct {
-	At     time.Duration
+	At     time.Duration // since the end of the warm-up
 	Do     string
 	Site   int           // 0 or 1
-	Engine int           // from 1
-	For    time.Duration // of a link's fault
-	Factor float64       // of Busy
+	Engine int           // number of the engine, from 1
+	For    time.Duration // duration of a link fault
+	Factor float64       // of Busy: multiple of the usual arrival rate; at most 1 ends the extra load
 }
 
-// Options say what to play.
+// Options configure a run.
 type Options struct {
-	Front       string // rest or postgres
-	Root        string // the repository
-	Dir         string // for files
-	Program     string // ringwood
-	Together    bool   // the sites are linked
-	Engines     int    // of a site
-	Engine      enginemodel.Config
-	Rate        float64 // arrivals a second at each site
-	Loads       float64
-	Reports     float64
-	Writes      float64
-	Connections int // of clients, to each gateway
+	Front       string             // frontend: rest or postgres
+	Root        string             // root of the repository
+	Dir         string             // directory for the written files
+	Program     string             // path of the gateway program
+	Together    bool               // the sites are linked
+	Engines     int                // number of engines at each site
+	Engine      enginemodel.Config // resources of each engine
+	Rate        float64            // arrivals per second at each site
+	Loads       float64            // fraction of requests that are loads, 0 to 1
+	Reports     float64            // fraction of requests that are reports; rest: always 0
+	Writes      float64            // fraction of requests that are writes; rest: always 0
+	Connections int                // client connections to each gateway
 	Link        faultproxy.Options
-	Settings    map[string]string // lines of the file of sites that are others than deploy/sites.toml's
+	Settings    map[string]string // lines of the sites file that differ from deploy/sites.toml
 	Events      []Event
-	Warm        time.Duration // at the start, which does not count
-	Span        time.Duration
+	Warm        time.Duration // warm-up, which is not measured
+	Span        time.Duration // measured time after the warm-up
 	Seed        uint64
 	Log         io.Writer
 }
 
-// Result is what was seen.
+// Result holds the observations of a run.
 type Result struct {
 	Records  [2][]load.Record
 	Runs     []emulator.Run
 	Faults   []load.Fault
-	Service  float64 // worth answered in time over worth asked
-	Worst    float64 // of all spans of 10 s
+	Service  float64 // value of timely answers, as a fraction of the value of all requests
+	Worst    float64 // the lowest such fraction in any span of 10 s
 	Requests int
-	Counters map[string]int64 // of both gateways, as they were last asked
-	Took     []float64        // of what was served, ms
+	Counters map[string]int64 // final counters, summed over both gateways
+	Took     []float64        // latencies of served requests, ms
 }
 
-// place is one site.
-type place struct {
-	n       int
-	rig     *harness.Harness
-	addr    string
-	sites   string // where it listens for the other
-	admin   string
-	args    []string
-	gateway *harness.Gateway
-	source  *load.Source
-	more    []*load.Source // while it is busy
-	killed  bool
+// siteState holds the emulated systems, the gateway and the traffic of one site.
+type siteState struct {
+	index        int
+	harness      *harness.Harness
+	addr         string
+	peerAddr     string // listen address for the other site
+	admin        string
+	args         []string
+	gateway      *harness.Gateway
+	source       *load.Source
+	extraSources []*load.Source // additional traffic of Busy events
+	killed       bool
 }
 
-// Both are two sites that were set up.
+// Both holds the two sites that Open set up.
 type Both struct {
 	opts   Options
 	ledger *emulator.Ledger
 	ca     *testca.Authority
-	places [2]*place
+	sites  [2]*siteState
 	link   *faultproxy.Link
-	dialed atomic.Uint64 // clients, of all sources: their requests' ids must differ
+	dialed atomic.Uint64 // number of clients of all sources: it seeds distinct request ids
 }
 
-// Open sets two sites up, and returns once they serve and, if they are together, know each other.
+// Open sets up two sites. It returns once both serve and, with Options.Together, their gateways are
+// connected.
 func Open(ctx context.Context, opts Options) (b *Both, err error) {
 	b = &Both{opts: opts, ledger: emulator.NewLedger(window)}
 	defer func() {
@@ -134,9 +135,9 @@
 	if err = b.ca.WriteFiles(opts.Dir); err != nil {
 		return b, err
 	}
-	for i := range b.places {
-		p := &place{n: i, admin: filepath.Join(opts.Dir, fmt.Sprintf("admin-%d", i))}
-		b.places[i] = p
+	for i := range b.sites {
+		p := &siteState{index: i, admin: filepath.Join(opts.Dir, fmt.Sprintf("admin-%d", i))}
+		b.sites[i] = p
 		dir := filepath.Join(opts.Dir, Names[i])
 		if err = os.Mkdir(dir, 0o700); err != nil {
 			return b, err
@@ -144,10 +145,10 @@
 		if p.addr, err = harness.UnusedAddress(); err != nil {
 			return b, err
 		}
-		if p.sites, err = harness.UnusedAddress(); err != nil {
+		if p.peerAddr, err = harness.UnusedAddress(); err != nil {
 			return b, err
 		}
-		if p.rig, err = harness.New(harness.Options{
+		if p.harness, err = harness.New(harness.Options{
 			Root: opts.Root, Dir: dir, Engines: opts.Engines, HTTP: p.addr, Postgres: p.addr, User: "ringwood", Clients: opts.Connections + 200, Name: Names[i] + "/",
 			Ledger: b.ledger, QueryFor: workcost.Query, Machine: func(int) *emulator.Machine { return emulator.NewMachine(opts.Engine) }, Log: slog.New(slog.DiscardHandler),
 		}); err != nil {
@@ -157,33 +158,33 @@
 			return b, err
 		}
 	}
-	if b.link, err = faultproxy.Listen(b.places[1].sites, opts.Link); err != nil {
+	if b.link, err = faultproxy.Listen(b.sites[1].peerAddr, opts.Link); err != nil {
 		return b, err
 	}
-	for _, p := range b.places {
-		if err = b.write(p); err != nil {
+	for _, p := range b.sites {
+		if err = b.writeFiles(p); err != nil {
 			return b, err
 		}
 		if p.gateway, err = harness.Start(opts.Program, opts.Log, p.args...); err != nil {
 			return b, err
 		}
 	}
-	for _, p := range b.places {
+	for _, p := range b.sites {
 		if err = harness.WaitListening(ctx, p.addr); err != nil {
 			return b, err
 		}
 	}
 	if opts.Together {
-		err = b.linked(ctx)
+		err = b.waitLinked(ctx)
 	}
 	return b, err
 }
 
-// write writes a gateway's files.
-func (b *Both) write(p *place) error {
+// writeFiles writes the sites file and the upgrade settings of a gateway, and sets its arguments.
+func (b *Both) writeFiles(p *siteState) error {
 	var text strings.Builder
 	for _, line := range []string{
-		fmt.Sprintf("site = %q", Names[p.n]), fmt.Sprintf("gateway = %q", Names[p.n]+"-1"), fmt.Sprintf("listen = %q", p.sites), "keys_shared = true",
+		fmt.Sprintf("site = %q", Names[p.index]), fmt.Sprintf("gateway = %q", Names[p.index]+"-1"), fmt.Sprintf("listen = %q", p.peerAddr), "keys_shared = true",
 	} {
 		text.WriteString(line + "\n")
 	}
@@ -196,46 +197,47 @@
 		fmt.Fprintf(&text, "%s = %s\n", name, b.opts.Settings[name])
 	}
 	if b.opts.Together {
-		addr := b.places[0].sites
-		if p.n == 0 {
+		addr := b.sites[0].peerAddr
+		if p.index == 0 {
 			addr = b.link.Addr()
 		}
-		fmt.Fprintf(&text, "[[peer]]\nsite = %q\ngateway = %q\naddress = %q\n", Names[1-p.n], Names[1-p.n]+"-1", addr)
+		fmt.Fprintf(&text, "[[peer]]\nsite = %q\ngateway = %q\naddress = %q\n", Names[1-p.index], Names[1-p.index]+"-1", addr)
 	}
-	fmt.Fprintf(&text, "[keys]\ncertificate = %q\nkey = %q\nauthority = \"authority.pem\"\nrevoked = \"revoked.pem\"\n", Names[p.n]+".pem", Names[p.n]+".key")
-	sites := filepath.Join(b.opts.Dir, fmt.Sprintf("sites-%d.toml", p.n))
-	upgrade := filepath.Join(b.opts.Dir, fmt.Sprintf("upgrade-%d.toml", p.n))
+	fmt.Fprintf(&text, "[keys]\ncertificate = %q\nkey = %q\nauthority = \"authority.pem\"\nrevoked = \"revoked.pem\"\n", Names[p.index]+".pem", Names[p.index]+".key")
+	sites := filepath.Join(b.opts.Dir, fmt.Sprintf("sites-%d.toml", p.index))
+	upgrade := filepath.Join(b.opts.Dir, fmt.Sprintf("upgrade-%d.toml", p.index))
 	return errors.Join(
 		os.WriteFile(sites, []byte(text.String()), 0o600),
 		os.WriteFile(upgrade, fmt.Appendf(nil, "admin = %q\nprove_for_s = 0.6\nprove_within_s = 2\n", p.admin), 0o600),
-		p.command(b.opts.Front, sites, upgrade))
+		p.setArguments(b.opts.Front, sites, upgrade))
 }
 
-func (p *place) command(front, sites, upgrade string) error {
+// setArguments sets the command line of the site's gateway.
+func (p *siteState) setArguments(front, sites, upgrade string) error {
 	switch front {
 	case "postgres":
-		p.args = []string{"serve", "--postgres", p.rig.Deploy}
+		p.args = []string{"serve", "--postgres", p.harness.Deploy}
 	case "rest":
-		p.args = []string{"serve", "--config", p.rig.Config}
+		p.args = []string{"serve", "--config", p.harness.Config}
 	default:
-		return fmt.Errorf("there is no front %q", front)
+		return fmt.Errorf("unknown frontend %q; use \"rest\" or \"postgres\"", front)
 	}
 	p.args = append(p.args, "--sites", sites, "--upgrade", upgrade)
 	return nil
 }
 
-// Overview is how a gateway sees the sites.
+// Overview returns the state of the sites as the gateway of one site reports it.
 func (b *Both) Overview(ctx context.Context, site int) (o forwarding.Overview, err error) {
-	last, err := admin.Call(ctx, b.places[site].admin, admin.Request{Command: admin.CommandSiteStatus}, func(admin.Reply) {})
+	last, err := admin.Call(ctx, b.sites[site].admin, admin.Request{Command: admin.CommandSiteStatus}, func(admin.Reply) {})
 	if err != nil {
 		return o, err
 	}
 	return o, json.Unmarshal(last.Sites, &o)
 }
 
-// linked waits until each gateway has heard of the other.
-func (b *Both) linked(ctx context.Context) error {
-	for i := range b.places {
+// waitLinked waits until each gateway has received a message from the other.
+func (b *Both) waitLinked(ctx context.Context) error {
+	for i := range b.sites {
 		for {
 			o, err := b.Overview(ctx, i)
 			if err == nil && len(o.Peers) > 0 && o.Peers[0].State != "silent" {
@@ -243,7 +245,7 @@
 			}
 			select {
 			case <-ctx.Done():
-				return errors.Join(fmt.Errorf("%s never heard of the other site", Names[i]), err, ctx.Err())
+				return errors.Join(fmt.Errorf("the gateway of site %s got no message from the other site; see the gateways' log", Names[i]), err, ctx.Err())
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
@@ -251,9 +253,9 @@
 	return nil
 }
 
-// Close ends both sites.
+// Close stops both sites.
 func (b *Both) Close() {
-	for _, p := range b.places {
+	for _, p := range b.sites {
 		if p != nil && p.gateway != nil {
 			b.stop(p)
 		}
@@ -261,15 +263,15 @@
 	if b.link != nil {
 		b.link.Close()
 	}
-	for _, p := range b.places {
-		if p != nil && p.rig != nil {
-			p.rig.Close()
+	for _, p := range b.sites {
+		if p != nil && p.harness != nil {
+			p.harness.Close()
 		}
 	}
 }
 
-// stop ends whichever process serves at a place.
-func (b *Both) stop(p *place) {
+// stop ends the serving process of a site, and its first process.
+func (b *Both) stop(p *siteState) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if st, err := admin.FetchStatus(ctx, p.admin); err == nil && st.PID != p.gateway.Process.Pid { // a new version has taken over
@@ -281,29 +283,29 @@
 	p.gateway.Stop()
 }
 
-// dial connects a client to a site.
+// dial returns a function that connects a client to a site.
 func (b *Both) dial(site int) func(seed uint64) (load.Client, error) {
 	return func(uint64) (load.Client, error) {
 		if b.opts.Front == "rest" {
-			return load.DialHTTP(b.places[site].addr, b.dialed.Add(1))
+			return load.DialHTTP(b.sites[site].addr, b.dialed.Add(1))
 		}
-		return load.DialPostgres(b.places[site].addr)
+		return load.DialPostgres(b.sites[site].addr)
 	}
 }
 
-// source is traffic to a site.
+// sourceAt returns a source of requests to a site.
 func (b *Both) sourceAt(site int, name string, rate float64, seed uint64) (*load.Source, error) {
 	o := load.Options{
 		Name: name, Dial: b.dial(site), Connections: b.opts.Connections, Rate: rate, Loads: b.opts.Loads, Reports: b.opts.Reports, Writes: b.opts.Writes,
 		Within: 20 * time.Second, Retries: 2, Elsewhere: b.dial(1 - site), Seed: seed,
 	}
 	if b.opts.Front == "rest" {
-		o.Reports, o.Writes = 0, 0 // the example's settings have neither
+		o.Reports, o.Writes = 0, 0 // the example settings have no classes for reports and writes
 	}
 	return load.New(o)
 }
 
-// Play plays two sites.
+// Play sets up two sites, runs traffic and events, and checks the observations.
 func Play(ctx context.Context, opts Options) (res *Result, err error) {
 	b, err := Open(ctx, opts)
 	if err != nil {
@@ -314,7 +316,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	for i, p := range b.places {
+	for i, p := range b.sites {
 		if p.source, err = b.sourceAt(i, fmt.Sprint(i+1), opts.Rate, opts.Seed*2+uint64(i)); err != nil {
 			return nil, err
 		}
@@ -328,7 +330,7 @@
 		if err := harness.Sleep(ctx, time.Until(begin.Add(e.At))); err != nil {
 			return nil, err
 		}
-		if err := b.do(ctx, e, traffic, &running); err != nil {
+		if err := b.applyEvent(ctx, e, traffic, &running); err != nil {
 			return nil, err
 		}
 	}
@@ -340,12 +342,12 @@
 	return b.judge(ctx, begin), nil
 }
 
-// do has an event happen.
-func (b *Both) do(ctx context.Context, e Event, traffic context.Context, running *sync.WaitGroup) error {
-	p := b.places[e.Site]
+// applyEvent carries out an event.
+func (b *Both) applyEvent(ctx context.Context, e Event, traffic context.Context, running *sync.WaitGroup) error {
+	p := b.sites[e.Site]
 	switch {
 	case emulator.Known(e.Do):
-		return p.rig.Apply(e.Do, e.Engine)
+		return p.harness.Apply(e.Do, e.Engine)
 	case e.Do == GatewayDies:
 		p.killed = true
 		st, err := admin.FetchStatus(ctx, p.admin)
@@ -363,7 +365,7 @@
 		if err := harness.WaitListening(ctx, p.addr); err != nil {
 			return err
 		}
-		for _, s := range append([]*load.Source{p.source}, p.more...) { // clients see at once that their connections have ended
+		for _, s := range append([]*load.Source{p.source}, p.extraSources...) { // lets clients notice the closed connections now
 			if err := s.Reconnect(); err != nil {
 				return err
 			}
@@ -375,8 +377,8 @@
 			switch {
 			case err != nil || last.Problem == "":
 				return err
-			case !strings.Contains(last.Problem, "is not through"): // else the one before answers what it had taken still
-				return fmt.Errorf("the upgrade ended with %q", last.Problem)
+			case !strings.Contains(last.Problem, "is not through"): // otherwise the previous upgrade's old process still answers accepted requests: retry
+				return fmt.Errorf("want the upgrade to succeed, but it ended with %q; see the gateways' log", last.Problem)
 			}
 			if err := harness.Sleep(ctx, 200*time.Millisecond); err != nil {
 				return err
@@ -387,16 +389,16 @@
 		return err
 	case e.Do == Busy:
 		if e.Factor <= 1 {
-			for _, s := range p.more {
+			for _, s := range p.extraSources {
 				s.Stop()
 			}
 			return nil
 		}
-		s, err := b.sourceAt(e.Site, fmt.Sprintf("%d%d", e.Site+1, 5+len(p.more)), b.opts.Rate*(e.Factor-1), b.opts.Seed*2+uint64(e.Site)+1000)
+		s, err := b.sourceAt(e.Site, fmt.Sprintf("%d%d", e.Site+1, 5+len(p.extraSources)), b.opts.Rate*(e.Factor-1), b.opts.Seed*2+uint64(e.Site)+1000)
 		if err != nil {
 			return err
 		}
-		p.more = append(p.more, s)
+		p.extraSources = append(p.extraSources, s)
 		running.Go(func() { s.Run(traffic) })
 		return nil
 	}
@@ -404,19 +406,19 @@
 	return nil
 }
 
-// judge joins what clients were told with what engines did.
+// judge evaluates the clients' records together with the engines' executions.
 func (b *Both) judge(ctx context.Context, begin time.Time) *Result {
 	res := &Result{Runs: b.ledger.Runs(), Counters: map[string]int64{}}
 	spans := make([][2]float64, int(b.opts.Span.Seconds())+1)
 	var all []load.Record
 	var asked, got float64
-	for i, p := range b.places {
+	for i, p := range b.sites {
 		res.Records[i] = p.source.Records()
-		for _, s := range p.more {
+		for _, s := range p.extraSources {
 			res.Records[i] = append(res.Records[i], s.Records()...)
 		}
 		for _, r := range res.Records[i] {
-			if p.killed && (r.Verdict == load.Reset || r.Verdict == load.Unreachable) { // a gateway that dies takes its connections along
+			if p.killed && (r.Verdict == load.Reset || r.Verdict == load.Unreachable) { // a gateway that was killed drops its connections, so whether the request ran is unknown
 				r.Verdict = load.Ambiguous
 			}
 			all = append(all, r)
@@ -440,7 +442,7 @@
 	res.Service = got / max(asked, 1e-9)
 	res.Worst = workcost.WorstTenSeconds(spans)
 	res.Faults = load.Check(all, res.Runs, window)
-	for i, p := range b.places {
+	for i, p := range b.sites {
 		var mine []emulator.Run
 		for _, r := range res.Runs {
 			if id, ok := strings.CutPrefix(r.Engine, Names[i]+"/"); ok {
@@ -448,9 +450,9 @@
 				mine = append(mine, r)
 			}
 		}
-		fleet := p.rig.Postgres
+		fleet := p.harness.Postgres
 		if b.opts.Front == "rest" {
-			fleet = p.rig.Lines
+			fleet = p.harness.Lines
 		}
 		res.Faults = append(res.Faults, load.CheckDrains(mine, fleet.History())...)
 		if st, err := admin.FetchStatus(ctx, p.admin); err == nil {
