--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -17,29 +17,31 @@
 	"gannetspur/policy"
 )
 
-// Rate is what a way of passing requests on gave.
+// Rate is the throughput and latency of one way to forward requests.
 type Rate struct {
-	PerSecond float64
-	MBps      float64 // of answers
-	P50, P99  float64 // ms
+	PerSecond float64 // requests per second
+	MBps      float64 // answer payload, MB per second
+	P50, P99  float64 // latency percentiles, ms
 }
 
-// Load says what is asked: so many at a time, so many bytes there and back, for so long.
+// Load describes a closed-loop load.
 type Load struct {
-	AtOnce, Ask, Answer int
-	For                 time.Duration
+	AtOnce int           // number of concurrent requests
+	Ask    int           // size of a request, bytes
+	Answer int           // size of an answer, bytes
+	For    time.Duration // duration of the measurement
 }
 
-// OverLink measures requests over one link, through both cores and modules.
+// OverLink measures requests over one link, through the cores and decision modules of both gateways.
 func OverLink(dir string, set policy.Settings, load Load, pack bool, delay time.Duration) (r Rate, err error) {
 	answer := Rows(load.Answer)
-	near, far, err := Pair(dir, Options{Settings: set, Engines: 4, Cores: 4096, Pack: pack, Held: 64 << 20, Answer: func([]byte) []byte { return answer }}, delayed(delay))
+	near, far, err := Pair(dir, Options{Settings: set, Engines: 4, Cores: 4096, Pack: pack, Held: 64 << 20, Answer: func([]byte) []byte { return answer }}, delayProxy(delay))
 	if err != nil {
 		return r, err
 	}
 	defer far.Close()
 	defer near.Close()
-	c := &closed{node: near, load: load, statement: Rows(load.Ask), until: time.Now().Add(load.For), done: make(chan struct{})}
+	c := &closedLoop{node: near, load: load, statement: Rows(load.Ask), until: time.Now().Add(load.For), done: make(chan struct{})}
 	c.out = load.AtOnce
 	near.Now(func() {
 		for range load.AtOnce {
@@ -48,40 +50,42 @@
 	})
 	<-c.done
 	if c.failed > 0 {
-		return r, fmt.Errorf("sitelink: %d of %d requests failed: %v; there %v", c.failed, len(c.took)+c.failed, near.Counters.All(), far.Counters.All())
+		return r, fmt.Errorf("sitelink: %d of %d requests failed, want none; counters of the near gateway %v, of the far gateway %v", c.failed, len(c.took)+c.failed, near.Counters.All(), far.Counters.All())
 	}
-	return rate(c.took, load), nil
+	return summarize(c.took, load), nil
 }
 
-// closed is a closed loop of requests on a node's goroutine.
-type closed struct {
+// closedLoop is a closedLoop loop of requests on a node's goroutine.
+type closedLoop struct {
 	node      *Node
 	load      Load
 	statement []byte
 	until     time.Time
-	seq       int
-	out       int
-	failed    int
-	took      []time.Duration
-	done      chan struct{}
+	seq       int             // id of the latest request
+	out       int             // requests in flight
+	failed    int             // requests without a served answer
+	took      []time.Duration // latencies of served requests
+	done      chan struct{}   // closed after the last answer
 }
 
-type call struct {
-	c     *closed
+// pendingCall is the client of one request of a closed loop.
+type pendingCall struct {
+	c     *closedLoop
 	began time.Time
 }
 
-func (c *closed) ask() {
+// ask sends the next request.
+func (c *closedLoop) ask() {
 	c.seq++
 	r := &core.Request{
-		ID: fmt.Sprint(c.seq), Class: "lookup", Statement: Text(c.statement), Work: time.Millisecond, Client: &call{c, time.Now()},
+		ID: fmt.Sprint(c.seq), Class: "lookup", Statement: Text(c.statement), Work: time.Millisecond, Client: &pendingCall{c, time.Now()},
 		Deadline: c.node.Loop.Now() + 5*time.Second,
 	}
 	c.node.Core.Accept(r)
 }
 
-// Answer counts one and asks the next.
-func (k *call) Answer(_ *core.Request, a core.Answer) {
+// Answer records an answer and sends the next request, until the measurement ends.
+func (k *pendingCall) Answer(_ *core.Request, a core.Answer) {
 	c := k.c
 	if a.Verdict == core.Served {
 		c.took = append(c.took, time.Since(k.began))
@@ -97,7 +101,8 @@
 	}
 }
 
-func rate(took []time.Duration, load Load) (r Rate) {
+// summarize computes throughput and latency percentiles. It sorts took.
+func summarize(took []time.Duration, load Load) (r Rate) {
 	if len(took) == 0 {
 		return r
 	}
@@ -108,7 +113,8 @@
 	return r
 }
 
-func delayed(delay time.Duration) func(string) (string, error) {
+// delayProxy returns a function that opens a delaying proxy to an address; nil: no delay.
+func delayProxy(delay time.Duration) func(string) (string, error) {
 	if delay <= 0 {
 		return nil
 	}
@@ -121,8 +127,8 @@
 	}
 }
 
-// OverTCP measures the same bytes on one connection through a relay that does nothing but copy:
-// no TLS, no frames, nobody decides.
+// OverTCP measures the same payload on one TCP connection through a relay that only copies: without
+// TLS, framing or decisions. It is the baseline for OverLink.
 func OverTCP(load Load) (r Rate, err error) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -181,9 +187,10 @@
 			left--
 		}
 	}
-	return rate(took, load), nil
+	return summarize(took, load), nil
 }
 
+// echo answers each request on one connection with an answer that carries the request's id.
 func echo(ln net.Listener, load Load) {
 	c, err := ln.Accept()
 	if err != nil {
@@ -203,6 +210,7 @@
 	}
 }
 
+// copyAll relays one connection in both directions.
 func copyAll(ln net.Listener, to string) {
 	a, err := ln.Accept()
 	if err != nil {
@@ -218,14 +226,14 @@
 	_ = a.Close()
 }
 
-// Open is what open streams cost.
+// Open is the memory cost of open streams.
 type Open struct {
-	Streams   int
-	HeapMB    float64 // of both gateways with all that they know of the requests, less what it was without
-	PerStream float64 // bytes
+	Streams   int     // number of open streams
+	HeapMB    float64 // heap growth of both gateways, including their state of the requests, MB
+	PerStream float64 // heap growth per stream, bytes
 }
 
-// OpenStreams opens so many streams that all wait for their engine, and measures the heap.
+// OpenStreams opens n streams that all wait for their engine, and measures the heap growth.
 func OpenStreams(dir string, set policy.Settings, n int) (o Open, err error) {
 	near, far, err := Pair(dir, Options{Settings: set, Engines: 4, Cores: 1 << 16, Pack: true, Held: 256 << 20}, nil)
 	if err != nil {
@@ -233,10 +241,10 @@
 	}
 	defer far.Close()
 	defer near.Close()
-	before := heap()
+	before := heapBytes()
 	got := make(Answers, n)
 	statement := Rows(300)
-	for i := 0; i < n; i += 500 { // a credit's worth at a time
+	for i := 0; i < n; i += 500 { // in batches within the link's credit
 		near.Now(func() {
 			for j := range min(500, n-i) {
 				near.Core.Accept(&core.Request{
@@ -246,17 +254,18 @@
 			}
 		})
 		if err := far.Count("site.taken.report", int64(min(i+500, n))); err != nil {
-			return o, fmt.Errorf("%w; %d were answered already", err, len(got))
+			return o, fmt.Errorf("%w; %d requests were answered already, want none", err, len(got))
 		}
 	}
 	near.Now(func() { o.Streams = near.Service.Overview().Peers[0].Forwarded })
-	after := heap()
+	after := heapBytes()
 	o.HeapMB = float64(after-before) / 1e6
 	o.PerStream = float64(after-before) / float64(max(o.Streams, 1))
 	return o, nil
 }
 
-func heap() int64 {
+// heapBytes returns the live heap size after garbage collection, in bytes.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -264,17 +273,17 @@
 	return int64(m.HeapAlloc)
 }
 
-// Packing is what packing a body of rows costs and saves.
+// Packing is the cost and the saving of compressing a body of rows.
 type Packing struct {
-	Size       int
-	Part       float64 // of it that travels; 1: it is not packed
-	Pack, Read float64 // us
-	// Pays is the line, in MB a second, up to which packing and reading take less time than the bytes
-	// that it saves; 0: it is not packed.
+	Size       int     // size before compression, bytes
+	Part       float64 // compressed size as a fraction of Size; 1: not compressed
+	Pack, Read float64 // time to compress and to decompress, us
+	// Pays is the bandwidth, in MB per second, up to which compressing and decompressing take less
+	// time than transmitting the saved bytes; 0: not compressed.
 	Pays float64
 }
 
-// Packed measures packing of bodies of some sizes.
+// Packed measures compression of bodies of the given sizes, in bytes.
 func Packed(sizes []int) (all []Packing, err error) {
 	p, err := forwarding.NewPacker()
 	if err != nil {
@@ -307,7 +316,8 @@
 	return all, nil
 }
 
-// Rows is text as the register's rows are: part numbers, names, counts, in columns.
+// Rows returns size bytes of text like the register's rows: part numbers, names and counts in
+// columns.
 func Rows(size int) []byte {
 	var b bytes.Buffer
 	names := []string{"chain ring", "brake cable", "hub, rear", "spoke 264 mm", "saddle", "tyre 26 x 1.95"}
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -1,5 +1,5 @@
-// Package sitelink has gateways of two sites in one process, with the product's own core, links
-// and TLS and an engine that answers at once, to test the link between them and to measure it.
+// Package sitelink runs gateways of two sites in one process, with the product's own core, links
+// and TLS and with engines that answer at once. It serves to test and measure the link between them.
 package sitelink
 
 import (
@@ -21,47 +21,49 @@
 	"gannetspur/policy"
 )
 
-// Text stands for a statement, or for the rows of an answer.
+// Text is a statement, or the rows of an answer.
 type Text []byte
 
-// SQL is the text.
+// SQL returns the text.
 func (t Text) SQL() string { return string(t) }
 
-// Size is the length of the text.
+// Size returns the length of the text in bytes.
 func (t Text) Size() int { return len(t) }
 
-// Texts carries bytes as statements and rows.
+// Texts is a codec that carries statements and rows as plain bytes.
 type Texts struct{}
 
-// Form names what is encoded.
+// Form returns the name of the encoding.
 func (Texts) Form() string { return "texts" }
 
-// The rest of crossing.Codec.
+// The following methods are the rest of forwarding's codec.
 func (Texts) Statement(s core.Statement) ([]byte, error)     { return s.(Text), nil }
 func (Texts) Result(r core.Result) ([]byte, error)           { return r.(Text), nil }
 func (Texts) ReadStatement(b []byte) (core.Statement, error) { return Text(b), nil }
 func (Texts) ReadResult(b []byte) (core.Result, error)       { return Text(b), nil }
 func (Texts) Detail(error) []byte                            { return nil }
-func (Texts) ReadDetail([]byte) (detail, err error)          { return nil, errors.New("there is none") }
+func (Texts) ReadDetail([]byte) (detail, err error) {
+	return nil, errors.New("Texts encodes no error details")
+}
 
-// The two gateways. The near one dials.
+// Near and Far are the names of the two gateways. The near one dials.
 var (
 	Near = forwarding.Name{Site: "a", Gateway: "near"}
 	Far  = forwarding.Name{Site: "b", Gateway: "far"}
 )
 
-// Options say what a node is like.
+// Options configure a node.
 type Options struct {
 	Name     forwarding.Name
-	Dir      string // of its keys
+	Dir      string // directory of its certificate and key
 	Settings policy.Settings
-	Engines  int
-	Cores    float64 // of each; 0: as the settings say
-	Listen   string
-	Peers    []link.Peer
-	Pack     bool
-	Held     int
-	// Answer is what the engines answer, at once; nil: attempts go to Node.Sent and wait.
+	Engines  int         // number of engines
+	Cores    float64     // cores of each engine; 0: as in the settings
+	Listen   string      // listen address for peers; "": it only dials
+	Peers    []link.Peer // peers that it accepts or dials
+	Pack     bool        // compress bodies
+	Held     int         // as in forwarding.Options
+	// Answer returns the rows that engines answer with at once; nil: attempts go to Node.Sent and wait.
 	Answer func(statement []byte) []byte
 }
 
@@ -72,19 +74,19 @@
 	Service  *forwarding.Service
 	Runner   *link.Runner
 	Counters *metrics.Counters
-	Sent     chan *core.Attempt
-	Dropped  chan string
-	Answer   func(statement []byte) []byte // for the loop's goroutine
+	Sent     chan *core.Attempt            // attempts that wait, when Answer is nil
+	Dropped  chan string                   // request ids of canceled attempts
+	Answer   func(statement []byte) []byte // as in Options; called on the loop's goroutine
 	name     forwarding.Name
 }
 
-// UpdateEngine, SetPriority, Cancel and Send are those of core.Backend.
+// UpdateEngine, SetPriority, Cancel and Send implement core.Backend.
 func (n *Node) UpdateEngine(core.Engine)       {}
 func (n *Node) SetPriority(*core.Attempt, int) {}
 func (n *Node) Cancel(a *core.Attempt) bool {
 	select {
 	case n.Dropped <- a.Request.ID:
-	default: // nobody looks
+	default: // the channel is full: the test does not read it
 	}
 	return true
 }
@@ -101,7 +103,7 @@
 	n.Loop.Post(func() { n.Core.EndAttempt(a, core.OutcomeServed, core.Report{Result: rows, Work: time.Millisecond}) })
 }
 
-// Start starts a node. Without engines all that it is asked for crosses.
+// Start starts a node. Without engines, it forwards all requests to its peer.
 func Start(o Options) (n *Node, err error) {
 	n = &Node{Counters: metrics.New(), Sent: make(chan *core.Attempt, 100), Dropped: make(chan string, 100), Answer: o.Answer, name: o.Name}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -143,23 +145,23 @@
 	return n, nil
 }
 
-// Close ends the node.
+// Close stops the node.
 func (n *Node) Close() { n.Now(func() { n.Runner.GoAway(); n.Loop.Stop() }) }
 
-// Now runs something on the node's goroutine.
+// Now runs f on the node's goroutine and waits until it returns.
 func (n *Node) Now(f func()) {
 	done := make(chan struct{})
 	n.Loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// Answers gets what the clients of a node are told.
+// Answers receives the answers of a node's clients.
 type Answers chan core.Answer
 
-// Answer passes an answer on.
+// Answer sends an answer to the channel.
 func (a Answers) Answer(_ *core.Request, answer core.Answer) { a <- answer }
 
-// Ask puts a request to the node.
+// Ask sends a request to the node. Its deadline is within from now.
 func (n *Node) Ask(class, id string, statement []byte, key string, within time.Duration) (*core.Request, Answers) {
 	got := make(Answers, 2)
 	r := &core.Request{ID: id, Class: class, Statement: Text(statement), IdempotencyKey: key, Client: got, Work: time.Millisecond}
@@ -170,7 +172,7 @@
 	return r, got
 }
 
-// Until waits for something to hold of the node's one peer.
+// Until waits up to 10 s for a condition on the status of the node's only peer.
 func (n *Node) Until(holds func(forwarding.PeerStatus) bool) error {
 	var o forwarding.Overview
 	for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(2 * time.Millisecond) {
@@ -180,10 +182,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("sitelink: %s: it never held: %+v", n.name, o)
+	return fmt.Errorf("sitelink: %s: the condition on the peer did not hold within 10s; last status: %+v", n.name, o)
 }
 
-// Count waits for a counter to reach a number.
+// Count waits up to 10 s for a counter to reach a value.
 func (n *Node) Count(name string, want int64) error {
 	for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(2 * time.Millisecond) {
 		var got int64
@@ -192,17 +194,17 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("sitelink: %s: %s never was %d", n.name, name, want)
+	return fmt.Errorf("sitelink: %s: counter %s did not reach %d within 10s", n.name, name, want)
 }
 
-// Files are the keys of a gateway in a folder.
+// Files returns the paths of a gateway's certificate, key, authority and revocation list in a directory.
 func Files(dir, name string) link.Files {
 	f := func(s string) string { return filepath.Join(dir, s) }
 	return link.Files{Certificate: f(name + ".pem"), Key: f(name + ".key"), Authority: f("authority.pem"), Revoked: f("revoked.pem")}
 }
 
-// Keys writes an authority's and both gateways' keys to a folder, and returns the far one's
-// serial number.
+// Keys writes the files of an authority and of both gateways to a directory, and returns the
+// authority and the serial number of the far gateway's certificate.
 func Keys(dir string) (ca *testca.Authority, far int64, err error) {
 	if ca, err = testca.New("sites"); err != nil {
 		return nil, 0, err
@@ -215,8 +217,8 @@
 	return ca, far, err
 }
 
-// Pair starts two nodes that know each other. The near one has no engine: all that it is asked
-// for crosses. via is what the near one dials in place of the far one's address.
+// Pair starts two connected nodes. The near one has no engine, so it forwards all requests. via maps
+// the far node's address to the one that the near node dials; nil: the address itself.
 func Pair(dir string, o Options, via func(addr string) (string, error)) (near, far *Node, err error) {
 	b := o
 	b.Name, b.Dir, b.Listen, b.Peers = Far, dir, "127.0.0.1:0", []link.Peer{{Name: Near}}
