--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -12,28 +12,28 @@
 	"gannetspur/policy"
 )
 
-// Fault is a rule that was seen broken.
+// Fault is a violation of a rule: its name, the request and what was found.
 type Fault struct{ Rule, Mark, What string }
 
 func (f Fault) String() string { return f.Rule + ": " + f.Mark + ": " + f.What }
 
-// Result is what a world was worth. Figures count what arrived behind the warming up.
+// Result holds the results of a simulation. Figures count requests that arrived after the warm-up.
 type Result struct {
-	Asked, Got float64          // worth
-	Requests   int              //
-	Verdicts   map[string]int   // of requests, by kind and final verdict
-	Worst      float64          // of all spans of 10 s, by arrival: worth got over asked
-	Spent      float64          // threads at engines, s
-	Wasted     float64          // of that, for answers that nobody had
-	Messages   int64            // between sites
-	Bytes      int64            //
-	Crossed    int64            // requests that went to another site
-	Counters   map[string]int64 // of all gateways
+	Asked, Got float64          // value of all requests and of their timely answers
+	Requests   int              // number of requests
+	Verdicts   map[string]int   // number of requests by kind and final verdict
+	Worst      float64          // lowest ratio of Got to Asked in any span of 10 s, by arrival
+	Spent      float64          // thread time at engines, s
+	Wasted     float64          // part of Spent whose answer reached no client, s
+	Messages   int64            // messages between sites
+	Bytes      int64            // bytes between sites
+	Crossed    int64            // requests forwarded to another site
+	Counters   map[string]int64 // counters summed over all gateways
 	Faults     []Fault
-	Latency    []float64 // of what was served, ms, by arrival
+	Latency    []float64 // latencies of served requests, ms
 
 	opts  *Options
-	spans [][2]float64 // got and asked by second
+	spans [][2]float64 // value got and asked, by second of arrival
 	open  map[*client]bool
 	order []*client
 }
@@ -45,39 +45,40 @@
 	}
 }
 
+// fault records a violation, at most 1000 of them.
 func (r *Result) fault(rule, mark, what string) {
 	if len(r.Faults) < 1000 {
 		r.Faults = append(r.Faults, Fault{rule, mark, what})
 	}
 }
 
-// client is one request's client.
+// client is the client of one request, including its retries.
 type client struct {
 	w        *World
 	site     *site
-	g        *gateway // that it asks now
+	g        *gateway // gateway of the present attempt
 	life     int
 	mark     string
 	class    policy.Class
-	guess    float64 // by which its estimate is off
+	guess    float64 // factor by which its estimate differs from the actual work
 	due      time.Duration
-	until    time.Duration // of this try
+	until    time.Duration // deadline of the present attempt
 	tries    int
 	answered bool
 	over     *core.Request
 }
 
-// guessSpread is the deviation of the log of what estimates are off by.
+// guessSpread is the standard deviation of the logarithm of an estimate's error factor.
 const guessSpread = 0.3
 
-// arrive has the next request of a site come.
+// arrive schedules the next request of a site. Gaps are exponentially distributed.
 func (w *World) arrive(s *site) {
 	rate := w.opts.Rate * s.load
 	if w.opts.Shape != nil {
 		rate *= w.opts.Shape(s.n, w.now-origin)
 	}
 	gap := time.Duration(s.rng.ExpFloat64() / max(rate, 1e-6) * float64(time.Second))
-	if gap > time.Minute { // the rate may be another by then
+	if gap > time.Minute { // the rate may change meanwhile
 		w.after(time.Minute, func() { w.arrive(s) })
 		return
 	}
@@ -90,6 +91,7 @@
 	})
 }
 
+// ask draws a request of a site and sends it.
 func (w *World) ask(s *site) {
 	kind := byte('q')
 	switch x := s.rng.Float64(); {
@@ -105,7 +107,7 @@
 	name := workcost.ClassOf(c.mark).Name
 	i := slices.IndexFunc(w.opts.Site.Policy.Classes, func(class policy.Class) bool { return class.Name == name })
 	if i < 0 {
-		w.fail(fmt.Errorf("fleet: the settings have no class %q", name))
+		w.fail(fmt.Errorf("simulation: the gateway settings have no class %q, which the clients use; add it", name))
 		return
 	}
 	c.class = w.opts.Site.Policy.Classes[i]
@@ -114,13 +116,13 @@
 	c.try(s)
 }
 
-// try asks a gateway of a site.
+// try sends the request to a gateway of a site.
 func (c *client) try(s *site) {
 	w := c.w
 	if c.g == nil {
 		c.g = s.gateways[s.rng.IntN(len(s.gateways))]
 	} else {
-		c.g = s.gateways[c.g.n] // the one that its other is linked to
+		c.g = s.gateways[c.g.n] // the gateway that the previous one is linked to
 	}
 	c.life = c.g.lives
 	c.tries++
@@ -142,7 +144,7 @@
 	c.g.do(func() { c.g.core.Accept(r) })
 }
 
-// Answer takes the final answer.
+// Answer receives the gateway's final answer.
 func (c *client) Answer(r *core.Request, a core.Answer) {
 	if r != c.over || c.answered {
 		c.w.res.fault("two answers", c.mark, a.Verdict.String())
@@ -159,9 +161,10 @@
 	c.told(a, what)
 }
 
-// mostTries are those of a load's client.
+// mostTries is the maximum number of attempts of a load's client.
 const mostTries = 3
 
+// told records the outcome of an attempt and schedules a retry of a load if one is left.
 func (c *client) told(a core.Answer, what string) {
 	w := c.w
 	if late := w.now - c.until; late > 20*time.Millisecond {
@@ -180,7 +183,7 @@
 	w.res.count(c, a.Verdict == core.Served, what, w.now)
 }
 
-// count counts a request that is over.
+// count adds a finished request to the figures.
 func (r *Result) count(c *client, served bool, what string, now time.Duration) {
 	at := c.due - origin - r.opts.Warm
 	if at < 0 {
@@ -201,7 +204,7 @@
 	span[1] += worth
 }
 
-// orphans are the requests whose gateway has died: their clients see the connection end.
+// orphans ends the attempts at a gateway that has crashed: their clients see the connection close.
 func (r *Result) orphans(g *gateway) {
 	for _, c := range r.order {
 		if r.open[c] && c.g == g && c.life == g.lives && c.over != nil {
@@ -211,7 +214,7 @@
 	}
 }
 
-// finish sums a world up.
+// finish computes the final figures and reports requests without an answer.
 func (w *World) finish() {
 	r := w.res
 	for _, c := range r.order {
@@ -235,10 +238,10 @@
 	}
 }
 
-// Service is the worth got over the worth asked for.
+// Service returns the value of timely answers as a fraction of the value of all requests.
 func (r *Result) Service() float64 { return r.Got / max(r.Asked, 1e-9) }
 
-// Sum is all that a result holds, as text: the same for the same options.
+// Sum returns the result as text, which is the same for the same options.
 func (r *Result) Sum() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "requests %d asked %.3f got %.3f worst %.4f spent %.6f wasted %.6f messages %d bytes %d crossed %d\n",
@@ -259,6 +262,7 @@
 	return b.String()
 }
 
+// wide converts the values of a map to int64.
 func wide(m map[string]int) map[string]int64 {
 	out := map[string]int64{}
 	for k, v := range m {
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -12,9 +12,10 @@
 	"gannetspur/policy"
 )
 
-// lan is the way between a gateway and its engines.
+// lan is the one-way latency between a gateway and its engines.
 const lan = 300 * time.Microsecond
 
+// engine is one simulated engine.
 type engine struct {
 	w       *World
 	site    *site
@@ -43,7 +44,7 @@
 	return &engine{w: w, site: s, id: fmt.Sprintf("e-%d-%d", s.n, n), model: enginemodel.New(w.opts.Engine), listed: true, out: map[uint64]*running{}}
 }
 
-// entry is the engine as a gateway's roster names it.
+// entry returns the engine's entry in a gateway's endpoint list.
 func (e *engine) entry(state policy.EngineState, g *gateway) core.Engine {
 	kind := ""
 	if k := e.w.opts.Site.Policy.Kinds; len(k) > 0 {
@@ -56,7 +57,7 @@
 	return c
 }
 
-// tell has the gateways of the site hear of the engine, a little later.
+// tell updates the endpoint lists of the site's gateways after ToldAfter.
 func (e *engine) tell(state policy.EngineState) {
 	started := e.started
 	e.w.after(e.w.opts.ToldAfter, func() {
@@ -71,7 +72,7 @@
 	})
 }
 
-// die ends all that runs.
+// die crashes the engine: all running attempts end with a connection reset.
 func (e *engine) die() {
 	if e.down {
 		return
@@ -87,6 +88,7 @@
 	e.tell(policy.EngineDeparted)
 }
 
+// ids returns the ids of the running attempts in ascending order, so that iteration is deterministic.
 func (e *engine) ids() []uint64 {
 	ids := make([]uint64, 0, len(e.out))
 	for id := range e.out {
@@ -96,7 +98,7 @@
 	return ids
 }
 
-// start begins anew, cold.
+// start restarts a crashed engine, cold.
 func (e *engine) start() {
 	if !e.down {
 		return
@@ -107,7 +109,7 @@
 	e.tell(policy.EngineLive)
 }
 
-// forget drops what a gateway that has died has out: the engine sees its connections end.
+// forget cancels the attempts of a crashed gateway: the engine sees its connections close.
 func (e *engine) forget(g *gateway) {
 	for _, id := range e.ids() {
 		if r := e.out[id]; r.g == g {
@@ -116,16 +118,17 @@
 	}
 }
 
-// Owner is the attempt.
+// Owner returns the attempt.
 func (r *running) Owner() *core.Attempt { return r.a }
 
+// end reports the outcome to the gateway, unless it has crashed since.
 func (r *running) end(end core.Outcome, rep core.Report) {
 	if r.g.lives == r.life {
 		r.g.do(func() { r.g.core.EndAttempt(r.a, end, rep) })
 	}
 }
 
-// backend is a gateway's way to its engines.
+// backend implements core.Backend over the simulated engines.
 type backend struct {
 	g    *gateway
 	life int
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// Send begins an attempt.
+// Send sends an attempt to its engine.
 func (b *backend) Send(a *core.Attempt) {
 	e := b.engine(a.Engine)
 	r := &running{a: a, g: b.g, life: b.life, e: e, mark: a.Request.Statement.SQL()}
@@ -163,9 +166,10 @@
 	})
 }
 
+// take starts an attempt at the engine, or answers a repeated key at once.
 func (e *engine) take(r *running) {
 	w := e.w
-	if !w.ledger.begin(w, r) { // a repeat of a key
+	if !w.ledger.begin(w, r) { // a repeated idempotency key
 		w.after(lan, func() { r.end(core.OutcomeServed, core.Report{Result: mark(r.mark)}) })
 		return
 	}
@@ -189,7 +193,7 @@
 	e.arm()
 }
 
-// arm has the world come back for the next end at the engine.
+// arm schedules the next completion at the engine.
 func (e *engine) arm() {
 	e.timer.Stop()
 	at, ok := e.model.Next()
@@ -212,7 +216,7 @@
 	})
 }
 
-// Cancel gives an attempt up.
+// Cancel cancels an attempt.
 func (b *backend) Cancel(a *core.Attempt) bool {
 	if r, ok := a.BackendState.(*running); ok && r.e != nil && r.e.out[r.id] == r {
 		r.e.cancel(r)
@@ -220,6 +224,7 @@
 	return true
 }
 
+// cancel removes a running attempt from the engine.
 func (e *engine) cancel(r *running) {
 	delete(e.out, r.id)
 	e.w.spent(r, false)
@@ -227,7 +232,7 @@
 	e.arm()
 }
 
-// spent counts what a run took of its engine, and whether its answer was wanted.
+// spent adds the thread time of an execution to the result; wanted says that its answer was used.
 func (w *World) spent(r *running, wanted bool) {
 	x := (w.now - r.at).Seconds() * workcost.ClassOf(r.mark).Threads
 	w.res.Spent += x
@@ -236,13 +241,13 @@
 	}
 }
 
-// ledger is what ran. All engines of all sites drop repeats of a key for a while from its first
-// effect on.
+// ledger records executions. The engines of all sites drop a repeated idempotency key for the
+// deduplication window, counted from its first effect.
 type ledger struct {
 	first map[string]time.Duration
 	runs  map[string]*runs
-	sends map[string]int // by mark: that reached an engine
-	tries map[string]int // of its client
+	sends map[string]int // by mark: number of attempts that reached an engine
+	tries map[string]int // by mark: number of attempts of its client
 }
 
 func newLedger() ledger {
@@ -254,7 +259,7 @@
 	effects int
 }
 
-// begin writes an execution down, and tells whether it is carried out.
+// begin records an execution and reports whether the engine carries it out.
 func (l *ledger) begin(w *World, r *running) bool {
 	if l.sends[r.mark]++; l.sends[r.mark] > l.tries[r.mark]*w.cfg().MaxAttempts {
 		w.res.fault("sent too often", r.mark, fmt.Sprintf("%d sends over all sites for %d tries of its client", l.sends[r.mark], l.tries[r.mark]))
@@ -287,6 +292,7 @@
 	return true
 }
 
+// window returns the deduplication window of idempotency keys; 0: no class has one.
 func (w *World) window() time.Duration {
 	for _, c := range w.opts.Site.Policy.Classes {
 		if c.Idempotency == policy.IdempotentWithKey {
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -1,6 +1,7 @@
-// Package simulation plays sites in virtual time: the same core, decision module, site decisions and
-// link protocol as the gateway's, without sockets, on one clock that jumps from event to
-// event. Engines are those of internal/testbed/enginemodel. The same options give the same bytes.
+// Package simulation is a discrete-event simulation of sites in virtual time. It runs the gateway's
+// core, decision module, site decisions and link protocol without sockets, on one clock that jumps
+// from event to event. Engines are those of internal/testbed/enginemodel. The same options give
+// byte-for-byte the same results.
 package simulation
 
 import (
@@ -22,72 +23,72 @@
 	"gannetspur/policy"
 )
 
-// Ways in which sites work together.
+// Ways in which sites cooperate, as experiment files write them.
 const (
-	Alone   = "alone"   // each for itself
+	Alone   = "alone"   // sites do not forward requests
 	Ours    = "room"    // as internal/decide/remotesite decides
-	Random  = "random"  // what is turned away goes to any other site, whatever that says of its room
-	Nearest = "nearest" // or to the nearest one
+	Random  = "random"  // rejected requests go to a random other site, whatever capacity it reports
+	Nearest = "nearest" // rejected requests go to the site with the shortest round-trip time
 )
 
-// Event is something that happens to a site.
+// Event is one scheduled event at a site.
 type Event struct {
-	At   time.Duration
-	Do   string // see the kinds below
-	Site int    // from 0
-	Part float64
+	At   time.Duration // since the end of the warm-up
+	Do   string        // see the kinds below
+	Site int           // from 0
+	Part float64       // of Lose: fraction of the engines; of Load: multiple of the usual rate
 }
 
 // Kinds of event.
 const (
-	Lose   = "lose"   // a part of a site's engines die; the roster tells a second later
-	Return = "return" // all that died come back, cold
-	Chill  = "chill"  // all engines of a site start anew, cold
-	Load   = "load"   // arrivals at a site are Part times the usual from now on
-	Cut    = "cut"    // links of a site break, and can't be made until Mend
-	Mute   = "mute"   // nothing passes on links of a site, until Mend
-	OneWay = "oneway" // nothing passes on links to a site, until Mend
-	Mend   = "mend"
-	Kill   = "kill"  // a gateway of a site dies, in the middle of answers; another starts in its place
-	Drain  = "drain" // a site's gateways say that they take nothing new
-	Back   = "back"  // and that they do
+	Lose   = "lose"   // the fraction Part of a site's engines crash; the endpoint list follows after ToldAfter
+	Return = "return" // all crashed engines of a site restart, cold
+	Chill  = "chill"  // all engines of a site restart, cold
+	Load   = "load"   // the arrival rate at a site is Part times the usual one from now on
+	Cut    = "cut"    // links of a site break and cannot be opened until Mend
+	Mute   = "mute"   // links of a site deliver nothing in either direction until Mend
+	OneWay = "oneway" // links deliver nothing to a site until Mend
+	Mend   = "mend"   // ends Cut, Mute and OneWay; data held by Mute and OneWay is delivered
+	Kill   = "kill"   // a gateway of a site crashes, also during answers; another starts in its place
+	Drain  = "drain"  // a site's gateways stop accepting requests from other sites
+	Back   = "back"   // they accept them again
 )
 
-// Options say what to play.
+// Options configure a simulation.
 type Options struct {
 	Site      config.Site // settings of a gateway; its number of gateways is set here
 	Config    decide.Config
 	Way       string
 	Sites     int
-	Gateways  int // of a site
-	Engines   int // of a site
+	Gateways  int // number of gateways at each site
+	Engines   int // number of engines at each site
 	Engine    enginemodel.Config
-	Neighbour int // sites on each side, on a ring, that a site is linked to; 0: all
-	Rate      float64
-	Shape     func(site int, at time.Duration) float64 // of the rate, over time; nil: steady
-	Loads     float64
-	Reports   float64
-	Writes    float64
-	Estimates bool          // clients tell what they expect a request to need
-	ToldAfter time.Duration // the roster tells of what happens to an engine so much later
-	Elsewhere float64       // share of a load's further tries that go to a gateway of another site
-	Delay     time.Duration // of the links between sites, one way
-	Stall     float64       // share of what is sent there that comes StallFor later
-	StallFor  time.Duration
-	Bandwidth float64 // bytes a second
-	Pack      bool
-	Skew      time.Duration // each site's clock is so much ahead of the one before
-	Warm      time.Duration // at the start, which does not count
-	Span      time.Duration
-	Events    []Event // from the end of Warm
+	Neighbour int                                      // number of sites on each side, on a ring, that a site is linked to; 0: all
+	Rate      float64                                  // arrivals per second at each site
+	Shape     func(site int, at time.Duration) float64 // factor of the arrival rate over time; nil: 1
+	Loads     float64                                  // fraction of requests that are loads, 0 to 1
+	Reports   float64                                  // fraction of requests that are reports, 0 to 1
+	Writes    float64                                  // fraction of requests that are writes, 0 to 1
+	Estimates bool                                     // clients send an estimate of a request's work
+	ToldAfter time.Duration                            // delay from a change of an engine to the gateways' endpoint lists
+	Elsewhere float64                                  // probability that a retry of a load picks a site at random
+	Delay     time.Duration                            // one-way latency of the links between sites
+	Stall     float64                                  // probability that a message is delayed by StallFor, 0 to 1
+	StallFor  time.Duration                            // additional delay of a stalled message
+	Bandwidth float64                                  // of a link, bytes per second; 0: unlimited
+	Pack      bool                                     // compress message bodies
+	Skew      time.Duration                            // clock offset of each site against the previous one
+	Warm      time.Duration                            // warm-up, which is not measured
+	Span      time.Duration                            // measured time after the warm-up
+	Events    []Event                                  // scheduled events; nil: none
 	Seed      uint64
-	Cost      func(began time.Time) // hears of each decision's real time; nil: nobody
-	Log       io.Writer             // of the gateways; nil: none
+	Cost      func(began time.Time) // called at the end of each decision with its real start time; nil: not called
+	Log       io.Writer             // log of the gateways; nil: discarded
 
-	script func(w *World) // plans what a test wants to happen, in place of arrivals
+	script func(w *World) // lets a test schedule its own requests in place of random arrivals
 }
 
-// World is what is played.
+// World is the state of a simulation.
 type World struct {
 	opts   Options
 	now    time.Duration
@@ -100,45 +101,49 @@
 	err    error
 }
 
+// site is one site with its gateways, engines and arrivals.
 type site struct {
 	n        int
 	gateways []*gateway
 	engines  []*engine
-	load     float64 // of the usual
-	marks    int
-	rng      *rand.Rand // of what its clients ask: the same whatever becomes of it
+	load     float64    // factor of the usual arrival rate
+	marks    int        // number of requests so far
+	rng      *rand.Rand // draws its clients' requests, independently of their outcomes
 }
 
-// gateway is one gateway: core and site service as the program has them.
+// gateway is one gateway, with the same core and site service as in the program.
 type gateway struct {
 	w       *World
 	site    *site
 	n       int
-	lives   int
+	lives   int // number of starts, the present one included
 	core    *core.Core
-	timers  *timerqueue.Queue // of its own: they end with it
+	timers  *timerqueue.Queue // its own timers, discarded when it crashes
 	wake    *timerqueue.Timer
 	service *forwarding.Service
 	stats   *metrics.Counters
 	dead    bool
 }
 
-// Now is the gateway's clock, which is ahead of the world's.
+// Now returns the gateway's clock, which is ahead of the simulation's by the site's offset.
 func (g *gateway) Now() time.Duration { return g.w.now + g.skew() }
 
+// skew returns the offset of the site's clock.
 func (g *gateway) skew() time.Duration { return time.Duration(g.site.n) * g.w.opts.Skew }
 
+// after schedules f after the delay d in virtual time.
 func (w *World) after(d time.Duration, f func()) *timerqueue.Timer {
 	return w.queue.Add(w.now+max(d, 0), f)
 }
 
-// origin is when a world begins: instants near 0 mean "never" to some.
+// origin is the virtual start time. It is far from 0, because some code takes times near 0 to mean
+// "never".
 const origin = 1000 * time.Hour
 
-// Play plays and tells what it was worth.
+// Play runs a simulation and returns its result.
 func Play(opts Options) (*Result, error) {
 	if opts.Sites < 1 || opts.Gateways < 1 || opts.Engines < 1 || opts.Rate <= 0 || opts.Span <= 0 {
-		return nil, errors.New("fleet: sites, gateways, engines, rate and span must be above 0")
+		return nil, errors.New("simulation: sites, gateways, engines, rate and span must be greater than 0")
 	}
 	w := &World{
 		opts: opts, now: origin, queue: timerqueue.New(), rng: rand.New(rand.NewPCG(opts.Seed, 0x666c656574)),
@@ -188,10 +193,11 @@
 	return w.res, nil
 }
 
-// restartFor is how long an engine is away that starts anew.
+// restartFor is the downtime of an engine that restarts.
 const restartFor = 3 * time.Second
 
-// drainFor is how long a world goes on behind its last arrival: as the longest client waits.
+// drainFor is how long the simulation continues after its last arrival: as long as the most patient
+// client waits.
 const drainFor = 30 * time.Second
 
 func siteName(n int) string { return fmt.Sprintf("site-%02d", n) }
@@ -200,7 +206,7 @@
 	return forwarding.Name{Site: siteName(g.site.n), Gateway: fmt.Sprintf("gateway-%d", g.n)}
 }
 
-// start begins a life of the gateway.
+// start starts the gateway, or restarts it after a crash.
 func (g *gateway) start() error {
 	w := g.w
 	g.lives++
@@ -226,7 +232,7 @@
 	}
 	g.core.SetBackend(&backend{g: g, life: g.lives})
 	o := forwarding.Options{Name: g.name(), Start: uint64(g.lives), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
-	for i := range w.opts.Sites { // those that come later are peers too
+	for i := range w.opts.Sites { // sites that are set up later are peers too
 		if w.opts.Way != Alone && i != g.site.n && w.near(i, g.site.n) {
 			o.Peers = append(o.Peers, forwarding.Name{Site: siteName(i), Gateway: g.name().Gateway})
 		}
@@ -253,7 +259,7 @@
 	return nil
 }
 
-// near tells whether two sites are linked.
+// near reports whether two sites are linked.
 func (w *World) near(a, b int) bool {
 	if w.opts.Neighbour <= 0 {
 		return true
@@ -262,7 +268,7 @@
 	return min(d, w.opts.Sites-d) <= w.opts.Neighbour
 }
 
-// do runs something of a gateway's, and then what its timers have due.
+// do runs f on the gateway and schedules the gateway's next timer. A crashed gateway does nothing.
 func (g *gateway) do(f func()) {
 	if g.dead {
 		return
@@ -271,7 +277,7 @@
 	g.arm()
 }
 
-// arm has the world wake the gateway for its next timer.
+// arm schedules a wakeup of the gateway for its next timer.
 func (g *gateway) arm() {
 	at, ok := g.timers.Next()
 	if !ok || g.dead {
@@ -287,8 +293,8 @@
 	})
 }
 
-// spill sends what was turned away to one of those that something could be sent to, whatever they
-// say of their room.
+// spill returns a decision that forwards locally rejected requests to one of the reachable peers,
+// whatever capacity they report.
 func (g *gateway) spill(pick func(all []int, peers []*decide.Peer) int) func(time.Duration, *decide.Query, float64, []*decide.Peer) decide.Choice {
 	return func(now time.Duration, q *decide.Query, _ float64, peers []*decide.Peer) decide.Choice {
 		var all []int
@@ -304,14 +310,14 @@
 	}
 }
 
-// cfg is what all gateways decide by.
+// cfg returns the decision settings of all gateways.
 func (w *World) cfg() decide.Config {
 	cfg := w.opts.Config
 	cfg.MaxAttempts = max(w.opts.Site.Policy.Limits.MaxAttempts, 1)
 	return cfg
 }
 
-// timed hears how long decisions take.
+// timed reports the start time of each decision, so that its duration can be measured.
 type timed struct {
 	core.RemoteSites
 	cost func(began time.Time)
@@ -331,7 +337,7 @@
 	return t.RemoteSites.ForwardRejected(r)
 }
 
-// event has something happen.
+// event carries out an event.
 func (w *World) event(e Event) {
 	s := w.sites[e.Site]
 	switch e.Do {
@@ -370,17 +376,18 @@
 			g.do(func() { setDraining(g.service, e.Do != Back) })
 		}
 	default:
-		w.fail(fmt.Errorf("fleet: there is no event %q", e.Do))
+		w.fail(fmt.Errorf("simulation: unknown event %q", e.Do))
 	}
 }
 
+// fail ends the simulation with its first error; nil is ignored.
 func (w *World) fail(err error) {
 	if err != nil && w.err == nil {
 		w.err = err
 	}
 }
 
-// die ends a gateway without a word: its links break, its clients have no answer from it.
+// die crashes a gateway: its links break, and its clients get no answer.
 func (g *gateway) die() {
 	g.dead = true
 	g.wake.Stop()
@@ -393,7 +400,7 @@
 	g.w.res.orphans(g)
 }
 
-// setDraining drains a gateway's own site, or takes that back.
+// setDraining drains a gateway's own site, or ends the drain.
 func setDraining(service *forwarding.Service, draining bool) { //nolint:revive // the scenario's event says which
 	if draining {
 		service.Drain("")
--- a/internal/testbed/simulation/fleet_test.go
+++ b/internal/testbed/simulation/fleet_test.go
@@ -15,6 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// usual returns the default options of the tests: two sites with two gateways and two engines each.
 func usual(t testing.TB) Options {
 	t.Helper()
 	p, err := config.LoadPostgres("../../../deploy/postgres.toml")
@@ -38,8 +39,8 @@
 	return r
 }
 
-// Whatever happens: one final answer for each client in time, no effect twice, no key past its
-// window, and no worse than each site alone but for chance.
+// In each scenario, each client gets one final answer in time, nothing takes effect twice, no key is
+// sent after its window, and service is at most 0.03 below that of sites on their own.
 func TestScenarios(t *testing.T) {
 	for _, sc := range Scenarios {
 		t.Run(sc.Name, func(t *testing.T) {
@@ -51,16 +52,16 @@
 				t.Error(f)
 			}
 			if o.Way = Alone; r.Service() < play(t, o).Service()-0.03 {
-				t.Errorf("together %.3f, alone %.3f", r.Service(), play(t, o).Service())
+				t.Errorf("got service %.3f with cooperation, want at least %.3f (alone) minus 0.03", r.Service(), play(t, o).Service())
 			}
 			if sc.Name != "steady" && r.Crossed == 0 {
-				t.Error("nothing crossed")
+				t.Error("got no forwarded request, want at least one")
 			}
 		})
 	}
 }
 
-// Long lines, stalls, three sites in a ring of overload, no zstd: the same rules.
+// The same rules hold with high latency, stalls, overload moving around three sites, and no compression.
 func TestLines(t *testing.T) {
 	for name, change := range map[string]func(*Options){
 		"300 ms with stalls": func(o *Options) { o.Delay, o.Stall, o.StallFor = 150*time.Millisecond, 0.02, time.Second },
@@ -85,7 +86,7 @@
 	}
 }
 
-// The same options give the same bytes, and another seed others.
+// The same options give byte-for-byte the same results, and another seed gives different ones.
 func TestSameBytes(t *testing.T) {
 	o := usual(t)
 	o.Span = 30 * time.Second
@@ -99,22 +100,22 @@
 		t.Errorf("two runs differ:\n%s", diff)
 	}
 	if o.Seed = 2; play(t, o).Sum() == a.Sum() {
-		t.Error("another seed gives the same day")
+		t.Error("seeds 1 and 2 give equal results, want different ones")
 	}
 }
 
-// Clocks that are 30 s apart change nothing: no clock of another site is used.
+// Clock offsets of 30 s change nothing, because no site uses the clock of another.
 func TestClocksApart(t *testing.T) {
 	o := usual(t)
 	o.Sites, o.Events = 3, ScenarioOf("silence").Events(o.Span, 3)
 	together := play(t, o)
 	o.Skew = 30 * time.Second
 	if diff := cmp.Diff(together.Sum(), play(t, o).Sum()); diff != "" {
-		t.Errorf("with clocks apart (-same +apart):\n%s", diff)
+		t.Errorf("clock offsets change the results (-without +with):\n%s", diff)
 	}
 }
 
-// told is a client of a script.
+// told is a scripted client that records its answers.
 type told struct {
 	w    *World
 	name string
@@ -125,11 +126,11 @@
 	*c.got = append(*c.got, fmt.Sprintf("%s %s doubt=%v", c.name, a.Verdict, a.InDoubt))
 }
 
-// The link delivers a load and loses the reply. The far site then tells nothing for 13 s, and the
-// client turns to each gateway with the same key, 11 s and 13 s after: within the window the engines
-// drop the repeat, past it nothing goes out, at either site, whether they hear of each other or not.
+// The link delivers a load, then loses the reply. While the far site is silent, the client retries the
+// same key at each gateway, 11 s and 13 s later. Within the window, the engines drop the repeat. After
+// it, neither site sends the load, whether or not the link is back.
 func TestLostReplyAndKey(t *testing.T) {
-	for _, muted := range []time.Duration{9 * time.Second, 30 * time.Second} { // the line is back before the client is, or not
+	for _, muted := range []time.Duration{9 * time.Second, 30 * time.Second} { // the link recovers before or after the client's retries
 		o := usual(t)
 		o.Gateways, o.Estimates = 1, false
 		o.Warm = 20 * time.Second
@@ -159,19 +160,19 @@
 		slices.Sort(want)
 		slices.Sort(got)
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("muted for %v:\n%s", muted, diff)
+			t.Errorf("link silent for %v: answers differ (-want +got):\n%s", muted, diff)
 		}
 	}
 }
 
-// What is to be played must make sense.
+// Play rejects invalid options.
 func TestOptions(t *testing.T) {
 	o := usual(t)
 	o.Events = []Event{{Do: "burn"}}
 	if _, err := Play(o); err == nil {
-		t.Error("played an event that there is none of")
+		t.Error("Play accepted an unknown event, want an error")
 	}
 	if _, err := Play(Options{}); err == nil {
-		t.Error("played nothing")
+		t.Error("Play accepted empty options, want an error")
 	}
 }
--- a/internal/testbed/simulation/scenario.go
+++ b/internal/testbed/simulation/scenario.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Scenario is something that happens to two sites or more, a third of a span after its
-// beginning and, where it ends, at two thirds.
+// Scenario is a sequence of events at two or more sites. Most begin after a third of the span and
+// end after two thirds.
 type Scenario struct {
 	Name, What string
 	Events     func(span time.Duration, sites int) []Event
 }
 
-// Scenarios are those that ways of working together are judged by.
+// Scenarios lists the scenarios by which the ways of cooperation are compared.
 var Scenarios = []Scenario{
 	{"steady", "nothing happens", func(time.Duration, int) []Event { return nil }},
 	{"site-loss", "all engines of the first site die, and come back cold", func(span time.Duration, _ int) []Event {
@@ -56,7 +56,7 @@
 	}},
 }
 
-// ScenarioOf finds one by its name; nil: there is none.
+// ScenarioOf returns the scenario with the name; nil: it does not exist.
 func ScenarioOf(name string) *Scenario {
 	for i := range Scenarios {
 		if Scenarios[i].Name == name {
--- a/internal/testbed/simulation/wan.go
+++ b/internal/testbed/simulation/wan.go
@@ -9,19 +9,19 @@
 	"gannetspur/internal/site/forwarding"
 )
 
-// mark stands for a statement, and for the rows of its answer.
+// mark identifies a request. It stands for the statement and for the rows of its answer.
 type mark string
 
-// SQL is the mark.
+// SQL returns the mark.
 func (m mark) SQL() string { return string(m) }
 
-// Size is the length of the mark.
+// Size returns the length of the mark in bytes.
 func (m mark) Size() int { return len(m) }
 
-// codec carries marks in place of statements and rows. An answer has some bytes, as rows would.
+// codec encodes marks in place of statements and rows. An answer is padded to the size of its rows.
 type codec struct{}
 
-// rowBytes is the length of an answer's rows by the kind of its request.
+// rowBytes is the size of an answer's rows in bytes, by the kind of request.
 var rowBytes = map[byte]int{'q': 400, 'r': 20_000, 'k': 50, 'w': 50}
 
 func (codec) Form() string                                   { return "marks" }
@@ -44,13 +44,13 @@
 	return nil, errors.New("no mark")
 }
 
-// wan is the line between two gateways of two sites.
+// wan is the wide-area link between two gateways of two sites.
 type wan struct {
 	w     *World
 	ends  [2]*gateway
 	ports [2]*port // nil: not connected
 	cut   bool
-	mute  [2]bool // what goes to that end does not pass
+	mute  [2]bool // by end: data to that end is held
 }
 
 // port is one end of a connection.
@@ -60,12 +60,12 @@
 	link    *forwarding.Link
 	sending bool
 	closed  bool
-	last    time.Duration // when what was sent last arrives
-	held    []byte
-	parked  [][]byte // what does not pass just now
+	last    time.Duration // arrival time of the latest message
+	held    []byte        // received data that is not a complete message yet
+	parked  [][]byte      // messages held by a fault
 }
 
-// connect draws all lines and makes their connections.
+// connect creates all wide-area links and opens their connections.
 func (w *World) connect() {
 	for i, a := range w.sites {
 		for _, b := range w.sites[i+1:] {
@@ -81,10 +81,10 @@
 	}
 }
 
-// redial is how much later than it broke a connection is made anew, beside the way.
+// redial is the delay before a broken connection is opened again, in addition to the latency.
 const redial = 300 * time.Millisecond
 
-// dial makes a connection, three ways later as TLS 1.3 needs.
+// dial opens a connection after redial and three one-way latencies, as TLS 1.3 needs.
 func (l *wan) dial() {
 	l.w.after(redial+3*l.w.opts.Delay, func() {
 		if l.ports[0] != nil {
@@ -110,14 +110,14 @@
 	})
 }
 
-// Ready has what waits travel.
+// Ready sends the data that waits at the link.
 func (p *port) Ready() {
 	if p.sending || p.closed || p.link == nil || p.wan.ports[p.side] != p {
 		return
 	}
 	p.sending = true
 	w := p.wan.w
-	w.after(0, func() { // after the caller is done
+	w.after(0, func() { // after the caller has returned
 		p.sending = false
 		if p.closed {
 			return
@@ -136,7 +136,7 @@
 		if w.opts.Stall > 0 && w.rng.Float64() < w.opts.Stall {
 			at += w.opts.StallFor
 		}
-		p.last = max(p.last, at) // a connection keeps its order
+		p.last = max(p.last, at) // a connection delivers in order
 		other := p.wan.ports[1-p.side]
 		w.queue.Add(p.last, func() { other.arrive(b) })
 		p.sending = true
@@ -148,6 +148,7 @@
 	})
 }
 
+// arrive delivers a message, or holds it while a fault lasts.
 func (p *port) arrive(b []byte) {
 	switch {
 	case p.closed:
@@ -158,6 +159,7 @@
 	}
 }
 
+// input passes received data to the link.
 func (p *port) input(b []byte) {
 	g := p.wan.ends[p.side]
 	if g.dead || p.closed {
@@ -167,7 +169,7 @@
 	g.do(func() {
 		n, err := p.link.Input(p.held)
 		if err != nil {
-			p.wan.w.fail(fmt.Errorf("fleet: %w", err)) // nobody here is hostile
+			p.wan.w.fail(fmt.Errorf("simulation: %w", err)) // no peer here sends invalid input
 			return
 		}
 		p.held = append(p.held[:0], p.held[n:]...)
@@ -177,6 +179,7 @@
 // Close ends the connection at both ends.
 func (p *port) Close(error) { p.wan.close() }
 
+// close closes both ends of the connection and schedules a new one.
 func (l *wan) close() {
 	was := l.ports
 	l.ports = [2]*port{}
@@ -193,14 +196,14 @@
 	}
 }
 
-// broken breaks the line of a gateway that has died. The other end hears of it a way later.
+// broken closes the connection of a gateway that has crashed.
 func (l *wan) broken(g *gateway) {
 	if l.ends[0] == g || l.ends[1] == g {
 		l.close()
 	}
 }
 
-// fault begins or ends a fault of the line.
+// fault begins or ends a fault of the link.
 func (l *wan) fault(kind string, s *site) {
 	switch kind {
 	case Cut:
