--- a/internal/testbed/membershipsim/baseline.go
+++ b/internal/testbed/membershipsim/baseline.go
@@ -10,14 +10,14 @@
 	decide "gannetspur/internal/decide/membership"
 )
 
-// Ours is internal/decide/membership as it is by default.
+// Ours is the membership protocol of internal/decide/membership with its default settings.
 func Ours(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member {
 	return decide.New(decide.DefaultConfig(), id, inc, named, now, rng)
 }
 
-// Baselines are played to compare with, on the same network: written here, after what is published of them.
+// The baselines run on the same simulated network for comparison. They are implemented here from their publications.
 
-// heartbeats is all-to-all heartbeats with a fixed time-out.
+// heartbeats is a member of a group with all-to-all heartbeats and a fixed timeout.
 type heartbeats struct {
 	self  decide.ID
 	named []decide.ID
@@ -28,11 +28,12 @@
 
 const (
 	beatEvery = 500 * time.Millisecond
-	beatBytes = 24 // as ours
+	beatBytes = 24 // as in internal/decide/membership
 	deadAfter = 2 * time.Second
 )
 
-// Heartbeats is a member that tells all others twice a second that it lives, and calls dead who said nothing for 2 s.
+// Heartbeats returns a member that sends a heartbeat to all others twice a second. It reports a member dead after 2 s
+// without a heartbeat.
 func Heartbeats(id decide.ID, _ uint32, named []decide.ID, now time.Duration, _ *rand.Rand) Member {
 	return &heartbeats{self: id, named: named, heard: map[decide.ID]time.Duration{}, dead: map[decide.ID]bool{}, next: now}
 }
@@ -78,8 +79,8 @@
 	return out
 }
 
-// swim is SWIM as its paper has it: one random member is asked a period, three others ask for it where it does not answer,
-// suspicion lasts a fixed time and is refuted by incarnation, word is piggybacked.
+// swim is a member that follows the SWIM paper. In each period it pings one member; without an answer, three others ping
+// the member on its behalf. Suspicion lasts a fixed time and is refuted by a higher incarnation. Updates are piggybacked.
 type swim struct {
 	self   decide.ID
 	rng    *rand.Rand
@@ -88,10 +89,10 @@
 	order  []decide.ID
 	round  time.Duration
 	asked  decide.ID
-	await  time.Duration // by then its answer must be here
-	asking bool          // by way of others
+	await  time.Duration // deadline of the answer to the direct ping
+	asking bool          // indirect pings were sent
 	acked  bool
-	forOne map[decide.ID][]decide.ID // whom to tell of an answer
+	forOne map[decide.ID][]decide.ID // by pinged member: the members that requested the ping
 	news   map[decide.ID]int
 }
 
@@ -105,10 +106,10 @@
 	swimPeriod = time.Second
 	swimAnswer = 200 * time.Millisecond
 	swimOthers = 3
-	swimNews   = 24 // rumours in a datagram, 7 bytes each
+	swimNews   = 24 // maximum number of updates in a datagram, 7 bytes each
 )
 
-// SWIM is a member by SWIM.
+// SWIM returns a member that runs the SWIM protocol.
 func SWIM(id decide.ID, _ uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member {
 	s := &swim{self: id, rng: rng, others: map[decide.ID]*swimPeer{}, forOne: map[decide.ID][]decide.ID{}, news: map[decide.ID]int{}, round: now}
 	for _, n := range named {
@@ -128,13 +129,14 @@
 	return decide.Alive, nil, nil
 }
 
-// datagrams: kind, about, then rumours: id, state, incarnation
+// Kinds of datagram. A datagram holds its kind, its subject, then updates of id, state and incarnation.
 const (
 	swimPing = 1 + iota
 	swimAck
 	swimAsk
 )
 
+// say returns a datagram with the least-sent updates.
 func (s *swim) say(kind byte, to, about decide.ID) decide.Action {
 	b := append([]byte{kind}, binary.BigEndian.AppendUint32(nil, uint32(about))...)
 	ids := make([]decide.ID, 0, len(s.news))
@@ -161,10 +163,12 @@
 	return decide.Send{To: to, Payload: b}
 }
 
+// spread schedules an update for dissemination.
 func (s *swim) spread(id decide.ID) {
 	s.news[id] = int(3 * math.Ceil(math.Log2(float64(len(s.others)+2))))
 }
 
+// set applies an update to a member's state, unless it is outdated.
 func (s *swim) set(id decide.ID, state decide.State, inc uint16, now time.Duration) (out []decide.Action) {
 	p := s.others[id]
 	if p == nil {
@@ -221,6 +225,7 @@
 	return out
 }
 
+// turn runs the timers of the protocol.
 func (s *swim) turn(now time.Duration) (out []decide.Action) {
 	doubtFor := time.Duration(3*math.Ceil(math.Log10(float64(len(s.others)+2)))) * swimPeriod
 	for _, id := range s.ids() {
@@ -243,7 +248,7 @@
 	if s.asked != 0 && !s.acked {
 		out = append(out, s.set(s.asked, decide.Suspect, s.others[s.asked].inc, now)...)
 	}
-	if len(s.order) == 0 { // in turn, in an order that is drawn anew each time
+	if len(s.order) == 0 { // round-robin, shuffled again for each pass
 		s.order = slices.DeleteFunc(s.ids(), func(id decide.ID) bool { return s.others[id].state == decide.Dead })
 		s.rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 	}
@@ -256,6 +261,7 @@
 	return out
 }
 
+// ids returns the other members' ids in ascending order.
 func (s *swim) ids() []decide.ID {
 	ids := make([]decide.ID, 0, len(s.others))
 	for id := range s.others {
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -9,48 +9,48 @@
 	decide "gannetspur/internal/decide/membership"
 )
 
-// Ways are what can be measured, by name.
+// Ways maps the names of the protocols that can be measured to their constructors.
 var Ways = map[string]func(decide.ID, uint32, []decide.ID, time.Duration, *rand.Rand) Member{"rings": Ours, "heartbeats": Heartbeats, "swim": SWIM}
 
-// Measure is one play of a fleet that finds itself, rests, and loses one member, another and then, where Most is set,
-// that share at once.
+// Measure describes one simulation: a fleet starts, runs without faults, loses members one after the other, and at the end,
+// if Most is set, loses that share of the members at once.
 type Measure struct {
 	Way     string
 	Members int
 	Seed    uint64
 	Loss    float64
-	Seeds   int           // so many members are named to each at its start; 0: all
-	Warm    time.Duration // until all have found each other
-	Rest    time.Duration // with nothing but loss
-	Pause   time.Duration // one stands still for so long, and its words count apart; 0: none
-	Crashes int           // one after the other
-	Most    float64       // share that dies at once in the end; 0: none
+	Seeds   int           // number of members that each knows at its start; 0: all
+	Warm    time.Duration // time allowed until all views are complete
+	Rest    time.Duration // time without faults other than loss
+	Pause   time.Duration // duration for which one member is paused; its reports are counted separately; 0: none
+	Crashes int           // number of crashes, one after the other
+	Most    float64       // share of members that crash at once at the end, 0 to 1; 0: none
 }
 
-// Found is what was measured.
+// Found holds the measurements.
 type Found struct {
-	Agreed    bool            // at the end of Warm all have all in their views
-	Settled   time.Duration   // since then it was so, to the second; 0: never
-	Detected  []time.Duration // of each crash, at each survivor: until it called it dead or lost; the longest time where it never did
-	Last      []time.Duration // of each crash: the last survivor
-	Wrong     int             // words that one that lives is dead or lost, but for one that stands still
-	WrongBy   int             // such words of others by the one that stood still
-	Changes   float64         // of the view, a survivor and crash
-	Bytes     float64         // a second and member, at rest
-	Packets   float64
-	BytesAll  float64       // a second and member, from the end of Warm to the end, in the busiest 10 s
-	Each      time.Duration // CPU of one decision, at rest; not the same each time
-	CPU       time.Duration // of a member and second
-	MostLast  time.Duration // until all survivors of Most have a view of just themselves; 0: never
-	MostViews int           // changes of the view that one survivor had meanwhile, at most
+	Agreed    bool            // all views are complete at the end of Warm
+	Settled   time.Duration   // time from which all views were complete, to the second; 0: never
+	Detected  []time.Duration // for each crash and survivor: time until it reported the member dead or lost; detectMost if it never did
+	Last      []time.Duration // for each crash: detection time of the last survivor
+	Wrong     int             // reports that a running, not paused member is dead or lost
+	WrongBy   int             // such reports by the member that was paused
+	Changes   float64         // view changes per survivor and crash
+	Bytes     float64         // bytes per second and member without faults
+	Packets   float64         // datagrams per second and member without faults
+	BytesAll  float64         // bytes per second and member in the busiest observation period after a crash
+	Each      time.Duration   // CPU time of one decision without faults; varies between runs
+	CPU       time.Duration   // CPU time per member and second without faults
+	MostLast  time.Duration   // time until the views of all survivors of Most hold exactly the survivors; 0: never
+	MostViews int             // maximum number of view changes at one survivor meanwhile
 }
 
-// detectMost is how long a crash is looked at.
+// detectMost is how long the simulation observes a crash.
 const detectMost = 15 * time.Second
 
-// Play plays it.
+// Play runs the simulation.
 func (o Measure) Play() (f Found) {
-	dead := map[decide.ID]time.Duration{} // when it died
+	dead := map[decide.ID]time.Duration{} // time of the crash
 	known := map[decide.ID]map[decide.ID]time.Duration{}
 	changes := map[decide.ID]int{}
 	paused, pausedFrom, pausedTo := decide.ID(0), time.Duration(0), time.Duration(0)
@@ -133,7 +133,7 @@
 	return f
 }
 
-// named are the members that are named to each; nil: all.
+// named returns a function that gives the members known to each at its start; nil: all.
 func (o Measure) named() func(decide.ID) []decide.ID {
 	if o.Seeds == 0 {
 		return nil
@@ -145,7 +145,7 @@
 	return func(decide.ID) []decide.ID { return ids }
 }
 
-// agreed tells whether all members live and hold all of them to serve.
+// agreed reports whether all members are running and have all members in their views.
 func (w *World) agreed() bool {
 	for _, id := range w.All() {
 		m := w.Member(id)
@@ -166,7 +166,7 @@
 	return true
 }
 
-// most kills a share of the members at once.
+// most crashes the share Most of the members at once and observes the survivors.
 func (o Measure) most(w *World, f *Found, dead map[decide.ID]time.Duration, known map[decide.ID]map[decide.ID]time.Duration, changes map[decide.ID]int, busy func(int, time.Duration)) {
 	clear(changes)
 	all := w.Living()
--- a/internal/testbed/membershipsim/start_test.go
+++ b/internal/testbed/membershipsim/start_test.go
@@ -7,7 +7,8 @@
 	decide "gannetspur/internal/decide/membership"
 )
 
-// Hundreds start at once, each knows two seeds, and of these one lives: all find each other, though the seed may not answer all.
+// 300 members start at once and know two seeds, of which only one runs. All find each other, although the seed may not
+// answer every member.
 func TestStartByOneSeed(t *testing.T) {
 	t.Parallel()
 	const n, most = 300, 45 * s
@@ -16,7 +17,7 @@
 		Named: func(decide.ID) []decide.ID { return []decide.ID{1, 1001} },
 		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
 			if a, ok := a.(decide.MemberReport); ok && (a.State == decide.Dead || a.State == decide.Unreachable) {
-				t.Errorf("%v: %d calls %d %s, and all live", now, at, a.Member, a.State)
+				t.Errorf("%v: member %d reports member %d as %s, but all are running", now, at, a.Member, a.State)
 			}
 		},
 	})
@@ -24,12 +25,12 @@
 		w.Run(w.Now() + s)
 	}
 	if !w.agreed() {
-		t.Errorf("not settled after %v", most)
+		t.Errorf("views do not agree after %v, want all members in all views", most)
 	}
 }
 
-// A hundred start at once and three in ten datagrams are lost: they find each other, and don't go on to dispute who is there. Of a
-// wrong word that is taken back, all hear.
+// 100 members start at once with 30 % loss. They find each other, and the views then stay stable. A false report that is
+// refuted reaches all members.
 func TestStartAmidLoss(t *testing.T) {
 	t.Parallel()
 	const n = 100
@@ -47,10 +48,10 @@
 	})
 	w.Run(30 * s)
 	if !w.agreed() {
-		t.Error("not settled after 30 s")
+		t.Error("views do not agree after 30 s, want all members in all views")
 	}
 	w.Run(60 * s)
-	if told > 3*n { // three wrong words that all hear of
-		t.Errorf("%d changes of states while nothing happens", told)
+	if told > 3*n { // three false reports that reach all members
+		t.Errorf("got %d state changes without faults, want at most %d", told, 3*n)
 	}
 }
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -1,6 +1,6 @@
-// Package membershipsim plays the membership of front ends in virtual time: the decisions of internal/decide/membership, and
-// two baselines, on one clock that jumps from event to event, over a network that loses, delays, repeats and cuts.
-// The same options give the same bytes.
+// Package membershipsim is a discrete-event simulation of the membership of front ends in virtual time. It runs
+// internal/decide/membership and two baselines on a simulated network with loss, delay, duplication and partitions. The
+// same options give byte-for-byte the same results.
 package membershipsim
 
 import (
@@ -13,36 +13,37 @@
 
 // Member is one member of a fleet: internal/decide/membership, or a baseline.
 type Member interface {
-	// Handle takes decide.Tick, decide.DatagramReceived or decide.Leave, and returns actions of internal/decide/membership.
+	// Handle processes decide.Tick, decide.DatagramReceived or decide.Leave, and returns the resulting actions.
 	Handle(now time.Duration, event decide.Event) []decide.Action
+	// TickInterval returns the time between two ticks.
 	TickInterval() time.Duration
-	// State is what it holds of another.
+	// State returns the member's opinion of another member.
 	State(id decide.ID) (decide.State, []decide.ID, []decide.ID)
 }
 
-// Options say what to play.
+// Options configure a simulation.
 type Options struct {
-	Members int
-	Started int // so many start at once, the rest when Events say; 0: all
+	Members int // number of members
+	Started int // number of members that start at the beginning, the rest by Events; 0: all
 	Seed    uint64
-	Delay   [2]time.Duration // of a datagram, one way, evenly drawn
-	Loss    float64
-	Twice   float64 // share of datagrams that come twice
-	Drift   float64 // clocks run apart by so much at most, as a share
+	Delay   [2]time.Duration // minimum and maximum one-way latency, uniformly distributed
+	Loss    float64          // share of lost datagrams, 0 to 1
+	Twice   float64          // share of duplicated datagrams, 0 to 1
+	Drift   float64          // maximum clock drift, as a fraction
 	Span    time.Duration
 	Make    func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
-	Named   func(id decide.ID) []decide.ID // whom its settings name; nil: all
+	Named   func(id decide.ID) []decide.ID // members that a member knows at its start; nil: all
 	Events  []Event
-	Hear    func(now time.Duration, at decide.ID, action decide.Action) // of what members tell; nil: nobody
+	Hear    func(now time.Duration, at decide.ID, action decide.Action) // receives all actions but datagrams; nil: discarded
 }
 
-// Event is something that happens to members or to the ways between them.
+// Event is one scheduled event of members or of the network paths between them.
 type Event struct {
 	At   time.Duration
 	Do   Do
-	Who  []decide.ID // members, or from these
-	To   []decide.ID // and to these; nil: everybody
-	Part float64     // loss
+	Who  []decide.ID // affected members, or senders
+	To   []decide.ID // receivers; nil: all
+	Part float64     // of Lossy: share of lost datagrams
 	For  time.Duration
 }
 
@@ -51,19 +52,19 @@
 
 // Kinds of event.
 const (
-	Crash   Do = iota // they die, and say nothing
-	Start             // they start, or start again
-	Stop              // a planned stop
-	Pause             // they stand still for so long
-	Sever             // nothing passes from Who to To
-	Mend              // it does
-	Lossy             // Part of what goes from Who to To is lost
-	Slow              // what goes from Who to To takes For longer
-	Jump              // their clocks go ahead by For at once
-	Replace           // another process takes their place after For, with what the one before knew at the beginning of it
+	Crash   Do = iota // crash without notice
+	Start             // start or restart
+	Stop              // graceful stop
+	Pause             // pause for For
+	Sever             // datagrams from Who to To are lost
+	Mend              // path faults from Who to To end
+	Lossy             // share Part of the datagrams from Who to To is lost
+	Slow              // latency from Who to To rises by For
+	Jump              // clocks jump ahead by For
+	Replace           // after For, a new process continues with the state saved at the beginning
 )
 
-// World is what is played.
+// World is the state of a simulation.
 type World struct {
 	opts  Options
 	now   time.Duration
@@ -75,7 +76,7 @@
 
 	Bytes, Datagrams map[decide.ID]int
 	Kinds            [16]int
-	CPU              time.Duration // of all decisions, by the machine's clock
+	CPU              time.Duration // real time of all decisions
 	Decisions        int
 }
 
@@ -90,10 +91,10 @@
 	m      Member
 	life   int
 	alive  bool
-	paused time.Duration // until then
-	held   []func()      // what came meanwhile
+	paused time.Duration // end of the pause
+	held   []func()      // datagrams received during the pause
 	drift  float64
-	ahead  time.Duration // by which its clock has jumped
+	ahead  time.Duration // sum of its clock jumps
 }
 
 type item struct {
@@ -118,7 +119,7 @@
 	return it
 }
 
-// New sets a fleet up. Members have the ids from 1 on.
+// New sets up a simulation. Member ids start at 1.
 func New(opts Options) *World {
 	w := &World{
 		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), nodes: map[decide.ID]*node{}, ways: map[[2]decide.ID]way{},
@@ -142,7 +143,7 @@
 	heap.Push(&w.queue, item{at, w.order, do})
 }
 
-// Run plays up to a time.
+// Run advances the simulation to the given time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		it := heap.Pop(&w.queue).(item)
@@ -200,17 +201,17 @@
 	w.tick(n, n.life)
 }
 
-// live begins another life of a member, and gives it its chance.
+// live marks a member as started and returns the random source of this start.
 func (w *World) live(n *node) *rand.Rand {
 	n.life++
 	n.alive, n.paused, n.held = true, 0, nil
 	return rand.New(rand.NewPCG(w.opts.Seed+uint64(n.life)<<32, uint64(n.id)+2))
 }
 
-// replace has a process go on as the member that another one was, whether that one still lives or not.
+// replace continues a member in a new process from saved state, whether or not the old process still runs.
 func (w *World) replace(n *node, c decide.SavedState) {
 	m, err := decide.Resume(decide.DefaultConfig(), c, uint32(1+w.now/time.Second), w.All(), n.clock(w.now), w.live(n))
-	if err != nil { // of a member's own words: it can't be
+	if err != nil { // cannot fail: the member saved this state itself
 		panic(err)
 	}
 	n.m = m
@@ -268,7 +269,7 @@
 		return
 	}
 	if w.now < n.paused {
-		if len(n.held) < 256 { // what a socket keeps
+		if len(n.held) < 256 { // limit of a socket's receive queue
 			n.held = append(n.held, func() { w.deliver(n, life, event) })
 		}
 		return
@@ -313,7 +314,7 @@
 		case e.Do == Replace:
 			m, ok := n.m.(*decide.Node)
 			if !ok {
-				continue // baselines know of none
+				continue // the baselines do not support replacement
 			}
 			c := m.SaveState()
 			w.at(w.now+e.For, func() { w.replace(n, c) })
--- a/internal/testbed/membershipsim/world_test.go
+++ b/internal/testbed/membershipsim/world_test.go
@@ -10,7 +10,7 @@
 	decide "gannetspur/internal/decide/membership"
 )
 
-// story is one hard case: what happens from a settled fleet on, and what has to be so in the end.
+// story is one test scenario: the events after all views agree, and the expected outcome.
 type story struct {
 	name    string
 	members int
@@ -105,7 +105,7 @@
 	}
 }
 
-// play runs a story and tells what is wrong with it.
+// play runs a scenario and returns its violations.
 func play(st story, seed uint64) (wrong []string) {
 	const settled = 20 * s
 	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
@@ -148,7 +148,7 @@
 	for _, id := range want {
 		m, ok := w.Member(id).(*decide.Node)
 		if !ok {
-			say("%d does not live", id)
+			say("member %d is not running at the end, want it running", id)
 			continue
 		}
 		var have []decide.ID
@@ -158,16 +158,16 @@
 			}
 		}
 		if v, _ := m.View(); !slices.Equal(have, want) || v.Size != len(want) {
-			say("in the end %d has %v (view %v)", id, have, v)
+			say("at the end, member %d has members %v (view %v), want %v", id, have, v, want)
 		}
 		if changes[id] > st.changes {
-			say("%d has had %d changes of the view, %d at most", id, changes[id], st.changes)
+			say("member %d had %d view changes, want at most %d", id, changes[id], st.changes)
 		}
 	}
 	return wrong
 }
 
-// Each hard case, on seeds: no member that others hear is called dead, and in the end all agree on who is there.
+// In each scenario and for each seed, no reachable member is reported dead, and all views agree at the end.
 func TestStories(t *testing.T) {
 	for _, st := range stories() {
 		t.Run(st.name, func(t *testing.T) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// The same seed gives the same bytes: all that members tell, in its order.
+// The same seed gives byte-for-byte the same reports in the same order.
 func TestSameSeedSameBytes(t *testing.T) {
 	play := func() string {
 		h := sha256.New()
@@ -198,7 +198,7 @@
 	first := play()
 	for range 3 {
 		if again := play(); again != first {
-			t.Fatalf("%s, then %s", first, again)
+			t.Fatalf("got digest %s, want %s as in the first run", again, first)
 		}
 	}
 }
