--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -61,7 +61,7 @@
 	Rate        float64             // requests per second
 	Loads       float64             // fraction of requests that are loads, 0 to 1
 	Writes      float64             // fraction of requests that are writes; rest: always 0
-	Churn       float64             // connection churn, as in load.Options
+	Churn       float64             // fraction of requests after which the connection is replaced, 0 to 1
 	Recorded    []traffic.Record    // statements in place of generated ones; PostgreSQL frontend only
 	Kinds       []string            // kinds of the upgrades, in order
 	MayReturn   bool                // a good upgrade may be rolled back, because engine faults can be taken for its own
