--- a/internal/testbed/membershipsim/baseline.go
+++ b/internal/testbed/membershipsim/baseline.go
@@ -19,29 +19,32 @@
 
 // heartbeats is a member of a group with all-to-all heartbeats and a fixed timeout.
 type heartbeats struct {
-	self  decide.ID
-	named []decide.ID
-	heard map[decide.ID]time.Duration
-	dead  map[decide.ID]bool
-	next  time.Duration
+	self          decide.ID
+	named         []decide.ID
+	lastHeard     map[decide.ID]time.Duration
+	dead          map[decide.ID]bool
+	nextHeartbeat time.Duration
 }
 
+// Settings of the heartbeat baseline.
 const (
-	beatEvery = 500 * time.Millisecond
-	beatBytes = 24 // as in internal/decide/membership
-	deadAfter = 2 * time.Second
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatBytes    = 24 // payload, as large as that of internal/decide/membership
+	heartbeatTimeout  = 2 * time.Second
 )
 
 // Heartbeats returns a member that sends a heartbeat to all others twice a second. It reports a member dead after 2 s
 // without a heartbeat.
 func Heartbeats(id decide.ID, _ uint32, named []decide.ID, now time.Duration, _ *rand.Rand) Member {
-	return &heartbeats{self: id, named: named, heard: map[decide.ID]time.Duration{}, dead: map[decide.ID]bool{}, next: now}
+	return &heartbeats{self: id, named: named, lastHeard: map[decide.ID]time.Duration{}, dead: map[decide.ID]bool{}, nextHeartbeat: now}
 }
 
+// TickInterval returns the time between two ticks.
 func (h *heartbeats) TickInterval() time.Duration { return 50 * time.Millisecond }
 
+// State returns Unknown for a member that was never heard.
 func (h *heartbeats) State(id decide.ID) (decide.State, []decide.ID, []decide.ID) {
-	_, known := h.heard[id]
+	_, known := h.lastHeard[id]
 	switch {
 	case id == h.self || known && !h.dead[id]:
 		return decide.Alive, nil, nil
@@ -51,6 +54,7 @@
 	return decide.Unknown, nil, nil
 }
 
+// Handle processes a heartbeat or a tick.
 func (h *heartbeats) Handle(now time.Duration, event decide.Event) (out []decide.Action) {
 	switch e := event.(type) {
 	case decide.DatagramReceived:
@@ -58,60 +62,62 @@
 			delete(h.dead, e.From)
 			out = append(out, decide.MemberReport{Member: e.From, State: decide.Alive}, decide.ViewChanged{})
 		}
-		h.heard[e.From] = now
+		h.lastHeard[e.From] = now
 	case decide.Tick:
 		for _, id := range h.named {
-			if at, ok := h.heard[id]; ok && !h.dead[id] && now-at > deadAfter {
+			if at, ok := h.lastHeard[id]; ok && !h.dead[id] && now-at > heartbeatTimeout {
 				h.dead[id] = true
 				out = append(out, decide.MemberReport{Member: id, State: decide.Dead}, decide.ViewChanged{})
 			}
 		}
-		if now < h.next {
+		if now < h.nextHeartbeat {
 			return out
 		}
-		h.next += beatEvery
+		h.nextHeartbeat += heartbeatInterval
 		for _, id := range h.named {
 			if id != h.self {
-				out = append(out, decide.Send{To: id, Payload: make([]byte, beatBytes)})
+				out = append(out, decide.Send{To: id, Payload: make([]byte, heartbeatBytes)})
 			}
 		}
 	}
 	return out
 }
 
-// swim is a member that follows the SWIM paper. In each period it pings one member; without an answer, three others ping
-// the member on its behalf. Suspicion lasts a fixed time and is refuted by a higher incarnation. Updates are piggybacked.
+// swim is a member that follows the SWIM paper. In each period it pings one member; without an answer, up to three random
+// others ping the member on its behalf. A member that does not answer them either is suspected. Suspicion lasts a fixed time
+// and is refuted by a higher incarnation. Updates are piggybacked.
 type swim struct {
-	self   decide.ID
-	rng    *rand.Rand
-	inc    uint16
-	others map[decide.ID]*swimPeer
-	order  []decide.ID
-	round  time.Duration
-	asked  decide.ID
-	await  time.Duration // deadline of the answer to the direct ping
-	asking bool          // indirect pings were sent
-	acked  bool
-	forOne map[decide.ID][]decide.ID // by pinged member: the members that requested the ping
-	news   map[decide.ID]int
+	self         decide.ID
+	rng          *rand.Rand
+	incarnation  uint16
+	others       map[decide.ID]*swimPeer
+	pingOrder    []decide.ID               // members still to be pinged in this pass
+	nextPeriod   time.Duration             // start of the next period
+	pinged       decide.ID                 // member pinged in this period; 0: none
+	ackDeadline  time.Duration             // deadline of the answer to the direct ping
+	indirectSent bool                      // indirect pings were sent
+	acked        bool                      // pinged has answered
+	requesters   map[decide.ID][]decide.ID // by pinged member: the members that requested the ping
+	updates      map[decide.ID]int         // by subject: transmissions left
 }
 
 type swimPeer struct {
-	state decide.State
-	inc   uint16
-	since time.Duration
+	state       decide.State
+	incarnation uint16
+	since       time.Duration // time of the latest update
 }
 
+// Settings of the SWIM baseline.
 const (
-	swimPeriod = time.Second
-	swimAnswer = 200 * time.Millisecond
-	swimOthers = 3
-	swimNews   = 24 // maximum number of updates in a datagram, 7 bytes each
+	swimPeriod        = time.Second
+	swimAckTimeout    = 200 * time.Millisecond
+	swimIndirectPings = 3
+	swimMaxUpdates    = 24 // maximum number of updates in a datagram, 7 bytes each
 )
 
 // SWIM returns a member that runs the SWIM protocol.
 func SWIM(id decide.ID, _ uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member {
-	s := &swim{self: id, rng: rng, others: map[decide.ID]*swimPeer{}, forOne: map[decide.ID][]decide.ID{}, news: map[decide.ID]int{}, round: now}
+	s := &swim{self: id, rng: rng, others: map[decide.ID]*swimPeer{}, requesters: map[decide.ID][]decide.ID{}, updates: map[decide.ID]int{}, nextPeriod: now}
 	for _, n := range named {
 		if n != id {
 			s.others[n] = &swimPeer{state: decide.Alive}
@@ -120,8 +126,10 @@
 	return s
 }
 
+// TickInterval returns the time between two ticks.
 func (s *swim) TickInterval() time.Duration { return 50 * time.Millisecond }
 
+// State returns Alive for itself and for members that it does not know.
 func (s *swim) State(id decide.ID) (decide.State, []decide.ID, []decide.ID) {
 	if p := s.others[id]; p != nil {
 		return p.state, nil, nil
@@ -133,49 +141,50 @@
 const (
 	swimPing = 1 + iota
 	swimAck
-	swimAsk
+	swimPingRequest
 )
 
-// say returns a datagram with the least-sent updates.
-func (s *swim) say(kind byte, to, about decide.ID) decide.Action {
-	b := append([]byte{kind}, binary.BigEndian.AppendUint32(nil, uint32(about))...)
-	ids := make([]decide.ID, 0, len(s.news))
-	for id := range s.news {
+// datagram returns a datagram that carries the updates with the most transmissions left.
+func (s *swim) datagram(kind byte, to, subject decide.ID) decide.Action {
+	b := append([]byte{kind}, binary.BigEndian.AppendUint32(nil, uint32(subject))...)
+	ids := make([]decide.ID, 0, len(s.updates))
+	for id := range s.updates {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b decide.ID) int {
-		if d := s.news[b] - s.news[a]; d != 0 {
+		if d := s.updates[b] - s.updates[a]; d != 0 {
 			return d
 		}
 		return int(a) - int(b)
 	})
-	for _, id := range ids[:min(len(ids), swimNews)] {
-		state, inc := decide.Alive, s.inc
+	for _, id := range ids[:min(len(ids), swimMaxUpdates)] {
+		state, inc := decide.Alive, s.incarnation
 		if p := s.others[id]; p != nil {
-			state, inc = p.state, p.inc
+			state, inc = p.state, p.incarnation
 		}
 		b = binary.BigEndian.AppendUint32(b, uint32(id))
 		b = binary.BigEndian.AppendUint16(append(b, byte(state)), inc)
-		if s.news[id]--; s.news[id] <= 0 {
-			delete(s.news, id)
+		if s.updates[id]--; s.updates[id] <= 0 {
+			delete(s.updates, id)
 		}
 	}
 	return decide.Send{To: to, Payload: b}
 }
 
-// spread schedules an update for dissemination.
-func (s *swim) spread(id decide.ID) {
-	s.news[id] = int(3 * math.Ceil(math.Log2(float64(len(s.others)+2))))
+// enqueueUpdate schedules the present state of a member for dissemination, by a number of transmissions that grows with the
+// logarithm of the number of members.
+func (s *swim) enqueueUpdate(id decide.ID) {
+	s.updates[id] = int(3 * math.Ceil(math.Log2(float64(len(s.others)+2))))
 }
 
-// set applies an update to a member's state, unless it is outdated.
-func (s *swim) set(id decide.ID, state decide.State, inc uint16, now time.Duration) (out []decide.Action) {
+// applyUpdate applies an update to a member's state, unless it is outdated.
+func (s *swim) applyUpdate(id decide.ID, state decide.State, inc uint16, now time.Duration) (out []decide.Action) {
 	p := s.others[id]
 	if p == nil {
 		return nil
 	}
-	later := inc > p.inc || inc == p.inc && state > p.state
-	if !later || p.state == state && p.inc == inc {
+	newer := inc > p.incarnation || inc == p.incarnation && state > p.state
+	if !newer || p.state == state && p.incarnation == inc {
 		return nil
 	}
 	if p.state != state {
@@ -184,79 +193,80 @@
 			out = append(out, decide.ViewChanged{})
 		}
 	}
-	p.state, p.inc, p.since = state, inc, now
-	s.spread(id)
+	p.state, p.incarnation, p.since = state, inc, now
+	s.enqueueUpdate(id)
 	return out
 }
 
+// Handle processes a datagram or a tick.
 func (s *swim) Handle(now time.Duration, event decide.Event) (out []decide.Action) {
 	switch e := event.(type) {
 	case decide.DatagramReceived:
-		kind, about := e.Payload[0], decide.ID(binary.BigEndian.Uint32(e.Payload[1:]))
+		kind, subject := e.Payload[0], decide.ID(binary.BigEndian.Uint32(e.Payload[1:]))
 		for b := e.Payload[5:]; len(b) >= 7; b = b[7:] {
 			id, state, inc := decide.ID(binary.BigEndian.Uint32(b)), decide.State(b[4]), binary.BigEndian.Uint16(b[5:])
 			if id == s.self {
-				if state != decide.Alive && inc >= s.inc {
-					s.inc = inc + 1
-					s.spread(s.self)
+				if state != decide.Alive && inc >= s.incarnation {
+					s.incarnation = inc + 1
+					s.enqueueUpdate(s.self)
 				}
 				continue
 			}
-			out = append(out, s.set(id, state, inc, now)...)
+			out = append(out, s.applyUpdate(id, state, inc, now)...)
 		}
 		switch kind {
 		case swimPing:
-			out = append(out, s.say(swimAck, e.From, s.self))
+			out = append(out, s.datagram(swimAck, e.From, s.self))
 		case swimAck:
-			if about == s.asked {
+			if subject == s.pinged {
 				s.acked = true
 			}
-			for _, to := range s.forOne[about] {
-				out = append(out, s.say(swimAck, to, about))
+			for _, to := range s.requesters[subject] {
+				out = append(out, s.datagram(swimAck, to, subject))
 			}
-			delete(s.forOne, about)
-		case swimAsk:
-			s.forOne[about] = append(s.forOne[about], e.From)
-			out = append(out, s.say(swimPing, about, about))
+			delete(s.requesters, subject)
+		case swimPingRequest:
+			s.requesters[subject] = append(s.requesters[subject], e.From)
+			out = append(out, s.datagram(swimPing, subject, subject))
 		}
 	case decide.Tick:
-		out = append(out, s.turn(now)...)
+		out = append(out, s.tick(now)...)
 	}
 	return out
 }
 
-// turn runs the timers of the protocol.
-func (s *swim) turn(now time.Duration) (out []decide.Action) {
-	doubtFor := time.Duration(3*math.Ceil(math.Log10(float64(len(s.others)+2)))) * swimPeriod
+// tick runs the timers of the protocol: it ends suspicions, requests indirect pings and begins the next period.
+func (s *swim) tick(now time.Duration) (out []decide.Action) {
+	suspicionTimeout := time.Duration(3*math.Ceil(math.Log10(float64(len(s.others)+2)))) * swimPeriod
 	for _, id := range s.ids() {
-		if p := s.others[id]; p.state == decide.Suspect && now-p.since > doubtFor {
-			out = append(out, s.set(id, decide.Dead, p.inc, now)...)
+		if p := s.others[id]; p.state == decide.Suspect && now-p.since > suspicionTimeout {
+			out = append(out, s.applyUpdate(id, decide.Dead, p.incarnation, now)...)
 		}
 	}
-	if s.asked != 0 && !s.acked && !s.asking && now >= s.await {
-		s.asking = true
-		for range swimOthers {
-			if via := s.ids()[s.rng.IntN(len(s.others))]; via != s.asked && s.others[via].state != decide.Dead {
-				out = append(out, s.say(swimAsk, via, s.asked))
+	if s.pinged != 0 && !s.acked && !s.indirectSent && now >= s.ackDeadline {
+		s.indirectSent = true
+		for range swimIndirectPings {
+			if via := s.ids()[s.rng.IntN(len(s.others))]; via != s.pinged && s.others[via].state != decide.Dead {
+				out = append(out, s.datagram(swimPingRequest, via, s.pinged))
 			}
 		}
 	}
-	if now < s.round {
+	if now < s.nextPeriod {
 		return out
 	}
-	s.round += swimPeriod
-	if s.asked != 0 && !s.acked {
-		out = append(out, s.set(s.asked, decide.Suspect, s.others[s.asked].inc, now)...)
+	s.nextPeriod += swimPeriod
+	if s.pinged != 0 && !s.acked {
+		out = append(out, s.applyUpdate(s.pinged, decide.Suspect, s.others[s.pinged].incarnation, now)...)
 	}
-	if len(s.order) == 0 { // round-robin, shuffled again for each pass
-		s.order = slices.DeleteFunc(s.ids(), func(id decide.ID) bool { return s.others[id].state == decide.Dead })
-		s.rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+	if len(s.pingOrder) == 0 { // round-robin, shuffled again for each pass
+		s.pingOrder = slices.DeleteFunc(s.ids(), func(id decide.ID) bool { return s.others[id].state == decide.Dead })
+		s.rng.Shuffle(len(s.pingOrder), func(i, j int) { s.pingOrder[i], s.pingOrder[j] = s.pingOrder[j], s.pingOrder[i] })
 	}
-	s.asked, s.acked, s.asking = 0, false, false
-	if len(s.order) > 0 {
-		s.asked, s.order = s.order[0], s.order[1:]
-		s.await = now + swimAnswer
-		out = append(out, s.say(swimPing, s.asked, s.asked))
+	s.pinged, s.acked, s.indirectSent = 0, false, false
+	if len(s.pingOrder) > 0 {
+		s.pinged, s.pingOrder = s.pingOrder[0], s.pingOrder[1:]
+		s.ackDeadline = now + swimAckTimeout
+		out = append(out, s.datagram(swimPing, s.pinged, s.pinged))
 	}
 	return out
 }
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -15,10 +15,10 @@
 // Measure describes one simulation: a fleet starts, runs without faults, loses members one after the other, and at the end,
 // if Most is set, loses that share of the members at once.
 type Measure struct {
-	Way     string
+	Way     string // protocol, a key of Ways
 	Members int
 	Seed    uint64
-	Loss    float64
+	Loss    float64       // share of lost datagrams, 0 to 1
 	Seeds   int           // number of members that each knows at its start; 0: all
 	Warm    time.Duration // time allowed until all views are complete
 	Rest    time.Duration // time without faults other than loss
@@ -31,7 +31,7 @@
 type Found struct {
 	Agreed    bool            // all views are complete at the end of Warm
 	Settled   time.Duration   // time from which all views were complete, to the second; 0: never
-	Detected  []time.Duration // for each crash and survivor: time until it reported the member dead or lost; detectMost if it never did
+	Detected  []time.Duration // for each crash and survivor: time until it reported the member dead or lost; crashObservation if it never did
 	Last      []time.Duration // for each crash: detection time of the last survivor
 	Wrong     int             // reports that a running, not paused member is dead or lost
 	WrongBy   int             // such reports by the member that was paused
@@ -45,31 +45,31 @@
 	MostViews int             // maximum number of view changes at one survivor meanwhile
 }
 
-// detectMost is how long the simulation observes a crash.
-const detectMost = 15 * time.Second
+// crashObservation is how long the simulation observes a crash.
+const crashObservation = 15 * time.Second
 
 // Play runs the simulation.
 func (o Measure) Play() (f Found) {
-	dead := map[decide.ID]time.Duration{} // time of the crash
-	known := map[decide.ID]map[decide.ID]time.Duration{}
+	dead := map[decide.ID]time.Duration{}                // time of the crash
+	known := map[decide.ID]map[decide.ID]time.Duration{} // by crashed member and survivor: time of the first report
 	changes := map[decide.ID]int{}
 	paused, pausedFrom, pausedTo := decide.ID(0), time.Duration(0), time.Duration(0)
-	quiet := true
+	warmUp := true // reports are not counted yet
 	w := New(Options{
-		Members: o.Members, Seed: o.Seed, Loss: o.Loss, Named: o.named(), Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ways[o.Way],
+		Members: o.Members, Seed: o.Seed, Loss: o.Loss, Named: o.knownAtStart(), Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ways[o.Way],
 		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
 			switch a := a.(type) {
 			case decide.ViewChanged:
 				changes[at]++
 			case decide.MemberReport:
-				if quiet || a.State != decide.Dead && a.State != decide.Unreachable {
+				if warmUp || a.State != decide.Dead && a.State != decide.Unreachable {
 					return
 				}
-				_, is := dead[a.Member]
+				_, crashed := dead[a.Member]
 				switch {
-				case is && known[a.Member][at] == 0:
+				case crashed && known[a.Member][at] == 0:
 					known[a.Member][at] = now
-				case is, a.Member == paused && now >= pausedFrom && now <= pausedTo+5*time.Second:
+				case crashed, a.Member == paused && now >= pausedFrom && now <= pausedTo+5*time.Second:
 				case at == paused && now >= pausedTo:
 					f.WrongBy++
 					f.Wrong++
@@ -86,33 +86,33 @@
 			f.Settled = w.Now()
 		}
 	}
-	quiet = false
-	bytes, packets, cpu, decisions := sum(w.Bytes), sum(w.Datagrams), w.CPU, w.Decisions
+	warmUp = false
+	bytes, packets, cpu, decisions := total(w.Bytes), total(w.Datagrams), w.CPU, w.Decisions
 	w.Run(o.Warm + o.Rest)
 	span := o.Rest.Seconds() * float64(o.Members)
-	f.Bytes, f.Packets = float64(sum(w.Bytes)-bytes)/span, float64(sum(w.Datagrams)-packets)/span
+	f.Bytes, f.Packets = float64(total(w.Bytes)-bytes)/span, float64(total(w.Datagrams)-packets)/span
 	f.Each, f.CPU = (w.CPU-cpu)/time.Duration(max(w.Decisions-decisions, 1)), time.Duration(float64(w.CPU-cpu)/span)
-	busy := func(from int, began time.Duration) {
+	recordBytes := func(from int, began time.Duration) {
 		n := float64(len(w.Living()))
-		f.BytesAll = max(f.BytesAll, float64(sum(w.Bytes)-from)/(w.Now()-began).Seconds()/n)
+		f.BytesAll = max(f.BytesAll, float64(total(w.Bytes)-from)/(w.Now()-began).Seconds()/n)
 	}
 	if o.Pause > 0 {
 		paused, pausedFrom, pausedTo = decide.ID(o.Members), w.Now(), w.Now()+o.Pause
-		w.do(Event{Do: Pause, Who: []decide.ID{paused}, For: o.Pause})
+		w.apply(Event{Do: Pause, Who: []decide.ID{paused}, For: o.Pause})
 		w.Run(pausedTo + 20*time.Second)
 	}
 	clear(changes)
 	for c := range o.Crashes {
-		id, at, b := decide.ID(c+1), w.Now(), sum(w.Bytes)
+		id, at, b := decide.ID(c+1), w.Now(), total(w.Bytes)
 		dead[id], known[id] = at, map[decide.ID]time.Duration{}
-		w.do(Event{Do: Crash, Who: []decide.ID{id}})
-		w.Run(at + detectMost)
-		busy(b, at)
+		w.apply(Event{Do: Crash, Who: []decide.ID{id}})
+		w.Run(at + crashObservation)
+		recordBytes(b, at)
 		var last time.Duration
 		for _, s := range w.Living() {
 			took := known[id][s] - at
 			if known[id][s] == 0 {
-				took = detectMost
+				took = crashObservation
 			}
 			f.Detected = append(f.Detected, took)
 			last = max(last, took)
@@ -127,14 +127,14 @@
 		f.Changes = float64(n) / float64(len(w.Living())*o.Crashes)
 	}
 	if o.Most > 0 {
-		o.most(w, &f, dead, known, changes, busy)
+		o.crashMost(w, &f, dead, known, changes, recordBytes)
 	}
 	slices.Sort(f.Detected)
 	return f
 }
 
-// named returns a function that gives the members known to each at its start; nil: all.
-func (o Measure) named() func(decide.ID) []decide.ID {
+// knownAtStart returns a function that gives the members known to each member at its start; nil: all.
+func (o Measure) knownAtStart() func(decide.ID) []decide.ID {
 	if o.Seeds == 0 {
 		return nil
 	}
@@ -166,21 +166,21 @@
 	return true
 }
 
-// most crashes the share Most of the members at once and observes the survivors.
-func (o Measure) most(w *World, f *Found, dead map[decide.ID]time.Duration, known map[decide.ID]map[decide.ID]time.Duration, changes map[decide.ID]int, busy func(int, time.Duration)) {
+// crashMost crashes the share Most of the members at once and observes the survivors.
+func (o Measure) crashMost(w *World, f *Found, dead map[decide.ID]time.Duration, known map[decide.ID]map[decide.ID]time.Duration, changes map[decide.ID]int, recordBytes func(int, time.Duration)) {
 	clear(changes)
 	all := w.Living()
 	rng := rand.New(rand.NewPCG(o.Seed, 99))
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	die := all[:int(math.Round(o.Most*float64(len(all))))]
-	at, b := w.Now(), sum(w.Bytes)
-	for _, id := range die {
+	crashed := all[:int(math.Round(o.Most*float64(len(all))))]
+	at, b := w.Now(), total(w.Bytes)
+	for _, id := range crashed {
 		dead[id], known[id] = at, map[decide.ID]time.Duration{}
 	}
-	w.do(Event{Do: Crash, Who: die})
-	const look = 100 * time.Millisecond
+	w.apply(Event{Do: Crash, Who: crashed})
+	const checkInterval = 100 * time.Millisecond
 	for w.Now() < at+60*time.Second && f.MostLast == 0 {
-		w.Run(w.Now() + look)
+		w.Run(w.Now() + checkInterval)
 		done := true
 		for _, id := range w.Living() {
 			m, ok := w.Member(id).(*decide.Node)
@@ -188,7 +188,7 @@
 				v, _ := m.View()
 				done = done && v.Size == len(w.Living())
 			}
-			for _, d := range die {
+			for _, d := range crashed {
 				if s, _, _ := w.Member(id).State(d); s.InView() {
 					done = false
 				}
@@ -198,13 +198,14 @@
 			f.MostLast = w.Now() - at
 		}
 	}
-	busy(b, at)
+	recordBytes(b, at)
 	for _, id := range w.Living() {
 		f.MostViews = max(f.MostViews, changes[id])
 	}
 }
 
-func sum(m map[decide.ID]int) (n int) {
+// total returns the sum of the values.
+func total(m map[decide.ID]int) (n int) {
 	for _, v := range m {
 		n += v
 	}
--- a/internal/testbed/membershipsim/start_test.go
+++ b/internal/testbed/membershipsim/start_test.go
@@ -11,7 +11,7 @@
 // answer every member.
 func TestStartByOneSeed(t *testing.T) {
 	t.Parallel()
-	const n, most = 300, 45 * s
+	const n, maxTime = 300, 45 * second
 	w := New(Options{
 		Members: n, Seed: 1, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
 		Named: func(decide.ID) []decide.ID { return []decide.ID{1, 1001} },
@@ -21,11 +21,11 @@
 			}
 		},
 	})
-	for w.Now() < most && !w.agreed() {
-		w.Run(w.Now() + s)
+	for w.Now() < maxTime && !w.agreed() {
+		w.Run(w.Now() + second)
 	}
 	if !w.agreed() {
-		t.Errorf("views do not agree after %v, want all members in all views", most)
+		t.Errorf("views do not agree after %v, want all members in all views", maxTime)
 	}
 }
 
@@ -34,24 +34,24 @@
 func TestStartAmidLoss(t *testing.T) {
 	t.Parallel()
 	const n = 100
-	told := 0
+	reports := 0
 	w := New(Options{
 		Members: n, Seed: 1, Loss: 0.3, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
 		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
-			if a, ok := a.(decide.MemberReport); ok && now > 30*s {
-				told++
+			if a, ok := a.(decide.MemberReport); ok && now > 30*second {
+				reports++
 				if !a.State.InView() {
-					t.Errorf("%v: %d calls %d %s, and all live", now, at, a.Member, a.State)
+					t.Errorf("%v: member %d reports member %d as %s, but all are running", now, at, a.Member, a.State)
 				}
 			}
 		},
 	})
-	w.Run(30 * s)
+	w.Run(30 * second)
 	if !w.agreed() {
 		t.Error("views do not agree after 30 s, want all members in all views")
 	}
-	w.Run(60 * s)
-	if told > 3*n { // three false reports that reach all members
-		t.Errorf("got %d state changes without faults, want at most %d", told, 3*n)
+	w.Run(60 * second)
+	if reports > 3*n { // as many as three false reports that reach all members
+		t.Errorf("got %d state reports without faults other than loss, want at most %d", reports, 3*n)
 	}
 }
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -23,28 +23,29 @@
 
 // Options configure a simulation.
 type Options struct {
-	Members int // number of members
-	Started int // number of members that start at the beginning, the rest by Events; 0: all
-	Seed    uint64
+	Members int              // number of members
+	Started int              // number of members that start at the beginning, the rest by Events; 0: all
+	Seed    uint64           // seeds all random draws
 	Delay   [2]time.Duration // minimum and maximum one-way latency, uniformly distributed
 	Loss    float64          // share of lost datagrams, 0 to 1
 	Twice   float64          // share of duplicated datagrams, 0 to 1
 	Drift   float64          // maximum clock drift, as a fraction
-	Span    time.Duration
-	Make    func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
-	Named   func(id decide.ID) []decide.ID // members that a member knows at its start; nil: all
-	Events  []Event
-	Hear    func(now time.Duration, at decide.ID, action decide.Action) // receives all actions but datagrams; nil: discarded
+	Span    time.Duration    // not used here; Run takes the end time
+	// Make creates a member that starts at its clock's time now. inc is its incarnation, named the members it knows.
+	Make   func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
+	Named  func(id decide.ID) []decide.ID // members that a member knows at its start; nil: all
+	Events []Event
+	Hear   func(now time.Duration, at decide.ID, action decide.Action) // receives all actions but datagrams; nil: discarded
 }
 
 // Event is one scheduled event of members or of the network paths between them.
 type Event struct {
-	At   time.Duration
+	At   time.Duration // since the start of the simulation
 	Do   Do
-	Who  []decide.ID // affected members, or senders
-	To   []decide.ID // receivers; nil: all
-	Part float64     // of Lossy: share of lost datagrams
-	For  time.Duration
+	Who  []decide.ID   // affected members, or senders
+	To   []decide.ID   // receivers; nil: all
+	Part float64       // of Lossy: share of lost datagrams, 0 to 1
+	For  time.Duration // of Pause, Slow, Jump and Replace: see there
 }
 
 // Do is a kind of event.
@@ -55,10 +56,10 @@
 	Crash   Do = iota // crash without notice
 	Start             // start or restart
 	Stop              // graceful stop
-	Pause             // pause for For
+	Pause             // no processing for the time For; received datagrams are held
 	Sever             // datagrams from Who to To are lost
 	Mend              // path faults from Who to To end
-	Lossy             // share Part of the datagrams from Who to To is lost
+	Lossy             // the share Part of the datagrams from Who to To is lost
 	Slow              // latency from Who to To rises by For
 	Jump              // clocks jump ahead by For
 	Replace           // after For, a new process continues with the state saved at the beginning
@@ -66,55 +67,59 @@
 
 // World is the state of a simulation.
 type World struct {
-	opts  Options
-	now   time.Duration
-	queue queue
-	order uint64
-	rng   *rand.Rand
-	nodes map[decide.ID]*node
-	ways  map[[2]decide.ID]way
+	opts     Options
+	now      time.Duration
+	queue    eventQueue
+	sequence uint64
+	rng      *rand.Rand
+	nodes    map[decide.ID]*node
+	paths    map[[2]decide.ID]path
 
-	Bytes, Datagrams map[decide.ID]int
-	Kinds            [16]int
-	CPU              time.Duration // real time of all decisions
-	Decisions        int
+	Bytes, Datagrams map[decide.ID]int // sent by each member
+	Kinds            [16]int           // bytes sent by kind of datagram: the low four bits of its first byte
+	CPU              time.Duration     // real time of all decisions
+	Decisions        int               // number of events that members processed
 }
 
-type way struct {
-	severed bool
-	loss    float64
-	slow    time.Duration
+// path holds the faults of the one-way path from one member to another. Its zero value has none.
+type path struct {
+	severed    bool          // all datagrams are lost
+	loss       float64       // share of lost datagrams, 0 to 1
+	extraDelay time.Duration // added to the latency
 }
 
+// node is one member and the state of its process.
 type node struct {
-	id     decide.ID
-	m      Member
-	life   int
-	alive  bool
-	paused time.Duration // end of the pause
-	held   []func()      // datagrams received during the pause
-	drift  float64
-	ahead  time.Duration // sum of its clock jumps
+	id          decide.ID
+	member      Member
+	generation  int           // number of processes started so far
+	alive       bool          // its latest process is running
+	paused      time.Duration // end of the pause
+	held        []func()      // datagrams received during the pause
+	drift       float64       // speed of its clock; 1: exact
+	clockOffset time.Duration // sum of its clock jumps
 }
 
-type item struct {
-	at    time.Duration
-	order uint64
-	do    func()
+// queuedEvent is a function to run at a time. Events of the same time run in the order in which they were scheduled.
+type queuedEvent struct {
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-type queue []item
+// eventQueue is a heap (container/heap) of events by time.
+type eventQueue []queuedEvent
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(item)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(queuedEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	it := old[len(old)-1]
-	old[len(old)-1] = item{}
+	old[len(old)-1] = queuedEvent{}
 	*q = old[:len(old)-1]
 	return it
 }
@@ -122,49 +127,50 @@
 // New sets up a simulation. Member ids start at 1.
 func New(opts Options) *World {
 	w := &World{
-		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), nodes: map[decide.ID]*node{}, ways: map[[2]decide.ID]way{},
+		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), nodes: map[decide.ID]*node{}, paths: map[[2]decide.ID]path{},
 		Bytes: map[decide.ID]int{}, Datagrams: map[decide.ID]int{},
 	}
 	for id := decide.ID(1); int(id) <= opts.Members; id++ {
 		w.nodes[id] = &node{id: id, drift: 1 + opts.Drift*(2*w.rng.Float64()-1)}
 		if opts.Started == 0 || int(id) <= opts.Started {
 			at := time.Duration(w.rng.Int64N(int64(200 * time.Millisecond)))
-			w.at(at, func() { w.start(id) })
+			w.schedule(at, func() { w.start(id) })
 		}
 	}
 	for _, e := range opts.Events {
-		w.at(e.At, func() { w.do(e) })
+		w.schedule(e.At, func() { w.apply(e) })
 	}
 	return w
 }
 
-func (w *World) at(at time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, item{at, w.order, do})
+// schedule runs a function at a time.
+func (w *World) schedule(at time.Duration, run func()) {
+	w.sequence++
+	heap.Push(&w.queue, queuedEvent{at, w.sequence, run})
 }
 
 // Run advances the simulation to the given time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		it := heap.Pop(&w.queue).(item)
+		it := heap.Pop(&w.queue).(queuedEvent)
 		w.now = it.at
-		it.do()
+		it.run()
 	}
 	w.now = until
 }
 
-// Now is the time that is played.
+// Now returns the virtual time since the start.
 func (w *World) Now() time.Duration { return w.now }
 
-// Member is a member that lives, or nil.
+// Member returns a running member; nil: it is not running.
 func (w *World) Member(id decide.ID) Member {
 	if n := w.nodes[id]; n != nil && n.alive {
-		return n.m
+		return n.member
 	}
 	return nil
 }
 
-// All are the ids of all members, from 1 on.
+// All returns the ids of all members in ascending order, whether or not they are running.
 func (w *World) All() (ids []decide.ID) {
 	for id := decide.ID(1); int(id) <= w.opts.Members; id++ {
 		ids = append(ids, id)
@@ -172,7 +178,7 @@
 	return ids
 }
 
-// Living are those that live.
+// Living returns the ids of the running members in ascending order.
 func (w *World) Living() (ids []decide.ID) {
 	for _, id := range w.All() {
 		if w.nodes[id].alive {
@@ -182,57 +188,61 @@
 	return ids
 }
 
-// clock is a member's own: it runs apart from others, and starts anywhere.
+// clock returns the time of the member's own clock, which drifts and has an offset that differs between members.
 func (n *node) clock(now time.Duration) time.Duration {
-	return time.Duration(float64(now)*n.drift) + time.Duration(n.id)*time.Hour + n.ahead
+	return time.Duration(float64(now)*n.drift) + time.Duration(n.id)*time.Hour + n.clockOffset
 }
 
+// start starts a member in a new process, unless it is running.
 func (w *World) start(id decide.ID) {
 	n := w.nodes[id]
 	if n.alive {
 		return
 	}
-	rng := w.live(n)
+	rng := w.markStarted(n)
 	named := w.All()
 	if w.opts.Named != nil {
 		named = w.opts.Named(id)
 	}
-	n.m = w.opts.Make(id, uint32(1+w.now/time.Second), named, n.clock(w.now), rng)
-	w.tick(n, n.life)
+	n.member = w.opts.Make(id, uint32(1+w.now/time.Second), named, n.clock(w.now), rng)
+	w.tick(n, n.generation)
 }
 
 // live marks a member as started and returns the random source of this start.
-func (w *World) live(n *node) *rand.Rand {
-	n.life++
+func (w *World) markStarted(n *node) *rand.Rand {
+	n.generation++
 	n.alive, n.paused, n.held = true, 0, nil
-	return rand.New(rand.NewPCG(w.opts.Seed+uint64(n.life)<<32, uint64(n.id)+2))
+	return rand.New(rand.NewPCG(w.opts.Seed+uint64(n.generation)<<32, uint64(n.id)+2))
 }
 
 // replace continues a member in a new process from saved state, whether or not the old process still runs.
-func (w *World) replace(n *node, c decide.SavedState) {
-	m, err := decide.Resume(decide.DefaultConfig(), c, uint32(1+w.now/time.Second), w.All(), n.clock(w.now), w.live(n))
+func (w *World) replace(n *node, saved decide.SavedState) {
+	m, err := decide.Resume(decide.DefaultConfig(), saved, uint32(1+w.now/time.Second), w.All(), n.clock(w.now), w.markStarted(n))
 	if err != nil { // cannot fail: the member saved this state itself
 		panic(err)
 	}
-	n.m = m
-	w.tick(n, n.life)
+	n.member = m
+	w.tick(n, n.generation)
 }
 
-func (w *World) tick(n *node, life int) {
-	if !n.alive || n.life != life {
+// tick processes a tick of a process and schedules the next one. After a pause, the tick happens at the end of the pause. An
+// earlier generation's ticks end.
+func (w *World) tick(n *node, generation int) {
+	if !n.alive || n.generation != generation {
 		return
 	}
 	if w.now < n.paused {
-		w.at(n.paused, func() { w.tick(n, life) })
+		w.schedule(n.paused, func() { w.tick(n, generation) })
 		return
 	}
 	w.handle(n, decide.Tick{})
-	w.at(w.now+time.Duration(float64(n.m.TickInterval())/n.drift), func() { w.tick(n, life) })
+	w.schedule(w.now+time.Duration(float64(n.member.TickInterval())/n.drift), func() { w.tick(n, generation) })
 }
 
+// handle passes an event to a member and carries out the resulting actions.
 func (w *World) handle(n *node, event decide.Event) {
 	began := time.Now()
-	out := n.m.Handle(n.clock(w.now), event)
+	out := n.member.Handle(n.clock(w.now), event)
 	w.CPU += time.Since(began)
 	w.Decisions++
 	for _, a := range out {
@@ -244,63 +254,67 @@
 	}
 }
 
+// send counts a datagram and schedules its delivery, with the faults of the network and of the path.
 func (w *World) send(from decide.ID, s decide.Send) {
 	w.Bytes[from] += len(s.Payload)
 	w.Datagrams[from]++
 	w.Kinds[s.Payload[0]&15] += len(s.Payload)
-	by := w.ways[[2]decide.ID{from, s.To}]
+	p := w.paths[[2]decide.ID{from, s.To}]
 	copies := 1
 	if w.rng.Float64() < w.opts.Twice {
 		copies = 2
 	}
 	for range copies {
-		lost := w.rng.Float64() < max(w.opts.Loss, by.loss)
-		took := w.opts.Delay[0] + time.Duration(w.rng.Int64N(int64(w.opts.Delay[1]-w.opts.Delay[0])+1)) + by.slow
+		lost := w.rng.Float64() < max(w.opts.Loss, p.loss)
+		latency := w.opts.Delay[0] + time.Duration(w.rng.Int64N(int64(w.opts.Delay[1]-w.opts.Delay[0])+1)) + p.extraDelay
 		to := w.nodes[s.To]
-		if lost || by.severed || to == nil {
+		if lost || p.severed || to == nil {
 			continue
 		}
-		w.at(w.now+took, func() { w.deliver(to, to.life, decide.DatagramReceived{From: from, Payload: s.Payload}) })
+		w.schedule(w.now+latency, func() { w.deliver(to, to.generation, decide.DatagramReceived{From: from, Payload: s.Payload}) })
 	}
 }
 
-func (w *World) deliver(n *node, life int, event decide.Event) {
-	if !n.alive || n.life != life {
+// deliver passes a datagram to the process that it was sent to, or holds it until the end of a pause. It is lost if that
+// process has ended.
+func (w *World) deliver(n *node, generation int, event decide.Event) {
+	if !n.alive || n.generation != generation {
 		return
 	}
 	if w.now < n.paused {
 		if len(n.held) < 256 { // limit of a socket's receive queue
-			n.held = append(n.held, func() { w.deliver(n, life, event) })
+			n.held = append(n.held, func() { w.deliver(n, generation, event) })
 		}
 		return
 	}
 	w.handle(n, event)
 }
 
-func (w *World) do(e Event) {
+// apply carries out an event.
+func (w *World) apply(e Event) {
 	to := e.To
 	if to == nil {
 		to = w.All()
 	}
-	each := func(change func(*way)) {
+	changePaths := func(change func(*path)) {
 		for _, a := range e.Who {
 			for _, b := range to {
 				k := [2]decide.ID{a, b}
-				v := w.ways[k]
-				change(&v)
-				w.ways[k] = v
+				p := w.paths[k]
+				change(&p)
+				w.paths[k] = p
 			}
 		}
 	}
 	switch e.Do {
 	case Sever:
-		each(func(v *way) { v.severed = true })
+		changePaths(func(p *path) { p.severed = true })
 	case Mend:
-		each(func(v *way) { *v = way{} })
+		changePaths(func(p *path) { *p = path{} })
 	case Lossy:
-		each(func(v *way) { v.loss = e.Part })
+		changePaths(func(p *path) { p.loss = e.Part })
 	case Slow:
-		each(func(v *way) { v.slow = e.For })
+		changePaths(func(p *path) { p.extraDelay = e.For })
 	}
 	for _, id := range e.Who {
 		n := w.nodes[id]
@@ -312,24 +326,24 @@
 		case e.Do == Crash:
 			n.alive = false
 		case e.Do == Replace:
-			m, ok := n.m.(*decide.Node)
+			m, ok := n.member.(*decide.Node)
 			if !ok {
 				continue // the baselines do not support replacement
 			}
-			c := m.SaveState()
-			w.at(w.now+e.For, func() { w.replace(n, c) })
+			saved := m.SaveState()
+			w.schedule(w.now+e.For, func() { w.replace(n, saved) })
 		case e.Do == Jump:
-			n.ahead += e.For
+			n.clockOffset += e.For
 		case e.Do == Stop:
 			w.handle(n, decide.Leave{})
 			n.alive = false
 		case e.Do == Pause:
 			n.paused = w.now + e.For
-			life := n.life
-			w.at(n.paused, func() {
+			generation := n.generation
+			w.schedule(n.paused, func() {
 				held := n.held
 				n.held = nil
-				if n.life == life {
+				if n.generation == generation {
 					for _, f := range held {
 						f()
 					}
