--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -15,6 +15,7 @@
 // Fault is a violation of a rule: its name, the request and what was found.
 type Fault struct{ Rule, Mark, What string }
 
+// String returns the rule, the mark and the finding, separated by colons.
 func (f Fault) String() string { return f.Rule + ": " + f.Mark + ": " + f.What }
 
 // Result holds the results of a simulation. Figures count requests that arrived after the warm-up.
@@ -33,11 +34,12 @@
 	Latency    []float64 // latencies of served requests, ms
 
 	opts  *Options
-	spans [][2]float64 // value got and asked, by second of arrival
-	open  map[*client]bool
-	order []*client
+	spans [][2]float64     // value got and asked, by second of arrival
+	open  map[*client]bool // clients without a final answer
+	order []*client        // all clients, in the order of their first attempts
 }
 
+// newResult returns an empty result.
 func newResult(opts *Options) *Result {
 	return &Result{
 		opts: opts, Verdicts: map[string]int{}, Counters: map[string]int64{}, open: map[*client]bool{},
@@ -54,45 +56,45 @@
 
 // client is the client of one request, including its retries.
 type client struct {
-	w        *World
-	site     *site
-	g        *gateway // gateway of the present attempt
-	life     int
-	mark     string
-	class    policy.Class
-	guess    float64 // factor by which its estimate differs from the actual work
-	due      time.Duration
-	until    time.Duration // deadline of the present attempt
-	tries    int
-	answered bool
-	over     *core.Request
+	w              *World
+	site           *site
+	g              *gateway // gateway of the present attempt
+	generation     int
+	mark           string
+	class          policy.Class
+	estimateFactor float64 // factor by which its estimate differs from the actual work
+	arrived        time.Duration
+	deadline       time.Duration // deadline of the present attempt
+	tries          int
+	answered       bool
+	pending        *core.Request
 }
 
-// guessSpread is the standard deviation of the logarithm of an estimate's error factor.
-const guessSpread = 0.3
+// estimateSpread is the standard deviation of the logarithm of an estimate's error factor.
+const estimateSpread = 0.3
 
-// arrive schedules the next request of a site. Gaps are exponentially distributed.
-func (w *World) arrive(s *site) {
+// scheduleArrival schedules the next request of a site. Gaps are exponentially distributed.
+func (w *World) scheduleArrival(s *site) {
 	rate := w.opts.Rate * s.load
 	if w.opts.Shape != nil {
 		rate *= w.opts.Shape(s.n, w.now-origin)
 	}
 	gap := time.Duration(s.rng.ExpFloat64() / max(rate, 1e-6) * float64(time.Second))
 	if gap > time.Minute { // the rate may change meanwhile
-		w.after(time.Minute, func() { w.arrive(s) })
+		w.after(time.Minute, func() { w.scheduleArrival(s) })
 		return
 	}
 	w.after(gap, func() {
 		if w.now >= origin+w.opts.Warm+w.opts.Span {
 			return
 		}
-		w.ask(s)
-		w.arrive(s)
+		w.issueRequest(s)
+		w.scheduleArrival(s)
 	})
 }
 
-// ask draws a request of a site and sends it.
-func (w *World) ask(s *site) {
+// issueRequest draws a request of a site and sends it.
+func (w *World) issueRequest(s *site) {
 	kind := byte('q')
 	switch x := s.rng.Float64(); {
 	case x < w.opts.Loads:
@@ -102,8 +104,8 @@
 	case x < w.opts.Loads+w.opts.Writes+w.opts.Reports:
 		kind = 'r'
 	}
-	s.marks++
-	c := &client{w: w, site: s, mark: fmt.Sprintf("%c-%d-%d", kind, s.n, s.marks), due: w.now, guess: math.Exp(guessSpread * s.rng.NormFloat64())}
+	s.requests++
+	c := &client{w: w, site: s, mark: fmt.Sprintf("%c-%d-%d", kind, s.n, s.requests), arrived: w.now, estimateFactor: math.Exp(estimateSpread * s.rng.NormFloat64())}
 	name := workcost.ClassOf(c.mark).Name
 	i := slices.IndexFunc(w.opts.Site.Policy.Classes, func(class policy.Class) bool { return class.Name == name })
 	if i < 0 {
@@ -124,53 +126,53 @@
 	} else {
 		c.g = s.gateways[c.g.n] // the gateway that the previous one is linked to
 	}
-	c.life = c.g.lives
+	c.generation = c.g.generation
 	c.tries++
 	w.ledger.tries[c.mark] = c.tries
-	c.until = w.now + c.class.Timeout
+	c.deadline = w.now + c.class.Timeout
 	if c.g.dead {
-		c.told(core.Answer{Verdict: core.Failed}, "gateway away")
+		c.finishAttempt(core.Answer{Verdict: core.Failed}, "gateway away")
 		return
 	}
 	work, group := workcost.Work(c.mark)
-	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: mark(c.mark), DataSet: group + 1, Deadline: c.until + c.g.skew(), Client: c, ClientRetry: c.tries > 1}
+	r := &core.Request{ID: c.mark, Class: c.class.Name, Statement: mark(c.mark), DataSet: group + 1, Deadline: c.deadline + c.g.skew(), Client: c, ClientRetry: c.tries > 1}
 	if w.opts.Estimates {
-		r.Work = time.Duration(float64(work) * c.guess)
+		r.Work = time.Duration(float64(work) * c.estimateFactor)
 	}
 	if c.class.Idempotency == policy.IdempotentWithKey {
 		r.IdempotencyKey = c.mark
 	}
-	c.over = r
+	c.pending = r
 	c.g.do(func() { c.g.core.Accept(r) })
 }
 
 // Answer receives the gateway's final answer.
 func (c *client) Answer(r *core.Request, a core.Answer) {
-	if r != c.over || c.answered {
+	if r != c.pending || c.answered {
 		c.w.res.fault("two answers", c.mark, a.Verdict.String())
 		return
 	}
-	c.over = nil
+	c.pending = nil
 	if a.Verdict == core.Served && a.Result != mark(c.mark) {
 		c.w.res.fault("spoilt", c.mark, fmt.Sprint(a.Result))
 	}
-	what := a.Verdict.String()
+	outcome := a.Verdict.String()
 	if a.Verdict == core.Failed && a.InDoubt {
-		what = "doubt"
+		outcome = "doubt"
 	}
-	c.told(a, what)
+	c.finishAttempt(a, outcome)
 }
 
-// mostTries is the maximum number of attempts of a load's client.
-const mostTries = 3
+// maxTries is the maximum number of attempts of a load's client.
+const maxTries = 3
 
-// told records the outcome of an attempt and schedules a retry of a load if one is left.
-func (c *client) told(a core.Answer, what string) {
+// finishAttempt records the outcome of an attempt and schedules a retry of a load if one is left.
+func (c *client) finishAttempt(a core.Answer, outcome string) {
 	w := c.w
-	if late := w.now - c.until; late > 20*time.Millisecond {
+	if late := w.now - c.deadline; late > 20*time.Millisecond {
 		w.res.fault("late answer", c.mark, late.String())
 	}
-	if a.Verdict != core.Served && c.class.Idempotency == policy.IdempotentWithKey && c.tries < mostTries {
+	if a.Verdict != core.Served && c.class.Idempotency == policy.IdempotentWithKey && c.tries < maxTries {
 		s := c.site
 		if w.rng.Float64() < w.opts.Elsewhere {
 			s = w.sites[w.rng.IntN(len(w.sites))]
@@ -180,36 +182,36 @@
 	}
 	c.answered = true
 	delete(w.res.open, c)
-	w.res.count(c, a.Verdict == core.Served, what, w.now)
+	w.res.count(c, a.Verdict == core.Served, outcome, w.now)
 }
 
 // count adds a finished request to the figures.
-func (r *Result) count(c *client, served bool, what string, now time.Duration) {
-	at := c.due - origin - r.opts.Warm
+func (r *Result) count(c *client, served bool, outcome string, now time.Duration) {
+	at := c.arrived - origin - r.opts.Warm
 	if at < 0 {
 		return
 	}
-	worth := workcost.ClassOf(c.mark).Value
-	got := 0.0
+	maxValue := workcost.ClassOf(c.mark).Value
+	value := 0.0
 	if served {
-		got = workcost.Value(c.mark, now-c.due)
-		r.Latency = append(r.Latency, float64(now-c.due)/1e6)
+		value = workcost.Value(c.mark, now-c.arrived)
+		r.Latency = append(r.Latency, float64(now-c.arrived)/1e6)
 	}
 	r.Requests++
-	r.Verdicts[string(c.mark[0])+" "+what]++
-	r.Asked += worth
-	r.Got += got
+	r.Verdicts[string(c.mark[0])+" "+outcome]++
+	r.Asked += maxValue
+	r.Got += value
 	span := &r.spans[int(at/time.Second)]
-	span[0] += got
-	span[1] += worth
+	span[0] += value
+	span[1] += maxValue
 }
 
-// orphans ends the attempts at a gateway that has crashed: their clients see the connection close.
-func (r *Result) orphans(g *gateway) {
+// failPending ends the attempts at a gateway that has crashed: their clients see the connection close.
+func (r *Result) failPending(g *gateway) {
 	for _, c := range r.order {
-		if r.open[c] && c.g == g && c.life == g.lives && c.over != nil {
-			c.over = nil
-			c.told(core.Answer{Verdict: core.Failed}, "connection ended")
+		if r.open[c] && c.g == g && c.generation == g.generation && c.pending != nil {
+			c.pending = nil
+			c.finishAttempt(core.Answer{Verdict: core.Failed}, "connection ended")
 		}
 	}
 }
@@ -218,8 +220,8 @@
 func (w *World) finish() {
 	r := w.res
 	for _, c := range r.order {
-		if r.open[c] && w.now > c.until+20*time.Millisecond {
-			r.fault("no answer", c.mark, fmt.Sprintf("asked at %v", c.due-origin))
+		if r.open[c] && w.now > c.deadline+20*time.Millisecond {
+			r.fault("no answer", c.mark, fmt.Sprintf("asked at %v", c.arrived-origin))
 		}
 	}
 	r.order, r.open = nil, nil
@@ -246,7 +248,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "requests %d asked %.3f got %.3f worst %.4f spent %.6f wasted %.6f messages %d bytes %d crossed %d\n",
 		r.Requests, r.Asked, r.Got, r.Worst, r.Spent, r.Wasted, r.Messages, r.Bytes, r.Crossed)
-	for _, m := range []map[string]int64{r.Counters, wide(r.Verdicts)} {
+	for _, m := range []map[string]int64{r.Counters, toInt64(r.Verdicts)} {
 		names := make([]string, 0, len(m))
 		for n := range m {
 			names = append(names, n)
@@ -262,8 +264,8 @@
 	return b.String()
 }
 
-// wide converts the values of a map to int64.
-func wide(m map[string]int) map[string]int64 {
+// toInt64 converts the values of a map to int64.
+func toInt64(m map[string]int) map[string]int64 {
 	out := map[string]int64{}
 	for k, v := range m {
 		out[k] = int64(v)
--- a/internal/testbed/simulation/engine.go
+++ b/internal/testbed/simulation/engine.go
@@ -12,36 +12,37 @@
 	"gannetspur/policy"
 )
 
-// lan is the one-way latency between a gateway and its engines.
-const lan = 300 * time.Microsecond
+// lanLatency is the one-way latency between a gateway and its engines.
+const lanLatency = 300 * time.Microsecond
 
 // engine is one simulated engine.
 type engine struct {
-	w       *World
-	site    *site
-	id      string
-	model   *enginemodel.Engine
-	down    bool
-	listed  bool
-	started time.Duration
-	timer   *timerqueue.Timer
-	last    uint64
-	out     map[uint64]*running
+	w          *World
+	site       *site
+	id         string
+	model      *enginemodel.Engine
+	down       bool                  // it has crashed
+	listed     bool                  // it is in the endpoint lists
+	started    time.Duration         // time of its latest restart; 0: it has not restarted
+	timer      *timerqueue.Timer     // next completion
+	lastID     uint64                // id of the latest execution
+	executions map[uint64]*execution // running executions by id
 }
 
-// running is an attempt at an engine.
-type running struct {
-	a    *core.Attempt
-	g    *gateway
-	life int // of the gateway
-	e    *engine
-	id   uint64
-	at   time.Duration
-	mark string
+// execution is an attempt on its way to an engine or running there.
+type execution struct {
+	a          *core.Attempt
+	g          *gateway
+	generation int           // the gateway's generation when it sent the attempt
+	e          *engine       // nil: the gateway knows no engine with this id
+	id         uint64        // unique at the engine, from 1; 0: not running yet
+	at         time.Duration // start of the execution
+	mark       string        // identifies the request
 }
 
+// newEngine returns the engine with number n of a site.
 func newEngine(w *World, s *site, n int) *engine {
-	return &engine{w: w, site: s, id: fmt.Sprintf("e-%d-%d", s.n, n), model: enginemodel.New(w.opts.Engine), listed: true, out: map[uint64]*running{}}
+	return &engine{w: w, site: s, id: fmt.Sprintf("e-%d-%d", s.n, n), model: enginemodel.New(w.opts.Engine), listed: true, executions: map[uint64]*execution{}}
 }
 
 // entry returns the engine's entry in a gateway's endpoint list.
@@ -57,8 +58,8 @@
 	return c
 }
 
-// tell updates the endpoint lists of the site's gateways after ToldAfter.
-func (e *engine) tell(state policy.EngineState) {
+// updateEndpoints updates the endpoint lists of the site's gateways after ToldAfter.
+func (e *engine) updateEndpoints(state policy.EngineState) {
 	started := e.started
 	e.w.after(e.w.opts.ToldAfter, func() {
 		e.listed = state != policy.EngineDeparted
@@ -72,26 +73,26 @@
 	})
 }
 
-// die crashes the engine: all running attempts end with a connection reset.
-func (e *engine) die() {
+// crash crashes the engine: all running attempts end with a connection reset.
+func (e *engine) crash() {
 	if e.down {
 		return
 	}
 	e.down = true
 	e.timer.Stop()
 	for _, id := range e.ids() {
-		r := e.out[id]
-		delete(e.out, id)
-		e.w.spent(r, false)
-		e.w.after(lan, func() { r.end(core.OutcomeConnectionReset, core.Report{}) })
+		r := e.executions[id]
+		delete(e.executions, id)
+		e.w.recordThreadTime(r, false)
+		e.w.after(lanLatency, func() { r.end(core.OutcomeConnectionReset, core.Report{}) })
 	}
-	e.tell(policy.EngineDeparted)
+	e.updateEndpoints(policy.EngineDeparted)
 }
 
 // ids returns the ids of the running attempts in ascending order, so that iteration is deterministic.
 func (e *engine) ids() []uint64 {
-	ids := make([]uint64, 0, len(e.out))
-	for id := range e.out {
+	ids := make([]uint64, 0, len(e.executions))
+	for id := range e.executions {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -106,36 +107,41 @@
 	e.down = false
 	e.started = e.w.now
 	e.model.Start(e.w.now)
-	e.tell(policy.EngineLive)
+	e.updateEndpoints(policy.EngineLive)
 }
 
-// forget cancels the attempts of a crashed gateway: the engine sees its connections close.
-func (e *engine) forget(g *gateway) {
+// cancelFrom cancels the attempts of a crashed gateway: the engine sees its connections close.
+func (e *engine) cancelFrom(g *gateway) {
 	for _, id := range e.ids() {
-		if r := e.out[id]; r.g == g {
+		if r := e.executions[id]; r.g == g {
 			e.cancel(r)
 		}
 	}
 }
 
 // Owner returns the attempt.
-func (r *running) Owner() *core.Attempt { return r.a }
+func (r *execution) Owner() *core.Attempt { return r.a }
 
 // end reports the outcome to the gateway, unless it has crashed since.
-func (r *running) end(end core.Outcome, rep core.Report) {
-	if r.g.lives == r.life {
+func (r *execution) end(end core.Outcome, rep core.Report) {
+	if r.g.generation == r.generation {
 		r.g.do(func() { r.g.core.EndAttempt(r.a, end, rep) })
 	}
 }
 
-// backend implements core.Backend over the simulated engines.
+// backend implements core.Backend over the simulated engines, for one generation of a gateway.
 type backend struct {
-	g    *gateway
-	life int
+	g          *gateway
+	generation int
 }
 
-func (b *backend) UpdateEngine(core.Engine)       {}
+// UpdateEngine does nothing: engines are simulated, so there is no connection to manage.
+func (b *backend) UpdateEngine(core.Engine) {}
+
+// SetPriority does nothing: simulated engines have no priorities.
 func (b *backend) SetPriority(*core.Attempt, int) {}
+
+// engine returns the site's engine with the id; nil: there is none.
 func (b *backend) engine(id string) *engine {
 	for _, e := range b.g.site.engines {
 		if e.id == id {
@@ -148,12 +154,12 @@
 // Send sends an attempt to its engine.
 func (b *backend) Send(a *core.Attempt) {
 	e := b.engine(a.Engine)
-	r := &running{a: a, g: b.g, life: b.life, e: e, mark: a.Request.Statement.SQL()}
+	r := &execution{a: a, g: b.g, generation: b.generation, e: e, mark: a.Request.Statement.SQL()}
 	a.BackendState = r
 	w := b.g.w
-	w.after(lan, func() {
+	w.after(lanLatency, func() {
 		switch {
-		case a.Ended() || b.g.lives != b.life || b.g.dead:
+		case a.Ended() || b.g.generation != b.generation || b.g.dead:
 		case e == nil:
 			r.end(core.OutcomeNoAddress, core.Report{})
 		case e.down:
@@ -161,40 +167,40 @@
 		case !b.g.core.BeginWrite(a):
 			r.end(core.OutcomeNotSent, core.Report{})
 		default:
-			e.take(r)
+			e.execute(r)
 		}
 	})
 }
 
-// take starts an attempt at the engine, or answers a repeated key at once.
-func (e *engine) take(r *running) {
+// execute starts an attempt at the engine, or answers a repeated key at once.
+func (e *engine) execute(r *execution) {
 	w := e.w
 	if !w.ledger.begin(w, r) { // a repeated idempotency key
-		w.after(lan, func() { r.end(core.OutcomeServed, core.Report{Result: mark(r.mark)}) })
+		w.after(lanLatency, func() { r.end(core.OutcomeServed, core.Report{Result: mark(r.mark)}) })
 		return
 	}
-	e.last++
-	r.id, r.at = e.last, w.now
+	e.lastID++
+	r.id, r.at = e.lastID, w.now
 	q := workcost.Query(r.mark)
 	q.ID = r.id
-	took := e.model.Submit(w.now, q)
+	accepted := e.model.Submit(w.now, q)
 	if e.model.Fallen() && !e.down {
 		w.res.fault("cold engine pushed over", r.mark, fmt.Sprintf("%s, %.2f s after its start, by %v s of work", e.id, (w.now-e.started).Seconds(), q.Work.Seconds()))
-		e.die()
+		e.crash()
 		e.model.Start(w.now)
 		w.after(20*time.Second, e.start)
 	}
-	if !took {
-		w.after(lan, func() { r.end(core.OutcomeEngineFull, core.Report{}) })
-		e.arm()
+	if !accepted {
+		w.after(lanLatency, func() { r.end(core.OutcomeEngineFull, core.Report{}) })
+		e.scheduleCompletion()
 		return
 	}
-	e.out[r.id] = r
-	e.arm()
+	e.executions[r.id] = r
+	e.scheduleCompletion()
 }
 
-// arm schedules the next completion at the engine.
-func (e *engine) arm() {
+// scheduleCompletion schedules the next completion at the engine.
+func (e *engine) scheduleCompletion() {
 	e.timer.Stop()
 	at, ok := e.model.Next()
 	if !ok {
@@ -202,65 +208,67 @@
 	}
 	e.timer = e.w.queue.Add(max(at, e.w.now), func() {
 		for _, d := range e.model.Advance(e.w.now) {
-			r := e.out[d.ID]
+			r := e.executions[d.ID]
 			if r == nil {
 				continue
 			}
-			delete(e.out, d.ID)
-			e.w.spent(r, !r.a.Ended() && !r.g.dead)
+			delete(e.executions, d.ID)
+			e.w.recordThreadTime(r, !r.a.Ended() && !r.g.dead)
 			load := e.model.Load()
 			rep := core.Report{Result: mark(r.mark), LoadReport: policy.LoadReport{Reported: true, CPUUtilization: load.Util, InFlight: -1, WaitingForMemory: float64(load.Waiting), MemoryUtilization: load.Memory, DiskUtilization: load.Disks}}
-			e.w.after(lan, func() { r.end(core.OutcomeServed, rep) })
+			e.w.after(lanLatency, func() { r.end(core.OutcomeServed, rep) })
 		}
-		e.arm()
+		e.scheduleCompletion()
 	})
 }
 
 // Cancel cancels an attempt.
 func (b *backend) Cancel(a *core.Attempt) bool {
-	if r, ok := a.BackendState.(*running); ok && r.e != nil && r.e.out[r.id] == r {
+	if r, ok := a.BackendState.(*execution); ok && r.e != nil && r.e.executions[r.id] == r {
 		r.e.cancel(r)
 	}
 	return true
 }
 
 // cancel removes a running attempt from the engine.
-func (e *engine) cancel(r *running) {
-	delete(e.out, r.id)
-	e.w.spent(r, false)
+func (e *engine) cancel(r *execution) {
+	delete(e.executions, r.id)
+	e.w.recordThreadTime(r, false)
 	e.model.Cancel(e.w.now, r.id)
-	e.arm()
+	e.scheduleCompletion()
 }
 
-// spent adds the thread time of an execution to the result; wanted says that its answer was used.
-func (w *World) spent(r *running, wanted bool) {
-	x := (w.now - r.at).Seconds() * workcost.ClassOf(r.mark).Threads
-	w.res.Spent += x
+// recordThreadTime adds the thread time of an execution to the result; wanted says that its answer was used.
+func (w *World) recordThreadTime(r *execution, wanted bool) {
+	threadTime := (w.now - r.at).Seconds() * workcost.ClassOf(r.mark).Threads
+	w.res.Spent += threadTime
 	if !wanted {
-		w.res.Wasted += x
+		w.res.Wasted += threadTime
 	}
 }
 
 // ledger records executions. The engines of all sites drop a repeated idempotency key for the
 // deduplication window, counted from its first effect.
 type ledger struct {
-	first map[string]time.Duration
-	runs  map[string]*runs
-	sends map[string]int // by mark: number of attempts that reached an engine
-	tries map[string]int // by mark: number of attempts of its client
+	windowStart map[string]time.Duration // by mark: start of the present deduplication window
+	records     map[string]*keyRecord    // by mark
+	sends       map[string]int           // by mark: number of attempts that reached an engine
+	tries       map[string]int           // by mark: number of attempts of its client
 }
 
+// newLedger returns an empty ledger.
 func newLedger() ledger {
-	return ledger{first: map[string]time.Duration{}, runs: map[string]*runs{}, sends: map[string]int{}, tries: map[string]int{}}
+	return ledger{windowStart: map[string]time.Duration{}, records: map[string]*keyRecord{}, sends: map[string]int{}, tries: map[string]int{}}
 }
 
-type runs struct {
-	first   time.Duration
-	effects int
+// keyRecord holds the effects of one load or write.
+type keyRecord struct {
+	first   time.Duration // time of the first effect
+	effects int           // number of effects
 }
 
 // begin records an execution and reports whether the engine carries it out.
-func (l *ledger) begin(w *World, r *running) bool {
+func (l *ledger) begin(w *World, r *execution) bool {
 	if l.sends[r.mark]++; l.sends[r.mark] > l.tries[r.mark]*w.cfg().MaxAttempts {
 		w.res.fault("sent too often", r.mark, fmt.Sprintf("%d sends over all sites for %d tries of its client", l.sends[r.mark], l.tries[r.mark]))
 	}
@@ -268,26 +276,26 @@
 	if kind != 'k' && kind != 'w' {
 		return true
 	}
-	was := l.runs[r.mark]
-	if was == nil {
-		l.runs[r.mark] = &runs{first: w.now, effects: 1}
-		l.first[r.mark] = w.now
+	record := l.records[r.mark]
+	if record == nil {
+		l.records[r.mark] = &keyRecord{first: w.now, effects: 1}
+		l.windowStart[r.mark] = w.now
 		return true
 	}
 	if kind == 'w' {
-		was.effects++
+		record.effects++
 		w.res.fault("effect twice", r.mark, "a write ran again")
 		return true
 	}
 	window := w.window()
-	if late := w.now - was.first; late >= window {
-		w.res.fault("key window", r.mark, fmt.Sprintf("sent again %v after its first send", late))
+	if age := w.now - record.first; age >= window {
+		w.res.fault("key window", r.mark, fmt.Sprintf("sent again %v after its first send", age))
 	}
-	if w.now-l.first[r.mark] < window {
+	if w.now-l.windowStart[r.mark] < window {
 		return false
 	}
-	l.first[r.mark] = w.now
-	was.effects++
+	l.windowStart[r.mark] = w.now
+	record.effects++
 	w.res.fault("effect twice", r.mark, "a load ran again")
 	return true
 }
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -58,7 +58,7 @@
 type Options struct {
 	Site      config.Site // settings of a gateway; its number of gateways is set here
 	Config    decide.Config
-	Way       string
+	Way       string // how sites cooperate: Alone, Ours, Random or Nearest
 	Sites     int
 	Gateways  int // number of gateways at each site
 	Engines   int // number of engines at each site
@@ -107,22 +107,22 @@
 	gateways []*gateway
 	engines  []*engine
 	load     float64    // factor of the usual arrival rate
-	marks    int        // number of requests so far
+	requests int        // number of requests so far
 	rng      *rand.Rand // draws its clients' requests, independently of their outcomes
 }
 
 // gateway is one gateway, with the same core and site service as in the program.
 type gateway struct {
-	w       *World
-	site    *site
-	n       int
-	lives   int // number of starts, the present one included
-	core    *core.Core
-	timers  *timerqueue.Queue // its own timers, discarded when it crashes
-	wake    *timerqueue.Timer
-	service *forwarding.Service
-	stats   *metrics.Counters
-	dead    bool
+	w          *World
+	site       *site
+	n          int
+	generation int // number of starts, the present one included
+	core       *core.Core
+	timers     *timerqueue.Queue // its own timers, discarded when it crashes
+	wake       *timerqueue.Timer
+	service    *forwarding.Service
+	stats      *metrics.Counters
+	dead       bool
 }
 
 // Now returns the gateway's clock, which is ahead of the simulation's by the site's offset.
@@ -171,7 +171,7 @@
 		opts.script(w)
 	} else {
 		for _, s := range w.sites {
-			w.arrive(s)
+			w.scheduleArrival(s)
 		}
 	}
 	for _, e := range opts.Events {
@@ -180,7 +180,7 @@
 	end := origin + opts.Warm + opts.Span
 	for w.err == nil {
 		at, ok := w.queue.Next()
-		if !ok || at > end+drainFor {
+		if !ok || at > end+drainTime {
 			break
 		}
 		w.now = max(w.now, at)
@@ -193,15 +193,17 @@
 	return w.res, nil
 }
 
-// restartFor is the downtime of an engine that restarts.
-const restartFor = 3 * time.Second
+// restartTime is the downtime of an engine that restarts.
+const restartTime = 3 * time.Second
 
-// drainFor is how long the simulation continues after its last arrival: as long as the most patient
+// drainTime is how long the simulation continues after its last arrival: as long as the most patient
 // client waits.
-const drainFor = 30 * time.Second
+const drainTime = 30 * time.Second
 
+// siteName returns the name of the site with number n.
 func siteName(n int) string { return fmt.Sprintf("site-%02d", n) }
 
+// name returns the gateway's name in the protocol between sites.
 func (g *gateway) name() forwarding.Name {
 	return forwarding.Name{Site: siteName(g.site.n), Gateway: fmt.Sprintf("gateway-%d", g.n)}
 }
@@ -209,7 +211,7 @@
 // start starts the gateway, or restarts it after a crash.
 func (g *gateway) start() error {
 	w := g.w
-	g.lives++
+	g.generation++
 	g.dead = false
 	g.timers = timerqueue.New()
 	g.stats = metrics.New()
@@ -225,30 +227,30 @@
 	}})).With("gateway", g.name().String())
 	set := w.opts.Site.Policy
 	set.Gateways = w.opts.Gateways
-	seed := w.opts.Seed<<16 + uint64(g.site.n)<<8 + uint64(g.n) + uint64(g.lives)<<40
+	seed := w.opts.Seed<<16 + uint64(g.site.n)<<8 + uint64(g.n) + uint64(g.generation)<<40
 	var err error
 	if g.core, err = core.New(set, seed, g, g.timers, g.stats, log); err != nil {
 		return err
 	}
-	g.core.SetBackend(&backend{g: g, life: g.lives})
-	o := forwarding.Options{Name: g.name(), Start: uint64(g.lives), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
+	g.core.SetBackend(&backend{g: g, generation: g.generation})
+	o := forwarding.Options{Name: g.name(), Start: uint64(g.generation), Config: w.cfg(), Settings: set, Codec: codec{}, Pack: w.opts.Pack}
 	for i := range w.opts.Sites { // sites that are set up later are peers too
-		if w.opts.Way != Alone && i != g.site.n && w.near(i, g.site.n) {
+		if w.opts.Way != Alone && i != g.site.n && w.linked(i, g.site.n) {
 			o.Peers = append(o.Peers, forwarding.Name{Site: siteName(i), Gateway: g.name().Gateway})
 		}
 	}
 	switch w.opts.Way {
 	case Random:
-		o.Choose = g.spill(func(all []int, _ []*decide.Peer) int { return all[w.rng.IntN(len(all))] })
+		o.Choose = g.forwardRejectedTo(func(all []int, _ []*decide.Peer) int { return all[w.rng.IntN(len(all))] })
 	case Nearest:
-		o.Choose = g.spill(func(all []int, peers []*decide.Peer) int {
+		o.Choose = g.forwardRejectedTo(func(all []int, peers []*decide.Peer) int {
 			return slices.MinFunc(all, func(a, b int) int { return int(peers[a].RTT() - peers[b].RTT()) })
 		})
 	}
 	if g.service, err = forwarding.New(g.core, g.timers, o, g.stats, log); err != nil {
 		return err
 	}
-	g.core.SetRemoteSites(&timed{g.service, w.opts.Cost})
+	g.core.SetRemoteSites(&timedSites{g.service, w.opts.Cost})
 	var all []core.Engine
 	for _, e := range g.site.engines {
 		if e.listed {
@@ -259,8 +261,8 @@
 	return nil
 }
 
-// near reports whether two sites are linked.
-func (w *World) near(a, b int) bool {
+// linked reports whether two sites are linked.
+func (w *World) linked(a, b int) bool {
 	if w.opts.Neighbour <= 0 {
 		return true
 	}
@@ -274,28 +276,28 @@
 		return
 	}
 	f()
-	g.arm()
+	g.scheduleTimer()
 }
 
-// arm schedules a wakeup of the gateway for its next timer.
-func (g *gateway) arm() {
+// scheduleTimer schedules a wakeup of the gateway for its next timer.
+func (g *gateway) scheduleTimer() {
 	at, ok := g.timers.Next()
 	if !ok || g.dead {
 		return
 	}
 	g.wake.Stop()
-	life := g.lives
+	generation := g.generation
 	g.wake = g.w.queue.Add(max(at-g.skew(), g.w.now), func() {
-		if g.lives == life && !g.dead {
+		if g.generation == generation && !g.dead {
 			g.timers.RunDue(g.Now())
-			g.arm()
+			g.scheduleTimer()
 		}
 	})
 }
 
-// spill returns a decision that forwards locally rejected requests to one of the reachable peers,
+// forwardRejectedTo returns a decision that forwards locally rejected requests to one of the reachable peers,
 // whatever capacity they report.
-func (g *gateway) spill(pick func(all []int, peers []*decide.Peer) int) func(time.Duration, *decide.Query, float64, []*decide.Peer) decide.Choice {
+func (g *gateway) forwardRejectedTo(pick func(all []int, peers []*decide.Peer) int) func(time.Duration, *decide.Query, float64, []*decide.Peer) decide.Choice {
 	return func(now time.Duration, q *decide.Query, _ float64, peers []*decide.Peer) decide.Choice {
 		var all []int
 		for i, p := range peers {
@@ -317,20 +319,22 @@
 	return cfg
 }
 
-// timed reports the start time of each decision, so that its duration can be measured.
-type timed struct {
+// timedSites reports the start time of each decision, so that its duration can be measured.
+type timedSites struct {
 	core.RemoteSites
 	cost func(began time.Time)
 }
 
-func (t *timed) ForwardOnArrival(r *core.Request) bool {
+// ForwardOnArrival measures the decision on an arriving request.
+func (t *timedSites) ForwardOnArrival(r *core.Request) bool {
 	if t.cost != nil {
 		defer t.cost(time.Now())
 	}
 	return t.RemoteSites.ForwardOnArrival(r)
 }
 
-func (t *timed) ForwardRejected(r *core.Request) bool {
+// ForwardRejected measures the decision on a request that the own site rejected.
+func (t *timedSites) ForwardRejected(r *core.Request) bool {
 	if t.cost != nil {
 		defer t.cost(time.Now())
 	}
@@ -344,7 +348,7 @@
 	case Lose:
 		n := int(float64(len(s.engines))*e.Part + 0.5)
 		for _, one := range s.engines[:n] {
-			one.die()
+			one.crash()
 		}
 	case Return:
 		for _, one := range s.engines {
@@ -352,9 +356,9 @@
 		}
 	case Chill:
 		for _, one := range s.engines {
-			one.die()
+			one.crash()
 		}
-		w.after(restartFor, func() {
+		w.after(restartTime, func() {
 			for _, one := range s.engines {
 				one.start()
 			}
@@ -369,7 +373,7 @@
 		}
 	case Kill:
 		g := s.gateways[0]
-		g.die()
+		g.crash()
 		w.after(500*time.Millisecond, func() { w.fail(g.start()) })
 	case Drain, Back:
 		for _, g := range s.gateways {
@@ -387,17 +391,17 @@
 	}
 }
 
-// die crashes a gateway: its links break, and its clients get no answer.
-func (g *gateway) die() {
+// crash crashes a gateway: its links break, and its clients get no answer.
+func (g *gateway) crash() {
 	g.dead = true
 	g.wake.Stop()
 	for _, e := range g.site.engines {
-		e.forget(g)
+		e.cancelFrom(g)
 	}
 	for _, l := range g.w.wans {
 		l.broken(g)
 	}
-	g.w.res.orphans(g)
+	g.w.res.failPending(g)
 }
 
 // setDraining drains a gateway's own site, or ends the drain.
--- a/internal/testbed/simulation/fleet_test.go
+++ b/internal/testbed/simulation/fleet_test.go
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// usual returns the default options of the tests: two sites with two gateways and two engines each.
-func usual(t testing.TB) Options {
+// defaultOptions returns the default options of the tests: two sites with two gateways and two engines each.
+func defaultOptions(t testing.TB) Options {
 	t.Helper()
 	p, err := config.LoadPostgres("../../../deploy/postgres.toml")
 	if err != nil {
@@ -30,7 +30,8 @@
 	}
 }
 
-func play(t *testing.T, o Options) *Result {
+// mustPlay runs a simulation that must not fail.
+func mustPlay(t *testing.T, o Options) *Result {
 	t.Helper()
 	r, err := Play(o)
 	if err != nil {
@@ -45,14 +46,14 @@
 	for _, sc := range Scenarios {
 		t.Run(sc.Name, func(t *testing.T) {
 			t.Parallel()
-			o := usual(t)
+			o := defaultOptions(t)
 			o.Events = sc.Events(o.Span, o.Sites)
-			r := play(t, o)
+			r := mustPlay(t, o)
 			for _, f := range r.Faults {
 				t.Error(f)
 			}
-			if o.Way = Alone; r.Service() < play(t, o).Service()-0.03 {
-				t.Errorf("got service %.3f with cooperation, want at least %.3f (alone) minus 0.03", r.Service(), play(t, o).Service())
+			if o.Way = Alone; r.Service() < mustPlay(t, o).Service()-0.03 {
+				t.Errorf("got service %.3f with cooperation, want at least %.3f (alone) minus 0.03", r.Service(), mustPlay(t, o).Service())
 			}
 			if sc.Name != "steady" && r.Crossed == 0 {
 				t.Error("got no forwarded request, want at least one")
@@ -61,25 +62,26 @@
 	}
 }
 
-// The same rules hold with high latency, stalls, overload moving around three sites, and no compression.
+// No rule is violated with high latency and stalls, overload moving around three sites, partial links, low bandwidth without
+// compression, or a drain.
 func TestLines(t *testing.T) {
 	for name, change := range map[string]func(*Options){
-		"300 ms with stalls": func(o *Options) { o.Delay, o.Stall, o.StallFor = 150*time.Millisecond, 0.02, time.Second },
-		"three in a ring":    func(o *Options) { o.Sites = 3; o.Events = ScenarioOf("ring").Events(o.Span, 3) },
-		"five, two near":     func(o *Options) { o.Sites, o.Neighbour = 5, 1; o.Events = ScenarioOf("site-loss").Events(o.Span, 5) },
-		"narrow": func(o *Options) {
+		"round trip of 300 ms, with stalls":  func(o *Options) { o.Delay, o.Stall, o.StallFor = 150*time.Millisecond, 0.02, time.Second },
+		"overload moving around three sites": func(o *Options) { o.Sites = 3; o.Events = ScenarioOf("ring").Events(o.Span, 3) },
+		"five sites, each linked to two":     func(o *Options) { o.Sites, o.Neighbour = 5, 1; o.Events = ScenarioOf("site-loss").Events(o.Span, 5) },
+		"low bandwidth without compression": func(o *Options) {
 			o.Bandwidth, o.Pack = 200e3, false
 			o.Events = ScenarioOf("overload-here").Events(o.Span, 2)
 		},
-		"drained": func(o *Options) {
+		"drain during a site loss": func(o *Options) {
 			o.Events = append(ScenarioOf("site-loss").Events(o.Span, 2), Event{At: 25 * time.Second, Do: Drain, Site: 1}, Event{At: 35 * time.Second, Do: Back, Site: 1})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := usual(t)
+			o := defaultOptions(t)
 			change(&o)
-			for _, f := range play(t, o).Faults {
+			for _, f := range mustPlay(t, o).Faults {
 				t.Error(f)
 			}
 		})
@@ -88,41 +90,42 @@
 
 // The same options give byte-for-byte the same results, and another seed gives different ones.
 func TestSameBytes(t *testing.T) {
-	o := usual(t)
+	o := defaultOptions(t)
 	o.Span = 30 * time.Second
 	o.Events = ScenarioOf("gateway-dies").Events(o.Span, o.Sites)
 	var logs [2]strings.Builder
 	o.Log = &logs[0]
-	a := play(t, o)
+	a := mustPlay(t, o)
 	o.Log = &logs[1]
-	b := play(t, o)
+	b := mustPlay(t, o)
 	if diff := cmp.Diff(a.Sum(), b.Sum()); diff != "" || logs[0].String() != logs[1].String() || logs[0].Len() == 0 {
 		t.Errorf("two runs differ:\n%s", diff)
 	}
-	if o.Seed = 2; play(t, o).Sum() == a.Sum() {
+	if o.Seed = 2; mustPlay(t, o).Sum() == a.Sum() {
 		t.Error("seeds 1 and 2 give equal results, want different ones")
 	}
 }
 
 // Clock offsets of 30 s change nothing, because no site uses the clock of another.
 func TestClocksApart(t *testing.T) {
-	o := usual(t)
+	o := defaultOptions(t)
 	o.Sites, o.Events = 3, ScenarioOf("silence").Events(o.Span, 3)
-	together := play(t, o)
+	withoutOffsets := mustPlay(t, o)
 	o.Skew = 30 * time.Second
-	if diff := cmp.Diff(together.Sum(), play(t, o).Sum()); diff != "" {
+	if diff := cmp.Diff(withoutOffsets.Sum(), mustPlay(t, o).Sum()); diff != "" {
 		t.Errorf("clock offsets change the results (-without +with):\n%s", diff)
 	}
 }
 
-// told is a scripted client that records its answers.
-type told struct {
+// recordingClient is a scripted client that records its answers.
+type recordingClient struct {
 	w    *World
 	name string
 	got  *[]string
 }
 
-func (c told) Answer(_ *core.Request, a core.Answer) {
+// Answer records the verdict.
+func (c recordingClient) Answer(_ *core.Request, a core.Answer) {
 	*c.got = append(*c.got, fmt.Sprintf("%s %s doubt=%v", c.name, a.Verdict, a.InDoubt))
 }
 
@@ -131,28 +134,28 @@
 // it, neither site sends the load, whether or not the link is back.
 func TestLostReplyAndKey(t *testing.T) {
 	for _, muted := range []time.Duration{9 * time.Second, 30 * time.Second} { // the link recovers before or after the client's retries
-		o := usual(t)
+		o := defaultOptions(t)
 		o.Gateways, o.Estimates = 1, false
 		o.Warm = 20 * time.Second
 		o.Events = []Event{{At: 0, Do: Lose, Site: 0, Part: 1}, {At: 10 * time.Second, Do: Return}}
 		var got []string
 		o.script = func(w *World) {
 			at := func(d time.Duration, f func()) { w.queue.Add(origin+o.Warm+d, f) }
-			ask := func(name string, site int) {
+			send := func(name string, site int) {
 				g := w.sites[site].gateways[0]
 				w.ledger.tries["k-0-1"]++
 				g.do(func() {
-					g.core.Accept(&core.Request{ID: name, Class: "load", IdempotencyKey: "k-0-1", Statement: mark("k-0-1"), Deadline: g.Now() + 6*time.Second, Client: told{w, name, &got}})
+					g.core.Accept(&core.Request{ID: name, Class: "load", IdempotencyKey: "k-0-1", Statement: mark("k-0-1"), Deadline: g.Now() + 6*time.Second, Client: recordingClient{w, name, &got}})
 				})
 			}
-			at(3*time.Second, func() { ask("first", 0) })
+			at(3*time.Second, func() { send("first", 0) })
 			at(3*time.Second+100*time.Millisecond, func() { w.event(Event{Do: Mute, Site: 0}) })
 			at(3*time.Second+muted, func() { w.event(Event{Do: Mend, Site: 0}) })
-			at(14*time.Second, func() { ask("far, 11 s", 1) })
-			at(14*time.Second+time.Millisecond, func() { ask("near, 11 s", 0) })
-			at(16*time.Second, func() { ask("far, 13 s", 1); ask("near, 13 s", 0) })
+			at(14*time.Second, func() { send("far, 11 s", 1) })
+			at(14*time.Second+time.Millisecond, func() { send("near, 11 s", 0) })
+			at(16*time.Second, func() { send("far, 13 s", 1); send("near, 13 s", 0) })
 		}
-		r := play(t, o)
+		r := mustPlay(t, o)
 		for _, f := range r.Faults {
 			t.Error(f)
 		}
@@ -167,7 +170,7 @@
 
 // Play rejects invalid options.
 func TestOptions(t *testing.T) {
-	o := usual(t)
+	o := defaultOptions(t)
 	o.Events = []Event{{Do: "burn"}}
 	if _, err := Play(o); err == nil {
 		t.Error("Play accepted an unknown event, want an error")
--- a/internal/testbed/simulation/wan.go
+++ b/internal/testbed/simulation/wan.go
@@ -18,17 +18,21 @@
 // Size returns the length of the mark in bytes.
 func (m mark) Size() int { return len(m) }
 
-// codec encodes marks in place of statements and rows. An answer is padded to the size of its rows.
+// codec is a forwarding codec that encodes marks in place of statements and rows. An answer is padded with zero bytes to the
+// size of its rows. It encodes no error details.
 type codec struct{}
 
 // rowBytes is the size of an answer's rows in bytes, by the kind of request.
 var rowBytes = map[byte]int{'q': 400, 'r': 20_000, 'k': 50, 'w': 50}
 
+// The following methods implement forwarding.Codec.
 func (codec) Form() string                                   { return "marks" }
 func (codec) Statement(s core.Statement) ([]byte, error)     { return []byte(s.SQL()), nil }
 func (codec) ReadStatement(b []byte) (core.Statement, error) { return mark(b), nil }
 func (codec) Detail(error) []byte                            { return nil }
-func (codec) ReadDetail([]byte) (detail, err error)          { return nil, errors.New("none") }
+func (codec) ReadDetail([]byte) (detail, err error) {
+	return nil, errors.New("marks carry no error details")
+}
 func (codec) Result(r core.Result) ([]byte, error) {
 	text := string(r.(mark))
 	b := make([]byte, max(rowBytes[text[0]], len(text)+1))
@@ -41,7 +45,7 @@
 			return mark(b[:i]), nil
 		}
 	}
-	return nil, errors.New("no mark")
+	return nil, errors.New("the answer has no zero byte after its mark")
 }
 
 // wan is the wide-area link between two gateways of two sites.
@@ -56,20 +60,20 @@
 // port is one end of a connection.
 type port struct {
 	wan     *wan
-	side    int
+	side    int // index of its gateway in wan.ends
 	link    *forwarding.Link
 	sending bool
 	closed  bool
 	last    time.Duration // arrival time of the latest message
-	held    []byte        // received data that is not a complete message yet
-	parked  [][]byte      // messages held by a fault
+	partial []byte        // received data that is not a complete message yet
+	held    [][]byte      // messages held by a fault
 }
 
 // connect creates all wide-area links and opens their connections.
 func (w *World) connect() {
 	for i, a := range w.sites {
 		for _, b := range w.sites[i+1:] {
-			if !w.near(a.n, b.n) {
+			if !w.linked(a.n, b.n) {
 				continue
 			}
 			for n := range a.gateways {
@@ -138,7 +142,7 @@
 		}
 		p.last = max(p.last, at) // a connection delivers in order
 		other := p.wan.ports[1-p.side]
-		w.queue.Add(p.last, func() { other.arrive(b) })
+		w.queue.Add(p.last, func() { other.deliver(b) })
 		p.sending = true
 		w.after(tx, func() {
 			if p.sending = false; p.link.Waiting() {
@@ -148,12 +152,12 @@
 	})
 }
 
-// arrive delivers a message, or holds it while a fault lasts.
-func (p *port) arrive(b []byte) {
+// deliver delivers a message, or holds it while a fault lasts.
+func (p *port) deliver(b []byte) {
 	switch {
 	case p.closed:
-	case p.wan.mute[p.side] || len(p.parked) > 0:
-		p.parked = append(p.parked, b)
+	case p.wan.mute[p.side] || len(p.held) > 0:
+		p.held = append(p.held, b)
 	default:
 		p.input(b)
 	}
@@ -165,14 +169,14 @@
 	if g.dead || p.closed {
 		return
 	}
-	p.held = append(p.held, b...)
+	p.partial = append(p.partial, b...)
 	g.do(func() {
-		n, err := p.link.Input(p.held)
+		n, err := p.link.Input(p.partial)
 		if err != nil {
 			p.wan.w.fail(fmt.Errorf("simulation: %w", err)) // no peer here sends invalid input
 			return
 		}
-		p.held = append(p.held[:0], p.held[n:]...)
+		p.partial = append(p.partial[:0], p.partial[n:]...)
 	})
 }
 
@@ -181,9 +185,9 @@
 
 // close closes both ends of the connection and schedules a new one.
 func (l *wan) close() {
-	was := l.ports
+	ports := l.ports
 	l.ports = [2]*port{}
-	for side, p := range was {
+	for side, p := range ports {
 		if p == nil || p.closed {
 			continue
 		}
@@ -191,7 +195,7 @@
 		g := l.ends[side]
 		l.w.after(0, func() { g.do(p.link.Closed) })
 	}
-	if was[0] != nil {
+	if ports[0] != nil {
 		l.dial()
 	}
 }
@@ -221,8 +225,8 @@
 			if p == nil {
 				continue
 			}
-			parked := p.parked
-			p.parked = nil
+			parked := p.held
+			p.held = nil
 			for _, b := range parked {
 				p.input(b)
 			}
