--- a/internal/testbed/cluster/check.go
+++ b/internal/testbed/cluster/check.go
@@ -25,7 +25,7 @@
 	slices.SortStableFunc(res.Events, func(a, b Event) int { return a.At.Compare(b.At) })
 	t.checkDeaths(res, broken)
 	t.checkAnswers(res, records, runs, broken)
-	for _, p := range t.procs {
+	for _, p := range t.frontEnds {
 		if p.failed != nil {
 			broken("crash: %v", p.failed)
 		}
@@ -47,7 +47,7 @@
 			unreachable[n] = true
 		}
 	}
-	return 2*(len(t.procs)-len(unreachable)) > len(t.procs)
+	return 2*(len(t.frontEnds)-len(unreachable)) > len(t.frontEnds)
 }
 
 // becameMember reports whether an event says that a process joined as a new member, instead of continuing the membership of
@@ -68,7 +68,7 @@
 	for _, e := range res.Events {
 		switch {
 		case becameMember(e):
-			for n := range t.procs {
+			for n := range t.frontEnds {
 				delete(known, [2]int{e.From, n})
 			}
 		case e.Name == "members.view" && e.At.After(t.began):
@@ -108,7 +108,7 @@
 			continue
 		}
 		var last time.Duration
-		for n := range t.procs {
+		for n := range t.frontEnds {
 			if !t.up[n] {
 				continue
 			}
@@ -125,23 +125,23 @@
 // checkAnswers checks what clients received against what engines executed. A request to a process that was down meanwhile
 // may stay without an answer.
 func (t *cluster) checkAnswers(res *Result, records []load.Record, runs []emulator.Run, broken func(string, ...any)) {
-	by, ran := map[string]load.Record{}, map[string]bool{}
+	byMark, executed := map[string]load.Record{}, map[string]bool{}
 	for _, r := range runs {
-		ran[r.Mark] = true
+		executed[r.Mark] = true
 	}
 	for _, r := range records {
-		by[r.Mark] = r
+		byMark[r.Mark] = r
 		res.Requests++
 		res.Verdicts[r.Verdict]++
 	}
 	for _, f := range load.Check(records, runs, 12*time.Second) {
-		r := by[f.Mark]
+		r := byMark[f.Mark]
 		if f.Rule == "no answer" || f.Rule == "not reached" {
 			if parts := strings.Split(f.Mark, "-"); len(parts) == 3 {
 				n, _ := strconv.Atoi(parts[1])
 				if slices.ContainsFunc(t.spans, func(s span) bool {
 					// A client finds out that a connection of an earlier process is closed only at its next use.
-					return (s.down || s.disconnected || s.idleDisconnected && !ran[f.Mark]) && s.who == n && s.from.Add(-time.Second).Before(r.End) && (s.to.IsZero() || s.to.Add(reportGrace).After(r.Due))
+					return (s.down || s.disconnected || s.idleDisconnected && !executed[f.Mark]) && s.who == n && s.from.Add(-time.Second).Before(r.End) && (s.to.IsZero() || s.to.Add(reportGrace).After(r.Due))
 				}) {
 					continue
 				}
--- a/internal/testbed/cluster/check_test.go
+++ b/internal/testbed/cluster/check_test.go
@@ -49,7 +49,7 @@
 		{name: "a load takes effect twice", up: []bool{true, true, true}, records: []load.Record{request("k-1-1", 5, load.Served)},
 			runs: []emulator.Run{{Mark: "k-1-1", At: at(5)}, {Mark: "k-1-1", At: at(5.1)}}, want: "effect twice"},
 	} {
-		run := &cluster{procs: []*frontEnd{{n: 0}, {n: 1}, {n: 2}}, mesh: &mesh{}, began: began, events: c.events, spans: c.spans, up: c.up}
+		run := &cluster{frontEnds: []*frontEnd{{n: 0}, {n: 1}, {n: 2}}, mesh: &mesh{}, began: began, events: c.events, spans: c.spans, up: c.up}
 		res := &Result{Verdicts: map[load.Verdict]int{}}
 		run.check(res, c.records, c.runs)
 		if got := strings.Join(res.Broken, "; "); got == "" != (c.want == "") || !strings.Contains(got, c.want) {
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -38,9 +38,9 @@
 
 // Result holds the observations of a run.
 type Result struct {
-	Events   []Event  // logged events of all front ends, by time
-	Broken   []string // violated invariants, each with the observation that violates it
-	Verdicts map[load.Verdict]int
+	Events   []Event              // logged events of all front ends, by time
+	Broken   []string             // violated invariants, each with the observation that violates it
+	Verdicts map[load.Verdict]int // number of requests by verdict
 	Requests int
 	Began    time.Time       // when all views first agreed
 	Found    time.Duration   // time from the start until all views agreed
@@ -54,11 +54,11 @@
 
 // cluster is the state of one run.
 type cluster struct {
-	opts    Options
-	mesh    *mesh
-	procs   []*frontEnd
-	proxies []connectionProxies // by front end
-	began   time.Time           // when all views first agreed
+	opts      Options
+	mesh      *mesh // relays datagrams between the front ends
+	frontEnds []*frontEnd
+	proxies   []connectionProxies // by front end
+	began     time.Time           // when all views first agreed
 
 	limits        map[limitKey]uint64 // soft limits before a fault, to be restored at its end
 	starving      map[int]func()      // by front end: stops the CPU starvation
@@ -75,7 +75,7 @@
 
 // span is a period in which a front end was impaired.
 type span struct {
-	who              int       // number of the front end, from 0
+	who              int       // number of the impaired front end, from 0
 	from, to         time.Time // zero to: until the end of the run
 	down             bool      // its process did not run
 	disconnected     bool      // its clients may have lost their connections
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	defer r.Close()
-	defer t.closeRelays()
+	defer t.closeProxies()
 	if err := t.prepare(r); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		for _, end := range t.starving {
 			end()
 		}
-		for _, p := range t.procs {
+		for _, p := range t.frontEnds {
 			p.kill()
 		}
 	}()
@@ -166,8 +166,8 @@
 	t.check(res, records, ledger.Runs())
 }
 
-// closeRelays closes all proxies to, from and between the front ends.
-func (t *cluster) closeRelays() {
+// closeProxies closes all proxies to, from and between the front ends.
+func (t *cluster) closeProxies() {
 	for i := range t.proxies {
 		t.proxies[i].close()
 	}
@@ -179,7 +179,7 @@
 // openSources opens a source of requests for each front end, which connects through the front end's proxy. With an error, it
 // also returns the sources opened before.
 func (t *cluster) openSources() (sources []*load.Source, err error) {
-	for _, p := range t.procs {
+	for _, p := range t.frontEnds {
 		addr, err := t.proxies[p.n].open(Clients, p.addr, t.opts.Seed)
 		if err != nil {
 			return sources, err
@@ -198,7 +198,7 @@
 
 // costs returns the resource use of all processes so far. The entry of a process that has ended is zero.
 func (t *cluster) costs() (all []cost) {
-	for _, p := range t.procs {
+	for _, p := range t.frontEnds {
 		c, err := p.cost()
 		if err != nil { // it has ended
 			c = cost{}
@@ -279,7 +279,7 @@
 			return err
 		}
 		f := &frontEnd{n: i, program: t.opts.Program, dir: dir, notMember: t.opts.Alone, addr: addr, log: t.opts.Log, onEvent: t.record}
-		t.procs = append(t.procs, f)
+		t.frontEnds = append(t.frontEnds, f)
 		if t.sharedSockets {
 			if err := f.openSocket(); err != nil {
 				return err
@@ -296,16 +296,16 @@
 	if file["bus"], err = w.open(Bus, file["bus"].(string), t.opts.Seed); err != nil {
 		return err
 	}
-	relays := map[string]string{}
+	proxyOf := map[string]string{} // by engine address
 	for _, m := range r.Lines.Members() {
-		if relays[m.Addr.String()], err = w.open(Engines, m.Addr.String(), t.opts.Seed); err != nil {
+		if proxyOf[m.Addr.String()], err = w.open(Engines, m.Addr.String(), t.opts.Seed); err != nil {
 			return err
 		}
 	}
 	for _, b := range file["known"].(map[string]any)["batch"].([]any) {
 		for _, e := range b.(map[string]any)["topology"].(map[string]any)["targets"].([]any) {
-			one := e.(map[string]any)
-			one["endpoint"] = relays[one["endpoint"].(string)]
+			target := e.(map[string]any)
+			target["endpoint"] = proxyOf[target["endpoint"].(string)]
 		}
 	}
 	return nil
@@ -313,9 +313,9 @@
 
 // forEachFrontEnd calls f for all front ends at the same time and waits for the calls to return.
 func (t *cluster) forEachFrontEnd(f func(*frontEnd) error) error {
-	errs := make([]error, len(t.procs))
+	errs := make([]error, len(t.frontEnds))
 	var all sync.WaitGroup
-	for i, p := range t.procs {
+	for i, p := range t.frontEnds {
 		all.Go(func() { errs[i] = f(p) })
 	}
 	all.Wait()
@@ -333,17 +333,17 @@
 
 // await waits until the condition holds, evaluating it at each event. The condition is called with the lock held.
 func (t *cluster) await(ctx context.Context, timeout time.Duration, condition func() bool) error {
-	late := time.After(timeout)
+	expired := time.After(timeout)
 	for {
 		t.mu.Lock()
-		news, ok := t.changed, condition()
+		changed, ok := t.changed, condition()
 		t.mu.Unlock()
 		if ok {
 			return nil
 		}
 		select {
-		case <-news:
-		case <-late:
+		case <-changed:
+		case <-expired:
 			return fmt.Errorf("the condition did not hold within %v", timeout)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -410,7 +410,7 @@
 	t.mu.Lock()
 	t.up[n] = true
 	t.mu.Unlock()
-	return t.procs[n].start()
+	return t.frontEnds[n].start()
 }
 
 // runSchedule begins and ends the scheduled faults at their times, and returns at the end of the span.
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -92,7 +92,7 @@
 func (t *cluster) disturb(f Fault, at phase) {
 	to := f.To
 	if to == nil {
-		for i := range t.procs {
+		for i := range t.frontEnds {
 			if !slices.Contains(f.Who, i) {
 				to = append(to, i)
 			}
@@ -127,18 +127,18 @@
 func (t *cluster) pause(n int, at phase) {
 	if at == faultBegins {
 		t.markDown(n, true)
-		t.procs[n].signal(syscall.SIGSTOP, false)
+		t.frontEnds[n].signal(syscall.SIGSTOP, false)
 		return
 	}
-	t.procs[n].signal(syscall.SIGCONT, false)
+	t.frontEnds[n].signal(syscall.SIGCONT, false)
 	t.markUp(n)
 }
 
 // endOrStart stops processes, starts them, or does both. It first waits for replacements in progress at these front ends.
 func (t *cluster) endOrStart(f Fault) error {
 	for _, n := range f.Who {
-		t.procs[n].lifecycle.Lock()
-		defer t.procs[n].lifecycle.Unlock()
+		t.frontEnds[n].lifecycle.Lock()
+		defer t.frontEnds[n].lifecycle.Unlock()
 	}
 	if f.Do != Start {
 		if err := t.kill(f); err != nil {
@@ -166,13 +166,13 @@
 	var err error
 	switch how {
 	case ReplaceNew: // the serving process continues, with all its clients
-		err = t.procs[n].replaceAborted()
+		err = t.frontEnds[n].replaceAborted()
 	case ReplaceOld:
 		t.noteBrokenConnections(n, startTimeout, false)
-		err = t.procs[n].replace(syscall.SIGKILL)
+		err = t.frontEnds[n].replace(syscall.SIGKILL)
 	default:
 		t.noteBrokenConnections(n, startTimeout, true)
-		err = t.procs[n].replace(syscall.SIGTERM)
+		err = t.frontEnds[n].replace(syscall.SIGTERM)
 	}
 	if err != nil {
 		t.mu.Lock()
@@ -195,7 +195,7 @@
 // limitResources limits the CPU time, file size or file descriptors of processes, or lifts the limit.
 func (t *cluster) limitResources(f Fault, at phase) error {
 	for _, n := range f.Who {
-		p := t.procs[n]
+		p := t.frontEnds[n]
 		var err error
 		switch f.Do {
 		case Starve:
@@ -227,7 +227,7 @@
 	if at == faultEnds {
 		cur = t.limits[key]
 	}
-	was, err := t.procs[n].setLimit(resource, cur)
+	was, err := t.frontEnds[n].setLimit(resource, cur)
 	if err == nil && at == faultBegins {
 		t.limits[key] = was
 	}
@@ -242,14 +242,14 @@
 			s = syscall.SIGTERM
 		}
 		t.markDown(n, f.Do == Restart)
-		t.procs[n].signal(s, true)
+		t.frontEnds[n].signal(s, true)
 	}
 	for _, n := range f.Who {
-		if err := t.procs[n].wait(); err != nil {
+		if err := t.frontEnds[n].wait(); err != nil {
 			return err
 		}
 		if f.Do != Restart { // as if the machine were gone: connecting clients are refused instead of waiting in the backlog
-			t.procs[n].closeSocket()
+			t.frontEnds[n].closeSocket()
 		}
 	}
 	return nil
@@ -261,8 +261,8 @@
 	var all sync.WaitGroup
 	for i, n := range who {
 		all.Go(func() {
-			if t.sharedSockets && t.procs[n].socket == nil {
-				errs[i] = t.procs[n].openSocket()
+			if t.sharedSockets && t.frontEnds[n].socket == nil {
+				errs[i] = t.frontEnds[n].openSocket()
 			}
 			errs[i] = errors.Join(errs[i], t.start(n))
 			t.markUp(n)
--- a/internal/testbed/cluster/mesh.go
+++ b/internal/testbed/cluster/mesh.go
@@ -24,7 +24,7 @@
 // mesh relays datagrams between front ends. For each pair of front ends, it has a socket that stands for the one towards
 // the other: the other sends to its address and receives from it.
 type mesh struct {
-	n     int
+	size  int
 	addrs []netip.AddrPort
 	socks [][]*net.UDPConn // [a][b] stands for b towards a
 
@@ -33,20 +33,21 @@
 	rng     *rand.Rand
 	passed  int
 	dropped int
-	wait    sync.WaitGroup
+	relays  sync.WaitGroup
 }
 
+// newMesh opens the sockets and starts a relay for each ordered pair of front ends.
 func newMesh(addrs []netip.AddrPort, seed uint64) (m *mesh, err error) {
-	m = &mesh{n: len(addrs), addrs: addrs, rng: rand.New(rand.NewPCG(seed, 0x6d657368))}
+	m = &mesh{size: len(addrs), addrs: addrs, rng: rand.New(rand.NewPCG(seed, 0x6d657368))}
 	defer func() {
 		if err != nil {
 			m.close()
 		}
 	}()
-	for a := range m.n {
-		m.paths = append(m.paths, make([]path, m.n))
-		m.socks = append(m.socks, make([]*net.UDPConn, m.n))
-		for b := range m.n {
+	for a := range m.size {
+		m.paths = append(m.paths, make([]path, m.size))
+		m.socks = append(m.socks, make([]*net.UDPConn, m.size))
+		for b := range m.size {
 			if a == b {
 				continue
 			}
@@ -55,10 +56,10 @@
 			}
 		}
 	}
-	for a := range m.n {
-		for b := range m.n {
+	for a := range m.size {
+		for b := range m.size {
 			if a != b {
-				m.wait.Go(func() { m.relay(a, b) })
+				m.relays.Go(func() { m.relay(a, b) })
 			}
 		}
 	}
@@ -85,32 +86,32 @@
 			continue // an ICMP error, or a datagram of another sender
 		}
 		m.mu.Lock()
-		w, times := m.paths[a][b], 1
+		p, copies := m.paths[a][b], 1
 		switch {
-		case w.cut || m.rng.Float64() < w.loss:
-			times = 0
+		case p.cut || m.rng.Float64() < p.loss:
+			copies = 0
 			m.dropped++
-		case m.rng.Float64() < w.duplicated:
-			times = 2
+		case m.rng.Float64() < p.duplicated:
+			copies = 2
 		}
-		if times > 0 && n > 0 && m.rng.Float64() < w.corrupted {
+		if copies > 0 && n > 0 && m.rng.Float64() < p.corrupted {
 			buf[m.rng.IntN(n)] ^= byte(1 + m.rng.IntN(255))
 		}
-		later := w.delay
-		if w.delay > 0 {
-			later += time.Duration(m.rng.Int64N(int64(w.delay)))
+		delay := p.delay
+		if p.delay > 0 {
+			delay += time.Duration(m.rng.Int64N(int64(p.delay)))
 		}
-		m.passed += times
+		m.passed += copies
 		m.mu.Unlock()
 		back := m.socks[b][a]
 		to := net.UDPAddrFromAddrPort(m.addrs[b])
-		for range times {
-			if later == 0 {
+		for range copies {
+			if delay == 0 {
 				_, _ = back.WriteToUDP(buf[:n], to) // fails if b is down
 				continue
 			}
 			payload := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(later, func() { _, _ = back.WriteToUDP(payload, to) })
+			time.AfterFunc(delay, func() { _, _ = back.WriteToUDP(payload, to) })
 		}
 	}
 }
@@ -128,6 +129,7 @@
 	}
 }
 
+// close closes the sockets and waits for the relays to end. Datagrams that are still delayed are lost.
 func (m *mesh) close() {
 	for _, row := range m.socks {
 		for _, s := range row {
@@ -136,5 +138,5 @@
 			}
 		}
 	}
-	m.wait.Wait()
+	m.relays.Wait()
 }
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -30,19 +30,19 @@
 
 // frontEnd is one front end. It has one process at a time, or two during a replacement.
 type frontEnd struct {
-	n         int
-	program   string
-	dir       string
-	notMember bool     // it runs without membership
-	addr      string   // listen address for clients
-	socket    *os.File // inherited listening socket at addr; nil: each process opens its own
-	log       io.Writer
-	onEvent   func(Event)
+	n         int         // its number, from 0
+	program   string      // path of the gateway program
+	dir       string      // directory of its configuration files
+	notMember bool        // it runs without membership
+	addr      string      // listen address for clients
+	socket    *os.File    // inherited listening socket at addr; nil: each process opens its own
+	log       io.Writer   // receives its logs; nil: discarded
+	onEvent   func(Event) // called for each log record
 
 	lifecycle sync.Mutex // serializes stops, starts and replacements
 	mu        sync.Mutex
-	current   *process
-	failed    error // a process ended without a request; nil: none
+	current   *process // process started last that has taken over, whether or not it still runs; nil: none
+	failed    error    // a process ended without a request; nil: none
 }
 
 // process is one process of a front end.
@@ -252,7 +252,7 @@
 
 // starve stops the current process for the duration still in each starvePeriod, until the returned function is called.
 func (f *frontEnd) starve(still time.Duration) (end func()) {
-	p, over, done := f.running(), make(chan struct{}), make(chan struct{})
+	p, stop, done := f.running(), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		tick := time.NewTicker(starvePeriod)
@@ -262,14 +262,14 @@
 			time.Sleep(still) // the duration is the fault itself; there is no event to wait for
 			f.sendSignal(p, syscall.SIGCONT, false)
 			select {
-			case <-over:
+			case <-stop:
 				return
 			case <-tick.C:
 			}
 		}
 	}()
 	return func() {
-		close(over)
+		close(stop)
 		<-done
 	}
 }
--- a/internal/testbed/faultproxy/link_test.go
+++ b/internal/testbed/faultproxy/link_test.go
@@ -61,8 +61,8 @@
 	return l, c, seen
 }
 
-// ask sends one byte and returns the reply.
-func ask(c net.Conn, b byte) (byte, error) {
+// exchange sends one byte and returns the reply.
+func exchange(c net.Conn, b byte) (byte, error) {
 	if _, err := c.Write([]byte{b}); err != nil {
 		return 0, err
 	}
@@ -75,7 +75,7 @@
 func TestDelay(t *testing.T) {
 	_, c, _ := open(t, Options{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond, Seed: 1})
 	start := time.Now()
-	if got, err := ask(c, 'a'); err != nil || got != 'a' || time.Since(start) < 40*time.Millisecond {
+	if got, err := exchange(c, 'a'); err != nil || got != 'a' || time.Since(start) < 40*time.Millisecond {
 		t.Errorf("got reply %q, error %v after %v; want 'a' after at least 40ms", got, err, time.Since(start))
 	}
 	want := []byte("the order is kept")
@@ -95,7 +95,7 @@
 	for _, kind := range []Kind{DroppedReplies, Garbage, Cut, Reset, HalfClose, Silence} {
 		t.Run(string(kind), func(t *testing.T) {
 			l, c, seen := open(t, Options{Faults: []Fault{{Kind: kind, From: 100 * time.Millisecond, For: 200 * time.Millisecond}}, Seed: 1})
-			if got, err := ask(c, 'a'); err != nil || got != 'a' {
+			if got, err := exchange(c, 'a'); err != nil || got != 'a' {
 				t.Fatalf("before the fault: got reply %q, error %v; want 'a'", got, err)
 			}
 			<-seen
@@ -112,16 +112,16 @@
 				for l.active(kind) {
 					<-l.nextChange()
 				}
-				if got, err := ask(c, 'c'); err != nil || got != 'c' {
+				if got, err := exchange(c, 'c'); err != nil || got != 'c' {
 					t.Errorf("after the fault: got reply %q, error %v; want 'c'", got, err)
 				}
 			case Garbage:
-				if got, err := ask(c, 'b'); err != nil || got == 'b' {
+				if got, err := exchange(c, 'b'); err != nil || got == 'b' {
 					t.Errorf("got reply %q, error %v; want a byte other than 'b'", got, err)
 				}
 			case Silence:
 				start := time.Now()
-				if got, err := ask(c, 'b'); err != nil || got != 'b' || time.Since(start) < 20*time.Millisecond {
+				if got, err := exchange(c, 'b'); err != nil || got != 'b' || time.Since(start) < 20*time.Millisecond {
 					t.Errorf("got reply %q, error %v after %v; want 'b' after at least 20ms", got, err, time.Since(start))
 				}
 			case Reset:
--- a/internal/testbed/harness/network.go
+++ b/internal/testbed/harness/network.go
@@ -55,17 +55,17 @@
 // the ephemeral range, so that no emulated system or outgoing connection takes it before the caller
 // does.
 func UnusedAddress() (string, error) {
-	var last error
+	var lastErr error
 	for range portAttempts {
 		listener, err := emulator.Listen(fmt.Sprintf("127.0.0.1:%d", firstUnusedPort+rand.IntN(unusedPorts)))
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		addr := listener.Addr().String()
 		return addr, listener.Close()
 	}
-	return "", last
+	return "", lastErr
 }
 
 // Sleep waits for the duration. It returns the context's error if the context ends first.
--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -42,29 +42,29 @@
 	defer far.Close()
 	defer near.Close()
 	c := &closedLoop{node: near, load: load, statement: Rows(load.Ask), until: time.Now().Add(load.For), done: make(chan struct{})}
-	c.out = load.AtOnce
+	c.inFlight = load.AtOnce
 	near.Now(func() {
 		for range load.AtOnce {
-			c.ask()
+			c.sendNext()
 		}
 	})
 	<-c.done
 	if c.failed > 0 {
-		return r, fmt.Errorf("sitelink: %d of %d requests failed, want none; counters of the near gateway %v, of the far gateway %v", c.failed, len(c.took)+c.failed, near.Counters.All(), far.Counters.All())
+		return r, fmt.Errorf("sitelink: %d of %d requests failed, want none; counters of the near gateway %v, of the far gateway %v", c.failed, len(c.latencies)+c.failed, near.Counters.All(), far.Counters.All())
 	}
-	return summarize(c.took, load), nil
+	return summarize(c.latencies, load), nil
 }
 
-// closedLoop is a closedLoop loop of requests on a node's goroutine.
+// closedLoop sends requests on a node's goroutine and keeps a fixed number of them in flight.
 type closedLoop struct {
 	node      *Node
 	load      Load
-	statement []byte
-	until     time.Time
-	seq       int             // id of the latest request
-	out       int             // requests in flight
+	statement []byte          // of all requests
+	until     time.Time       // end of the measurement
+	lastID    int             // id of the latest request
+	inFlight  int             // requests in flight
 	failed    int             // requests without a served answer
-	took      []time.Duration // latencies of served requests
+	latencies []time.Duration // latencies of served requests
 	done      chan struct{}   // closed after the last answer
 }
 
@@ -74,11 +74,11 @@
 	began time.Time
 }
 
-// ask sends the next request.
-func (c *closedLoop) ask() {
-	c.seq++
+// sendNext sends the next request.
+func (c *closedLoop) sendNext() {
+	c.lastID++
 	r := &core.Request{
-		ID: fmt.Sprint(c.seq), Class: "lookup", Statement: Text(c.statement), Work: time.Millisecond, Client: &pendingCall{c, time.Now()},
+		ID: fmt.Sprint(c.lastID), Class: "lookup", Statement: Text(c.statement), Work: time.Millisecond, Client: &pendingCall{c, time.Now()},
 		Deadline: c.node.Loop.Now() + 5*time.Second,
 	}
 	c.node.Core.Accept(r)
@@ -88,15 +88,15 @@
 func (k *pendingCall) Answer(_ *core.Request, a core.Answer) {
 	c := k.c
 	if a.Verdict == core.Served {
-		c.took = append(c.took, time.Since(k.began))
+		c.latencies = append(c.latencies, time.Since(k.began))
 	} else {
 		c.failed++
 	}
 	if time.Now().Before(c.until) && c.failed < 1000 {
-		c.node.Loop.Post(c.ask)
+		c.node.Loop.Post(c.sendNext)
 		return
 	}
-	if c.out--; c.out == 0 {
+	if c.inFlight--; c.inFlight == 0 {
 		close(c.done)
 	}
 }
@@ -147,17 +147,17 @@
 		return r, err
 	}
 	defer c.Close()
-	ask := make([]byte, 8+load.Ask)
+	request := make([]byte, 8+load.Ask)
 	var mu sync.Mutex
 	began := map[uint64]time.Time{}
 	var seq uint64
 	send := func() error {
 		mu.Lock()
 		seq++
-		binary.BigEndian.PutUint64(ask, seq)
+		binary.BigEndian.PutUint64(request, seq)
 		began[seq] = time.Now()
 		mu.Unlock()
-		_, err := c.Write(ask)
+		_, err := c.Write(request)
 		return err
 	}
 	until := time.Now().Add(load.For)
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -5,7 +5,6 @@
 import (
 	"errors"
 	"fmt"
-
 	"io"
 	"log/slog"
 	"path/filepath"
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -54,8 +54,8 @@
 // Event is one scheduled event.
 type Event struct {
 	At     time.Duration // since the end of the warm-up
-	Do     string
-	Site   int           // 0 or 1
+	Do     string        // kind; see Known
+	Site   int           // 0 or 1; ignored by link faults
 	Engine int           // number of the engine, from 1
 	For    time.Duration // duration of a link fault
 	Factor float64       // of Busy: multiple of the usual arrival rate; at most 1 ends the extra load
@@ -98,16 +98,16 @@
 
 // siteState holds the emulated systems, the gateway and the traffic of one site.
 type siteState struct {
-	index        int
+	index        int // 0 or 1
 	harness      *harness.Harness
-	addr         string
-	peerAddr     string // listen address for the other site
-	admin        string
-	args         []string
-	gateway      *harness.Gateway
-	source       *load.Source
-	extraSources []*load.Source // additional traffic of Busy events
-	killed       bool
+	addr         string           // address that clients connect to
+	peerAddr     string           // listen address for the other site
+	admin        string           // path of the gateway's admin socket
+	args         []string         // command line after the program
+	gateway      *harness.Gateway // process started last by this package; upgrades start its successors
+	source       *load.Source     // the usual traffic
+	extraSources []*load.Source   // additional traffic of Busy events
+	killed       bool             // a GatewayDies event happened
 }
 
 // Both holds the two sites that Open set up.
@@ -339,7 +339,7 @@
 	}
 	stop()
 	running.Wait()
-	return b.judge(ctx, begin), nil
+	return b.evaluate(ctx, begin), nil
 }
 
 // applyEvent carries out an event.
@@ -406,8 +406,8 @@
 	return nil
 }
 
-// judge evaluates the clients' records together with the engines' executions.
-func (b *Both) judge(ctx context.Context, begin time.Time) *Result {
+// evaluate evaluates the clients' records together with the engines' executions.
+func (b *Both) evaluate(ctx context.Context, begin time.Time) *Result {
 	res := &Result{Runs: b.ledger.Runs(), Counters: map[string]int64{}}
 	spans := make([][2]float64, int(b.opts.Span.Seconds())+1)
 	var all []load.Record
@@ -428,9 +428,9 @@
 			}
 			res.Requests++
 			span := &spans[int(at/time.Second)]
-			worth := workcost.ClassOf(r.Mark).Value
-			span[1] += worth
-			asked += worth
+			maxValue := workcost.ClassOf(r.Mark).Value
+			span[1] += maxValue
+			asked += maxValue
 			if r.Verdict == load.Served {
 				v := workcost.Value(r.Mark, r.Latency())
 				span[0] += v
@@ -443,18 +443,18 @@
 	res.Worst = workcost.WorstTenSeconds(spans)
 	res.Faults = load.Check(all, res.Runs, window)
 	for i, p := range b.sites {
-		var mine []emulator.Run
+		var runs []emulator.Run // executions at this site
 		for _, r := range res.Runs {
 			if id, ok := strings.CutPrefix(r.Engine, Names[i]+"/"); ok {
 				r.Engine = id
-				mine = append(mine, r)
+				runs = append(runs, r)
 			}
 		}
 		fleet := p.harness.Postgres
 		if b.opts.Front == "rest" {
 			fleet = p.harness.Lines
 		}
-		res.Faults = append(res.Faults, load.CheckDrains(mine, fleet.History())...)
+		res.Faults = append(res.Faults, load.CheckDrains(runs, fleet.History())...)
 		if st, err := admin.FetchStatus(ctx, p.admin); err == nil {
 			for name, n := range st.Counters {
 				res.Counters[name] += n
--- a/internal/testbed/upgrades/service.go
+++ b/internal/testbed/upgrades/service.go
@@ -27,11 +27,11 @@
 
 // ServiceOptions configure a run of PlayService.
 type ServiceOptions struct {
-	Way         string // how the new version comes into service
-	Root, Dir   string // root of the repository; directory for the written files
-	Program     string // path of the gateway program
-	Lab         string // path of the testbed program, which runs scripted processes
-	Engines     int
+	Way         string        // how the new version comes into service
+	Root, Dir   string        // root of the repository; directory for the written files
+	Program     string        // path of the gateway program
+	Lab         string        // path of the testbed program, which runs scripted processes
+	Engines     int           // number of engines
 	Crowded     int           // number of engines whose machine is shared with another program
 	Share       float64       // fraction of such a machine that the other program uses, 0 to 1
 	Rate        float64       // requests per second
--- a/internal/testbed/upgrades/upgrades.go
+++ b/internal/testbed/upgrades/upgrades.go
@@ -50,12 +50,12 @@
 
 // Options configure a run on one frontend.
 type Options struct {
-	Front       string // frontend: rest or postgres
-	Root        string // root of the repository
-	Dir         string // directory for the written files
-	Program     string // path of the gateway program
-	Lab         string // path of the testbed program, which runs scripted processes
-	Engines     int
+	Front       string              // frontend: rest or postgres
+	Root        string              // root of the repository
+	Dir         string              // directory for the written files
+	Program     string              // path of the gateway program
+	Lab         string              // path of the testbed program, which runs scripted processes
+	Engines     int                 // number of engines
 	Work        time.Duration       // execution time of each statement
 	Connections int                 // client connections
 	Rate        float64             // requests per second
@@ -110,10 +110,10 @@
 type gatewayUnderTest struct {
 	opts    Options
 	harness *harness.Harness
-	addr    string
-	admin   string
-	args    []string
-	first   *harness.Gateway
+	addr    string           // address that clients connect to
+	admin   string           // path of its admin socket
+	args    []string         // command line after the program
+	first   *harness.Gateway // process started last by this package; upgrades start its successors
 }
 
 // open starts the emulated systems and a gateway, and returns once it serves. set holds further
@@ -185,21 +185,21 @@
 		return nil, err
 	}
 	res.Stable = time.Now()
-	chance := rand.New(rand.NewPCG(opts.Seed, 0x75706772))
-	went := make(chan error, len(opts.Events))
+	rng := rand.New(rand.NewPCG(opts.Seed, 0x75706772))
+	eventErrors := make(chan error, len(opts.Events))
 	for _, e := range opts.Events {
 		t := time.AfterFunc(e.At, func() {
 			if e.Do == Reconnect {
-				went <- s.Reconnect()
+				eventErrors <- s.Reconnect()
 			} else {
-				went <- r.Apply(e.Do, e.Engine)
+				eventErrors <- r.Apply(e.Do, e.Engine)
 			}
 		})
 		defer t.Stop()
 	}
 	for _, kind := range opts.Kinds {
 		sampled := g.sampleMemory(ctx, kind == Good)
-		u, err := g.upgrade(ctx, kind, chance)
+		u, err := g.upgrade(ctx, kind, rng)
 		res.Extra = max(res.Extra, sampled())
 		if err != nil {
 			return nil, fmt.Errorf("upgrade %q: %w", kind, err)
@@ -220,8 +220,8 @@
 	<-ended
 	res.Ended, res.Unasked = s.Sweep()
 	res.Records, res.Runs = s.Records(), ledger.Runs()
-	for len(went) > 0 {
-		if err := <-went; err != nil {
+	for len(eventErrors) > 0 {
+		if err := <-eventErrors; err != nil {
 			return nil, err
 		}
 	}
@@ -324,10 +324,10 @@
 }
 
 // request returns the upgrade request for a kind of upgrade, and writes the script that it needs.
-func (g *gatewayUnderTest) request(kind string, chance *rand.Rand) (r admin.Request, err error) {
+func (g *gatewayUnderTest) request(kind string, rng *rand.Rand) (r admin.Request, err error) {
 	r.Command = admin.CommandUpgrade
-	between := func(low, high time.Duration) float64 {
-		return (low + time.Duration(chance.Int64N(int64(high-low)))).Seconds()
+	randomSeconds := func(low, high time.Duration) float64 {
+		return (low + time.Duration(rng.Int64N(int64(high-low)))).Seconds()
 	}
 	var text string
 	switch kind {
@@ -348,11 +348,11 @@
 	case "descriptors":
 		text = "ulimit -n 70; exec RINGWOOD \"$@\""
 	case "dies-warming":
-		text = fmt.Sprintf("(sleep %.3f; kill -9 $$) & exec RINGWOOD \"$@\"", between(0, 150*time.Millisecond))
+		text = fmt.Sprintf("(sleep %.3f; kill -9 $$) & exec RINGWOOD \"$@\"", randomSeconds(0, 150*time.Millisecond))
 	case "dies-serving":
-		text = fmt.Sprintf("(sleep %.3f; kill -9 $$) & exec RINGWOOD \"$@\"", between(g.opts.ProveFor/5, g.opts.ProveFor*3/5)) // well within the probation, on a slow machine too
+		text = fmt.Sprintf("(sleep %.3f; kill -9 $$) & exec RINGWOOD \"$@\"", randomSeconds(g.opts.ProveFor/5, g.opts.ProveFor*3/5)) // well within the probation, on a slow machine too
 	case "hangs":
-		text = fmt.Sprintf("(sleep %.3f; kill -STOP $$) & exec RINGWOOD \"$@\"", between(g.opts.ProveFor/5, g.opts.ProveFor*3/5)) // well within the probation, on a slow machine too
+		text = fmt.Sprintf("(sleep %.3f; kill -STOP $$) & exec RINGWOOD \"$@\"", randomSeconds(g.opts.ProveFor/5, g.opts.ProveFor*3/5)) // well within the probation, on a slow machine too
 	case "memory":
 		text = "x=$(head -c 600000000 /dev/zero | tr '\\0' x); RINGWOOD \"$@\" & wait"
 	case "errors":
@@ -368,9 +368,9 @@
 	return r, err
 }
 
-// upgrade requests one upgrade and waits for its outcome.
-func (g *gatewayUnderTest) upgrade(ctx context.Context, kind string, chance *rand.Rand) (u Upgrade, err error) {
-	r, err := g.request(kind, chance)
+// upgrade requests one upgrade and waits for its outcome. rng is not used by Good, for which it may be nil.
+func (g *gatewayUnderTest) upgrade(ctx context.Context, kind string, rng *rand.Rand) (u Upgrade, err error) {
+	r, err := g.request(kind, rng)
 	if err != nil {
 		return u, err
 	}
@@ -396,14 +396,14 @@
 }
 
 // sampleMemory samples the memory of the serving process and of its children until the
-// returned function is called. That function returns the maximum increase since the start, in bytes.
+// returned function is called, if on is true. That function returns the maximum increase since the start, in bytes.
 func (g *gatewayUnderTest) sampleMemory(ctx context.Context, on bool) (end func() int64) {
 	st, err := admin.FetchStatus(ctx, g.admin)
 	if !on || err != nil {
 		return func() int64 { return 0 }
 	}
 	start := metrics.ResidentBytes(st.PID)
-	stop, most := make(chan struct{}), make(chan int64, 1)
+	stop, result := make(chan struct{}), make(chan int64, 1)
 	go func() {
 		t := time.NewTicker(20 * time.Millisecond)
 		defer t.Stop()
@@ -417,12 +417,12 @@
 				}
 				extra = max(extra, sum-start)
 			case <-stop:
-				most <- extra
+				result <- extra
 				return
 			}
 		}
 	}()
-	return func() int64 { close(stop); return <-most }
+	return func() int64 { close(stop); return <-result }
 }
 
 // children returns the child processes of all threads of a process (proc(5)).
