--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -46,7 +46,7 @@
 	Found    time.Duration   // time from the start until all views agreed
 	Known    []time.Duration // for each front end that is down for good: time until the last survivor reported it
 	Views    int             // maximum number of view changes at one front end
-	Passed   int             // datagrams forwarded between front ends
+	Passed   int             // datagrams forwarded between front ends, duplicates included
 	Lost     int             // datagrams dropped between front ends
 	CPU      time.Duration   // CPU time of a process per second, the mean over the processes that ran for the whole span
 	Memory   int             // resident bytes of a process at the end, the mean over the same processes
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -55,6 +55,7 @@
 // phase is the beginning or the end of a fault.
 type phase int
 
+// The two phases of a fault.
 const (
 	faultBegins phase = iota
 	faultEnds
@@ -227,9 +228,9 @@
 	if at == faultEnds {
 		cur = t.limits[key]
 	}
-	was, err := t.frontEnds[n].setLimit(resource, cur)
+	previous, err := t.frontEnds[n].setLimit(resource, cur)
 	if err == nil && at == faultBegins {
-		t.limits[key] = was
+		t.limits[key] = previous
 	}
 	return err
 }
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -239,7 +239,7 @@
 }
 
 // setLimit sets a soft resource limit of the current process, at most its hard limit, and returns the previous soft limit.
-func (f *frontEnd) setLimit(resource int, cur uint64) (was uint64, err error) {
+func (f *frontEnd) setLimit(resource int, cur uint64) (previous uint64, err error) {
 	p := f.running()
 	var old, set unix.Rlimit
 	if err := unix.Prlimit(p.cmd.Process.Pid, resource, nil, &old); err != nil {
--- a/internal/testbed/membershipsim/baseline.go
+++ b/internal/testbed/membershipsim/baseline.go
@@ -20,9 +20,9 @@
 // heartbeats is a member of a group with all-to-all heartbeats and a fixed timeout.
 type heartbeats struct {
 	self          decide.ID
-	named         []decide.ID
-	lastHeard     map[decide.ID]time.Duration
-	dead          map[decide.ID]bool
+	named         []decide.ID                 // members it knows, possibly itself included
+	lastHeard     map[decide.ID]time.Duration // by member: time of the latest heartbeat
+	dead          map[decide.ID]bool          // members reported dead
 	nextHeartbeat time.Duration
 }
 
@@ -90,7 +90,7 @@
 	self         decide.ID
 	rng          *rand.Rand
 	incarnation  uint16
-	others       map[decide.ID]*swimPeer
+	others       map[decide.ID]*swimPeer   // the other members that it knows
 	pingOrder    []decide.ID               // members still to be pinged in this pass
 	nextPeriod   time.Duration             // start of the next period
 	pinged       decide.ID                 // member pinged in this period; 0: none
@@ -101,6 +101,7 @@
 	updates      map[decide.ID]int         // by subject: transmissions left
 }
 
+// swimPeer is what a SWIM member knows of another member.
 type swimPeer struct {
 	state       decide.State
 	incarnation uint16
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -17,7 +17,8 @@
 	Handle(now time.Duration, event decide.Event) []decide.Action
 	// TickInterval returns the time between two ticks.
 	TickInterval() time.Duration
-	// State returns the member's opinion of another member.
+	// State returns the state of another member in this member's opinion, then the members that report not hearing it and
+	// those that report hearing it. The baselines return nil for both lists.
 	State(id decide.ID) (decide.State, []decide.ID, []decide.ID)
 }
 
@@ -33,15 +34,15 @@
 	Span    time.Duration    // not used here; Run takes the end time
 	// Make creates a member that starts at its clock's time now. inc is its incarnation, named the members it knows.
 	Make   func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
-	Named  func(id decide.ID) []decide.ID // members that a member knows at its start; nil: all
-	Events []Event
+	Named  func(id decide.ID) []decide.ID                              // members that a member knows at its start; nil: all
+	Events []Event                                                     // scheduled events; nil: none
 	Hear   func(now time.Duration, at decide.ID, action decide.Action) // receives all actions but datagrams; nil: discarded
 }
 
 // Event is one scheduled event of members or of the network paths between them.
 type Event struct {
 	At   time.Duration // since the start of the simulation
-	Do   Do
+	Do   Do            // what happens
 	Who  []decide.ID   // affected members, or senders
 	To   []decide.ID   // receivers; nil: all
 	Part float64       // of Lossy: share of lost datagrams, 0 to 1
@@ -110,6 +111,7 @@
 // eventQueue is a heap (container/heap) of events by time.
 type eventQueue []queuedEvent
 
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
@@ -118,13 +120,13 @@
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(queuedEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
-	it := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = queuedEvent{}
 	*q = old[:len(old)-1]
-	return it
+	return last
 }
 
-// New sets up a simulation. Member ids start at 1.
+// New sets up a simulation. Member ids start at 1. Members start at random times within the first 200 ms.
 func New(opts Options) *World {
 	w := &World{
 		opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), nodes: map[decide.ID]*node{}, paths: map[[2]decide.ID]path{},
@@ -152,9 +154,9 @@
 // Run advances the simulation to the given time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		it := heap.Pop(&w.queue).(queuedEvent)
-		w.now = it.at
-		it.run()
+		next := heap.Pop(&w.queue).(queuedEvent)
+		w.now = next.at
+		next.run()
 	}
 	w.now = until
 }
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -59,15 +59,15 @@
 	w              *World
 	site           *site
 	g              *gateway // gateway of the present attempt
-	generation     int
-	mark           string
+	generation     int      // that gateway's generation at the start of the attempt
+	mark           string   // identifies the request
 	class          policy.Class
-	estimateFactor float64 // factor by which its estimate differs from the actual work
-	arrived        time.Duration
+	estimateFactor float64       // factor by which its estimate differs from the actual work
+	arrived        time.Duration // arrival time of the request, at its first attempt
 	deadline       time.Duration // deadline of the present attempt
-	tries          int
-	answered       bool
-	pending        *core.Request
+	tries          int           // attempts so far
+	answered       bool          // it has its final answer
+	pending        *core.Request // the present attempt; nil: it has ended
 }
 
 // estimateSpread is the standard deviation of the logarithm of an estimate's error factor.
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -81,9 +81,9 @@
 	Warm      time.Duration                            // warm-up, which is not measured
 	Span      time.Duration                            // measured time after the warm-up
 	Events    []Event                                  // scheduled events; nil: none
-	Seed      uint64
-	Cost      func(began time.Time) // called at the end of each decision with its real start time; nil: not called
-	Log       io.Writer             // log of the gateways; nil: discarded
+	Seed      uint64                                   // seeds all random draws
+	Cost      func(began time.Time)                    // called at the end of each decision with its real start time; nil: not called
+	Log       io.Writer                                // log of the gateways; nil: discarded
 
 	script func(w *World) // lets a test schedule its own requests in place of random arrivals
 }
@@ -91,19 +91,19 @@
 // World is the state of a simulation.
 type World struct {
 	opts   Options
-	now    time.Duration
-	queue  *timerqueue.Queue
-	rng    *rand.Rand
+	now    time.Duration     // virtual time, which starts at origin
+	queue  *timerqueue.Queue // scheduled events
+	rng    *rand.Rand        // random draws of the network, of retries and of the way Random
 	sites  []*site
-	wans   []*wan
+	wans   []*wan // links between gateways of different sites
 	ledger ledger
 	res    *Result
-	err    error
+	err    error // first error, which ends the simulation; nil: none
 }
 
 // site is one site with its gateways, engines and arrivals.
 type site struct {
-	n        int
+	n        int // number of the site, from 0
 	gateways []*gateway
 	engines  []*engine
 	load     float64    // factor of the usual arrival rate
@@ -115,14 +115,14 @@
 type gateway struct {
 	w          *World
 	site       *site
-	n          int
+	n          int // number of the gateway at its site, from 0
 	generation int // number of starts, the present one included
 	core       *core.Core
 	timers     *timerqueue.Queue // its own timers, discarded when it crashes
-	wake       *timerqueue.Timer
+	wake       *timerqueue.Timer // the scheduled wakeup for the next of its timers
 	service    *forwarding.Service
 	stats      *metrics.Counters
-	dead       bool
+	dead       bool // it has crashed and not restarted yet
 }
 
 // Now returns the gateway's clock, which is ahead of the simulation's by the site's offset.
--- a/internal/testbed/simulation/wan.go
+++ b/internal/testbed/simulation/wan.go
@@ -51,18 +51,18 @@
 // wan is the wide-area link between two gateways of two sites.
 type wan struct {
 	w     *World
-	ends  [2]*gateway
-	ports [2]*port // nil: not connected
-	cut   bool
-	mute  [2]bool // by end: data to that end is held
+	ends  [2]*gateway // by side
+	ports [2]*port    // by side; nil: not connected
+	cut   bool        // it cannot be connected
+	mute  [2]bool     // by end: data to that end is held
 }
 
 // port is one end of a connection.
 type port struct {
 	wan     *wan
-	side    int // index of its gateway in wan.ends
-	link    *forwarding.Link
-	sending bool
+	side    int              // index of its gateway in wan.ends
+	link    *forwarding.Link // the gateway's state of the connection
+	sending bool             // a transmission is scheduled or under way
 	closed  bool
 	last    time.Duration // arrival time of the latest message
 	partial []byte        // received data that is not a complete message yet
--- a/internal/testbed/sitelink/measure.go
+++ b/internal/testbed/sitelink/measure.go
@@ -71,7 +71,7 @@
 // pendingCall is the client of one request of a closed loop.
 type pendingCall struct {
 	c     *closedLoop
-	began time.Time
+	began time.Time // when the request was sent
 }
 
 // sendNext sends the next request.
--- a/internal/testbed/sitelink/node.go
+++ b/internal/testbed/sitelink/node.go
@@ -85,7 +85,7 @@
 func (n *Node) Cancel(a *core.Attempt) bool {
 	select {
 	case n.Dropped <- a.Request.ID:
-	default: // the channel is full: the test does not read it
+	default: // the channel is full, because the caller does not read it
 	}
 	return true
 }
--- a/internal/testbed/sites/sites.go
+++ b/internal/testbed/sites/sites.go
@@ -76,7 +76,7 @@
 	Writes      float64            // fraction of requests that are writes; rest: always 0
 	Connections int                // client connections to each gateway
 	Link        faultproxy.Options
-	Settings    map[string]string // lines of the sites file that differ from deploy/sites.toml
+	Settings    map[string]string // lines of the sites file that differ from deploy/sites.toml, value by name
 	Events      []Event
 	Warm        time.Duration // warm-up, which is not measured
 	Span        time.Duration // measured time after the warm-up
--- a/internal/testbed/testca/authority.go
+++ b/internal/testbed/testca/authority.go
@@ -26,6 +26,7 @@
 	revoked []x509.RevocationListEntry
 }
 
+// day is a time span of 24 hours.
 const day = 24 * time.Hour
 
 // authorityValidity is how long the authority's own certificate is valid.
