--- a/internal/testbed/cluster/check.go
+++ b/internal/testbed/cluster/check.go
@@ -12,7 +12,7 @@
 )
 
 // reportGrace is how long a report about a front end may still appear after the front end is back or reachable again:
-// another member first has to hear from it, and then to spread the news.
+// another member first has to receive from it, and that observation then has to spread.
 const reportGrace = 5 * time.Second
 
 // check checks the invariants on the observations. It does not depend on how members decide: it uses only the injected
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -273,11 +273,11 @@
 	return errors.Join(errs...)
 }
 
-// markDown records that a process is down from now on. counts says whether the front end still belongs in the views.
-func (t *cluster) markDown(n int, counts bool) {
+// markDown records that a process is down from now on. inView says whether the front end still belongs in the views.
+func (t *cluster) markDown(n int, inView bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.up[n] = counts
+	t.up[n] = inView
 	t.spans = append(t.spans, span{who: n, from: time.Now(), down: true})
 }
 
--- a/internal/testbed/cluster/process.go
+++ b/internal/testbed/cluster/process.go
@@ -217,19 +217,21 @@
 	}
 }
 
-// sendSignal sends a signal to a process started by this front end. last says that the signal requests its end.
-func (f *frontEnd) sendSignal(p *process, s syscall.Signal, last bool) {
+// sendSignal sends a signal to a process started by this front end. endRequested says that the signal requests its end.
+func (f *frontEnd) sendSignal(p *process, s syscall.Signal, endRequested bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p == nil {
 		return
 	}
-	p.endRequested = p.endRequested || last
+	p.endRequested = p.endRequested || endRequested
 	_ = p.cmd.Process.Signal(s) // fails only if the process has ended
 }
 
 // signal sends a signal to the current process.
-func (f *frontEnd) signal(s syscall.Signal, last bool) { f.sendSignal(f.running(), s, last) }
+func (f *frontEnd) signal(s syscall.Signal, endRequested bool) {
+	f.sendSignal(f.running(), s, endRequested)
+}
 
 // running returns the current process; nil: none was started.
 func (f *frontEnd) running() *process {
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -56,8 +56,8 @@
 	paused, pausedFrom, pausedTo := decide.ID(0), time.Duration(0), time.Duration(0)
 	warmUp := true // reports are not counted yet
 	w := New(Options{
-		Members: o.Members, Seed: o.Seed, Loss: o.Loss, Named: o.knownAtStart(), Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ways[o.Way],
-		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
+		Members: o.Members, Seed: o.Seed, Loss: o.Loss, KnownAtStart: o.knownAtStart(), Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, NewMember: Ways[o.Way],
+		OnAction: func(now time.Duration, at decide.ID, a decide.Action) {
 			switch a := a.(type) {
 			case decide.ViewChanged:
 				changes[at]++
@@ -93,7 +93,7 @@
 	f.Bytes, f.Packets = float64(total(w.Bytes)-bytes)/span, float64(total(w.Datagrams)-packets)/span
 	f.Each, f.CPU = (w.CPU-cpu)/time.Duration(max(w.Decisions-decisions, 1)), time.Duration(float64(w.CPU-cpu)/span)
 	recordBytes := func(from int, began time.Duration) {
-		n := float64(len(w.Living()))
+		n := float64(len(w.Running()))
 		f.BytesAll = max(f.BytesAll, float64(total(w.Bytes)-from)/(w.Now()-began).Seconds()/n)
 	}
 	if o.Pause > 0 {
@@ -109,7 +109,7 @@
 		w.Run(at + crashObservation)
 		recordBytes(b, at)
 		var last time.Duration
-		for _, s := range w.Living() {
+		for _, s := range w.Running() {
 			took := known[id][s] - at
 			if known[id][s] == 0 {
 				took = crashObservation
@@ -121,10 +121,10 @@
 	}
 	if o.Crashes > 0 {
 		n := 0
-		for _, id := range w.Living() {
+		for _, id := range w.Running() {
 			n += changes[id]
 		}
-		f.Changes = float64(n) / float64(len(w.Living())*o.Crashes)
+		f.Changes = float64(n) / float64(len(w.Running())*o.Crashes)
 	}
 	if o.Most > 0 {
 		o.crashMost(w, &f, dead, known, changes, recordBytes)
@@ -152,8 +152,8 @@
 		if m == nil {
 			return false
 		}
-		if ours, ok := m.(*decide.Node); ok {
-			if v, _ := ours.View(); v.Size != w.opts.Members {
+		if node, ok := m.(*decide.Node); ok {
+			if v, _ := node.View(); v.Size != w.opts.Members {
 				return false
 			}
 		}
@@ -169,7 +169,7 @@
 // crashMost crashes the share Most of the members at once and observes the survivors.
 func (o Measure) crashMost(w *World, f *Found, dead map[decide.ID]time.Duration, known map[decide.ID]map[decide.ID]time.Duration, changes map[decide.ID]int, recordBytes func(int, time.Duration)) {
 	clear(changes)
-	all := w.Living()
+	all := w.Running()
 	rng := rand.New(rand.NewPCG(o.Seed, 99))
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	crashed := all[:int(math.Round(o.Most*float64(len(all))))]
@@ -182,11 +182,11 @@
 	for w.Now() < at+60*time.Second && f.MostLast == 0 {
 		w.Run(w.Now() + checkInterval)
 		done := true
-		for _, id := range w.Living() {
+		for _, id := range w.Running() {
 			m, ok := w.Member(id).(*decide.Node)
 			if ok {
 				v, _ := m.View()
-				done = done && v.Size == len(w.Living())
+				done = done && v.Size == len(w.Running())
 			}
 			for _, d := range crashed {
 				if s, _, _ := w.Member(id).State(d); s.InView() {
@@ -199,7 +199,7 @@
 		}
 	}
 	recordBytes(b, at)
-	for _, id := range w.Living() {
+	for _, id := range w.Running() {
 		f.MostViews = max(f.MostViews, changes[id])
 	}
 }
--- a/internal/testbed/membershipsim/start_test.go
+++ b/internal/testbed/membershipsim/start_test.go
@@ -13,9 +13,9 @@
 	t.Parallel()
 	const n, maxTime = 300, 45 * second
 	w := New(Options{
-		Members: n, Seed: 1, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
-		Named: func(decide.ID) []decide.ID { return []decide.ID{1, 1001} },
-		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
+		Members: n, Seed: 1, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, NewMember: Ours,
+		KnownAtStart: func(decide.ID) []decide.ID { return []decide.ID{1, 1001} },
+		OnAction: func(now time.Duration, at decide.ID, a decide.Action) {
 			if a, ok := a.(decide.MemberReport); ok && (a.State == decide.Dead || a.State == decide.Unreachable) {
 				t.Errorf("%v: member %d reports member %d as %s, but all are running", now, at, a.Member, a.State)
 			}
@@ -36,8 +36,8 @@
 	const n = 100
 	reports := 0
 	w := New(Options{
-		Members: n, Seed: 1, Loss: 0.3, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
-		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
+		Members: n, Seed: 1, Loss: 0.3, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, NewMember: Ours,
+		OnAction: func(now time.Duration, at decide.ID, a decide.Action) {
 			if a, ok := a.(decide.MemberReport); ok && now > 30*second {
 				reports++
 				if !a.State.InView() {
--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -24,19 +24,19 @@
 
 // Options configure a simulation.
 type Options struct {
-	Members int              // number of members
-	Started int              // number of members that start at the beginning, the rest by Events; 0: all
-	Seed    uint64           // seeds all random draws
-	Delay   [2]time.Duration // minimum and maximum one-way latency, uniformly distributed
-	Loss    float64          // share of lost datagrams, 0 to 1
-	Twice   float64          // share of duplicated datagrams, 0 to 1
-	Drift   float64          // maximum clock drift, as a fraction
-	Span    time.Duration    // not used here; Run takes the end time
+	Members    int              // number of members
+	Started    int              // number of members that start at the beginning, the rest by Events; 0: all
+	Seed       uint64           // seeds all random draws
+	Delay      [2]time.Duration // minimum and maximum one-way latency, uniformly distributed
+	Loss       float64          // share of lost datagrams, 0 to 1
+	Duplicated float64          // share of duplicated datagrams, 0 to 1
+	Drift      float64          // maximum clock drift, as a fraction
+	Span       time.Duration    // not used here; Run takes the end time
 	// Make creates a member that starts at its clock's time now. inc is its incarnation, named the members it knows.
-	Make   func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
-	Named  func(id decide.ID) []decide.ID                              // members that a member knows at its start; nil: all
-	Events []Event                                                     // scheduled events; nil: none
-	Hear   func(now time.Duration, at decide.ID, action decide.Action) // receives all actions but datagrams; nil: discarded
+	NewMember    func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
+	KnownAtStart func(id decide.ID) []decide.ID                              // members that a member knows at its start; nil: all
+	Events       []Event                                                     // scheduled events; nil: none
+	OnAction     func(now time.Duration, at decide.ID, action decide.Action) // receives all actions but datagrams; nil: discarded
 }
 
 // Event is one scheduled event of members or of the network paths between them.
@@ -45,7 +45,7 @@
 	Do   Do            // what happens
 	Who  []decide.ID   // affected members, or senders
 	To   []decide.ID   // receivers; nil: all
-	Part float64       // of Lossy: share of lost datagrams, 0 to 1
+	Loss float64       // of Lossy: share of lost datagrams, 0 to 1
 	For  time.Duration // of Pause, Slow, Jump and Replace: see there
 }
 
@@ -60,7 +60,7 @@
 	Pause             // no processing for the time For; received datagrams are held
 	Sever             // datagrams from Who to To are lost
 	Mend              // path faults from Who to To end
-	Lossy             // the share Part of the datagrams from Who to To is lost
+	Lossy             // the share Loss of the datagrams from Who to To is lost
 	Slow              // latency from Who to To rises by For
 	Jump              // clocks jump ahead by For
 	Replace           // after For, a new process continues with the state saved at the beginning
@@ -180,8 +180,8 @@
 	return ids
 }
 
-// Living returns the ids of the running members in ascending order.
-func (w *World) Living() (ids []decide.ID) {
+// Running returns the ids of the running members in ascending order.
+func (w *World) Running() (ids []decide.ID) {
 	for _, id := range w.All() {
 		if w.nodes[id].alive {
 			ids = append(ids, id)
@@ -203,10 +203,10 @@
 	}
 	rng := w.markStarted(n)
 	named := w.All()
-	if w.opts.Named != nil {
-		named = w.opts.Named(id)
+	if w.opts.KnownAtStart != nil {
+		named = w.opts.KnownAtStart(id)
 	}
-	n.member = w.opts.Make(id, uint32(1+w.now/time.Second), named, n.clock(w.now), rng)
+	n.member = w.opts.NewMember(id, uint32(1+w.now/time.Second), named, n.clock(w.now), rng)
 	w.tick(n, n.generation)
 }
 
@@ -250,8 +250,8 @@
 	for _, a := range out {
 		if s, ok := a.(decide.Send); ok {
 			w.send(n.id, s)
-		} else if w.opts.Hear != nil {
-			w.opts.Hear(w.now, n.id, a)
+		} else if w.opts.OnAction != nil {
+			w.opts.OnAction(w.now, n.id, a)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	w.Kinds[s.Payload[0]&15] += len(s.Payload)
 	p := w.paths[[2]decide.ID{from, s.To}]
 	copies := 1
-	if w.rng.Float64() < w.opts.Twice {
+	if w.rng.Float64() < w.opts.Duplicated {
 		copies = 2
 	}
 	for range copies {
@@ -314,7 +314,7 @@
 	case Mend:
 		changePaths(func(p *path) { *p = path{} })
 	case Lossy:
-		changePaths(func(p *path) { p.loss = e.Part })
+		changePaths(func(p *path) { p.loss = e.Loss })
 	case Slow:
 		changePaths(func(p *path) { p.extraDelay = e.For })
 	}
--- a/internal/testbed/membershipsim/world_test.go
+++ b/internal/testbed/membershipsim/world_test.go
@@ -117,8 +117,8 @@
 	reportedDown := map[string]bool{} // by process and subject: the latest report says that the subject is out of the view
 	var w *World
 	opts := Options{
-		Members: sc.members, Seed: seed, Loss: sc.loss, Twice: 0.02, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
-		Hear: func(now time.Duration, at decide.ID, a decide.Action) {
+		Members: sc.members, Seed: seed, Loss: sc.loss, Duplicated: 0.02, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, NewMember: Ours,
+		OnAction: func(now time.Duration, at decide.ID, a decide.Action) {
 			if now < startUp {
 				return
 			}
@@ -191,9 +191,9 @@
 	run := func() string {
 		h := sha256.New()
 		opts := Options{
-			Members: 30, Seed: 4, Loss: 0.2, Twice: 0.02, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, Make: Ours,
-			Events: []Event{{At: 12 * second, Do: Crash, Who: idRange(1, 20)}, {At: 20 * second, Do: Start, Who: idRange(1, 10)}},
-			Hear:   func(now time.Duration, at decide.ID, a decide.Action) { fmt.Fprintln(h, now, at, a) },
+			Members: 30, Seed: 4, Loss: 0.2, Duplicated: 0.02, Delay: [2]time.Duration{2 * time.Millisecond, 20 * time.Millisecond}, Drift: 0.0005, NewMember: Ours,
+			Events:   []Event{{At: 12 * second, Do: Crash, Who: idRange(1, 20)}, {At: 20 * second, Do: Start, Who: idRange(1, 10)}},
+			OnAction: func(now time.Duration, at decide.ID, a decide.Action) { fmt.Fprintln(h, now, at, a) },
 		}
 		w := New(opts)
 		w.Run(35 * second)
