--- a/internal/testbed/membershipsim/world.go
+++ b/internal/testbed/membershipsim/world.go
@@ -32,7 +32,7 @@
 	Duplicated float64          // share of duplicated datagrams, 0 to 1
 	Drift      float64          // maximum clock drift, as a fraction
 	Span       time.Duration    // not used here; Run takes the end time
-	// Make creates a member that starts at its clock's time now. inc is its incarnation, named the members it knows.
+	// NewMember creates a member that starts at its clock's time now. inc is its incarnation, named the members it knows.
 	NewMember    func(id decide.ID, inc uint32, named []decide.ID, now time.Duration, rng *rand.Rand) Member
 	KnownAtStart func(id decide.ID) []decide.ID                              // members that a member knows at its start; nil: all
 	Events       []Event                                                     // scheduled events; nil: none
@@ -46,7 +46,7 @@
 	Who  []decide.ID   // affected members, or senders
 	To   []decide.ID   // receivers; nil: all
 	Loss float64       // of Lossy: share of lost datagrams, 0 to 1
-	For  time.Duration // of Pause, Slow, Jump and Replace: see there
+	For  time.Duration // of Pause, Slow, Jump and Replace: duration, latency, clock jump or delay, as described for the kind
 }
 
 // Do is a kind of event.
@@ -69,10 +69,10 @@
 // World is the state of a simulation.
 type World struct {
 	opts     Options
-	now      time.Duration
+	now      time.Duration // virtual time since the start
 	queue    eventQueue
-	sequence uint64
-	rng      *rand.Rand
+	sequence uint64     // sequence number of the latest queued event
+	rng      *rand.Rand // draws of clocks, start times and the network
 	nodes    map[decide.ID]*node
 	paths    map[[2]decide.ID]path
 
