--- a/internal/testbed/cluster/mesh.go
+++ b/internal/testbed/cluster/mesh.go
@@ -1,5 +1,5 @@
 // Package cluster runs several gateway processes as one cluster with emulated engines, event bus and clients. It puts
-// relays between them, injects the faults of a schedule, merges what all processes logged, and checks the invariants.
+// proxies between them, injects the faults of a schedule, merges the logs of all processes, and checks the invariants.
 package cluster
 
 import (
@@ -12,41 +12,42 @@
 	"time"
 )
 
-// path is what happens on the path from one front end to another.
+// path holds the faults of the one-way path from one front end to another. Its zero value has none.
 type path struct {
-	cut        bool
-	loss       float64
-	duplicated float64       // share that comes twice
-	corrupted  float64       // share of which a byte is changed
-	delay      time.Duration // each takes longer by this, and by up to as much again
+	cut        bool          // all datagrams are dropped
+	loss       float64       // share of dropped datagrams, 0 to 1
+	duplicated float64       // share of duplicated datagrams, 0 to 1
+	corrupted  float64       // share of datagrams with one changed byte, 0 to 1
+	delay      time.Duration // additional latency, plus a random part of up to as much
 }
 
-// mesh relays datagrams between front ends: each has an address of its own for each other one, which is where that
-// other seems to be, for all that it sends and hears.
+// mesh relays datagrams between front ends. For each pair of front ends, it has a socket that stands for the one towards
+// the other: the other sends to its address and receives from it.
 type mesh struct {
-	n     int
+	size  int
 	addrs []netip.AddrPort
-	socks [][]*net.UDPConn // [a][b]: b as a sees it
+	socks [][]*net.UDPConn // [a][b] stands for b towards a
 
 	mu      sync.Mutex
 	paths   [][]path
 	rng     *rand.Rand
 	passed  int
 	dropped int
-	wait    sync.WaitGroup
+	relays  sync.WaitGroup
 }
 
+// newMesh opens the sockets and starts a relay for each ordered pair of front ends.
 func newMesh(addrs []netip.AddrPort, seed uint64) (m *mesh, err error) {
-	m = &mesh{n: len(addrs), addrs: addrs, rng: rand.New(rand.NewPCG(seed, 0x6d657368))}
+	m = &mesh{size: len(addrs), addrs: addrs, rng: rand.New(rand.NewPCG(seed, 0x6d657368))}
 	defer func() {
 		if err != nil {
 			m.close()
 		}
 	}()
-	for a := range m.n {
-		m.paths = append(m.paths, make([]path, m.n))
-		m.socks = append(m.socks, make([]*net.UDPConn, m.n))
-		for b := range m.n {
+	for a := range m.size {
+		m.paths = append(m.paths, make([]path, m.size))
+		m.socks = append(m.socks, make([]*net.UDPConn, m.size))
+		for b := range m.size {
 			if a == b {
 				continue
 			}
@@ -55,25 +56,25 @@
 			}
 		}
 	}
-	for a := range m.n {
-		for b := range m.n {
+	for a := range m.size {
+		for b := range m.size {
 			if a != b {
-				m.wait.Go(func() { m.relay(a, b) })
+				m.relays.Go(func() { m.relay(a, b) })
 			}
 		}
 	}
 	return m, nil
 }
 
-// seen is where a front end sees another one, and itself.
-func (m *mesh) seen(a, b int) string {
+// addressSeenBy returns the address at which front end a reaches front end b; for a itself, its own address.
+func (m *mesh) addressSeenBy(a, b int) string {
 	if a == b {
 		return m.addrs[a].String()
 	}
 	return m.socks[a][b].LocalAddr().String()
 }
 
-// relay passes on what a sends to b.
+// relay forwards the datagrams from a to b, with the faults of the path.
 func (m *mesh) relay(a, b int) {
 	buf := make([]byte, 2048)
 	for {
@@ -85,37 +86,37 @@
 			continue // an ICMP error, or a datagram of another sender
 		}
 		m.mu.Lock()
-		w, times := m.paths[a][b], 1
+		p, copies := m.paths[a][b], 1
 		switch {
-		case w.cut || m.rng.Float64() < w.loss:
-			times = 0
+		case p.cut || m.rng.Float64() < p.loss:
+			copies = 0
 			m.dropped++
-		case m.rng.Float64() < w.duplicated:
-			times = 2
+		case m.rng.Float64() < p.duplicated:
+			copies = 2
 		}
-		if times > 0 && n > 0 && m.rng.Float64() < w.corrupted {
+		if copies > 0 && n > 0 && m.rng.Float64() < p.corrupted {
 			buf[m.rng.IntN(n)] ^= byte(1 + m.rng.IntN(255))
 		}
-		later := w.delay
-		if w.delay > 0 {
-			later += time.Duration(m.rng.Int64N(int64(w.delay)))
+		delay := p.delay
+		if p.delay > 0 {
+			delay += time.Duration(m.rng.Int64N(int64(p.delay)))
 		}
-		m.passed += times
+		m.passed += copies
 		m.mu.Unlock()
 		back := m.socks[b][a]
 		to := net.UDPAddrFromAddrPort(m.addrs[b])
-		for range times {
-			if later == 0 {
-				_, _ = back.WriteToUDP(buf[:n], to) // one that is down receives nothing
+		for range copies {
+			if delay == 0 {
+				_, _ = back.WriteToUDP(buf[:n], to) // fails if b is down
 				continue
 			}
 			payload := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(later, func() { _, _ = back.WriteToUDP(payload, to) })
+			time.AfterFunc(delay, func() { _, _ = back.WriteToUDP(payload, to) })
 		}
 	}
 }
 
-// change changes the ways from some to others.
+// change applies f to all paths from one group of front ends to another.
 func (m *mesh) change(from, to []int, f func(*path)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,6 +129,7 @@
 	}
 }
 
+// close closes the sockets and waits for the relays to end. Datagrams that are still delayed are lost.
 func (m *mesh) close() {
 	for _, row := range m.socks {
 		for _, s := range row {
@@ -136,5 +138,5 @@
 			}
 		}
 	}
-	m.wait.Wait()
+	m.relays.Wait()
 }
