--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -49,12 +49,12 @@
 	Seeds         []uint64 `toml:"seeds"`
 	Fronts        []string `toml:"fronts"` // front ends to test: "rest", "postgres"
 	Engines       int      `toml:"engines"`
-	WorkMS        float64  `toml:"work_ms"`     // time of each statement at an engine, in milliseconds
-	Connections   []int    `toml:"connections"` // numbers of client connections; each is one series
-	Rate          float64  `toml:"rate"`        // requests per second
-	Loads         float64  `toml:"loads"`       // share of requests that are loads
-	Writes        float64  `toml:"writes"`      // share of requests that are other writes
-	Churn         float64  `toml:"churn"`
+	WorkMS        float64  `toml:"work_ms"`      // time of each statement at an engine, in milliseconds
+	Connections   []int    `toml:"connections"`  // numbers of client connections; each is one series
+	Rate          float64  `toml:"rate"`         // requests per second
+	Loads         float64  `toml:"loads"`        // share of requests that are loads
+	Writes        float64  `toml:"writes"`       // share of requests that are other writes
+	Churn         float64  `toml:"churn"`        // share of requests after which the client connection is replaced
 	Traffic       string   `toml:"traffic"`      // file of recorded traffic (testbed traffic generate) to replay instead of generated requests; "": none
 	ValidUpgrades int      `toml:"good"`         // number of upgrades that must succeed
 	FaultyKinds   []string `toml:"broken"`       // kinds of faulty upgrades, one upgrade for each entry
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -23,7 +23,7 @@
 	Seeds       []uint64 `toml:"seeds"`
 	Operations  []string `toml:"ways"` // operations to compare, such as upgrades.TakeOver
 	Engines     int      `toml:"engines"`
-	Crowded     int      `toml:"crowded"` // number of engines that another program also uses
+	Crowded     int      `toml:"crowded"` // number of engines of which another program takes a share
 	Share       float64  `toml:"share"`   // share of a crowded engine that the other program takes, from 0 to below 1
 	Rate        float64  `toml:"rate"`    // requests per second
 	Connections int      `toml:"connections"`
--- a/cmd/testbed/shapes.go
+++ b/cmd/testbed/shapes.go
@@ -30,7 +30,7 @@
 	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files, as written by testbed traffic generate; if omitted, traffic is generated from the seeds."`
 	Seeds  []uint64 `default:"1,2,3,4,5" help:"Seeds of generated traffic." name:"seeds"`
 	Number int      `default:"20000" help:"Generated statements per seed." name:"number"`
-	Train  float64  `default:"0.5" help:"Share of the records, from the start, used only for learning and not evaluated; 0 to 1." name:"train"`
+	Train  float64  `default:"0.5" help:"Share of the records, from the start, that is used for learning but not evaluated, 0 to 1; learning continues after it." name:"train"`
 	Kbytes int      `default:"2048" help:"Memory limit of the cache, in KiB." name:"kbytes"`
 	Out    string   `placeholder:"FOLDER" help:"Write table, figures and chart to this folder, as shapes-evaluate.*." name:"out"`
 }
--- a/cmd/testbed/sites.go
+++ b/cmd/testbed/sites.go
@@ -190,7 +190,7 @@
 
 // report writes the tables and the chart of all runs, and returns the rules broken.
 func (e *sitesExperiment) report(dir string, runs []*siteRun) (faults []load.Fault, err error) {
-	t := report.Table{Columns: []string{"front", "scenario", "strategy", "requests", "service (share of value), median (min to max)", "service in the worst 10 s", "latency of served requests, p50, p99 (ms)", "requests sent to another site", "requests run locally instead", "rules broken"}}
+	t := report.Table{Columns: []string{"front", "scenario", "strategy", "requests", "service (share of value), median (min to max)", "service in the worst 10 s", "latency of served requests, p50, p99 (ms)", "requests sent to another site", "requests run locally after a failure at the other site", "rules broken"}}
 	raw := report.Table{Columns: []string{"front", "scenario", "way", "seed", "requests", "service", "worst", "crossed", "virtual_service", "virtual_worst", "virtual_crossed", "faults"}}
 	chart := report.Bars{Title: e.Title, Axis: "service: value answered in time / value requested", Series: slices.Clone(e.Strategies), Values: make([][]float64, len(e.Strategies))}
 	if e.Virtual {
--- a/cmd/testbed/traffic.go
+++ b/cmd/testbed/traffic.go
@@ -110,7 +110,7 @@
 	File string `arg:"" help:"Traffic file to read." name:"file"`
 	From int    `default:"0" help:"Number of the first record to print, counted from 0." name:"from"`
 	Max  int    `name:"most" default:"20" help:"Maximum number of records to print."`
-	Hard bool   `help:"Print only hard cases: statements whose cost their shape does not show." name:"hard"`
+	Hard bool   `help:"Print only hard cases: statements whose parameter values make them much more expensive than others of their kind." name:"hard"`
 }
 
 func (c *showCommand) Run() error {
--- a/deploy/sites/play.sh
+++ b/deploy/sites/play.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Plays a deployment of our own on the acceptance bench: deploy/sites/play.sh NAME [ARGUMENTS OF score], for
-# example deploy/sites/play.sh paro-ledger --panel brink --seed 1 --why "...". The bench wants some of its files beside a site's; they are
-# laid there only while it plays, and git ignores them.
+# Runs one of the deployments in this folder on the acceptance bench: deploy/sites/play.sh NAME [ARGUMENTS OF score],
+# for example deploy/sites/play.sh paro-ledger --panel brink --seed 1 --why "...". The bench requires some of its own files
+# in the folder of the deployment; they are copied there only for the run, and git ignores them.
 set -eu
 cd "$(dirname "$0")/../.."
 kit=../given/kit/more/mass
--- a/test.sh
+++ b/test.sh
@@ -1,26 +1,26 @@
 #!/bin/sh
-# Format, vet, linter and tests; README names this command. Property tests draw from a fixed seed, so that a run
-# gives the same verdict every time; RAPID_SEED=0 draws a new one, to search further.
+# Checks the format and runs vet, the linter and the tests; the README names this command. Property tests use a fixed
+# seed, so that every run gives the same result; RAPID_SEED=0 chooses a new seed, to find further failures.
 #
-# KNOWN-RED.txt names tests that fail for a fault which is known and not mended yet, three at most, a line each:
-# TEST PACKAGE | cause | issue. They are passed over here and printed; one that passes, or that there is not, fails the run.
+# KNOWN-RED.txt lists tests that fail because of a known fault that is not fixed yet, at most three, one per line:
+# TEST PACKAGE | cause | issue. They are skipped here and printed; a listed test that passes or does not exist fails the run.
 set -eu
 unformatted=$(gofmt -l cmd examples internal policy)
 if [ -n "$unformatted" ]; then
-    echo "gofmt: $unformatted" >&2
+    echo "gofmt: these files are not formatted; run gofmt -w on them: $unformatted" >&2
     exit 1
 fi
 go vet ./...
 go tool -modfile=tools/go.mod golangci-lint run ./...
 skip='^$'
 if [ -s KNOWN-RED.txt ]; then
-    [ "$(wc -l < KNOWN-RED.txt)" -le 3 ] || { echo "KNOWN-RED.txt: more than three tests" >&2; exit 1; }
+    [ "$(wc -l < KNOWN-RED.txt)" -le 3 ] || { echo "KNOWN-RED.txt: lists more than three tests, the limit is three" >&2; exit 1; }
     while read -r name package rest; do
-        case "$name $rest" in Test*"| "*"| "*) ;; *) echo "KNOWN-RED.txt: not TEST PACKAGE | cause | issue: $name" >&2; exit 1 ;; esac
+        case "$name $rest" in Test*"| "*"| "*) ;; *) echo "KNOWN-RED.txt: the line of $name is not of the form: TEST PACKAGE | cause | issue" >&2; exit 1 ;; esac
         echo "known red: $name $package $rest"
-        go test -list "^$name\$" "$package" | grep -qx "$name" || { echo "KNOWN-RED.txt: there is no $name in $package" >&2; exit 1; }
+        go test -list "^$name\$" "$package" | grep -qx "$name" || { echo "KNOWN-RED.txt: test $name does not exist in $package" >&2; exit 1; }
         if go test -run "^$name\$" "$package" > /dev/null 2>&1; then
-            echo "KNOWN-RED.txt: $name passes: take its line out" >&2
+            echo "KNOWN-RED.txt: $name passes; remove its line" >&2
             exit 1
         fi
         skip="$skip|^$name\$"
